--- /dev/null
+++ b/internal/rollout/stored_test.go
@@ -0,0 +1,381 @@
+package rollout
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"flag"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+)
+
+// These tests pin what a rollout keeps on disk: a controller's records and lease, an operator's order, an agent's
+// state. The files of storedDir were written by the code of commit 569f7cf and are never written anew by later
+// code: what it has left has to stay readable (upgrade), and later code has to write the very same bytes
+// (rollback). Times in records are given by the caller, so nothing is masked. That the keys of a plan within a
+// record begin with capitals is part of it.
+
+var updateStored = flag.Bool("update-stored", false, "write the stored files anew: at commit 569f7cf alone")
+
+const (
+	// storedDir holds the files of commit 569f7cf.
+	storedDir = "testdata/569f7cf"
+	// storedController is the folder of a controller that died: its records and its lease.
+	storedController = "controller"
+	// storedOrder is the folder of a controller for which an order was left.
+	storedOrder = "order"
+	// storedAgent is the folder of an agent within a change.
+	storedAgent = "agent"
+	// newVersion and oldVersion are the checksums of the two versions.
+	newVersion = "1111111111111111111111111111111111111111111111111111111111111111"
+	oldVersion = "2222222222222222222222222222222222222222222222222222222222222222"
+	// tornBytes are cut off the records' end: a part of the last one.
+	tornBytes = 3
+)
+
+// storedTime is the time of the first record.
+var storedTime = time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
+
+// storedPlan sets every value of a plan to one that it does not have where the plan is silent.
+func storedPlan() *Plan {
+	return &Plan{
+		Version:      "build/new",
+		Bake:         Duration(20 * time.Second),
+		LongestBake:  Duration(90 * time.Second),
+		MostInChange: 2,
+		ByZone:       true,
+		OnDeath:      "rollback",
+		OneWay:       true,
+		Gate: Gate{FalseStop: 0.02, Missed: 0.03, WorseBy: 0.15, LongerBy: 1.25, MemoryFactor: 1.75,
+			Every: Duration(250 * time.Millisecond)},
+		Stages: []Stage{{Relays: 1}, {Share: 0.5}, {Share: 1}},
+		Agents: []Agent{{Relay: 1, Zone: "a", Address: "127.0.0.1:9001"},
+			{Relay: 2, Zone: "b", Address: "127.0.0.1:9002"}},
+	}
+}
+
+// storedRecords has a record of each kind.
+func storedRecords() []Record {
+	changedPlan := storedPlan()
+	changedPlan.Stages = []Stage{{Relays: 2}}
+	records := []Record{
+		{Kind: "began", To: newVersion, Plan: storedPlan(), Old: map[int]string{1: oldVersion, 2: oldVersion}},
+		{Kind: "change", Relay: 1, To: newVersion},
+		{Kind: "changed", Relay: 1, To: newVersion},
+		{Kind: "baking"},
+		{Kind: "stage"},
+		{Kind: "pause", Why: "zone <b> is left & \"bad\""},
+		{Kind: "resume", Plan: changedPlan},
+		{Kind: "change", Relay: 2, To: newVersion},
+		{Kind: "failed", Relay: 2, Why: "it does not start"},
+		{Kind: "stop", Why: "relay 2 could not be changed"},
+		{Kind: "rollback", Why: "an order"},
+		{Kind: "change", Relay: 2, To: oldVersion},
+		{Kind: "changed", Relay: 2, To: oldVersion},
+		{Kind: "finished"},
+	}
+	for i := range records {
+		records[i].At = storedTime.Add(time.Duration(i) * time.Second)
+	}
+	return records
+}
+
+// writeStoredController writes the folder of a second controller, which took over from a first one and died.
+func writeStoredController(t *testing.T, dir string) {
+	t.Helper()
+	first := openStore(t, dir)
+	for _, record := range storedRecords()[:3] {
+		if err := first.Append(record); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := first.Close(); err != nil {
+		t.Fatal(err)
+	}
+	second := openStore(t, dir)
+	for _, record := range storedRecords()[3:] {
+		if err := second.Append(record); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := second.file.Close(); err != nil { // as a death does: the lease stays
+		t.Fatal(err)
+	}
+}
+
+// openStore takes over a folder whatever lease runs there.
+func openStore(t *testing.T, dir string) *Store {
+	t.Helper()
+	store, err := OpenStore(dir, time.Now(), true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return store
+}
+
+// writeStoredOrder leaves an order with a changed plan.
+func writeStoredOrder(t *testing.T, dir string) {
+	t.Helper()
+	if err := GiveOrder(dir, Order{What: OrderResume, Plan: storedPlan()}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// writeStoredAgent keeps the state of an agent within a change.
+func writeStoredAgent(t *testing.T, dir string) {
+	t.Helper()
+	server := &Server{dir: dir, state: agentState{Fence: 7, Version: oldVersion, Going: newVersion}}
+	if err := server.save(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// storedFolders are the folders of storedDir, and what writes each.
+var storedFolders = []struct {
+	name  string
+	write func(t *testing.T, dir string)
+}{
+	{storedController, writeStoredController},
+	{storedOrder, writeStoredOrder},
+	{storedAgent, writeStoredAgent},
+}
+
+// The same steps give the same files, byte by byte, as at commit 569f7cf, which can so read what later code writes.
+func TestWritesStoredBytes(t *testing.T) {
+	for _, folder := range storedFolders {
+		t.Run(folder.name, func(t *testing.T) {
+			stored, written := filepath.Join(storedDir, folder.name), t.TempDir()
+			folder.write(t, written)
+			if *updateStored {
+				if err := os.MkdirAll(stored, 0o755); err != nil {
+					t.Fatal(err)
+				}
+				copyStored(t, written, stored)
+			}
+			want, got := fileNames(t, stored), fileNames(t, written)
+			if !slices.Equal(got, want) {
+				t.Fatalf("files %q, want %q", got, want)
+			}
+			for _, name := range want {
+				got, want := fileBytes(t, filepath.Join(written, name)), fileBytes(t, filepath.Join(stored, name))
+				if !bytes.Equal(got, want) {
+					t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+				}
+			}
+		})
+	}
+}
+
+// A later controller finds every record, with all its fields and its plan, and gives itself the next fencing
+// number. A lease counts by the time of its file, so that of a controller that still lives holds the folder.
+func TestReadsStoredRecords(t *testing.T) {
+	dir := t.TempDir()
+	copyStored(t, filepath.Join(storedDir, storedController), dir)
+	alive := time.Now()
+	if err := os.Chtimes(filepath.Join(dir, "lease"), alive, alive); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := OpenStore(dir, alive, false); !errors.Is(err, ErrHeld) {
+		t.Errorf("the folder of a controller that lives: %v, want %v", err, ErrHeld)
+	}
+	store, err := OpenStore(dir, alive.Add(time.Hour), false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer store.Close()
+	if store.Fence() != 3 {
+		t.Errorf("fencing number %d, want 3", store.Fence())
+	}
+	sameRecords(t, store.Records(), storedRecords())
+	carried := fileBytes(t, filepath.Join(dir, "rollout.3"))
+	if !bytes.Equal(carried, fileBytes(t, filepath.Join(storedDir, storedController, "rollout.2"))) {
+		t.Errorf("the records are not carried over as they were: %s", carried)
+	}
+}
+
+// The state that the stored records give, at the end and where the rollout was stopped, is the same.
+func TestStateOfStoredRecords(t *testing.T) {
+	records, err := ReadStore(filepath.Join(storedDir, storedController))
+	if err != nil {
+		t.Fatal(err)
+	}
+	const stopped = 10
+	var state State
+	for i, record := range records {
+		state.Apply(record)
+		if i == stopped-1 {
+			sameState(t, &state, "stopped", []int{1, 2}, map[int]string{2: "it does not start"})
+		}
+	}
+	sameState(t, &state, "rolled back", []int{1}, nil)
+}
+
+// sameState fails unless a state is as the stored records give it.
+func sameState(t *testing.T, state *State, phase string, changed []int, failures map[int]string) {
+	t.Helper()
+	if string(state.Phase) != phase || state.New != newVersion || state.Stage != 1 || !state.BakeFrom.IsZero() {
+		t.Errorf("phase %q, want %q; new version %s, stage %d, baking from %v", state.Phase, phase, state.New,
+			state.Stage, state.BakeFrom)
+	}
+	if !slices.Equal(state.Changed, changed) || len(state.Changing) > 0 {
+		t.Errorf("changed %v, want %v; in change %v", state.Changed, changed, state.Changing)
+	}
+	if len(state.Failed) != len(failures) || state.Failed[2] != failures[2] {
+		t.Errorf("failed %v, want %v", state.Failed, failures)
+	}
+	if len(state.Old) != 2 || state.Old[1] != oldVersion || state.Old[2] != oldVersion || len(state.Plan.Stages) != 1 {
+		t.Errorf("old versions %v, %d stages", state.Old, len(state.Plan.Stages))
+	}
+}
+
+// A record that was cut short at the end is dropped, and those before it are there.
+func TestReadsStoredTornRecords(t *testing.T) {
+	dir := t.TempDir()
+	text := fileBytes(t, filepath.Join(storedDir, storedController, "rollout.2"))
+	putFile(t, filepath.Join(dir, "rollout.2"), text[:len(text)-tornBytes])
+	records, err := ReadStore(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	all := storedRecords()
+	sameRecords(t, records, all[:len(all)-1])
+}
+
+// A controller takes in the stored order with its plan, once.
+func TestReadsStoredOrder(t *testing.T) {
+	dir := t.TempDir()
+	copyStored(t, filepath.Join(storedDir, storedOrder), dir)
+	order, err := takeOrder(dir)
+	if err != nil || order == nil || order.Plan == nil {
+		t.Fatalf("%v, %v", order, err)
+	}
+	if order.What != "resume" {
+		t.Errorf("order %q, want resume", order.What)
+	}
+	samePlan(t, order.Plan, storedPlan())
+	if left := fileNames(t, dir); len(left) > 0 {
+		t.Errorf("files %q are left", left)
+	}
+}
+
+// An agent that starts anew knows its fence, what runs, and what it was changing to; so does whoever starts the
+// relay.
+func TestReadsStoredAgent(t *testing.T) {
+	dir := t.TempDir()
+	copyStored(t, filepath.Join(storedDir, storedAgent), dir)
+	path, err := Serving(dir, "first")
+	if want := filepath.Join(dir, "versions", oldVersion); err != nil || path != want {
+		t.Errorf("%s serves, %v; want %s", path, err, want)
+	}
+	runner := &storedRunner{programs: make(chan string, 1)}
+	server, err := NewServer(1, dir, "first", runner)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer server.Close()
+	server.work.Wait() // for the change that goes on
+	var program string
+	select {
+	case program = <-runner.programs:
+	default:
+	}
+	if want := filepath.Join(dir, "versions", newVersion); program != want {
+		t.Errorf("the change goes on to %q, want %q", program, want)
+	}
+	var answer reply
+	if err := server.handle(request{Op: "status", Fence: 6}, &answer); !errors.Is(err, ErrFenced) {
+		t.Errorf("an earlier controller: %v, want %v", err, ErrFenced)
+	}
+	if err := server.handle(request{Op: "status", Fence: 7}, &answer); err != nil || answer.Version != newVersion {
+		t.Errorf("version %s, %v, want %s", answer.Version, err, newVersion)
+	}
+	want := `{"fence":7,"version":"` + newVersion + `","going":""}`
+	if text := fileBytes(t, filepath.Join(dir, "agent.json")); string(text) != want {
+		t.Errorf("%s is kept, want %s", text, want)
+	}
+}
+
+// storedRunner makes every change at once, and tells to what.
+type storedRunner struct{ programs chan string }
+
+func (r *storedRunner) Figures() (Figures, error) { return Figures{}, nil }
+
+func (r *storedRunner) Change(_ context.Context, program string) error {
+	r.programs <- program
+	return nil
+}
+
+// sameRecords fails unless records are as they should be, field by field.
+func sameRecords(t *testing.T, got, want []Record) {
+	t.Helper()
+	if len(got) != len(want) {
+		t.Fatalf("%d records, want %d", len(got), len(want))
+	}
+	for i, record := range got {
+		right := want[i]
+		if !record.At.Equal(right.At) || record.Kind != right.Kind || record.Relay != right.Relay ||
+			record.To != right.To || record.Why != right.Why || !maps.Equal(record.Old, right.Old) {
+			t.Errorf("record %d: kind %q at %v, relay %d to %q, why %q, old versions %v", i, record.Kind, record.At,
+				record.Relay, record.To, record.Why, record.Old)
+		}
+		samePlan(t, record.Plan, right.Plan)
+	}
+}
+
+// samePlan fails unless a plan is as it should be, field by field.
+func samePlan(t *testing.T, got, want *Plan) {
+	t.Helper()
+	if got == nil || want == nil {
+		if got != want {
+			t.Errorf("a plan is there: %t, want %t", got != nil, want != nil)
+		}
+		return
+	}
+	if got.Version != want.Version || got.Bake != want.Bake || got.LongestBake != want.LongestBake ||
+		got.MostInChange != want.MostInChange || got.ByZone != want.ByZone || got.OnDeath != want.OnDeath ||
+		got.OneWay != want.OneWay || got.Gate != want.Gate ||
+		!slices.Equal(got.Stages, want.Stages) || !slices.Equal(got.Agents, want.Agents) {
+		t.Errorf("plan\n%+v, want\n%+v", *got, *want)
+	}
+}
+
+// fileNames lists a folder.
+func fileNames(t *testing.T, dir string) (names []string) {
+	t.Helper()
+	files, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		names = append(names, file.Name())
+	}
+	return names
+}
+
+// copyStored copies the files of a folder into another.
+func copyStored(t *testing.T, from, to string) {
+	t.Helper()
+	for _, name := range fileNames(t, from) {
+		putFile(t, filepath.Join(to, name), fileBytes(t, filepath.Join(from, name)))
+	}
+}
+
+func fileBytes(t *testing.T, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func putFile(t *testing.T, path string, text []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
