--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -72,8 +72,8 @@
 	return text.String()
 }
 
-// TestFactNotesOnTheWire pins the note that tells of a new fact, for each kind: relays of other versions read it. Kinds
-// are numbers here as there, since the names are none of the wire's.
+// TestFactNotesOnTheWire pins the note that tells of a new fact, for each kind: relays of other versions read it.
+// Kinds are numbers here as there, since the names are none of the wire's.
 func TestFactNotesOnTheWire(t *testing.T) {
 	const (
 		// observed is how old each fact is when it is learned.
--- /dev/null
+++ b/internal/relay/wire_admin_test.go
@@ -0,0 +1,246 @@
+package relay
+
+import (
+	"encoding/binary"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Masks of the replies to operators.
+var (
+	// maskSeconds hides times, ages and what is left of an order.
+	maskSeconds = mask{regexp.MustCompile(`"(age_s|known_s|for_s|until_s)":[0-9.e+-]+`), `"$1":SECONDS`}
+	// maskProcess hides what differs from process to process: when it started, the digest of what it knows, and the
+	// number of its beat.
+	maskProcess = mask{regexp.MustCompile(`"(incarnation|digest|value)":\d+`), `"$1":NUMBER`}
+	// maskVersion hides the version of the program, which is the key of a member.
+	maskVersion = mask{regexp.MustCompile(`"kind":"member","key":"\w*"`), `"kind":"member","key":"VERSION"`}
+)
+
+// askOperator sends an operator's line and gives the whole reply.
+func askOperator(t testing.TB, addr, line string) string {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(long))
+	if _, err := io.WriteString(conn, line); err != nil {
+		t.Fatal(err)
+	}
+	reply, err := io.ReadAll(conn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(reply)
+}
+
+// reconfigured is the path of the platform's configuration with values changed: at its top, in its settings, and in
+// their limits.
+func (p *platform) reconfigured(change func(top, settings, limits map[string]any)) string {
+	p.t.Helper()
+	path := p.config()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	var top map[string]any
+	if err := json.Unmarshal(text, &top); err != nil {
+		p.t.Fatal(err)
+	}
+	settings := top["settings"].(map[string]any)
+	change(top, settings, settings["limits"].(map[string]any))
+	if text, err = json.Marshal(top); err != nil {
+		p.t.Fatal(err)
+	}
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		p.t.Fatal(err)
+	}
+	return path
+}
+
+// startWith starts a relay with a configuration file in a process of its own, and waits until it is ready.
+func (p *platform) startWith(path string) {
+	p.t.Helper()
+	relay := exec.Command(os.Args[0])
+	relay.Env = append(os.Environ(), childConfig+"="+path, childState+"="+p.dir)
+	if err := relay.Start(); err != nil {
+		p.t.Fatal(err)
+	}
+	p.t.Cleanup(func() {
+		_ = relay.Process.Kill()
+		_ = relay.Wait()
+	})
+	p.untilReady()
+}
+
+// untilReady waits until the relay takes clients.
+func (p *platform) untilReady() {
+	p.t.Helper()
+	p.until("the relay is ready", func() bool {
+		resp, err := http.Get("http://" + p.addr + "/_health")
+		if err != nil {
+			return false
+		}
+		_ = resp.Body.Close()
+		return resp.StatusCode == http.StatusOK
+	})
+}
+
+// sharing gives a relay's configuration with another relay, whose notes come and go at a socket.
+func (p *platform) sharing(other *net.UDPConn, change func(top map[string]any)) string {
+	own := listenUDP(p.t)
+	addr := own.LocalAddr().String()
+	_ = own.Close() // for the relay
+	return p.reconfigured(func(top, settings, limits map[string]any) {
+		top["peer_listen"], top["peers"] = addr, []string{addr, other.LocalAddr().String()}
+		top["peers_all"] = other.LocalAddr().String()
+		settings["n_instances"], limits["peers"] = 2, true
+		change(top)
+	})
+}
+
+// listenUDP opens a socket for notes.
+func listenUDP(t testing.TB) *net.UDPConn {
+	t.Helper()
+	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	return conn
+}
+
+// TestAdminOnTheWire pins the replies to operators, with every part on that answers them.
+func TestAdminOnTheWire(t *testing.T) {
+	p := newPlatform(t)
+	p.addHost("h1", 7)
+	p.admin = closedAddress(t)
+	p.startWith(p.sharing(listenUDP(t), func(top map[string]any) {
+		top["fleet"], top["zones"], top["newcomers"] = true, true, true
+	}))
+	p.until("it takes clients", func() bool { return askOperator(t, p.admin, "health\n") == "OK\n" })
+	p.exchangeRaw(clientRequest("POST /unknown", "hi"))
+	p.exchangeRaw(clientRequest("POST /status", "hi", "X-Envelope: dest=9"))
+	p.take("status", "delivered", "25")
+	p.until("it is counted", func() bool {
+		return strings.Contains(askOperator(t, p.admin, "counters\n"), `{lane="status",result="completed"} 1`)
+	})
+	text := ""
+	for _, line := range []string{"health", "counters", "diagnostics", "diagnostics now", "zone status", "zone",
+		"zone close a", "zone evacuate nowhere 10m", "zone evacuate a soon", "zone evacuate a 10m", "zone restore a",
+		"zone restore a now", "servers", "unknown", "", strings.Repeat("x", 200)} {
+		text += section(fmt.Sprintf("%.30s", line), askOperator(t, p.admin, line+"\n"))
+	}
+	text += section("fleet", p.fleetView())
+	compareWire(t, "admin.txt", masked(text, maskSeconds, maskProcess, maskVersion))
+}
+
+// fleetView is the reply to "fleet", once the relay has told of itself and of a destination's pace.
+func (p *platform) fleetView() (view string) {
+	p.t.Helper()
+	p.until("the relay has told of itself", func() bool {
+		view = askOperator(p.t, p.admin, "fleet\n")
+		return strings.Contains(view, `"kind":"member"`) && strings.Contains(view, `"kind":"pace"`)
+	})
+	return view
+}
+
+// TestAdminWithoutPartsOnTheWire pins the replies of a relay whose parts that answer operators are off.
+func TestAdminWithoutPartsOnTheWire(t *testing.T) {
+	p := newPlatform(t)
+	p.addHost("h1", 7)
+	p.admin = closedAddress(t)
+	p.start()
+	p.until("it takes clients", func() bool { return askOperator(t, p.admin, "health\n") == "OK\n" })
+	text := ""
+	for _, line := range []string{"health", "counters", "diagnostics", "zone status", "servers", "fleet"} {
+		text += section(line, askOperator(t, p.admin, line+"\n"))
+	}
+	compareWire(t, "admin_without_parts.txt", text)
+}
+
+// nextNote waits for a note that begins as given, past others.
+func nextNote(t *testing.T, conn *net.UDPConn, begins string) []byte {
+	t.Helper()
+	_ = conn.SetReadDeadline(time.Now().Add(long))
+	for {
+		buffer := make([]byte, 1<<10)
+		size, err := conn.Read(buffer)
+		if err != nil {
+			t.Fatalf("no note that begins with %x: %v", begins, err)
+		}
+		if strings.HasPrefix(string(buffer[:size]), begins) {
+			return buffer[:size]
+		}
+	}
+}
+
+// refuses answers a call with a refusal for 700 ms, which the relay tells others of.
+func refuses(recordedRequest) string {
+	return "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 700\r\nContent-Length: 0\r\n\r\n"
+}
+
+// TestNotesOnTheWire pins the datagrams that a relay sends others of what it has met: the module's own notes as they
+// are where it shares nothing else, and as facts of its fleet where it does. The bytes of the fleet's notes are pinned
+// there.
+func TestNotesOnTheWire(t *testing.T) {
+	text := ""
+	for _, shares := range []bool{false, true} {
+		p, other := newPlatform(t), listenUDP(t)
+		p.hosts = []Member{hostAt(record(t, refuses).addr)}
+		p.startWith(p.sharing(other, func(top map[string]any) { top["fleet"] = shares }))
+		if shares {
+			text += section("a newcomer asks", hex.Dump(nextNote(t, other, "F\x01\x04")))
+		}
+		p.take("status", "m", "25")
+		if shares {
+			text += section("a refusal, as a fact", factText(nextNote(t, other, "F\x01\x00\x02")))
+		} else {
+			text += section("a refusal, as the module's note", refusalText(t, nextNote(t, other, "c")))
+		}
+	}
+	compareWire(t, "notes.txt", text)
+}
+
+// refusalText gives a note of a refusal without its last number, which is the age.
+func refusalText(t *testing.T, note []byte) string {
+	t.Helper()
+	const lengthWithoutAge = 4 // of a mark, the destination, and the wait in two bytes
+	if len(note) <= lengthWithoutAge {
+		t.Fatalf("a short note: %x", note)
+	}
+	if _, size := binary.Uvarint(note[lengthWithoutAge:]); size != len(note)-lengthWithoutAge {
+		t.Fatalf("no age at the end: %x", note)
+	}
+	return hex.Dump(note[:lengthWithoutAge]) + "AGE\n"
+}
+
+// factText gives a note with a fact, number by number, without those that vary: the incarnation, the fact's number and
+// its age.
+func factText(note []byte) string {
+	const headLength = 4 // mark, version, flags, kind
+	text := fmt.Sprintf("% x\n", note[:headLength])
+	rest := note[headLength:]
+	for _, name := range []string{"origin", "INCARNATION", "NUMBER", "value", "AGE", "length of the key"} {
+		value, size := binary.Uvarint(rest)
+		rest = rest[max(0, size):]
+		if name == strings.ToUpper(name) {
+			text += name + "\n"
+		} else {
+			text += fmt.Sprintf("%s %d\n", name, value)
+		}
+	}
+	return text + fmt.Sprintf("key %q\n", rest)
+}
--- a/internal/wire/wire_golden_test.go
+++ b/internal/wire/wire_golden_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// lastReply gives the reply to the last batch of a session. It plays the session from its start: the same input has the
-// same replies.
+// lastReply gives the reply to the last batch of a session. It plays the session from its start: the same input has
+// the same replies.
 func lastReply(t *testing.T, session string) string {
 	t.Helper()
 	var out strings.Builder
