--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -95,8 +95,8 @@
 
 // Pair is both clocks, read together: it translates moments into wall times and back, as the wall clock stood then.
 type Pair struct {
-	At   instant.Time
-	Wall Wall
+	At   instant.Time `json:"At"`
+	Wall Wall         `json:"Wall"`
 }
 
 // ReadPair reads both clocks.
--- a/policy/api.go
+++ b/policy/api.go
@@ -165,8 +165,8 @@
 
 // Report is a load report of a destination.
 type Report struct {
-	Left  float64 // share of the allowance that is left
-	Limit float64 // calls a second; 0 where there is no limit
+	Left  float64 `json:"Left"`  // share of the allowance that is left
+	Limit float64 `json:"Limit"` // calls a second; 0 where there is no limit
 }
 
 // Tried is an attempt that an earlier process of this relay made.
@@ -181,22 +181,23 @@
 
 // LearnedEndpoint is the part of Learned that concerns one endpoint.
 type LearnedEndpoint struct {
-	ID        string
-	Sick      bool
-	Ramping   bool
-	SickAt    instant.Time
-	Recovered instant.Time
-	LastOK    instant.Time
-	Failures  float64
-	ConnCap   float64
-	Tokens    float64
-	TokensAt  instant.Time
+	ID        string       `json:"ID"`
+	Sick      bool         `json:"Sick"`
+	Ramping   bool         `json:"Ramping"`
+	SickAt    instant.Time `json:"SickAt"`
+	Recovered instant.Time `json:"Recovered"`
+	LastOK    instant.Time `json:"LastOK"`
+	Failures  float64      `json:"Failures"`
+	ConnCap   float64      `json:"ConnCap"`
+	Tokens    float64      `json:"Tokens"`
+	TokensAt  instant.Time `json:"TokensAt"`
 }
 
 // Counted is the state of a counter that fades.
 type Counted struct {
-	N         float64
-	At, Since instant.Time
+	N     float64      `json:"N"`
+	At    instant.Time `json:"At"`
+	Since instant.Time `json:"Since"`
 }
 
 // Event is something that happened to a dispatcher.
@@ -244,20 +245,21 @@
 	Recalled Remember
 	// Learned tells what the process that hands over has learned of a queue.
 	Learned struct {
-		Endpoints  []LearnedEndpoint
-		Wait, Hold instant.Time // nothing is sent until then: told, and by its own choice
-		Outcomes   int
-		Mean       float64 // latency, in seconds
-		Class      []float64
-		Width      float64
-		Pace       float64
-		Tokens     float64
-		TokensAt   instant.Time
-		Fulls      int
-		FirstFull  instant.Time
-		LastOK     instant.Time
-		Arrivals   Counted
-		Misses     Counted
+		Endpoints []LearnedEndpoint `json:"Endpoints"`
+		Wait      instant.Time      `json:"Wait"` // nothing is sent until then: told, and by its own choice
+		Hold      instant.Time      `json:"Hold"`
+		Outcomes  int               `json:"Outcomes"`
+		Mean      float64           `json:"Mean"` // latency, in seconds
+		Class     []float64         `json:"Class"`
+		Width     float64           `json:"Width"`
+		Pace      float64           `json:"Pace"`
+		Tokens    float64           `json:"Tokens"`
+		TokensAt  instant.Time      `json:"TokensAt"`
+		Fulls     int               `json:"Fulls"`
+		FirstFull instant.Time      `json:"FirstFull"`
+		LastOK    instant.Time      `json:"LastOK"`
+		Arrivals  Counted           `json:"Arrivals"`
+		Misses    Counted           `json:"Misses"`
 	}
 	// Heard brings what another relay told.
 	Heard struct{ Note []byte }
