--- a/cmd/milletsail/admin.go
+++ b/cmd/milletsail/admin.go
@@ -51,7 +51,7 @@
 
 // askRelay sends one command line to the admin endpoint at address, and returns its reply. A refusal by the relay is an error.
 func askRelay(address, line string) (string, error) {
-	reply, err := admin.Ask(address, line, adminTimeout)
+	reply, err := admin.Call(address, line, adminTimeout)
 	if err != nil {
 		return "", err
 	}
--- a/cmd/milletsail/fleet.go
+++ b/cmd/milletsail/fleet.go
@@ -47,7 +47,7 @@
 
 // askView asks one relay.
 func askView(address string) (v live.View, err error) {
-	reply, err := admin.Ask(address, "fleet", adminTimeout)
+	reply, err := admin.Call(address, "fleet", adminTimeout)
 	if err != nil {
 		return v, err
 	}
@@ -71,7 +71,7 @@
 	fmt.Fprintln(w, "relay\tkind\tof\tsaid by\tvalue\tage s\tbound s\t")
 	for _, v := range views {
 		fmt.Fprintf(w, "%d\tlive\t%d relays, %d suspected\t\t\t\t\t\n", v.Self, len(v.Live), len(v.Suspected))
-		for _, b := range v.Beliefs {
+		for _, b := range v.Facts {
 			fading := ""
 			if b.Fading {
 				fading = "fading"
--- a/cmd/milletsail/journal.go
+++ b/cmd/milletsail/journal.go
@@ -19,7 +19,7 @@
 	c.PersistentFlags().BoolVar(&readOnly, "read-only", false, "read a folder that a running relay owns")
 	// free refuses a folder that a relay owns.
 	free := func(dir string) error {
-		owned, err := journal.Owned(dir)
+		owned, err := journal.IsOwned(dir)
 		if err == nil && owned && !readOnly {
 			err = fmt.Errorf("a running relay owns %s: stop it, or give --read-only", dir)
 		}
@@ -29,7 +29,7 @@
 		if err := free(dir); err != nil {
 			return nil, err
 		}
-		return journal.Stat(dir, clock.Now())
+		return journal.Summarize(dir, clock.Now())
 	}
 	c.AddCommand(&cobra.Command{Use: "verify FOLDER", Short: "Say whether all can be read; exit status 1 where not", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -38,20 +38,20 @@
 				return err
 			}
 			out := c.OutOrStdout()
-			fmt.Fprintf(out, "%s: %d records, %d live messages, %d of them in doubt\n", s.File, s.Records, s.Live, s.InDoubt)
+			fmt.Fprintf(out, "%s: %d records, %d live messages, %d of them in doubt\n", s.File, s.Records, s.Live, s.Uncertain)
 			if s.Torn > 0 {
 				fmt.Fprintf(out, "an unfinished record at the end, as a crash leaves it: %d bytes\n", s.Torn)
 			}
 			for _, d := range s.Damage {
-				fmt.Fprintf(out, "DAMAGED at %d: %d bytes, %d records missing from sequence %d on, the last of them: %s\n", d.Offset, d.Length, d.Missing, d.First, d.What)
+				fmt.Fprintf(out, "DAMAGED at %d: %d bytes, %d records missing from sequence %d on, the last of them: %s\n", d.Offset, d.Length, d.Missing, d.FirstSequence, d.LastRecord)
 			}
-			for _, name := range s.Passed {
+			for _, name := range s.SkippedSegments {
 				fmt.Fprintf(out, "DAMAGED %s: its snapshot is not whole, an older segment is used\n", name)
 			}
 			if s.Partial {
 				fmt.Fprintln(out, "DAMAGED: the snapshot is not whole, and there is no older one")
 			}
-			if !s.Whole {
+			if !s.Complete {
 				return exit(broken)
 			}
 			fmt.Fprintln(out, "whole")
@@ -98,7 +98,7 @@
 	var to int
 	convert := &cobra.Command{Use: "convert FOLDER --to FORMAT", Short: "Give a folder another form, for a program of before or after", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			owner, err := journal.Own(args[0])
+			owner, err := journal.AcquireOwnership(args[0])
 			if err != nil {
 				return err
 			}
@@ -111,7 +111,7 @@
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "format %d carried over to %d, %d records read\n", r.Format, to, r.Records)
-			if !r.Whole() {
+			if !r.Complete() {
 				return exit(broken)
 			}
 			return nil
--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -26,7 +26,7 @@
 func main() {
 	configPath := flag.String("config", os.Getenv("NODE_CONFIG"), "configuration `file` (default $NODE_CONFIG)")
 	state := flag.String("state", os.Getenv("NODE_STATE"), "`folder` that outlasts the process (default $NODE_STATE)")
-	show := flag.Bool(compat.Flag, false, "print which formats of journals and of gossip between relays this version reads and writes, and exit")
+	show := flag.Bool(compat.VersionsFlag, false, "print which formats of journals and of gossip between relays this version reads and writes, and exit")
 	debugLog := flag.Bool("debug", os.Getenv("NODE_LOG") == "debug", "log each message that arrives, and each request that is rejected (default on where $NODE_LOG is \"debug\")")
 	flag.Parse()
 	if *debugLog {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Ask sends one command line to the admin endpoint at address and returns the reply unchanged. timeout bounds
+// Call sends one command line to the admin endpoint at address and returns the reply unchanged. timeout bounds
 // connecting, and then sending and receiving together.
-func Ask(address, line string, timeout time.Duration) (string, error) {
+func Call(address, line string, timeout time.Duration) (string, error) {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return "", err
--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -28,8 +28,8 @@
 	Gossip  Format `json:"notes"` // datagrams between relays; one that can't be decoded is ignored
 }
 
-// Flag is the name of the relay's flag that prints its FormatVersions, as JSON on one line, and exits.
-const Flag = "forms"
+// VersionsFlag is the name of the relay's flag that prints its FormatVersions, as JSON on one line, and exits.
+const VersionsFlag = "forms"
 
 // askTimeout bounds the run of a program that is asked for its formats, maxReply the bytes kept of its output.
 const (
@@ -37,25 +37,25 @@
 	maxReply   = 4096
 )
 
-// Ask runs a relay's program and returns the formats that it reports. The program gets an empty environment, and is
+// QueryProgram runs a relay's program and returns the formats that it reports. The program gets an empty environment, and is
 // killed if it does not exit in time.
-func Ask(ctx context.Context, program string) (versions FormatVersions, err error) {
+func QueryProgram(ctx context.Context, program string) (versions FormatVersions, err error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	command := exec.CommandContext(ctx, program, "-"+Flag)
+	command := exec.CommandContext(ctx, program, "-"+VersionsFlag)
 	command.Env = []string{}
 	command.WaitDelay = time.Second // a child process may keep the pipe open
 	var out limitedBuffer
 	command.Stdout = &out
 	if err := command.Run(); err != nil {
-		return versions, fmt.Errorf("-%s does not report the formats: %w", Flag, err)
+		return versions, fmt.Errorf("-%s does not report the formats: %w", VersionsFlag, err)
 	}
 	if err := json.Unmarshal(out.Bytes(), &versions); err != nil {
-		return versions, fmt.Errorf("-%s: %w", Flag, err)
+		return versions, fmt.Errorf("-%s: %w", VersionsFlag, err)
 	}
 	for _, format := range []Format{versions.Journal, versions.Gossip} {
 		if format.Writes < 1 || !slices.Contains(format.Reads, format.Writes) {
-			return versions, fmt.Errorf("-%s: invalid format versions %+v", Flag, format)
+			return versions, fmt.Errorf("-%s: invalid format versions %+v", VersionsFlag, format)
 		}
 	}
 	return versions, nil
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -34,7 +34,7 @@
 				ctx, cancel = context.WithTimeout(ctx, 300*time.Millisecond)
 				defer cancel()
 			}
-			if f, err := Ask(ctx, path); (err == nil) != c.good {
+			if f, err := QueryProgram(ctx, path); (err == nil) != c.good {
 				t.Errorf("%+v, %v", f, err)
 			}
 		})
--- a/internal/endpoints/bench_test.go
+++ b/internal/endpoints/bench_test.go
@@ -24,7 +24,7 @@
 	}
 	s.begin()
 	for s.compaction != nil {
-		s.Step(table)
+		s.CompactStep(table)
 	}
 	return s, table
 }
@@ -44,7 +44,7 @@
 				if err := s.Commit(int64(i + 2)); err != nil {
 					b.Fatal(err)
 				}
-				s.Step(table)
+				s.CompactStep(table)
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 		if s.compaction == nil {
 			s.begin()
 		}
-		s.Step(table)
+		s.CompactStep(table)
 	}
 }
 
--- a/internal/endpoints/budget_test.go
+++ b/internal/endpoints/budget_test.go
@@ -55,7 +55,7 @@
 			if i%2000 == 1999 && s.compaction == nil && s.disabled == nil {
 				s.begin()
 			}
-			s.Step(table)
+			s.CompactStep(table)
 		}
 	}
 	return s, errs
--- a/internal/endpoints/compaction.go
+++ b/internal/endpoints/compaction.go
@@ -22,9 +22,9 @@
 	done   chan error // set once all is written: gives one value when the snapshot is in its place
 }
 
-// Step does a bounded part of a compaction, or begins one if it is due. It tells whether there is more to do now. Every
+// CompactStep does a bounded part of a compaction, or begins one if it is due. It tells whether there is more to do now. Every
 // change of the table must have been appended.
-func (s *Store) Step(t *Table) (more bool) {
+func (s *Store) CompactStep(t *Table) (more bool) {
 	c := s.compaction
 	switch {
 	case s.disabled != nil:
@@ -109,7 +109,7 @@
 // advance writes the next entries of the snapshot.
 func (s *Store) advance(t *Table) {
 	c := s.compaction
-	entries, next, done := t.All(c.from, StepEntries)
+	entries, next, done := t.All(c.from, CompactionStepEntries)
 	for e := range entries {
 		c.text = appendPut(c.text, &c.sum, e)
 		c.count++
--- a/internal/endpoints/failure_test.go
+++ b/internal/endpoints/failure_test.go
@@ -84,7 +84,7 @@
 		h.change()
 		held.run()
 		fsys.failAt = 0
-		h.store.Step(h.table)
+		h.store.CompactStep(h.table)
 		fsys.onCall = func() { h.check(t, fsys.killed(), h.durable, fmt.Sprintf("repair %v, call %d", repair, fsys.calls)) }
 		h.change()
 		if h.store.Failure() == nil {
@@ -163,7 +163,7 @@
 func TestStoreRepairContinuesNothing(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 5, 20)
-	for i := range 3 * StepEntries {
+	for i := range 3 * CompactionStepEntries {
 		e := exampleEntry(100 + i)
 		h.record(e.Host, version{entry: e})
 		h.table.Put(e)
--- a/internal/endpoints/format.go
+++ b/internal/endpoints/format.go
@@ -26,7 +26,7 @@
 	headerSize    = 44
 	headSize      = 8
 	// maxPayload bounds a record: an entry that the Reader has let pass can grow in UTF-8, but not that much.
-	maxPayload = 8 * MaxEntry
+	maxPayload = 8 * MaxEntrySize
 	// versionAt is the place of the version in a header.
 	versionAt = len(magic)
 )
--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -80,7 +80,7 @@
 		h.store.begin()
 	}
 	begun := len(h.commits) - 1
-	for h.store.Step(h.table) {
+	for h.store.CompactStep(h.table) {
 		h.change()
 	}
 	if h.store.compaction == nil && h.store.failure == nil {
--- a/internal/endpoints/reader.go
+++ b/internal/endpoints/reader.go
@@ -12,20 +12,20 @@
 const (
 	// BatchSize is the most entries of a batch.
 	BatchSize = 256
-	// MaxEntry bounds one entry of the list in bytes, and all else between two tokens.
-	MaxEntry = 64 << 10
+	// MaxEntrySize bounds one entry of the list in bytes, and all else between two tokens.
+	MaxEntrySize = 64 << 10
 	// maxDepth bounds the nesting of fields that are skipped.
 	maxDepth = 64
 )
 
 // Batch is a part of an object of discovery's answer.
 type Batch struct {
-	Entries    []Entry // at most BatchSize; those without a host are left out
-	First      bool    // the object begins with it
-	End        bool    // the object ends with it
-	Seq        int64   // set at End
-	Whole      bool    // the object is a whole list; set if WholeKnown
-	WholeKnown bool    // the object has said whether it is a whole list, or has ended
+	Entries       []Entry // at most BatchSize; those without a host are left out
+	First         bool    // the object begins with it
+	End           bool    // the object ends with it
+	Seq           int64   // set at End
+	Complete      bool    // the object is a whole list; set if WholeKnown
+	CompleteKnown bool    // the object has said whether it is a whole list, or has ended
 }
 
 // UnreadableError says that the answer is not what it should be: what the object held is lost, and the whole list has to
@@ -42,7 +42,7 @@
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
 // errTooLong is why an answer is unreadable that holds an entry, or anything else, of more than MaxEntry bytes.
-var errTooLong = fmt.Errorf("an entry of more than %d bytes", MaxEntry)
+var errTooLong = fmt.Errorf("an entry of more than %d bytes", MaxEntrySize)
 
 // Reader reads discovery's answer: JSON objects with the fields seq, whole and hosts in any order, over one line or
 // many, with empty lines between. It holds no more than a batch and one entry of it.
@@ -140,8 +140,8 @@
 	if err != nil {
 		return Batch{}, o.failure(err)
 	}
-	batch := Batch{Entries: entries, First: o.batches == 0, End: ended, Whole: o.head.whole,
-		WholeKnown: o.head.wholeKnown || ended}
+	batch := Batch{Entries: entries, First: o.batches == 0, End: ended, Complete: o.head.whole,
+		CompleteKnown: o.head.wholeKnown || ended}
 	if ended {
 		batch.Seq = o.head.seq
 	}
--- a/internal/endpoints/reader_test.go
+++ b/internal/endpoints/reader_test.go
@@ -46,11 +46,11 @@
 			current = &object{}
 		}
 		current.Hosts = append(current.Hosts, batch.Entries...)
-		if batch.WholeKnown {
-			current.Whole = batch.Whole
+		if batch.CompleteKnown {
+			current.Whole = batch.Complete
 		}
 		if batch.End {
-			if !batch.WholeKnown {
+			if !batch.CompleteKnown {
 				t.Errorf("End without WholeKnown")
 			}
 			current.Seq = batch.Seq
@@ -120,9 +120,9 @@
 		`{"hosts":[{"host":7}]}`, `{"hosts":[` + entry + `,]}`, `{"hosts":[` + entry + `}`, `{"hosts":[` + entry + ` ` + entry + `]}`,
 		`{"seq":1,}`, `{"seq" 1}`, `{"seq":1 "whole":true}`, `{"hosts":[],"hosts":[]}`,
 		`{"x":` + strings.Repeat("[", maxDepth+1) + `}`,
-		`{"x":"` + strings.Repeat("x", 2*MaxEntry) + `"}`,
-		`{"hosts":[{"host":"` + strings.Repeat("x", 2*MaxEntry) + `"}]}`,
-		`{"hosts":[` + strings.Repeat(" ", 3*MaxEntry) + `]}`,
+		`{"x":"` + strings.Repeat("x", 2*MaxEntrySize) + `"}`,
+		`{"hosts":[{"host":"` + strings.Repeat("x", 2*MaxEntrySize) + `"}]}`,
+		`{"hosts":[` + strings.Repeat(" ", 3*MaxEntrySize) + `]}`,
 	} {
 		got, err := readAll(t, NewReader(strings.NewReader(text)))
 		if unreadable := new(UnreadableError); !errors.As(err, &unreadable) || len(got) != 0 {
@@ -262,7 +262,7 @@
 }
 
 func TestReaderBlankLinesForDays(t *testing.T) {
-	in := io.MultiReader(&blankLines{100 * MaxEntry}, strings.NewReader(`{"seq":1}`), &blankLines{100 * MaxEntry}, strings.NewReader(`{"seq":2}`))
+	in := io.MultiReader(&blankLines{100 * MaxEntrySize}, strings.NewReader(`{"seq":1}`), &blankLines{100 * MaxEntrySize}, strings.NewReader(`{"seq":2}`))
 	got, err := readAll(t, NewReader(in))
 	if err != io.EOF || len(got) != 2 {
 		t.Errorf("%d objects, %v", len(got), err)
@@ -281,7 +281,7 @@
 	var got object
 	err := ReadObject(decoder, func(b Batch) error {
 		got.Hosts = append(got.Hosts, b.Entries...)
-		got.Seq, got.Whole = b.Seq, b.Whole
+		got.Seq, got.Whole = b.Seq, b.Complete
 		return nil
 	})
 	if err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/endpoints/replay.go
+++ b/internal/endpoints/replay.go
@@ -11,8 +11,8 @@
 	"milletsail/internal/journal"
 )
 
-// Found says what a store has found in its folder.
-type Found struct {
+// LoadReport says what a store has found in its folder.
+type LoadReport struct {
 	Entries int     // in the table that Open gives
 	Files   int     // snapshots and logs
 	Newer   int     // files of a newer version, which are ignored and removed
@@ -33,7 +33,7 @@
 	fsys    journal.FS
 	salvage bool // what the file system fails to read counts as damaged
 	table   *Table
-	found   Found
+	found   LoadReport
 	seq     int64
 	failure error // of the file system, which says nothing of what the files hold
 
--- a/internal/endpoints/store.go
+++ b/internal/endpoints/store.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// StepEntries is the most places of the table that a Step looks at, and so the most entries that it writes.
-	StepEntries = 512
+	// CompactionStepEntries is the most places of the table that a Step looks at, and so the most entries that it writes.
+	CompactionStepEntries = 512
 	// flushBytes is how much Append keeps in memory before it writes.
 	flushBytes = 64 << 10
 	// minLogBytes is the least length of the logs that is worth a compaction.
@@ -61,32 +61,32 @@
 // Open opens the store in a folder, which is made if need be, and gives the table and the sequence that it held. What is
 // damaged is left out; where the rest is not a whole list the table is empty, or the sequence is 0, and the whole list
 // has to be asked for. The error is of the file system: nothing is changed then, and a later Open may find all that is there.
-func Open(dir string, budgetBytes int64) (*Store, *Table, int64, Found, error) {
+func Open(dir string, budgetBytes int64) (*Store, *Table, int64, LoadReport, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, nil, 0, Found{}, err
+		return nil, nil, 0, LoadReport{}, err
 	}
 	return OpenFS(dir, budgetBytes, journal.Disk)
 }
 
 // Salvage is Open for a folder with files that can't be read at all: these count as damaged, and go.
-func Salvage(dir string, budgetBytes int64) (*Store, *Table, int64, Found, error) {
+func Salvage(dir string, budgetBytes int64) (*Store, *Table, int64, LoadReport, error) {
 	return SalvageFS(dir, budgetBytes, journal.Disk)
 }
 
 // SalvageFS is Salvage in another file system.
-func SalvageFS(dir string, budgetBytes int64, fsys journal.FS) (*Store, *Table, int64, Found, error) {
+func SalvageFS(dir string, budgetBytes int64, fsys journal.FS) (*Store, *Table, int64, LoadReport, error) {
 	return openReplay(&replay{dir: dir, fsys: fsys, table: NewTable(), salvage: true}, budgetBytes)
 }
 
 // OpenFS is Open in another file system.
-func OpenFS(dir string, budgetBytes int64, fsys journal.FS) (*Store, *Table, int64, Found, error) {
+func OpenFS(dir string, budgetBytes int64, fsys journal.FS) (*Store, *Table, int64, LoadReport, error) {
 	return openReplay(&replay{dir: dir, fsys: fsys, table: NewTable()}, budgetBytes)
 }
 
 // openReplay reads a folder and opens its store.
-func openReplay(r *replay, budgetBytes int64) (*Store, *Table, int64, Found, error) {
+func openReplay(r *replay, budgetBytes int64) (*Store, *Table, int64, LoadReport, error) {
 	if err := r.run(); err != nil {
-		return nil, nil, 0, Found{}, err
+		return nil, nil, 0, LoadReport{}, err
 	}
 	if err := r.tidy(); err != nil {
 		r.found.Damage = append(r.found.Damage, err)
--- a/internal/endpoints/store_test.go
+++ b/internal/endpoints/store_test.go
@@ -13,7 +13,7 @@
 const testBudget = 1 << 30
 
 // open opens a store in a modelled file system, with all waiting for the disk done at once.
-func open(t testing.TB, fsys *modelFS, budget int64) (*Store, *Table, int64, Found) {
+func open(t testing.TB, fsys *modelFS, budget int64) (*Store, *Table, int64, LoadReport) {
 	t.Helper()
 	s, table, seq, found, err := OpenFS("folder", budget, fsys)
 	if err != nil {
@@ -55,7 +55,7 @@
 		if err := s.Commit(seq); err != nil {
 			t.Fatal(err)
 		}
-		for deadline := time.Now().Add(10 * time.Second); s.Step(table) || s.compaction != nil; {
+		for deadline := time.Now().Add(10 * time.Second); s.CompactStep(table) || s.compaction != nil; {
 			if time.Now().After(deadline) {
 				t.Fatal("no end of the compaction")
 			}
@@ -129,7 +129,7 @@
 // A process may be killed between any two calls of the file system, and in the middle of any write.
 func TestStoreKilledAnywhere(t *testing.T) {
 	fsys := newModelFS()
-	h := newHarness(t, fsys, 1, 2*StepEntries)
+	h := newHarness(t, fsys, 1, 2*CompactionStepEntries)
 	points := 0
 	fsys.onCall = func() {
 		points++
@@ -275,7 +275,7 @@
 func TestStoreStepIsBounded(t *testing.T) {
 	fsys := newModelFS()
 	s, table, _, _ := open(t, fsys, testBudget)
-	for i := range 10 * StepEntries {
+	for i := range 10 * CompactionStepEntries {
 		e := exampleEntry(i)
 		table.Put(e)
 		s.Append([]Entry{e}, nil)
@@ -287,8 +287,8 @@
 	steps := 0
 	for more := true; more; steps++ {
 		before := fsys.written
-		more = s.Step(table)
-		if wrote := fsys.written - before; wrote > StepEntries*maxChangeBytes {
+		more = s.CompactStep(table)
+		if wrote := fsys.written - before; wrote > CompactionStepEntries*maxChangeBytes {
 			t.Errorf("a step wrote %d bytes", wrote)
 		}
 	}
--- a/internal/endpoints/stored_test.go
+++ b/internal/endpoints/stored_test.go
@@ -115,7 +115,7 @@
 			t.Fatal(err)
 		}
 	}
-	for w.store.Step(w.table) {
+	for w.store.CompactStep(w.table) {
 		t.Log("the compaction goes on")
 	}
 	w.put(Entry{Host: "h4", Dial: "10.0.0.4:8443", Site: "c", Class: "m3", Block: 9, Health: "SERVING", Share: 2})
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -101,9 +101,9 @@
 	return t.remove(slot), true
 }
 
-// Of gives the entries of a destination in the order in which they were put first, which stays the same while the
+// ByDestination gives the entries of a destination in the order in which they were put first, which stays the same while the
 // table lives. A table that a Store has restored may have another order.
-func (t *Table) Of(destination int) iter.Seq[Entry] {
+func (t *Table) ByDestination(destination int) iter.Seq[Entry] {
 	return func(yield func(Entry) bool) {
 		slot := t.findDestination(destination)
 		if slot == none {
@@ -117,8 +117,8 @@
 	}
 }
 
-// Known tells whether any entry has named a destination since the table was made, though none may be left.
-func (t *Table) Known(destination int) bool { return t.findDestination(destination) != none }
+// Named tells whether any entry has named a destination since the table was made, though none may be left.
+func (t *Table) Named(destination int) bool { return t.findDestination(destination) != none }
 
 // All gives the entries at the next max places from a place on, beginning with 0, and the place to go on from; done says
 // that this was the last part. An entry that stays while the parts are read is in exactly one of them.
--- a/internal/endpoints/table_test.go
+++ b/internal/endpoints/table_test.go
@@ -69,7 +69,7 @@
 	}
 	for number := -1; number < 6; number++ {
 		var hosts []string
-		for e := range table.Of(number) {
+		for e := range table.ByDestination(number) {
 			if e != m.entries[e.Host] {
 				t.Fatalf("Of(%d) gives %+v, want %+v", number, e, m.entries[e.Host])
 			}
@@ -78,7 +78,7 @@
 		if !slices.Equal(hosts, m.order[number]) {
 			t.Fatalf("Of(%d) = %q, want %q", number, hosts, m.order[number])
 		}
-		if table.Known(number) != m.known[number] {
+		if table.Named(number) != m.known[number] {
 			t.Fatalf("Known(%d) = %v", number, !m.known[number])
 		}
 	}
--- a/internal/endpoints/window.go
+++ b/internal/endpoints/window.go
@@ -21,7 +21,7 @@
 
 // Read gives the next bytes that are not blank lines between objects.
 func (w *window) Read(b []byte) (int, error) {
-	if w.passed-w.consumed() > MaxEntry {
+	if w.passed-w.consumed() > MaxEntrySize {
 		return 0, &UnreadableError{Err: errTooLong}
 	}
 	for {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,49 +23,49 @@
 
 // The kinds of fact. docs/fleet.md has their bounds as a table.
 const (
-	Member Kind = iota + 1 // Key: the origin's version of the program; Value: its zone, and the number of the beat
-	Closed                 // Key: a destination; Value: milliseconds that were told to wait, 0 for none
-	Open                   // Key: a destination that took a call
-	Out                    // Key: an endpoint that is out; Value: the origin's zone
-	Back                   // Key: an endpoint that serves again
-	NoRoom                 // Key: an endpoint that took no connection
-	Pace                   // Key: a destination; Value: see PaceValue
+	KindMember             Kind = iota + 1 // Key: the origin's version of the program; Value: its zone, and the number of the beat
+	KindDestinationClosed                  // Key: a destination; Value: milliseconds that were told to wait, 0 for none
+	KindDestinationOpen                    // Key: a destination that took a call
+	KindEndpointEjected                    // Key: an endpoint that is out; Value: the origin's zone
+	KindEndpointRecovered                  // Key: an endpoint that serves again
+	KindConnectionRejected                 // Key: an endpoint that took no connection
+	KindSendRate                           // Key: a destination; Value: see PaceValue
 	kindEnd
 )
 
-// Bound is how old a fact of a kind may be.
-type Bound struct {
-	Name  string
-	Fades time.Duration // from then on it weighs less
-	Until time.Duration // past it there is none
-	// Without is what a relay does that has no such fact.
-	Without string
+// Lifetime is how old a fact of a kind may be.
+type Lifetime struct {
+	Name         string
+	FadesAfter   time.Duration // from then on it weighs less
+	ExpiresAfter time.Duration // past it there is none
+	// Fallback is what a relay does that has no such fact.
+	Fallback string
 }
 
-// Bounds are the bounds of all kinds. A member's follow from how often each tells of itself: see Node.Beat.
-var Bounds = map[Kind]Bound{
-	Member: {"member", 60 * time.Second, 120 * time.Second, "counts the relays of the configuration"},
-	Closed: {"closed", 2 * time.Second, 10 * time.Second, "goes by its own refusals"},
-	Open:   {"open", 2 * time.Second, 10 * time.Second, "goes by its own successes"},
-	Out:    {"out", 2 * time.Second, 30 * time.Second, "goes by its own failures"},
-	Back:   {"back", 10 * time.Second, 30 * time.Second, "tries at its own share of the cold return"},
-	NoRoom: {"no room", 5 * time.Second, 10 * time.Second, "goes by its own connections"},
-	Pace:   {"pace", 45 * time.Second, 90 * time.Second, "begins with an even share of the listed rate"},
+// Lifetimes are the bounds of all kinds. A member's follow from how often each tells of itself: see Node.Beat.
+var Lifetimes = map[Kind]Lifetime{
+	KindMember:             {"member", 60 * time.Second, 120 * time.Second, "counts the relays of the configuration"},
+	KindDestinationClosed:  {"closed", 2 * time.Second, 10 * time.Second, "goes by its own refusals"},
+	KindDestinationOpen:    {"open", 2 * time.Second, 10 * time.Second, "goes by its own successes"},
+	KindEndpointEjected:    {"out", 2 * time.Second, 30 * time.Second, "goes by its own failures"},
+	KindEndpointRecovered:  {"back", 10 * time.Second, 30 * time.Second, "tries at its own share of the cold return"},
+	KindConnectionRejected: {"no room", 5 * time.Second, 10 * time.Second, "goes by its own connections"},
+	KindSendRate:           {"pace", 45 * time.Second, 90 * time.Second, "begins with an even share of the listed rate"},
 }
 
-// Stamp orders what one origin says of one thing: later starts of its process come after earlier ones.
-type Stamp struct {
+// FactVersion orders what one origin says of one thing: later starts of its process come after earlier ones.
+type FactVersion struct {
 	Incarnation uint32 // seconds since 1970 at which the origin's process started
 	Seq         uint32
 }
 
 // Compare gives the order of two stamps.
-func (s Stamp) Compare(o Stamp) int {
+func (s FactVersion) Compare(o FactVersion) int {
 	return cmp.Or(cmp.Compare(s.Incarnation, o.Incarnation), cmp.Compare(s.Seq, o.Seq))
 }
 
-// ID names a register: each origin writes its own alone.
-type ID struct {
+// FactID names a register: each origin writes its own alone.
+type FactID struct {
 	Kind   Kind
 	Origin uint16
 	Key    string
@@ -73,12 +73,12 @@
 
 // Fact is what one origin says of one thing.
 type Fact struct {
-	ID
-	Stamp
+	FactID
+	FactVersion
 	Value uint64
-	// Seen is when it was observed, by the clock of whoever holds it: never later than the first moment at which it
+	// ObservedAt is when it was observed, by the clock of whoever holds it: never later than the first moment at which it
 	// could have been, so that it is not made younger on its way.
-	Seen time.Duration
+	ObservedAt time.Duration
 	// Via is the relay that it came from: its origin, or another that passed it on.
 	Via uint16
 }
@@ -86,8 +86,8 @@
 // direct tells whether a fact came from its origin itself.
 func (f Fact) direct() bool { return f.Via == f.Origin }
 
-// Aged is a fact as it is read: never without its age.
-type Aged struct {
+// AgedFact is a fact as it is read: never without its age.
+type AgedFact struct {
 	Fact
 	Age    time.Duration
 	Fading bool
@@ -101,14 +101,14 @@
 
 // Store is what one relay knows.
 type Store struct {
-	facts map[ID]Fact
+	facts map[FactID]Fact
 	about map[topic][]uint16      // origins of the registers of a thing
 	since map[topic]time.Duration // when anything was first known of it
 }
 
 // NewStore gives a store that knows nothing.
 func NewStore() *Store {
-	return &Store{facts: map[ID]Fact{}, about: map[topic][]uint16{}, since: map[topic]time.Duration{}}
+	return &Store{facts: map[FactID]Fact{}, about: map[topic][]uint16{}, since: map[topic]time.Duration{}}
 }
 
 // Merge takes a fact in, and tells whether it is new. The later stamp wins; of the same stamp, the earlier observation.
@@ -116,86 +116,86 @@
 	if f.Kind == 0 || f.Kind >= kindEnd {
 		return false
 	}
-	f.Seen = min(f.Seen, now)
-	old, had := s.facts[f.ID]
-	switch c := f.Stamp.Compare(old.Stamp); {
+	f.ObservedAt = min(f.ObservedAt, now)
+	old, had := s.facts[f.FactID]
+	switch c := f.FactVersion.Compare(old.FactVersion); {
 	case !had || c > 0:
-		s.facts[f.ID] = f
+		s.facts[f.FactID] = f
 		if t := (topic{f.Kind, f.Key}); !had {
 			if len(s.about[t]) == 0 {
 				s.since[t] = now
 			}
 			s.about[t] = append(s.about[t], f.Origin)
 		}
-		return now-f.Seen < Bounds[f.Kind].Until
+		return now-f.ObservedAt < Lifetimes[f.Kind].ExpiresAfter
 	case c == 0: // nothing new, but it may have been observed earlier, and never later
-		old.Seen, old.Value = min(old.Seen, f.Seen), max(old.Value, f.Value)
+		old.ObservedAt, old.Value = min(old.ObservedAt, f.ObservedAt), max(old.Value, f.Value)
 		if !old.direct() {
 			if old.Via = min(old.Via, f.Via); f.direct() {
 				old.Via = f.Via
 			}
 		}
-		s.facts[f.ID] = old
+		s.facts[f.FactID] = old
 	}
 	return false
 }
 
 // aged gives a fact with its age, if it may still be used.
-func (f Fact) aged(now time.Duration) (Aged, bool) {
-	b, age := Bounds[f.Kind], max(0, now-f.Seen)
-	return Aged{f, age, age >= b.Fades}, age < b.Until
+func (f Fact) aged(now time.Duration) (AgedFact, bool) {
+	b, age := Lifetimes[f.Kind], max(0, now-f.ObservedAt)
+	return AgedFact{f, age, age >= b.FadesAfter}, age < b.ExpiresAfter
 }
 
 // Get gives what an origin says of a thing, while it may be used.
-func (s *Store) Get(id ID, now time.Duration) (Aged, bool) {
+func (s *Store) Get(id FactID, now time.Duration) (AgedFact, bool) {
 	f, ok := s.facts[id]
 	if !ok {
-		return Aged{}, false
+		return AgedFact{}, false
 	}
 	return f.aged(now)
 }
 
-// All gives the facts that may be used, of one kind or of all (0), in the order of kind, key and origin.
-func (s *Store) All(kind Kind, now time.Duration) (all []Aged) {
+// Facts gives the facts that may be used, of one kind or of all (0), in the order of kind, key and origin.
+func (s *Store) Facts(kind Kind, now time.Duration) (all []AgedFact) {
 	for _, f := range s.facts {
 		if a, ok := f.aged(now); ok && (kind == 0 || f.Kind == kind) {
 			all = append(all, a)
 		}
 	}
-	slices.SortFunc(all, func(a, b Aged) int { return a.ID.compare(b.ID) })
+	slices.SortFunc(all, func(a, b AgedFact) int { return a.FactID.compare(b.FactID) })
 	return all
 }
 
-func (a ID) compare(b ID) int {
+func (a FactID) compare(b FactID) int {
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Key, b.Key), cmp.Compare(a.Origin, b.Origin))
 }
 
 // each calls do with what may be used of a thing.
-func (s *Store) each(kind Kind, key string, now time.Duration, do func(Aged)) {
+func (s *Store) each(kind Kind, key string, now time.Duration, do func(AgedFact)) {
 	for _, origin := range s.about[topic{kind, key}] {
-		if a, ok := s.facts[ID{kind, origin, key}].aged(now); ok {
+		if a, ok := s.facts[FactID{kind, origin, key}].aged(now); ok {
 			do(a)
 		}
 	}
 }
 
-// Known tells for how long anything has been known of a thing.
-func (s *Store) Known(kind Kind, key string, now time.Duration) time.Duration {
+// KnownFor tells for how long anything has been known of a thing.
+func (s *Store) KnownFor(kind Kind, key string, now time.Duration) time.Duration {
 	return now - s.since[topic{kind, key}]
 }
 
-// Agreed counts the origins that say a thing of a kind, and how old the youngest of that is.
-func (s *Store) Agreed(kind Kind, key string, now time.Duration) (origins int, youngest time.Duration) {
-	youngest = Bounds[kind].Until
-	s.each(kind, key, now, func(a Aged) { origins, youngest = origins+1, min(youngest, a.Age) })
+// CountReporters counts the origins that say a thing of a kind, and how old the youngest of that is.
+func (s *Store) CountReporters(kind Kind, key string, now time.Duration) (origins int, youngest time.Duration) {
+	youngest = Lifetimes[kind].ExpiresAfter
+	s.each(kind, key, now, func(a AgedFact) { origins, youngest = origins+1, min(youngest, a.Age) })
 	return origins, youngest
 }
 
-// Sweep forgets what is past its bound. A stamp that is forgotten could come again only with an older observation,
+// RemoveExpired forgets what is past its bound. A stamp that is forgotten could come again only with an older observation,
 // which is past its bound as well.
-func (s *Store) Sweep(now time.Duration) {
+func (s *Store) RemoveExpired(now time.Duration) {
 	for id, f := range s.facts {
-		if now-f.Seen >= Bounds[f.Kind].Until {
+		if now-f.ObservedAt >= Lifetimes[f.Kind].ExpiresAfter {
 			delete(s.facts, id)
 			t := topic{id.Kind, id.Key}
 			if s.about[t] = slices.DeleteFunc(s.about[t], func(o uint16) bool { return o == id.Origin }); len(s.about[t]) == 0 {
@@ -206,14 +206,14 @@
 	}
 }
 
-// Sums are sums over hashes of facts, by buckets that the facts' names fall into: where two relays' differ, so do their
+// BucketDigests are sums over hashes of facts, by buckets that the facts' names fall into: where two relays' differ, so do their
 // facts of that bucket.
-type Sums [buckets]uint16
+type BucketDigests [buckets]uint16
 
 const buckets = 64
 
-// Sums sums up what may be used, but for what is told steadily.
-func (s *Store) Sums(now time.Duration) (sums Sums) {
+// BucketDigests sums up what may be used, but for what is told steadily.
+func (s *Store) BucketDigests(now time.Duration) (sums BucketDigests) {
 	s.moving(now, func(f Fact) {
 		h := f.hash()
 		sums[f.bucket()] += uint16(h ^ h>>16 ^ h>>32 ^ h>>48)
@@ -236,7 +236,7 @@
 			continue
 		}
 		for _, origin := range origins {
-			if f := s.facts[ID{t.kind, origin, t.key}]; now-f.Seen < Bounds[f.Kind].Until-time.Second {
+			if f := s.facts[FactID{t.kind, origin, t.key}]; now-f.ObservedAt < Lifetimes[f.Kind].ExpiresAfter-time.Second {
 				do(f)
 			}
 		}
@@ -249,7 +249,7 @@
 }
 
 // steady tells whether facts of a kind are told again and again, so that a lost one needs no mending.
-func (k Kind) steady() bool { return k == Member || k == Pace }
+func (k Kind) steady() bool { return k == KindMember || k == KindSendRate }
 
 func (f Fact) hash() uint64 {
 	b := f.append(nil, 0)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,9 +15,9 @@
 // facts draws facts that often speak of the same registers.
 func facts(t *rapid.T) []Fact {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Fact {
-		return Fact{ID: ID{Kind(rapid.IntRange(1, int(kindEnd)-1).Draw(t, "kind")), uint16(rapid.IntRange(0, 2).Draw(t, "origin")), rapid.SampledFrom([]string{"7", "h1"}).Draw(t, "key")},
-			Stamp: Stamp{uint32(rapid.IntRange(1, 2).Draw(t, "incarnation")), uint32(rapid.IntRange(0, 2).Draw(t, "seq"))},
-			Value: uint64(rapid.IntRange(0, 2).Draw(t, "value")), Seen: time.Duration(rapid.IntRange(0, 3).Draw(t, "seen")) * time.Second, Via: uint16(rapid.IntRange(0, 2).Draw(t, "via"))}
+		return Fact{FactID: FactID{Kind(rapid.IntRange(1, int(kindEnd)-1).Draw(t, "kind")), uint16(rapid.IntRange(0, 2).Draw(t, "origin")), rapid.SampledFrom([]string{"7", "h1"}).Draw(t, "key")},
+			FactVersion: FactVersion{uint32(rapid.IntRange(1, 2).Draw(t, "incarnation")), uint32(rapid.IntRange(0, 2).Draw(t, "seq"))},
+			Value:       uint64(rapid.IntRange(0, 2).Draw(t, "value")), ObservedAt: time.Duration(rapid.IntRange(0, 3).Draw(t, "seen")) * time.Second, Via: uint16(rapid.IntRange(0, 2).Draw(t, "via"))}
 	}), 0, 12).Draw(t, "facts")
 }
 
@@ -29,10 +29,10 @@
 		all := facts(t)
 		a, b := NewStore(), NewStore()
 		for _, f := range all {
-			before, had := a.facts[f.ID]
+			before, had := a.facts[f.FactID]
 			a.Merge(f, now)
-			after := a.facts[f.ID]
-			if c := after.Stamp.Compare(before.Stamp); had && (c < 0 || c == 0 && after.Seen > before.Seen) {
+			after := a.facts[f.FactID]
+			if c := after.FactVersion.Compare(before.FactVersion); had && (c < 0 || c == 0 && after.ObservedAt > before.ObservedAt) {
 				t.Fatalf("%+v becomes %+v by %+v", before, after, f)
 			}
 		}
@@ -48,14 +48,14 @@
 
 // No value is read past its bound by the reader's clock, whatever the sender claims and however often it comes again.
 func TestBound(t *testing.T) {
-	for kind, bound := range Bounds {
+	for kind, bound := range Lifetimes {
 		n := NewNode(1, 3, 1, "v", 0, 1, 0)
-		f := Fact{ID: ID{kind, 0, "7"}, Stamp: Stamp{1, 1}}
-		for at := time.Duration(0); at < 2*bound.Until; at += 100 * time.Millisecond {
-			claim, _ := pack(0, 0, []Fact{{ID: f.ID, Stamp: f.Stamp, Seen: at}}, at) // always new, it says
-			n.Heard(0, claim, at)
-			a, ok := n.Get(f.ID, at)
-			if ok != (at < bound.Until) || ok && (a.Age != at || a.Fading != (at >= bound.Fades)) {
+		f := Fact{FactID: FactID{kind, 0, "7"}, FactVersion: FactVersion{1, 1}}
+		for at := time.Duration(0); at < 2*bound.ExpiresAfter; at += 100 * time.Millisecond {
+			claim, _ := pack(0, 0, []Fact{{FactID: f.FactID, FactVersion: f.FactVersion, ObservedAt: at}}, at) // always new, it says
+			n.Receive(0, claim, at)
+			a, ok := n.Get(f.FactID, at)
+			if ok != (at < bound.ExpiresAfter) || ok && (a.Age != at || a.Fading != (at >= bound.FadesAfter)) {
 				t.Fatalf("%s at %v: %v, %+v", bound.Name, at, ok, a)
 			}
 		}
@@ -69,11 +69,11 @@
 		all := facts(t)
 		note, n := pack(hasDigest, 77, all, now)
 		m, ok := parse(note)
-		if len(note) > MaxNote || !ok || m.digest != 77 || len(m.facts) != n || n < min(len(all), 8) {
+		if len(note) > MaxMessageSize || !ok || m.digest != 77 || len(m.facts) != n || n < min(len(all), 8) {
 			t.Fatalf("%d bytes, %v, %d of %d facts", len(note), ok, n, len(all))
 		}
 		for i, f := range m.facts {
-			if f.Seen, f.Via = f.Seen+now, all[i].Via; f != all[i] {
+			if f.ObservedAt, f.Via = f.ObservedAt+now, all[i].Via; f != all[i] {
 				t.Fatalf("%+v is read as %+v", all[i], f)
 			}
 		}
@@ -82,7 +82,7 @@
 
 // Any bytes are read or are not; what is read can be written again.
 func FuzzNote(f *testing.F) {
-	note, _ := pack(hasDigest, 7, []Fact{{ID: ID{Closed, 3, "7"}, Stamp: Stamp{5, 6}, Value: 100}}, time.Second)
+	note, _ := pack(hasDigest, 7, []Fact{{FactID: FactID{KindDestinationClosed, 3, "7"}, FactVersion: FactVersion{5, 6}, Value: 100}}, time.Second)
 	for n := range note {
 		f.Add(note[:n])
 	}
@@ -93,13 +93,13 @@
 			return
 		}
 		again, n := pack(m.flags, m.digest, m.facts, 0)
-		if back, ok := parse(again); !ok || n != len(m.facts) && len(note) <= MaxNote-10 || len(back.facts) != n {
+		if back, ok := parse(again); !ok || n != len(m.facts) && len(note) <= MaxMessageSize-10 || len(back.facts) != n {
 			t.Fatalf("%x is read, and written as %x", note, again)
 		}
 		node := NewNode(1, 10, 1, "v", 0, 1, 0)
-		node.Heard(0, note, time.Hour)
-		for _, a := range node.All(0, time.Hour) {
-			if a.Age < 0 || a.Age >= Bounds[a.Kind].Until {
+		node.Receive(0, note, time.Hour)
+		for _, a := range node.Facts(0, time.Hour) {
+			if a.Age < 0 || a.Age >= Lifetimes[a.Kind].ExpiresAfter {
 				t.Fatalf("%+v", a)
 			}
 		}
@@ -159,16 +159,16 @@
 	return m
 }
 
-func (m *model) send(from int, out []Send) {
+func (m *model) send(from int, out []Outgoing) {
 	for _, s := range out {
-		m.sent += len(s.Note)
+		m.sent += len(s.Message)
 		for to := range m.nodes {
-			if to == from || s.To != All && s.To != to {
+			if to == from || s.To != Everyone && s.To != to {
 				continue
 			}
-			m.notes, m.bytes = m.notes+1, m.bytes+len(s.Note)
+			m.notes, m.bytes = m.notes+1, m.bytes+len(s.Message)
 			if m.rng.Float64() >= m.loss && !m.cut(from, to) {
-				m.flying = append(m.flying, flight{m.now + time.Duration(1+m.rng.IntN(20))*time.Millisecond, from, to, s.Note})
+				m.flying = append(m.flying, flight{m.now + time.Duration(1+m.rng.IntN(20))*time.Millisecond, from, to, s.Message})
 			}
 		}
 	}
@@ -188,11 +188,11 @@
 		}
 		m.flying = left
 		for _, f := range come {
-			out, _ := m.nodes[f.to].Heard(f.from, f.note, m.now)
+			out, _ := m.nodes[f.to].Receive(f.from, f.note, m.now)
 			m.send(f.to, out)
 		}
 		for i, n := range m.nodes {
-			if n.Next() <= m.now {
+			if n.NextTick() <= m.now {
 				m.send(i, n.Tick(m.now))
 			}
 		}
@@ -207,7 +207,7 @@
 func (m *model) know(kind Kind, key string) float64 {
 	n := 0
 	for _, node := range m.nodes {
-		if origins, _ := node.Agreed(kind, key, m.now); origins > 0 {
+		if origins, _ := node.CountReporters(kind, key, m.now); origins > 0 {
 			n++
 		}
 	}
@@ -226,11 +226,11 @@
 			for _, n := range m.nodes { // which takes some beats of each: see TestLoss
 				n.loss = c.loss
 			}
-			m.nodes[17].Learn(Closed, "7", 500, false, m.now, m.now)
+			m.nodes[17].Observe(KindDestinationClosed, "7", 500, false, m.now, m.now)
 			begun := m.now
-			at, ok := m.run(begun+c.within, func() bool { return m.know(Closed, "7") >= 0.99 })
+			at, ok := m.run(begun+c.within, func() bool { return m.know(KindDestinationClosed, "7") >= 0.99 })
 			if !ok {
-				t.Errorf("loss %v, seed %d: %.1f%% know it after %v", c.loss, seed, 100*m.know(Closed, "7"), at-begun)
+				t.Errorf("loss %v, seed %d: %.1f%% know it after %v", c.loss, seed, 100*m.know(KindDestinationClosed, "7"), at-begun)
 			}
 			t.Logf("loss %v, seed %d: 99%% know it after %v", c.loss, seed, at-begun)
 		}
@@ -255,11 +255,11 @@
 		rest := m.sent
 		m.run(m.now+time.Second, nil)
 		rate := float64(m.sent-rest) / float64(c.relays)
-		m.nodes[17].Learn(Closed, "7", 500, false, m.now, m.now)
+		m.nodes[17].Observe(KindDestinationClosed, "7", 500, false, m.now, m.now)
 		begun := m.now
-		at, ok := m.run(begun+time.Second, func() bool { return m.know(Closed, "7") >= 0.99 })
+		at, ok := m.run(begun+time.Second, func() bool { return m.know(KindDestinationClosed, "7") >= 0.99 })
 		if !ok || rate > 40 {
-			t.Errorf("%d relays, %v lost: %.1f%% know it after %v; %.1f bytes a second each at rest", c.relays, c.loss, 100*m.know(Closed, "7"), at-begun, rate)
+			t.Errorf("%d relays, %v lost: %.1f%% know it after %v; %.1f bytes a second each at rest", c.relays, c.loss, 100*m.know(KindDestinationClosed, "7"), at-begun, rate)
 		}
 		t.Logf("%d relays, %v lost: 99%% know it after %v; %.1f bytes a second each at rest", c.relays, c.loss, at-begun, rate)
 	}
@@ -294,7 +294,7 @@
 			t.Errorf("%d relays send %.1f bytes a second each at rest", n, rate)
 		}
 		for _, node := range m.nodes {
-			if live := node.Live(m.now); len(live) != n {
+			if live := node.LiveMembers(m.now); len(live) != n {
 				t.Fatalf("of %d relays one counts %d", n, len(live))
 			}
 		}
@@ -309,11 +309,11 @@
 		m.run(2*time.Second, nil)
 		m.cut = func(a, b int) bool { return (a < 30) != (b < 30) }
 		for i := range 10 {
-			m.nodes[i].Learn(Out, fmt.Sprint("left", i), 1, false, m.now, m.now)
-			m.nodes[50+i].Learn(Out, fmt.Sprint("right", i), 1, false, m.now, m.now)
+			m.nodes[i].Observe(KindEndpointEjected, fmt.Sprint("left", i), 1, false, m.now, m.now)
+			m.nodes[50+i].Observe(KindEndpointEjected, fmt.Sprint("right", i), 1, false, m.now, m.now)
 		}
 		m.run(m.now+3*time.Second, nil)
-		if m.know(Out, "left0") > 0.5 || m.know(Out, "right0") > 0.5 {
+		if m.know(KindEndpointEjected, "left0") > 0.5 || m.know(KindEndpointEjected, "right0") > 0.5 {
 			t.Fatal("the cut lets notes through")
 		}
 		m.cut = func(int, int) bool { return false }
@@ -327,7 +327,7 @@
 			}
 			return true
 		})
-		if !ok || m.know(Out, "left3") < 1 || m.know(Out, "right3") < 1 {
+		if !ok || m.know(KindEndpointEjected, "left3") < 1 || m.know(KindEndpointEjected, "right3") < 1 {
 			t.Errorf("loss %v: no one view %v after the heal", loss, at-healed)
 		}
 		t.Logf("loss %v: one view after %v", loss, at-healed)
@@ -338,14 +338,14 @@
 func TestMembers(t *testing.T) {
 	m := newModel(20, 0.1, 1)
 	m.run(10*time.Second, nil)
-	m.nodes[3].Learn(Closed, "7", 0, false, m.now, m.now)
+	m.nodes[3].Observe(KindDestinationClosed, "7", 0, false, m.now, m.now)
 	m.run(m.now+time.Second, nil)
 	m.cut = func(a, b int) bool { return a == 5 || b == 5 }
 	m.run(m.now+5*beatLeast+3*time.Second, nil)
-	if live := m.nodes[0].Live(m.now); slices.Contains(live, 5) || len(live) != 19 || !m.nodes[0].Suspected(5, m.now) {
+	if live := m.nodes[0].LiveMembers(m.now); slices.Contains(live, 5) || len(live) != 19 || !m.nodes[0].Suspected(5, m.now) {
 		t.Errorf("live %v", live)
 	}
-	if a := m.nodes[5].All(Closed, m.now); len(a) > 0 {
+	if a := m.nodes[5].Facts(KindDestinationClosed, m.now); len(a) > 0 {
 		t.Errorf("one that was alone still holds %+v", a)
 	}
 }
--- a/internal/fleet/gossip_capacity_bench_test.go
+++ b/internal/fleet/gossip_capacity_bench_test.go
@@ -12,8 +12,8 @@
 	const relays, origins = 1200, 5
 	n := NewNode(0, relays, 1, "v", 0, 1, 0)
 	for i := range facts {
-		id := ID{Closed, uint16(1 + (i*7+i%origins)%(relays-1)), fmt.Sprint(i / origins)}
-		n.Merge(Fact{ID: id, Stamp: Stamp{1, uint32(i)}, Value: 1000, Via: id.Origin}, 0)
+		id := FactID{KindDestinationClosed, uint16(1 + (i*7+i%origins)%(relays-1)), fmt.Sprint(i / origins)}
+		n.Merge(Fact{FactID: id, FactVersion: FactVersion{1, uint32(i)}, Value: 1000, Via: id.Origin}, 0)
 	}
 	return n
 }
@@ -30,8 +30,8 @@
 			work func()
 		}{
 			{"digest", func() { n.Digest(time.Second) }},
-			{"sums", func() { n.Sums(time.Second) }},
-			{"sweep", func() { n.Sweep(time.Second) }},
+			{"sums", func() { n.BucketDigests(time.Second) }},
+			{"sweep", func() { n.RemoveExpired(time.Second) }},
 		}
 		for _, part := range parts {
 			b.Run(fmt.Sprintf("%s/%d", part.name, facts), func(b *testing.B) {
@@ -53,10 +53,10 @@
 			n := storedFacts(facts)
 			size, i := 0, 0
 			for b.Loop() {
-				id := ID{Closed, uint16(1 + i%1199), fmt.Sprint(i % (facts / 5))}
-				fact := Fact{ID: id, Stamp: Stamp{1_764_000_000, uint32(facts + i)}, Value: 1000}
+				id := FactID{KindDestinationClosed, uint16(1 + i%1199), fmt.Sprint(i % (facts / 5))}
+				fact := Fact{FactID: id, FactVersion: FactVersion{1_764_000_000, uint32(facts + i)}, Value: 1000}
 				datagram, _ := pack(0, 0, []Fact{fact}, 0)
-				n.Heard(int(id.Origin), datagram, 0)
+				n.Receive(int(id.Origin), datagram, 0)
 				size += len(datagram)
 				i++
 			}
@@ -72,10 +72,10 @@
 			n := NewNode(0, relays, 1, "v", 0, 1, 0)
 			size, i := 0, 0
 			for b.Loop() {
-				id := ID{Member, uint16(1 + i%(relays-1)), "1.2.3"}
-				fact := Fact{ID: id, Stamp: Stamp{1_764_000_000, uint32(i)}, Value: uint64(i) << zoneBits}
+				id := FactID{KindMember, uint16(1 + i%(relays-1)), "1.2.3"}
+				fact := Fact{FactID: id, FactVersion: FactVersion{1_764_000_000, uint32(i)}, Value: uint64(i) << zoneBits}
 				datagram, _ := pack(0, 0, []Fact{fact}, 0)
-				n.Heard(int(id.Origin), datagram, 0)
+				n.Receive(int(id.Origin), datagram, 0)
 				size += len(datagram)
 				i++
 			}
@@ -84,7 +84,7 @@
 		b.Run(fmt.Sprintf("live/%d", relays), func(b *testing.B) {
 			n := NewNode(0, relays, 1, "v", 0, 1, 0)
 			for b.Loop() {
-				n.Live(time.Hour)
+				n.LiveMembers(time.Hour)
 			}
 		})
 	}
@@ -97,12 +97,12 @@
 		b.Run(fmt.Sprint(relays), func(b *testing.B) {
 			for seed := uint64(1); b.Loop(); seed++ {
 				m := newModel(relays, 0.1, seed)
-				beat := m.nodes[0].Beat()
+				beat := m.nodes[0].HeartbeatInterval()
 				m.run(6*beat, nil) // all have heard of all, and none counts as just started
 				sent, received, since := m.sent, m.bytes, m.now
 				unknown := 0
 				for _, n := range m.nodes {
-					unknown += relays - len(n.All(Member, m.now))
+					unknown += relays - len(n.Facts(KindMember, m.now))
 				}
 				m.cut = func(from, to int) bool { return from == 5 || to == 5 }
 				dropped := 0
@@ -156,8 +156,8 @@
 				m.run(2*time.Second, nil)
 				m.cut = func(from, to int) bool { return (from < relays/2) != (to < relays/2) }
 				for i := range facts {
-					m.nodes[i%(relays/2)].Learn(Out, fmt.Sprint("left", i), 1, false, m.now, m.now)
-					m.nodes[relays/2+i%(relays/2)].Learn(Out, fmt.Sprint("right", i), 1, false, m.now, m.now)
+					m.nodes[i%(relays/2)].Observe(KindEndpointEjected, fmt.Sprint("left", i), 1, false, m.now, m.now)
+					m.nodes[relays/2+i%(relays/2)].Observe(KindEndpointEjected, fmt.Sprint("right", i), 1, false, m.now, m.now)
 				}
 				m.run(m.now+2*time.Second, nil)
 				m.cut = func(int, int) bool { return false }
--- a/internal/fleet/live/live.go
+++ b/internal/fleet/live/live.go
@@ -32,22 +32,22 @@
 	Zone        int
 	Seed        uint64
 	Send        func(to int, note []byte) // to a relay, or to all (fleet.All); it must not block
-	// Said is called with what the fleet says of a thing, when it says something new, and Heard with what another relay
+	// OnAssessment is called with what the fleet says of a thing, when it says something new, and Heard with what another relay
 	// has just observed. They must not block.
-	Said  func(Said)
-	Heard func(f fleet.Fact, age time.Duration)
+	OnAssessment func(PeerAssessment)
+	OnFact       func(f fleet.Fact, age time.Duration)
 }
 
-// Said is what the fleet says of one destination, or of one endpoint.
-type Said struct {
+// PeerAssessment is what the fleet says of one destination, or of one endpoint.
+type PeerAssessment struct {
 	Dest     int    // where Endpoint is empty
 	Endpoint string // or empty
-	fleet.Word
-	Rank  int // of this relay for the duty of trying it, among those that count as there
-	Live  int // how many these are
-	Paces fleet.Paces
-	// ByZone is what arrives in each zone, over its relays; nil where that is not known.
-	ByZone []float64
+	fleet.Assessment
+	Rank       int // of this relay for the duty of trying it, among those that count as there
+	LiveRelays int // how many these are
+	Rates      fleet.RateSummary
+	// ArrivalRateByZone is what arrives in each zone, over its relays; nil where that is not known.
+	ArrivalRateByZone []float64
 }
 
 // Service is a node with a clock.
@@ -84,59 +84,61 @@
 		s.mu.Lock()
 		now := time.Since(s.begun)
 		out := s.node.Tick(now)
-		next := s.node.Next()
+		next := s.node.NextTick()
 		s.mu.Unlock()
 		s.send(out)
 		timer.Reset(max(time.Millisecond, next-now))
 	}
 }
 
-func (s *Service) send(out []fleet.Send) {
+func (s *Service) send(out []fleet.Outgoing) {
 	for _, o := range out {
-		s.o.Send(o.To, o.Note)
+		s.o.Send(o.To, o.Message)
 	}
 }
 
-// Takes tells whether a note is one of ours.
-func (s *Service) Takes(note []byte) bool { return s != nil && len(note) > 0 && note[0] == fleet.Mark }
+// Accepts tells whether a note is one of ours.
+func (s *Service) Accepts(note []byte) bool {
+	return s != nil && len(note) > 0 && note[0] == fleet.MessageMark
+}
 
-// Heard takes in a note of another relay.
-func (s *Service) Heard(from int, note []byte) {
+// Receive takes in a note of another relay.
+func (s *Service) Receive(from int, note []byte) {
 	s.mu.Lock()
 	now := time.Since(s.begun)
-	out, news := s.node.Heard(from, note, now)
+	out, news := s.node.Receive(from, note, now)
 	said := s.about(news, now)
 	s.mu.Unlock()
 	s.send(out)
 	for _, f := range news {
-		if age := now - f.Seen; age < just {
-			s.o.Heard(f, max(0, age))
+		if age := now - f.ObservedAt; age < just {
+			s.o.OnFact(f, max(0, age))
 		}
 	}
 	s.say(said)
 }
 
 // about sums up what is said of the things that facts are about.
-func (s *Service) about(facts []fleet.Fact, now time.Duration) (all []Said) {
+func (s *Service) about(facts []fleet.Fact, now time.Duration) (all []PeerAssessment) {
 	if len(facts) == 0 {
 		return nil
 	}
-	live := s.node.Live(now)
+	live := s.node.LiveMembers(now)
 	type thing struct {
 		dest     int
 		endpoint string
 	}
 	done := map[thing]bool{}
 	for _, f := range facts {
-		said := Said{Dest: -1, Live: len(live)}
+		said := PeerAssessment{Dest: -1, LiveRelays: len(live)}
 		switch f.Kind {
-		case fleet.Closed, fleet.Open, fleet.Pace:
+		case fleet.KindDestinationClosed, fleet.KindDestinationOpen, fleet.KindSendRate:
 			dest, err := strconv.Atoi(f.Key)
 			if err != nil {
 				continue
 			}
 			said.Dest = dest
-		case fleet.Out, fleet.Back:
+		case fleet.KindEndpointEjected, fleet.KindEndpointRecovered:
 			said.Endpoint = f.Key
 		default:
 			continue
@@ -147,15 +149,15 @@
 			done[t] = true
 		}
 		if said.Endpoint != "" {
-			said.Word = s.node.Word(fleet.Out, fleet.Back, f.Key, s.near, now)
+			said.Assessment = s.node.Assess(fleet.KindEndpointEjected, fleet.KindEndpointRecovered, f.Key, s.near, now)
 		} else {
-			said.Word = s.node.Word(fleet.Closed, fleet.Open, f.Key, nil, now)
-			said.Paces = s.node.Paces(f.Key, s.o.Self, now)
-			if said.Paces.Tellers > 0 {
-				said.ByZone = byZone(said.Paces.ByZone, s.node.Zones(live, now))
+			said.Assessment = s.node.Assess(fleet.KindDestinationClosed, fleet.KindDestinationOpen, f.Key, nil, now)
+			said.Rates = s.node.SummarizeRates(f.Key, s.o.Self, now)
+			if said.Rates.Reporters > 0 {
+				said.ArrivalRateByZone = byZone(said.Rates.ArrivalRateByZone, s.node.LiveByZone(live, now))
 			}
 		}
-		if said.Origins > 0 {
+		if said.Observers > 0 {
 			said.Rank = fleet.Rank(f.Key, live, s.o.Self)
 		}
 		all = append(all, said)
@@ -178,9 +180,9 @@
 	return all
 }
 
-func (s *Service) say(all []Said) {
+func (s *Service) say(all []PeerAssessment) {
 	for _, said := range all {
-		s.o.Said(said)
+		s.o.OnAssessment(said)
 	}
 }
 
@@ -190,13 +192,13 @@
 // near tells whether a verdict comes from this relay's own zone.
 func (s *Service) near(f fleet.Fact) bool { return f.Value == s.zoned() }
 
-// Observed says what this relay has seen an age ago, which all have to hear of; where it is common, many see it at once,
+// Observe says what this relay has seen an age ago, which all have to hear of; where it is common, many see it at once,
 // and some of them are enough.
-func (s *Service) Observed(kind fleet.Kind, key string, value uint64, common bool, age time.Duration) {
+func (s *Service) Observe(kind fleet.Kind, key string, value uint64, common bool, age time.Duration) {
 	s.mu.Lock()
 	now := time.Since(s.begun)
-	s.node.Learn(kind, key, value, common, now-age, now)
-	news := s.about([]fleet.Fact{{ID: fleet.ID{Kind: kind, Key: key}}}, now)
+	s.node.Observe(kind, key, value, common, now-age, now)
+	news := s.about([]fleet.Fact{{FactID: fleet.FactID{Kind: kind, Key: key}}}, now)
 	s.mu.Unlock()
 	s.say(news)
 	select {
@@ -208,49 +210,49 @@
 // learn says a thing, unless this relay has just said it.
 func (s *Service) learn(kind fleet.Kind, key string, value uint64) {
 	s.mu.Lock()
-	own, ok := s.node.Get(fleet.ID{Kind: kind, Origin: uint16(s.o.Self), Key: key}, time.Since(s.begun))
+	own, ok := s.node.Get(fleet.FactID{Kind: kind, Origin: uint16(s.o.Self), Key: key}, time.Since(s.begun))
 	s.mu.Unlock()
 	if !ok || own.Age >= fresh {
-		s.Observed(kind, key, value, true, 0)
+		s.Observe(kind, key, value, true, 0)
 	}
 }
 
-// Health says that an endpoint is out, or serves again.
-func (s *Service) Health(endpoint string, out bool) {
-	kind := fleet.Back
+// ObserveHealth says that an endpoint is out, or serves again.
+func (s *Service) ObserveHealth(endpoint string, out bool) {
+	kind := fleet.KindEndpointRecovered
 	if out {
-		kind = fleet.Out
+		kind = fleet.KindEndpointEjected
 	}
 	if s != nil {
 		s.learn(kind, endpoint, s.zoned())
 	}
 }
 
-// Failed says that a call to an endpoint failed. That is told of where it is known to be out: it was tried in vain.
-func (s *Service) Failed(endpoint string) {
+// ObserveFailure says that a call to an endpoint failed. That is told of where it is known to be out: it was tried in vain.
+func (s *Service) ObserveFailure(endpoint string) {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
-	out, _ := s.node.Agreed(fleet.Out, endpoint, time.Since(s.begun))
+	out, _ := s.node.CountReporters(fleet.KindEndpointEjected, endpoint, time.Since(s.begun))
 	s.mu.Unlock()
 	if out > 0 {
-		s.learn(fleet.Out, endpoint, s.zoned())
+		s.learn(fleet.KindEndpointEjected, endpoint, s.zoned())
 	}
 }
 
-// Paced says what this relay sends a destination, in parts of an even share of the listed rate, and how many messages a
+// ObserveRate says what this relay sends a destination, in parts of an even share of the listed rate, and how many messages a
 // second arrive for it.
-func (s *Service) Paced(dest int, pace, traffic float64) {
+func (s *Service) ObserveRate(dest int, pace, traffic float64) {
 	if s != nil {
 		s.mu.Lock()
-		s.node.LearnPace(strconv.Itoa(dest), fleet.PaceValue(pace, traffic, s.o.Zone))
+		s.node.ObserveRate(strconv.Itoa(dest), fleet.EncodeRate(pace, traffic, s.o.Zone))
 		s.mu.Unlock()
 	}
 }
 
-// Belief is one fact as operators see it.
-type Belief struct {
+// FactView is one fact as operators see it.
+type FactView struct {
 	Kind        string  `json:"kind"`
 	Key         string  `json:"key"`
 	Origin      int     `json:"origin"`
@@ -265,18 +267,18 @@
 
 // View is what a relay believes.
 type View struct {
-	Self      int      `json:"self"`
-	Live      []int    `json:"live"` // relays that count as there
-	Suspected []int    `json:"suspected,omitempty"`
-	Digest    uint32   `json:"digest"`
-	Beliefs   []Belief `json:"beliefs"`
+	Self      int        `json:"self"`
+	Live      []int      `json:"live"` // relays that count as there
+	Suspected []int      `json:"suspected,omitempty"`
+	Digest    uint32     `json:"digest"`
+	Facts     []FactView `json:"beliefs"`
 }
 
-// Live gives the relays that count as there.
-func (s *Service) Live() []int {
+// LiveRelays gives the relays that count as there.
+func (s *Service) LiveRelays() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.node.Live(time.Since(s.begun))
+	return s.node.LiveMembers(time.Since(s.begun))
 }
 
 // View gives what this relay believes, from whom, and how old it is.
@@ -284,22 +286,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Since(s.begun)
-	v := View{Self: s.o.Self, Live: s.node.Live(now), Digest: s.node.Digest(now), Beliefs: []Belief{}}
+	v := View{Self: s.o.Self, Live: s.node.LiveMembers(now), Digest: s.node.Digest(now), Facts: []FactView{}}
 	for _, m := range v.Live {
 		if m != s.o.Self && s.node.Suspected(m, now) {
 			v.Suspected = append(v.Suspected, m)
 		}
 	}
-	for _, a := range s.node.All(0, now) {
-		b := fleet.Bounds[a.Kind]
-		v.Beliefs = append(v.Beliefs, Belief{b.Name, a.Key, int(a.Origin), a.Value, a.Age.Seconds(), b.Until.Seconds(), a.Fading,
-			s.node.Known(a.Kind, a.Key, now).Seconds(), int(a.Via), a.Incarnation})
+	for _, a := range s.node.Facts(0, now) {
+		b := fleet.Lifetimes[a.Kind]
+		v.Facts = append(v.Facts, FactView{b.Name, a.Key, int(a.Origin), a.Value, a.Age.Seconds(), b.ExpiresAfter.Seconds(), a.Fading,
+			s.node.KnownFor(a.Kind, a.Key, now).Seconds(), int(a.Via), a.Incarnation})
 	}
 	return v
 }
 
-// Text is the view as the admin endpoint returns it: one line of JSON.
-func (s *Service) Text() string {
+// JSON is the view as the admin endpoint returns it: one line of JSON.
+func (s *Service) JSON() string {
 	text, err := json.Marshal(s.View())
 	if err != nil {
 		return "{}" // numbers and texts always have a form
--- a/internal/fleet/live/view_capacity_bench_test.go
+++ b/internal/fleet/live/view_capacity_bench_test.go
@@ -14,20 +14,20 @@
 	for _, relays := range []int{60, 300, 1200} {
 		b.Run(fmt.Sprint(relays), func(b *testing.B) {
 			reported := 0
-			s := New(Options{Size: relays, Version: "v", Send: func(int, []byte) {}, Said: func(Said) { reported++ },
-				Heard: func(fleet.Fact, time.Duration) {}})
+			s := New(Options{Size: relays, Version: "v", Send: func(int, []byte) {}, OnAssessment: func(PeerAssessment) { reported++ },
+				OnFact: func(fleet.Fact, time.Duration) {}})
 			sender := fleet.NewNode(1, relays, 1, "v", 0, 1, 0)
 			var datagrams [][]byte
 			now := time.Duration(0)
 			for len(datagrams) < 10_000 {
-				sender.Learn(fleet.Closed, fmt.Sprint(len(datagrams)), 1000, false, now, now)
+				sender.Observe(fleet.KindDestinationClosed, fmt.Sprint(len(datagrams)), 1000, false, now, now)
 				for _, send := range sender.Tick(now + 20*time.Millisecond) {
-					if send.To == fleet.All {
-						datagrams = append(datagrams, send.Note)
+					if send.To == fleet.Everyone {
+						datagrams = append(datagrams, send.Message)
 					}
 				}
 				now += time.Minute // each is told in a datagram of its own
-				sender.Sweep(now)
+				sender.RemoveExpired(now)
 			}
 			i := 0
 			for b.Loop() {
@@ -36,7 +36,7 @@
 					s = New(s.o)
 					b.StartTimer()
 				}
-				s.Heard(1, datagrams[i%len(datagrams)])
+				s.Receive(1, datagrams[i%len(datagrams)])
 				i++
 			}
 			if reported == 0 {
@@ -56,12 +56,12 @@
 			s := New(Options{Size: 1200, Version: "v"})
 			now := time.Since(s.begun)
 			for i := range facts {
-				id := fleet.ID{Kind: fleet.Out, Origin: uint16(1 + i%1199), Key: fmt.Sprint("s-", i/5)}
-				s.node.Merge(fleet.Fact{ID: id, Stamp: fleet.Stamp{Incarnation: 1, Seq: uint32(i)}, Seen: now}, now)
+				id := fleet.FactID{Kind: fleet.KindEndpointEjected, Origin: uint16(1 + i%1199), Key: fmt.Sprint("s-", i/5)}
+				s.node.Merge(fleet.Fact{FactID: id, FactVersion: fleet.FactVersion{Incarnation: 1, Seq: uint32(i)}, ObservedAt: now}, now)
 			}
 			size := 0
 			for b.Loop() {
-				size = len(s.Text())
+				size = len(s.JSON())
 			}
 			b.ReportMetric(float64(size)/float64(facts), "B/fact")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(facts), "ns/fact")
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// All is the receiver of a note that goes to every other relay.
-	All = -1
+	// Everyone is the receiver of a note that goes to every other relay.
+	Everyone = -1
 	// tellings is how often a new fact is told at most, at tellAt after it was learned: each time reaches those that lost
 	// all before it. It is told as often as leaves missed of the fleet to anti-entropy, by the share of the beats that is
 	// lost, which is taken for lossUnknown where none have come.
@@ -38,10 +38,10 @@
 
 var tellAt = [tellings]time.Duration{0, 100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond}
 
-// Send is a note to be sent.
-type Send struct {
-	To   int // number of a relay, or All
-	Note []byte
+// Outgoing is a note to be sent.
+type Outgoing struct {
+	To      int // number of a relay, or All
+	Message []byte
 }
 
 // Node is one relay's part in the fleet.
@@ -79,8 +79,8 @@
 
 // rumour is a fact that is still to be told.
 type rumour struct {
-	id    ID
-	stamp Stamp
+	id    FactID
+	stamp FactVersion
 	from  time.Duration // when it was learned
 	told  int
 }
@@ -90,46 +90,48 @@
 	n := &Node{Store: NewStore(), self: uint16(self), size: size, incarnation: incarnation, version: version, zone: uint64(max(0, zone)) & (1<<zoneBits - 1),
 		draw: rand.New(rand.NewPCG(seed, uint64(self))), heard: map[int]time.Duration{}, started: now, paces: map[string]uint64{},
 		lastBeat: map[int]beat{}, loss: lossUnknown}
-	n.beatAt = now + time.Duration(n.draw.Float64()*float64(n.Beat()))
+	n.beatAt = now + time.Duration(n.draw.Float64()*float64(n.HeartbeatInterval()))
 	n.digestAt = now + time.Duration(n.draw.Float64()*float64(digestEach))
 	return n
 }
 
-// Beat is how often each relay tells of itself.
-func (n *Node) Beat() time.Duration { return max(beatLeast, time.Duration(n.size)*beatEach) }
+// HeartbeatInterval is how often each relay tells of itself.
+func (n *Node) HeartbeatInterval() time.Duration {
+	return max(beatLeast, time.Duration(n.size)*beatEach)
+}
 
-// Learn takes in what this relay observed itself at a moment, to tell all. Of common things, which many meet at once, few
+// Observe takes in what this relay observed itself at a moment, to tell all. Of common things, which many meet at once, few
 // tell, and the others keep it to themselves: each further origin adds little, and would have to go round as well.
-func (n *Node) Learn(kind Kind, key string, value uint64, common bool, seen, now time.Duration) {
+func (n *Node) Observe(kind Kind, key string, value uint64, common bool, seen, now time.Duration) {
 	if len(key) > maxKey {
 		return
 	}
-	origins, youngest := n.Agreed(kind, key, now)
+	origins, youngest := n.CountReporters(kind, key, now)
 	known := origins > 0 && youngest < alike
 	if common && known && n.draw.Float64()*float64(n.size) >= tellers {
 		return
 	}
 	f := n.own(kind, key, value, min(seen, now))
 	n.Merge(f, now)
-	n.rumours = append(n.rumours, rumour{f.ID, f.Stamp, now, 0})
+	n.rumours = append(n.rumours, rumour{f.FactID, f.FactVersion, now, 0})
 }
 
 // own is a new fact of this relay's.
 func (n *Node) own(kind Kind, key string, value uint64, now time.Duration) Fact {
 	n.seq++
-	return Fact{ID: ID{kind, n.self, key}, Stamp: Stamp{n.incarnation, n.seq}, Value: value, Seen: now, Via: n.self}
+	return Fact{FactID: FactID{kind, n.self, key}, FactVersion: FactVersion{n.incarnation, n.seq}, Value: value, ObservedAt: now, Via: n.self}
 }
 
-// LearnPace takes in what this relay sends a destination and what arrives for it, as PaceValue has it. It is told with
+// ObserveRate takes in what this relay sends a destination and what arrives for it, as PaceValue has it. It is told with
 // the next beat, the latest value alone.
-func (n *Node) LearnPace(key string, value uint64) {
+func (n *Node) ObserveRate(key string, value uint64) {
 	if len(key) <= maxKey {
 		n.paces[key] = value
 	}
 }
 
-// Next is when Tick has something to do.
-func (n *Node) Next() time.Duration {
+// NextTick is when Tick has something to do.
+func (n *Node) NextTick() time.Duration {
 	next := min(n.beatAt, n.digestAt)
 	if n.asking() {
 		next = min(next, n.askAt())
@@ -141,33 +143,33 @@
 }
 
 // Tick gives the notes that are due.
-func (n *Node) Tick(now time.Duration) (out []Send) {
+func (n *Node) Tick(now time.Duration) (out []Outgoing) {
 	if now >= n.beatAt {
-		n.beatAt = now + time.Duration((0.75+0.5*n.draw.Float64())*float64(n.Beat()))
+		n.beatAt = now + time.Duration((0.75+0.5*n.draw.Float64())*float64(n.HeartbeatInterval()))
 		n.beats++
-		told := []Fact{n.own(Member, n.version, n.beats<<zoneBits|n.zone, now)}
+		told := []Fact{n.own(KindMember, n.version, n.beats<<zoneBits|n.zone, now)}
 		for key, value := range n.paces {
-			told = append(told, n.own(Pace, key, value, now))
+			told = append(told, n.own(KindSendRate, key, value, now))
 		}
 		clear(n.paces)
 		for _, f := range told {
 			n.Merge(f, now)
 		}
 		note, _ := pack(0, 0, told, now)
-		out = append(out, Send{All, note})
+		out = append(out, Outgoing{Everyone, note})
 	}
 	if n.asking() && now >= n.askAt() {
 		n.asks++
 		if to, ok := n.peer(); ok {
 			note, _ := pack(isNewcomer, 0, nil, now)
-			out = append(out, Send{to, note})
+			out = append(out, Outgoing{to, note})
 		}
 	}
 	var due []Fact
 	left := n.rumours[:0]
 	for _, r := range n.rumours {
 		f := n.facts[r.id]
-		if f.Stamp != r.stamp { // something newer is known
+		if f.FactVersion != r.stamp { // something newer is known
 			continue
 		}
 		if now >= r.from+together+tellAt[r.told] {
@@ -181,31 +183,31 @@
 	n.rumours = left
 	for len(due) > 0 {
 		note, sent := pack(0, 0, due, now)
-		out = append(out, Send{All, note})
+		out = append(out, Outgoing{Everyone, note})
 		due = due[max(1, sent):]
 	}
 	if now >= n.digestAt {
 		n.digestAt = now + time.Duration((0.75+0.5*n.draw.Float64())*float64(digestEach))
-		n.Sweep(now)
+		n.RemoveExpired(now)
 		if to, ok := n.peer(); ok {
 			note, _ := pack(hasDigest, n.Digest(now), nil, now)
-			out = append(out, Send{to, note})
+			out = append(out, Outgoing{to, note})
 		}
 	}
 	return out
 }
 
-// Heard takes in a note of another relay, and gives what is said in return. fresh is what was new in it.
-func (n *Node) Heard(from int, note []byte, now time.Duration) (out []Send, fresh []Fact) {
+// Receive takes in a note of another relay, and gives what is said in return. fresh is what was new in it.
+func (n *Node) Receive(from int, note []byte, now time.Duration) (out []Outgoing, fresh []Fact) {
 	m, ok := parse(note)
 	if !ok || from == int(n.self) {
 		return nil, nil
 	}
 	n.heard[from] = now
 	for _, f := range m.facts {
-		f.Seen += now
+		f.ObservedAt += now
 		f.Via = uint16(from)
-		if f.Kind == Member && f.direct() {
+		if f.Kind == KindMember && f.direct() {
 			n.count(f)
 		}
 		if f.Origin == n.self { // what an earlier process of ours said, or a lie: we know better
@@ -227,18 +229,18 @@
 	case m.flags&hasSums != 0:
 		return n.differing(from, m.sums, m.flags&isAnswer != 0, now), fresh
 	case m.flags&hasDigest != 0 && m.digest != n.Digest(now):
-		sums := n.Sums(now)
+		sums := n.BucketDigests(now)
 		note, _ := packSums(isAnswer, 0, &sums, nil, now)
-		return append(out, Send{from, note}), fresh
+		return append(out, Outgoing{from, note}), fresh
 	}
 	return nil, fresh
 }
 
 // differing gives another relay the facts of the buckets in which its sums are not ours, as far as some notes hold them,
 // drawn where there are more; with our own sums where it does not have them yet.
-func (n *Node) differing(to int, theirs Sums, tell bool, now time.Duration) (out []Send) {
-	own := n.Sums(now)
-	var sums *Sums
+func (n *Node) differing(to int, theirs BucketDigests, tell bool, now time.Duration) (out []Outgoing) {
+	own := n.BucketDigests(now)
+	var sums *BucketDigests
 	if tell {
 		sums = &own
 	}
@@ -248,11 +250,11 @@
 			facts = append(facts, f)
 		}
 	})
-	slices.SortFunc(facts, func(a, b Fact) int { return a.ID.compare(b.ID) }) // what is drawn does not follow a map's order
+	slices.SortFunc(facts, func(a, b Fact) int { return a.FactID.compare(b.FactID) }) // what is drawn does not follow a map's order
 	n.draw.Shuffle(len(facts), func(i, j int) { facts[i], facts[j] = facts[j], facts[i] })
 	for len(out) < briefNotes && (len(facts) > 0 || sums != nil) {
 		note, sent := packSums(0, 0, sums, facts, now)
-		out = append(out, Send{to, note})
+		out = append(out, Outgoing{to, note})
 		facts, sums = facts[sent:], nil
 	}
 	return out
@@ -285,20 +287,20 @@
 func (n *Node) askAt() time.Duration { return n.started + time.Duration(n.asks)*askAgain }
 
 // brief tells a newcomer what there is, in few notes: of each thing the youngest two.
-func (n *Node) brief(to int, now time.Duration) (out []Send) {
-	all := n.All(0, now)
-	slices.SortStableFunc(all, func(a, b Aged) int { return cmp.Compare(a.Age, b.Age) })
+func (n *Node) brief(to int, now time.Duration) (out []Outgoing) {
+	all := n.Facts(0, now)
+	slices.SortStableFunc(all, func(a, b AgedFact) int { return cmp.Compare(a.Age, b.Age) })
 	said := map[topic]int{}
 	var facts []Fact
 	for _, a := range all {
-		if t := (topic{a.Kind, a.Key}); a.Kind != Member && a.Origin != uint16(to) && said[t] < 2 {
+		if t := (topic{a.Kind, a.Key}); a.Kind != KindMember && a.Origin != uint16(to) && said[t] < 2 {
 			said[t]++
 			facts = append(facts, a.Fact)
 		}
 	}
 	for len(out) < briefNotes && (len(facts) > 0 || len(out) == 0) {
 		note, sent := pack(isBrief, 0, facts, now)
-		out = append(out, Send{to, note})
+		out = append(out, Outgoing{to, note})
 		facts = facts[sent:]
 	}
 	return out
@@ -316,10 +318,10 @@
 	return p, true
 }
 
-// Live lists the members that count as there, this one included: those heard of, by a note of theirs or by another's
+// LiveMembers lists the members that count as there, this one included: those heard of, by a note of theirs or by another's
 // word of them, within goneAfter beats. One that has just started, and so can't know, counts all of the configuration.
-func (n *Node) Live(now time.Duration) (live []int) {
-	within := time.Duration(goneAfter * float64(n.Beat()))
+func (n *Node) LiveMembers(now time.Duration) (live []int) {
+	within := time.Duration(goneAfter * float64(n.HeartbeatInterval()))
 	for i := range n.size {
 		if i == int(n.self) || now-n.started < within || n.silence(i, now) < within {
 			live = append(live, i)
@@ -330,7 +332,7 @@
 
 // Suspected tells whether a member has missed some beats.
 func (n *Node) Suspected(member int, now time.Duration) bool {
-	return n.silence(member, now) >= time.Duration(suspectAfter*float64(n.Beat()))
+	return n.silence(member, now) >= time.Duration(suspectAfter*float64(n.HeartbeatInterval()))
 }
 
 // silence is how long a member has not been heard of.
@@ -342,12 +344,12 @@
 	return now - last
 }
 
-// Zones counts live members by zone: those whose zone is not known are shared out like the others.
+// LiveByZone counts live members by zone: those whose zone is not known are shared out like the others.
 // live is in order, as Live gives it.
-func (n *Node) Zones(live []int, now time.Duration) map[int]float64 {
+func (n *Node) LiveByZone(live []int, now time.Duration) map[int]float64 {
 	known, all := map[int]float64{}, 0.0
 	for id, f := range n.facts {
-		if id.Kind != Member {
+		if id.Kind != KindMember {
 			continue
 		}
 		a, ok := f.aged(now)
--- a/internal/fleet/note.go
+++ b/internal/fleet/note.go
@@ -11,12 +11,12 @@
 //	mark 1 | version 1 | flags 1 | digest 4, with hasDigest | sums 2 each, with hasSums | facts: kind 1, origin, incarnation, seq, value, age in ms, key
 
 const (
-	// Mark is the first byte of a note; notes of other forms that relays send one another begin with another one.
-	Mark byte = 'F'
-	// Version is that of the form. A note of another version says nothing: in a rolling upgrade both do without.
-	Version = 1
-	// MaxNote is the longest datagram that a relay may send.
-	MaxNote = 256
+	// MessageMark is the first byte of a note; notes of other forms that relays send one another begin with another one.
+	MessageMark byte = 'F'
+	// FormatVersion is that of the form. A note of another version says nothing: in a rolling upgrade both do without.
+	FormatVersion = 1
+	// MaxMessageSize is the longest datagram that a relay may send.
+	MaxMessageSize = 256
 	// maxKey bounds a key: an endpoint's name or a number.
 	maxKey = 64
 )
@@ -33,7 +33,7 @@
 type message struct {
 	flags  byte
 	digest uint32
-	sums   Sums
+	sums   BucketDigests
 	facts  []Fact // Seen is the age below zero: the reader adds its clock
 }
 
@@ -56,11 +56,11 @@
 }
 
 // packSums is pack with sums of each bucket, if there are any.
-func packSums(flags byte, digest uint32, sums *Sums, facts []Fact, now time.Duration) (note []byte, n int) {
+func packSums(flags byte, digest uint32, sums *BucketDigests, facts []Fact, now time.Duration) (note []byte, n int) {
 	if sums != nil {
 		flags |= hasSums
 	}
-	note = []byte{Mark, Version, flags}
+	note = []byte{MessageMark, FormatVersion, flags}
 	if flags&hasDigest != 0 {
 		note = binary.LittleEndian.AppendUint32(note, digest)
 	}
@@ -70,8 +70,8 @@
 		}
 	}
 	for _, f := range facts {
-		longer := f.append(note, now-f.Seen)
-		if len(longer) > MaxNote {
+		longer := f.append(note, now-f.ObservedAt)
+		if len(longer) > MaxMessageSize {
 			break
 		}
 		note = longer
@@ -82,7 +82,7 @@
 
 // parse reads a note; one that is not whole, of another version, or with numbers that make no sense says nothing.
 func parse(note []byte) (m message, ok bool) {
-	if len(note) < 3 || len(note) > MaxNote || note[0] != Mark || note[1] != Version {
+	if len(note) < 3 || len(note) > MaxMessageSize || note[0] != MessageMark || note[1] != FormatVersion {
 		return m, false
 	}
 	m.flags, note = note[2], note[3:]
@@ -101,7 +101,7 @@
 		}
 	}
 	for len(note) > 0 {
-		f := Fact{ID: ID{Kind: Kind(note[0])}}
+		f := Fact{FactID: FactID{Kind: Kind(note[0])}}
 		note = note[1:]
 		var v [6]uint64
 		for i := range v {
@@ -115,7 +115,7 @@
 			return m, false
 		}
 		f.Origin, f.Incarnation, f.Seq, f.Value = uint16(v[0]), uint32(v[1]), uint32(v[2]), v[3]
-		f.Seen = -time.Duration(min(v[4], uint64(time.Hour/time.Millisecond))) * time.Millisecond
+		f.ObservedAt = -time.Duration(min(v[4], uint64(time.Hour/time.Millisecond))) * time.Millisecond
 		f.Key, note = string(note[:v[5]]), note[v[5]:]
 		m.facts = append(m.facts, f)
 	}
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// Word is what the fleet says of one destination or endpoint: how many find it bad, since when, and until when that may
+// Assessment is what the fleet says of one destination or endpoint: how many find it bad, since when, and until when that may
 // be used. The zero value says nothing.
-type Word struct {
-	Origins int           // that find it bad, and nobody that counts has found it good since
-	Fresh   int           // of these, those whose finding does not fade yet
-	First   time.Duration // age of the first of these observations
-	Last    time.Duration // age of the last
-	Until   time.Duration // how long from now the word may be used
+type Assessment struct {
+	Observers       int           // that find it bad, and nobody that counts has found it good since
+	RecentObservers int           // of these, those whose finding does not fade yet
+	OldestAge       time.Duration // age of the first of these observations
+	NewestAge       time.Duration // age of the last
+	ValidFor        time.Duration // how long from now the word may be used
 }
 
-// Word sums up what is said of a thing: bad by facts of one kind, good by those of another. Only observers that near
+// Assess sums up what is said of a thing: bad by facts of one kind, good by those of another. Only observers that near
 // holds for count, where it is given: one whose network is another's may be cut off itself.
 //
 // What one relay passes on of others counts as one observation, however many it names: a relay that lies, or that is
 // alone in finding a thing bad, can't speak for several.
-func (s *Store) Word(bad, good Kind, key string, near func(Fact) bool, now time.Duration) (w Word) {
+func (s *Store) Assess(bad, good Kind, key string, near func(Fact) bool, now time.Duration) (w Assessment) {
 	vouched := time.Duration(math.MinInt64)
-	s.each(good, key, now, func(a Aged) {
+	s.each(good, key, now, func(a AgedFact) {
 		if near == nil || near(a.Fact) {
-			vouched = max(vouched, a.Seen)
+			vouched = max(vouched, a.ObservedAt)
 		}
 	})
 	direct, fresh, passed := 0, 0, map[uint16]bool{} // whether those passed on are fresh, by who passed them
-	s.each(bad, key, now, func(a Aged) {
-		if a.Seen <= vouched || near != nil && !near(a.Fact) {
+	s.each(bad, key, now, func(a AgedFact) {
+		if a.ObservedAt <= vouched || near != nil && !near(a.Fact) {
 			return
 		}
-		if w.Last = min(w.Last, a.Age); direct+len(passed) == 0 {
-			w.Last = a.Age
+		if w.NewestAge = min(w.NewestAge, a.Age); direct+len(passed) == 0 {
+			w.NewestAge = a.Age
 		}
-		w.First = max(w.First, a.Age)
+		w.OldestAge = max(w.OldestAge, a.Age)
 		switch {
 		case !a.direct():
 			passed[a.Via] = passed[a.Via] || !a.Fading
@@ -52,25 +52,25 @@
 			fresh++
 		}
 	}
-	w.Fresh = fresh
-	if w.Origins = direct + len(passed); w.Origins > 0 {
-		w.Until = Bounds[bad].Until - w.Last
+	w.RecentObservers = fresh
+	if w.Observers = direct + len(passed); w.Observers > 0 {
+		w.ValidFor = Lifetimes[bad].ExpiresAfter - w.NewestAge
 	}
 	return w
 }
 
-// Paces is what the fleet says of a destination's pace.
-type Paces struct {
-	Tellers int             // relays that this rests on; 0 for none, and then the rest is 0 too
-	Pace    float64         // the median, in parts of an even share of the listed rate
-	Traffic float64         // messages a second that arrive for it at one relay, in the mean over the tellers
-	Error   float64         // standard error of Traffic
-	ByZone  map[int]float64 // Traffic of the tellers of each zone
-	Until   time.Duration
+// RateSummary is what the fleet says of a destination's pace.
+type RateSummary struct {
+	Reporters         int             // relays that this rests on; 0 for none, and then the rest is 0 too
+	RateShare         float64         // the median, in parts of an even share of the listed rate
+	ArrivalRate       float64         // messages a second that arrive for it at one relay, in the mean over the tellers
+	ArrivalRateError  float64         // standard error of Traffic
+	ArrivalRateByZone map[int]float64 // Traffic of the tellers of each zone
+	ValidFor          time.Duration
 }
 
-// PaceValue packs a pace, in parts of an even share, and the messages a second that arrive, at a relay of a zone.
-func PaceValue(pace, traffic float64, zone int) uint64 {
+// EncodeRate packs a pace, in parts of an even share, and the messages a second that arrive, at a relay of a zone.
+func EncodeRate(pace, traffic float64, zone int) uint64 {
 	bounded := func(v, most float64) uint64 { return uint64(math.Round(min(max(0, v)*1000, most))) }
 	return uint64(zone&(1<<zoneBits-1))<<48 | bounded(traffic, math.MaxUint32)<<16 | bounded(pace, math.MaxUint16)
 }
@@ -79,11 +79,11 @@
 	return float64(value&math.MaxUint16) / 1000, float64(value>>16&math.MaxUint32) / 1000
 }
 
-// Paces sums up the paces that others than one relay tell of a destination. Those that fade count no more.
-func (s *Store) Paces(key string, but int, now time.Duration) (p Paces) {
+// SummarizeRates sums up the paces that others than one relay tell of a destination. Those that fade count no more.
+func (s *Store) SummarizeRates(key string, but int, now time.Duration) (p RateSummary) {
 	var paces, traffics []float64
 	inZone := map[int]float64{}
-	s.each(Pace, key, now, func(a Aged) {
+	s.each(KindSendRate, key, now, func(a AgedFact) {
 		if int(a.Origin) == but || a.Fading {
 			return
 		}
@@ -91,24 +91,24 @@
 		paces, traffics = append(paces, pace), append(traffics, traffic)
 		zone := int(a.Value >> 48 & (1<<zoneBits - 1))
 		inZone[zone]++
-		if p.ByZone == nil {
-			p.ByZone = map[int]float64{}
+		if p.ArrivalRateByZone == nil {
+			p.ArrivalRateByZone = map[int]float64{}
 		}
-		p.ByZone[zone] += (traffic - p.ByZone[zone]) / inZone[zone]
-		p.Until = max(p.Until, Bounds[Pace].Fades-a.Age)
+		p.ArrivalRateByZone[zone] += (traffic - p.ArrivalRateByZone[zone]) / inZone[zone]
+		p.ValidFor = max(p.ValidFor, Lifetimes[KindSendRate].FadesAfter-a.Age)
 	})
-	if p.Tellers = len(paces); p.Tellers == 0 {
-		return Paces{}
+	if p.Reporters = len(paces); p.Reporters == 0 {
+		return RateSummary{}
 	}
 	slices.Sort(paces)
-	p.Pace = (paces[(len(paces)-1)/2] + paces[len(paces)/2]) / 2
+	p.RateShare = (paces[(len(paces)-1)/2] + paces[len(paces)/2]) / 2
 	n, squares := float64(len(traffics)), 0.0
 	for _, t := range traffics {
-		p.Traffic += t / n
+		p.ArrivalRate += t / n
 	}
 	for _, t := range traffics {
-		squares += (t - p.Traffic) * (t - p.Traffic)
+		squares += (t - p.ArrivalRate) * (t - p.ArrivalRate)
 	}
-	p.Error = math.Sqrt(squares/max(1, n-1)) / math.Sqrt(n)
+	p.ArrivalRateError = math.Sqrt(squares/max(1, n-1)) / math.Sqrt(n)
 	return p
 }
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -59,15 +59,15 @@
 }
 
 // transcript gives notes as text: the receiver of each, and a dump of its bytes.
-func transcript(title string, notes []fleet.Send) string {
+func transcript(title string, notes []fleet.Outgoing) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "== %s\n", title)
 	for _, note := range notes {
 		receiver := fmt.Sprint("relay ", note.To)
-		if note.To == fleet.All {
+		if note.To == fleet.Everyone {
 			receiver = "all relays"
 		}
-		fmt.Fprintf(&text, "to %s, %d bytes\n%s", receiver, len(note.Note), hex.Dump(note.Note))
+		fmt.Fprintf(&text, "to %s, %d bytes\n%s", receiver, len(note.Message), hex.Dump(note.Message))
 	}
 	return text.String()
 }
@@ -85,7 +85,7 @@
 	for kind := fleet.Kind(1); kind <= 7; kind++ {
 		node := newNode(teller)
 		node.Tick(settled)
-		node.Learn(kind, "endpoint-9", value, false, settled-observed, settled)
+		node.Observe(kind, "endpoint-9", value, false, settled-observed, settled)
 		text.WriteString(transcript(fmt.Sprint("a fact of kind ", kind), node.Tick(settled+20*time.Millisecond)))
 	}
 	compareGolden(t, "facts.txt", text.String())
@@ -96,10 +96,10 @@
 func TestOwnNotesOnTheWire(t *testing.T) {
 	node := newNode(teller)
 	text := transcript("a newcomer's first notes", node.Tick(0))
-	node.LearnPace("7", fleet.PaceValue(0.5, 12.25, zone))
+	node.ObserveRate("7", fleet.EncodeRate(0.5, 12.25, zone))
 	text += transcript("a beat with a pace, and a digest", node.Tick(settled))
-	for moment := settled; node.Next() < settled+time.Second; {
-		moment = node.Next()
+	for moment := settled; node.NextTick() < settled+time.Second; {
+		moment = node.NextTick()
 		text += transcript("what follows within a second", node.Tick(moment))
 	}
 	compareGolden(t, "own.txt", text)
@@ -110,11 +110,11 @@
 	one, other := newNode(listener), newNode(teller)
 	one.Tick(settled)
 	other.Tick(settled)
-	one.Learn(fleet.Closed, "7", 1500, false, settled, settled)
-	one.Learn(fleet.Out, "endpoint-9", zone, false, settled, settled)
-	other.Learn(fleet.NoRoom, "endpoint-8", 0, false, settled, settled)
-	answer := func(node *fleet.Node, from int, note []byte) []fleet.Send {
-		notes, _ := node.Heard(from, note, settled+time.Second)
+	one.Observe(fleet.KindDestinationClosed, "7", 1500, false, settled, settled)
+	one.Observe(fleet.KindEndpointEjected, "endpoint-9", zone, false, settled, settled)
+	other.Observe(fleet.KindConnectionRejected, "endpoint-8", 0, false, settled, settled)
+	answer := func(node *fleet.Node, from int, note []byte) []fleet.Outgoing {
+		notes, _ := node.Receive(from, note, settled+time.Second)
 		return notes
 	}
 	newcomer := []byte{'F', 1, 4}
@@ -122,9 +122,9 @@
 	digest := []byte{'F', 1, 1, 0xde, 0xad, 0xbe, 0xef}
 	sums := answer(one, teller, digest)
 	text += transcript("to a digest that differs", sums)
-	facts := answer(other, listener, sums[0].Note)
+	facts := answer(other, listener, sums[0].Message)
 	text += transcript("to sums that differ", facts)
-	text += transcript("to facts with sums that differ", answer(one, teller, facts[0].Note))
+	text += transcript("to facts with sums that differ", answer(one, teller, facts[0].Message))
 	text += transcript("a digest of facts, and facts told again", one.Tick(settled+time.Second))
 	compareGolden(t, "answers.txt", text)
 }
--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -18,7 +18,7 @@
 
 func message(i int) *Entry {
 	return &Entry{ID: fmt.Sprintf("%016x", i), Class: "payment", Dest: 7, Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
-		Expires: clock.Now().Add(time.Hour), Taken: clock.Now(), Body: make([]byte, 200)}
+		ExpiresAt: clock.Now().Add(time.Hour), AcceptedAt: clock.Now(), Body: make([]byte, 200)}
 }
 
 // sink is the log of format 1.
@@ -70,7 +70,7 @@
 		})
 		for _, mode := range []string{"process", "power"} {
 			b.Run(fmt.Sprintf("%s/%d", mode, n), func(b *testing.B) {
-				j, _, err := Open(b.TempDir(), Options{DiskMB: benchMB, Power: mode == "power"})
+				j, _, err := Open(b.TempDir(), Options{DiskMB: benchMB, SurvivesPowerLoss: mode == "power"})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -86,16 +86,16 @@
 				for b.Loop() {
 					for i := range n {
 						all[i] = message(i)
-						j.Take(all[i])
+						j.Accept(all[i])
 					}
 					commit()
 					for _, e := range all {
-						j.Begin(e, host, clock.Now())
+						j.StartAttempt(e, host, clock.Now())
 					}
 					commit()
 					for _, e := range all {
-						j.End(e, false)
-						j.Over(e)
+						j.EndAttempt(e, false)
+						j.Complete(e)
 					}
 					commit()
 				}
@@ -104,7 +104,7 @@
 		}
 	}
 	b.Run("one sync a message/64", func(b *testing.B) {
-		j, _, err := Open(b.TempDir(), Options{DiskMB: benchMB, Power: true})
+		j, _, err := Open(b.TempDir(), Options{DiskMB: benchMB, SurvivesPowerLoss: true})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -112,7 +112,7 @@
 		for b.Loop() {
 			for i := range 64 {
 				e := message(i)
-				for _, step := range []func(){func() { j.Take(e) }, func() { j.Begin(e, host, clock.Now()) }, func() { j.End(e, false); j.Over(e) }} {
+				for _, step := range []func(){func() { j.Accept(e) }, func() { j.StartAttempt(e, host, clock.Now()) }, func() { j.EndAttempt(e, false); j.Complete(e) }} {
 					step()
 					if err := j.Commit(); err != nil {
 						b.Fatal(err)
@@ -141,7 +141,7 @@
 		for i := range live {
 			e := message(i)
 			s.apply(&record{op: opTaken, ref: uint64(i + 1), entry: e})
-			e.Attempts = []Attempt{{Host: "s-3740d6df", Begun: clock.Now()}}
+			e.Attempts = []Attempt{{Host: "s-3740d6df", StartedAt: clock.Now()}}
 		}
 		old, err := s.encodeV1()
 		if err != nil {
@@ -159,7 +159,7 @@
 		add(record{op: opSnapshot})
 		for _, e := range j.all() {
 			add(record{op: opTaken, ref: e.ref, entry: e})
-			add(record{op: opBegun, ref: e.ref, host: e.Attempts[0].Host, at: e.Attempts[0].Begun})
+			add(record{op: opBegun, ref: e.ref, host: e.Attempts[0].Host, at: e.Attempts[0].StartedAt})
 		}
 		s, j = nil, nil
 		for name, c := range map[string]struct {
--- a/internal/journal/format.go
+++ b/internal/journal/format.go
@@ -21,8 +21,8 @@
 // The marker is there so that records after damage are found again; the sequence tells what is missing between; the
 // gist (operation and the low 24 bits of the message's number) tells of a single missing record what it was.
 
-// Reads are the forms on disk that this program reads.
-var Reads = []int{formatV1, Format}
+// ReadableFormats are the forms on disk that this program reads.
+var ReadableFormats = []int{formatV1, Format}
 
 const (
 	magic = "MSAILJNL"
@@ -81,8 +81,8 @@
 	host   string
 	at     instant.Time
 	flag   bool // ended: unrun; health: sick
-	notice Notice
-	list   List
+	notice Notification
+	list   LegacyEndpointList
 	count  uint64 // snapshot: records in it
 	sum    uint32 // snapshot: of their checksums
 }
@@ -198,8 +198,8 @@
 	case opTaken, opKept:
 		e := r.entry
 		f.num(r.ref)
-		f.time(e.Expires)
-		f.time(e.Taken)
+		f.time(e.ExpiresAt)
+		f.time(e.AcceptedAt)
 		f.signed(int64(e.Dest))
 		f.text(e.Class)
 		f.text(e.ID)
@@ -208,15 +208,15 @@
 			f.num(uint64(len(e.Attempts)))
 			for _, a := range e.Attempts {
 				f.text(a.Host)
-				f.time(a.Begun)
+				f.time(a.StartedAt)
 				f.flag(a.Ended)
-				f.flag(a.Unrun)
-				f.flag(a.Doubt)
+				f.flag(a.NotExecuted)
+				f.flag(a.Uncertain)
 			}
-			f.flag(e.Owed != nil)
-			if e.Owed != nil {
-				f.text(e.Owed.Status)
-				f.signed(e.Owed.AgainMS)
+			f.flag(e.PendingNotification != nil)
+			if e.PendingNotification != nil {
+				f.text(e.PendingNotification.Status)
+				f.signed(e.PendingNotification.RetryAfterMS)
 			}
 		}
 		f.b = append(f.b, e.Body...)
@@ -230,7 +230,7 @@
 	case opOwed:
 		f.num(r.ref)
 		f.text(r.notice.Status)
-		f.signed(r.notice.AgainMS)
+		f.signed(r.notice.RetryAfterMS)
 	case opOver:
 		f.num(r.ref)
 	case opHealth:
@@ -238,7 +238,7 @@
 		f.flag(r.flag)
 		f.time(r.at)
 	case opList:
-		f.num(uint64(r.list.Hosts))
+		f.num(uint64(r.list.Endpoints))
 		f.b = append(f.b, r.list.Text...)
 	case opSnapshot:
 		f.num(r.count)
@@ -260,7 +260,7 @@
 	case opTaken, opKept:
 		e := &Entry{}
 		r.entry, r.ref = e, in.num()
-		e.Expires, e.Taken = in.time(), in.time()
+		e.ExpiresAt, e.AcceptedAt = in.time(), in.time()
 		e.Dest = int(in.signed())
 		e.Class, e.ID, e.Key = known.of(in.bytes()), in.text(), in.text()
 		if r.op == opKept {
@@ -269,10 +269,10 @@
 				return errPayload
 			}
 			for range n {
-				e.Attempts = append(e.Attempts, Attempt{Host: known.of(in.bytes()), Begun: in.time(), Ended: in.flag(), Unrun: in.flag(), Doubt: in.flag()})
+				e.Attempts = append(e.Attempts, Attempt{Host: known.of(in.bytes()), StartedAt: in.time(), Ended: in.flag(), NotExecuted: in.flag(), Uncertain: in.flag()})
 			}
 			if in.flag() {
-				e.Owed = &Notice{ID: e.ID, Status: known.of(in.bytes()), AgainMS: in.signed()}
+				e.PendingNotification = &Notification{ID: e.ID, Status: known.of(in.bytes()), RetryAfterMS: in.signed()}
 			}
 		}
 		e.Body = append([]byte(nil), in.b...)
@@ -282,13 +282,13 @@
 	case opEnded:
 		r.ref, r.flag = in.num(), in.flag()
 	case opOwed:
-		r.ref, r.notice.Status, r.notice.AgainMS = in.num(), known.of(in.bytes()), in.signed()
+		r.ref, r.notice.Status, r.notice.RetryAfterMS = in.num(), known.of(in.bytes()), in.signed()
 	case opOver:
 		r.ref = in.num()
 	case opHealth:
 		r.host, r.flag, r.at = known.of(in.bytes()), in.flag(), in.time()
 	case opList:
-		r.list.Hosts = int(min(in.num(), maxRecord))
+		r.list.Endpoints = int(min(in.num(), maxRecord))
 		r.list.Text = append([]byte(nil), in.b...)
 		in.b = nil
 	case opSnapshot:
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -18,15 +18,15 @@
 		t.Fatal(err)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		e := &Entry{ID: id, Class: "order", Dest: 7, Key: "k", Expires: instant.Time(9e9), Body: []byte("body")}
-		j.Take(e)
-		j.Begin(e, "h1", instant.Time(5e9))
-		j.End(e, true)
+		e := &Entry{ID: id, Class: "order", Dest: 7, Key: "k", ExpiresAt: instant.Time(9e9), Body: []byte("body")}
+		j.Accept(e)
+		j.StartAttempt(e, "h1", instant.Time(5e9))
+		j.EndAttempt(e, true)
 	}
-	j.Owe(j.Get("b"), Notice{ID: "b", Status: "deferred", AgainMS: 30})
-	j.Over(j.Get("c"))
-	j.List(List{Text: []byte(`{"seq":3}`), Hosts: 1})
-	j.Remember("h1", Health{Sick: true, At: instant.Time(5e9)})
+	j.RecordPendingNotification(j.Get("b"), Notification{ID: "b", Status: "deferred", RetryAfterMS: 30})
+	j.Complete(j.Get("c"))
+	j.RecordLegacyList(LegacyEndpointList{Text: []byte(`{"seq":3}`), Endpoints: 1})
+	j.RecordHealth("h1", HealthRecord{Ejected: true, ChangedAt: instant.Time(5e9)})
 	if err := j.Commit(); err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 			t.Fatalf("%d bytes need room for %d", len(raw), size)
 		}
 		again, whole, err := Read(dir)
-		if err != nil || len(again.Entries()) != len(j.Entries()) || !whole.Whole() {
+		if err != nil || len(again.Entries()) != len(j.Entries()) || !whole.Complete() {
 			t.Fatalf("%v: %d messages, %d when read again, from %+v", err, len(j.Entries()), len(again.Entries()), r)
 		}
 	})
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -42,55 +42,55 @@
 
 // Entry is a message that was taken on and has not come to its end.
 type Entry struct {
-	ID       string
-	Class    string
-	Dest     int
-	Key      string
-	Expires  instant.Time
-	Taken    instant.Time // set by Take where it is zero
-	Body     []byte
-	Attempts []Attempt
-	Owed     *Notice // its end, until the platform has it
+	ID                  string
+	Class               string
+	Dest                int
+	Key                 string
+	ExpiresAt           instant.Time
+	AcceptedAt          instant.Time // set by Take where it is zero
+	Body                []byte
+	Attempts            []Attempt
+	PendingNotification *Notification // its end, until the platform has it
 
 	ref uint64
 }
 
 // Attempt is one call made for a message.
 type Attempt struct {
-	Host  string
-	Begun instant.Time
-	Ended bool
-	Unrun bool // proved never to have run
-	Doubt bool // no record of it was read, but one may have been lost: Host is empty, Begun the earliest it can have been
+	Host        string
+	StartedAt   instant.Time
+	Ended       bool
+	NotExecuted bool // proved never to have run
+	Uncertain   bool // no record of it was read, but one may have been lost: Host is empty, Begun the earliest it can have been
 }
 
-// Notice tells the platform that a message ended undelivered.
-type Notice struct {
-	ID      string `json:"id"`
-	Status  string `json:"status"`
-	AgainMS int64  `json:"again_ms,omitempty"`
+// Notification tells the platform that a message ended undelivered.
+type Notification struct {
+	ID           string `json:"id"`
+	Status       string `json:"status"`
+	RetryAfterMS int64  `json:"again_ms,omitempty"`
 }
 
-// List is a list of hosts in its owner's own form, as programs of before kept it here.
-type List struct {
-	Text  []byte
-	Hosts int // that it names
+// LegacyEndpointList is a list of hosts in its owner's own form, as programs of before kept it here.
+type LegacyEndpointList struct {
+	Text      []byte
+	Endpoints int // that it names
 }
 
-// Health is what is remembered of a host's outage.
-type Health struct {
-	Sick bool
-	At   instant.Time
+// HealthRecord is what is remembered of a host's outage.
+type HealthRecord struct {
+	Ejected   bool
+	ChangedAt instant.Time
 }
 
 // Options are what a journal is opened with.
 type Options struct {
-	DiskMB float64 // limit of the folder, in 10^6 bytes
-	Relay  string  // whose folder it is; empty for any
-	Power  bool    // durability: Power; else Process
-	Files  FS      // nil for Disk
-	Boot   string  // tells one start of the machine from another; empty for the system's own
-	Clocks Clocks  // SystemClocks where Now is nil
+	DiskMB            float64 // limit of the folder, in 10^6 bytes
+	Relay             string  // whose folder it is; empty for any
+	SurvivesPowerLoss bool    // durability: Power; else Process
+	Files             FS      // nil for Disk
+	Boot              string  // tells one start of the machine from another; empty for the system's own
+	Clocks            Clocks  // SystemClocks where Now is nil
 }
 
 // Journal is the journal of a running relay. It is not safe for concurrent use.
@@ -136,7 +136,7 @@
 	if o.Relay != "" && r.Relay != "" && o.Relay != r.Relay {
 		return nil, r, fmt.Errorf("journal: the folder %s is relay %s's, and this is %s", dir, r.Relay, o.Relay)
 	}
-	j := &Journal{state: s, o: o, dir: dir, limit: int(diskShare * o.DiskMB * 1e6), segment: r.segment, seq: r.Last}
+	j := &Journal{state: s, o: o, dir: dir, limit: int(diskShare * o.DiskMB * 1e6), segment: r.segment, seq: r.LastSequence}
 	if err := j.clear(); err != nil {
 		return nil, r, fmt.Errorf("journal: %w", err)
 	}
@@ -180,18 +180,18 @@
 func (j *Journal) Get(id string) *Entry { return j.entries[id] }
 
 // Health is what is remembered of hosts.
-func (j *Journal) Health() map[string]Health { return j.health }
+func (j *Journal) Health() map[string]HealthRecord { return j.health }
 
-// Listed is the list of hosts that a program of before kept here; without a text for none.
-func (j *Journal) Listed() List { return j.list }
+// LegacyList is the list of hosts that a program of before kept here; without a text for none.
+func (j *Journal) LegacyList() LegacyEndpointList { return j.list }
 
-// DropList forgets that list, since its owner keeps it elsewhere, and begins a segment without it.
-func (j *Journal) DropList() {
+// DropLegacyList forgets that list, since its owner keeps it elsewhere, and begins a segment without it.
+func (j *Journal) DropLegacyList() {
 	if j.list.Text == nil {
 		return
 	}
 	j.live -= j.listLen
-	j.list, j.listLen = List{}, 0
+	j.list, j.listLen = LegacyEndpointList{}, 0
 	if j.broken != nil {
 		return // the next segment begins without it
 	}
@@ -200,8 +200,8 @@
 	}
 }
 
-// Broken tells why nothing can be written, or gives nil.
-func (j *Journal) Broken() error { return j.broken }
+// WriteError tells why nothing can be written, or gives nil.
+func (j *Journal) WriteError() error { return j.broken }
 
 // Reserve tells whether a message may be taken on, and keeps room for it until the next Commit: all that is
 // live must fit twice, or no new segment could be begun.
@@ -216,39 +216,43 @@
 // need is the room that an entry takes up, with its later records.
 func need(e *Entry) int { return len(e.Body) + 4*len(e.ID) + len(e.Key) + attemptsRoom }
 
-// Take notes a message taken on.
-func (j *Journal) Take(e *Entry) {
-	if e.Taken.IsZero() {
-		e.Taken = j.o.Clocks.Now()
+// Accept notes a message taken on.
+func (j *Journal) Accept(e *Entry) {
+	if e.AcceptedAt.IsZero() {
+		e.AcceptedAt = j.o.Clocks.Now()
 	}
 	j.note(record{op: opTaken, ref: j.seq + 1, entry: e})
 	j.fresh = append(j.fresh, e)
 }
 
-// Begin notes an attempt; it must be committed before the attempt's first byte goes out.
-func (j *Journal) Begin(e *Entry, host string, at instant.Time) {
+// StartAttempt notes an attempt; it must be committed before the attempt's first byte goes out.
+func (j *Journal) StartAttempt(e *Entry, host string, at instant.Time) {
 	j.note(record{op: opBegun, ref: e.ref, host: host, at: at})
 }
 
-// End notes the outcome of a message's last attempt.
-func (j *Journal) End(e *Entry, unrun bool) { j.note(record{op: opEnded, ref: e.ref, flag: unrun}) }
+// EndAttempt notes the outcome of a message's last attempt.
+func (j *Journal) EndAttempt(e *Entry, unrun bool) {
+	j.note(record{op: opEnded, ref: e.ref, flag: unrun})
+}
 
-// Owe notes that a message ends by a notice.
-func (j *Journal) Owe(e *Entry, n Notice) { j.note(record{op: opOwed, ref: e.ref, notice: n}) }
+// RecordPendingNotification notes that a message ends by a notice.
+func (j *Journal) RecordPendingNotification(e *Entry, n Notification) {
+	j.note(record{op: opOwed, ref: e.ref, notice: n})
+}
 
-// Over notes that nothing more is owed for a message.
-func (j *Journal) Over(e *Entry) { j.note(record{op: opOver, ref: e.ref}) }
+// Complete notes that nothing more is owed for a message.
+func (j *Journal) Complete(e *Entry) { j.note(record{op: opOver, ref: e.ref}) }
 
-// Remember notes what a later process has to know of a host's outage.
-func (j *Journal) Remember(host string, h Health) {
-	j.note(record{op: opHealth, host: host, flag: h.Sick, at: h.At})
+// RecordHealth notes what a later process has to know of a host's outage.
+func (j *Journal) RecordHealth(host string, h HealthRecord) {
+	j.note(record{op: opHealth, host: host, flag: h.Ejected, at: h.ChangedAt})
 }
 
-// Forget drops what is remembered of a host that is gone; the files forget with the next segment.
-func (j *Journal) Forget(host string) { delete(j.health, host) }
+// DropHealth drops what is remembered of a host that is gone; the files forget with the next segment.
+func (j *Journal) DropHealth(host string) { delete(j.health, host) }
 
-// List notes a list of hosts as programs of before did, for tests and for folders that go back to one.
-func (j *Journal) List(l List) { j.note(record{op: opList, list: l}) }
+// RecordLegacyList notes a list of hosts as programs of before did, for tests and for folders that go back to one.
+func (j *Journal) RecordLegacyList(l LegacyEndpointList) { j.note(record{op: opList, list: l}) }
 
 // note applies a record and buffers it.
 func (j *Journal) note(r record) {
@@ -300,7 +304,7 @@
 		}
 		return err
 	}
-	if j.o.Power {
+	if j.o.SurvivesPowerLoss {
 		if err := j.file.Sync(); err != nil {
 			j.undo(j.file)
 			return err
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -37,16 +37,16 @@
 func fill(t *testing.T, j *Journal, at instant.Time) {
 	t.Helper()
 	for _, id := range []string{"over", "tried", "owing"} {
-		j.Take(&Entry{ID: id, Class: "order", Dest: 7, Key: "k", Expires: at.Add(time.Minute), Body: []byte("body\x00" + id)})
+		j.Accept(&Entry{ID: id, Class: "order", Dest: 7, Key: "k", ExpiresAt: at.Add(time.Minute), Body: []byte("body\x00" + id)})
 	}
 	commit(t, j)
-	j.Over(j.Get("over"))
+	j.Complete(j.Get("over"))
 	e := j.Get("tried")
-	j.Begin(e, "h1", at)
-	j.End(e, true)
-	j.Begin(e, "h2", at.Add(time.Second))
-	j.Owe(j.Get("owing"), Notice{ID: "owing", Status: "deferred", AgainMS: 30})
-	j.Remember("h2", Health{Sick: true, At: at})
+	j.StartAttempt(e, "h1", at)
+	j.EndAttempt(e, true)
+	j.StartAttempt(e, "h2", at.Add(time.Second))
+	j.RecordPendingNotification(j.Get("owing"), Notification{ID: "owing", Status: "deferred", RetryAfterMS: 30})
+	j.RecordHealth("h2", HealthRecord{Ejected: true, ChangedAt: at})
 	commit(t, j)
 }
 
@@ -60,18 +60,18 @@
 			t.Fatalf("entries: %v", list)
 		}
 		e := list[0]
-		if e.Class != "order" || e.Dest != 7 || e.Key != "k" || e.Expires != at.Add(time.Minute) ||
+		if e.Class != "order" || e.Dest != 7 || e.Key != "k" || e.ExpiresAt != at.Add(time.Minute) ||
 			!bytes.Equal(e.Body, []byte("body\x00tried")) {
 			t.Errorf("entry: %+v", e)
 		}
-		if len(e.Attempts) != 2 || !e.Attempts[0].Unrun || e.Attempts[1].Ended || e.Attempts[1].Host != "h2" ||
-			e.Attempts[1].Begun != at.Add(time.Second) {
+		if len(e.Attempts) != 2 || !e.Attempts[0].NotExecuted || e.Attempts[1].Ended || e.Attempts[1].Host != "h2" ||
+			e.Attempts[1].StartedAt != at.Add(time.Second) {
 			t.Errorf("attempts: %+v", e.Attempts)
 		}
-		if n := list[1].Owed; n == nil || *n != (Notice{ID: "owing", Status: "deferred", AgainMS: 30}) {
+		if n := list[1].PendingNotification; n == nil || *n != (Notification{ID: "owing", Status: "deferred", RetryAfterMS: 30}) {
 			t.Errorf("notice: %v", n)
 		}
-		if h := j.Health()["h2"]; !h.Sick || h.At != at {
+		if h := j.Health()["h2"]; !h.Ejected || h.ChangedAt != at {
 			t.Errorf("health: %v", j.Health())
 		}
 	}
@@ -92,10 +92,10 @@
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
-	j.Take(&Entry{ID: "a", Body: []byte("1")})
+	j.Accept(&Entry{ID: "a", Body: []byte("1")})
 	commit(t, j)
 	whole := j.size
-	j.Take(&Entry{ID: "b", Body: []byte("2")})
+	j.Accept(&Entry{ID: "b", Body: []byte("2")})
 	commit(t, j)
 	path := segmentOf(t, dir)
 	raw, err := os.ReadFile(path)
@@ -125,7 +125,7 @@
 			if i == 0 && len(j.Entries()[0].Attempts) > 0 {
 				t.Fatalf("cut at byte %d: an unfinished record puts what came before it in doubt", end)
 			}
-			j.Take(&Entry{ID: "c"})
+			j.Accept(&Entry{ID: "c"})
 			commit(t, j)
 			if again := openJournal(t, other, 3); again.Get("c") == nil {
 				t.Fatalf("cut %d at byte %d: what came later is lost", i, end)
@@ -142,17 +142,17 @@
 	j := openJournal(t, dir, 3)
 	for i := range n {
 		e := &Entry{ID: fmt.Sprintf("m%02d", i), Class: "order", Body: []byte("body")}
-		j.Take(e)
-		j.Begin(e, "h1", clock.Now())
-		j.End(e, i%3 == 0)
+		j.Accept(e)
+		j.StartAttempt(e, "h1", clock.Now())
+		j.EndAttempt(e, i%3 == 0)
 		switch i % 4 {
 		case 1:
-			j.Over(e)
+			j.Complete(e)
 		case 2:
-			j.Owe(e, Notice{ID: e.ID, Status: "deferred"})
+			j.RecordPendingNotification(e, Notification{ID: e.ID, Status: "deferred"})
 		}
 	}
-	j.Take(&Entry{ID: "last"}) // the end of a file is a case of its own
+	j.Accept(&Entry{ID: "last"}) // the end of a file is a case of its own
 	commit(t, j)
 	path := segmentOf(t, dir)
 	raw, err := os.ReadFile(path)
@@ -181,11 +181,11 @@
 			switch {
 			case e == nil:
 				differ++
-			case len(e.Attempts) != len(want.Attempts) || (e.Owed == nil) != (want.Owed == nil):
+			case len(e.Attempts) != len(want.Attempts) || (e.PendingNotification == nil) != (want.PendingNotification == nil):
 				differ++
-			case len(want.Attempts) > 0 && (e.Attempts[0].Doubt || e.Attempts[0].Ended != want.Attempts[0].Ended):
+			case len(want.Attempts) > 0 && (e.Attempts[0].Uncertain || e.Attempts[0].Ended != want.Attempts[0].Ended):
 				differ++
-				if !e.Attempts[0].Doubt && e.Attempts[0].Unrun {
+				if !e.Attempts[0].Uncertain && e.Attempts[0].NotExecuted {
 					t.Fatalf("byte %d: an attempt counts as one that never ran", at)
 				}
 			}
@@ -206,7 +206,7 @@
 	j := openJournal(t, dir, 3)
 	for i := range 20 {
 		e := &Entry{ID: fmt.Sprint("m", i), Body: make([]byte, 100)}
-		j.Take(e)
+		j.Accept(e)
 		commit(t, j)
 	}
 	path := segmentOf(t, dir)
@@ -229,7 +229,7 @@
 	for _, e := range again.Entries() {
 		n := 0
 		fmt.Sscanf(e.ID, "m%d", &n)
-		if doubted := len(e.Attempts) == 1 && e.Attempts[0].Doubt; doubted != (n < 10) {
+		if doubted := len(e.Attempts) == 1 && e.Attempts[0].Uncertain; doubted != (n < 10) {
 			t.Errorf("%s: attempts %+v", e.ID, e.Attempts)
 		}
 	}
@@ -242,15 +242,15 @@
 func TestReboot(t *testing.T) {
 	for _, power := range []bool{false, true} {
 		dir := t.TempDir()
-		j, _, err := Open(dir, Options{DiskMB: 3, Power: power, Boot: "one"})
+		j, _, err := Open(dir, Options{DiskMB: 3, SurvivesPowerLoss: power, Boot: "one"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		j.Take(&Entry{ID: "m"})
+		j.Accept(&Entry{ID: "m"})
 		commit(t, j)
 		_ = j.Close()
 		for _, boot := range []string{"one", "two"} {
-			j, r, err := Open(dir, Options{DiskMB: 3, Power: power, Boot: boot})
+			j, r, err := Open(dir, Options{DiskMB: 3, SurvivesPowerLoss: power, Boot: boot})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -294,8 +294,8 @@
 		t.Fatal(err)
 	}
 	j, r, err := Open(dir, Options{DiskMB: 3, Relay: "n1"})
-	if err != nil || len(r.Passed) != 1 {
-		t.Errorf("%v, passed over %v", err, r.Passed)
+	if err != nil || len(r.SkippedSegments) != 1 {
+		t.Errorf("%v, passed over %v", err, r.SkippedSegments)
 	}
 	_ = j.Close()
 }
@@ -332,14 +332,14 @@
 		e := &Entry{ID: fmt.Sprint("m", i), Body: make([]byte, maxBody)}
 		if !j.Reserve(e) {
 			refused++
-			j.Over(j.Entries()[0])
+			j.Complete(j.Entries()[0])
 			commit(t, j)
 			continue
 		}
-		j.Take(e)
+		j.Accept(e)
 		for range 12 {
-			j.Begin(e, "a-host-with-a-rather-long-name", clock.Now())
-			j.End(e, true)
+			j.StartAttempt(e, "a-host-with-a-rather-long-name", clock.Now())
+			j.EndAttempt(e, true)
 		}
 		commit(t, j)
 		// At worst both the old file and a new one with all that is live.
@@ -373,10 +373,10 @@
 func TestFailedWrite(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
-	j.Take(&Entry{ID: "a"})
+	j.Accept(&Entry{ID: "a"})
 	commit(t, j)
 	_ = j.file.Close()
-	j.Take(&Entry{ID: "b"})
+	j.Accept(&Entry{ID: "b"})
 	if j.Commit() == nil || j.Reserve(&Entry{ID: "c"}) {
 		t.Error("a failed write went unnoticed")
 	}
--- a/internal/journal/live_capacity_bench_test.go
+++ b/internal/journal/live_capacity_bench_test.go
@@ -21,9 +21,9 @@
 			defer j.Close()
 			for i := range live {
 				e := message(i)
-				j.Take(e)
-				j.Begin(e, "s-3740d6df", clock.Now())
-				j.End(e, true)
+				j.Accept(e)
+				j.StartAttempt(e, "s-3740d6df", clock.Now())
+				j.EndAttempt(e, true)
 				if err := j.Commit(); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -246,7 +246,7 @@
 		if e == nil && p.power && !p.ending[id] {
 			return fmt.Errorf("%s was answered 202 and is gone", id)
 		}
-		if e != nil && p.power && p.owed[id] && e.Owed == nil {
+		if e != nil && p.power && p.owed[id] && e.PendingNotification == nil {
 			return fmt.Errorf("%s ended by a notice and may be sent again", id)
 		}
 	}
@@ -254,7 +254,7 @@
 		if p.over[e.ID] && p.power {
 			return fmt.Errorf("%s is over and comes back", e.ID)
 		}
-		mayHaveRun := e.Owed != nil || slices.ContainsFunc(e.Attempts, func(a Attempt) bool { return !a.Ended || !a.Unrun })
+		mayHaveRun := e.PendingNotification != nil || slices.ContainsFunc(e.Attempts, func(a Attempt) bool { return !a.Ended || !a.NotExecuted })
 		if (p.ran[e.ID] || p.over[e.ID]) && !mayHaveRun {
 			return fmt.Errorf("%s may have run, and that is forgotten", e.ID)
 		}
@@ -267,7 +267,7 @@
 	at := instant.Boot.Add(1000 * time.Second)
 	clocks := Clocks{Now: func() instant.Time { at = at.Add(time.Second); return at }, Wall: func() clock.Wall { return clock.Wall(at - instant.Boot) },
 		Uptime: func() time.Duration { return 0 }}
-	j, _, err := Open("/d", Options{DiskMB: 3, Power: p.power, Files: files, Boot: "one", Clocks: clocks})
+	j, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: p.power, Files: files, Boot: "one", Clocks: clocks})
 	if err != nil {
 		return
 	}
@@ -276,7 +276,7 @@
 		for k := range 2 {
 			e := &Entry{ID: fmt.Sprintf("m%d-%d", i, k), Class: "order", Body: bytes.Repeat([]byte{byte(i)}, 300)}
 			if j.Reserve(e) {
-				j.Take(e)
+				j.Accept(e)
 				fresh = append(fresh, e.ID)
 				if answerEarly {
 					p.answered[e.ID] = true
@@ -285,26 +285,26 @@
 		}
 		for _, e := range j.Entries() {
 			switch {
-			case e.Owed != nil, len(e.Attempts) == 1 && !e.Attempts[0].Unrun && i%2 == 0:
-				j.Over(e)
+			case e.PendingNotification != nil, len(e.Attempts) == 1 && !e.Attempts[0].NotExecuted && i%2 == 0:
+				j.Complete(e)
 				p.ending[e.ID] = true
 				ended = append(ended, e.ID)
 			case len(e.Attempts) == 1 && !e.Attempts[0].Ended && i%3 == 1:
-				j.End(e, false)
+				j.EndAttempt(e, false)
 			case len(e.Attempts) == 0 && p.answered[e.ID]:
-				j.Begin(e, "h1", at)
+				j.StartAttempt(e, "h1", at)
 				sent = append(sent, e.ID)
 			}
 		}
 		var owed *Entry
 		if i%3 == 2 {
 			for _, e := range j.Entries() {
-				if p.answered[e.ID] && e.Owed == nil {
+				if p.answered[e.ID] && e.PendingNotification == nil {
 					owed = e
 				}
 			}
 			if owed != nil {
-				j.Owe(owed, Notice{ID: owed.ID, Status: "undeliverable"})
+				j.RecordPendingNotification(owed, Notification{ID: owed.ID, Status: "undeliverable"})
 			}
 		}
 		if i%4 == 3 {
@@ -331,7 +331,7 @@
 // restart opens what a crash left, and looks at it; where the start itself may be cut short, it is, and once more.
 func restart(left *model, p *promises, pick func(int) int, again bool) error {
 	before := left.after(func(int) int { return 1 })
-	j, _, err := Open("/d", Options{DiskMB: 3, Power: p.power, Files: left, Boot: "two"})
+	j, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: p.power, Files: left, Boot: "two"})
 	if err != nil {
 		return fmt.Errorf("the start fails: %w", err)
 	}
@@ -349,7 +349,7 @@
 			}
 		}
 	}
-	if _, _, err := Open("/d", Options{DiskMB: 3, Power: p.power, Files: before, Boot: "two"}); err != nil {
+	if _, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: p.power, Files: before, Boot: "two"}); err != nil {
 		return err
 	}
 	return second
--- a/internal/journal/owner.go
+++ b/internal/journal/owner.go
@@ -16,8 +16,8 @@
 // way, so no owner is ever left behind.
 type Ownership struct{ file *os.File }
 
-// Own takes the folder if no process has it, and gives nil if one does.
-func Own(dir string) (*Ownership, error) {
+// AcquireOwnership takes the folder if no process has it, and gives nil if one does.
+func AcquireOwnership(dir string) (*Ownership, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("owner of the folder: %w", err)
@@ -36,9 +36,9 @@
 // Release gives the folder up.
 func (o *Ownership) Release() { _ = o.file.Close() }
 
-// Depose ends the process that owns the folder, by a signal that it can't ignore: one that neither hands over nor
+// TerminateOwner ends the process that owns the folder, by a signal that it can't ignore: one that neither hands over nor
 // ends might wake up later and write over the next one's journal.
-func Depose(dir string) error {
+func TerminateOwner(dir string) error {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR, 0)
 	if err != nil {
 		return err
@@ -55,8 +55,8 @@
 	return syscall.Kill(int(l.Pid), syscall.SIGKILL)
 }
 
-// Owned tells whether a process owns a folder, and changes nothing.
-func Owned(dir string) (bool, error) {
+// IsOwned tells whether a process owns a folder, and changes nothing.
+func IsOwned(dir string) (bool, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR, 0)
 	if errors.Is(err, os.ErrNotExist) {
 		return false, nil
--- a/internal/journal/prefix_test.go
+++ b/internal/journal/prefix_test.go
@@ -11,14 +11,14 @@
 func TestEachPrefixOfAWrite(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
-	j.Take(&Entry{ID: "before", Class: "order", Body: []byte("body")})
+	j.Accept(&Entry{ID: "before", Class: "order", Body: []byte("body")})
 	commit(t, j)
 	path := segmentOf(t, dir)
 	committed := readAll(t, path)
 	for _, id := range []string{"one", "two"} {
-		j.Take(&Entry{ID: id, Class: "order", Body: []byte("body")})
+		j.Accept(&Entry{ID: id, Class: "order", Body: []byte("body")})
 	}
-	j.Begin(j.Get("before"), "h1", SystemClocks.Now())
+	j.StartAttempt(j.Get("before"), "h1", SystemClocks.Now())
 	commit(t, j)
 	whole := readAll(t, path)
 	_ = j.Close()
@@ -36,7 +36,7 @@
 		if n == len(whole) && (two == nil || len(before.Attempts) != 1) {
 			t.Fatalf("all of it: %v, attempts %v", two, before.Attempts)
 		}
-		after.Take(&Entry{ID: "next"})
+		after.Accept(&Entry{ID: "next"})
 		if err := after.Commit(); err != nil {
 			t.Fatalf("%d of %d bytes: %v", n, len(whole), err)
 		}
@@ -48,7 +48,7 @@
 func TestEachPrefixOfASegment(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
-	j.Take(&Entry{ID: "before", Class: "order", Body: []byte("body")})
+	j.Accept(&Entry{ID: "before", Class: "order", Body: []byte("body")})
 	commit(t, j)
 	_ = j.Close()
 	path := segmentOf(t, dir)
@@ -58,7 +58,7 @@
 		writeFile(t, filepath.Join(cut, filepath.Base(path)), old)
 		writeFile(t, filepath.Join(cut, segmentFile(9)+newSuffix), old[:n])
 		after, r, err := Open(cut, Options{DiskMB: 3})
-		if err != nil || after.Get("before") == nil || !r.Whole() {
+		if err != nil || after.Get("before") == nil || !r.Complete() {
 			t.Fatalf("%d of %d bytes: %v, %+v", n, len(old), err, r)
 		}
 		_ = after.Close()
--- a/internal/journal/refused_test.go
+++ b/internal/journal/refused_test.go
@@ -12,20 +12,20 @@
 	for _, compaction := range []bool{false, true} {
 		for call := 1; call <= mostCalls; call++ {
 			m := newModel()
-			j, _, err := Open("/d", Options{DiskMB: 3, Power: true, Files: m, Boot: "one"})
+			j, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: true, Files: m, Boot: "one"})
 			if err != nil {
 				t.Fatal(err)
 			}
-			j.Take(&Entry{ID: "before", Class: "order"})
+			j.Accept(&Entry{ID: "before", Class: "order"})
 			commit(t, j)
 			if compaction {
 				j.size = j.limit
 			}
-			j.Take(&Entry{ID: "fresh", Class: "order"})
+			j.Accept(&Entry{ID: "fresh", Class: "order"})
 			m.failAt, m.failFor, m.failure = m.calls+call, 1, syscall.EIO
 			failed := j.Commit() != nil
 			m.failAt = 0
-			after, _, err := Open("/d", Options{DiskMB: 3, Power: true, Files: m, Boot: "one"})
+			after, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: true, Files: m, Boot: "one"})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -18,50 +18,52 @@
 
 // Report is what was found in a folder.
 type Report struct {
-	File     string   `json:"file,omitempty"` // that the state was read from; empty for none
-	Format   uint32   `json:"format"`
-	Relay    string   `json:"relay,omitempty"`
-	Power    bool     `json:"power"` // written to outlast a power loss
-	Boot     string   `json:"boot,omitempty"`
-	Bytes    int64    `json:"bytes"`
-	Records  int      `json:"records"`
-	Last     uint64   `json:"last"`             // sequence of the last record
-	Torn     int64    `json:"torn,omitempty"`   // bytes of an unfinished record at the end, dropped
-	Damage   []Damage `json:"damage,omitempty"` // ranges that can't be read
-	Rebooted bool     `json:"rebooted,omitempty"`
-	Partial  bool     `json:"partial,omitempty"` // its snapshot is not whole, and there is no older one
-	Passed   []string `json:"passed,omitempty"`  // segments whose snapshot is not whole, passed over for an older one
-	ByWall   bool     `json:"by_wall,omitempty"` // its moments were carried over by the wall clock: another boot's, or a program's that kept no clocks
-	segment  uint64
-	clocks   clock.Pair // of the segment; zero for none
+	File              string   `json:"file,omitempty"` // that the state was read from; empty for none
+	Format            uint32   `json:"format"`
+	Relay             string   `json:"relay,omitempty"`
+	SurvivesPowerLoss bool     `json:"power"` // written to outlast a power loss
+	Boot              string   `json:"boot,omitempty"`
+	Bytes             int64    `json:"bytes"`
+	Records           int      `json:"records"`
+	LastSequence      uint64   `json:"last"`             // sequence of the last record
+	Torn              int64    `json:"torn,omitempty"`   // bytes of an unfinished record at the end, dropped
+	Damage            []Damage `json:"damage,omitempty"` // ranges that can't be read
+	Rebooted          bool     `json:"rebooted,omitempty"`
+	Partial           bool     `json:"partial,omitempty"` // its snapshot is not whole, and there is no older one
+	SkippedSegments   []string `json:"passed,omitempty"`  // segments whose snapshot is not whole, passed over for an older one
+	UsedWallClock     bool     `json:"by_wall,omitempty"` // its moments were carried over by the wall clock: another boot's, or a program's that kept no clocks
+	segment           uint64
+	clocks            clock.Pair // of the segment; zero for none
 }
 
 // Damage is a range of a file that can't be read, with good records behind it or not.
 type Damage struct {
-	Offset  int64  `json:"offset"`
-	Length  int64  `json:"length"`
-	First   uint64 `json:"first,omitempty"` // sequence of the first record that is missing
-	Missing uint64 `json:"missing"`         // records, as far as the next good one tells
-	What    string `json:"what,omitempty"`  // what the last of them said
-	file    string
+	Offset        int64  `json:"offset"`
+	Length        int64  `json:"length"`
+	FirstSequence uint64 `json:"first,omitempty"` // sequence of the first record that is missing
+	Missing       uint64 `json:"missing"`         // records, as far as the next good one tells
+	LastRecord    string `json:"what,omitempty"`  // what the last of them said
+	file          string
 }
 
-// Whole tells whether nothing but an unfinished record at the end was lost.
-func (r *Report) Whole() bool { return len(r.Damage) == 0 && len(r.Passed) == 0 && !r.Partial }
+// Complete tells whether nothing but an unfinished record at the end was lost.
+func (r *Report) Complete() bool {
+	return len(r.Damage) == 0 && len(r.SkippedSegments) == 0 && !r.Partial
+}
 
 // state is what a journal holds, in memory.
 type state struct {
 	entries map[string]*Entry
 	byRef   map[uint64]*Entry
 	order   []*Entry // as taken; those that are over leave at the next compaction
-	health  map[string]Health
-	list    List
+	health  map[string]HealthRecord
+	list    LegacyEndpointList
 	live    int // bytes that the entries and the list need, with room for later records
 	listLen int
 }
 
 func newState() *state {
-	return &state{entries: map[string]*Entry{}, byRef: map[uint64]*Entry{}, health: map[string]Health{}}
+	return &state{entries: map[string]*Entry{}, byRef: map[uint64]*Entry{}, health: map[string]HealthRecord{}}
 }
 
 // apply changes the state by one record.
@@ -78,11 +80,11 @@
 		s.live += need(e)
 		return
 	case opHealth:
-		s.health[r.host] = Health{Sick: r.flag, At: r.at}
+		s.health[r.host] = HealthRecord{Ejected: r.flag, ChangedAt: r.at}
 		return
 	case opList:
 		s.live -= s.listLen
-		s.list, s.listLen = r.list, max(len(r.list.Text), r.list.Hosts*memberRoom)
+		s.list, s.listLen = r.list, max(len(r.list.Text), r.list.Endpoints*memberRoom)
 		s.live += s.listLen
 		return
 	}
@@ -92,13 +94,13 @@
 	}
 	switch r.op {
 	case opBegun:
-		e.Attempts = append(e.Attempts, Attempt{Host: r.host, Begun: r.at})
+		e.Attempts = append(e.Attempts, Attempt{Host: r.host, StartedAt: r.at})
 	case opEnded:
 		if n := len(e.Attempts); n > 0 {
-			e.Attempts[n-1].Ended, e.Attempts[n-1].Unrun = true, r.flag
+			e.Attempts[n-1].Ended, e.Attempts[n-1].NotExecuted = true, r.flag
 		}
 	case opOwed:
-		e.Owed = &Notice{ID: e.ID, Status: r.notice.Status, AgainMS: r.notice.AgainMS}
+		e.PendingNotification = &Notification{ID: e.ID, Status: r.notice.Status, RetryAfterMS: r.notice.RetryAfterMS}
 	case opOver:
 		s.over(e)
 	}
@@ -117,8 +119,8 @@
 
 // doubt notes that an attempt of a message may be missing: one that may have run, as early as it can have been.
 func doubt(e *Entry) {
-	if e.Owed == nil {
-		e.Attempts = append(e.Attempts, Attempt{Begun: e.Taken, Doubt: true})
+	if e.PendingNotification == nil {
+		e.Attempts = append(e.Attempts, Attempt{StartedAt: e.AcceptedAt, Uncertain: true})
 	}
 }
 
@@ -148,7 +150,7 @@
 				doubt(e)
 			}
 		case opOwed:
-			e.Owed = &Notice{ID: e.ID, Status: "undeliverable"}
+			e.PendingNotification = &Notification{ID: e.ID, Status: "undeliverable"}
 		case opOver:
 			s.over(e)
 		}
@@ -281,7 +283,7 @@
 	if newer := new(NewerError); errors.As(err, &newer) {
 		return nil, r, false, err
 	}
-	r.Format, r.Relay, r.Power, r.Boot, r.segment, r.clocks = Format, h.relay, h.power, h.boot, h.segment, h.clocks
+	r.Format, r.Relay, r.SurvivesPowerLoss, r.Boot, r.segment, r.clocks = Format, h.relay, h.power, h.boot, h.segment, h.clocks
 	clocks := h.clocks
 	if clocks == (clock.Pair{}) {
 		clocks = unknownPair
@@ -310,7 +312,7 @@
 				if torn || r.Rebooted {
 					r.Torn = rest
 				} else {
-					r.Damage = append(r.Damage, Damage{Offset: at, Length: rest, file: name, What: "the end"})
+					r.Damage = append(r.Damage, Damage{Offset: at, Length: rest, file: name, LastRecord: "the end"})
 					s.doubtAll()
 				}
 				break
@@ -321,7 +323,7 @@
 		seq := binary.LittleEndian.Uint64(b[8:])
 		var rec record
 		if err := rec.parse(b[recordHead:], known, clocks); err != nil { // its checksum is right: this program can't know it
-			r.Damage = append(r.Damage, Damage{Offset: w.pos, Length: int64(len(b)), First: seq, Missing: 1, What: err.Error(), file: name})
+			r.Damage = append(r.Damage, Damage{Offset: w.pos, Length: int64(len(b)), FirstSequence: seq, Missing: 1, LastRecord: err.Error(), file: name})
 			s.doubtAll()
 			last = seq
 			w.skip(len(b))
@@ -333,7 +335,7 @@
 				r.Damage = append(r.Damage, Damage{Offset: w.pos, file: name})
 			}
 			d := &r.Damage[len(r.Damage)-1]
-			d.First, d.Missing, d.What = last+1, gap, s.missing(gap, binary.LittleEndian.Uint32(b[16:]), inSnapshot)
+			d.FirstSequence, d.Missing, d.LastRecord = last+1, gap, s.missing(gap, binary.LittleEndian.Uint32(b[16:]), inSnapshot)
 		}
 		if rec.op == opSnapshot {
 			ok = rec.count == count && rec.sum == sum && !headless
@@ -350,7 +352,7 @@
 	if w.err != nil {
 		return nil, r, false, fmt.Errorf("%s: %w", name, w.err)
 	}
-	r.Last = last
+	r.LastSequence = last
 	if r.Rebooted && !h.power || headless {
 		s.doubtAll() // nothing was synced, or nobody knows whether it was: any record may be missing
 	}
@@ -379,7 +381,7 @@
 	if r.Rebooted {
 		uptime = clocks.Uptime()
 	}
-	r.ByWall = r.File != ""
+	r.UsedWallClock = r.File != ""
 	s.rebase(scale.InstantOf(clocks.Wall()), now, uptime)
 	return s, r, nil
 }
@@ -409,13 +411,13 @@
 			return nil, r, err
 		}
 		r.segment = n
-		if r.Passed = passed; ok {
-			if len(passed) > 0 && !(r.Rebooted && r.Power) {
+		if r.SkippedSegments = passed; ok {
+			if len(passed) > 0 && !(r.Rebooted && r.SurvivesPowerLoss) {
 				s.doubtAll() // no power loss explains it: the newer segment was whole once
 			}
 			return s, r, nil
 		}
-		r.Passed = nil
+		r.SkippedSegments = nil
 		passed = append(passed, segmentFile(n))
 		if fallback == nil {
 			fallback, with = s, r
@@ -424,7 +426,7 @@
 	if v1 {
 		s, r, err := loadV1(files, dir)
 		if err == nil {
-			r.Passed = passed
+			r.SkippedSegments = passed
 			if len(segments) > 0 {
 				r.segment = segments[0]
 			}
@@ -467,7 +469,7 @@
 	if torn {
 		r.Torn = int64(rest)
 	} else if rest > 0 {
-		r.Damage = append(r.Damage, Damage{Offset: size - int64(rest), Length: int64(rest), file: v1Name, What: "the end"})
+		r.Damage = append(r.Damage, Damage{Offset: size - int64(rest), Length: int64(rest), file: v1Name, LastRecord: "the end"})
 		s.doubtAll()
 	}
 	return s, r, nil
--- a/internal/journal/segment.go
+++ b/internal/journal/segment.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	if err = writeAll(f, b); err == nil && j.o.Power {
+	if err = writeAll(f, b); err == nil && j.o.SurvivesPowerLoss {
 		err = f.Sync()
 	}
 	if err == nil {
@@ -75,7 +75,7 @@
 		_ = j.o.Files.Remove(path + newSuffix)
 		return err
 	}
-	if j.o.Power {
+	if j.o.SurvivesPowerLoss {
 		if err = j.o.Files.SyncDir(j.dir); err != nil {
 			// It may or may not outlast a power loss: the one before stays, and this one is not written on.
 			j.seq, j.before, j.clocks = seq, before, clocks
@@ -107,7 +107,7 @@
 func (j *Journal) encode(number uint64, clocks clock.Pair) (b []byte, seq uint64, before uint32) {
 	j.order = j.all()
 	seq = j.seq
-	h := header{format: Format, segment: number, first: seq + 1, power: j.o.Power, boot: j.o.Boot, relay: j.o.Relay, clocks: clocks}
+	h := header{format: Format, segment: number, first: seq + 1, power: j.o.SurvivesPowerLoss, boot: j.o.Boot, relay: j.o.Relay, clocks: clocks}
 	b = append(j.snapshot[:0], h.encode()...)
 	var count uint64
 	var sum uint32
@@ -125,7 +125,7 @@
 		add(record{op: opList, list: j.list})
 	}
 	for host, h := range j.health {
-		add(record{op: opHealth, host: host, flag: h.Sick, at: h.At})
+		add(record{op: opHealth, host: host, flag: h.Ejected, at: h.ChangedAt})
 	}
 	add(record{op: opSnapshot, count: count, sum: sum})
 	if j.snapshot = b; cap(b) > 4<<20 {
@@ -136,7 +136,7 @@
 
 // setAside keeps the ranges that can't be read, as far as there is room for them, and says what is missing.
 func (j *Journal) setAside(r *Report) {
-	for _, name := range r.Passed {
+	for _, name := range r.SkippedSegments {
 		slog.Warn("journal: a segment whose snapshot is not whole is passed over", "file", name)
 	}
 	room := int64(damagedShare * float64(j.limit))
@@ -152,10 +152,10 @@
 				j.limit -= int(d.Length)
 			}
 		}
-		slog.Warn("journal: damaged", "file", d.file, "offset", d.Offset, "bytes", d.Length, "first missing", d.First, "records missing", d.Missing,
-			"the last of them", d.What, "set aside", kept)
+		slog.Warn("journal: damaged", "file", d.file, "offset", d.Offset, "bytes", d.Length, "first missing", d.FirstSequence, "records missing", d.Missing,
+			"the last of them", d.LastRecord, "set aside", kept)
 	}
-	if r.Rebooted && !r.Power {
+	if r.Rebooted && !r.SurvivesPowerLoss {
 		slog.Warn("journal: the machine has started anew, and the durability is process: every message may have run")
 	}
 }
--- a/internal/journal/stored_test.go
+++ b/internal/journal/stored_test.go
@@ -63,7 +63,7 @@
 // openStored opens a folder as the relay of the stored files does.
 func openStored(t *testing.T, dir string, m *machine, power bool) (*Journal, *Report) {
 	t.Helper()
-	journal, report, err := Open(dir, Options{DiskMB: storedDiskMB, Relay: storedRelay, Power: power, Boot: m.boot,
+	journal, report, err := Open(dir, Options{DiskMB: storedDiskMB, Relay: storedRelay, SurvivesPowerLoss: power, Boot: m.boot,
 		Clocks: Clocks{Now: func() instant.Time { return m.now }, Wall: func() clock.Wall { return m.wall },
 			Uptime: func() time.Duration { return m.now.Sub(instant.Boot) }}})
 	if err != nil {
@@ -78,25 +78,25 @@
 	t.Helper()
 	m := storedMachine(0)
 	journal, _ := openStored(t, dir, m, power)
-	journal.List(List{Text: []byte(`{"hosts":["h1","h2"]}`), Hosts: 2})
+	journal.RecordLegacyList(LegacyEndpointList{Text: []byte(`{"hosts":["h1","h2"]}`), Endpoints: 2})
 	for number, id := range []string{"queued", "called", "tried", "owing", "ended"} {
 		m.passes(time.Millisecond)
-		journal.Take(&Entry{ID: id, Class: "order", Dest: 7 + number, Key: "key-" + id,
-			Expires: storedStart.Add(time.Minute), Body: []byte("body\x00\xff" + id)})
+		journal.Accept(&Entry{ID: id, Class: "order", Dest: 7 + number, Key: "key-" + id,
+			ExpiresAt: storedStart.Add(time.Minute), Body: []byte("body\x00\xff" + id)})
 	}
-	journal.Take(&Entry{ID: "bare", Taken: storedStart.Add(time.Second), Dest: -1})
+	journal.Accept(&Entry{ID: "bare", AcceptedAt: storedStart.Add(time.Second), Dest: -1})
 	commit(t, journal)
-	journal.Begin(journal.Get("called"), "h1", storedStart.Add(2*time.Second))
-	journal.Begin(journal.Get("tried"), "h1", storedStart.Add(3*time.Second))
-	journal.End(journal.Get("tried"), true)
-	journal.Begin(journal.Get("tried"), "h2", storedStart.Add(4*time.Second))
-	journal.End(journal.Get("tried"), false)
-	journal.Begin(journal.Get("owing"), "h2", storedStart.Add(5*time.Second))
-	journal.End(journal.Get("owing"), false)
-	journal.Owe(journal.Get("owing"), Notice{ID: "owing", Status: "deferred", AgainMS: 1500})
-	journal.Over(journal.Get("ended"))
-	journal.Remember("h2", Health{Sick: true, At: storedStart.Add(6 * time.Second)})
-	journal.Begin(journal.Get("called"), "h2", storedStart.Add(7*time.Second))
+	journal.StartAttempt(journal.Get("called"), "h1", storedStart.Add(2*time.Second))
+	journal.StartAttempt(journal.Get("tried"), "h1", storedStart.Add(3*time.Second))
+	journal.EndAttempt(journal.Get("tried"), true)
+	journal.StartAttempt(journal.Get("tried"), "h2", storedStart.Add(4*time.Second))
+	journal.EndAttempt(journal.Get("tried"), false)
+	journal.StartAttempt(journal.Get("owing"), "h2", storedStart.Add(5*time.Second))
+	journal.EndAttempt(journal.Get("owing"), false)
+	journal.RecordPendingNotification(journal.Get("owing"), Notification{ID: "owing", Status: "deferred", RetryAfterMS: 1500})
+	journal.Complete(journal.Get("ended"))
+	journal.RecordHealth("h2", HealthRecord{Ejected: true, ChangedAt: storedStart.Add(6 * time.Second)})
+	journal.StartAttempt(journal.Get("called"), "h2", storedStart.Add(7*time.Second))
 	commit(t, journal)
 	if err := journal.Close(); err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 	t.Helper()
 	writeStoredLog(t, dir, power)
 	journal, _ := openStored(t, dir, storedMachine(10*time.Second), power)
-	journal.Take(&Entry{ID: "later", Class: "audit", Body: []byte("later")})
+	journal.Accept(&Entry{ID: "later", Class: "audit", Body: []byte("later")})
 	commit(t, journal)
 	if err := journal.Close(); err != nil {
 		t.Fatal(err)
@@ -156,7 +156,7 @@
 	add(recordV1{Op: "ended", ID: "tried", Unrun: true}, "")
 	add(recordV1{Op: "begun", ID: "tried", Host: "h2", At: at(4 * time.Second)}, "")
 	add(recordV1{Op: "ended", ID: "tried"}, "")
-	add(recordV1{Op: "owed", ID: "owing", Notice: &Notice{ID: "owing", Status: "deferred", AgainMS: 1500}}, "")
+	add(recordV1{Op: "owed", ID: "owing", Notice: &Notification{ID: "owing", Status: "deferred", RetryAfterMS: 1500}}, "")
 	add(recordV1{Op: "over", ID: "ended"}, "")
 	add(recordV1{Op: "health", Host: "h2", Health: &healthV1{Sick: true, At: at(6 * time.Second)}}, "")
 	add(recordV1{Op: "health", Host: "h1", Health: &healthV1{}}, "")
@@ -289,7 +289,7 @@
 	journal, _ = openStored(t, dir, m, false)
 	doubts := 0
 	for _, entry := range journal.Entries() {
-		if count := len(entry.Attempts); count > 0 && entry.Attempts[count-1].Doubt {
+		if count := len(entry.Attempts); count > 0 && entry.Attempts[count-1].Uncertain {
 			doubts++
 		}
 	}
@@ -336,17 +336,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	journal.List(List{Text: []byte(`{"hosts":["h1"]}`), Hosts: 1})
-	journal.Take(&Entry{ID: "tried", Class: "order", Dest: 7, Key: "k", Expires: start.Add(time.Minute),
+	journal.RecordLegacyList(LegacyEndpointList{Text: []byte(`{"hosts":["h1"]}`), Endpoints: 1})
+	journal.Accept(&Entry{ID: "tried", Class: "order", Dest: 7, Key: "k", ExpiresAt: start.Add(time.Minute),
 		Body: []byte("body\x00")})
-	journal.Begin(journal.Get("tried"), "h1", start.Add(-3*time.Second))
-	journal.End(journal.Get("tried"), true)
-	journal.Begin(journal.Get("tried"), "h2", start.Add(-2*time.Second))
-	journal.End(journal.Get("tried"), false)
-	journal.Begin(journal.Get("tried"), "h1", start.Add(-time.Second))
-	journal.Take(&Entry{ID: "owing", Body: []byte("b")})
-	journal.Owe(journal.Get("owing"), Notice{ID: "owing", Status: "deferred", AgainMS: 1500})
-	journal.Remember("h2", Health{Sick: true, At: start.Add(-4 * time.Second)})
+	journal.StartAttempt(journal.Get("tried"), "h1", start.Add(-3*time.Second))
+	journal.EndAttempt(journal.Get("tried"), true)
+	journal.StartAttempt(journal.Get("tried"), "h2", start.Add(-2*time.Second))
+	journal.EndAttempt(journal.Get("tried"), false)
+	journal.StartAttempt(journal.Get("tried"), "h1", start.Add(-time.Second))
+	journal.Accept(&Entry{ID: "owing", Body: []byte("b")})
+	journal.RecordPendingNotification(journal.Get("owing"), Notification{ID: "owing", Status: "deferred", RetryAfterMS: 1500})
+	journal.RecordHealth("h2", HealthRecord{Ejected: true, ChangedAt: start.Add(-4 * time.Second)})
 	commit(t, journal)
 	if err := journal.Close(); err != nil {
 		t.Fatal(err)
@@ -415,43 +415,43 @@
 func describe(journal *Journal, report *Report, base instant.Time) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "format %d, relay %s, power %t, records %d, last %d, torn %d,", report.Format, report.Relay,
-		report.Power, report.Records, report.Last, report.Torn)
-	fmt.Fprintf(&out, " whole %t, rebooted %t, by wall %t\n", report.Whole(), report.Rebooted, report.ByWall)
-	for _, name := range report.Passed {
+		report.SurvivesPowerLoss, report.Records, report.LastSequence, report.Torn)
+	fmt.Fprintf(&out, " whole %t, rebooted %t, by wall %t\n", report.Complete(), report.Rebooted, report.UsedWallClock)
+	for _, name := range report.SkippedSegments {
 		fmt.Fprintf(&out, "passed over %s\n", name)
 	}
 	for _, entry := range journal.Entries() {
 		describeMessage(&out, entry, base)
 	}
-	if list := journal.Listed(); list.Text != nil {
-		fmt.Fprintf(&out, "list of %d hosts: %s\n", list.Hosts, list.Text)
+	if list := journal.LegacyList(); list.Text != nil {
+		fmt.Fprintf(&out, "list of %d hosts: %s\n", list.Endpoints, list.Text)
 	}
 	health := journal.Health()
 	for _, host := range slices.Sorted(maps.Keys(health)) {
-		fmt.Fprintf(&out, "health of %s: sick %t, at %s\n", host, health[host].Sick, spanFrom(base, health[host].At))
+		fmt.Fprintf(&out, "health of %s: sick %t, at %s\n", host, health[host].Ejected, spanFrom(base, health[host].ChangedAt))
 	}
 	return out.String()
 }
 
 // describeMessage tells one message.
 func describeMessage(out *strings.Builder, entry *Entry, base instant.Time) {
-	taken, expires := spanFrom(base, entry.Taken), spanFrom(base, entry.Expires)
+	taken, expires := spanFrom(base, entry.AcceptedAt), spanFrom(base, entry.ExpiresAt)
 	fmt.Fprintf(out, "message %s: class %s, destination %d, key %s, taken %s, expires %s, body %q\n",
 		entry.ID, entry.Class, entry.Dest, entry.Key, taken, expires, entry.Body)
 	for _, attempt := range entry.Attempts {
-		fmt.Fprintf(out, "  attempt at %s, begun %s", attempt.Host, spanFrom(base, attempt.Begun))
+		fmt.Fprintf(out, "  attempt at %s, begun %s", attempt.Host, spanFrom(base, attempt.StartedAt))
 		for _, mark := range []struct {
 			set  bool
 			name string
-		}{{attempt.Ended, "ended"}, {attempt.Unrun, "proved not to have run"}, {attempt.Doubt, "in doubt"}} {
+		}{{attempt.Ended, "ended"}, {attempt.NotExecuted, "proved not to have run"}, {attempt.Uncertain, "in doubt"}} {
 			if mark.set {
 				fmt.Fprintf(out, ", %s", mark.name)
 			}
 		}
 		fmt.Fprintln(out)
 	}
-	if notice := entry.Owed; notice != nil {
-		fmt.Fprintf(out, "  owes the notice %s: %s, again after %d ms\n", notice.ID, notice.Status, notice.AgainMS)
+	if notice := entry.PendingNotification; notice != nil {
+		fmt.Fprintf(out, "  owes the notice %s: %s, again after %d ms\n", notice.ID, notice.Status, notice.RetryAfterMS)
 	}
 }
 
--- a/internal/journal/timescale.go
+++ b/internal/journal/timescale.go
@@ -33,13 +33,13 @@
 // latest is the last moment in a state that had passed when it was written.
 func (s *state) latest() (last instant.Time) {
 	for _, e := range s.entries {
-		last = max(last, e.Taken)
+		last = max(last, e.AcceptedAt)
 		for _, a := range e.Attempts {
-			last = max(last, a.Begun)
+			last = max(last, a.StartedAt)
 		}
 	}
 	for _, h := range s.health {
-		last = max(last, h.At)
+		last = max(last, h.ChangedAt)
 	}
 	return last
 }
@@ -64,17 +64,17 @@
 		return max(0, min(now, move(t)))
 	}
 	for _, e := range s.entries {
-		e.Taken = past(e.Taken)
-		if e.Expires = move(e.Expires); !trusted {
-			e.Expires = min(e.Expires, now)
+		e.AcceptedAt = past(e.AcceptedAt)
+		if e.ExpiresAt = move(e.ExpiresAt); !trusted {
+			e.ExpiresAt = min(e.ExpiresAt, now)
 		}
 		for i := range e.Attempts {
-			e.Attempts[i].Begun = past(e.Attempts[i].Begun)
+			e.Attempts[i].StartedAt = past(e.Attempts[i].StartedAt)
 		}
 	}
 	for host, h := range s.health {
-		if h.At = past(h.At); !trusted {
-			h.At = now // a slow start begins anew: it may not have been long
+		if h.ChangedAt = past(h.ChangedAt); !trusted {
+			h.ChangedAt = now // a slow start begins anew: it may not have been long
 		}
 		s.health[host] = h
 	}
--- a/internal/journal/timescale_test.go
+++ b/internal/journal/timescale_test.go
@@ -111,11 +111,11 @@
 			m, dir := &machine{now: instant.Boot.Add(time.Hour), wall: 1.7e18, boot: "one"}, t.TempDir()
 			j := m.open(t, dir)
 			m.steps(20 * time.Minute) // within the first process: its times do not show it
-			e := &Entry{ID: "m", Expires: m.now.Add(deadline)}
-			j.Take(e)
+			e := &Entry{ID: "m", ExpiresAt: m.now.Add(deadline)}
+			j.Accept(e)
 			m.passes(sentAfter)
-			j.Begin(e, "h", m.now)
-			j.Remember("h", Health{Sick: true, At: m.now})
+			j.StartAttempt(e, "h", m.now)
+			j.RecordHealth("h", HealthRecord{Ejected: true, ChangedAt: m.now})
 			commit(t, j)
 			_ = j.Close()
 			m.steps(-20 * time.Minute)
@@ -124,13 +124,13 @@
 			for range 2 { // from the log, and from its compaction
 				j = m.open(t, dir)
 				e = j.Get("m")
-				if got := e.Expires.Sub(m.now); got > c.left || got < c.left-time.Millisecond {
+				if got := e.ExpiresAt.Sub(m.now); got > c.left || got < c.left-time.Millisecond {
 					t.Errorf("%v are left, want %v", got, c.left)
 				}
-				if got := m.now.Sub(e.Attempts[0].Begun); got < c.ago {
+				if got := m.now.Sub(e.Attempts[0].StartedAt); got < c.ago {
 					t.Errorf("the attempt was %v ago, want %v", got, c.ago)
 				}
-				if got := m.now.Sub(j.Health()["h"].At); got < c.sickAt || got > c.sickAt+time.Millisecond {
+				if got := m.now.Sub(j.Health()["h"].ChangedAt); got < c.sickAt || got > c.sickAt+time.Millisecond {
 					t.Errorf("the outage began %v ago, want %v", got, c.sickAt)
 				}
 				_ = j.Close()
@@ -143,14 +143,14 @@
 func TestFolderWithoutClocks(t *testing.T) {
 	m, dir := &machine{now: instant.Boot.Add(time.Hour), wall: 1.7e18, boot: "one"}, t.TempDir()
 	j := m.open(t, dir)
-	e := &Entry{ID: "m", Expires: m.now.Add(10 * time.Second)}
-	j.Take(e)
+	e := &Entry{ID: "m", ExpiresAt: m.now.Add(10 * time.Second)}
+	j.Accept(e)
 	commit(t, j)
 	_ = j.Close()
 	dropClocks(t, segmentOf(t, dir))
 	m.passes(2 * time.Second)
 	j = m.open(t, dir)
-	if got := j.Get("m").Expires.Sub(m.now); got != 8*time.Second {
+	if got := j.Get("m").ExpiresAt.Sub(m.now); got != 8*time.Second {
 		t.Errorf("%v are left", got)
 	}
 }
--- a/internal/journal/tools.go
+++ b/internal/journal/tools.go
@@ -17,46 +17,46 @@
 // Summary is what a folder holds, in figures.
 type Summary struct {
 	Report
-	Whole    bool           `json:"whole"`
-	Live     int            `json:"live"` // messages taken on and not over
-	Owed     int            `json:"owed"` // of these, ended by a notice that the platform does not have yet
-	Tried    int            `json:"tried"`
-	InDoubt  int            `json:"in_doubt"` // an attempt of theirs may have been lost
-	Expired  int            `json:"expired"`  // their time is up
-	ByClass  map[string]int `json:"by_class,omitempty"`
-	BodySize int            `json:"body_bytes"`
-	Room     int            `json:"room_bytes"` // that all this needs, with later records
-	Hosts    int            `json:"hosts"`      // on the list, where a program of before kept it here
-	Sick     int            `json:"sick"`       // hosts remembered as out
+	Complete             bool           `json:"whole"`
+	Live                 int            `json:"live"` // messages taken on and not over
+	PendingNotifications int            `json:"owed"` // of these, ended by a notice that the platform does not have yet
+	Attempted            int            `json:"tried"`
+	Uncertain            int            `json:"in_doubt"` // an attempt of theirs may have been lost
+	Expired              int            `json:"expired"`  // their time is up
+	ByClass              map[string]int `json:"by_class,omitempty"`
+	BodySize             int            `json:"body_bytes"`
+	RequiredBytes        int            `json:"room_bytes"` // that all this needs, with later records
+	Hosts                int            `json:"hosts"`      // on the list, where a program of before kept it here
+	Ejected              int            `json:"sick"`       // hosts remembered as out
 }
 
-// Stat sums up what a folder holds at a moment.
-func Stat(dir string, now instant.Time) (*Summary, error) {
+// Summarize sums up what a folder holds at a moment.
+func Summarize(dir string, now instant.Time) (*Summary, error) {
 	j, r, err := Read(dir)
 	if err != nil {
 		return nil, err
 	}
-	s := &Summary{Report: *r, Whole: r.Whole(), ByClass: map[string]int{}, Room: j.live, Hosts: j.list.Hosts}
+	s := &Summary{Report: *r, Complete: r.Complete(), ByClass: map[string]int{}, RequiredBytes: j.live, Hosts: j.list.Endpoints}
 	for _, e := range j.Entries() {
 		s.Live++
 		s.ByClass[e.Class]++
 		s.BodySize += len(e.Body)
-		if e.Owed != nil {
-			s.Owed++
+		if e.PendingNotification != nil {
+			s.PendingNotifications++
 		}
 		if len(e.Attempts) > 0 {
-			s.Tried++
+			s.Attempted++
 		}
-		if slices.ContainsFunc(e.Attempts, func(a Attempt) bool { return a.Doubt }) {
-			s.InDoubt++
+		if slices.ContainsFunc(e.Attempts, func(a Attempt) bool { return a.Uncertain }) {
+			s.Uncertain++
 		}
-		if e.Expires <= now {
+		if e.ExpiresAt <= now {
 			s.Expired++
 		}
 	}
 	for _, h := range j.health {
-		if h.Sick {
-			s.Sick++
+		if h.Ejected {
+			s.Ejected++
 		}
 	}
 	return s, nil
@@ -71,7 +71,7 @@
 	Expires  time.Time       `json:"expires,omitzero"`
 	Taken    time.Time       `json:"taken,omitzero"`
 	Attempts []dumpedAttempt `json:"attempts,omitempty"`
-	Owed     *Notice         `json:"owed,omitempty"`
+	Owed     *Notification   `json:"owed,omitempty"`
 	Bytes    int             `json:"body_bytes"`
 	Body     []byte          `json:"body,omitempty"`
 }
@@ -102,10 +102,10 @@
 	out := json.NewEncoder(to)
 	clocks := clock.ReadPair()
 	for _, e := range j.Entries() {
-		d := dumped{ID: e.ID, Class: e.Class, Dest: e.Dest, Key: e.Key, Expires: wallTime(clocks, e.Expires), Taken: wallTime(clocks, e.Taken),
-			Owed: e.Owed, Bytes: len(e.Body)}
+		d := dumped{ID: e.ID, Class: e.Class, Dest: e.Dest, Key: e.Key, Expires: wallTime(clocks, e.ExpiresAt), Taken: wallTime(clocks, e.AcceptedAt),
+			Owed: e.PendingNotification, Bytes: len(e.Body)}
 		for _, a := range e.Attempts {
-			d.Attempts = append(d.Attempts, dumpedAttempt{a.Host, wallTime(clocks, a.Begun), a.Ended, a.Unrun, a.Doubt})
+			d.Attempts = append(d.Attempts, dumpedAttempt{a.Host, wallTime(clocks, a.StartedAt), a.Ended, a.NotExecuted, a.Uncertain})
 		}
 		if bodies {
 			d.Body = e.Body
@@ -133,8 +133,8 @@
 	if len(there) > 0 {
 		return nil, fmt.Errorf("%s is not empty: a repair goes into a folder of its own", to)
 	}
-	out := &Journal{state: j.state, dir: to, segment: r.segment, seq: r.Last,
-		o: Options{Relay: r.Relay, Power: true, Files: Disk, Boot: clock.BootID(), Clocks: SystemClocks}}
+	out := &Journal{state: j.state, dir: to, segment: r.segment, seq: r.LastSequence,
+		o: Options{Relay: r.Relay, SurvivesPowerLoss: true, Files: Disk, Boot: clock.BootID(), Clocks: SystemClocks}}
 	if err := out.begin(); err != nil {
 		return nil, err
 	}
@@ -148,8 +148,8 @@
 	if err != nil {
 		return r, err
 	}
-	j := &Journal{state: s, dir: dir, segment: r.segment, seq: r.Last,
-		o: Options{Relay: r.Relay, Power: true, Files: Disk, Boot: clock.BootID(), Clocks: SystemClocks}}
+	j := &Journal{state: s, dir: dir, segment: r.segment, seq: r.LastSequence,
+		o: Options{Relay: r.Relay, SurvivesPowerLoss: true, Files: Disk, Boot: clock.BootID(), Clocks: SystemClocks}}
 	if err := j.clear(); err != nil {
 		return r, err
 	}
--- a/internal/journal/tools_test.go
+++ b/internal/journal/tools_test.go
@@ -25,8 +25,8 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := Stat(dir, at)
-	if err != nil || s.Whole || s.Live != 1 || s.Owed != 1 || len(s.Damage) != 1 || s.Damage[0].What != "taken" {
+	s, err := Summarize(dir, at)
+	if err != nil || s.Complete || s.Live != 1 || s.PendingNotifications != 1 || len(s.Damage) != 1 || s.Damage[0].LastRecord != "taken" {
 		t.Errorf("%v: %+v", err, s)
 	}
 	to := filepath.Join(t.TempDir(), "new")
@@ -36,7 +36,7 @@
 	if after, _ := os.ReadFile(path); !bytes.Equal(raw, after) {
 		t.Error("the folder itself has changed")
 	}
-	if s, err := Stat(to, at); err != nil || !s.Whole || s.Live != 1 || s.Owed != 1 {
+	if s, err := Summarize(to, at); err != nil || !s.Complete || s.Live != 1 || s.PendingNotifications != 1 {
 		t.Errorf("%v: %+v", err, s)
 	}
 	if _, err := Repair(dir, to); err == nil {
@@ -67,7 +67,7 @@
 			t.Errorf("format %d: %v", format, found)
 		}
 		got, r, err := Read(dir)
-		if err != nil || int(r.Format) != format || !r.Whole() {
+		if err != nil || int(r.Format) != format || !r.Complete() {
 			t.Fatalf("format %d: %v, %+v", format, err, r)
 		}
 		if now, err := got.encodeV1(); err != nil || !sameV1(now, want) {
--- a/internal/journal/transient.go
+++ b/internal/journal/transient.go
@@ -10,8 +10,8 @@
 var transientErrors = []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.EINTR, syscall.EAGAIN, syscall.EBUSY, syscall.ENFILE,
 	syscall.EMFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOLCK, syscall.ETIMEDOUT, syscall.ESTALE}
 
-// Transient tells whether what failed with an error may succeed a moment later.
-func Transient(err error) bool {
+// IsTransient tells whether what failed with an error may succeed a moment later.
+func IsTransient(err error) bool {
 	errno := syscall.Errno(0)
 	return errors.As(err, &errno) && slices.Contains(transientErrors, errno)
 }
--- a/internal/journal/v1.go
+++ b/internal/journal/v1.go
@@ -25,7 +25,7 @@
 	Host   string          `json:"host,omitempty"`
 	At     time.Time       `json:"at,omitzero"`
 	Unrun  bool            `json:"unrun,omitempty"`
-	Notice *Notice         `json:"notice,omitempty"`
+	Notice *Notification   `json:"notice,omitempty"`
 	Health *healthV1       `json:"health,omitempty"`
 	List   json.RawMessage `json:"list,omitempty"`
 	Hosts  int             `json:"hosts,omitempty"`
@@ -52,9 +52,9 @@
 		if err != nil {
 			return len(raw), errors.Is(err, errTorn)
 		}
-		report.Last++
+		report.LastSequence++
 		report.Records++
-		if r := v.now(s, report.Last); r.op != 0 {
+		if r := v.now(s, report.LastSequence); r.op != 0 {
 			if r.entry != nil {
 				r.entry.Body = body
 			}
@@ -70,11 +70,11 @@
 	switch {
 	case v.Op == "taken" && v.Entry != nil:
 		e := v.Entry
-		return record{op: opTaken, ref: seq, entry: &Entry{ID: e.ID, Class: e.Class, Dest: e.Dest, Key: e.Key, Expires: instantV1(e.Expires)}}
+		return record{op: opTaken, ref: seq, entry: &Entry{ID: e.ID, Class: e.Class, Dest: e.Dest, Key: e.Key, ExpiresAt: instantV1(e.Expires)}}
 	case v.Op == "health" && v.Health != nil:
 		return record{op: opHealth, host: v.Host, flag: v.Health.Sick, at: instantV1(v.Health.At)}
 	case v.Op == "list" && v.List != nil:
-		return record{op: opList, list: List{v.List, v.Hosts}}
+		return record{op: opList, list: LegacyEndpointList{v.List, v.Hosts}}
 	}
 	e := s.entries[v.ID]
 	if e == nil {
@@ -151,22 +151,22 @@
 		err = errors.Join(err, failed)
 	}
 	for _, e := range s.all() {
-		add(recordV1{Op: "taken", Entry: &entryV1{e.ID, e.Class, e.Dest, e.Key, wallTime(clocks, e.Expires)}}, e.Body)
+		add(recordV1{Op: "taken", Entry: &entryV1{e.ID, e.Class, e.Dest, e.Key, wallTime(clocks, e.ExpiresAt)}}, e.Body)
 		for _, a := range e.Attempts {
-			add(recordV1{Op: "begun", ID: e.ID, Host: a.Host, At: wallTime(clocks, a.Begun)}, nil)
+			add(recordV1{Op: "begun", ID: e.ID, Host: a.Host, At: wallTime(clocks, a.StartedAt)}, nil)
 			if a.Ended {
-				add(recordV1{Op: "ended", ID: e.ID, Unrun: a.Unrun}, nil)
+				add(recordV1{Op: "ended", ID: e.ID, Unrun: a.NotExecuted}, nil)
 			}
 		}
-		if e.Owed != nil {
-			add(recordV1{Op: "owed", ID: e.ID, Notice: e.Owed}, nil)
+		if e.PendingNotification != nil {
+			add(recordV1{Op: "owed", ID: e.ID, Notice: e.PendingNotification}, nil)
 		}
 	}
 	if s.list.Text != nil {
-		add(recordV1{Op: "list", List: s.list.Text, Hosts: s.list.Hosts}, nil)
+		add(recordV1{Op: "list", List: s.list.Text, Hosts: s.list.Endpoints}, nil)
 	}
 	for host, h := range s.health {
-		add(recordV1{Op: "health", Host: host, Health: &healthV1{h.Sick, wallTime(clocks, h.At)}}, nil)
+		add(recordV1{Op: "health", Host: host, Health: &healthV1{h.Ejected, wallTime(clocks, h.ChangedAt)}}, nil)
 	}
 	return b, err
 }
--- a/internal/lab/faulty/main.go
+++ b/internal/lab/faulty/main.go
@@ -55,7 +55,7 @@
 var planted string
 
 func main() {
-	if slices.Contains(os.Args[1:], "-"+compat.Flag) {
+	if slices.Contains(os.Args[1:], "-"+compat.VersionsFlag) {
 		_ = json.NewEncoder(os.Stdout).Encode(relay.FormatVersions())
 		return
 	}
--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -21,34 +21,34 @@
 		if m := l.messages[a.ID]; m != nil && m.cancel != nil && a.Attempt == len(m.Attempts)-1 {
 			l.effects = append(l.effects, m.cancel)
 		}
-	case policy.Withhold:
+	case policy.CancelUnwritten:
 		if h, ok := l.list.table.Get(a.Endpoint); ok {
 			l.effects = append(l.effects, func() { l.pool.withhold(h.Dial) })
 		}
-	case policy.CloseIdle:
+	case policy.CloseIdleConnections:
 		if h, ok := l.list.table.Get(a.Endpoint); ok {
 			l.effects = append(l.effects, func() { l.pool.closeIdle(h.Dial) })
 		}
-	case policy.Wake:
+	case policy.SetTimer:
 		// The module has one timer and asks anew only where the one it has is no use to it any more.
 		l.wakeAt = now.Add(a.After)
 	case policy.Subscribe:
 		l.watch.ask()
-	case policy.Tell:
-		l.effects = append(l.effects, func() { l.tell(a.Note) })
-	case policy.Remember:
+	case policy.Broadcast:
+		l.effects = append(l.effects, func() { l.tell(a.Message) })
+	case policy.PersistHealth:
 		if _, ok := l.list.table.Get(a.Endpoint); ok {
-			l.journal.Remember(a.Endpoint, journal.Health{Sick: a.Sick, At: a.At})
-			if !a.Hearsay {
-				l.shared.Health(a.Endpoint, a.Sick)
+			l.journal.RecordHealth(a.Endpoint, journal.HealthRecord{Ejected: a.Ejected, ChangedAt: a.At})
+			if !a.SecondHand {
+				l.shared.ObserveHealth(a.Endpoint, a.Ejected)
 			}
 		}
-	case policy.Zoned:
+	case policy.ZoneStateChanged:
 		slog.Info("zone", "zone", a.Zone, "state", a.State)
-	case policy.Proved:
-		slog.Info("new endpoint", "host", a.Endpoint, "share", a.Share, "held", max(0, a.Held.Sub(now)))
-	case policy.Share:
-		l.shared.Paced(a.Destination, a.Pace, a.Traffic)
+	case policy.CanaryStageChanged:
+		slog.Info("new endpoint", "host", a.Endpoint, "share", a.Share, "held", max(0, a.SuspendedUntil.Sub(now)))
+	case policy.PublishRate:
+		l.shared.ObserveRate(a.Destination, a.RateShare, a.ArrivalRate)
 	}
 }
 
@@ -70,16 +70,16 @@
 		return
 	}
 	h, ok := l.list.table.Get(a.Endpoint)
-	left := m.Expires.Sub(now)
-	s := send{m: m, call: a.Call, attempt: len(m.Attempts), host: h, timeout: left, within: a.Within, expires: m.Expires}
+	left := m.ExpiresAt.Sub(now)
+	s := send{m: m, call: a.Call, attempt: len(m.Attempts), host: h, timeout: left, within: a.WriteTimeout, expires: m.ExpiresAt}
 	if a.Timeout > 0 {
 		s.timeout = min(left, a.Timeout)
 	}
-	l.journal.Begin(m.Entry, a.Endpoint, now)
+	l.journal.StartAttempt(m.Entry, a.Endpoint, now)
 	if !ok || h.Block != m.Dest {
 		// Guards the protocol's rule that a message goes only to a listed host of its destination.
 		slog.Error("send to a host that is not of the destination", "host", a.Endpoint, "dest", m.Dest)
-		l.unsent(s, policy.Ignored)
+		l.unsent(s, policy.NotSent)
 		return
 	}
 	l.sends = append(l.sends, s)
@@ -132,7 +132,7 @@
 	r.timeout = sends[0].timeout
 	if len(sends) > 1 {
 		now := clock.Now()
-		r.timeout, r.answerBy = sharedTimeout(now, sends, l.cfg.policy.Tick), answerBy(now, sends)
+		r.timeout, r.answerBy = sharedTimeout(now, sends, l.cfg.policy.BatchInterval), answerBy(now, sends)
 	}
 	for _, s := range sends {
 		p := parcel{ID: s.m.ID, Key: s.m.Key, Body: s.m.Body, fate: new(fate)}
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -83,7 +83,7 @@
 	wait    time.Duration
 	over    bool
 	spent   bool
-	report  *policy.Report
+	report  *policy.LoadReport
 }
 
 // pool makes calls to hosts over connections that carry one call at a time. It is no http.Transport, since
@@ -126,11 +126,11 @@
 		if err == nil {
 			p.put(r.addr, c)
 		}
-		return r.all(result{outcome: policy.Ignored}) // too late to write it, which tells nothing of the host
+		return r.all(result{outcome: policy.NotSent}) // too late to write it, which tells nothing of the host
 	}
 	if err != nil && lackHere(err) {
 		slog.Warn("call not begun", "host", r.addr, "messages", len(r.parcels), "err", err)
-		return r.all(result{outcome: policy.Unsent}) // which tells nothing of the host either
+		return r.all(result{outcome: policy.NotStarted}) // which tells nothing of the host either
 	}
 	if err != nil {
 		return r.all(result{outcome: policy.ConnectError})
@@ -138,7 +138,7 @@
 	if by, ok := writing.Deadline(); ok {
 		_ = c.SetWriteDeadline(by)
 	}
-	res := r.all(result{outcome: policy.Ignored})
+	res := r.all(result{outcome: policy.NotSent})
 	left := r
 	left.parcels = slices.DeleteFunc(slices.Clone(r.parcels), func(p parcel) bool { return !p.fate.settle() })
 	if len(left.parcels) == 0 { // all have ended while the connection came up
@@ -181,7 +181,7 @@
 	case len(r.parcels) == 1 || resp.StatusCode != http.StatusOK:
 		common := classify(resp)
 		if len(r.parcels) > 1 && (resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusRequestEntityTooLarge) {
-			common.outcome = policy.Ignored // what the host could not take in never ran
+			common.outcome = policy.NotSent // what the host could not take in never ran
 		}
 		res = r.all(common)
 	default:
@@ -238,11 +238,11 @@
 		case "delivered":
 			res[i].outcome, res[i].over = policy.OK, true
 		case "refused":
-			res[i].outcome = policy.QueueFull
+			res[i].outcome = policy.Rejected
 		case "over":
-			res[i].outcome, res[i].over = policy.Ignored, true
+			res[i].outcome, res[i].over = policy.NotSent, true
 		case "spent":
-			res[i].outcome, res[i].spent = policy.Ignored, true
+			res[i].outcome, res[i].spent = policy.NotSent, true
 		}
 	}
 	return res
@@ -285,23 +285,23 @@
 	case http.StatusOK:
 		res.outcome, res.over = policy.OK, true
 	case http.StatusTooManyRequests:
-		res.outcome = policy.QueueFull
+		res.outcome = policy.Rejected
 	case http.StatusServiceUnavailable:
-		res.outcome = policy.QueueFull
+		res.outcome = policy.Rejected
 		if resp.Header.Get("X-No-Slot") == "1" {
-			res.outcome = policy.Ignored
+			res.outcome = policy.NotSent
 		}
 	case http.StatusGatewayTimeout:
-		res.outcome, res.spent = policy.Ignored, true
+		res.outcome, res.spent = policy.NotSent, true
 	case http.StatusGone:
-		res.outcome, res.over = policy.Ignored, true
+		res.outcome, res.over = policy.NotSent, true
 	}
 	return res
 }
 
 // parseReport reads a load report such as "x0=0.4,x1=25", or gives nil.
-func parseReport(text string) *policy.Report {
-	r, found := &policy.Report{}, 0
+func parseReport(text string) *policy.LoadReport {
+	r, found := &policy.LoadReport{}, 0
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		v, err := strconv.ParseFloat(value, 64)
@@ -310,7 +310,7 @@
 		}
 		switch name {
 		case "x0":
-			r.Left = v
+			r.Remaining = v
 			found |= 1
 		case "x1":
 			r.Limit = v
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -99,11 +99,11 @@
 			result{outcome: policy.OK, over: true}},
 		{"error", reply("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), result{outcome: policy.Failed}},
 		{"told to wait", reply("HTTP/1.1 429 No\r\nX-Retry-In-Ms: 250\r\nContent-Length: 0\r\n\r\n"),
-			result{outcome: policy.QueueFull, wait: 250 * time.Millisecond}},
-		{"turned away", reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), result{outcome: policy.QueueFull}},
-		{"no slot", reply("HTTP/1.1 503 No\r\nX-No-Slot: 1\r\nContent-Length: 0\r\n\r\n"), result{outcome: policy.Ignored}},
-		{"attempts spent", reply("HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n"), result{outcome: policy.Ignored, spent: true}},
-		{"over", reply("HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n"), result{outcome: policy.Ignored, over: true}},
+			result{outcome: policy.Rejected, wait: 250 * time.Millisecond}},
+		{"turned away", reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), result{outcome: policy.Rejected}},
+		{"no slot", reply("HTTP/1.1 503 No\r\nX-No-Slot: 1\r\nContent-Length: 0\r\n\r\n"), result{outcome: policy.NotSent}},
+		{"attempts spent", reply("HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n"), result{outcome: policy.NotSent, spent: true}},
+		{"over", reply("HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n"), result{outcome: policy.NotSent, over: true}},
 		{"connection refused", closed.Addr().String(), result{outcome: policy.ConnectError}},
 		{"closed with no answer", readThen(func(net.Conn) {}), result{outcome: policy.Reset}},
 		{"reset", readThen(func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) }), result{outcome: policy.Reset}},
@@ -162,17 +162,17 @@
 		{"each its end", reply("200 OK\r\nX-Retry-In-Ms: 250", `[{"id":"e","state":"spent"},{"id":"a","state":"delivered"},
 		 {"id":"b","state":"failed"},{"id":"c","state":"refused"},{"id":"d","state":"over"},{"id":"z","state":"delivered"}]`),
 			[]result{{outcome: policy.OK, over: true, wait: wait}, {outcome: policy.Failed, wait: wait},
-				{outcome: policy.QueueFull, wait: wait}, {outcome: policy.Ignored, over: true, wait: wait},
-				{outcome: policy.Ignored, spent: true, wait: wait}}},
+				{outcome: policy.Rejected, wait: wait}, {outcome: policy.NotSent, over: true, wait: wait},
+				{outcome: policy.NotSent, spent: true, wait: wait}}},
 		{"one is missing", reply("200 OK", `[{"id":"a","state":"delivered"},{"id":"b","state":"odd"}]`),
 			[]result{{outcome: policy.OK, over: true}, failed, failed, failed, failed}},
 		{"unreadable", reply("200 OK", `delivered`), slices.Repeat([]result{failed}, 5)},
 		{"cut off", "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n[{", slices.Repeat([]result{{outcome: policy.Reset}}, 5)},
 		{"error", reply("500 No", ""), slices.Repeat([]result{failed}, 5)},
 		{"told to wait", reply("429 No\r\nX-Retry-In-Ms: 250", ""),
-			slices.Repeat([]result{{outcome: policy.QueueFull, wait: wait}}, 5)},
-		{"too many", reply("413 No", ""), slices.Repeat([]result{{outcome: policy.Ignored}}, 5)},
-		{"not understood", reply("400 No", ""), slices.Repeat([]result{{outcome: policy.Ignored}}, 5)},
+			slices.Repeat([]result{{outcome: policy.Rejected, wait: wait}}, 5)},
+		{"too many", reply("413 No", ""), slices.Repeat([]result{{outcome: policy.NotSent}}, 5)},
+		{"not understood", reply("400 No", ""), slices.Repeat([]result{{outcome: policy.NotSent}}, 5)},
 	}
 	for _, tt := range tests {
 		paths, bodies := make(chan string, 1), make(chan []byte, 1)
@@ -205,8 +205,8 @@
 }
 
 func TestReport(t *testing.T) {
-	for text, want := range map[string]*policy.Report{
-		"x0=0.4,x1=25": {Left: 0.4, Limit: 25}, "x1=3, x0=0": {Limit: 3}, "": nil, "x0=0.4": nil, "x0=NaN,x1=1": nil,
+	for text, want := range map[string]*policy.LoadReport{
+		"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3, x0=0": {Limit: 3}, "": nil, "x0=0.4": nil, "x0=NaN,x1=1": nil,
 		"x0=-1,x1=2": nil, "x0=a,x1=2": nil, "x0=1;x1=2": nil,
 	} {
 		if got := parseReport(text); (got == nil) != (want == nil) || got != nil && *got != *want {
@@ -349,8 +349,8 @@
 	}
 	call := testCall(addr)
 	call.within = 20 * time.Millisecond
-	if got := p.call(t.Context(), call)[0]; got.outcome != policy.Ignored {
-		t.Errorf("outcome %v, want %v", got.outcome, policy.Ignored)
+	if got := p.call(t.Context(), call)[0]; got.outcome != policy.NotSent {
+		t.Errorf("outcome %v, want %v", got.outcome, policy.NotSent)
 	}
 	if len(calls) > 0 {
 		t.Error("the call was written")
@@ -368,8 +368,8 @@
 		}
 		return nil
 	}
-	if got := p.call(t.Context(), testCall(addr))[0]; got.outcome != policy.Ignored {
-		t.Errorf("withheld: outcome %v, want %v", got.outcome, policy.Ignored)
+	if got := p.call(t.Context(), testCall(addr))[0]; got.outcome != policy.NotSent {
+		t.Errorf("withheld: outcome %v, want %v", got.outcome, policy.NotSent)
 	}
 	if got := p.call(t.Context(), testCall(addr))[0]; got.outcome != policy.OK || dials != 1 {
 		t.Errorf("the next: outcome %v, %d connections", got.outcome, dials)
@@ -402,7 +402,7 @@
 		return nil
 	}
 	got := p.call(t.Context(), call)
-	if got[0].outcome != policy.Ignored || got[1].outcome != policy.OK {
+	if got[0].outcome != policy.NotSent || got[1].outcome != policy.OK {
 		t.Errorf("outcomes %v", got)
 	}
 	if on := receive(t, ids); on != "/inbox m2" {
@@ -413,7 +413,7 @@
 		call.parcels[1].fate.settle()
 		return nil
 	}
-	if got := p.call(t.Context(), call); got[0].outcome != policy.Ignored || got[1].outcome != policy.Ignored || p.count != 1 {
+	if got := p.call(t.Context(), call); got[0].outcome != policy.NotSent || got[1].outcome != policy.NotSent || p.count != 1 {
 		t.Errorf("all ended: %v, %d connections kept", got, p.count)
 	}
 }
@@ -527,9 +527,9 @@
 
 // A call for which this process has no descriptor left says nothing of the host.
 func TestNoDescriptorForACall(t *testing.T) {
-	for errno, want := range map[syscall.Errno]policy.Outcome{syscall.EMFILE: policy.Unsent, syscall.ENFILE: policy.Unsent, syscall.ENOBUFS: policy.Unsent,
-		syscall.ENOMEM: policy.Unsent, syscall.EADDRNOTAVAIL: policy.Unsent, syscall.EADDRINUSE: policy.Unsent, syscall.EAGAIN: policy.Unsent,
-		syscall.ENETUNREACH: policy.Unsent, syscall.EACCES: policy.Unsent, syscall.EPERM: policy.Unsent,
+	for errno, want := range map[syscall.Errno]policy.Outcome{syscall.EMFILE: policy.NotStarted, syscall.ENFILE: policy.NotStarted, syscall.ENOBUFS: policy.NotStarted,
+		syscall.ENOMEM: policy.NotStarted, syscall.EADDRNOTAVAIL: policy.NotStarted, syscall.EADDRINUSE: policy.NotStarted, syscall.EAGAIN: policy.NotStarted,
+		syscall.ENETUNREACH: policy.NotStarted, syscall.EACCES: policy.NotStarted, syscall.EPERM: policy.NotStarted,
 		syscall.ECONNREFUSED: policy.ConnectError, syscall.ETIMEDOUT: policy.ConnectError, syscall.EHOSTUNREACH: policy.ConnectError} {
 		p := testPool()
 		p.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error { return errno }
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -27,7 +27,7 @@
 		case m.replies == nil: // refused
 		case err != nil:
 			l.figures.end(l.class(m.Class), rejected)
-			answer(m.replies, verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxStayAway})
+			answer(m.replies, verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxRetryAfter})
 			l.events = append(l.events, policy.Withdrawn{ID: m.ID})
 		default:
 			m.copied = len(m.replies) > 1
@@ -42,14 +42,14 @@
 			n++
 		}
 		// Without its record a later process may make an attempt again, which is harmless only in a safe class.
-		safe := func(s send) bool { return l.cfg.policy.Classes[l.class(s.m.Class)].Effect == policy.Safe }
+		safe := func(s send) bool { return l.cfg.policy.Classes[l.class(s.m.Class)].Effect == policy.Idempotent }
 		// Nor is one sent that was not taken on after all.
 		refused := func(s send) bool { return s.m.replies != nil }
 		if err == nil || !slices.ContainsFunc(sends[i:n], func(s send) bool { return !safe(s) || refused(s) }) {
 			l.call(sends[i:n])
 		} else {
 			for _, s := range sends[i:n] {
-				l.unsent(s, policy.Unsent)
+				l.unsent(s, policy.NotStarted)
 			}
 		}
 		i = n
@@ -68,7 +68,7 @@
 // unrecordedNotice is a notice of a message whose end is to be on disk before the platform is told of it: a process after a
 // kill would else go on with a message that is over.
 type unrecordedNotice struct {
-	notice  journal.Notice
+	notice  journal.Notification
 	expires instant.Time // of the message: from then on no process sends it any more
 }
 
@@ -93,12 +93,12 @@
 	}
 	var why *string
 	if !ok {
-		text := fmt.Sprint(l.journal.Broken())
+		text := fmt.Sprint(l.journal.WriteError())
 		why = &text
 	}
 	l.figures.unwritten.Store(why)
 	if ok {
 		l.postRecorded(true)
 	}
-	l.events = append(l.events, policy.Stored{Writable: ok})
+	l.events = append(l.events, policy.StorageChanged{Writable: ok})
 }
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -18,21 +18,21 @@
 			"outcome", e.outcome, "took", e.took, "wait", e.wait)
 	}
 	l.observed(e)
-	unrun := e.outcome == policy.QueueFull || e.outcome == policy.ConnectError || e.outcome == policy.Ignored || e.outcome == policy.Unsent
+	unrun := e.outcome == policy.Rejected || e.outcome == policy.ConnectError || e.outcome == policy.NotSent || e.outcome == policy.NotStarted
 	if l.journal.Get(m.ID) == m.Entry {
-		l.journal.End(m.Entry, unrun)
+		l.journal.EndAttempt(m.Entry, unrun)
 	}
-	if e.outcome == policy.Unsent { // no attempt was made; until the next segment a later process takes it for one that never ran
+	if e.outcome == policy.NotStarted { // no attempt was made; until the next segment a later process takes it for one that never ran
 		m.Attempts = m.Attempts[:e.attempt]
 	}
-	l.events = append(l.events, policy.Ended{ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.outcome,
-		Wait: e.wait, Took: e.took, Over: e.over, Spent: e.spent, Report: e.report})
+	l.events = append(l.events, policy.AttemptEnded{ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.outcome,
+		RetryAfter: e.wait, Latency: e.took, Completed: e.over, AttemptsExhausted: e.spent, LoadReport: e.report})
 	if !m.over && e.outcome == policy.OK {
 		l.figures.end(l.class(m.Class), completed)
 	} else if !m.over && e.over { // its end came without us
 		l.figures.end(l.class(m.Class), failed)
 	}
-	if e.over || m.over && m.Owed == nil {
+	if e.over || m.over && m.PendingNotification == nil {
 		l.end(m)
 	}
 }
@@ -43,7 +43,7 @@
 		return
 	}
 	slog.Info("undelivered", "id", m.ID, "dest", m.Dest, "class", m.Class, "status", status, "why", why, "attempts", len(m.Attempts),
-		"taken", m.replies == nil, "left", clock.Until(m.Expires), "after", v.after)
+		"taken", m.replies == nil, "left", clock.Until(m.ExpiresAt), "after", v.after)
 	l.figures.why.count("relay_undelivered", why)
 	how := failed
 	if status == deferred {
@@ -58,9 +58,9 @@
 	}
 	m.over = true
 	l.settle(m)
-	n := journal.Notice{ID: m.ID, Status: status, AgainMS: v.after.Milliseconds()}
-	l.journal.Owe(m.Entry, n)
-	l.unrecorded = append(l.unrecorded, unrecordedNotice{n, m.Expires})
+	n := journal.Notification{ID: m.ID, Status: status, RetryAfterMS: v.after.Milliseconds()}
+	l.journal.RecordPendingNotification(m.Entry, n)
+	l.unrecorded = append(l.unrecorded, unrecordedNotice{n, m.ExpiresAt})
 }
 
 // answer gives all that handed a message in the same verdict.
@@ -75,9 +75,9 @@
 	m.over = true
 	l.settle(m)
 	if l.journal.Get(m.ID) == m.Entry {
-		l.journal.Over(m.Entry)
+		l.journal.Complete(m.Entry)
 	}
-	m.Owed = nil
+	m.PendingNotification = nil
 	if m.cancel == nil {
 		delete(l.messages, m.ID)
 	}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -189,8 +189,8 @@
 		return err
 	}
 	// In the simulator some deployments are told of changes unasked; on sockets they come to a watch alone.
-	c.policy.Subscribe, c.policy.Shares, c.policy.Zones, c.policy.Newcomers = true, c.Fleet, c.Zones, c.Newcomers
-	c.policy.CallSize = maxBody - len("[]")
+	c.policy.Subscribe, c.policy.PublishRates, c.policy.Zones, c.policy.CanaryAnalysis = true, c.Fleet, c.Zones, c.Newcomers
+	c.policy.MaxBatchBytes = maxBody - len("[]")
 	_, err = policy.New(c.policy, c.seed) // its own check of the settings
 	return err
 }
--- a/internal/relay/diagnostics.go
+++ b/internal/relay/diagnostics.go
@@ -71,11 +71,11 @@
 func (l *loop) checkOverdue() {
 	now := clock.Now()
 	for _, m := range l.messages {
-		if m.over || m.overdue || now.Sub(m.Expires) < overdueAfter {
+		if m.over || m.overdue || now.Sub(m.ExpiresAt) < overdueAfter {
 			continue
 		}
 		m.overdue = true
-		slog.Error("held past its time", "id", m.ID, "dest", m.Dest, "class", m.Class, "attempts", len(m.Attempts), "by", now.Sub(m.Expires),
+		slog.Error("held past its time", "id", m.ID, "dest", m.Dest, "class", m.Class, "attempts", len(m.Attempts), "by", now.Sub(m.ExpiresAt),
 			"call out", m.cancel != nil)
 		l.figures.why.add("relay_overdue", m.Class, 1)
 	}
--- a/internal/relay/diagnostics_test.go
+++ b/internal/relay/diagnostics_test.go
@@ -19,9 +19,9 @@
 		l.clocks.Wall -= clock.Wall(by)
 		l.checkClocks()
 	}
-	l.messages["late"] = &message{Entry: &journal.Entry{ID: "late", Class: "status", Expires: clock.Now().Add(-time.Second)}}
-	l.messages["in time"] = &message{Entry: &journal.Entry{ID: "in time", Class: "status", Expires: clock.Now().Add(time.Minute)}}
-	l.messages["over"] = &message{Entry: &journal.Entry{ID: "over", Class: "status", Expires: clock.Now().Add(-time.Second)}, over: true}
+	l.messages["late"] = &message{Entry: &journal.Entry{ID: "late", Class: "status", ExpiresAt: clock.Now().Add(-time.Second)}}
+	l.messages["in time"] = &message{Entry: &journal.Entry{ID: "in time", Class: "status", ExpiresAt: clock.Now().Add(time.Minute)}}
+	l.messages["over"] = &message{Entry: &journal.Entry{ID: "over", Class: "status", ExpiresAt: clock.Now().Add(-time.Second)}, over: true}
 	l.checkOverdue()
 	l.checkOverdue()
 	l.figures.why.count("relay_undelivered", policy.ReasonBacklog)
--- a/internal/relay/endings_test.go
+++ b/internal/relay/endings_test.go
@@ -363,7 +363,7 @@
 
 // noticesOf gives the notices that the platform received from a relay that is gone, without those that the relay posted
 // again: it does so, and its log tells it, where the platform does not answer a post within postTime, as on a busy machine.
-func (p *platform) noticesOf(gone *child) []journal.Notice {
+func (p *platform) noticesOf(gone *child) []journal.Notification {
 	p.t.Helper()
 	notices, log := p.told(), fmt.Sprint(gone.Stderr)
 	distinct := slices.Compact(slices.Clone(notices))
@@ -394,7 +394,7 @@
 	if want := []string{"order", "payment", "payment", "status", "status"}; !slices.Equal(calls, want) {
 		t.Errorf("calls %v, want %v", calls, want)
 	}
-	if n := p.noticesOf(c); len(n) != 1 || n[0] != (journal.Notice{ID: "order", Status: undeliverable}) {
+	if n := p.noticesOf(c); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: undeliverable}) {
 		t.Errorf("notices %v", n)
 	}
 }
@@ -506,7 +506,7 @@
 	p.take("order", "m", "25")
 	pending := func() bool {
 		e := readEntries(t, p.dir)
-		return len(e) == 1 && e[0].Owed != nil
+		return len(e) == 1 && e[0].PendingNotification != nil
 	}
 	p.until("its notice is in the journal", pending)
 	p.terminate(t, old)
@@ -520,7 +520,7 @@
 	next := p.start()
 	p.until("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	p.kill(next)
-	if calls, notices := p.sent(), p.noticesOf(next); len(calls) != 1 || len(notices) != 1 || notices[0] != (journal.Notice{ID: "m", Status: undeliverable}) {
+	if calls, notices := p.sent(), p.noticesOf(next); len(calls) != 1 || len(notices) != 1 || notices[0] != (journal.Notification{ID: "m", Status: undeliverable}) {
 		t.Errorf("calls %v, notices %v", calls, notices)
 	}
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -41,7 +41,7 @@
 	// heard is a note of another relay.
 	heard struct{ note []byte }
 	// fleetSaid is what the other relays have found out together.
-	fleetSaid struct{ live.Said }
+	fleetSaid struct{ live.PeerAssessment }
 	// watchEnded says that the watch on discovery ended or could not be had.
 	watchEnded struct{}
 	// received says that the platform has notices.
@@ -71,13 +71,13 @@
 
 func (e listBatch) apply(l *loop) { l.acceptBatch(e) }
 
-func (e heard) apply(l *loop) { l.events = append(l.events, policy.Heard{Note: e.note}) }
+func (e heard) apply(l *loop) { l.events = append(l.events, policy.GossipReceived{Message: e.note}) }
 
-func (e fleetSaid) apply(l *loop) { l.events = append(l.events, said(e.Said)...) }
+func (e fleetSaid) apply(l *loop) { l.events = append(l.events, said(e.PeerAssessment)...) }
 
 func (e adminCall) apply(*loop) { e.reply <- e.answer() }
 
-func (watchEnded) apply(l *loop) { l.events = append(l.events, policy.ListFailed{}) }
+func (watchEnded) apply(l *loop) { l.events = append(l.events, policy.WatchFailed{}) }
 
 func (e received) apply(l *loop) {
 	for _, id := range e.ids {
@@ -94,7 +94,7 @@
 	l.successor = e.link
 }
 
-func (stopSending) apply(l *loop) { l.events = append(l.events, policy.Stopping{}) }
+func (stopSending) apply(l *loop) { l.events = append(l.events, policy.ShutdownStarted{}) }
 
 func (e question) apply(l *loop) { e.idle <- len(l.messages) == 0 }
 
--- a/internal/relay/folder.go
+++ b/internal/relay/folder.go
@@ -25,7 +25,7 @@
 func patiently(ctx context.Context, within time.Duration, what string, do func() error) error {
 	for by := clock.Now().Add(within); ; {
 		err := do()
-		if err == nil || !journal.Transient(err) || clock.Now() >= by {
+		if err == nil || !journal.IsTransient(err) || clock.Now() >= by {
 			return err
 		}
 		slog.Warn("folder fails", "at", what, "err", err)
@@ -39,14 +39,14 @@
 func loadJournal(ctx context.Context, cfg *Config, dir string) (kept *journal.Journal, found *journal.Report, err error) {
 	err = patiently(ctx, folderWithin, "the start", func() (err error) {
 		kept, found, err = journal.Open(dir, journal.Options{DiskMB: (1 - listShare) * cfg.Limits.DiskMB, Relay: cfg.Name,
-			Power: cfg.Durability == DurablePower, Files: cfg.Files, Boot: cfg.Boot})
+			SurvivesPowerLoss: cfg.Durability == DurablePower, Files: cfg.Files, Boot: cfg.Boot})
 		return err
 	})
 	return kept, found, err
 }
 
 // openStore reads the list of endpoints in the folder. A file that can't be read in time counts as damaged.
-func openStore(dir string, budget int64) (store *endpoints.Store, table *endpoints.Table, seq int64, found endpoints.Found, err error) {
+func openStore(dir string, budget int64) (store *endpoints.Store, table *endpoints.Table, seq int64, found endpoints.LoadReport, err error) {
 	dir = filepath.Join(dir, listFolder)
 	err = patiently(context.Background(), listWithin, "the list of endpoints", func() (err error) {
 		store, table, seq, found, err = endpoints.Open(dir, budget)
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -67,8 +67,8 @@
 func takeOver(ctx context.Context, dir string) (*journal.Ownership, *link, *offer, error) {
 	last := clock.Now().Add(folderWithin)
 	for by := clock.Now().Add(askTime); ; {
-		o, err := journal.Own(dir)
-		if o != nil || err != nil && (!journal.Transient(err) || clock.Now() > last) {
+		o, err := journal.AcquireOwnership(dir)
+		if o != nil || err != nil && (!journal.IsTransient(err) || clock.Now() > last) {
 			return o, nil, nil, err
 		}
 		var k *link
@@ -87,7 +87,7 @@
 		}
 		if clock.Now() > by {
 			slog.Warn("the process before does not hand over: it is ended", "err", err)
-			if err := journal.Depose(dir); err != nil {
+			if err := journal.TerminateOwner(dir); err != nil {
 				slog.Error("it can't be ended", "err", err)
 			}
 			o, err := ownBy(ctx, dir, clock.Now().Add(deposeTime))
@@ -102,8 +102,8 @@
 // ownBy waits for the right to the folder.
 func ownBy(ctx context.Context, dir string, by instant.Time) (*journal.Ownership, error) {
 	for {
-		o, err := journal.Own(dir)
-		if o != nil || err != nil && !journal.Transient(err) {
+		o, err := journal.AcquireOwnership(dir)
+		if o != nil || err != nil && !journal.IsTransient(err) {
 			return o, err
 		}
 		if clock.Now() > by {
@@ -211,20 +211,20 @@
 	}
 	k.clocks = clock.ReadPair()
 	off := &offer{Clients: l.gate.clients(), Clocks: &k.clocks}
-	for _, learned := range l.d.Learned() {
+	for _, learned := range l.d.ExportState() {
 		off.Learned = append(off.Learned, learned.Translate(k.toLink))
 	}
-	if l.journal.Broken() != nil {
+	if l.journal.WriteError() != nil {
 		off.Unwritten, off.Live = true, map[string]liveMessage{}
 		for _, e := range l.journal.Entries() {
-			off.Live[e.ID] = liveMessage{Attempts: len(e.Attempts), Owed: e.Owed}
+			off.Live[e.ID] = liveMessage{Attempts: len(e.Attempts), Owed: e.PendingNotification}
 		}
 	}
 	for _, m := range l.messages {
 		if m.cancel != nil {
 			a := m.Attempts[len(m.Attempts)-1]
 			off.Out = append(off.Out, attemptOut{ID: m.ID, Attempt: len(m.Attempts) - 1, Call: m.call, Class: m.Class, Dest: m.Dest,
-				Host: a.Host, Begun: k.wallOf(a.Begun)})
+				Host: a.Host, Begun: k.wallOf(a.StartedAt)})
 		}
 	}
 	err := k.step(line{Offer: off}, clock.Now().Add(offerTime))
@@ -270,13 +270,13 @@
 	case *arrival:
 		l.arrivals++
 		if l.orphaned {
-			e.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxStayAway}
+			e.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxRetryAfter}
 			return
 		}
 		l.asked[l.arrivals] = e
 		m := e.entry
 		l.heir.put(line{Arrival: &handedOver{No: l.arrivals, Body: m.Body,
-			Entry: &handedEntry{ID: m.ID, Class: m.Class, Dest: m.Dest, Key: m.Key, Expires: l.heir.wallOf(m.Expires)}}})
+			Entry: &handedEntry{ID: m.ID, Class: m.Class, Dest: m.Dest, Key: m.Key, Expires: l.heir.wallOf(m.ExpiresAt)}}})
 	case departure:
 		for no, a := range l.asked {
 			if a == e.arrival {
@@ -289,8 +289,8 @@
 		for _, a := range e {
 			if m := l.messages[a.id]; m != nil && m.cancel != nil && a.attempt == len(m.Attempts)-1 {
 				m.cancel = nil
-				if a.outcome == policy.Unsent { // a program of before may not know it
-					a.outcome = policy.Ignored
+				if a.outcome == policy.NotStarted { // a program of before may not know it
+					a.outcome = policy.NotSent
 				}
 				ends = append(ends, callEnd{ID: a.id, Attempt: a.attempt, Host: a.host, Took: a.took, Outcome: a.outcome,
 					Wait: a.wait, Over: a.over, Spent: a.spent, Report: a.report})
@@ -316,7 +316,7 @@
 		l.orphaned = true
 		for no, a := range l.asked {
 			delete(l.asked, no)
-			a.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxStayAway}
+			a.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxRetryAfter}
 		}
 		for _, m := range l.messages {
 			if m.cancel != nil {
@@ -399,9 +399,9 @@
 // handedOver is a message that was handed in at the process before. No class gives it more than its deadline, whatever
 // that process says.
 func (l *loop) handedOver(k *link, h *handedOver) *journal.Entry {
-	e := &journal.Entry{ID: h.Entry.ID, Class: h.Entry.Class, Dest: h.Entry.Dest, Key: h.Entry.Key, Expires: k.instantOf(h.Entry.Expires), Body: h.Body}
+	e := &journal.Entry{ID: h.Entry.ID, Class: h.Entry.Class, Dest: h.Entry.Dest, Key: h.Entry.Key, ExpiresAt: k.instantOf(h.Entry.Expires), Body: h.Body}
 	if class := l.class(e.Class); class >= 0 {
-		e.Expires = min(e.Expires, clock.Now().Add(l.cfg.policy.Classes[class].Deadline))
+		e.ExpiresAt = min(e.ExpiresAt, clock.Now().Add(l.cfg.policy.Classes[class].Deadline))
 	}
 	return e
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -146,7 +146,7 @@
 		t.Errorf("%s is sent again", id)
 	}
 	p.until("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notice{ID: "unsafe", Status: undeliverable}) {
+	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "unsafe", Status: undeliverable}) {
 		t.Errorf("notices %v", n)
 	}
 }
@@ -326,7 +326,7 @@
 // dieAt is a process that owns the folder and is killed at a step of its handover.
 func dieAt(step, dir string) {
 	die := func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL) }
-	o, err := journal.Own(dir)
+	o, err := journal.AcquireOwnership(dir)
 	if err != nil || o == nil {
 		fmt.Fprintln(os.Stderr, "own:", err)
 		os.Exit(1)
@@ -359,7 +359,7 @@
 			p.addHost("h1", 7)
 			p.inherits()
 			j := openJournal(t, p.dir, 3)
-			j.Take(&journal.Entry{ID: "m", Class: "status", Dest: 7, Expires: clock.Now().Add(time.Minute)})
+			j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 			commit(t, j)
 			c := exec.Command(os.Args[0])
 			c.Env = append(os.Environ(), childDies+"="+step, childState+"="+p.dir)
--- a/internal/relay/handoverlink.go
+++ b/internal/relay/handoverlink.go
@@ -31,9 +31,9 @@
 
 // offer is what a new process has to know beside the journal.
 type offer struct {
-	Out     []attemptOut     `json:"out"`
-	Learned []policy.Learned `json:"learned"`
-	Clients int              `json:"clients"`
+	Out     []attemptOut            `json:"out"`
+	Learned []policy.StateInherited `json:"learned"`
+	Clients int                     `json:"clients"`
 	// Unwritten says that the journal could not be written: it may name other messages beside Live, those that are not over,
 	// and lack their last attempts and ends.
 	Unwritten bool                   `json:"unwritten,omitempty"`
@@ -45,18 +45,18 @@
 
 // liveMessage is what a journal that could not be written may lack of a message.
 type liveMessage struct {
-	Attempts int             `json:"attempts,omitempty"`
-	Owed     *journal.Notice `json:"owed,omitempty"`
+	Attempts int                   `json:"attempts,omitempty"`
+	Owed     *journal.Notification `json:"owed,omitempty"`
 }
 
 // agree brings what the journal tells of a message in line with what the process before knows: attempts that it lacks may
 // have run.
 func (m liveMessage) agree(e *journal.Entry) {
 	for len(e.Attempts) < m.Attempts {
-		e.Attempts = append(e.Attempts, journal.Attempt{Begun: e.Taken, Doubt: true})
+		e.Attempts = append(e.Attempts, journal.Attempt{StartedAt: e.AcceptedAt, Uncertain: true})
 	}
 	if m.Owed != nil {
-		e.Owed = m.Owed
+		e.PendingNotification = m.Owed
 	}
 }
 
@@ -77,15 +77,15 @@
 func (o attemptOut) agree(e *journal.Entry, begun instant.Time) {
 	n := o.Attempt + 1
 	for i := len(e.Attempts) - 1; i >= 0 && len(e.Attempts) > n; i-- {
-		if e.Attempts[i].Doubt {
+		if e.Attempts[i].Uncertain {
 			e.Attempts = slices.Delete(e.Attempts, i, i+1)
 		}
 	}
 	for len(e.Attempts) < n {
-		e.Attempts = append(e.Attempts, journal.Attempt{Begun: e.Taken, Doubt: true})
+		e.Attempts = append(e.Attempts, journal.Attempt{StartedAt: e.AcceptedAt, Uncertain: true})
 	}
 	if len(e.Attempts) == n {
-		e.Attempts[o.Attempt] = journal.Attempt{Host: o.Host, Begun: begun}
+		e.Attempts[o.Attempt] = journal.Attempt{Host: o.Host, StartedAt: begun}
 	}
 }
 
@@ -114,15 +114,15 @@
 
 // callEnd is how a call of the old process ended for a message.
 type callEnd struct {
-	ID      string         `json:"id"`
-	Attempt int            `json:"attempt"`
-	Host    string         `json:"host"`
-	Took    time.Duration  `json:"took"`
-	Outcome policy.Outcome `json:"outcome"`
-	Wait    time.Duration  `json:"wait,omitempty"`
-	Over    bool           `json:"over,omitempty"`
-	Spent   bool           `json:"spent,omitempty"`
-	Report  *policy.Report `json:"report,omitempty"`
+	ID      string             `json:"id"`
+	Attempt int                `json:"attempt"`
+	Host    string             `json:"host"`
+	Took    time.Duration      `json:"took"`
+	Outcome policy.Outcome     `json:"outcome"`
+	Wait    time.Duration      `json:"wait,omitempty"`
+	Over    bool               `json:"over,omitempty"`
+	Spent   bool               `json:"spent,omitempty"`
+	Report  *policy.LoadReport `json:"report,omitempty"`
 }
 
 // link joins the old and the new process.
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -32,24 +32,24 @@
 		}
 		return
 	}
-	if !l.list.table.Known(a.entry.Dest) || !l.journal.Reserve(a.entry) {
+	if !l.list.table.Named(a.entry.Dest) || !l.journal.Reserve(a.entry) {
 		// Guards the module against destinations that no list has named, and the disk against overflow.
 		l.figures.end(l.class(a.entry.Class), rejected)
 		why := "no such destination"
-		if l.list.table.Known(a.entry.Dest) {
+		if l.list.table.Named(a.entry.Dest) {
 			why = "no room in the folder, or it can't be written"
 		}
 		l.figures.why.add("relay_refused_unseen", why, 1)
 		slog.Info("refused", "id", a.entry.ID, "dest", a.entry.Dest, "class", a.entry.Class, "why", why)
-		a.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxStayAway}
+		a.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxRetryAfter}
 		return
 	}
-	slog.Debug("arrived", "id", a.entry.ID, "dest", a.entry.Dest, "class", a.entry.Class, "left", clock.Until(a.entry.Expires))
+	slog.Debug("arrived", "id", a.entry.ID, "dest", a.entry.Dest, "class", a.entry.Class, "left", clock.Until(a.entry.ExpiresAt))
 	m := &message{Entry: a.entry, replies: []chan verdict{a.verdict}}
 	l.messages[m.ID] = m
 	l.fresh = append(l.fresh, m)
 	l.events = append(l.events, policy.Arrived{ID: m.ID, Class: l.class(m.Class), Destination: m.Dest,
-		Left: clock.Until(m.Expires), Size: bundled(m.Entry)})
+		TimeLeft: clock.Until(m.ExpiresAt), Size: bundled(m.Entry)})
 }
 
 // mayHaveRun tells whether an attempt of a message may have run that must not be made again elsewhere.
@@ -59,10 +59,10 @@
 		return false
 	}
 	class := l.cfg.policy.Classes[no]
-	if class.Effect == policy.Safe || class.Effect == policy.Keyed && !class.ByZone {
+	if class.Effect == policy.Idempotent || class.Effect == policy.IdempotentWithKey && !class.KeysPerZone {
 		return false
 	}
-	return slices.ContainsFunc(m.Attempts, func(a journal.Attempt) bool { return !a.Ended || !a.Unrun })
+	return slices.ContainsFunc(m.Attempts, func(a journal.Attempt) bool { return !a.Ended || !a.NotExecuted })
 }
 
 // departed withdraws a message whose client left without an answer. Others may have handed in the same id, by
@@ -87,7 +87,7 @@
 func (l *loop) admitted() {
 	for _, m := range l.fresh {
 		if !m.over {
-			l.journal.Take(m.Entry)
+			l.journal.Accept(m.Entry)
 		}
 	}
 }
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -48,15 +48,15 @@
 		Kind:        slices.Index(list.settings.Shapes, e.Class),
 		Zone:        slices.Index(list.settings.Localities, e.Site),
 		Weight:      e.Share,
-		Born:        max(0, list.clocks.InstantOf(born)),
+		StartedAt:   max(0, list.clocks.InstantOf(born)),
 		Draining:    e.Health == endpoints.Draining,
-		Gone:        e.Health == endpoints.Deleted,
+		Removed:     e.Health == endpoints.Deleted,
 	}
 }
 
 // Endpoints gives the endpoints of a destination, in the order in which they were first listed; for policy.Directory.
 func (list *endpointList) Endpoints(destination int) (all []policy.Endpoint) {
-	for e := range list.table.Of(destination) {
+	for e := range list.table.ByDestination(destination) {
 		all = append(all, list.endpoint(e))
 	}
 	return all
@@ -81,7 +81,7 @@
 	switch {
 	case !b.End:
 		close(b.applied)
-	case b.Whole && l.list.replacing:
+	case b.Complete && l.list.replacing:
 		l.list.removing = &b // the watch waits until the whole list is in force
 	default:
 		l.list.abortReplacement()
@@ -105,7 +105,7 @@
 func (list *endpointList) begin(b endpoints.Batch) {
 	list.abortReplacement() // of an object that was cut off
 	list.changes = 0
-	if b.Whole || !b.WholeKnown {
+	if b.Complete || !b.CompleteKnown {
 		list.table.BeginReplacement()
 		list.replacing = true
 	}
@@ -150,7 +150,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		l.events = append(l.events, policy.Listed{Endpoints: changed})
+		l.events = append(l.events, policy.EndpointsUpdated{Endpoints: changed})
 		l.events = append(l.events, recalled...)
 	}
 }
@@ -158,7 +158,7 @@
 // gone forgets an entry that was removed, and gives it as the module is told of it.
 func (l *loop) gone(e endpoints.Entry) policy.Endpoint {
 	l.pool.closeIdle(e.Dial)
-	l.journal.Forget(e.Host)
+	l.journal.DropHealth(e.Host)
 	e.Health = endpoints.Deleted
 	return l.list.endpoint(e)
 }
@@ -170,13 +170,13 @@
 	if !ok {
 		return events
 	}
-	return append(events, policy.Recalled{Endpoint: host, Sick: health.Sick, At: health.At})
+	return append(events, policy.StateRestored{Endpoint: host, Ejected: health.Ejected, At: health.ChangedAt})
 }
 
 // logChange logs a change of an entry, as long as the object does not bring many.
 func (l *loop) logChange(b endpoints.Batch, e endpoints.Entry) {
 	l.list.changes++
-	if l.list.changes <= loggedChanges && !b.Whole {
+	if l.list.changes <= loggedChanges && !b.Complete {
 		slog.Info("endpoint changed", "host", e.Host, "dest", e.Block, "health", e.Health, "dial", e.Dial)
 	}
 }
@@ -197,7 +197,7 @@
 	l.list.persist(nil, hosts)
 	l.list.changes += len(removed)
 	if len(gone) > 0 {
-		l.events = append(l.events, policy.Listed{Endpoints: gone})
+		l.events = append(l.events, policy.EndpointsUpdated{Endpoints: gone})
 	}
 	if !done {
 		return
@@ -216,7 +216,7 @@
 func (l *loop) forgetUnlisted() {
 	for host := range l.journal.Health() {
 		if _, listed := l.list.table.Get(host); !listed {
-			l.journal.Forget(host)
+			l.journal.DropHealth(host)
 		}
 	}
 }
@@ -224,8 +224,8 @@
 // completeList notes that all of an object is in force, and has the watch go on.
 func (l *loop) completeList(last listBatch) {
 	l.list.commit(last.Seq)
-	if l.list.changes > loggedChanges || last.Whole {
-		slog.Info("list changed", "seq", last.Seq, "whole", last.Whole, "changes", l.list.changes, "endpoints", l.list.table.Len())
+	if l.list.changes > loggedChanges || last.Complete {
+		slog.Info("list changed", "seq", last.Seq, "whole", last.Complete, "changes", l.list.changes, "endpoints", l.list.table.Len())
 	}
 	close(last.applied)
 }
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -22,8 +22,8 @@
 	t.Helper()
 	cfg := &Config{Limits: Limits{DiskMB: diskMB}, Settings: settings.Settings{Shapes: []string{"m2"}, Localities: []string{"a"}}}
 	list := &endpointList{settings: &cfg.Settings}
-	cfg.policy = policy.Settings{Instances: 1, Slots: 1, HoldRoom: 9, MaxAttempts: 1, Directory: list,
-		Classes: []policy.Class{{Name: "status", Aim: time.Second, Deadline: time.Minute, Worth: 1}}}
+	cfg.policy = policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, Directory: list,
+		Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}
 	d, err := policy.New(cfg.policy, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -148,13 +148,13 @@
 	l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
 	stays, goes := hosts[17].Host, hosts[manyHosts-1].Host
 	for _, host := range []string{stays, goes, "never listed"} {
-		l.journal.Remember(host, journal.Health{Sick: true, At: clock.Now()})
+		l.journal.RecordHealth(host, journal.HealthRecord{Ejected: true, ChangedAt: clock.Now()})
 	}
 	l.object(t, Members{Seq: 51, Whole: true, Hosts: hosts[:manyHosts-1]})
 	if l.list.table.Len() != manyHosts-1 {
 		t.Errorf("%d hosts are listed", l.list.table.Len())
 	}
-	if health := l.journal.Health(); len(health) != 1 || !health[stays].Sick {
+	if health := l.journal.Health(); len(health) != 1 || !health[stays].Ejected {
 		t.Errorf("remembered: %v", health)
 	}
 }
@@ -200,7 +200,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before.List(journal.List{Text: []byte(wholeList(t, 45, []Member{drains, fresh})), Hosts: 2})
+	before.RecordLegacyList(journal.LegacyEndpointList{Text: []byte(wholeList(t, 45, []Member{drains, fresh})), Endpoints: 2})
 	if err := before.Commit(); err != nil {
 		t.Fatal(err)
 	}
@@ -228,7 +228,7 @@
 	if two := receive(t, indexes); two != "46" {
 		t.Errorf("index %s", two)
 	}
-	if got := readJournal(t, p.dir).Listed(); got.Text != nil {
+	if got := readJournal(t, p.dir).LegacyList(); got.Text != nil {
 		t.Errorf("the journal still has a list: %s", got.Text)
 	}
 }
--- a/internal/relay/list_flow_test.go
+++ b/internal/relay/list_flow_test.go
@@ -76,10 +76,10 @@
 	l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
 	whole := listBatch{applied: make(chan struct{})}
 	whole.Entries, whole.First, whole.End = hosts[:1], true, true
-	whole.Seq, whole.Whole, whole.WholeKnown = 51, true, true
+	whole.Seq, whole.Complete, whole.CompleteKnown = 51, true, true
 	next := listBatch{applied: make(chan struct{})}
 	next.Entries, next.First, next.End = hosts[manyHosts-1:], true, true
-	next.Seq, next.WholeKnown = 52, true
+	next.Seq, next.CompleteKnown = 52, true
 	l.accept(whole)
 	l.accept(next)
 	for steps := 1; l.list.removing != nil; steps++ {
@@ -126,31 +126,31 @@
 		l.updateList(b.Batch)
 		for _, e := range l.events {
 			text += fmt.Sprintf("%T ", e)
-			if listed, ok := e.(policy.Listed); ok {
+			if listed, ok := e.(policy.EndpointsUpdated); ok {
 				for _, ep := range listed.Endpoints {
-					text += fmt.Sprint(ep.Destination, ep.Gone, " ")
+					text += fmt.Sprint(ep.Destination, ep.Removed, " ")
 				}
 			}
 		}
 		return text
 	}
-	if got := events(); got != "policy.Listed 1000 false " {
+	if got := events(); got != "policy.EndpointsUpdated 1000 false " {
 		t.Errorf("new: %s", got)
 	}
 	if got := events(); got != "" {
 		t.Errorf("repeated: %s", got)
 	}
 	b.Entries[0].Block = 2000
-	if got := events(); got != "policy.Listed 1000 true 2000 false " {
+	if got := events(); got != "policy.EndpointsUpdated 1000 true 2000 false " {
 		t.Errorf("moved: %s", got)
 	}
 	b.Entries[0].Health = endpoints.Deleted
-	if got := events(); got != "policy.Listed 2000 true " {
+	if got := events(); got != "policy.EndpointsUpdated 2000 true " {
 		t.Errorf("deleted: %s", got)
 	}
-	l.journal.Remember(host.Host, journal.Health{Sick: true, At: clock.Now()})
+	l.journal.RecordHealth(host.Host, journal.HealthRecord{Ejected: true, ChangedAt: clock.Now()})
 	b.Entries[0].Health = "SERVING"
-	if got := events(); got != "policy.Listed 2000 false policy.Recalled " {
+	if got := events(); got != "policy.EndpointsUpdated 2000 false policy.StateRestored " {
 		t.Errorf("back: %s", got)
 	}
 }
