--- a/internal/relay/liststart.go
+++ b/internal/relay/liststart.go
@@ -32,7 +32,7 @@
 		slog.Warn("list of endpoints: damaged", "err", damage)
 	}
 	l.list.table, l.list.store, l.list.seq = table, store, seq
-	source := newestList(seq, journalList(l.journal.Listed()), listSource{"configuration", l.cfg.known.seq, l.cfg.known.read})
+	source := newestList(seq, journalList(l.journal.LegacyList()), listSource{"configuration", l.cfg.known.seq, l.cfg.known.read})
 	if source.read != nil {
 		if err := source.read(l.list.replace); err != nil {
 			slog.Error("list of endpoints: all of it is asked for", "source", source.name, "err", err)
@@ -40,7 +40,7 @@
 			l.list.seq = 0
 		}
 	}
-	l.journal.DropList()
+	l.journal.DropLegacyList()
 	debug.FreeOSMemory() // what reading a long list needed once is not needed again
 	slog.Info("list of endpoints", "source", source.name, "seq", l.list.seq, "endpoints", table.Len())
 }
@@ -59,7 +59,7 @@
 }
 
 // journalList is the list that the version before kept in its journal, if it did.
-func journalList(kept journal.List) listSource {
+func journalList(kept journal.LegacyEndpointList) listSource {
 	var head struct{ Seq int64 }
 	if kept.Text == nil || json.Unmarshal(kept.Text, &head) != nil {
 		return listSource{}
@@ -100,7 +100,7 @@
 			all = append(all, l.list.endpoint(e))
 		}
 	}
-	l.events = append(l.events, policy.Listed{Endpoints: all})
+	l.events = append(l.events, policy.EndpointsUpdated{Endpoints: all})
 	for host := range l.journal.Health() {
 		if _, listed := l.list.table.Get(host); listed {
 			l.events = l.recall(l.events, host)
--- a/internal/relay/liststore.go
+++ b/internal/relay/liststore.go
@@ -41,7 +41,7 @@
 	if list.store == nil {
 		return
 	}
-	list.storing = list.store.Step(list.table)
+	list.storing = list.store.CompactStep(list.table)
 	list.dropDisabled()
 }
 
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -101,7 +101,7 @@
 			}
 		}
 		// What comes within a tick of the last batch is one batch.
-		tick := time.NewTimer(clock.Until(l.stepped.Add(l.cfg.policy.Tick)))
+		tick := time.NewTimer(clock.Until(l.stepped.Add(l.cfg.policy.BatchInterval)))
 		for more := true; more; {
 			select {
 			case e := <-l.inbox:
@@ -160,7 +160,7 @@
 	l.stepped = now
 	if l.wakeAt <= now {
 		l.wakeAt = now.Add(time.Hour)
-		l.events = append(l.events, policy.Woken{})
+		l.events = append(l.events, policy.TimerFired{})
 	}
 	l.removeUnlisted()
 	events := l.events
@@ -168,8 +168,8 @@
 	actions := l.d.Handle(now, events)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case policy.Refuse:
-			l.refuse(l.messages[a.ID], verdict{http.StatusTooManyRequests, a.StayAway}, deferred, a.Reason)
+		case policy.Reject:
+			l.refuse(l.messages[a.ID], verdict{http.StatusTooManyRequests, a.RetryAfter}, deferred, a.Reason)
 		case policy.Fail:
 			l.refuse(l.messages[a.ID], verdict{status: http.StatusBadGateway}, undeliverable, a.Reason)
 		}
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -43,7 +43,7 @@
 
 	mu   sync.Mutex
 	url  string
-	owed []journal.Notice
+	owed []journal.Notification
 }
 
 // newNotifier posts to discovery's address, and reports what arrived there to received.
@@ -62,7 +62,7 @@
 }
 
 // owe wants a notice posted; it never blocks, since run may be waiting for the caller.
-func (n *notifier) owe(notice journal.Notice) {
+func (n *notifier) owe(notice journal.Notification) {
 	n.mu.Lock()
 	n.owed = append(n.owed, notice)
 	n.mu.Unlock()
@@ -116,7 +116,7 @@
 }
 
 // alone posts one notice by itself until the platform has it.
-func (n *notifier) alone(ctx context.Context, notice journal.Notice) {
+func (n *notifier) alone(ctx context.Context, notice journal.Notification) {
 	for wait := postAgain; ; wait = min(2*wait, postAgainMost) {
 		select {
 		case <-ctx.Done():
@@ -137,7 +137,7 @@
 }
 
 // noticeLine is a notice as it goes in a body.
-func noticeLine(notice journal.Notice) []byte {
+func noticeLine(notice journal.Notification) []byte {
 	text, err := json.Marshal(notice)
 	if err != nil {
 		panic(err) // two strings and a number always have a form
@@ -145,7 +145,7 @@
 	return append(text, '\n')
 }
 
-func ids(notices []journal.Notice) (all []string) {
+func ids(notices []journal.Notification) (all []string) {
 	for _, notice := range notices {
 		all = append(all, notice.ID)
 	}
@@ -153,7 +153,7 @@
 }
 
 // next takes the oldest notices owed from the queue, as many as a body may hold, and gives them with their text.
-func (n *notifier) next() (batch []journal.Notice, body []byte) {
+func (n *notifier) next() (batch []journal.Notification, body []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for len(n.owed) > 0 {
--- a/internal/relay/notices_capacity_bench_test.go
+++ b/internal/relay/notices_capacity_bench_test.go
@@ -29,7 +29,7 @@
 			go n.run(b.Context())
 			for b.Loop() {
 				for i := range notices {
-					n.owe(journal.Notice{ID: fmt.Sprintf("%016x", i), Status: deferred, AgainMS: 500})
+					n.owe(journal.Notification{ID: fmt.Sprintf("%016x", i), Status: deferred, RetryAfterMS: 500})
 				}
 				for left := notices; left > 0; {
 					left -= <-arrived
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -19,7 +19,7 @@
 	n := newNotifier("127.0.0.1:0", nil)
 	const owed = 1000
 	for i := range owed {
-		n.owe(journal.Notice{ID: fmt.Sprintf("%04d%s", i, strings.Repeat("\x01", 100)), Status: deferred, AgainMS: 5})
+		n.owe(journal.Notification{ID: fmt.Sprintf("%04d%s", i, strings.Repeat("\x01", 100)), Status: deferred, RetryAfterMS: 5})
 	}
 	batch, body := n.next()
 	if len(batch) == 0 || len(batch) == owed || len(body) > maxBody {
@@ -30,8 +30,8 @@
 		t.Fatalf("%d lines for %d notices", len(lines), len(batch))
 	}
 	for i, line := range lines {
-		var notice journal.Notice
-		if err := json.Unmarshal([]byte(line), &notice); err != nil || notice != batch[i] || notice.AgainMS != 5 {
+		var notice journal.Notification
+		if err := json.Unmarshal([]byte(line), &notice); err != nil || notice != batch[i] || notice.RetryAfterMS != 5 {
 			t.Fatalf("line %d: %s (%v)", i, line, err)
 		}
 	}
@@ -57,7 +57,7 @@
 		})
 		go n.run(t.Context())
 		owed := time.Now()
-		n.owe(journal.Notice{ID: "m", Status: deferred})
+		n.owe(journal.Notification{ID: "m", Status: deferred})
 		if ids := <-got; len(ids) != 1 || ids[0] != "m" {
 			t.Errorf("received %v", ids)
 		}
@@ -100,10 +100,10 @@
 			for i := range 40 {
 				for _, id := range []string{fmt.Sprint(i, "a"), fmt.Sprint(i, "b")} {
 					due[id] = time.Now()
-					n.owe(journal.Notice{ID: id, Status: deferred})
+					n.owe(journal.Notification{ID: id, Status: deferred})
 				}
 				if i == 3 {
-					n.owe(journal.Notice{ID: "odd", Status: undeliverable})
+					n.owe(journal.Notification{ID: "odd", Status: undeliverable})
 				}
 				time.Sleep(30 * time.Millisecond)
 			}
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -31,7 +31,7 @@
 // newPeers gives the carrier of notes, or nil where the configuration has no use for one or its addresses can't be
 // read.
 func newPeers(cfg *Config, heard func(from int, note []byte)) *peers {
-	if !cfg.policy.Peers || cfg.PeerListen == "" || cfg.PeersAll == "" {
+	if !cfg.policy.Gossip || cfg.PeerListen == "" || cfg.PeersAll == "" {
 		return nil
 	}
 	p := &peers{listen: cfg.PeerListen, known: map[netip.AddrPort]int{}, at: make([]netip.AddrPort, len(cfg.Peers)), heard: heard}
--- a/internal/relay/peers_test.go
+++ b/internal/relay/peers_test.go
@@ -12,7 +12,7 @@
 func peersConfig(no int, all string, addrs ...string) *Config {
 	c := &Config{PeerListen: addrs[no], Peers: addrs, PeersAll: all}
 	c.Settings.Ordinal = no
-	c.policy.Peers = true
+	c.policy.Gossip = true
 	return c
 }
 
@@ -71,7 +71,7 @@
 // A configuration that has no use for notes, or whose addresses can't be read, gives a relay without them.
 func TestNoPeers(t *testing.T) {
 	for name, change := range map[string]func(*Config){
-		"not allowed":   func(c *Config) { c.policy.Peers = false },
+		"not allowed":   func(c *Config) { c.policy.Gossip = false },
 		"no address":    func(c *Config) { c.PeerListen = "" },
 		"no one to ask": func(c *Config) { c.PeersAll = "" },
 		"unreadable":    func(c *Config) { c.PeersAll = "everyone" },
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -108,7 +108,7 @@
 		}
 		object.Hosts = append(object.Hosts, b.Entries...)
 		if b.End {
-			object.Seq, object.Whole = b.Seq, b.Whole
+			object.Seq, object.Whole = b.Seq, b.Complete
 			told(object)
 		}
 		close(b.applied)
@@ -151,7 +151,7 @@
 	answer  func(*http.Request) int // a host's status; 0 for no answer while the call lasts
 	calls   []string                // ids that hosts were sent
 	began   chan string             // the same, as they come
-	notices []journal.Notice
+	notices []journal.Notification
 	deaf    int // so many posts of notices fail
 
 	lines    chan string // further lines of the watch
@@ -233,7 +233,7 @@
 			return
 		}
 		for lines := bufio.NewScanner(r.Body); lines.Scan(); {
-			var n journal.Notice
+			var n journal.Notification
 			if err := json.Unmarshal(lines.Bytes(), &n); err != nil {
 				w.WriteHeader(http.StatusBadRequest)
 				return
@@ -373,10 +373,10 @@
 	return append([]string(nil), p.calls...)
 }
 
-func (p *platform) told() []journal.Notice {
+func (p *platform) told() []journal.Notification {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]journal.Notice(nil), p.notices...)
+	return append([]journal.Notification(nil), p.notices...)
 }
 
 // handIn hands a message in and returns the answer.
--- a/internal/relay/proving.go
+++ b/internal/relay/proving.go
@@ -28,9 +28,9 @@
 // servers says how new endpoints fare.
 func (l *loop) servers() string {
 	s, now := ServersStatus{Self: l.cfg.Settings.Ordinal, Servers: []ServerReport{}}, clock.Now()
-	for _, n := range l.d.Newcomers() {
+	for _, n := range l.d.Canaries() {
 		s.Servers = append(s.Servers, ServerReport{Endpoint: n.Endpoint, Destination: n.Destination, Stage: n.Stage, Share: n.Share,
-			Proving: n.Proving, ForS: max(0, now.Sub(n.Since)).Seconds(), HeldS: max(0, n.Held.Sub(now)).Seconds(), Holds: n.Holds, Doubt: n.Doubt})
+			Proving: n.HasBaseline, ForS: max(0, now.Sub(n.StageStartedAt)).Seconds(), HeldS: max(0, n.SuspendedUntil.Sub(now)).Seconds(), Holds: n.Suspensions, Doubt: n.RegressionScore})
 	}
 	text, err := json.Marshal(s)
 	if err != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -71,7 +71,7 @@
 	}
 	defer kept.Close()
 	if found.Records > 0 {
-		slog.Info("journal read", "file", found.File, "records", found.Records, "live", len(kept.Entries()), "torn", found.Torn, "by wall clock", found.ByWall)
+		slog.Info("journal read", "file", found.File, "records", found.Records, "live", len(kept.Entries()), "torn", found.Torn, "by wall clock", found.UsedWallClock)
 	}
 
 	live, stop := context.WithCancel(context.Background())
@@ -81,7 +81,7 @@
 	s := cfg.Settings
 	l := &loop{cfg: cfg, d: d, journal: kept, figures: figures, inbox: make(chan event, inboxSize), calls: live,
 		messages: map[string]*message{}, list: list,
-		pool: newPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.policy.ConnIdle,
+		pool: newPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.policy.IdleConnTimeout,
 			max(1, int(hostShare*float64(cfg.Limits.Sockets))), &figures.written),
 		gate: gate, owner: owner, ceded: make(chan bool), retired: retired}
 	l.watch = newWatcher(cfg.Discovery, fleetSpread(&cfg.Settings), func(b listBatch) { l.put(b) }, func() { l.put(watchEnded{}) })
@@ -89,8 +89,8 @@
 	l.watch.prompt = before != nil // the process before had a watch until now, and no other relay starts for that
 	l.notices = newNotifier(cfg.Discovery, func(ids []string) { l.put(received{ids}) })
 	l.peers = newPeers(cfg, func(from int, note []byte) {
-		if l.shared.Takes(note) {
-			l.shared.Heard(from, note)
+		if l.shared.Accepts(note) {
+			l.shared.Receive(from, note)
 			return
 		}
 		select {
@@ -100,7 +100,7 @@
 	})
 	if cfg.Fleet && l.peers != nil {
 		l.shared = l.share(dir)
-		operators.offer("fleet", alone(l.shared.Text))
+		operators.offer("fleet", alone(l.shared.JSON))
 	}
 	srv := newServer(cfg, &figures.why, func(a *arrival) { l.put(a) }, func(a *arrival) { l.put(departure{a}) })
 	heir(deciding, dir, &figures.why, func(k *link) { l.put(takeover{k}) })
@@ -162,8 +162,8 @@
 
 // FormatVersions returns the formats that this version reads and writes.
 func FormatVersions() compat.FormatVersions {
-	return compat.FormatVersions{Journal: compat.Format{Writes: journal.Format, Reads: journal.Reads},
-		Gossip: compat.Format{Writes: fleet.Version, Reads: []int{fleet.Version}}}
+	return compat.FormatVersions{Journal: compat.Format{Writes: journal.Format, Reads: journal.ReadableFormats},
+		Gossip: compat.Format{Writes: fleet.FormatVersion, Reads: []int{fleet.FormatVersion}}}
 }
 
 // version is what this program was built from, in short.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -69,7 +69,7 @@
 	return readJournal(t, dir).Entries()
 }
 
-func readHealth(t *testing.T, dir string) map[string]journal.Health {
+func readHealth(t *testing.T, dir string) map[string]journal.HealthRecord {
 	t.Helper()
 	return readJournal(t, dir).Health()
 }
@@ -160,7 +160,7 @@
 	p.start()
 	p.take("order", "m", "0.4")
 	p.until("the notice is received", func() bool { return len(p.told()) > 0 })
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notice{ID: "m", Status: undeliverable}) {
+	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "m", Status: undeliverable}) {
 		t.Errorf("notices: %v", n)
 	}
 	if p.deaf != 0 {
@@ -296,7 +296,7 @@
 	p.take("order", "kept", "25")
 	p.until("an attempt is noted", func() bool {
 		e := readEntries(t, p.dir)
-		return len(e) > 0 && len(e[0].Attempts) > 0 && e[0].Attempts[0].Unrun
+		return len(e) > 0 && len(e[0].Attempts) > 0 && e[0].Attempts[0].NotExecuted
 	})
 	p.kill(c)
 	time.Sleep(600 * time.Millisecond)
@@ -362,7 +362,7 @@
 	p.take("order", "m", "0.3")
 	p.until("the notice is owed", func() bool {
 		e := readEntries(t, p.dir)
-		return len(e) == 1 && e[0].Owed != nil
+		return len(e) == 1 && e[0].PendingNotification != nil
 	})
 	p.kill(c)
 	p.set(func() { p.deaf = 0 })
@@ -401,7 +401,7 @@
 		p.hosts[0].Dial = closedAddress(t)
 		c := p.start()
 		p.take("status", "a", "25")
-		p.until("the outage is noted", func() bool { return readHealth(t, p.dir)["h1"].Sick })
+		p.until("the outage is noted", func() bool { return readHealth(t, p.dir)["h1"].Ejected })
 		p.kill(c)
 		p.set(func() { p.hosts[0] = up })
 		if !known {
@@ -426,13 +426,13 @@
 func TestClassGone(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
-	j.Take(&journal.Entry{ID: "m", Class: "parcel", Dest: 7, Expires: clock.Now().Add(time.Minute)})
+	j.Accept(&journal.Entry{ID: "m", Class: "parcel", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 	commit(t, j)
 	p := newPlatform(t)
 	p.dir = dir
 	p.start()
 	p.until("its notice is received", func() bool { return len(p.told()) == 1 })
-	if n := p.told()[0]; n != (journal.Notice{ID: "m", Status: undeliverable}) {
+	if n := p.told()[0]; n != (journal.Notification{ID: "m", Status: undeliverable}) {
 		t.Errorf("notice %v", n)
 	}
 }
@@ -442,7 +442,7 @@
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	j := openJournal(t, p.dir, 3)
-	j.Take(&journal.Entry{ID: "m", Class: "status", Dest: 7, Expires: clock.Now().Add(time.Minute)})
+	j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 	commit(t, j)
 	taken, err := net.Listen("tcp", p.addr)
 	if err != nil {
@@ -473,7 +473,7 @@
 	t.Helper()
 	j := openJournal(t, p.dir, 3)
 	for _, id := range ids {
-		j.Take(&journal.Entry{ID: id, Class: "status", Dest: 7, Expires: clock.Now().Add(time.Minute), Body: []byte(id)})
+		j.Accept(&journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute), Body: []byte(id)})
 	}
 	commit(t, j)
 }
@@ -518,7 +518,7 @@
 		class string
 		left  time.Duration
 	}{"short": {"status", time.Second}, "other": {"status", time.Minute}, "once": {"order", time.Minute}} {
-		j.Take(&journal.Entry{ID: id, Class: e.class, Dest: 7, Expires: clock.Now().Add(e.left)})
+		j.Accept(&journal.Entry{ID: id, Class: e.class, Dest: 7, ExpiresAt: clock.Now().Add(e.left)})
 	}
 	commit(t, j)
 	p.start()
@@ -587,8 +587,8 @@
 // A peer that hands in the id of a message that was taken on, and leaves, takes nothing back; two that hand in the
 // same id at once get the same answer.
 func TestCopiesOfAMessage(t *testing.T) {
-	d, err := policy.New(policy.Settings{Instances: 1, Slots: 1, HoldRoom: 9, MaxAttempts: 1,
-		Classes: []policy.Class{{Name: "status", Aim: time.Second, Deadline: time.Minute, Worth: 1}}}, 1)
+	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
+		Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -597,7 +597,7 @@
 	l.cfg.policy.Classes = []policy.Class{{Name: "status"}}
 	copyOf := func(id string) *arrival {
 		return &arrival{verdict: make(chan verdict, 1),
-			entry: &journal.Entry{ID: id, Class: "status", Dest: 7, Expires: clock.Now().Add(time.Minute)}}
+			entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)}}
 	}
 	status := func(a *arrival) int {
 		select {
@@ -638,14 +638,14 @@
 		effect policy.Effect
 		byZone bool
 		want   int
-	}{{policy.Safe, false, 503}, {policy.Keyed, false, 503}, {policy.Keyed, true, 502}, {policy.Unsafe, false, 502}} {
-		l.cfg.policy.Classes[0].Effect, l.cfg.policy.Classes[0].ByZone = c.effect, c.byZone
+	}{{policy.Idempotent, false, 503}, {policy.IdempotentWithKey, false, 503}, {policy.IdempotentWithKey, true, 502}, {policy.NotIdempotent, false, 502}} {
+		l.cfg.policy.Classes[0].Effect, l.cfg.policy.Classes[0].KeysPerZone = c.effect, c.byZone
 		id := fmt.Sprint("out", i)
 		gone, again := copyOf(id), copyOf(id)
 		l.accept(gone)
 		l.step()
 		m := l.messages[id]
-		l.journal.Begin(m.Entry, "h1", clock.Now())
+		l.journal.StartAttempt(m.Entry, "h1", clock.Now())
 		m.cancel = func() {}
 		l.accept(departure{gone})
 		l.accept(again)
@@ -657,7 +657,7 @@
 
 // A send that could not be made is reported to the module at once, and leaves the module's timer as it was.
 func TestTimerAfterUnsentCall(t *testing.T) {
-	d, err := policy.New(policy.Settings{Instances: 1, Slots: 1, HoldRoom: 9, MaxAttempts: 1,
+	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
 		Classes: []policy.Class{{Name: "status", Deadline: time.Minute}}}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -667,7 +667,7 @@
 	l.wakeAt = timer
 	m := &message{Entry: &journal.Entry{ID: "m"}}
 	l.messages["m"] = m
-	l.unsent(send{m: m}, policy.Unsent)
+	l.unsent(send{m: m}, policy.NotStarted)
 	if due := l.due(); due != 0 {
 		t.Errorf("the module hears of it in %v", due)
 	}
@@ -682,8 +682,8 @@
 func TestTimerAskedForShortOfAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tick = 5 * time.Millisecond
-		d, err := policy.New(policy.Settings{Instances: 1, Slots: 1, HoldRoom: 9, MaxAttempts: 1, Tick: tick,
-			Classes: []policy.Class{{Name: "status", Aim: time.Second, Deadline: time.Minute, Worth: 1}}}, 1)
+		d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, BatchInterval: tick,
+			Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -692,7 +692,7 @@
 		l.cfg.policy.Classes = []policy.Class{{Name: "status"}}
 		start := time.Now()
 		hand := func(id string, left time.Duration) *arrival {
-			a := &arrival{verdict: make(chan verdict, 1), entry: &journal.Entry{ID: id, Class: "status", Dest: 7, Expires: clock.Now().Add(left)}}
+			a := &arrival{verdict: make(chan verdict, 1), entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(left)}}
 			l.accept(a)
 			return a
 		}
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -30,7 +30,7 @@
 		if off != nil && off.Unwritten {
 			live, ok := off.Live[e.ID]
 			if !ok { // its end could not be written
-				l.journal.Over(e)
+				l.journal.Complete(e)
 				continue
 			}
 			live.agree(e)
@@ -41,10 +41,10 @@
 		if o, ok := out[e.ID]; ok {
 			o.agree(e, k.instantOf(o.Begun))
 		}
-		if e.Owed != nil {
+		if e.PendingNotification != nil {
 			m.over = true
 			l.settle(m)
-			l.notices.owe(*e.Owed)
+			l.notices.owe(*e.PendingNotification)
 			continue // a call of it that is still out follows below
 		}
 		class := l.class(e.Class)
@@ -54,10 +54,10 @@
 		}
 		// Whatever the folder says, no message has more time than its class.
 		a := policy.Arrived{ID: e.ID, Class: class, Destination: e.Dest, Resumed: true,
-			Left: min(clock.Until(e.Expires), l.cfg.policy.Classes[class].Deadline), Size: bundled(e)}
+			TimeLeft: min(clock.Until(e.ExpiresAt), l.cfg.policy.Classes[class].Deadline), Size: bundled(e)}
 		for _, t := range e.Attempts {
 			// An attempt that was out when the process ended may have run.
-			a.Tried = append(a.Tried, policy.Tried{Endpoint: t.Host, Sent: min(t.Begun, clock.Now()), Unrun: t.Ended && t.Unrun})
+			a.PriorAttempts = append(a.PriorAttempts, policy.PriorAttempt{Endpoint: t.Host, SentAt: min(t.StartedAt, clock.Now()), NotExecuted: t.Ended && t.NotExecuted})
 		}
 		if o, ok := out[e.ID]; ok && o.Attempt == len(e.Attempts)-1 {
 			delete(out, e.ID)
@@ -71,8 +71,8 @@
 			m = &message{Entry: &journal.Entry{ID: o.ID, Class: o.Class, Dest: o.Dest, Attempts: make([]journal.Attempt, o.Attempt+1)}, over: true}
 			l.messages[o.ID] = m
 		}
-		a := policy.Arrived{ID: o.ID, Class: l.class(o.Class), Destination: o.Dest, Resumed: true, Over: true,
-			Tried: slices.Repeat([]policy.Tried{{Endpoint: o.Host, Sent: k.instantOf(o.Begun)}}, o.Attempt+1)}
+		a := policy.Arrived{ID: o.ID, Class: l.class(o.Class), Destination: o.Dest, Resumed: true, Completed: true,
+			PriorAttempts: slices.Repeat([]policy.PriorAttempt{{Endpoint: o.Host, SentAt: k.instantOf(o.Begun)}}, o.Attempt+1)}
 		l.rejoin(k, m, o, &a)
 		l.events = append(l.events, a)
 	}
@@ -81,8 +81,8 @@
 
 // rejoin marks the last attempt of a message as still out in the process before.
 func (l *loop) rejoin(k *link, m *message, o attemptOut, a *policy.Arrived) {
-	last := &a.Tried[o.Attempt]
-	last.Out, last.Call = true, o.Call
+	last := &a.PriorAttempts[o.Attempt]
+	last.InFlight, last.Call = true, o.Call
 	m.call = o.Call
 	m.cancel = func() { k.put(line{Cancel: &attemptOut{ID: o.ID, Attempt: o.Attempt}}) }
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -151,7 +151,7 @@
 	if id == "" || len(id) > maxName || len(key) > maxName {
 		return nil, http.StatusBadRequest, errors.New("no id, or an id or key too long")
 	}
-	if key == "" && class.Effect == policy.Keyed {
+	if key == "" && class.Effect == policy.IdempotentWithKey {
 		return nil, http.StatusBadRequest, errors.New("no key in a keyed class")
 	}
 	dest := envelope.FindStringSubmatch(r.Header.Get("X-Envelope"))
@@ -176,5 +176,5 @@
 	// The client counts from when it sent; no class gives a message more than its deadline.
 	expires := now.Add(settings.Seconds(min(left, class.Deadline.Seconds())))
 	return &arrival{verdict: make(chan verdict, 1), entry: &journal.Entry{ID: id, Class: name, Dest: no, Key: key,
-		Expires: expires, Body: body}}, 0, nil
+		ExpiresAt: expires, Body: body}}, 0, nil
 }
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -14,14 +14,14 @@
 	s := &l.cfg.Settings
 	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(), Zone: s.Az, Seed: uint64(l.cfg.seed),
 		Send: func(to int, note []byte) {
-			if to == fleet.All {
+			if to == fleet.Everyone {
 				l.peers.tell(note)
 			} else {
 				l.peers.tellOne(to, note)
 			}
 		},
-		Said: func(said live.Said) { l.offer(fleetSaid{said}) },
-		Heard: func(f fleet.Fact, age time.Duration) {
+		OnAssessment: func(said live.PeerAssessment) { l.offer(fleetSaid{said}) },
+		OnFact: func(f fleet.Fact, age time.Duration) {
 			if o, ok := observation(f, age); ok {
 				l.offer(heard{o.Note()})
 			}
@@ -43,22 +43,22 @@
 		l.peers.tell(note)
 		return
 	}
-	kind, key, value := fleet.Closed, strconv.Itoa(o.Destination), uint64(o.Wait.Milliseconds())
+	kind, key, value := fleet.KindDestinationClosed, strconv.Itoa(o.Destination), uint64(o.Wait.Milliseconds())
 	switch {
 	case o.Open:
-		kind = fleet.Open
+		kind = fleet.KindDestinationOpen
 	case o.Back:
 		return // Remember says the same
 	case o.NoRoom:
-		kind, key, value = fleet.NoRoom, o.Endpoint, 0
+		kind, key, value = fleet.KindConnectionRejected, o.Endpoint, 0
 	}
-	l.shared.Observed(kind, key, value, false, o.Age) // the module has seen to it that few tell
+	l.shared.Observe(kind, key, value, false, o.Age) // the module has seen to it that few tell
 }
 
 // observation is what a fact says to the module, if it is of the kinds that notes tell.
 func observation(f fleet.Fact, age time.Duration) (o policy.Observed, ok bool) {
-	o = policy.Observed{Closed: f.Kind == fleet.Closed, Open: f.Kind == fleet.Open, Back: f.Kind == fleet.Back,
-		NoRoom: f.Kind == fleet.NoRoom, Age: age}
+	o = policy.Observed{Closed: f.Kind == fleet.KindDestinationClosed, Open: f.Kind == fleet.KindDestinationOpen, Back: f.Kind == fleet.KindEndpointRecovered,
+		NoRoom: f.Kind == fleet.KindConnectionRejected, Age: age}
 	if o.Back || o.NoRoom {
 		o.Endpoint = f.Key
 		return o, true
@@ -75,12 +75,12 @@
 }
 
 // said turns what the fleet says into the module's events.
-func said(s live.Said) []policy.Event {
-	events := []policy.Event{policy.Accused{Destination: s.Dest, Endpoint: s.Endpoint, Origins: s.Origins, Fresh: s.Fresh, First: s.First,
-		Last: s.Last, Until: s.Until, Rank: s.Rank}}
-	if s.Paces.Tellers > 0 {
-		events = append(events, policy.Paced{Destination: s.Dest, Relays: s.Live, Tellers: s.Paces.Tellers, Pace: s.Paces.Pace,
-			Traffic: s.Paces.Traffic, Error: s.Paces.Error, ByZone: s.ByZone, Until: s.Paces.Until})
+func said(s live.PeerAssessment) []policy.Event {
+	events := []policy.Event{policy.PeerSuspected{Destination: s.Dest, Endpoint: s.Endpoint, Observers: s.Observers, RecentObservers: s.RecentObservers, OldestAge: s.OldestAge,
+		NewestAge: s.NewestAge, ValidFor: s.ValidFor, Rank: s.Rank}}
+	if s.Rates.Reporters > 0 {
+		events = append(events, policy.PeerRateReceived{Destination: s.Dest, LiveRelays: s.LiveRelays, Reporters: s.Rates.Reporters, RateShare: s.Rates.RateShare,
+			ArrivalRate: s.Rates.ArrivalRate, ArrivalRateError: s.Rates.ArrivalRateError, ArrivalRateByZone: s.ArrivalRateByZone, ValidFor: s.Rates.ValidFor})
 	}
 	return events
 }
@@ -89,6 +89,6 @@
 func (l *loop) observed(e answered) {
 	switch e.outcome {
 	case policy.ConnectError, policy.Failed, policy.Reset, policy.TimedOut:
-		l.shared.Failed(e.host)
+		l.shared.ObserveFailure(e.host)
 	}
 }
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -45,7 +45,7 @@
 	}
 	entries := readEntries(t, p.dir)
 	if len(entries) != len(want) || slices.ContainsFunc(entries, func(e *journal.Entry) bool {
-		return e.Owed != nil || len(e.Attempts) != 1 || e.Attempts[0].Ended && e.Attempts[0].Unrun
+		return e.PendingNotification != nil || len(e.Attempts) != 1 || e.Attempts[0].Ended && e.Attempts[0].NotExecuted
 	}) {
 		t.Fatalf("left for the next process: %v", entries)
 	}
@@ -57,7 +57,7 @@
 	if !slices.Equal(calls, []string{"payment", "status"}) {
 		t.Errorf("made again: %v", calls)
 	}
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notice{ID: "order", Status: undeliverable}) {
+	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: undeliverable}) {
 		t.Errorf("notices %v", n)
 	}
 }
@@ -100,7 +100,7 @@
 func TestEndBeforeTheStart(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	owner, err := journal.Own(p.dir)
+	owner, err := journal.AcquireOwnership(p.dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,25 +126,25 @@
 		calls, told int
 	}{
 		{"taken on, not sent", journal.Entry{}, 1, 0},
-		{"its call noted, perhaps not written", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", Begun: clock.Now()}}}, 0, 1},
-		{"its call's end noted as never run", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", Begun: clock.Now(), Ended: true, Unrun: true}}}, 1, 0},
-		{"its call's end noted, its own not", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", Begun: clock.Now(), Ended: true}}}, 0, 1},
-		{"its notice owed, perhaps received", journal.Entry{Owed: &journal.Notice{ID: "m", Status: undeliverable}}, 0, 1},
+		{"its call noted, perhaps not written", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now()}}}, 0, 1},
+		{"its call's end noted as never run", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(), Ended: true, NotExecuted: true}}}, 1, 0},
+		{"its call's end noted, its own not", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(), Ended: true}}}, 0, 1},
+		{"its notice owed, perhaps received", journal.Entry{PendingNotification: &journal.Notification{ID: "m", Status: undeliverable}}, 0, 1},
 	} {
 		t.Run(strings.ReplaceAll(tt.name, " ", "_"), func(t *testing.T) {
 			p := newPlatform(t)
 			p.addHost("h1", 7)
 			j := openJournal(t, p.dir, 3)
-			e := &journal.Entry{ID: "m", Class: "order", Dest: 7, Expires: clock.Now().Add(time.Minute), Body: []byte("m")}
-			j.Take(e)
+			e := &journal.Entry{ID: "m", Class: "order", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute), Body: []byte("m")}
+			j.Accept(e)
 			for _, a := range tt.entry.Attempts {
-				j.Begin(e, a.Host, a.Begun)
+				j.StartAttempt(e, a.Host, a.StartedAt)
 				if a.Ended {
-					j.End(e, a.Unrun)
+					j.EndAttempt(e, a.NotExecuted)
 				}
 			}
-			if tt.entry.Owed != nil {
-				j.Owe(e, *tt.entry.Owed)
+			if tt.entry.PendingNotification != nil {
+				j.RecordPendingNotification(e, *tt.entry.PendingNotification)
 			}
 			commit(t, j)
 			p.start()
--- a/internal/relay/stored_test.go
+++ b/internal/relay/stored_test.go
@@ -72,14 +72,14 @@
 func TestOwned(t *testing.T) {
 	p := newPlatform(t)
 	c := p.start()
-	if owned, err := journal.Owned(p.dir); !owned || err != nil {
+	if owned, err := journal.IsOwned(p.dir); !owned || err != nil {
 		t.Errorf("while it runs: %v, %v", owned, err)
 	}
 	p.kill(c)
-	if owned, err := journal.Owned(p.dir); owned || err != nil {
+	if owned, err := journal.IsOwned(p.dir); owned || err != nil {
 		t.Errorf("after its end: %v, %v", owned, err)
 	}
-	if owned, err := journal.Owned(t.TempDir()); owned || err != nil {
+	if owned, err := journal.IsOwned(t.TempDir()); owned || err != nil {
 		t.Errorf("never used: %v, %v", owned, err)
 	}
 }
@@ -98,13 +98,13 @@
 		}
 		sent := clock.Now().Add(-time.Minute)
 		for _, class := range []string{"payment", "status"} {
-			e := &journal.Entry{ID: class, Class: class, Dest: 7, Key: "k", Expires: clock.Now().Add(25 * time.Second), Taken: sent}
-			j.Take(e)
-			j.Begin(e, "h1", sent)
+			e := &journal.Entry{ID: class, Class: class, Dest: 7, Key: "k", ExpiresAt: clock.Now().Add(25 * time.Second), AcceptedAt: sent}
+			j.Accept(e)
+			j.StartAttempt(e, "h1", sent)
 		}
 		commit(t, j)
 		for _, e := range readEntries(t, p.dir) {
-			if left := clock.Until(e.Expires); left > 25*time.Second || left < 20*time.Second {
+			if left := clock.Until(e.ExpiresAt); left > 25*time.Second || left < 20*time.Second {
 				t.Errorf("%v ahead: %s has %v left", ahead, e.ID, left)
 			}
 		}
@@ -136,10 +136,10 @@
 				p.addHost("h1", 7)
 				j := openJournal(b, p.dir, 64)
 				for i := range c.live {
-					e := &journal.Entry{ID: fmt.Sprintf("%016x", i), Class: "status", Dest: 7, Expires: clock.Now().Add(c.left), Body: make([]byte, 200)}
-					j.Take(e)
-					j.Begin(e, "h1", clock.Now())
-					j.End(e, true)
+					e := &journal.Entry{ID: fmt.Sprintf("%016x", i), Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left), Body: make([]byte, 200)}
+					j.Accept(e)
+					j.StartAttempt(e, "h1", clock.Now())
+					j.EndAttempt(e, true)
 				}
 				commit(b, j)
 				_ = j.Close()
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -49,19 +49,19 @@
 				t.Fatal(err)
 			}
 			classes := []policy.Class{{Name: "status", Deadline: time.Minute}}
-			d, err := policy.New(policy.Settings{Instances: 1, Slots: 1, HoldRoom: 9, MaxAttempts: 1, Classes: classes}, 1)
+			d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, Classes: classes}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			notices := &notifier{wanted: make(chan struct{}, 1)}
 			l := &loop{cfg: &Config{}, d: d, figures: newFigures(classes), journal: kept, messages: map[string]*message{}, list: listAt(7), notices: notices}
 			l.cfg.policy.Classes = classes
-			m := &message{Entry: &journal.Entry{ID: "m", Class: "status", Dest: 7, Expires: clock.Now().Add(c.left)}}
+			m := &message{Entry: &journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left)}}
 			l.messages["m"] = m
-			kept.Take(m.Entry)
+			kept.Accept(m.Entry)
 			l.commit()
 			disk.full.Store(true)
-			l.refuse(m, verdict{}, deferred, policy.ReasonTime)
+			l.refuse(m, verdict{}, deferred, policy.ReasonNoTimeLeft)
 			l.commit()
 			if len(notices.owed) != c.before {
 				t.Errorf("%d notices while nothing can be written, want %d", len(notices.owed), c.before)
@@ -77,9 +77,9 @@
 
 // What a journal that could not be written lacks, the process before tells: attempts may have run, and an end stays one.
 func TestUnwrittenJournalIsMadeUpFor(t *testing.T) {
-	e := &journal.Entry{ID: "m", Attempts: []journal.Attempt{{Host: "h1", Ended: true, Unrun: true}}}
-	liveMessage{Attempts: 3, Owed: &journal.Notice{ID: "m", Status: deferred}}.agree(e)
-	if len(e.Attempts) != 3 || !e.Attempts[2].Doubt || e.Attempts[2].Unrun || e.Owed == nil {
+	e := &journal.Entry{ID: "m", Attempts: []journal.Attempt{{Host: "h1", Ended: true, NotExecuted: true}}}
+	liveMessage{Attempts: 3, Owed: &journal.Notification{ID: "m", Status: deferred}}.agree(e)
+	if len(e.Attempts) != 3 || !e.Attempts[2].Uncertain || e.Attempts[2].NotExecuted || e.PendingNotification == nil {
 		t.Errorf("%+v", e)
 	}
 }
--- a/internal/relay/wire_http_test.go
+++ b/internal/relay/wire_http_test.go
@@ -138,7 +138,7 @@
 	p.hosts = []Member{hostAt(host.addr)}
 	j := openJournal(t, p.dir, 3)
 	for id, key := range map[string]string{"a": "key <of> a", "b": ""} { // "b" has none
-		j.Take(&journal.Entry{ID: id, Class: "status", Dest: 7, Key: key, Expires: clock.Now().Add(time.Minute),
+		j.Accept(&journal.Entry{ID: id, Class: "status", Dest: 7, Key: key, ExpiresAt: clock.Now().Add(time.Minute),
 			Body: []byte("body of " + id)})
 	}
 	commit(t, j)
@@ -266,7 +266,7 @@
 	p.hosts[0].Dial = closedAddress(t)
 	p.start()
 	p.take("status", "first", "25")
-	p.until("the outage is noted", func() bool { return readHealth(t, p.dir)["h1"].Sick })
+	p.until("the outage is noted", func() bool { return readHealth(t, p.dir)["h1"].Ejected })
 	text := section("refused", p.exchangeRaw(clientRequest("POST /status", "hi", "Request-Id: second")))
 	compareWire(t, "refusal.txt", masked(text, maskDate, maskRetryAfter))
 }
--- a/internal/relay/zoning.go
+++ b/internal/relay/zoning.go
@@ -15,7 +15,7 @@
 
 // zoning is what a relay has of operators' orders about zones; nil where zones are off.
 type zoning struct {
-	book    *zones.Book
+	book    *zones.OrderStore
 	pending []zones.Order // of an earlier process, until endpoints are listed that they are about
 }
 
@@ -47,12 +47,12 @@
 	if err != nil {
 		slog.Error("orders about zones", "err", err)
 	}
-	l.zoning = &zoning{book: book, pending: book.InForce(clock.Now())}
+	l.zoning = &zoning{book: book, pending: book.Active(clock.Now())}
 }
 
 // askZones has the loop answer an operator's line; for goroutines of the admin endpoint.
 func (l *loop) askZones(text string) string {
-	line, err := zones.ParseLine(text)
+	line, err := zones.ParseCommand(text)
 	if err != nil {
 		return "ERR " + err.Error()
 	}
@@ -60,8 +60,8 @@
 }
 
 // zoneCalled answers an operator's line.
-func (l *loop) zoneCalled(c zones.Line) string {
-	if c.Verb == zones.Status {
+func (l *loop) zoneCalled(c zones.Command) string {
+	if c.Action == zones.Status {
 		text, err := json.Marshal(l.zoneStatus())
 		if err != nil {
 			return "ERR " + err.Error()
@@ -74,21 +74,21 @@
 	}
 	now := clock.Now()
 	var until instant.Time
-	if c.Verb == zones.Evacuate {
-		until = now.Add(c.For)
+	if c.Action == zones.Evacuate {
+		until = now.Add(c.Duration)
 	}
 	if err := l.d.Order(no, until); err != nil {
-		return fmt.Sprintf("ERR %s %s: %v", c.Verb, c.Zone, err)
+		return fmt.Sprintf("ERR %s %s: %v", c.Action, c.Zone, err)
 	}
-	l.events = append(l.events, policy.Woken{})
-	if err := l.zoning.book.Keep(c.Zone, until, now); err != nil {
+	l.events = append(l.events, policy.TimerFired{})
+	if err := l.zoning.book.Put(c.Zone, until, now); err != nil {
 		slog.Error("order about a zone", "err", err)
 		if until > 0 {
 			_ = l.d.Order(no, 0) // it would not outlast a restart
 		}
 		return "ERR the order could not be kept: " + err.Error()
 	}
-	slog.Info("order about a zone", "verb", c.Verb, "zone", c.Zone, "for", c.For)
+	slog.Info("order about a zone", "verb", c.Action, "zone", c.Zone, "for", c.Duration)
 	return "OK"
 }
 
@@ -103,7 +103,7 @@
 			return false
 		}
 		slog.Info("an order about a zone goes on", "zone", o.Zone, "for", clock.Until(o.Until))
-		l.events = append(l.events, policy.Woken{})
+		l.events = append(l.events, policy.TimerFired{})
 		return true
 	})
 }
@@ -120,10 +120,10 @@
 	all, cutOff := l.d.Zones()
 	s.CutOff = cutOff
 	for _, z := range all {
-		r := ZoneReport{Zone: name(z.Zone), State: z.State.String(), ForS: now.Sub(z.Since).Seconds(), Endpoints: z.Endpoints,
-			Evacuations: z.Evacuations, Returns: z.Returns}
-		if z.State == policy.Ordered {
-			r.UntilS = z.Until.Sub(now).Seconds()
+		r := ZoneReport{Zone: name(z.Zone), State: z.State.String(), ForS: now.Sub(z.EnteredAt).Seconds(), Endpoints: z.Endpoints,
+			Evacuations: z.Evacuations, Returns: z.Recoveries}
+		if z.State == policy.EvacuatedByOrder {
+			r.UntilS = z.OrderExpiresAt.Sub(now).Seconds()
 		}
 		s.Zones = append(s.Zones, r)
 	}
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -88,7 +88,7 @@
 	if err := os.MkdirAll(filepath.Join(dir, versionsName), 0o700); err != nil {
 		return nil, err
 	}
-	s := &Server{relay: relay, dir: dir, runner: runner, formats: compat.Ask}
+	s := &Server{relay: relay, dir: dir, runner: runner, formats: compat.QueryProgram}
 	text, err := os.ReadFile(filepath.Join(dir, agentStateName))
 	if err == nil {
 		err = json.Unmarshal(text, &s.state)
--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -287,4 +287,4 @@
 }
 
 // ask sends one command line to a relay's admin endpoint.
-func ask(address, line string) (string, error) { return admin.Ask(address, line, time.Second) }
+func ask(address, line string) (string, error) { return admin.Call(address, line, time.Second) }
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -182,7 +182,7 @@
 	}
 	r := &relay{group: g, no: no, conn: conn, seen: map[int]bool{}}
 	r.service = live.New(live.Options{Incarnation: uint32(clock.ReadWall().Seconds()), Self: no, Size: g.config.Size, Version: version, Zone: no % max(1, g.config.Zones),
-		Seed: g.config.Seed + uint64(no), Send: r.send, Said: r.said, Heard: func(fleet.Fact, time.Duration) {}})
+		Seed: g.config.Seed + uint64(no), Send: r.send, OnAssessment: r.said, OnFact: func(fleet.Fact, time.Duration) {}})
 	running, stop := context.WithCancel(ctx)
 	r.stop = stop
 	go r.service.Run(running)
@@ -199,7 +199,7 @@
 // send sends a datagram to a relay, or to all.
 func (r *relay) send(to int, datagram []byte) {
 	address := r.group.all
-	if to != fleet.All {
+	if to != fleet.Everyone {
 		address = r.group.peers[to]
 	}
 	if _, err := r.conn.WriteToUDPAddrPort(datagram, address); err != nil {
@@ -223,15 +223,15 @@
 		}
 		r.group.received.Add(1)
 		r.group.receivedBytes.Add(int64(n))
-		if datagram := slices.Clone(buffer[:n]); r.service.Takes(datagram) {
-			r.service.Heard(no, datagram)
+		if datagram := slices.Clone(buffer[:n]); r.service.Accepts(datagram) {
+			r.service.Receive(no, datagram)
 		}
 	}
 }
 
 // said reports the first time that the relay knows of a closed destination.
-func (r *relay) said(s live.Said) {
-	if s.Dest < 0 || s.Origins == 0 {
+func (r *relay) said(s live.PeerAssessment) {
+	if s.Dest < 0 || s.Observers == 0 {
 		return
 	}
 	r.mu.Lock()
@@ -264,7 +264,7 @@
 	switch c.Do {
 	case Share:
 		if r := g.find(c.Relay); r != nil {
-			r.service.Observed(fleet.Closed, c.Key, closedFor, false, 0)
+			r.service.Observe(fleet.KindDestinationClosed, c.Key, closedFor, false, 0)
 		}
 	case Stop:
 		if r := g.find(c.Relay); r != nil {
@@ -289,7 +289,7 @@
 		case <-ticker.C:
 		}
 		left = slices.DeleteFunc(left, func(r *relay) bool {
-			if _, counts := slices.BinarySearch(r.service.Live(), other); counts {
+			if _, counts := slices.BinarySearch(r.service.LiveRelays(), other); counts {
 				return false
 			}
 			g.tell(Event{What: Dropped, Relay: r.no})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -62,7 +62,7 @@
 }
 
 var (
-	effects = map[string]policy.Effect{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
+	effects = map[string]policy.Effect{"retryable": policy.Idempotent, "dedup": policy.IdempotentWithKey, "fragile": policy.NotIdempotent}
 	weights = map[string]policy.Weights{"off": policy.WeightsOff, "nominal": policy.WeightsNominal,
 		"rough": policy.WeightsRough}
 )
@@ -70,16 +70,16 @@
 // Policy translates the settings into the policy's terms.
 func (s *Settings) Policy() (policy.Settings, error) {
 	p := policy.Settings{
-		Instances: s.NInstances, Zone: s.Az, ZoneFee: s.Specifics.RouteFee, Slots: s.Specifics.MaxCalls,
-		HoldRoom: s.Limits.MaxOpen, MaxAttempts: s.Limits.MaxAttempts, SecondCopies: s.Limits.SecondCopies,
-		CanCancel: s.Limits.Cancel, Peers: s.Limits.Peers,
-		Tick:      Seconds(s.QuantumS),
-		ColdShare: s.Rules.ColdShare, RampTime: Seconds(s.Rules.RampTimeS),
-		OverloadFactor: s.Rules.OverloadFactor, OverloadFor: Seconds(s.Rules.OverloadForS),
-		OrderPause: Seconds(s.Rules.OrderPauseS), ConnIdle: Seconds(s.Limits.ConnIdleS),
+		FleetSize: s.NInstances, Zone: s.Az, ZoneCost: s.Specifics.RouteFee, Slots: s.Specifics.MaxCalls,
+		QueueCapacity: s.Limits.MaxOpen, MaxAttempts: s.Limits.MaxAttempts, HedgedRequests: s.Limits.SecondCopies,
+		CanCancel: s.Limits.Cancel, Gossip: s.Limits.Peers,
+		BatchInterval:         Seconds(s.QuantumS),
+		SlowStartInitialShare: s.Rules.ColdShare, SlowStartWindow: Seconds(s.Rules.RampTimeS),
+		OverloadFactor: s.Rules.OverloadFactor, OverloadWindow: Seconds(s.Rules.OverloadForS),
+		OrderedKeyDelay: Seconds(s.Rules.OrderPauseS), IdleConnTimeout: Seconds(s.Limits.ConnIdleS),
 	}
 	if s.Limits.RetryAfter {
-		p.MaxStayAway = Seconds(s.Limits.MaxRetryAfterS)
+		p.MaxRetryAfter = Seconds(s.Limits.MaxRetryAfterS)
 	}
 	switch s.Discovery {
 	case "subscribe":
@@ -97,18 +97,18 @@
 		if !ok {
 			return p, fmt.Errorf("settings: categories[%d].idempotency: unknown effect %q", i, c.Idempotency)
 		}
-		p.Classes = append(p.Classes, policy.Class{Name: c.Name, Aim: Seconds(c.AimS),
-			Deadline: Seconds(c.DeadlineS), Worth: c.Points, LateShare: c.LateShare,
-			Halving: s.Specifics.LosesWorth == "halving", Effect: effect, ByZone: c.Group != "all",
-			Memory: Seconds(c.MemorySpanS), Ordered: c.FifoByKey})
+		p.Classes = append(p.Classes, policy.Class{Name: c.Name, LatencyObjective: Seconds(c.AimS),
+			Deadline: Seconds(c.DeadlineS), PriorityWeight: c.Points, LateValueShare: c.LateShare,
+			ExponentialDecay: s.Specifics.LosesWorth == "halving", Effect: effect, KeysPerZone: c.Group != "all",
+			IdempotencyWindow: Seconds(c.MemorySpanS), Ordered: c.FifoByKey})
 	}
 	for i := range s.Shapes {
-		k := policy.Kind{Bundle: 1}
+		k := policy.Kind{MaxBatch: 1}
 		if i < len(s.Specifics.BundleMax) {
-			k.Bundle = s.Specifics.BundleMax[i]
+			k.MaxBatch = s.Specifics.BundleMax[i]
 		}
 		if i < len(s.Specifics.SeparateRoutes) {
-			k.Separate = s.Specifics.SeparateRoutes[i]
+			k.SeparateRoutes = s.Specifics.SeparateRoutes[i]
 		}
 		p.Kinds = append(p.Kinds, k)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -129,38 +129,38 @@
 }
 
 var outcomes = map[string]policy.Outcome{
-	"Ok": policy.OK, "Failed": policy.Failed, "QueueFull": policy.QueueFull, "TimedOut": policy.TimedOut,
+	"Ok": policy.OK, "Failed": policy.Failed, "QueueFull": policy.Rejected, "TimedOut": policy.TimedOut,
 	"ConnectError": policy.ConnectError, "ResetByPeer": policy.Reset, "Canceled": policy.Canceled,
-	"Ignored": policy.Ignored,
+	"Ignored": policy.NotSent,
 }
 
 // event translates one event of an instance; unknown ones give nil.
 func (s *session) event(name string, f *fields) policy.Event {
 	switch name {
 	case "call":
-		return policy.Arrived{ID: f.text(2), Left: f.seconds(8), Key: f.text(9), Class: int(f.whole(10)),
+		return policy.Arrived{ID: f.text(2), TimeLeft: f.seconds(8), Key: f.text(9), Class: int(f.whole(10)),
 			Destination: int(f.whole(11))}
 	case "answer":
-		e := policy.Ended{ID: f.text(2), Endpoint: f.text(3), Attempt: int(f.whole(4)),
-			Outcome: f.outcome(5), Took: f.seconds(7), Over: f.truth(8), Report: f.report(9)}
-		if e.Outcome == policy.QueueFull {
-			e.Wait = time.Duration(f.number(6) * float64(time.Millisecond))
+		e := policy.AttemptEnded{ID: f.text(2), Endpoint: f.text(3), Attempt: int(f.whole(4)),
+			Outcome: f.outcome(5), Latency: f.seconds(7), Completed: f.truth(8), LoadReport: f.report(9)}
+		if e.Outcome == policy.Rejected {
+			e.RetryAfter = time.Duration(f.number(6) * float64(time.Millisecond))
 		}
 		return e
 	case "left":
 		return policy.Withdrawn{ID: f.text(2)}
 	case "update":
 		if scope := f.text(2); scope == "FAILED" {
-			return policy.ListFailed{}
+			return policy.WatchFailed{}
 		} else if entries, ok := s.tables[f.whole(4)]; ok {
-			return policy.Listed{Whole: scope != "INCREMENTAL", Endpoints: entries}
+			return policy.EndpointsUpdated{Complete: scope != "INCREMENTAL", Endpoints: entries}
 		}
 		f.fail(errors.New("unknown list"))
 		return nil
 	case "peer_data":
-		return policy.Heard{Note: f.bytes(3)}
+		return policy.GossipReceived{Message: f.bytes(3)}
 	case "wakeup":
-		return policy.Woken{}
+		return policy.TimerFired{}
 	}
 	return nil
 }
@@ -197,17 +197,17 @@
 		switch a := a.(type) {
 		case policy.Send:
 			put(b, "relay", id, a.ID, a.Endpoint, a.Timeout.Seconds())
-		case policy.Refuse:
-			put(b, "refuse", id, a.ID, a.StayAway.Seconds())
+		case policy.Reject:
+			put(b, "refuse", id, a.ID, a.RetryAfter.Seconds())
 		case policy.Fail:
 			put(b, "report_failure", id, a.ID)
 		case policy.Cancel:
 			put(b, "abort_attempt", id, a.ID, a.Attempt)
-		case policy.CloseIdle:
+		case policy.CloseIdleConnections:
 			put(b, "shut_idle", id, a.Endpoint)
-		case policy.Tell:
-			put(b, "announce", id, "*", a.Note)
-		case policy.Wake:
+		case policy.Broadcast:
+			put(b, "announce", id, "*", a.Message)
+		case policy.SetTimer:
 			put(b, "remind", id, a.After.Seconds(), 0)
 		case policy.Subscribe:
 			put(b, "subscribe", id, true)
@@ -276,7 +276,7 @@
 	return o
 }
 
-func (f *fields) report(i int) *policy.Report {
+func (f *fields) report(i int) *policy.LoadReport {
 	var v map[string]float64
 	f.decode(i, &v)
 	left, hasLeft := v["x0"]
@@ -284,7 +284,7 @@
 	if !hasLeft || !hasLimit {
 		return nil
 	}
-	return &policy.Report{Left: left, Limit: limit}
+	return &policy.LoadReport{Remaining: left, Limit: limit}
 }
 
 func (f *fields) endpoints(i int) []policy.Endpoint {
@@ -295,7 +295,7 @@
 		e := &fields{raw: row}
 		state := e.text(4)
 		list = append(list, policy.Endpoint{Kind: int(e.whole(0)), Destination: int(e.whole(1)), ID: e.text(2),
-			Weight: e.number(3), Draining: state == "terminating", Gone: state == "terminated",
+			Weight: e.number(3), Draining: state == "terminating", Removed: state == "terminated",
 			Zone: int(e.whole(5))})
 		if e.err != nil {
 			f.fail(e.err)
--- a/internal/zones/stored_test.go
+++ b/internal/zones/stored_test.go
@@ -39,7 +39,7 @@
 )
 
 // openStored opens a folder with a stored file, in which some text is put in place of other.
-func openStored(t *testing.T, name, old, replacement string) *Book {
+func openStored(t *testing.T, name, old, replacement string) *OrderStore {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(storedDir, name))
 	if err != nil {
@@ -67,7 +67,7 @@
 	if boot == "" {
 		t.Fatal("the system tells no identity of its boot")
 	}
-	got := openStored(t, storedFormat2, storedBoot, boot).InForce(storedAt)
+	got := openStored(t, storedFormat2, storedBoot, boot).Active(storedAt)
 	want := []Order{{"a", storedAt.Add(time.Hour)}, {"zone \"b\"", storedAt.Add(90*time.Second + 7)}}
 	if len(got) != len(want) || got[0] != want[0] || got[1] != want[1] {
 		t.Errorf("orders %v, want %v", got, want)
@@ -80,7 +80,7 @@
 	for _, name := range []string{storedFormat2, storedFormat1} {
 		book := openStored(t, name, "2026-01-02T04:04:05Z", "2200-01-02T04:04:05Z")
 		now := clock.Now()
-		got := book.InForce(now)
+		got := book.Active(now)
 		if len(got) != 1 || got[0].Zone != "a" {
 			t.Errorf("%s: orders %v, want that for zone a alone", name, got)
 			continue
@@ -118,7 +118,7 @@
 	}
 	ends := []instant.Time{now.Add(time.Hour), now.Add(90*time.Second + 7)}
 	for i, zone := range []string{"a", "zone \"b\""} {
-		if err := book.Keep(zone, ends[i], now); err != nil {
+		if err := book.Put(zone, ends[i], now); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -36,8 +36,8 @@
 	Until instant.Time
 }
 
-// Book is the orders in force, on disk.
-type Book struct {
+// OrderStore is the orders in force, on disk.
+type OrderStore struct {
 	path   string
 	orders []Order
 }
@@ -68,8 +68,8 @@
 }
 
 // Open reads the orders kept in a folder. With an error, the book is empty and may be used.
-func Open(folder string) (*Book, error) {
-	b := &Book{path: filepath.Join(folder, fileName)}
+func Open(folder string) (*OrderStore, error) {
+	b := &OrderStore{path: filepath.Join(folder, fileName)}
 	text, err := os.ReadFile(b.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return b, nil
@@ -97,8 +97,8 @@
 	return b, nil
 }
 
-// InForce lists the orders that run at a time, and forgets the others.
-func (b *Book) InForce(now instant.Time) []Order {
+// Active lists the orders that run at a time, and forgets the others.
+func (b *OrderStore) Active(now instant.Time) []Order {
 	var left []Order
 	for _, o := range b.orders {
 		if now < o.Until {
@@ -109,11 +109,11 @@
 	return left
 }
 
-// Keep puts an order in force in place of one for the same zone, or ends that where until is zero, and returns once it
+// Put puts an order in force in place of one for the same zone, or ends that where until is zero, and returns once it
 // is on disk. With an error, what was in force before still is.
-func (b *Book) Keep(zone string, until, now instant.Time) error {
+func (b *OrderStore) Put(zone string, until, now instant.Time) error {
 	var orders []Order
-	for _, o := range b.InForce(now) {
+	for _, o := range b.Active(now) {
 		if o.Zone != zone {
 			orders = append(orders, o)
 		}
@@ -136,42 +136,42 @@
 	return nil
 }
 
-// Verb is what a line asks for.
-type Verb string
+// Action is what a line asks for.
+type Action string
 
 // The verbs.
 const (
-	Evacuate Verb = "evacuate"
-	Restore  Verb = "restore"
-	Status   Verb = "status"
+	Evacuate Action = "evacuate"
+	Restore  Action = "restore"
+	Status   Action = "status"
 )
 
-// Line is a line that asks for something: "status", "restore ZONE" or "evacuate ZONE TIME".
-type Line struct {
-	Verb Verb
-	Zone string
-	For  time.Duration
+// Command is a line that asks for something: "status", "restore ZONE" or "evacuate ZONE TIME".
+type Command struct {
+	Action   Action
+	Zone     string
+	Duration time.Duration
 }
 
-// ParseLine reads a line.
-func ParseLine(text string) (l Line, err error) {
+// ParseCommand reads a line.
+func ParseCommand(text string) (l Command, err error) {
 	words := strings.Fields(text)
 	if len(words) == 0 {
 		return l, errors.New("nothing is asked for")
 	}
-	l.Verb = Verb(words[0])
-	want := map[Verb]int{Status: 1, Restore: 2, Evacuate: 3}[l.Verb]
+	l.Action = Action(words[0])
+	want := map[Action]int{Status: 1, Restore: 2, Evacuate: 3}[l.Action]
 	switch {
 	case want == 0:
 		return l, fmt.Errorf("%q is not evacuate, restore or status", words[0])
 	case len(words) != want:
-		return l, fmt.Errorf("%s takes %d words, there are %d", l.Verb, want-1, len(words)-1)
+		return l, fmt.Errorf("%s takes %d words, there are %d", l.Action, want-1, len(words)-1)
 	}
 	if want > 1 {
 		l.Zone = words[1]
 	}
 	if want > 2 {
-		if l.For, err = time.ParseDuration(words[2]); err != nil || l.For <= 0 || l.For > most {
+		if l.Duration, err = time.ParseDuration(words[2]); err != nil || l.Duration <= 0 || l.Duration > most {
 			return l, fmt.Errorf("%q is no time above 0 and up to %v, such as \"10m\"", words[2], most)
 		}
 	}
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -14,11 +14,11 @@
 func TestBook(t *testing.T) {
 	dir, now := t.TempDir(), clock.Now()
 	book, err := Open(dir)
-	if err != nil || len(book.InForce(now)) > 0 {
+	if err != nil || len(book.Active(now)) > 0 {
 		t.Fatal(err, book)
 	}
 	for _, o := range []Order{{"a", now.Add(time.Hour)}, {"b", now.Add(time.Minute)}, {"a", now.Add(2 * time.Hour)}, {"c", now.Add(time.Hour)}, {"c", 0}} {
-		if err := book.Keep(o.Zone, o.Until, now); err != nil {
+		if err := book.Put(o.Zone, o.Until, now); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -26,10 +26,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if all := again.InForce(now); len(all) != 2 || all[0].Zone != "b" || all[1].Until != now.Add(2*time.Hour) {
+	if all := again.Active(now); len(all) != 2 || all[0].Zone != "b" || all[1].Until != now.Add(2*time.Hour) {
 		t.Errorf("after a restart: %v", all)
 	}
-	if all := again.InForce(now.Add(time.Minute)); len(all) != 1 || all[0].Zone != "a" {
+	if all := again.Active(now.Add(time.Minute)); len(all) != 1 || all[0].Zone != "a" {
 		t.Errorf("after a minute: %v", all)
 	}
 }
@@ -43,10 +43,10 @@
 			t.Fatal(err)
 		}
 		book, err := Open(dir)
-		if err == nil || !strings.Contains(err.Error(), path) || len(book.InForce(1)) > 0 {
+		if err == nil || !strings.Contains(err.Error(), path) || len(book.Active(1)) > 0 {
 			t.Errorf("%q: %v", text, err)
 		}
-		if err := book.Keep("a", 99, 1); err != nil {
+		if err := book.Put("a", 99, 1); err != nil {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -59,20 +59,20 @@
 		t.Fatal(err)
 	}
 	book.path = filepath.Join(book.path, "no", "folder")
-	if err := book.Keep("a", 99, 1); err == nil || len(book.InForce(1)) > 0 {
+	if err := book.Put("a", 99, 1); err == nil || len(book.Active(1)) > 0 {
 		t.Errorf("%v: %v", err, book.orders)
 	}
 }
 
 func TestParseLine(t *testing.T) {
-	for text, want := range map[string]Line{"status": {Verb: Status}, " restore  b ": {Verb: Restore, Zone: "b"},
-		"evacuate b 1m30s": {Verb: Evacuate, Zone: "b", For: 90 * time.Second}} {
-		if got, err := ParseLine(text); err != nil || got != want {
+	for text, want := range map[string]Command{"status": {Action: Status}, " restore  b ": {Action: Restore, Zone: "b"},
+		"evacuate b 1m30s": {Action: Evacuate, Zone: "b", Duration: 90 * time.Second}} {
+		if got, err := ParseCommand(text); err != nil || got != want {
 			t.Errorf("%q: %+v, %v", text, got, err)
 		}
 	}
 	for _, text := range []string{"", "leave b", "status b", "restore", "evacuate b", "evacuate b 10", "evacuate b -1s", "evacuate b 0s", "evacuate b 25h", "evacuate b 1m x"} {
-		if got, err := ParseLine(text); err == nil {
+		if got, err := ParseCommand(text); err == nil {
 			t.Errorf("%q: %+v", text, got)
 		}
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := book.Keep("a", now.Add(time.Hour), now); err != nil {
+	if err := book.Put("a", now.Add(time.Hour), now); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, fileName))
@@ -97,8 +97,8 @@
 			t.Fatal(err)
 		}
 		again, err := Open(dir)
-		if err != nil || len(again.InForce(now)) != 1 {
-			t.Fatalf("%d of %d bytes: %v, %v", n, len(text), err, again.InForce(now))
+		if err != nil || len(again.Active(now)) != 1 {
+			t.Fatalf("%d of %d bytes: %v, %v", n, len(text), err, again.Active(now))
 		}
 	}
 }
--- a/policy/bucket.go
+++ b/policy/bucket.go
@@ -35,9 +35,9 @@
 
 // epTokens is what the budget of a sick or ramping endpoint allows to be sent now.
 func (d *Dispatcher) epTokens(ep *endpoint) float64 {
-	if ep.ramping && d.coldFor(ep) >= d.s.RampTime {
+	if ep.ramping && d.coldFor(ep) >= d.s.SlowStartWindow {
 		ep.ramping = false
 	}
 	rate := d.budget(ep, d.coldFor(ep))
-	return ep.fill(d.now, rate, math.Max(1, rampBurst*rate*d.s.OverloadFor.Seconds()))
+	return ep.fill(d.now, rate, math.Max(1, rampBurst*rate*d.s.OverloadWindow.Seconds()))
 }
--- a/policy/call.go
+++ b/policy/call.go
@@ -42,7 +42,7 @@
 	c.open++
 	c.size += m.Size
 	c.msgs = append(c.msgs, m)
-	d.act(Send{ID: m.ID, Endpoint: c.ep.ID, Timeout: d.timeout(m, c), Call: c.no, Within: within})
+	d.act(Send{ID: m.ID, Endpoint: c.ep.ID, Timeout: d.timeout(m, c), Call: c.no, WriteTimeout: within})
 }
 
 // send starts a call with a message and, where the kind allows it, others of the queue.
@@ -60,7 +60,7 @@
 	if d.s.Zones {
 		d.spilled(q, ep)
 	}
-	if d.s.Newcomers {
+	if d.s.CanaryAnalysis {
 		d.credit(q, ep)
 	}
 	if ep.sick || ep.ramping {
@@ -72,7 +72,7 @@
 	d.attempt(first, c)
 	for i := 0; i < len(q.held) && c.open < q.bundle && !ep.sick; {
 		m := q.held[i]
-		if d.sendable(m) && d.short(q, m) == d.short(q, first) && d.repeatable(m, ep) && (d.s.CallSize == 0 || c.size+m.Size <= d.s.CallSize) {
+		if d.sendable(m) && d.short(q, m) == d.short(q, first) && d.repeatable(m, ep) && (d.s.MaxBatchBytes == 0 || c.size+m.Size <= d.s.MaxBatchBytes) {
 			d.attempt(m, c)
 			continue
 		}
@@ -82,7 +82,7 @@
 
 // closeAttempt notes that an attempt has ended, and gives its message and its call: nil where it is unknown or has ended before. A
 // call gives its slot back with the last of its messages. One that was not begun leaves no trace.
-func (d *Dispatcher) closeAttempt(e Ended) (*message, *call) {
+func (d *Dispatcher) closeAttempt(e AttemptEnded) (*message, *call) {
 	m := d.messages[e.ID]
 	if m == nil || e.Attempt < 0 || e.Attempt >= len(m.attempts) || !m.attempts[e.Attempt].open {
 		return nil, nil
@@ -90,9 +90,9 @@
 	a := &m.attempts[e.Attempt]
 	c := a.call
 	a.open = false
-	a.unrun = e.Outcome == QueueFull || e.Outcome == ConnectError || e.Outcome == Ignored
+	a.unrun = e.Outcome == Rejected || e.Outcome == ConnectError || e.Outcome == NotSent
 	m.open--
-	if e.Outcome == Unsent {
+	if e.Outcome == NotStarted {
 		a.unrun = true
 		if e.Attempt == len(m.attempts)-1 { // its number goes to the next one
 			m.attempts = m.attempts[:e.Attempt]
--- a/policy/decisions_digest_test.go
+++ b/policy/decisions_digest_test.go
@@ -120,23 +120,23 @@
 	case policy.Send:
 		r.tag("send")
 		r.text(action.ID, action.Endpoint)
-		r.durations(action.Timeout, action.Within)
+		r.durations(action.Timeout, action.WriteTimeout)
 		r.integers(action.Call)
 	case policy.Cancel:
 		r.tag("cancel")
 		r.text(action.ID)
 		r.integers(action.Attempt)
-	case policy.Refuse:
+	case policy.Reject:
 		r.tag("refuse")
 		r.text(action.ID, reasonTag(t, action.Reason))
-		r.durations(action.StayAway)
+		r.durations(action.RetryAfter)
 	case policy.Fail:
 		r.tag("fail")
 		r.text(action.ID, reasonTag(t, action.Reason))
-	case policy.Tell:
+	case policy.Broadcast:
 		r.tag("tell")
-		r.note(action.Note)
-	case policy.Wake:
+		r.note(action.Message)
+	case policy.SetTimer:
 		r.tag("wake")
 		r.durations(action.After)
 	default:
@@ -150,27 +150,27 @@
 	switch action := action.(type) {
 	case policy.Subscribe:
 		r.tag("subscribe")
-	case policy.CloseIdle:
+	case policy.CloseIdleConnections:
 		r.tag("close idle")
 		r.text(action.Endpoint)
-	case policy.Withhold:
+	case policy.CancelUnwritten:
 		r.tag("withhold")
 		r.text(action.Endpoint)
-	case policy.Remember:
+	case policy.PersistHealth:
 		r.tag("remember")
 		r.text(action.Endpoint)
-		r.flag(action.Sick, action.Hearsay)
+		r.flag(action.Ejected, action.SecondHand)
 		r.moments(action.At)
-	case policy.Share:
+	case policy.PublishRate:
 		r.tag("share")
 		r.integers(action.Destination)
-		r.numbers(action.Pace, action.Traffic)
-	case policy.Proved:
+		r.numbers(action.RateShare, action.ArrivalRate)
+	case policy.CanaryStageChanged:
 		r.tag("proved")
 		r.text(action.Endpoint)
 		r.numbers(action.Share)
-		r.moments(action.Held)
-	case policy.Zoned:
+		r.moments(action.SuspendedUntil)
+	case policy.ZoneStateChanged:
 		r.tag("zoned " + zoneStateTag(t, action.State))
 		r.integers(action.Zone)
 	default:
@@ -198,13 +198,13 @@
 		return "none"
 	case policy.ReasonBacklog:
 		return "backlog"
-	case policy.ReasonCrowded:
+	case policy.ReasonOverloaded:
 		return "crowded"
-	case policy.ReasonTime:
+	case policy.ReasonNoTimeLeft:
 		return "time"
-	case policy.ReasonAttempts:
+	case policy.ReasonAttemptsExhausted:
 		return "attempts"
-	case policy.ReasonNoRepeat:
+	case policy.ReasonNotRetryable:
 		return "no repeat"
 	}
 	t.Fatalf("reason %d is unknown: give it a tag here", int(reason))
@@ -218,9 +218,9 @@
 		return "serving"
 	case policy.Evacuated:
 		return "evacuated"
-	case policy.Ordered:
+	case policy.EvacuatedByOrder:
 		return "ordered"
-	case policy.Returning:
+	case policy.Recovering:
 		return "returning"
 	}
 	t.Fatalf("zone state %d is unknown: give it a tag here", int(state))
@@ -239,43 +239,43 @@
 	r.integers(len(zones))
 	for _, zone := range zones {
 		r.tag("zone seen " + zoneStateTag(t, zone.State))
-		r.integers(zone.Zone, zone.Endpoints, zone.Evacuations, zone.Returns)
-		r.moments(zone.Since, zone.Until)
+		r.integers(zone.Zone, zone.Endpoints, zone.Evacuations, zone.Recoveries)
+		r.moments(zone.EnteredAt, zone.OrderExpiresAt)
 	}
-	r.newcomers(dispatcher.Newcomers())
-	learned := dispatcher.Learned()
+	r.newcomers(dispatcher.Canaries())
+	learned := dispatcher.ExportState()
 	r.integers(len(learned))
 	for _, each := range learned {
 		r.learned(each)
 	}
 }
 
-func (r *decisionRecord) newcomers(all []policy.Newcomer) {
+func (r *decisionRecord) newcomers(all []policy.Canary) {
 	r.integers(len(all))
 	for _, each := range all {
 		r.text(each.Endpoint)
-		r.integers(each.Destination, each.Stage, each.Holds)
-		r.numbers(each.Share, each.Doubt)
-		r.moments(each.Since, each.Held)
-		r.flag(each.Proving)
+		r.integers(each.Destination, each.Stage, each.Suspensions)
+		r.numbers(each.Share, each.RegressionScore)
+		r.moments(each.StageStartedAt, each.SuspendedUntil)
+		r.flag(each.HasBaseline)
 	}
 }
 
-func (r *decisionRecord) learned(queue policy.Learned) {
-	r.moments(queue.Wait, queue.Hold, queue.TokensAt, queue.FirstFull, queue.LastOK)
-	r.integers(queue.Outcomes, queue.Fulls, len(queue.Class))
-	r.numbers(queue.Mean, queue.Width, queue.Pace, queue.Tokens)
-	r.numbers(queue.Class...)
-	for _, counted := range []policy.Counted{queue.Arrivals, queue.Misses} {
-		r.numbers(counted.N)
-		r.moments(counted.At, counted.Since)
+func (r *decisionRecord) learned(queue policy.StateInherited) {
+	r.moments(queue.RetryAfterUntil, queue.BackoffUntil, queue.TokensAt, queue.FirstRejectionAt, queue.LastSuccessAt)
+	r.integers(queue.Outcomes, queue.ConsecutiveRejections, len(queue.ClassLatency))
+	r.numbers(queue.MeanLatency, queue.Concurrency, queue.SendRate, queue.Tokens)
+	r.numbers(queue.ClassLatency...)
+	for _, counted := range []policy.DecayingCount{queue.Arrivals, queue.Misses} {
+		r.numbers(counted.Count)
+		r.moments(counted.UpdatedAt, counted.StartedAt)
 	}
 	r.integers(len(queue.Endpoints))
 	for _, endpoint := range queue.Endpoints {
 		r.text(endpoint.ID)
-		r.flag(endpoint.Sick, endpoint.Ramping)
-		r.moments(endpoint.SickAt, endpoint.Recovered, endpoint.LastOK, endpoint.TokensAt)
-		r.numbers(endpoint.Failures, endpoint.ConnCap, endpoint.Tokens)
+		r.flag(endpoint.Ejected, endpoint.SlowStarting)
+		r.moments(endpoint.EjectedAt, endpoint.RecoveredAt, endpoint.LastSuccessAt, endpoint.TokensAt)
+		r.numbers(endpoint.ConsecutiveFailures, endpoint.ConnectionLimit, endpoint.Tokens)
 	}
 }
 
@@ -283,16 +283,16 @@
 func ordinaryScenario() scenario {
 	second := time.Second
 	return scenario{load: 2.5, faults: 1, settings: policy.Settings{
-		Instances: 3, Slots: 8, HoldRoom: 80, MaxAttempts: 5, CanCancel: true, Weights: policy.WeightsNominal,
-		Tick: 5 * time.Millisecond, MaxStayAway: 3 * second, ColdShare: 0.2, RampTime: 9 * second,
-		OverloadFactor: 2.5, OverloadFor: 2 * second, OrderPause: 200 * time.Millisecond,
-		Kinds: []policy.Kind{{Bundle: 1}, {Bundle: 5}, {Bundle: 2, Separate: true}},
+		FleetSize: 3, Slots: 8, QueueCapacity: 80, MaxAttempts: 5, CanCancel: true, Weights: policy.WeightsNominal,
+		BatchInterval: 5 * time.Millisecond, MaxRetryAfter: 3 * second, SlowStartInitialShare: 0.2, SlowStartWindow: 9 * second,
+		OverloadFactor: 2.5, OverloadWindow: 2 * second, OrderedKeyDelay: 200 * time.Millisecond,
+		Kinds: []policy.Kind{{MaxBatch: 1}, {MaxBatch: 5}, {MaxBatch: 2, SeparateRoutes: true}},
 		Classes: []policy.Class{
-			{Aim: second, Deadline: 4 * second, Worth: 3, LateShare: 0.5, Effect: policy.Safe},
-			{Aim: second, Deadline: 12 * second, Worth: 1, LateShare: 0.4, Effect: policy.Keyed, ByZone: true,
-				Memory: 4 * second},
-			{Aim: 2 * second, Deadline: 9 * second, Worth: 2, Effect: policy.Unsafe, Ordered: true},
-			{Aim: second, Deadline: 8 * second, Worth: 2, Halving: true, Effect: policy.Keyed, Memory: 3 * second},
+			{LatencyObjective: second, Deadline: 4 * second, PriorityWeight: 3, LateValueShare: 0.5, Effect: policy.Idempotent},
+			{LatencyObjective: second, Deadline: 12 * second, PriorityWeight: 1, LateValueShare: 0.4, Effect: policy.IdempotentWithKey, KeysPerZone: true,
+				IdempotencyWindow: 4 * second},
+			{LatencyObjective: 2 * second, Deadline: 9 * second, PriorityWeight: 2, Effect: policy.NotIdempotent, Ordered: true},
+			{LatencyObjective: second, Deadline: 8 * second, PriorityWeight: 2, ExponentialDecay: true, Effect: policy.IdempotentWithKey, IdempotencyWindow: 3 * second},
 		}}}
 }
 
@@ -317,7 +317,7 @@
 // withoutEffect are settings that are accepted and decide nothing: they are to leave the ordinary decisions.
 func withoutEffect() []decisionCase {
 	return []decisionCase{
-		{name: "second copies", change: func(c *scenario) { c.settings.SecondCopies = true },
+		{name: "second copies", change: func(c *scenario) { c.settings.HedgedRequests = true },
 			sameAs: ordinaryName},
 		{name: "weights rough", change: func(c *scenario) { c.settings.Weights = policy.WeightsRough },
 			sameAs: ordinaryName},
@@ -334,7 +334,7 @@
 		{name: "heavy traffic", change: func(c *scenario) { c.load = 8 }, shows: usual},
 		{name: "few slots", change: func(c *scenario) { c.settings.Slots, c.settings.MaxAttempts = 2, 2 },
 			shows: usual},
-		{name: "little room", change: func(c *scenario) { c.settings.HoldRoom = 9 }, shows: usual},
+		{name: "little room", change: func(c *scenario) { c.settings.QueueCapacity = 9 }, shows: usual},
 		{name: "weights off", change: func(c *scenario) { c.settings.Weights = policy.WeightsOff },
 			shows: usual},
 		{name: "no cancel", change: func(c *scenario) { c.settings.CanCancel = false },
@@ -345,7 +345,7 @@
 		{name: "long outages", change: func(c *scenario) { c.faults = 0.3 }, shows: usual},
 		{name: "many faults", change: func(c *scenario) { c.faults = 5 }, shows: usual},
 		{name: "strict overload", change: strictOverload, shows: usual},
-		{name: "connection limits", change: func(c *scenario) { c.settings.ConnIdle, c.faults = 3*time.Second, 3 },
+		{name: "connection limits", change: func(c *scenario) { c.settings.IdleConnTimeout, c.faults = 3*time.Second, 3 },
 			shows: []string{"send", "close idle"}},
 		{name: "lack at the relay", change: func(c *scenario) { c.unsent = true },
 			shows: []string{"send", "withhold"}},
@@ -356,13 +356,13 @@
 
 func separateRoutes(c *scenario) {
 	for i := range c.settings.Kinds {
-		c.settings.Kinds[i].Separate = true
+		c.settings.Kinds[i].SeparateRoutes = true
 	}
 }
 
 func bundlesBySize(c *scenario) {
-	c.settings.Kinds = []policy.Kind{{Bundle: 20}, {Bundle: 3}, {Bundle: 8}}
-	c.settings.CallSize, c.load = 2500, 8
+	c.settings.Kinds = []policy.Kind{{MaxBatch: 20}, {MaxBatch: 3}, {MaxBatch: 8}}
+	c.settings.MaxBatchBytes, c.load = 2500, 8
 }
 
 func orderedKeys(c *scenario) {
@@ -372,8 +372,8 @@
 }
 
 func strictOverload(c *scenario) {
-	c.settings.OverloadFactor, c.settings.OverloadFor = 1.4, 4*time.Second
-	c.settings.ColdShare, c.settings.RampTime = 0.05, 20*time.Second
+	c.settings.OverloadFactor, c.settings.OverloadWindow = 1.4, 4*time.Second
+	c.settings.SlowStartInitialShare, c.settings.SlowStartWindow = 0.05, 20*time.Second
 }
 
 // fleetCases are of relays that tell each other, few and many.
@@ -381,32 +381,32 @@
 	usual := []string{"send", "refuse", "tell", "remember"}
 	shared := []string{"send", "tell", "share"}
 	return []decisionCase{
-		{name: "1 relay", change: func(c *scenario) { c.settings.Instances = 1 },
+		{name: "1 relay", change: func(c *scenario) { c.settings.FleetSize = 1 },
 			shows: []string{"send", "refuse"}},
-		{name: "60 relays", change: func(c *scenario) { c.settings.Instances = 60 },
+		{name: "60 relays", change: func(c *scenario) { c.settings.FleetSize = 60 },
 			shows: []string{"send", "refuse"}},
-		{name: "300 relays", change: func(c *scenario) { c.settings.Instances = 300 },
+		{name: "300 relays", change: func(c *scenario) { c.settings.FleetSize = 300 },
 			shows: []string{"send", "refuse"}},
-		{name: "peers", change: func(c *scenario) { c.settings.Peers = true }, shows: usual},
+		{name: "peers", change: func(c *scenario) { c.settings.Gossip = true }, shows: usual},
 		{name: "peers of 12", change: func(c *scenario) {
-			c.settings.Peers, c.settings.Instances, c.faults = true, 12, 4
+			c.settings.Gossip, c.settings.FleetSize, c.faults = true, 12, 4
 		}, shows: usual},
-		{name: "peers of 60", change: func(c *scenario) { c.settings.Peers, c.settings.Instances = true, 60 },
+		{name: "peers of 60", change: func(c *scenario) { c.settings.Gossip, c.settings.FleetSize = true, 60 },
 			shows: usual},
-		{name: "peers of 300", change: func(c *scenario) { c.settings.Peers, c.settings.Instances = true, 300 },
+		{name: "peers of 300", change: func(c *scenario) { c.settings.Gossip, c.settings.FleetSize = true, 300 },
 			shows: usual},
 		{name: "shares", change: func(c *scenario) { sharing(c, 3) }, shows: shared},
 		{name: "shares of 60", change: func(c *scenario) { sharing(c, 60) }, shows: shared},
 		{name: "shares of 300", change: func(c *scenario) { sharing(c, 300) }, shows: shared},
-		{name: "accused alone", change: func(c *scenario) { c.accused, c.settings.Shares = true, true },
+		{name: "accused alone", change: func(c *scenario) { c.accused, c.settings.PublishRates = true, true },
 			shows: []string{"share"}},
-		{name: "paced alone", change: func(c *scenario) { c.paced, c.settings.Shares = true, true },
+		{name: "paced alone", change: func(c *scenario) { c.paced, c.settings.PublishRates = true, true },
 			shows: []string{"share"}},
 	}
 }
 
 func sharing(c *scenario, instances int) {
-	c.settings.Peers, c.settings.Shares, c.settings.Instances = true, true, instances
+	c.settings.Gossip, c.settings.PublishRates, c.settings.FleetSize = true, true, instances
 	c.accused, c.paced = true, true
 }
 
@@ -429,23 +429,23 @@
 		}, shows: []string{"zoned evacuated"}},
 		{name: "zone fees", change: func(c *scenario) {
 			separateRoutes(c)
-			c.settings.ZoneFee = []float64{0.06, 0, 0.3}
+			c.settings.ZoneCost = []float64{0.06, 0, 0.3}
 		}, shows: []string{"send", "refuse"}},
 	}
 }
 
 // listCases are of changes of the list and of state on demand.
 func listCases() []decisionCase {
-	joining := func(c *scenario) { c.settings.Newcomers, c.joining, c.load = true, true, 5 }
+	joining := func(c *scenario) { c.settings.CanaryAnalysis, c.joining, c.load = true, true, 5 }
 	return []decisionCase{
 		{name: "newcomers", change: joining, shows: []string{"proved"}},
 		{name: "newcomers and peers", change: func(c *scenario) {
 			joining(c)
-			c.settings.Peers, c.faults = true, 0.2
+			c.settings.Gossip, c.faults = true, 0.2
 		}, shows: []string{"proved", "tell"}},
 		{name: "newcomers beside faults", change: func(c *scenario) {
 			joining(c)
-			c.settings.Peers, c.errors = true, true
+			c.settings.Gossip, c.errors = true, true
 		}, shows: []string{"proved", "tell"}},
 		{name: "newcomers without rates", change: func(c *scenario) {
 			joining(c)
@@ -473,8 +473,8 @@
 		{name: "unwritten", change: func(c *scenario) { c.unwritten = true }, shows: usual},
 		{name: "all together", change: func(c *scenario) {
 			sharing(c, 4)
-			c.settings.Zones, c.settings.Newcomers, c.settings.Subscribe = true, true, true
-			c.settings.SecondCopies, c.settings.ConnIdle, c.settings.CallSize = true, 3*time.Second, 3000
+			c.settings.Zones, c.settings.CanaryAnalysis, c.settings.Subscribe = true, true, true
+			c.settings.HedgedRequests, c.settings.IdleConnTimeout, c.settings.MaxBatchBytes = true, 3*time.Second, 3000
 			c.outages, c.orders, c.byZone, c.joining, c.reports = true, true, true, true, true
 			c.restarts, c.handovers, c.stops, c.unwritten, c.withdrawn = true, true, true, true, true
 		},
--- a/policy/decisions_scene_test.go
+++ b/policy/decisions_scene_test.go
@@ -73,7 +73,7 @@
 	call     int
 	sent     time.Duration
 	due      time.Duration
-	ending   policy.Ended
+	ending   policy.AttemptEnded
 	open     bool
 	unrun    bool
 }
@@ -89,7 +89,7 @@
 
 // callFate is what becomes of one call, for all messages in it.
 type callFate struct {
-	ending policy.Ended
+	ending policy.AttemptEnded
 	after  time.Duration
 }
 
@@ -103,7 +103,7 @@
 	wakes        []time.Duration
 	inbox        []policy.Event
 	fates        map[int]callFate
-	remembered   map[string]policy.Remember
+	remembered   map[string]policy.PersistHealth
 	rememberedBy []string
 	subscribed   bool
 	stopping     int // steps until the process hands over
@@ -121,7 +121,7 @@
 	servers    []*simulatedServer
 	allowances map[string]*allowance
 	relays     []*simulatedRelay
-	shares     []policy.Share
+	shares     []policy.PublishRate
 	record     *decisionRecord
 }
 
@@ -146,7 +146,7 @@
 	}
 	for number := range simulatedRelays {
 		relay := &simulatedRelay{number: number, settings: plan.settings, messages: map[string]*notification{},
-			remembered: map[string]policy.Remember{}}
+			remembered: map[string]policy.PersistHealth{}}
 		relay.settings.Zone = number % simulatedZones
 		if plan.onDemand {
 			relay.settings.Directory = s
@@ -173,7 +173,7 @@
 	s.names++
 	weight := 3 + 4*float64(destination)
 	if destination%2 == 1 { // the others are sparse in a large fleet
-		weight *= math.Max(1, float64(s.scenario.settings.Instances)/3)
+		weight *= math.Max(1, float64(s.scenario.settings.FleetSize)/3)
 	}
 	server := &simulatedServer{latency: time.Duration(20+s.random.Intn(200)) * time.Millisecond,
 		endpoint: policy.Endpoint{ID: fmt.Sprint("endpoint", s.names), Destination: destination,
@@ -208,8 +208,8 @@
 	return nil
 }
 
-func (s *scene) wholeList() policy.Listed {
-	list := policy.Listed{Whole: true}
+func (s *scene) wholeList() policy.EndpointsUpdated {
+	list := policy.EndpointsUpdated{Complete: true}
 	for _, server := range s.servers {
 		list.Endpoints = append(list.Endpoints, server.endpoint)
 	}
@@ -329,18 +329,18 @@
 	case draw < 2:
 		server.endpoint.Draining = !server.endpoint.Draining
 	case draw == 2 && len(s.Endpoints(server.endpoint.Destination)) > 2:
-		server.endpoint.Gone = true
+		server.endpoint.Removed = true
 		s.servers = append(s.servers[:i:i], s.servers[i+1:]...)
 	case draw == 3:
 		server.endpoint.Weight *= 0.5 + s.random.Float64()
 	case len(s.Endpoints(server.endpoint.Destination)) < 5:
 		server = s.addServer(server.endpoint.Destination, s.random.Intn(simulatedZones))
 		server.flawed = s.chance(2)
-		server.endpoint.Born = instant.Time(s.now - s.milliseconds(2000))
+		server.endpoint.StartedAt = instant.Time(s.now - s.milliseconds(2000))
 	default:
-		server.endpoint.Born = instant.Time(s.now)
+		server.endpoint.StartedAt = instant.Time(s.now)
 	}
-	list := policy.Listed{Endpoints: []policy.Endpoint{server.endpoint}}
+	list := policy.EndpointsUpdated{Endpoints: []policy.Endpoint{server.endpoint}}
 	if !s.scenario.onDemand && s.chance(5) {
 		list = s.wholeList()
 	}
@@ -362,7 +362,7 @@
 	}
 	switch {
 	case s.scenario.stops && s.chance(150):
-		relay.inbox = append(relay.inbox, policy.Stopping{})
+		relay.inbox = append(relay.inbox, policy.ShutdownStarted{})
 		relay.stopping = 12
 	case s.scenario.handovers && s.chance(150):
 		s.handOver(t, relay)
@@ -380,7 +380,7 @@
 		}
 		return at.Add(time.Millisecond)
 	}
-	learned, fates := relay.dispatcher.Learned(), relay.fates
+	learned, fates := relay.dispatcher.ExportState(), relay.fates
 	s.begin(t, relay)
 	relay.fates = fates
 	for _, each := range learned {
@@ -394,7 +394,7 @@
 	t.Helper()
 	s.begin(t, relay)
 	for _, endpoint := range relay.rememberedBy {
-		relay.inbox = append(relay.inbox, policy.Recalled(relay.remembered[endpoint]))
+		relay.inbox = append(relay.inbox, policy.StateRestored(relay.remembered[endpoint]))
 	}
 	s.resume(relay, false)
 }
@@ -407,13 +407,13 @@
 			continue
 		}
 		arrived := message.arrived
-		arrived.Left, arrived.Resumed, arrived.Over = message.expires-s.now, true, message.over
-		arrived.Tried = nil
+		arrived.TimeLeft, arrived.Resumed, arrived.Completed = message.expires-s.now, true, message.over
+		arrived.PriorAttempts = nil
 		for i := range message.attempts {
 			attempt := &message.attempts[i]
 			attempt.open = attempt.open && keepOut
-			arrived.Tried = append(arrived.Tried, policy.Tried{Endpoint: attempt.endpoint,
-				Sent: instant.Time(attempt.sent), Unrun: attempt.unrun, Out: attempt.open, Call: attempt.call})
+			arrived.PriorAttempts = append(arrived.PriorAttempts, policy.PriorAttempt{Endpoint: attempt.endpoint,
+				SentAt: instant.Time(attempt.sent), NotExecuted: attempt.unrun, InFlight: attempt.open, Call: attempt.call})
 		}
 		message.hasOpen = message.hasOpen && keepOut
 		relay.inbox = append(relay.inbox, arrived)
@@ -434,7 +434,7 @@
 	kept := relay.wakes[:0]
 	for _, wake := range relay.wakes {
 		if wake <= s.now {
-			events = append(events, policy.Woken{})
+			events = append(events, policy.TimerFired{})
 		} else {
 			kept = append(kept, wake)
 		}
@@ -478,20 +478,20 @@
 		attempt.open = false
 		ending := attempt.ending
 		ending.ID, ending.Endpoint, ending.Attempt = message.arrived.ID, attempt.endpoint, i
-		ending.Took = attempt.due - attempt.sent
+		ending.Latency = attempt.due - attempt.sent
 		message.over = message.over || ending.Outcome == policy.OK ||
 			ending.Outcome == policy.TimedOut && s.now >= message.expires
-		ending.Over = message.over
-		ending.Spent = ending.Outcome == policy.Ignored && s.chance(3)
+		ending.Completed = message.over
+		ending.AttemptsExhausted = ending.Outcome == policy.NotSent && s.chance(3)
 		switch ending.Outcome {
-		case policy.QueueFull, policy.ConnectError, policy.Ignored, policy.Unsent:
+		case policy.Rejected, policy.ConnectError, policy.NotSent, policy.NotStarted:
 			attempt.unrun = true
 		}
 		events = append(events, ending)
 		if s.chance(60) {
 			events = append(events, ending) // doubled up: changes nothing
 		}
-		if ending.Outcome == policy.Unsent && i == len(message.attempts)-1 {
+		if ending.Outcome == policy.NotStarted && i == len(message.attempts)-1 {
 			message.attempts = message.attempts[:i] // its number goes to the next one
 		}
 	}
@@ -502,22 +502,22 @@
 func (s *scene) fromFleet(relay *simulatedRelay) (events []policy.Event) {
 	if s.scenario.accused && s.chance(25) {
 		server := s.servers[s.random.Intn(len(s.servers))]
-		found := policy.Accused{Destination: server.endpoint.Destination, Origins: s.random.Intn(7),
-			First: s.milliseconds(6000), Until: 4 * time.Second, Rank: s.random.Intn(3)}
+		found := policy.PeerSuspected{Destination: server.endpoint.Destination, Observers: s.random.Intn(7),
+			OldestAge: s.milliseconds(6000), ValidFor: 4 * time.Second, Rank: s.random.Intn(3)}
 		if s.chance(2) {
 			found.Destination, found.Endpoint = 0, server.endpoint.ID
 		}
-		found.Last, found.Fresh = found.First/2, s.random.Intn(found.Origins+1)
+		found.NewestAge, found.RecentObservers = found.OldestAge/2, s.random.Intn(found.Observers+1)
 		events = append(events, found)
 	}
 	if s.scenario.paced && len(s.shares) > 0 && s.chance(6) {
 		share := s.shares[s.random.Intn(len(s.shares))]
-		rates := policy.Paced{Destination: share.Destination, Relays: 1 + s.random.Intn(relay.settings.Instances),
-			Tellers: 1 + s.random.Intn(8), Pace: share.Pace * (0.6 + s.random.Float64()),
-			Traffic: share.Traffic * (0.5 + s.random.Float64()), Error: 0.1 * share.Traffic, Until: 5 * time.Second}
+		rates := policy.PeerRateReceived{Destination: share.Destination, LiveRelays: 1 + s.random.Intn(relay.settings.FleetSize),
+			Reporters: 1 + s.random.Intn(8), RateShare: share.RateShare * (0.6 + s.random.Float64()),
+			ArrivalRate: share.ArrivalRate * (0.5 + s.random.Float64()), ArrivalRateError: 0.1 * share.ArrivalRate, ValidFor: 5 * time.Second}
 		if s.scenario.byZone {
 			for range simulatedZones {
-				rates.ByZone = append(rates.ByZone, share.Traffic*2*s.random.Float64())
+				rates.ArrivalRateByZone = append(rates.ArrivalRateByZone, share.ArrivalRate*2*s.random.Float64())
 			}
 		}
 		events = append(events, rates)
@@ -528,11 +528,11 @@
 // ofProcess draws what befalls the process itself.
 func (s *scene) ofProcess(relay *simulatedRelay) (events []policy.Event) {
 	if s.scenario.unwritten && s.chance(40) {
-		events = append(events, policy.Stored{Writable: s.chance(2)})
+		events = append(events, policy.StorageChanged{Writable: s.chance(2)})
 	}
 	if relay.settings.Subscribe && relay.subscribed && s.chance(60) {
 		relay.subscribed = false
-		events = append(events, policy.ListFailed{})
+		events = append(events, policy.WatchFailed{})
 	}
 	return events
 }
@@ -555,11 +555,11 @@
 		kind := relay.settings.Classes[class]
 		message := &notification{arrived: policy.Arrived{ID: fmt.Sprint("message", s.names), Class: class,
 			Destination: s.random.Intn(simulatedDestinations), Size: 100 + s.random.Intn(900),
-			Left: kind.Deadline - s.milliseconds(1500)}}
+			TimeLeft: kind.Deadline - s.milliseconds(1500)}}
 		if kind.Ordered && s.random.Intn(5) > 0 {
 			message.arrived.Key = fmt.Sprint("key", s.random.Intn(simulatedKeys))
 		}
-		message.expires = s.now + message.arrived.Left
+		message.expires = s.now + message.arrived.TimeLeft
 		relay.messages[message.arrived.ID] = message
 		relay.order = append(relay.order, message)
 		events = append(events, message.arrived)
@@ -585,7 +585,7 @@
 	switch action := action.(type) {
 	case policy.Send:
 		s.send(relay, action)
-	case policy.Refuse:
+	case policy.Reject:
 		relay.messages[action.ID].over = true
 	case policy.Fail:
 		relay.messages[action.ID].over = true
@@ -593,34 +593,34 @@
 		if message := relay.messages[action.ID]; message != nil {
 			s.cut(&message.attempts[action.Attempt], policy.Canceled)
 		}
-	case policy.Withhold:
+	case policy.CancelUnwritten:
 		s.withhold(relay, action.Endpoint)
-	case policy.Wake:
+	case policy.SetTimer:
 		relay.wakes = append(relay.wakes, s.now+action.After)
 	case policy.Subscribe:
 		relay.subscribed = true
 		relay.inbox = append(relay.inbox, s.wholeList())
-	case policy.Remember:
+	case policy.PersistHealth:
 		if _, known := relay.remembered[action.Endpoint]; !known {
 			relay.rememberedBy = append(relay.rememberedBy, action.Endpoint)
 		}
 		relay.remembered[action.Endpoint] = action
-	case policy.Share:
+	case policy.PublishRate:
 		s.shares = append(s.shares, action)
-	case policy.Tell:
+	case policy.Broadcast:
 		s.tell(relay, action)
 	}
 }
 
 // tell brings a note to the other relays; some are lost, some come twice.
-func (s *scene) tell(from *simulatedRelay, action policy.Tell) {
+func (s *scene) tell(from *simulatedRelay, action policy.Broadcast) {
 	for _, relay := range s.relays {
 		if relay == from || s.chance(20) {
 			continue
 		}
-		relay.inbox = append(relay.inbox, policy.Heard(action))
+		relay.inbox = append(relay.inbox, policy.GossipReceived(action))
 		if s.chance(20) {
-			relay.inbox = append(relay.inbox, policy.Heard(action))
+			relay.inbox = append(relay.inbox, policy.GossipReceived(action))
 		}
 	}
 }
@@ -628,7 +628,7 @@
 // cut ends an attempt that is out with the next batch.
 func (s *scene) cut(attempt *attemptOut, outcome policy.Outcome) {
 	if attempt.open && attempt.due > s.now {
-		attempt.due, attempt.ending = s.now, policy.Ended{Outcome: outcome}
+		attempt.due, attempt.ending = s.now, policy.AttemptEnded{Outcome: outcome}
 	}
 }
 
@@ -639,7 +639,7 @@
 			attempt := &message.attempts[i]
 			just := attempt.sent >= s.now-20*time.Millisecond
 			if attempt.endpoint == endpoint && attempt.open && just && attempt.call%2 == 0 {
-				s.cut(attempt, policy.Ignored)
+				s.cut(attempt, policy.NotSent)
 			}
 		}
 	}
@@ -660,7 +660,7 @@
 		limit = min(limit, s.now+action.Timeout)
 	}
 	if attempt.due > limit {
-		attempt.due, attempt.ending = limit, policy.Ended{Outcome: policy.TimedOut}
+		attempt.due, attempt.ending = limit, policy.AttemptEnded{Outcome: policy.TimedOut}
 	}
 	message.attempts = append(message.attempts, attempt)
 	message.hasOpen = true
@@ -670,14 +670,14 @@
 func (s *scene) fate(server *simulatedServer, class int) callFate {
 	soon := 5*time.Millisecond + s.milliseconds(15)
 	ended := func(outcome policy.Outcome, after time.Duration) callFate {
-		return callFate{policy.Ended{Outcome: outcome}, after}
+		return callFate{policy.AttemptEnded{Outcome: outcome}, after}
 	}
 	if server == nil { // gone, and the relay does not know it
 		return ended(policy.ConnectError, soon)
 	}
 	took := time.Duration(float64(server.latency) * (0.5 + s.random.ExpFloat64()/2) * float64(1+class) / 2)
 	if lacking := s.chance(8); s.scenario.unsent && lacking {
-		return ended(policy.Unsent, soon)
+		return ended(policy.NotStarted, soon)
 	}
 	if s.scenario.errors && s.random.Intn(5) == 0 || server.flawed && s.chance(3) {
 		return ended(policy.Failed, took)
@@ -691,9 +691,9 @@
 		}
 		return ended(policy.Failed, took)
 	case refusing:
-		return ended(policy.QueueFull, soon)
+		return ended(policy.Rejected, soon)
 	case waiting:
-		return callFate{policy.Ended{Outcome: policy.QueueFull, Wait: s.milliseconds(4000)}, soon}
+		return callFate{policy.AttemptEnded{Outcome: policy.Rejected, RetryAfter: s.milliseconds(4000)}, soon}
 	case hanging:
 		return ended(policy.TimedOut, time.Hour)
 	case unreachable:
@@ -714,18 +714,18 @@
 func (s *scene) answer(server *simulatedServer, took, soon time.Duration) callFate {
 	allowed, left := s.allow(server.endpoint)
 	if !allowed {
-		full := policy.Ended{Outcome: policy.QueueFull}
+		full := policy.AttemptEnded{Outcome: policy.Rejected}
 		if s.chance(6) {
-			full.Wait = s.milliseconds(2500)
+			full.RetryAfter = s.milliseconds(2500)
 		}
 		return callFate{full, soon}
 	}
-	ended := policy.Ended{Outcome: policy.OK}
+	ended := policy.AttemptEnded{Outcome: policy.OK}
 	if s.chance(40) {
-		ended.Outcome = policy.Outcome(s.random.Intn(int(policy.Unsent) + 1))
+		ended.Outcome = policy.Outcome(s.random.Intn(int(policy.NotStarted) + 1))
 	}
 	if s.scenario.reports && ended.Outcome == policy.OK {
-		ended.Report = &policy.Report{Left: left, Limit: server.endpoint.Weight}
+		ended.LoadReport = &policy.LoadReport{Remaining: left, Limit: server.endpoint.Weight}
 	}
 	return callFate{ended, took}
 }
@@ -733,10 +733,10 @@
 // allow takes a call from the allowance of a destination or route, and tells what share of it is left.
 func (s *scene) allow(endpoint policy.Endpoint) (allowed bool, left float64) {
 	scope := fmt.Sprint("destination", endpoint.Destination)
-	if s.scenario.settings.Kinds[endpoint.Kind].Separate {
+	if s.scenario.settings.Kinds[endpoint.Kind].SeparateRoutes {
 		scope = endpoint.ID
 	}
-	instances := max(simulatedRelays, s.scenario.settings.Instances)
+	instances := max(simulatedRelays, s.scenario.settings.FleetSize)
 	rate := endpoint.Weight * simulatedRelays / float64(instances)
 	depth := math.Max(2, rate)
 	limit := s.allowances[scope]
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -58,7 +58,7 @@
 		d.resub = 0 // at once
 	}
 	for _, c := range s.Classes {
-		d.meanWorth += c.Worth / float64(len(s.Classes))
+		d.meanWorth += c.PriorityWeight / float64(len(s.Classes))
 	}
 	return d, nil
 }
@@ -91,28 +91,28 @@
 	switch e := e.(type) {
 	case Arrived:
 		return d.take(e)
-	case Ended:
+	case AttemptEnded:
 		d.ended(e)
 	case Withdrawn:
 		d.withdraw(e.ID)
-	case Listed: // taken in ahead of the others
-	case ListFailed:
+	case EndpointsUpdated: // taken in ahead of the others
+	case WatchFailed:
 		if d.s.Subscribe {
 			d.resub = d.now.Add(subscribeAgain)
 		}
-	case Recalled:
+	case StateRestored:
 		d.recall(e)
-	case Learned:
+	case StateInherited:
 		d.inherit(e)
-	case Heard:
-		d.heard(e.Note)
-	case Accused:
+	case GossipReceived:
+		d.heard(e.Message)
+	case PeerSuspected:
 		d.accused(e)
-	case Paced:
+	case PeerRateReceived:
 		d.pacedBy(e)
-	case Stored:
+	case StorageChanged:
 		d.unrecorded = !e.Writable
-	case Stopping:
+	case ShutdownStarted:
 		d.stopping = true
 	}
 	return nil
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -37,7 +37,7 @@
 // crowded tells whether an endpoint took no connection lately, of this relay or of another while it served
 // this one: idle ones take the room of others there. Elsewhere closing them only costs a handshake again.
 func (d *Dispatcher) crowded(ep *endpoint) bool {
-	return ep.connCap > 0 || ep.crowdedAt > 0 && d.now.Sub(ep.crowdedAt) < d.s.ConnIdle
+	return ep.connCap > 0 || ep.crowdedAt > 0 && d.now.Sub(ep.crowdedAt) < d.s.IdleConnTimeout
 }
 
 // Avoided is how many listed endpoints get nothing now but trials: out, silent, or on their way out. With a Directory in use,
@@ -57,9 +57,9 @@
 // countsAsBad tells whether Avoided counts an endpoint whatever the time is.
 func (d *Dispatcher) countsAsBad(ep *endpoint) bool {
 	if d.onDemand() {
-		return !ep.Gone && ep.sick && !ep.Draining
+		return !ep.Removed && ep.sick && !ep.Draining
 	}
-	return !ep.Gone && (ep.sick || ep.Draining)
+	return !ep.Removed && (ep.sick || ep.Draining)
 }
 
 // update makes a change to an endpoint that may bear on what Avoided counts.
@@ -79,5 +79,5 @@
 	if ep.sick {
 		return 0
 	}
-	return min(d.now.Sub(ep.recovered), d.s.RampTime)
+	return min(d.now.Sub(ep.recovered), d.s.SlowStartWindow)
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -9,17 +9,17 @@
 
 func Example() {
 	d, err := policy.New(policy.Settings{
-		Instances: 1, Slots: 8, HoldRoom: 100, MaxAttempts: 8, Tick: 5 * time.Millisecond,
-		Classes: []policy.Class{{Aim: time.Second, Deadline: 10 * time.Second, Worth: 1, Effect: policy.Safe}},
-		Kinds:   []policy.Kind{{Bundle: 1}},
+		FleetSize: 1, Slots: 8, QueueCapacity: 100, MaxAttempts: 8, BatchInterval: 5 * time.Millisecond,
+		Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, Effect: policy.Idempotent}},
+		Kinds:   []policy.Kind{{MaxBatch: 1}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	actions := d.Handle(0, []policy.Event{
-		policy.Listed{Whole: true, Endpoints: []policy.Endpoint{{ID: "a", Destination: 7}}},
-		policy.Arrived{ID: "m", Destination: 7, Left: 10 * time.Second},
+		policy.EndpointsUpdated{Complete: true, Endpoints: []policy.Endpoint{{ID: "a", Destination: 7}}},
+		policy.Arrived{ID: "m", Destination: 7, TimeLeft: 10 * time.Second},
 	})
 	fmt.Println(actions[0])
 	// Output: {m a 3.333333333s 0s 1}
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -27,12 +27,12 @@
 
 // accused takes in what the fleet finds. Own findings that are younger than the first of the others' go
 // before it.
-func (d *Dispatcher) accused(e Accused) {
-	w := word{e.Origins, e.Rank, d.now.Add(-e.First), d.now.Add(-e.Last), d.now.Add(e.Until)}
+func (d *Dispatcher) accused(e PeerSuspected) {
+	w := word{e.Observers, e.Rank, d.now.Add(-e.OldestAge), d.now.Add(-e.NewestAge), d.now.Add(e.ValidFor)}
 	binds := w.binds(d.now)
 	if ep := d.lookUp(e.Endpoint, binds); ep != nil {
 		// For zones and turns alone: among many relays single errors soon make three witnesses.
-		if ep.word = w; e.Fresh >= witnesses {
+		if ep.word = w; e.RecentObservers >= witnesses {
 			ep.failedAt = max(ep.failedAt, w.last)
 		}
 		return
@@ -98,17 +98,17 @@
 
 // pacedBy takes in what other relays send a destination. One that has just started, and so has learned no
 // pace of its own, begins with the fleet's.
-func (d *Dispatcher) pacedBy(e Paced) {
+func (d *Dispatcher) pacedBy(e PeerRateReceived) {
 	q := d.sharedQueue(e.Destination, true)
 	if q == nil {
 		return
 	}
-	d.relays, q.paced, q.pacedTo = e.Relays, e, d.now.Add(e.Until)
+	d.relays, q.paced, q.pacedTo = e.LiveRelays, e, d.now.Add(e.ValidFor)
 	if d.s.Zones {
-		d.apportion(q, e.ByZone)
+		d.apportion(q, e.ArrivalRateByZone)
 	}
 	if q.n == 0 && q.refusedAt == 0 && q.weight > 0 {
-		q.pace = d.even(q) * math.Min(paceRoom, math.Max(paceFloor, e.Pace))
+		q.pace = d.even(q) * math.Min(paceRoom, math.Max(paceFloor, e.RateShare))
 		q.tokens = math.Min(q.tokens, math.Max(1, q.pace*burstSpan.Seconds()))
 	}
 }
@@ -116,17 +116,17 @@
 // there is how many relays share the traffic.
 func (d *Dispatcher) there() float64 {
 	if d.relays > 0 {
-		return float64(min(d.relays, d.s.Instances))
+		return float64(min(d.relays, d.s.FleetSize))
 	}
-	return float64(d.s.Instances)
+	return float64(d.s.FleetSize)
 }
 
 // part is this relay's part of what the fleet may send a destination, by the traffic that it has for it, as
 // a multiple of an even share. What the others get is known from few: it is taken for a standard error more.
 func (d *Dispatcher) part(q *queue) float64 {
-	if d.now >= q.pacedTo || q.paced.Tellers < witnesses {
+	if d.now >= q.pacedTo || q.paced.Reporters < witnesses {
 		return 1
 	}
-	usual := q.paced.Traffic + q.paced.Error
+	usual := q.paced.ArrivalRate + q.paced.ArrivalRateError
 	return math.Min(partMost, math.Max(partLeast, q.arrivals.rate(d.now)/math.Max(1e-9, usual)))
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -11,7 +11,7 @@
 func large(t *testing.T, relays int, weight float64, ids ...string) *Dispatcher {
 	t.Helper()
 	s := plain()
-	s.Instances, s.Weights, s.Peers, s.Shares = relays, WeightsNominal, true, true
+	s.FleetSize, s.Weights, s.Gossip, s.PublishRates = relays, WeightsNominal, true, true
 	var eps []Endpoint
 	for _, id := range ids {
 		eps = append(eps, Endpoint{ID: id, Weight: weight})
@@ -21,7 +21,7 @@
 
 func hearsay(actions []Action) (n int) {
 	for _, a := range actions {
-		if a, ok := a.(Remember); ok && a.Sick && a.Hearsay {
+		if a, ok := a.(PersistHealth); ok && a.Ejected && a.SecondHand {
 			n++
 		}
 	}
@@ -33,20 +33,20 @@
 func TestShutByTheWordOfOthers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		e       Accused
+		e       PeerSuspected
 		success bool
 		want    int
 	}{
-		{"three relays for 3 s", Accused{Origins: 3, First: 3 * time.Second, Until: time.Second}, false, 2},
-		{"two relays", Accused{Origins: 2, First: 3 * time.Second, Until: time.Second}, false, 0},
-		{"for 2 s", Accused{Origins: 9, First: 2 * time.Second, Until: time.Second}, false, 0},
-		{"against a success since", Accused{Origins: 9, First: 3 * time.Second, Until: time.Second}, true, 0},
-		{"another destination", Accused{Destination: 7, Origins: 9, First: 3 * time.Second, Until: time.Second}, false, 0},
-		{"an endpoint", Accused{Endpoint: "a", Origins: 3, Fresh: 3, First: 10 * ms, Until: time.Second}, false, 0},
-		{"an endpoint, three relays, of which two not just now", Accused{Endpoint: "a", Origins: 3, Fresh: 1, First: 10 * ms, Until: time.Second}, false, 0},
-		{"an endpoint, one relay", Accused{Endpoint: "a", Origins: 1, Fresh: 1, First: 10 * ms, Until: time.Second}, false, 0},
-		{"an endpoint that serves here", Accused{Endpoint: "a", Origins: 3, Fresh: 3, First: 2 * time.Second, Until: time.Second}, true, 0},
-		{"an endpoint that is not listed", Accused{Endpoint: "x", Origins: 9, Fresh: 9, First: 3 * time.Second, Until: time.Second}, false, 0},
+		{"three relays for 3 s", PeerSuspected{Observers: 3, OldestAge: 3 * time.Second, ValidFor: time.Second}, false, 2},
+		{"two relays", PeerSuspected{Observers: 2, OldestAge: 3 * time.Second, ValidFor: time.Second}, false, 0},
+		{"for 2 s", PeerSuspected{Observers: 9, OldestAge: 2 * time.Second, ValidFor: time.Second}, false, 0},
+		{"against a success since", PeerSuspected{Observers: 9, OldestAge: 3 * time.Second, ValidFor: time.Second}, true, 0},
+		{"another destination", PeerSuspected{Destination: 7, Observers: 9, OldestAge: 3 * time.Second, ValidFor: time.Second}, false, 0},
+		{"an endpoint", PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 3, OldestAge: 10 * ms, ValidFor: time.Second}, false, 0},
+		{"an endpoint, three relays, of which two not just now", PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 1, OldestAge: 10 * ms, ValidFor: time.Second}, false, 0},
+		{"an endpoint, one relay", PeerSuspected{Endpoint: "a", Observers: 1, RecentObservers: 1, OldestAge: 10 * ms, ValidFor: time.Second}, false, 0},
+		{"an endpoint that serves here", PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 3, OldestAge: 2 * time.Second, ValidFor: time.Second}, true, 0},
+		{"an endpoint that is not listed", PeerSuspected{Endpoint: "x", Observers: 9, RecentObservers: 9, OldestAge: 3 * time.Second, ValidFor: time.Second}, false, 0},
 	} {
 		d := large(t, 60, 60, "a", "b")
 		if c.success {
@@ -54,7 +54,7 @@
 				id := fmt.Sprint(i)
 				for _, a := range d.Handle(moment(9*time.Second), []Event{arrive(id, 0)}) {
 					if a, ok := a.(Send); ok {
-						d.Handle(moment(9100*ms), []Event{Ended{ID: id, Endpoint: a.Endpoint, Outcome: OK, Over: true}})
+						d.Handle(moment(9100*ms), []Event{AttemptEnded{ID: id, Endpoint: a.Endpoint, Outcome: OK, Completed: true}})
 					}
 				}
 				d.endpoints["a"].lastUsed = 0
@@ -72,10 +72,10 @@
 func TestOneTries(t *testing.T) {
 	tried := func(rank int, until time.Duration) time.Duration {
 		d := large(t, 300, 60, "a")
-		word := Accused{Origins: 5, First: 3 * time.Second, Last: 100 * ms, Until: until, Rank: rank}
+		word := PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: 100 * ms, ValidFor: until, Rank: rank}
 		d.Handle(moment(10*time.Second), []Event{word})
 		for now := 10 * time.Second; now < 30*time.Second; now += 10 * ms {
-			for _, a := range d.Handle(moment(now), []Event{Arrived{ID: now.String(), Left: 9 * time.Second}}) {
+			for _, a := range d.Handle(moment(now), []Event{Arrived{ID: now.String(), TimeLeft: 9 * time.Second}}) {
 				if _, ok := a.(Send); ok {
 					return now - 10*time.Second
 				}
@@ -99,18 +99,18 @@
 // A relay that tried in vain does not try again before the next turn, whether it has heard of its own try or not.
 func TestTriesAreApart(t *testing.T) {
 	d := large(t, 300, 60, "a")
-	d.Handle(moment(10*time.Second), []Event{Accused{Origins: 5, First: 3 * time.Second, Last: time.Second, Until: 10 * time.Second}})
+	d.Handle(moment(10*time.Second), []Event{PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: time.Second, ValidFor: 10 * time.Second}})
 	var at []time.Duration
 	attempts := map[string]int{}
 	for now := 10 * time.Second; now < 15*time.Second; now += 10 * ms {
 		var events []Event
 		if now%(100*ms) == 0 {
-			events = append(events, Arrived{ID: now.String(), Left: 9 * time.Second})
+			events = append(events, Arrived{ID: now.String(), TimeLeft: 9 * time.Second})
 		}
-		for _, a := range d.Handle(moment(now), append(events, Woken{})) {
+		for _, a := range d.Handle(moment(now), append(events, TimerFired{})) {
 			if a, ok := a.(Send); ok {
 				at = append(at, now)
-				d.Handle(moment(now), []Event{Ended{ID: a.ID, Endpoint: "a", Attempt: attempts[a.ID], Outcome: QueueFull}})
+				d.Handle(moment(now), []Event{AttemptEnded{ID: a.ID, Endpoint: "a", Attempt: attempts[a.ID], Outcome: Rejected}})
 				attempts[a.ID]++
 			}
 		}
@@ -130,15 +130,15 @@
 func TestBeginsWithTheFleetsPace(t *testing.T) {
 	for _, c := range []struct{ told, want float64 }{{0.4, 0.4}, {0.01, paceFloor}, {50, paceRoom}} {
 		d := large(t, 10, 100, "a")
-		d.Handle(moment(ms), []Event{Paced{Relays: 10, Tellers: 4, Pace: c.told, Traffic: 1, Until: time.Minute}})
+		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: c.told, ArrivalRate: 1, ValidFor: time.Minute}})
 		if got := d.queues[0].pace; math.Abs(got-10*c.want) > 1e-9 {
 			t.Errorf("told %v, it begins with %v a second, want %v", c.told, got, 10*c.want)
 		}
 	}
 	d := large(t, 10, 100, "a")
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
-	d.Handle(moment(2*ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: OK, Over: true}})
-	d.Handle(moment(3*ms), []Event{Paced{Relays: 10, Tellers: 4, Pace: 0.4, Traffic: 1, Until: time.Minute}})
+	d.Handle(moment(2*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
+	d.Handle(moment(3*ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: 0.4, ArrivalRate: 1, ValidFor: time.Minute}})
 	if got := d.queues[0].pace; got < 9.9 {
 		t.Errorf("a relay at work comes to %v a second by the word of others", got)
 	}
@@ -156,7 +156,7 @@
 		d := large(t, len(traffic), 100, "a")
 		q := d.queues[0]
 		q.arrivals = aged{n: v * counterAge.Seconds(), at: 0, since: moment(-time.Hour)}
-		d.Handle(moment(ms), []Event{Paced{Relays: 10, Tellers: 8, Pace: 1, Traffic: mean, Error: 0.5, Until: time.Second}})
+		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 8, RateShare: 1, ArrivalRate: mean, ArrivalRateError: 0.5, ValidFor: time.Second}})
 		sum += d.part(q)
 		if d.now = moment(2 * time.Second); d.part(q) != 1 {
 			t.Errorf("past its bound: %v", d.part(q))
@@ -172,8 +172,8 @@
 	d := large(t, 60, 60, "a")
 	n := 0
 	for now := time.Duration(0); now < time.Minute; now += 100 * ms {
-		for _, a := range d.Handle(moment(now), []Event{Woken{}}) {
-			if a, ok := a.(Share); ok && a.Pace == 1 {
+		for _, a := range d.Handle(moment(now), []Event{TimerFired{}}) {
+			if a, ok := a.(PublishRate); ok && a.RateShare == 1 {
 				n++
 			}
 		}
--- a/policy/fleetstate.go
+++ b/policy/fleetstate.go
@@ -19,12 +19,12 @@
 
 // share tells the others this relay's pace for one destination after the other.
 func (d *Dispatcher) share() {
-	if !d.s.Shares || d.now < d.shareAt || len(d.queues) == 0 {
+	if !d.s.PublishRates || d.now < d.shareAt || len(d.queues) == 0 {
 		return
 	}
-	d.shareAt = d.now.Add(max(shareLeast, time.Duration(d.s.Instances)*shareEach))
+	d.shareAt = d.now.Add(max(shareLeast, time.Duration(d.s.FleetSize)*shareEach))
 	d.shareNext++
 	if q := d.queues[d.shareNext%len(d.queues)]; !q.apart && q.weight > 0 {
-		d.act(Share{Destination: q.dest.no, Pace: q.pace / d.even(q), Traffic: q.arrivals.rate(d.now)})
+		d.act(PublishRate{Destination: q.dest.no, RateShare: q.pace / d.even(q), ArrivalRate: q.arrivals.rate(d.now)})
 	}
 }
--- a/policy/lack_test.go
+++ b/policy/lack_test.go
@@ -17,14 +17,14 @@
 			t.Fatal(err)
 		}
 		now := time.Second
-		expect(t, "the first try", d.Handle(moment(now), []Event{Listed{Whole: true, Endpoints: []Endpoint{{ID: "a"}}}, arrive("m", class)}), "m>a")
+		expect(t, "the first try", d.Handle(moment(now), []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a"}}}, arrive("m", class)}), "m>a")
 		for i := range 10 {
-			unsent := Ended{ID: "m", Endpoint: "a", Attempt: 0, Outcome: Unsent}
+			unsent := AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: NotStarted}
 			expect(t, "at once", d.Handle(moment(now+ms), []Event{unsent}), "")
 			pause := min(lackPause<<i, lackPauseMost)
-			expect(t, "in the pause", d.Handle(moment(now+pause-ms), []Event{Woken{}}), "")
+			expect(t, "in the pause", d.Handle(moment(now+pause-ms), []Event{TimerFired{}}), "")
 			now += pause + 2*ms
-			expect(t, "behind it", d.Handle(moment(now), []Event{Woken{}}), "m>a")
+			expect(t, "behind it", d.Handle(moment(now), []Event{TimerFired{}}), "m>a")
 		}
 		ep := d.endpoints["a"]
 		if m := d.messages["m"]; len(m.attempts) != 1 || m.firstRun() == nil || ep.failures != 0 || ep.sick || ep.strikes[class] != 0 {
@@ -33,7 +33,7 @@
 		if q := d.queues[0]; q.pace > 0 && d.tokens(q) < 0 {
 			t.Errorf("class %d: %v tokens", class, q.tokens)
 		}
-		expect(t, "delivered", d.Handle(moment(now+ms), []Event{Ended{ID: "m", Endpoint: "a", Attempt: 0, Outcome: OK, Over: true}}), "")
+		expect(t, "delivered", d.Handle(moment(now+ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: OK, Completed: true}}), "")
 		if ep.lack != (lack{}) {
 			t.Errorf("class %d: still a pause of %v", class, ep.lack.pause)
 		}
@@ -43,17 +43,17 @@
 // A call to a cold endpoint that could not be begun gives its part of the budget back.
 func TestUnsentCallsCostNoBudget(t *testing.T) {
 	s := plain()
-	s.RampTime, s.ColdShare, s.OverloadFactor, s.OverloadFor, s.Weights = 10*time.Second, 0.2, 2.5, 1500*ms, WeightsNominal
+	s.SlowStartWindow, s.SlowStartInitialShare, s.OverloadFactor, s.OverloadWindow, s.Weights = 10*time.Second, 0.2, 2.5, 1500*ms, WeightsNominal
 	d, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := moment(time.Hour)
-	expect(t, "to a cold endpoint", d.Handle(now, []Event{Listed{Whole: true, Endpoints: []Endpoint{{ID: "a", Weight: 50}}},
-		Recalled{Endpoint: "a", At: now.Add(-ms)}, arrive("m", 0)}), "m>a")
+	expect(t, "to a cold endpoint", d.Handle(now, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 50}}},
+		StateRestored{Endpoint: "a", At: now.Add(-ms)}, arrive("m", 0)}), "m>a")
 	ep := d.endpoints["a"]
 	spent := ep.tokens
-	d.Handle(now, []Event{Ended{ID: "m", Endpoint: "a", Outcome: Unsent}})
+	d.Handle(now, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotStarted}})
 	if got := ep.tokens - spent; got != 1 {
 		t.Errorf("%v of a call came back", got)
 	}
@@ -74,10 +74,10 @@
 				switch {
 				case !ok:
 				case send.Endpoint == "a":
-					ends = append(ends, Ended{ID: send.ID, Endpoint: "a", Outcome: Unsent})
+					ends = append(ends, AttemptEnded{ID: send.ID, Endpoint: "a", Outcome: NotStarted})
 				default:
 					served++
-					ends = append(ends, Ended{ID: send.ID, Endpoint: "b", Outcome: OK, Over: true, Took: ms})
+					ends = append(ends, AttemptEnded{ID: send.ID, Endpoint: "b", Outcome: OK, Completed: true, Latency: ms})
 				}
 			}
 			if len(ends) == 0 {
--- a/policy/list.go
+++ b/policy/list.go
@@ -10,14 +10,14 @@
 // This file holds changes of the list of endpoints.
 
 // listed takes in a change of the list.
-func (d *Dispatcher) listed(e Listed) {
+func (d *Dispatcher) listed(e EndpointsUpdated) {
 	d.listedAt = min(d.listedAt, d.now)
 	for _, entry := range e.Endpoints {
 		if d.concerns(entry) {
 			d.entry(entry, d.now)
 		}
 	}
-	if e.Whole {
+	if e.Complete {
 		named := map[string]bool{}
 		for _, entry := range e.Endpoints {
 			named[entry.ID] = true
@@ -40,7 +40,7 @@
 // entry takes in one entry of the list, as told at a moment.
 func (d *Dispatcher) entry(e Endpoint, at instant.Time) {
 	ep := d.endpoints[e.ID]
-	if e.Gone {
+	if e.Removed {
 		if ep != nil {
 			d.drop(ep)
 		}
@@ -66,21 +66,21 @@
 func (d *Dispatcher) addEndpoint(dest *destination, e Endpoint, since instant.Time) *endpoint {
 	ep := &endpoint{strikes: make([]float64, len(d.s.Classes)), q: dest.queues[0]}
 	d.endpoints[e.ID] = ep
-	kind := Kind{Bundle: 1}
+	kind := Kind{MaxBatch: 1}
 	if e.Kind >= 0 && e.Kind < len(d.s.Kinds) {
 		kind = d.s.Kinds[e.Kind]
 	}
-	if kind.Separate && (len(ep.q.eps) > 0 || len(dest.queues) > 1) {
+	if kind.SeparateRoutes && (len(ep.q.eps) > 0 || len(dest.queues) > 1) {
 		ep.q = d.addQueue(dest, 1, true, since)
 	}
-	ep.q.bundle, ep.q.apart, ep.q.kind = max(1, kind.Bundle), kind.Separate, e.Kind
+	ep.q.bundle, ep.q.apart, ep.q.kind = max(1, kind.MaxBatch), kind.SeparateRoutes, e.Kind
 	ep.q.eps = append(ep.q.eps, ep)
 	return ep
 }
 
 // drop forgets an endpoint that left the list; calls out there still end.
 func (d *Dispatcher) drop(ep *endpoint) {
-	d.update(ep, func() { ep.Gone = true })
+	d.update(ep, func() { ep.Removed = true })
 	if ep.trial != nil {
 		d.onTrial--
 	}
--- a/policy/message.go
+++ b/policy/message.go
@@ -37,7 +37,7 @@
 	}
 	d.seq++
 	m := &message{Arrived: e, class: &d.s.Classes[e.Class], seq: d.seq,
-		expires: d.now.Add(e.Left)}
+		expires: d.now.Add(e.TimeLeft)}
 	d.messages[e.ID] = m
 	d.live = append(d.live, m)
 	if m.class.Ordered && m.Key != "" {
@@ -77,34 +77,34 @@
 // forgotten is when a receiver that may have run a message may no longer know it, never where that is no matter: two
 // ticks early, since the module's times are those of its batches.
 func (d *Dispatcher) forgotten(m *message) instant.Time {
-	if first := m.firstRun(); first != nil && m.class.Effect == Keyed {
-		return first.sent.Add(m.class.Memory).Add(-(2 * d.s.Tick))
+	if first := m.firstRun(); first != nil && m.class.Effect == IdempotentWithKey {
+		return first.sent.Add(m.class.IdempotencyWindow).Add(-(2 * d.s.BatchInterval))
 	}
 	return never
 }
 
-// worthAt is the share of its worth that a message has at an age.
-func (c *Class) worthAt(age time.Duration) float64 {
+// valueAt is the share of its worth that a message has at an age.
+func (c *Class) valueAt(age time.Duration) float64 {
 	switch {
-	case age <= c.Aim:
+	case age <= c.LatencyObjective:
 		return 1
 	case age > c.Deadline:
 		return 0
-	case c.Halving && c.Aim > 0:
-		return math.Max(c.LateShare, math.Pow(0.5, float64(age-c.Aim)/float64(c.Aim)))
+	case c.ExponentialDecay && c.LatencyObjective > 0:
+		return math.Max(c.LateValueShare, math.Pow(0.5, float64(age-c.LatencyObjective)/float64(c.LatencyObjective)))
 	}
-	return 1 - (1-c.LateShare)*float64(age-c.Aim)/float64(c.Deadline-c.Aim)
+	return 1 - (1-c.LateValueShare)*float64(age-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective)
 }
 
 // ageAt is the age at which a message has only a share of its worth left.
 func (c *Class) ageAt(share float64) time.Duration {
 	switch {
-	case share <= c.LateShare:
+	case share <= c.LateValueShare:
 		return c.Deadline
-	case c.Halving:
-		return min(c.Deadline, c.Aim-time.Duration(math.Log2(share)*float64(c.Aim)))
+	case c.ExponentialDecay:
+		return min(c.Deadline, c.LatencyObjective-time.Duration(math.Log2(share)*float64(c.LatencyObjective)))
 	}
-	return c.Aim + time.Duration((1-share)/(1-c.LateShare)*float64(c.Deadline-c.Aim))
+	return c.LatencyObjective + time.Duration((1-share)/(1-c.LateValueShare)*float64(c.Deadline-c.LatencyObjective))
 }
 
 // release takes a message out of its queue.
--- a/policy/messages_capacity_bench_test.go
+++ b/policy/messages_capacity_bench_test.go
@@ -17,7 +17,7 @@
 	const day = 24 * time.Hour
 	destinations := max(1, messages/queuedMessages)
 	s := onDemandSettings()
-	s.Directory, s.HoldRoom = oneEach(destinations), 2*messages
+	s.Directory, s.QueueCapacity = oneEach(destinations), 2*messages
 	for i := range s.Classes {
 		s.Classes[i].Deadline = day
 	}
@@ -25,17 +25,17 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	d.Handle(0, []Event{Listed{}})
+	d.Handle(0, []Event{EndpointsUpdated{}})
 	var events []Event
 	for no := range destinations {
-		endpoint := LearnedEndpoint{ID: fmt.Sprint("e", no)}
-		events = append(events, Learned{Endpoints: []LearnedEndpoint{endpoint}, Wait: moment(day)})
+		endpoint := InheritedEndpoint{ID: fmt.Sprint("e", no)}
+		events = append(events, StateInherited{Endpoints: []InheritedEndpoint{endpoint}, RetryAfterUntil: moment(day)})
 	}
 	d.Handle(0, events)
 	events = nil
 	for i := range messages {
 		id := fmt.Sprintf("%016x", i)
-		events = append(events, Arrived{ID: id, Destination: i % destinations, Left: day, Size: 200, Resumed: true})
+		events = append(events, Arrived{ID: id, Destination: i % destinations, TimeLeft: day, Size: 200, Resumed: true})
 	}
 	d.Handle(0, events)
 	if len(d.live) != messages || d.out > 0 {
@@ -55,7 +55,7 @@
 			now := time.Second
 			for b.Loop() {
 				now += 5 * ms
-				d.Handle(moment(now), []Event{Woken{}})
+				d.Handle(moment(now), []Event{TimerFired{}})
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(messages), "ns/message")
 			b.ReportMetric(memory/float64(messages), "B/message")
@@ -100,7 +100,7 @@
 				if d, err = New(s, 1); err != nil {
 					b.Fatal(err)
 				}
-				d.Handle(0, []Event{Listed{Whole: true, Endpoints: list}})
+				d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: list}})
 			}
 			b.ReportMetric((heap()-before)/float64(destinations), "B/destination")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(destinations), "ns/destination")
@@ -125,7 +125,7 @@
 						b.Fatal(err)
 					}
 					before := heap()
-					d.Handle(0, []Event{Listed{}})
+					d.Handle(0, []Event{EndpointsUpdated{}})
 					draw := destinationSizes(destinations, exponent)
 					step := time.Second / time.Duration(factor*mean)
 					for now := step; now < span; now += step {
--- a/policy/newcomers.go
+++ b/policy/newcomers.go
@@ -34,7 +34,7 @@
 
 // arrives takes in an endpoint that was not listed before, or has started anew since.
 func (d *Dispatcher) arrives(ep *endpoint, e Endpoint) {
-	if d.isNew(e) && e.Born > ep.Born && !e.Draining {
+	if d.isNew(e) && e.StartedAt > ep.StartedAt && !e.Draining {
 		if ep.trial == nil {
 			d.onTrial++
 		}
@@ -44,7 +44,7 @@
 
 // isNew tells whether a listed endpoint may be on trial by its age.
 func (d *Dispatcher) isNew(e Endpoint) bool {
-	return d.s.Newcomers && e.Born > 0 && d.now.Sub(e.Born) < newFor
+	return d.s.CanaryAnalysis && e.StartedAt > 0 && d.now.Sub(e.StartedAt) < newFor
 }
 
 // proves tells whether an endpoint is on trial: only beside an older one that serves its destination.
@@ -91,15 +91,15 @@
 		default:
 			ep.trial = nil
 			d.onTrial--
-			d.act(Proved{Endpoint: ep.ID})
+			d.act(CanaryStageChanged{Endpoint: ep.ID})
 		}
 	}
 }
 
 // judged draws from a call's end what it says of a newcomer, or of what is usual beside one. An endpoint that
 // refuses may just be at its limit. A relay whose own network is bad speaks against nobody.
-func (d *Dispatcher) judged(ep *endpoint, m *message, e Ended, late bool) {
-	if !d.s.Newcomers || e.Outcome == QueueFull || e.Outcome == Ignored || e.Outcome == Canceled && !late {
+func (d *Dispatcher) judged(ep *endpoint, m *message, e AttemptEnded, late bool) {
+	if !d.s.CanaryAnalysis || e.Outcome == Rejected || e.Outcome == NotSent || e.Outcome == Canceled && !late {
 		return
 	}
 	q, bad := ep.q, e.Outcome != OK || late
@@ -108,8 +108,8 @@
 	} else if !bad || q.failing[m.Class].share() < ownFailing {
 		d.compare(ep, m.Class, bad)
 		// Later outcomes come faster: a part of them says as much, if it is the same of good and bad ones.
-		if d.s.Peers && d.chance.Float64() < stageShares[1]/stageShares[ep.trial.stage] {
-			d.act(Tell{Note: trialNote{ep.ID, m.Class, bad, d.chance.Uint64() % maxNumber}.note()})
+		if d.s.Gossip && d.chance.Float64() < stageShares[1]/stageShares[ep.trial.stage] {
+			d.act(Broadcast{Message: trialNote{ep.ID, m.Class, bad, d.chance.Uint64() % maxNumber}.note()})
 		}
 	}
 }
--- a/policy/newcomers_test.go
+++ b/policy/newcomers_test.go
@@ -28,7 +28,7 @@
 		fails: func(string, int) Outcome { return OK }, took: func(string) time.Duration { return 30 * ms }, lose: func() bool { return false }}
 	for no := range relays {
 		s := plain()
-		s.Newcomers, s.Peers, s.Instances, s.Slots, s.HoldRoom = true, true, relays, 20, 1000
+		s.CanaryAnalysis, s.Gossip, s.FleetSize, s.Slots, s.QueueCapacity = true, true, relays, 20, 1000
 		if change != nil {
 			change(&s)
 		}
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Handle(0, []Event{Listed{Whole: true, Endpoints: []Endpoint{{ID: "old-a"}, {ID: "old-b"}}}})
+		d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "old-a"}, {ID: "old-b"}}}})
 		p.relays, p.out = append(p.relays, d), append(p.out, nil)
 	}
 	return p
@@ -45,7 +45,7 @@
 // list tells all relays of endpoints.
 func (p *proving) list(eps ...Endpoint) {
 	for no := range p.relays {
-		p.handle(no, Listed{Endpoints: eps})
+		p.handle(no, EndpointsUpdated{Endpoints: eps})
 	}
 }
 
@@ -56,16 +56,16 @@
 			p.sent[a.Endpoint]++
 			m := p.relays[no].messages[a.ID]
 			took := p.took(a.Endpoint)
-			p.out[no] = append(p.out[no], due{p.now + took, Ended{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(m.attempts) - 1,
-				Outcome: p.fails(a.Endpoint, m.Class), Took: took}})
-		case Tell:
+			p.out[no] = append(p.out[no], due{p.now + took, AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(m.attempts) - 1,
+				Outcome: p.fails(a.Endpoint, m.Class), Latency: took}})
+		case Broadcast:
 			for other := range p.relays {
 				if other != no && !p.lose() {
-					p.out[other] = append(p.out[other], due{p.now + 5*ms, Ended{ID: "", Endpoint: string(a.Note)}})
+					p.out[other] = append(p.out[other], due{p.now + 5*ms, AttemptEnded{ID: "", Endpoint: string(a.Message)}})
 				}
 			}
-		case Proved:
-			if a.Held > moment(p.now) {
+		case CanaryStageChanged:
+			if a.SuspendedUntil > moment(p.now) {
 				p.held[a.Endpoint]++
 			}
 		}
@@ -83,7 +83,7 @@
 				case x.at > p.now:
 					rest = append(rest, x)
 				case x.e.ID == "":
-					events = append(events, Heard{Note: []byte(x.e.Endpoint)})
+					events = append(events, GossipReceived{Message: []byte(x.e.Endpoint)})
 				default:
 					events = append(events, x.e)
 				}
@@ -95,9 +95,9 @@
 				if p.n%5 == 0 {
 					class = 1
 				}
-				events = append(events, Arrived{ID: fmt.Sprint(p.n), Class: class, Left: 5 * time.Second})
+				events = append(events, Arrived{ID: fmt.Sprint(p.n), Class: class, TimeLeft: 5 * time.Second})
 			}
-			p.handle(no, append(events, Woken{})...)
+			p.handle(no, append(events, TimerFired{})...)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 				}
 			}
 			p.run(10*time.Second, 2)
-			p.list(Endpoint{ID: "new", Born: moment(p.now)})
+			p.list(Endpoint{ID: "new", StartedAt: moment(p.now)})
 			share := p.share("new", 24*time.Second, 2)
 			if share > c.served {
 				t.Errorf("%.3f of the calls go there", share)
@@ -180,10 +180,10 @@
 func TestNewcomersAlone(t *testing.T) {
 	for name, change := range map[string]func(*proving) []Endpoint{
 		"all are new": func(p *proving) []Endpoint {
-			return []Endpoint{{ID: "old-a", Gone: true}, {ID: "old-b", Gone: true}, {ID: "new", Born: moment(p.now)}}
+			return []Endpoint{{ID: "old-a", Removed: true}, {ID: "old-b", Removed: true}, {ID: "new", StartedAt: moment(p.now)}}
 		},
 		"the older ones drain": func(p *proving) []Endpoint {
-			return []Endpoint{{ID: "old-a", Draining: true}, {ID: "old-b", Draining: true}, {ID: "new", Born: moment(p.now)}}
+			return []Endpoint{{ID: "old-a", Draining: true}, {ID: "old-b", Draining: true}, {ID: "new", StartedAt: moment(p.now)}}
 		},
 		"the older ones are out": func(p *proving) []Endpoint {
 			for _, d := range p.relays {
@@ -192,14 +192,14 @@
 				}
 			}
 			p.fails = func(ep string, _ int) Outcome { return map[bool]Outcome{true: ConnectError}[ep != "new"] }
-			return []Endpoint{{ID: "new", Born: moment(p.now)}}
+			return []Endpoint{{ID: "new", StartedAt: moment(p.now)}}
 		},
-		"long ago": func(p *proving) []Endpoint { return []Endpoint{{ID: "new", Born: moment(p.now - 2*newFor)}} },
+		"long ago": func(p *proving) []Endpoint { return []Endpoint{{ID: "new", StartedAt: moment(p.now - 2*newFor)}} },
 		"off": func(p *proving) []Endpoint {
 			for _, d := range p.relays {
-				d.s.Newcomers = false
+				d.s.CanaryAnalysis = false
 			}
-			return []Endpoint{{ID: "new", Born: moment(p.now)}}
+			return []Endpoint{{ID: "new", StartedAt: moment(p.now)}}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -225,24 +225,24 @@
 func TestNewcomersEvidence(t *testing.T) {
 	p := newProving(t, 1, nil)
 	p.run(3*time.Second, 5)
-	p.list(Endpoint{ID: "new", Born: moment(p.now)})
+	p.list(Endpoint{ID: "new", StartedAt: moment(p.now)})
 	d := p.relays[0]
 	ep := d.endpoints["new"]
 	bad := trialNote{"new", 0, true, 7}.note()
 	for range 10 {
-		p.handle(0, Heard{Note: bad})
+		p.handle(0, GossipReceived{Message: bad})
 	}
 	if ep.trial.held > 0 || ep.trial.seen != 1 {
 		t.Errorf("ten copies of a note count %d times", ep.trial.seen)
 	}
 	for _, note := range [][]byte{bad[:1], bad[:2], {}, trialNote{"none", 0, true, 1}.note(), trialNote{"new", 99, true, 1}.note(), trialNote{"old-a", 0, true, 1}.note()} {
-		p.handle(0, Heard{Note: note})
+		p.handle(0, GossipReceived{Message: note})
 	}
 	if ep.trial.seen != 1 {
 		t.Errorf("%d outcomes after notes that say nothing", ep.trial.seen)
 	}
 	for no := range uint64(3) {
-		p.handle(0, Heard{Note: trialNote{"new", 0, true, no}.note()})
+		p.handle(0, GossipReceived{Message: trialNote{"new", 0, true, no}.note()})
 	}
 	if held := ep.trial.held.Sub(moment(p.now)); held != holdFor || ep.trial.stage != 0 {
 		t.Errorf("held for %v", held)
@@ -257,15 +257,15 @@
 	lone := newProving(t, 2, nil)
 	lone.fails = func(string, int) Outcome { return Failed }
 	lone.run(6*time.Second, 5)
-	lone.list(Endpoint{ID: "new", Born: moment(lone.now)})
+	lone.list(Endpoint{ID: "new", StartedAt: moment(lone.now)})
 	told := 0
 	for range 50 {
 		lone.now += 50 * ms
 		d := lone.relays[0]
-		d.judged(d.endpoints["new"], &message{Arrived: Arrived{Class: 0}}, Ended{Outcome: Failed}, false)
+		d.judged(d.endpoints["new"], &message{Arrived: Arrived{Class: 0}}, AttemptEnded{Outcome: Failed}, false)
 		for _, a := range d.actions {
-			if tell, ok := a.(Tell); ok {
-				if _, trial := readTrial(tell.Note); trial {
+			if tell, ok := a.(Broadcast); ok {
+				if _, trial := readTrial(tell.Message); trial {
 					told++
 				}
 			}
--- a/policy/notes_test.go
+++ b/policy/notes_test.go
@@ -42,13 +42,13 @@
 // fleet gives relays of one destination.
 func fleet(t *testing.T, relays int, weight float64) (all []*Dispatcher) {
 	s := plain()
-	s.Instances, s.Weights, s.Peers = relays, WeightsNominal, true
+	s.FleetSize, s.Weights, s.Gossip = relays, WeightsNominal, true
 	for seed := range int64(relays) {
 		d, err := New(s, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Handle(0, []Event{Listed{Whole: true, Endpoints: []Endpoint{{ID: "a", Weight: weight}}}})
+		d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: weight}}}})
 		all = append(all, d)
 	}
 	return all
@@ -57,9 +57,9 @@
 // notes gives what a relay tells when its call is refused.
 func notes(d *Dispatcher, at, wait time.Duration, id string) (all [][]byte) {
 	d.Handle(moment(at), []Event{arrive(id, 0)})
-	for _, a := range d.Handle(moment(at+ms), []Event{Ended{ID: id, Endpoint: "a", Outcome: QueueFull, Wait: wait}}) {
-		if tell, ok := a.(Tell); ok {
-			all = append(all, tell.Note)
+	for _, a := range d.Handle(moment(at+ms), []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, RetryAfter: wait}}) {
+		if tell, ok := a.(Broadcast); ok {
+			all = append(all, tell.Message)
 		}
 	}
 	return all
@@ -75,7 +75,7 @@
 		t.Fatalf("%d notes of a refusal", len(told))
 	}
 	for _, d := range all[1:] {
-		d.Handle(moment(at+10*ms), []Event{Heard{Note: told[0]}, arrive("m", 0)})
+		d.Handle(moment(at+10*ms), []Event{GossipReceived{Message: told[0]}, arrive("m", 0)})
 		if q := d.queues[0]; q.pace >= d.even(q)*1.3 || len(q.out) > 0 {
 			t.Fatalf("pace %v and %d calls out after a note", q.pace, len(q.out))
 		}
@@ -84,7 +84,7 @@
 	for ; at < 6*time.Second; at += 50 * ms {
 		sent := 0
 		for _, d := range all[1:] {
-			for _, a := range d.Handle(moment(at), []Event{Woken{}}) {
+			for _, a := range d.Handle(moment(at), []Event{TimerFired{}}) {
 				if _, ok := a.(Send); ok {
 					sent++
 				}
@@ -113,7 +113,7 @@
 		for at := time.Second; at < 20*time.Second; at += 500 * ms {
 			var events []Event
 			if tt.heard {
-				events = append(events, Heard{Note: limitNote{dest: 5}.note()})
+				events = append(events, GossipReceived{Message: limitNote{dest: 5}.note()})
 			}
 			d.Handle(moment(at), append(events, arrive(fmt.Sprint(at), 0)))
 			d.tokens(q)
@@ -130,9 +130,9 @@
 	at := 2 * time.Second
 	told := notes(all[0], at, time.Second, "m")
 	all[1].Handle(moment(at), []Event{arrive("n", 0)})
-	all[1].Handle(moment(at+ms), []Event{Heard{Note: told[0]}})
-	for _, a := range all[1].Handle(moment(at+20*ms), []Event{Ended{ID: "n", Endpoint: "a", Outcome: QueueFull, Wait: 990 * ms}}) {
-		if _, ok := a.(Tell); ok {
+	all[1].Handle(moment(at+ms), []Event{GossipReceived{Message: told[0]}})
+	for _, a := range all[1].Handle(moment(at+20*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 990 * ms}}) {
+		if _, ok := a.(Broadcast); ok {
 			t.Error("a relay told again what it had heard")
 		}
 	}
@@ -140,7 +140,7 @@
 		t.Errorf("%d notes of a later refusal", len(again))
 	}
 	silent := fleet(t, 2, 400)[0]
-	silent.s.Peers = false
+	silent.s.Gossip = false
 	if told := notes(silent, at, time.Second, "m"); len(told) != 0 {
 		t.Error("a note where none is allowed")
 	}
@@ -152,13 +152,13 @@
 	d := fleet(t, 80, 40)[0]
 	q := d.queues[0]
 	for _, note := range [][]byte{nil, []byte("hello"), limitNote{dest: 5, wait: time.Second}.note()} {
-		d.Handle(moment(time.Second), []Event{Heard{Note: note}})
+		d.Handle(moment(time.Second), []Event{GossipReceived{Message: note}})
 	}
 	if q.holdUntil != 0 || len(d.dests) != 1 || len(d.endpoints) != 1 {
 		t.Errorf("hold until %v, %d destinations, %d endpoints", q.holdUntil, len(d.dests), len(d.endpoints))
 	}
 	for i := range 1000 {
-		d.Handle(moment(time.Second+time.Duration(i)*ms), []Event{Heard{Note: limitNote{wait: time.Hour}.note()}})
+		d.Handle(moment(time.Second+time.Duration(i)*ms), []Event{GossipReceived{Message: limitNote{wait: time.Hour}.note()}})
 	}
 	if q.pace < 0.8*d.even(q) || q.holdUntil > moment(4*time.Second) || q.waitUntil != 0 || d.endpoints["a"].sick {
 		t.Errorf("pace %v of %v, hold until %v, wait until %v, sick %v after a second of notes", q.pace, d.even(q),
@@ -184,11 +184,11 @@
 		notes(all[0], 2*time.Second, time.Second, "m")
 		refusal := limitNote{wait: time.Second, age: 100 * ms}.note()
 		var told [][]byte
-		all[1].Handle(moment(2100*ms), []Event{Heard{Note: refusal}})
-		all[2].Handle(moment(2100*ms), []Event{Heard{Note: refusal}})
-		for _, a := range all[1].Handle(moment(2200*ms), []Event{Ended{ID: "n", Endpoint: "a", Outcome: OK, Over: true}}) {
-			if tell, ok := a.(Tell); ok {
-				told = append(told, tell.Note)
+		all[1].Handle(moment(2100*ms), []Event{GossipReceived{Message: refusal}})
+		all[2].Handle(moment(2100*ms), []Event{GossipReceived{Message: refusal}})
+		for _, a := range all[1].Handle(moment(2200*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true}}) {
+			if tell, ok := a.(Broadcast); ok {
+				told = append(told, tell.Message)
 			}
 		}
 		if len(told) > 0 != tt.ends || all[1].queues[0].holdUntil > moment(2200*ms) == tt.ends {
@@ -198,7 +198,7 @@
 			continue
 		}
 		for _, d := range []*Dispatcher{all[0], all[2]} {
-			d.Handle(moment(2210*ms), []Event{Heard{Note: told[0]}})
+			d.Handle(moment(2210*ms), []Event{GossipReceived{Message: told[0]}})
 		}
 		if q := all[2].queues[0]; q.holdUntil > moment(2210*ms) {
 			t.Errorf("the others pause until %v", q.holdUntil)
@@ -219,9 +219,9 @@
 	}
 	var told [][]byte
 	back := 10 * time.Second
-	for _, a := range all[0].Handle(moment(back), []Event{Ended{ID: "m", Endpoint: "a", Outcome: OK, Over: true}}) {
-		if tell, ok := a.(Tell); ok {
-			told = append(told, tell.Note)
+	for _, a := range all[0].Handle(moment(back), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}}) {
+		if tell, ok := a.(Broadcast); ok {
+			told = append(told, tell.Message)
 		}
 	}
 	if len(told) != 1 {
@@ -229,18 +229,18 @@
 	}
 	sent := 0
 	for _, d := range all[1:] {
-		d.Handle(moment(back), []Event{Ended{ID: "m", Endpoint: "a", Outcome: ConnectError, Over: true}})
-		d.Handle(moment(back+10*ms), []Event{Heard{Note: told[0]}, Heard{Note: endpointNote(backMark, "unlisted")}, arrive("n", 0)})
+		d.Handle(moment(back), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}})
+		d.Handle(moment(back+10*ms), []Event{GossipReceived{Message: told[0]}, GossipReceived{Message: endpointNote(backMark, "unlisted")}, arrive("n", 0)})
 		ep := d.endpoints["a"]
 		if ep.sick || !ep.ramping || ep.recovered != moment(back+10*ms) || len(d.endpoints) != 1 {
 			t.Fatalf("sick %v, ramping %v, back since %v, %d endpoints", ep.sick, ep.ramping, ep.recovered, len(d.endpoints))
 		}
-		d.Handle(moment(back+d.s.OverloadFor), []Event{Woken{}})
+		d.Handle(moment(back+d.s.OverloadWindow), []Event{TimerFired{}})
 		sent += len(d.queues[0].out)
 	}
 	s := all[0].s
-	share := s.ColdShare + (1-s.ColdShare)*float64(s.OverloadFor/2)/float64(s.RampTime)
-	most := int(s.OverloadFactor * share * 40 * s.OverloadFor.Seconds()) // that the rule allows
+	share := s.SlowStartInitialShare + (1-s.SlowStartInitialShare)*float64(s.OverloadWindow/2)/float64(s.SlowStartWindow)
+	most := int(s.OverloadFactor * share * 40 * s.OverloadWindow.Seconds()) // that the rule allows
 	if sent == 0 || sent > most {
 		t.Errorf("%d relays sent to a cold endpoint within the rule's span, want some and %d at most", sent, most)
 	}
--- a/policy/ondemand.go
+++ b/policy/ondemand.go
@@ -49,7 +49,7 @@
 	if !d.onDemand() || d.endpoints[e.ID] != nil {
 		return true
 	}
-	return !e.Gone && (d.dests[e.Destination] != nil || d.joins(e))
+	return !e.Removed && (d.dests[e.Destination] != nil || d.joins(e))
 }
 
 // joins tells whether a listed endpoint is new beside an older one, so that it has to be on trial.
--- a/policy/ondemand_bench_test.go
+++ b/policy/ondemand_bench_test.go
@@ -35,7 +35,7 @@
 				b.Fatal(err)
 			}
 			before := heap()
-			d.Handle(0, []Event{Listed{}})
+			d.Handle(0, []Event{EndpointsUpdated{}})
 			now, no, most := time.Duration(0), 0, 0
 			for b.Loop() {
 				now += time.Second / 208
--- a/policy/ondemand_test.go
+++ b/policy/ondemand_test.go
@@ -20,7 +20,7 @@
 
 func newDirectory(eps ...Endpoint) *directory {
 	l := &directory{lists: map[int][]Endpoint{}, of: map[string]int{}}
-	l.change(Listed{Endpoints: eps})
+	l.change(EndpointsUpdated{Endpoints: eps})
 	return l
 }
 
@@ -36,14 +36,14 @@
 }
 
 // change takes in changes of the list.
-func (l *directory) change(changes Listed) {
+func (l *directory) change(changes EndpointsUpdated) {
 	for _, e := range changes.Endpoints {
 		i := slices.IndexFunc(l.lists[e.Destination], func(o Endpoint) bool { return o.ID == e.ID })
 		switch {
-		case e.Gone && i >= 0:
+		case e.Removed && i >= 0:
 			l.lists[e.Destination] = slices.Delete(l.lists[e.Destination], i, i+1)
 			delete(l.of, e.ID)
-		case e.Gone:
+		case e.Removed:
 		case i >= 0:
 			l.lists[e.Destination][i] = e
 		default:
@@ -56,7 +56,7 @@
 // onDemandSettings are plain settings in which all that a queue may learn is of use.
 func onDemandSettings() Settings {
 	s := plain()
-	s.Weights, s.Peers, s.Instances, s.ConnIdle = WeightsNominal, true, 4, time.Second
+	s.Weights, s.Gossip, s.FleetSize, s.IdleConnTimeout = WeightsNominal, true, 4, time.Second
 	return s
 }
 
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Handle(0, []Event{Listed{Endpoints: eps}})
+	d.Handle(0, []Event{EndpointsUpdated{Endpoints: eps}})
 	return d, list
 }
 
@@ -81,7 +81,7 @@
 	eager, lazy *Dispatcher
 	now         time.Duration
 	next        int
-	attempts    []Ended // that are out
+	attempts    []AttemptEnded // that are out
 	tries       map[string]int
 }
 
@@ -90,7 +90,7 @@
 
 func newPair(t *rapid.T) *pair {
 	p := &pair{t: t, s: onDemandSettings(), list: newDirectory(), tries: map[string]int{}}
-	p.s.Instances = rapid.SampledFrom([]int{1, 4, 400}).Draw(t, "relays")
+	p.s.FleetSize = rapid.SampledFrom([]int{1, 4, 400}).Draw(t, "relays")
 	p.s.Slots = rapid.IntRange(2, 6).Draw(t, "slots")
 	p.s.Weights = rapid.SampledFrom([]Weights{WeightsOff, WeightsNominal}).Draw(t, "weights")
 	seed := rapid.Int64().Draw(t, "seed")
@@ -103,7 +103,7 @@
 	if p.lazy, err = New(onDemand, seed); err != nil {
 		t.Fatal(err)
 	}
-	var all Listed
+	var all EndpointsUpdated
 	for no := range listedDestinations {
 		for i := range 1 + no%3 {
 			all.Endpoints = append(all.Endpoints, p.endpoint(no, i))
@@ -124,7 +124,7 @@
 // handle gives both the same batch, and compares what they do.
 func (p *pair) handle(events []Event) {
 	for _, e := range events {
-		if l, ok := e.(Listed); ok {
+		if l, ok := e.(EndpointsUpdated); ok {
 			p.list.change(l)
 		}
 	}
@@ -134,7 +134,7 @@
 	}
 	for _, a := range got {
 		if s, ok := a.(Send); ok {
-			p.attempts = append(p.attempts, Ended{ID: s.ID, Endpoint: s.Endpoint, Attempt: p.tries[s.ID]})
+			p.attempts = append(p.attempts, AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Attempt: p.tries[s.ID]})
 			p.tries[s.ID]++
 		}
 	}
@@ -166,11 +166,11 @@
 	_, listed := p.list.of[e.ID]
 	switch {
 	case listed && len(p.list.lists[no]) > 1 && rapid.Bool().Draw(p.t, "gone"):
-		e.Gone = true
+		e.Removed = true
 	case listed:
 		e.Draining = rapid.Bool().Draw(p.t, "draining")
 	}
-	return Listed{Endpoints: []Endpoint{e}}
+	return EndpointsUpdated{Endpoints: []Endpoint{e}}
 }
 
 // outcome draws the end of an attempt that is out.
@@ -178,9 +178,9 @@
 	i := rapid.IntRange(0, len(p.attempts)-1).Draw(p.t, "attempt")
 	e := p.attempts[i]
 	p.attempts = slices.Delete(p.attempts, i, i+1)
-	e.Outcome = rapid.SampledFrom([]Outcome{OK, OK, OK, Failed, QueueFull, TimedOut, ConnectError, Reset}).Draw(p.t, "outcome")
-	if e.Outcome == QueueFull {
-		e.Wait = time.Duration(rapid.SampledFrom([]int{0, 0, 700, 4000}).Draw(p.t, "wait")) * ms
+	e.Outcome = rapid.SampledFrom([]Outcome{OK, OK, OK, Failed, Rejected, TimedOut, ConnectError, Reset}).Draw(p.t, "outcome")
+	if e.Outcome == Rejected {
+		e.RetryAfter = time.Duration(rapid.SampledFrom([]int{0, 0, 700, 4000}).Draw(p.t, "wait")) * ms
 	}
 	return e
 }
@@ -191,38 +191,38 @@
 	age := time.Duration(rapid.IntRange(0, 5000).Draw(p.t, "age")) * ms
 	switch rapid.IntRange(0, 7).Draw(p.t, "fact") {
 	case 0:
-		return Heard{Note: limitNote{dest: no, age: age}.note()}
+		return GossipReceived{Message: limitNote{dest: no, age: age}.note()}
 	case 1:
-		return Heard{Note: limitNote{dest: no, open: true, age: age}.note()}
+		return GossipReceived{Message: limitNote{dest: no, open: true, age: age}.note()}
 	case 2:
-		return Heard{Note: endpointNote(backMark, p.anyEndpoint().ID)}
+		return GossipReceived{Message: endpointNote(backMark, p.anyEndpoint().ID)}
 	case 3:
-		return Accused{Destination: no, Origins: rapid.IntRange(0, 5).Draw(p.t, "origins"),
-			First: age, Last: age / 2, Until: 5 * time.Second, Rank: rapid.IntRange(0, 2).Draw(p.t, "rank")}
+		return PeerSuspected{Destination: no, Observers: rapid.IntRange(0, 5).Draw(p.t, "origins"),
+			OldestAge: age, NewestAge: age / 2, ValidFor: 5 * time.Second, Rank: rapid.IntRange(0, 2).Draw(p.t, "rank")}
 	case 4:
-		return Accused{Endpoint: p.anyEndpoint().ID, Origins: rapid.IntRange(0, 5).Draw(p.t, "origins"),
-			First: age, Last: age / 2, Until: 5 * time.Second}
+		return PeerSuspected{Endpoint: p.anyEndpoint().ID, Observers: rapid.IntRange(0, 5).Draw(p.t, "origins"),
+			OldestAge: age, NewestAge: age / 2, ValidFor: 5 * time.Second}
 	case 5:
-		return Paced{Destination: no, Relays: p.s.Instances, Tellers: 5, Pace: rapid.Float64Range(0, 2).Draw(p.t, "pace"),
-			Traffic: 3, Until: 10 * time.Second}
+		return PeerRateReceived{Destination: no, LiveRelays: p.s.FleetSize, Reporters: 5, RateShare: rapid.Float64Range(0, 2).Draw(p.t, "pace"),
+			ArrivalRate: 3, ValidFor: 10 * time.Second}
 	case 6:
-		return Recalled{Endpoint: p.anyEndpoint().ID, Sick: rapid.Bool().Draw(p.t, "sick"), At: moment(p.now - age)}
+		return StateRestored{Endpoint: p.anyEndpoint().ID, Ejected: rapid.Bool().Draw(p.t, "sick"), At: moment(p.now - age)}
 	}
 	e := p.anyEndpoint()
-	return Learned{Endpoints: []LearnedEndpoint{{ID: e.ID, Failures: 0.5, LastOK: moment(p.now)}}, Outcomes: 9, Mean: 0.2,
-		Class: []float64{0.2, 0.2, 0.2}, Width: 2, Pace: e.Weight / float64(p.s.Instances), Tokens: 1, TokensAt: moment(p.now)}
+	return StateInherited{Endpoints: []InheritedEndpoint{{ID: e.ID, ConsecutiveFailures: 0.5, LastSuccessAt: moment(p.now)}}, Outcomes: 9, MeanLatency: 0.2,
+		ClassLatency: []float64{0.2, 0.2, 0.2}, Concurrency: 2, SendRate: e.Weight / float64(p.s.FleetSize), Tokens: 1, TokensAt: moment(p.now)}
 }
 
 // arrival draws a message: new, or accepted by an earlier process that has tried an endpoint.
 func (p *pair) arrival() Event {
 	p.next++
 	a := Arrived{ID: fmt.Sprint("m", p.next), Class: rapid.IntRange(0, 2).Draw(p.t, "class"),
-		Destination: rapid.IntRange(0, usedDestinations-1).Draw(p.t, "destination"), Left: 10 * time.Second,
+		Destination: rapid.IntRange(0, usedDestinations-1).Draw(p.t, "destination"), TimeLeft: 10 * time.Second,
 		Key: rapid.SampledFrom([]string{"", "k", "l"}).Draw(p.t, "key")}
 	eps := p.list.lists[a.Destination]
 	if len(eps) > 0 && rapid.IntRange(0, 9).Draw(p.t, "resumed") == 0 {
 		a.Resumed = true
-		a.Tried = []Tried{{Endpoint: eps[0].ID, Sent: moment(p.now - 300*ms), Unrun: rapid.Bool().Draw(p.t, "not run")}}
+		a.PriorAttempts = []PriorAttempt{{Endpoint: eps[0].ID, SentAt: moment(p.now - 300*ms), NotExecuted: rapid.Bool().Draw(p.t, "not run")}}
 		p.tries[a.ID]++
 	}
 	return a
@@ -243,7 +243,7 @@
 					events = append(events, p.arrival())
 				case kind == 8:
 					events = append(events, p.change())
-					p.list.change(events[len(events)-1].(Listed))
+					p.list.change(events[len(events)-1].(EndpointsUpdated))
 				default:
 					events = append(events, p.fromOthers())
 				}
@@ -267,11 +267,11 @@
 	t.Helper()
 	for _, no := range destinations {
 		id := fmt.Sprint("m", no, "-", now)
-		sent := said(d.Handle(moment(now), []Event{Arrived{ID: id, Destination: no, Left: 10 * time.Second}}))
+		sent := said(d.Handle(moment(now), []Event{Arrived{ID: id, Destination: no, TimeLeft: 10 * time.Second}}))
 		if want := fmt.Sprint(id, ">e", no); sent != want {
 			t.Fatalf("at %v: %q, want %q", now, sent, want)
 		}
-		d.Handle(moment(now), []Event{Ended{ID: id, Endpoint: fmt.Sprint("e", no), Outcome: OK, Over: true, Took: 20 * ms}})
+		d.Handle(moment(now), []Event{AttemptEnded{ID: id, Endpoint: fmt.Sprint("e", no), Outcome: OK, Completed: true, Latency: 20 * ms}})
 	}
 }
 
@@ -298,7 +298,7 @@
 		t.Fatalf("%v in state before the time", got)
 	}
 	for i := 1; i <= 3; i++ {
-		d.Handle(moment(time.Second+idleAfter), []Event{Woken{}})
+		d.Handle(moment(time.Second+idleAfter), []Event{TimerFired{}})
 		left := max(10, 100-i*evictMost)
 		if got := d.stateCounts(); got != [4]int{left, left, left, left} {
 			t.Fatalf("%v in state after %d batches of eviction, want %d", got, i, left)
@@ -321,14 +321,14 @@
 	const long = 10 * time.Minute
 	failed := func(o Outcome, wait time.Duration) func(*Dispatcher) {
 		return func(d *Dispatcher) {
-			d.Handle(0, []Event{Arrived{ID: "m", Destination: 7, Left: time.Second}})
-			d.Handle(moment(10*ms), []Event{Ended{ID: "m", Endpoint: "e7", Outcome: o, Wait: wait, Over: true}})
+			d.Handle(0, []Event{Arrived{ID: "m", Destination: 7, TimeLeft: time.Second}})
+			d.Handle(moment(10*ms), []Event{AttemptEnded{ID: "m", Endpoint: "e7", Outcome: o, RetryAfter: wait, Completed: true}})
 		}
 	}
 	event := func(e Event) func(*Dispatcher) { return func(d *Dispatcher) { d.Handle(0, []Event{e}) } }
-	learned := func(l Learned, e LearnedEndpoint) func(*Dispatcher) {
+	learned := func(l StateInherited, e InheritedEndpoint) func(*Dispatcher) {
 		e.ID = "e7"
-		l.Endpoints, l.Tokens = []LearnedEndpoint{e}, 100
+		l.Endpoints, l.Tokens = []InheritedEndpoint{e}, 100
 		return event(l)
 	}
 	const forever = time.Duration(never)
@@ -336,20 +336,20 @@
 		cause func(*Dispatcher)
 		until time.Duration // forever: time alone does not end it
 	}{
-		"wait":              {learned(Learned{Wait: moment(long)}, LearnedEndpoint{}), long},
-		"pause":             {learned(Learned{Hold: moment(long)}, LearnedEndpoint{}), long},
-		"wait of an answer": {failed(QueueFull, 3*time.Minute), forever},
-		"refusal":           {failed(QueueFull, 0), forever},
+		"wait":              {learned(StateInherited{RetryAfterUntil: moment(long)}, InheritedEndpoint{}), long},
+		"pause":             {learned(StateInherited{BackoffUntil: moment(long)}, InheritedEndpoint{}), long},
+		"wait of an answer": {failed(Rejected, 3*time.Minute), forever},
+		"refusal":           {failed(Rejected, 0), forever},
 		"failure":           {failed(Failed, 0), forever},
-		"outage":            {event(Recalled{Endpoint: "e7", Sick: true}), forever},
-		"slow start":        {event(Recalled{Endpoint: "e7", At: 0}), long},
+		"outage":            {event(StateRestored{Endpoint: "e7", Ejected: true}), forever},
+		"slow start":        {event(StateRestored{Endpoint: "e7", At: 0}), long},
 		"few connections": {func(d *Dispatcher) {
 			serve(t, d, 0, 7)
 			d.endpoints["e7"].connCap = 1
 		}, long},
-		"finding on the destination": {event(Accused{Destination: 7, Origins: 1, Until: long}), long},
-		"finding on the endpoint":    {event(Accused{Endpoint: "e7", Origins: 1, Until: long}), long},
-		"rate of the fleet":          {event(Paced{Destination: 7, Tellers: 3, Pace: 1, Until: long}), long},
+		"finding on the destination": {event(PeerSuspected{Destination: 7, Observers: 1, ValidFor: long}), long},
+		"finding on the endpoint":    {event(PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: long}), long},
+		"rate of the fleet":          {event(PeerRateReceived{Destination: 7, Reporters: 3, RateShare: 1, ValidFor: long}), long},
 		"used allowance": {func(d *Dispatcher) {
 			serve(t, d, 0, 7)
 			q := d.dests[7].queues[0]
@@ -359,7 +359,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := onDemandSettings()
-			s.RampTime, s.ConnIdle = long, long
+			s.SlowStartWindow, s.IdleConnTimeout = long, long
 			d, _ := startOnDemand(t, s, many(10)...)
 			tt.cause(d)
 			kept := d.dests[7]
@@ -382,35 +382,35 @@
 
 // Only facts that bind load state.
 func TestWhatLoadsState(t *testing.T) {
-	received := func(note []byte) Event { return Heard{Note: note} }
+	received := func(note []byte) Event { return GossipReceived{Message: note} }
 	tests := map[string]struct {
 		event Event
 		loads bool
 	}{
-		"message":               {Arrived{ID: "m", Destination: 7, Left: time.Second}, true},
-		"listed again":          {Listed{Endpoints: []Endpoint{{ID: "e7", Destination: 7, Weight: 100, Draining: true}}}, false},
-		"gone":                  {Listed{Endpoints: []Endpoint{{ID: "e7", Destination: 7, Gone: true}}}, false},
-		"outage recalled":       {Recalled{Endpoint: "e7", Sick: true}, true},
-		"return recalled":       {Recalled{Endpoint: "e7", At: moment(55 * time.Second)}, true},
-		"old return recalled":   {Recalled{Endpoint: "e7", At: 0}, false},
-		"learned":               {Learned{Endpoints: []LearnedEndpoint{{ID: "e7"}}}, true},
+		"message":               {Arrived{ID: "m", Destination: 7, TimeLeft: time.Second}, true},
+		"listed again":          {EndpointsUpdated{Endpoints: []Endpoint{{ID: "e7", Destination: 7, Weight: 100, Draining: true}}}, false},
+		"gone":                  {EndpointsUpdated{Endpoints: []Endpoint{{ID: "e7", Destination: 7, Removed: true}}}, false},
+		"outage recalled":       {StateRestored{Endpoint: "e7", Ejected: true}, true},
+		"return recalled":       {StateRestored{Endpoint: "e7", At: moment(55 * time.Second)}, true},
+		"old return recalled":   {StateRestored{Endpoint: "e7", At: 0}, false},
+		"learned":               {StateInherited{Endpoints: []InheritedEndpoint{{ID: "e7"}}}, true},
 		"refusal elsewhere":     {received(limitNote{dest: 7}.note()), true},
 		"success elsewhere":     {received(limitNote{dest: 7, open: true}.note()), false},
 		"return elsewhere":      {received(endpointNote(backMark, "e7")), false},
 		"no connection":         {received(endpointNote(noRoomMark, "e7")), false},
 		"bad note":              {received([]byte("c")), false},
-		"finding":               {Accused{Destination: 7, Origins: 1, Until: time.Second}, true},
-		"finding on endpoint":   {Accused{Endpoint: "e7", Origins: 1, Until: time.Second}, true},
-		"finding withdrawn":     {Accused{Destination: 7}, false},
-		"finding on no one":     {Accused{Endpoint: "none", Origins: 1, Until: time.Second}, false},
-		"rate":                  {Paced{Destination: 7, Until: time.Second}, true},
-		"rate of an unlisted":   {Paced{Destination: 99, Until: time.Second}, false},
+		"finding":               {PeerSuspected{Destination: 7, Observers: 1, ValidFor: time.Second}, true},
+		"finding on endpoint":   {PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: time.Second}, true},
+		"finding withdrawn":     {PeerSuspected{Destination: 7}, false},
+		"finding on no one":     {PeerSuspected{Endpoint: "none", Observers: 1, ValidFor: time.Second}, false},
+		"rate":                  {PeerRateReceived{Destination: 7, ValidFor: time.Second}, true},
+		"rate of an unlisted":   {PeerRateReceived{Destination: 99, ValidFor: time.Second}, false},
 		"refusal of an unknown": {received(limitNote{dest: 99}.note()), false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			d, list := startOnDemand(t, onDemandSettings(), many(10)...)
-			if l, ok := tt.event.(Listed); ok {
+			if l, ok := tt.event.(EndpointsUpdated); ok {
 				list.change(l)
 			}
 			d.Handle(moment(time.Minute), []Event{tt.event})
@@ -428,13 +428,13 @@
 // An endpoint that is new beside an older one is on trial from its listing; one that is alone needs no state.
 func TestNewEndpointOnDemand(t *testing.T) {
 	s := onDemandSettings()
-	s.Newcomers = true
+	s.CanaryAnalysis = true
 	d, list := startOnDemand(t, s, many(10)...)
-	joining := Listed{Endpoints: []Endpoint{{ID: "new", Destination: 7, Weight: 100, Born: moment(time.Hour)},
-		{ID: "alone", Destination: 20, Weight: 100, Born: moment(time.Hour)}}}
+	joining := EndpointsUpdated{Endpoints: []Endpoint{{ID: "new", Destination: 7, Weight: 100, StartedAt: moment(time.Hour)},
+		{ID: "alone", Destination: 20, Weight: 100, StartedAt: moment(time.Hour)}}}
 	list.change(joining)
 	d.Handle(moment(time.Hour), []Event{joining})
-	if all := d.Newcomers(); len(all) != 1 || all[0].Endpoint != "new" || !all[0].Proving {
+	if all := d.Canaries(); len(all) != 1 || all[0].Endpoint != "new" || !all[0].HasBaseline {
 		t.Fatalf("on trial: %+v", all)
 	}
 	if got := d.stateCounts(); got != [4]int{1, 1, 2, 1} {
@@ -442,7 +442,7 @@
 	}
 	d.endpoints["new"].trial.score[0] = math.Log(worseTimes) // it keeps the trial from going on
 	d.Handle(moment(time.Hour+3*idleAfter), nil)
-	if len(d.Newcomers()) != 1 {
+	if len(d.Canaries()) != 1 {
 		t.Error("a trial that is not over has been forgotten")
 	}
 	d.endpoints["new"].trial.score[0] = 0
@@ -498,7 +498,7 @@
 	eager := start(t, onDemandSettings(), many(1)...)
 	lazy, _ := startOnDemand(t, onDemandSettings(), many(1)...)
 	for _, d := range []*Dispatcher{eager, lazy} {
-		d.Handle(moment(time.Minute), []Event{Arrived{ID: "m", Left: time.Second}})
+		d.Handle(moment(time.Minute), []Event{Arrived{ID: "m", TimeLeft: time.Second}})
 	}
 	want, got := eager.dests[0].queues[0], lazy.dests[0].queues[0]
 	if got.arrivals != want.arrivals || got.pace != want.pace || got.bucket != want.bucket || got.cutAt != want.cutAt {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -80,7 +80,7 @@
 	// Changes of the list go first: a Directory has them already, and what else a batch brings is to meet the
 	// same list with one as without.
 	for _, e := range events {
-		if listed, ok := e.(Listed); ok {
+		if listed, ok := e.(EndpointsUpdated); ok {
 			d.listed(listed)
 		}
 	}
@@ -124,11 +124,11 @@
 	if λ*q.pitch(d.now) > 1 {
 		left = math.Min(left, d.lateAge(m.class).Seconds()) // little time left need not be age
 	}
-	room := roomShare * float64(d.s.HoldRoom)
+	room := roomShare * float64(d.s.QueueCapacity)
 	much := float64(len(q.held)) > room/2 || q.down() // those that are out leave room for the others
-	crowded := float64(len(d.live)) > room && much || len(d.live) > d.s.HoldRoom
+	crowded := float64(len(d.live)) > room && much || len(d.live) > d.s.QueueCapacity
 	if crowded {
-		d.refuse(m, u+2*x-left, ReasonCrowded)
+		d.refuse(m, u+2*x-left, ReasonOverloaded)
 		return
 	}
 	if refusing(u, x, left-x, λ-r, len(q.held) > 0) {
@@ -143,7 +143,7 @@
 func (d *Dispatcher) lateAge(c *Class) time.Duration {
 	age := c.ageAt(keepWorth)
 	for i := range d.s.Classes {
-		if k := &d.s.Classes[i]; k.Worth >= c.Worth {
+		if k := &d.s.Classes[i]; k.PriorityWeight >= c.PriorityWeight {
 			age = min(age, k.ageAt(keepWorth))
 		}
 	}
@@ -214,7 +214,7 @@
 		if d.tries(q) {
 			first = math.Min(first, math.Max(0, (d.tryAt(ep).Sub(d.now)).Seconds()))
 		}
-		half := d.budget(ep, max(d.coldFor(ep), d.s.RampTime/2)) * float64(len(q.eps))
+		half := d.budget(ep, max(d.coldFor(ep), d.s.SlowStartWindow/2)) * float64(len(q.eps))
 		ramp = math.Min(ramp, first+calls/math.Max(1e-9, half))
 	}
 	if len(q.eps) == 0 {
@@ -236,10 +236,10 @@
 		}
 		done := d.backlog(q) + math.Max(q.class[m.Class], d.latency(q))
 		late := m.expires.Sub(d.now) - time.Duration(math.Min(done, 1e6)*float64(time.Second))
-		cost := m.class.Worth*(1-m.class.worthAt(m.class.Deadline-late)) +
+		cost := m.class.PriorityWeight*(1-m.class.valueAt(m.class.Deadline-late)) +
 			d.meanWorth*done/m.class.Deadline.Seconds()
-		if zone := q.eps[0].Zone; zone >= 0 && zone < len(d.s.ZoneFee) {
-			cost += d.s.ZoneFee[zone] * d.meanWorth
+		if zone := q.eps[0].Zone; zone >= 0 && zone < len(d.s.ZoneCost) {
+			cost += d.s.ZoneCost[zone] * d.meanWorth
 		}
 		if cost < least {
 			best, least = q, cost
@@ -325,7 +325,7 @@
 // expendable tells whether every message of a call may be sent again after it.
 func (d *Dispatcher) expendable(c *call) bool {
 	for _, m := range c.msgs {
-		if m.class.Effect == Unsafe || !d.repeatable(m, nil) || len(m.attempts) >= d.s.MaxAttempts {
+		if m.class.Effect == NotIdempotent || !d.repeatable(m, nil) || len(m.attempts) >= d.s.MaxAttempts {
 			return false
 		}
 	}
@@ -373,7 +373,7 @@
 	if len(m.attempts) >= d.s.MaxAttempts || d.now >= m.expires {
 		return false
 	}
-	if d.unrecorded && m.class.Effect != Safe { // a later process might send it again
+	if d.unrecorded && m.class.Effect != Idempotent { // a later process might send it again
 		return false
 	}
 	if m.class.Ordered && m.Key != "" {
@@ -388,9 +388,9 @@
 func (d *Dispatcher) repeatable(m *message, ep *endpoint) bool {
 	first := m.firstRun()
 	switch {
-	case first == nil || m.class.Effect == Safe:
+	case first == nil || m.class.Effect == Idempotent:
 		return true
-	case m.class.Effect == Unsafe || ep != nil && m.class.ByZone && first.call.ep.Zone != ep.Zone:
+	case m.class.Effect == NotIdempotent || ep != nil && m.class.KeysPerZone && first.call.ep.Zone != ep.Zone:
 		return false
 	}
 	return d.now < d.forgotten(m)
@@ -438,7 +438,7 @@
 
 // open tells whether an endpoint may get a call now.
 func (d *Dispatcher) open(ep *endpoint) bool {
-	if ep.Draining || ep.Gone || d.now < ep.lack.until {
+	if ep.Draining || ep.Removed || d.now < ep.lack.until {
 		return false
 	}
 	if ep.connCap > 0 && float64(len(ep.out)+1) > ep.connCap {
@@ -474,7 +474,7 @@
 // time-out it could only be failed.
 func (d *Dispatcher) timeout(m *message, c *call) time.Duration {
 	left := m.expires.Sub(d.now)
-	if m.class.Effect == Unsafe || len(m.attempts) >= d.s.MaxAttempts {
+	if m.class.Effect == NotIdempotent || len(m.attempts) >= d.s.MaxAttempts {
 		return 0
 	}
 	wait := math.Max(answerShare*left.Seconds(), timeoutMeans*c.ep.q.mean)
@@ -488,12 +488,12 @@
 // each span of the rule.
 func (d *Dispatcher) budget(ep *endpoint, back time.Duration) float64 {
 	share := 1.0
-	if d.s.RampTime > 0 {
-		share = d.s.ColdShare + (1-d.s.ColdShare)*float64(back)/float64(d.s.RampTime)
+	if d.s.SlowStartWindow > 0 {
+		share = d.s.SlowStartInitialShare + (1-d.s.SlowStartInitialShare)*float64(back)/float64(d.s.SlowStartWindow)
 	}
 	weight := ep.q.weight
 	if weight == 0 {
-		weight = float64(d.s.Instances)
+		weight = float64(d.s.FleetSize)
 	}
 	safety := rampSafety
 	if d.sparse(ep.q) {
@@ -506,55 +506,55 @@
 // --- Outcomes ---
 
 // ended takes in the outcome of an attempt.
-func (d *Dispatcher) ended(e Ended) {
+func (d *Dispatcher) ended(e AttemptEnded) {
 	m, c := d.closeAttempt(e)
 	if c == nil {
 		return
 	}
-	if e.Wait > 0 { // it binds whatever became of the message, and calls that are not written yet
-		c.ep.q.waitUntil = max(c.ep.q.waitUntil, d.now.Add(min(e.Wait, never.Sub(d.now))))
+	if e.RetryAfter > 0 { // it binds whatever became of the message, and calls that are not written yet
+		c.ep.q.waitUntil = max(c.ep.q.waitUntil, d.now.Add(min(e.RetryAfter, never.Sub(d.now))))
 		for _, ep := range c.ep.q.eps {
-			d.act(Withhold{Endpoint: ep.ID})
+			d.act(CancelUnwritten{Endpoint: ep.ID})
 		}
 	}
 	switch {
-	case e.Outcome == Unsent:
+	case e.Outcome == NotStarted:
 		d.lacks(c)
 	case c.open == 0:
 		c.ep.begins()
 		d.learn(c, m, e)
 		if len(c.ep.out) == 0 && d.crowded(c.ep) {
-			d.act(CloseIdle{Endpoint: c.ep.ID})
+			d.act(CloseIdleConnections{Endpoint: c.ep.ID})
 		}
 	}
 	if e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Canceled {
-		m.rest = d.now.Add(d.s.OrderPause)
+		m.rest = d.now.Add(d.s.OrderedKeyDelay)
 	}
 	switch {
-	case e.Over || e.Outcome == OK:
+	case e.Completed || e.Outcome == OK:
 		d.finish(m)
 	case m.over:
 		d.retire(m)
 	case m.open > 0:
-	case e.Spent || len(m.attempts) >= d.s.MaxAttempts:
-		d.giveUp(m, ReasonAttempts)
-	case d.now >= m.expires.Add(-d.s.Tick):
-		d.giveUp(m, ReasonTime)
+	case e.AttemptsExhausted || len(m.attempts) >= d.s.MaxAttempts:
+		d.giveUp(m, ReasonAttemptsExhausted)
+	case d.now >= m.expires.Add(-d.s.BatchInterval):
+		d.giveUp(m, ReasonNoTimeLeft)
 	case !d.repeatable(m, nil):
-		d.giveUp(m, ReasonNoRepeat)
+		d.giveUp(m, ReasonNotRetryable)
 	default:
 		d.hold(d.route(m), m)
 	}
 }
 
 // learn draws from a call's end what it tells, by its own time: a relay without turns hears late of it.
-func (d *Dispatcher) learn(c *call, m *message, e Ended) {
+func (d *Dispatcher) learn(c *call, m *message, e AttemptEnded) {
 	ep, q := c.ep, c.ep.q
-	if e.Took <= 0 {
-		e.Took = d.now.Sub(c.sent)
+	if e.Latency <= 0 {
+		e.Latency = d.now.Sub(c.sent)
 	}
-	took := min(e.Took, m.class.Deadline).Seconds()
-	if c.sent.Add(e.Took) >= d.lateAt(c, stuckAfter) {
+	took := min(e.Latency, m.class.Deadline).Seconds()
+	if c.sent.Add(e.Latency) >= d.lateAt(c, stuckAfter) {
 		d.unanswered *= 1 - latencyGain
 		if e.Outcome != OK {
 			d.unanswered += latencyGain
@@ -575,19 +575,19 @@
 		if ep.sick && c.sent < ep.sickAt && d.now < q.waitUntil {
 			break // begun before the destination shut: it says nothing of its return
 		}
-		d.succeeded(ep, e.Report == nil || e.Report.Left >= roomLeft)
+		d.succeeded(ep, e.LoadReport == nil || e.LoadReport.Remaining >= roomLeft)
 		open := limitNote{open: true, dest: q.dest.no, age: d.now.Sub(c.sent)}
-		if (d.reopened(q, open) || q.word.origins > 0) && d.s.Peers {
+		if (d.reopened(q, open) || q.word.origins > 0) && d.s.Gossip {
 			q.word = word{}
-			d.act(Tell{Note: open.note()})
+			d.act(Broadcast{Message: open.note()})
 		}
-	case QueueFull:
-		d.full(q, limitNote{dest: q.dest.no, wait: e.Wait, age: d.now.Sub(c.sent)})
+	case Rejected:
+		d.full(q, limitNote{dest: q.dest.no, wait: e.RetryAfter, age: d.now.Sub(c.sent)})
 	case ConnectError:
-		if d.s.Peers && d.now >= ep.noRoomAt.Add(burstSpan) {
+		if d.s.Gossip && d.now >= ep.noRoomAt.Add(burstSpan) {
 			ep.noRoomAt = d.now
-			if d.chance.Float64()*float64(d.s.Instances) < tellers {
-				d.act(Tell{Note: endpointNote(noRoomMark, ep.ID)})
+			if d.chance.Float64()*float64(d.s.FleetSize) < tellers {
+				d.act(Broadcast{Message: endpointNote(noRoomMark, ep.ID)})
 			}
 		}
 		if ep.lastOK > c.sent {
@@ -614,8 +614,8 @@
 	}
 	if ep.sick && d.mayReturn(ep) {
 		d.returns(ep, math.Max(d.epTokens(ep), d.phase(ep)), false)
-		if d.s.Peers {
-			d.act(Tell{Note: endpointNote(backMark, ep.ID)})
+		if d.s.Gossip {
+			d.act(Broadcast{Message: endpointNote(backMark, ep.ID)})
 		}
 		q.word = word{}
 		for _, other := range q.eps {
@@ -635,7 +635,7 @@
 	ep.ramping, ep.recovered, ep.failures, ep.q.ill = true, d.now, 0, false
 	ep.tokens, ep.tokensAt = tokens, d.now
 	clear(ep.strikes) // the outage's: else none that failed there would ever try it again
-	d.act(Remember{Endpoint: ep.ID, At: d.now, Hearsay: hearsay})
+	d.act(PersistHealth{Endpoint: ep.ID, At: d.now, SecondHand: hearsay})
 }
 
 // failed notes a failure of an endpoint; one of a call sent before its last success tells nothing new.
@@ -655,7 +655,7 @@
 // phase is what a budget of less than a call a span starts with: a chance part of a call, so that of many
 // relays with a call in a minute each some try at any time, and the total is what the rule allows.
 func (d *Dispatcher) phase(ep *endpoint) float64 {
-	return math.Max(0, d.chance.Float64()-d.budget(ep, d.coldFor(ep))*d.s.OverloadFor.Seconds())
+	return math.Max(0, d.chance.Float64()-d.budget(ep, d.coldFor(ep))*d.s.OverloadWindow.Seconds())
 }
 
 // sicken marks an endpoint sick and lets the messages of its route choose again.
@@ -668,7 +668,7 @@
 	d.setSick(ep, true)
 	ep.ramping, ep.sickAt, ep.q.ill = false, d.now, true
 	ep.tokens, ep.tokensAt = d.phase(ep), max(d.now, ep.q.waitUntil)
-	d.act(Remember{Endpoint: ep.ID, Sick: true, At: d.now, Hearsay: hearsay || d.cutOff})
+	d.act(PersistHealth{Endpoint: ep.ID, Ejected: true, At: d.now, SecondHand: hearsay || d.cutOff})
 	if ep.q.apart {
 		d.reroute(ep.q)
 	}
@@ -681,12 +681,12 @@
 		q.firstFull = d.now
 	}
 	tried := d.tries(q) // for all: they have to know
-	if until := d.closed(q, l); d.s.Peers && !q.apart && (tried || until > q.toldUntil.Add(leastPause)) {
+	if until := d.closed(q, l); d.s.Gossip && !q.apart && (tried || until > q.toldUntil.Add(leastPause)) {
 		q.toldUntil = until
-		d.act(Tell{Note: l.note()})
+		d.act(Broadcast{Message: l.note()})
 	}
 	shut := l.wait > shutAfter || q.fulls > failuresToSick && d.now.Sub(q.firstFull) > shutAfter
-	if shut || !d.s.Peers && d.once(q, q.fulls) {
+	if shut || !d.s.Gossip && d.once(q, q.fulls) {
 		for _, ep := range q.eps {
 			d.sicken(ep)
 		}
@@ -781,9 +781,9 @@
 		}
 	}
 	for _, m := range ended {
-		reason := ReasonTime
+		reason := ReasonNoTimeLeft
 		if !d.repeatable(m, nil) {
-			reason = ReasonNoRepeat
+			reason = ReasonNotRetryable
 		}
 		d.giveUp(m, reason)
 	}
@@ -792,7 +792,7 @@
 // lastChance is when a held message is given up: its time left is then its expected latency.
 func (d *Dispatcher) lastChance(m *message) instant.Time {
 	x := time.Duration(m.q.class[m.Class] * float64(time.Second))
-	return m.expires.Add(-max(2*d.s.Tick, x))
+	return m.expires.Add(-max(2*d.s.BatchInterval, x))
 }
 
 // short tells whether a message's time may be up before a call with it ends, which ends the call for all its
@@ -804,7 +804,8 @@
 // giveUp ends a message: a refusal where trying again is harmless, which tells when its queue may send next,
 // else a failure.
 func (d *Dispatcher) giveUp(m *message, why Reason) {
-	if m.firstRun() == nil || m.class.Effect == Safe || m.class.Effect == Keyed && !m.class.ByZone {
+	keyedEverywhere := m.class.Effect == IdempotentWithKey && !m.class.KeysPerZone
+	if m.firstRun() == nil || m.class.Effect == Idempotent || keyedEverywhere {
 		q := d.route(m)
 		d.refuse(m, d.opens(q, len(q.held)), why)
 		return
@@ -814,8 +815,8 @@
 }
 
 func (d *Dispatcher) refuse(m *message, after float64, why Reason) {
-	stay := time.Duration(math.Min(math.Max(0, after), d.s.MaxStayAway.Seconds()) * float64(time.Second))
-	d.act(Refuse{ID: m.ID, StayAway: stay, Reason: why})
+	stay := time.Duration(math.Min(math.Max(0, after), d.s.MaxRetryAfter.Seconds()) * float64(time.Second))
+	d.act(Reject{ID: m.ID, RetryAfter: stay, Reason: why})
 	d.finish(m)
 }
 
@@ -852,8 +853,8 @@
 
 // endpointBinds tells whether something that is known of an endpoint without a call out binds.
 func (d *Dispatcher) endpointBinds(ep *endpoint) bool {
-	cold := ep.sick || ep.ramping && d.coldFor(ep) < d.s.RampTime
-	capped := d.crowded(ep) && d.now.Sub(max(ep.lastUsed, ep.crowdedAt)) < d.s.ConnIdle
+	cold := ep.sick || ep.ramping && d.coldFor(ep) < d.s.SlowStartWindow
+	capped := d.crowded(ep) && d.now.Sub(max(ep.lastUsed, ep.crowdedAt)) < d.s.IdleConnTimeout
 	paused := d.now < ep.lack.until
 	return cold || capped || paused || ep.failures > 0 || ep.trial != nil || ep.word.binds(d.now)
 }
