--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -17,12 +17,12 @@
 
 // plain are settings with one safe class, and room for everything.
 func plain() Settings {
-	return Settings{Instances: 1, Slots: 4, HoldRoom: 100, MaxAttempts: 8, CanCancel: true,
-		Tick: 5 * ms, ColdShare: 0.2, RampTime: 10 * time.Second, OverloadFactor: 2, OverloadFor: 2 * time.Second,
-		MaxStayAway: 3 * time.Second, Kinds: []Kind{{Bundle: 1}, {Bundle: 5}, {Bundle: 1, Separate: true}},
-		Classes: []Class{{Aim: time.Second, Deadline: 10 * time.Second, Worth: 1, Effect: Safe},
-			{Aim: time.Second, Deadline: 10 * time.Second, Worth: 1, Effect: Keyed, Memory: 4 * time.Second},
-			{Aim: time.Second, Deadline: 10 * time.Second, Worth: 1, Effect: Unsafe, Ordered: true}}}
+	return Settings{FleetSize: 1, Slots: 4, QueueCapacity: 100, MaxAttempts: 8, CanCancel: true,
+		BatchInterval: 5 * ms, SlowStartInitialShare: 0.2, SlowStartWindow: 10 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second,
+		MaxRetryAfter: 3 * time.Second, Kinds: []Kind{{MaxBatch: 1}, {MaxBatch: 5}, {MaxBatch: 1, SeparateRoutes: true}},
+		Classes: []Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, Effect: Idempotent},
+			{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, Effect: IdempotentWithKey, IdempotencyWindow: 4 * time.Second},
+			{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, Effect: NotIdempotent, Ordered: true}}}
 }
 
 func start(t *testing.T, s Settings, eps ...Endpoint) *Dispatcher {
@@ -31,12 +31,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Handle(0, []Event{Listed{Whole: true, Endpoints: eps}})
+	d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: eps}})
 	return d
 }
 
 func arrive(id string, class int) Event {
-	return Arrived{ID: id, Class: class, Left: 10 * time.Second, Key: "k"}
+	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Key: "k"}
 }
 
 // said lists actions in short, without timers and time-outs.
@@ -46,7 +46,7 @@
 		switch a := a.(type) {
 		case Send:
 			out = append(out, a.ID+">"+a.Endpoint)
-		case Refuse:
+		case Reject:
 			out = append(out, "refuse "+a.ID)
 		case Fail:
 			out = append(out, "fail "+a.ID)
@@ -69,11 +69,11 @@
 // Messages of one call are marked as such, and a call holds no more than its number and its size allow.
 func TestMessagesOfACall(t *testing.T) {
 	s := plain()
-	s.CallSize = 100
+	s.MaxBatchBytes = 100
 	d := start(t, s, Endpoint{ID: "a", Kind: 1})
 	var events []Event
 	for i, size := range []int{30, 30, 30, 30, 90} {
-		events = append(events, Arrived{ID: fmt.Sprint(i), Left: 10 * time.Second, Size: size})
+		events = append(events, Arrived{ID: fmt.Sprint(i), TimeLeft: 10 * time.Second, Size: size})
 	}
 	calls := map[int]string{}
 	for _, a := range d.Handle(moment(ms), events) {
@@ -92,13 +92,13 @@
 func TestLittleTimeInACall(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	d.Handle(moment(ms), []Event{arrive("first", 0)})
-	d.Handle(moment(time.Second), []Event{Ended{ID: "first", Endpoint: "a", Outcome: OK, Took: time.Second, Over: true}})
+	d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "first", Endpoint: "a", Outcome: OK, Latency: time.Second, Completed: true}})
 	var events []Event
 	for _, m := range []struct {
 		id   string
 		left time.Duration
 	}{{"s1", 2 * time.Second}, {"l1", 9 * time.Second}, {"s2", 2500 * ms}, {"l2", 8 * time.Second}} {
-		events = append(events, Arrived{ID: m.id, Left: m.left})
+		events = append(events, Arrived{ID: m.id, TimeLeft: m.left})
 	}
 	calls := map[int]string{}
 	for _, a := range d.Handle(moment(1100*ms), events) {
@@ -115,9 +115,9 @@
 func TestBacklogCountsCalls(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	d.Handle(moment(ms), []Event{arrive("first", 0)})
-	d.Handle(moment(time.Second), []Event{Ended{ID: "first", Endpoint: "a", Outcome: OK, Took: time.Second, Over: true}})
+	d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "first", Endpoint: "a", Outcome: OK, Latency: time.Second, Completed: true}})
 	d.Handle(moment(2*time.Second), []Event{arrive("refused", 0)})
-	d.Handle(moment(2100*ms), []Event{Ended{ID: "refused", Endpoint: "a", Outcome: QueueFull, Wait: time.Second, Took: 100 * ms}})
+	d.Handle(moment(2100*ms), []Event{AttemptEnded{ID: "refused", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second, Latency: 100 * ms}})
 	var events []Event
 	for i := range 7 { // with the one held that are two calls of a second
 		events = append(events, arrive(fmt.Sprint("m", i), 0))
@@ -135,20 +135,20 @@
 func TestWaitWithDelivery(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
-	d.Handle(moment(100*ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: OK, Over: true, Wait: time.Second}})
+	d.Handle(moment(100*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true, RetryAfter: time.Second}})
 	expect(t, "while it waits", d.Handle(moment(200*ms), []Event{arrive("n", 0)}), "")
-	expect(t, "after it", d.Handle(moment(1100*ms), []Event{Woken{}}), "n>a")
+	expect(t, "after it", d.Handle(moment(1100*ms), []Event{TimerFired{}}), "n>a")
 }
 
 // The client of a message that is given up learns when its destination may get messages again.
 func TestGivenUpToldWhenToComeBack(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
-	d.Handle(moment(8600*ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: QueueFull, Wait: 2400 * ms}})
-	for _, a := range d.Handle(moment(10*time.Second), []Event{Woken{}}) {
-		if a, ok := a.(Refuse); ok {
-			if a.StayAway != time.Second {
-				t.Errorf("told to come again after %v, want the rest of the wait", a.StayAway)
+	d.Handle(moment(8600*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: 2400 * ms}})
+	for _, a := range d.Handle(moment(10*time.Second), []Event{TimerFired{}}) {
+		if a, ok := a.(Reject); ok {
+			if a.RetryAfter != time.Second {
+				t.Errorf("told to come again after %v, want the rest of the wait", a.RetryAfter)
 			}
 			return
 		}
@@ -163,7 +163,7 @@
 	s.Slots = 20
 	d := start(t, s, Endpoint{ID: "a"})
 	now := time.Duration(0)
-	round := func(n int, e Ended) []Event { // n calls out at once, all ended after a second
+	round := func(n int, e AttemptEnded) []Event { // n calls out at once, all ended after a second
 		var in, out []Event
 		for i := range n {
 			id := fmt.Sprint(now, "/", i)
@@ -176,28 +176,28 @@
 		return out
 	}
 	for range 10 {
-		d.Handle(moment(now), round(8, Ended{Outcome: OK, Took: time.Second, Over: true}))
+		d.Handle(moment(now), round(8, AttemptEnded{Outcome: OK, Latency: time.Second, Completed: true}))
 		now += 9 * time.Second
 	}
-	d.Handle(moment(now), round(10, Ended{Outcome: QueueFull, Wait: 2 * time.Second, Took: time.Second}))
+	d.Handle(moment(now), round(10, AttemptEnded{Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: time.Second}))
 	expect(t, "10 held, 2 s to wait, some calls of a second at once", d.Handle(moment(now+ms), []Event{arrive("m", 0)}), "")
 }
 
 // Messages for destinations that are out leave a part of the holding room to those for others.
 func TestRoomBesideAnOutage(t *testing.T) {
 	s := plain()
-	s.HoldRoom = 8
+	s.QueueCapacity = 8
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	for _, id := range []string{"a", "b", "c"} {
 		d.sicken(d.endpoints[id])
 		d.endpoints[id].tokens = -100 // no trial is due
 	}
-	d.Handle(0, []Event{Listed{Endpoints: []Endpoint{{ID: "d", Destination: 3}}}})
+	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "d", Destination: 3}}}})
 	var all []Action
 	for i := range 9 {
-		all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: fmt.Sprint(i), Destination: i % 3, Left: time.Hour}})...)
+		all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: fmt.Sprint(i), Destination: i % 3, TimeLeft: time.Hour}})...)
 	}
-	all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: "other", Destination: 3, Left: time.Hour}})...)
+	all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: "other", Destination: 3, TimeLeft: time.Hour}})...)
 	expect(t, "the last quarter is for the other", all, "refuse 6 refuse 7 refuse 8 other>d")
 }
 
@@ -287,7 +287,7 @@
 	s := plain()
 	s.Slots = 3
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
-	other := Arrived{ID: "n", Destination: 1, Left: time.Second}
+	other := Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}
 	expect(t, "fewest calls out first", d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0), arrive("m3", 0), other}),
 		"m1>a n>b m2>a")
 }
@@ -299,15 +299,15 @@
 		want    string
 	}{
 		{0, OK, ""}, {0, Failed, "m>a"}, {0, TimedOut, "m>a"}, {0, Reset, "m>a"}, {0, Canceled, "m>a"},
-		{0, ConnectError, "m>a"}, {0, Ignored, "m>a"}, {0, QueueFull, ""},
+		{0, ConnectError, "m>a"}, {0, NotSent, "m>a"}, {0, Rejected, ""},
 		{1, OK, ""}, {1, Failed, "m>a"}, {1, TimedOut, "m>a"}, {1, ConnectError, "m>a"},
 		{2, OK, ""}, {2, Failed, "fail m"}, {2, TimedOut, "fail m"}, {2, Reset, "fail m"}, {2, Canceled, "fail m"},
-		{2, ConnectError, "m>a"}, {2, Ignored, "m>a"},
+		{2, ConnectError, "m>a"}, {2, NotSent, "m>a"},
 	}
 	for _, tt := range tests {
 		d := start(t, plain(), Endpoint{ID: "a"})
 		expect(t, "arrival", d.Handle(0, []Event{arrive("m", tt.class)}), "m>a")
-		got := d.Handle(moment(time.Second), []Event{Ended{ID: "m", Endpoint: "a", Outcome: tt.outcome, Over: tt.outcome == OK}})
+		got := d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, Completed: tt.outcome == OK}})
 		expect(t, fmt.Sprintf("class %d, outcome %d", tt.class, tt.outcome), got, tt.want)
 	}
 }
@@ -315,27 +315,27 @@
 func TestKeyedEndsWithItsMemory(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m", 1)})
-	got := d.Handle(moment(3995*ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: TimedOut}})
+	got := d.Handle(moment(3995*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}})
 	expect(t, "memory gone", got, "refuse m")
 }
 
 // A call that brings a message again has to be written while the receiver knows it: its connection may take long.
 func TestKeyedWrittenWithinItsMemory(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	within := func(actions []Action) time.Duration { return actions[0].(Send).Within }
+	within := func(actions []Action) time.Duration { return actions[0].(Send).WriteTimeout }
 	if got := within(d.Handle(0, []Event{arrive("m", 1)})); got != 0 {
 		t.Errorf("first attempt: within %v", got)
 	}
-	if got := within(d.Handle(moment(time.Second), []Event{Ended{ID: "m", Endpoint: "a", Outcome: ConnectError}})); got != 0 {
+	if got := within(d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError}})); got != 0 {
 		t.Errorf("after one that never ran: within %v", got)
 	}
-	again := d.Handle(moment(3*time.Second), []Event{Ended{ID: "m", Endpoint: "a", Attempt: 1, Outcome: Reset}})
+	again := d.Handle(moment(3*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: Reset}})
 	if got := within(again); got != 2*time.Second-10*ms {
 		t.Errorf("after one that may have run: within %v", got)
 	}
 	safe := start(t, plain(), Endpoint{ID: "a"})
 	safe.Handle(0, []Event{arrive("m", 0)})
-	if got := within(safe.Handle(moment(time.Second), []Event{Ended{ID: "m", Endpoint: "a", Outcome: Reset}})); got != 0 {
+	if got := within(safe.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Reset}})); got != 0 {
 		t.Errorf("a safe class: within %v", got)
 	}
 }
@@ -343,7 +343,7 @@
 func TestUnsafeHasNoEarlyTimeout(t *testing.T) {
 	for i, want := range []bool{true, true, false} {
 		d := start(t, plain(), Endpoint{ID: "a"})
-		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), Class: i, Left: 10 * time.Second}})
+		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), Class: i, TimeLeft: 10 * time.Second}})
 		if send := got[0].(Send); (send.Timeout > 0) != want {
 			t.Errorf("class %d: time-out %v", i, send.Timeout)
 		}
@@ -354,34 +354,34 @@
 	d := start(t, plain())
 	got := d.Handle(0, []Event{arrive("m", 2)})
 	expect(t, "no endpoint listed", got, "")
-	at := got[len(got)-1].(Wake).After
+	at := got[len(got)-1].(SetTimer).After
 	if at > 10*time.Second || at < 9900*ms {
 		t.Errorf("timer after %v", at)
 	}
-	expect(t, "before its end", d.Handle(moment(at-ms), []Event{Woken{}}), "")
-	expect(t, "at its end", d.Handle(moment(at), []Event{Woken{}}), "refuse m")
-	expect(t, "late outcome", d.Handle(moment(at+ms), []Event{Ended{ID: "m", Outcome: OK}}), "")
+	expect(t, "before its end", d.Handle(moment(at-ms), []Event{TimerFired{}}), "")
+	expect(t, "at its end", d.Handle(moment(at), []Event{TimerFired{}}), "refuse m")
+	expect(t, "late outcome", d.Handle(moment(at+ms), []Event{AttemptEnded{ID: "m", Outcome: OK}}), "")
 }
 
 func TestDrains(t *testing.T) {
 	s := plain()
 	s.Slots = 8
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
-	d.Handle(0, []Event{Listed{Endpoints: []Endpoint{{ID: "a", Draining: true}}}})
+	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Draining: true}}}})
 	expect(t, "draining", d.Handle(1, []Event{arrive("m", 0), arrive("n", 0)}), "m>b n>b")
-	d.Handle(2, []Event{Listed{Whole: true, Endpoints: []Endpoint{{ID: "c"}}}})
+	d.Handle(2, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "c"}}}})
 	expect(t, "gone", d.Handle(3, []Event{arrive("o", 0)}), "o>c")
 }
 
 func TestOrder(t *testing.T) {
 	s := plain()
-	s.OrderPause = 300 * ms
+	s.OrderedKeyDelay = 300 * ms
 	d := start(t, s, Endpoint{ID: "a"})
 	expect(t, "one of a key at a time", d.Handle(0, []Event{arrive("m", 2), arrive("n", 2)}), "m>a")
-	expect(t, "a time-out rests the key", d.Handle(moment(time.Second), []Event{Ended{ID: "m", Endpoint: "a", Outcome: TimedOut}}),
+	expect(t, "a time-out rests the key", d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}}),
 		"fail m")
-	expect(t, "still resting", d.Handle(moment(1299*ms), []Event{Woken{}}), "")
-	expect(t, "rested", d.Handle(moment(1300*ms), []Event{Woken{}}), "n>a")
+	expect(t, "still resting", d.Handle(moment(1299*ms), []Event{TimerFired{}}), "")
+	expect(t, "rested", d.Handle(moment(1300*ms), []Event{TimerFired{}}), "n>a")
 }
 
 func TestWaits(t *testing.T) {
@@ -391,7 +391,7 @@
 	}{{0, ""}, {2, "n>b"}} { // a shared limit binds the destination, a route only itself
 		d := start(t, plain(), Endpoint{ID: "a", Kind: tt.kind}, Endpoint{ID: "b", Kind: tt.kind})
 		d.Handle(0, []Event{arrive("m", 0)})
-		d.Handle(moment(ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: QueueFull, Wait: time.Second}, Withdrawn{ID: "m"}})
+		d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, Withdrawn{ID: "m"}})
 		expect(t, fmt.Sprint("kind ", tt.kind), d.Handle(moment(500*ms), []Event{arrive("n", 0)}), tt.want)
 	}
 }
@@ -400,11 +400,11 @@
 // A wait binds calls that were decided before it and are not written yet, at all endpoints of the destination.
 func TestWaitWithholdsCalls(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
-	other := Arrived{ID: "m3", Destination: 1, Left: 10 * time.Second}
+	other := Arrived{ID: "m3", Destination: 1, TimeLeft: 10 * time.Second}
 	expect(t, "sent", d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0), other}), "m1>a m3>c m2>b")
 	var held []string
-	for _, a := range d.Handle(moment(time.Second), []Event{Ended{ID: "m1", Endpoint: "a", Outcome: QueueFull, Wait: time.Second}}) {
-		if a, ok := a.(Withhold); ok {
+	for _, a := range d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}}) {
+		if a, ok := a.(CancelUnwritten); ok {
 			held = append(held, a.Endpoint)
 		}
 	}
@@ -419,7 +419,7 @@
 	if d.out != 1 {
 		t.Errorf("%d calls out, want one bundle", d.out)
 	}
-	got := d.Handle(moment(ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: QueueFull, Wait: time.Second}, arrive("o", 0)})
+	got := d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, arrive("o", 0)})
 	expect(t, "in the wait", got, "")
 }
 
@@ -427,17 +427,17 @@
 func TestReturn(t *testing.T) {
 	s := plain()
 	s.Weights = WeightsNominal
-	for _, outcome := range []Outcome{ConnectError, Failed, Reset, QueueFull, TimedOut} {
+	for _, outcome := range []Outcome{ConnectError, Failed, Reset, Rejected, TimedOut} {
 		d := start(t, s, Endpoint{ID: "a", Weight: 5})
 		sends, out := 0, map[string]int{}
 		for now := time.Duration(0); now < 24*time.Second; now += 20 * ms {
 			var events []Event
 			for id, n := range out {
-				events = append(events, Ended{ID: id, Endpoint: "a", Attempt: n, Outcome: outcome})
+				events = append(events, AttemptEnded{ID: id, Endpoint: "a", Attempt: n, Outcome: outcome})
 			}
 			out = map[string]int{}
 			if now%(200*ms) == 0 {
-				events = append(events, Arrived{ID: fmt.Sprint(now), Left: 10 * time.Second})
+				events = append(events, Arrived{ID: fmt.Sprint(now), TimeLeft: 10 * time.Second})
 			}
 			for _, a := range d.Handle(moment(now), events) {
 				if a, ok := a.(Send); ok {
@@ -479,8 +479,8 @@
 func TestConnectionCap(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0)})
-	d.Handle(moment(10*ms), []Event{Ended{ID: "m1", Endpoint: "a", Outcome: OK, Over: true}, arrive("m3", 0)})
-	d.Handle(moment(20*ms), []Event{Ended{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
+	d.Handle(moment(10*ms), []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: OK, Completed: true}, arrive("m3", 0)})
+	d.Handle(moment(20*ms), []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
 	ep := d.endpoints["a"]
 	if ep.sick || ep.failures > 0 || ep.connCap != 1 {
 		t.Errorf("sick %v, failures %v, cap %v", ep.sick, ep.failures, ep.connCap)
@@ -501,10 +501,10 @@
 	q.observe(0, 0.1)
 	d.Handle(0, []Event{arrive("lost", 0)})
 	d.Handle(moment(50*ms), []Event{arrive("m", 0)})
-	expect(t, "nothing overtook it", d.Handle(moment(140*ms), []Event{Woken{}}), "")
-	d.Handle(moment(150*ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: OK, Over: true}})
-	expect(t, "overtaken and late", d.Handle(moment(700*ms), []Event{Woken{}}), "cancel lost/0")
-	expect(t, "sent again", d.Handle(moment(705*ms), []Event{Ended{ID: "lost", Endpoint: "a", Outcome: Canceled}}), "lost>a")
+	expect(t, "nothing overtook it", d.Handle(moment(140*ms), []Event{TimerFired{}}), "")
+	d.Handle(moment(150*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
+	expect(t, "overtaken and late", d.Handle(moment(700*ms), []Event{TimerFired{}}), "cancel lost/0")
+	expect(t, "sent again", d.Handle(moment(705*ms), []Event{AttemptEnded{ID: "lost", Endpoint: "a", Outcome: Canceled}}), "lost>a")
 }
 
 // TestStuckSlotIsTakenBack guards against hangs that fill the slots.
@@ -514,10 +514,10 @@
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	d.queues[0].observe(0, 0.1)
 	d.queues[1].observe(0, 0.1)
-	at := func(id string, dest int) Event { return Arrived{ID: id, Destination: dest, Left: 10 * time.Second} }
+	at := func(id string, dest int) Event { return Arrived{ID: id, Destination: dest, TimeLeft: 10 * time.Second} }
 	d.Handle(0, []Event{at("m", 0)})
 	d.Handle(moment(100*ms), []Event{at("n", 1)})
-	expect(t, "no slot is wanted", d.Handle(moment(900*ms), []Event{Woken{}}), "")
+	expect(t, "no slot is wanted", d.Handle(moment(900*ms), []Event{TimerFired{}}), "")
 	expect(t, "one is wanted", d.Handle(moment(1000*ms), []Event{at("o", 2)}), "cancel m/0")
 }
 
@@ -525,7 +525,7 @@
 // destination reports that its allowance is used up, and one that a limit far below the listed rate does not reach.
 func TestPaceFollows(t *testing.T) {
 	s := plain()
-	s.Weights, s.Instances = WeightsNominal, 4
+	s.Weights, s.FleetSize = WeightsNominal, 4
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
 	q := d.queues[0]
 	if q.pace != 2 {
@@ -571,14 +571,14 @@
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
 	ep := d.endpoints["a"]
 	d.Handle(moment(500*ms), []Event{arrive("n", 0)})
-	d.Handle(moment(600*ms), []Event{Ended{ID: "n", Endpoint: "a", Outcome: QueueFull, Wait: 2 * time.Second}})
+	d.Handle(moment(600*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 2 * time.Second}})
 	if ep.sick {
 		t.Error("a wait as long as a span of counting is taken for an outage")
 	}
 	d.Handle(moment(3400*ms), []Event{arrive("m", 0)})
 	d.Handle(moment(3500*ms), []Event{arrive("o", 0)})
-	d.Handle(moment(3600*ms), []Event{Ended{ID: "o", Endpoint: "a", Outcome: QueueFull, Wait: 6 * time.Second}})
-	d.Handle(moment(3700*ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: OK, Over: true}})
+	d.Handle(moment(3600*ms), []Event{AttemptEnded{ID: "o", Endpoint: "a", Outcome: Rejected, RetryAfter: 6 * time.Second}})
+	d.Handle(moment(3700*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 	if !ep.sick {
 		t.Error("a destination that told a wait of 6 s is not taken for shut")
 	}
@@ -590,7 +590,7 @@
 			}
 		}
 	}
-	most := int(s.OverloadFactor * s.ColdShare * 8 * s.OverloadFor.Seconds())
+	most := int(s.OverloadFactor * s.SlowStartInitialShare * 8 * s.OverloadWindow.Seconds())
 	if sent == 0 || sent > most {
 		t.Errorf("%d calls as it opens, want some and %d at most", sent, most)
 	}
@@ -598,7 +598,7 @@
 
 func TestRoutes(t *testing.T) {
 	s := plain()
-	s.ZoneFee = []float64{0.06, 0}
+	s.ZoneCost = []float64{0.06, 0}
 	d := start(t, s, Endpoint{ID: "a", Kind: 2}, Endpoint{ID: "b", Kind: 2, Zone: 1})
 	expect(t, "the cheaper of two idle routes", d.Handle(0, []Event{arrive("m", 0)}), "m>b")
 	d.queues[1].mean, d.queues[1].class[0] = 5, 5
@@ -613,8 +613,8 @@
 		t.Fatal(err)
 	}
 	expect(t, "at the start", d.Handle(0, nil), "subscribe")
-	expect(t, "failed", d.Handle(moment(ms), []Event{ListFailed{}}), "")
-	expect(t, "again", d.Handle(moment(ms+subscribeAgain), []Event{Woken{}}), "subscribe")
+	expect(t, "failed", d.Handle(moment(ms), []Event{WatchFailed{}}), "")
+	expect(t, "again", d.Handle(moment(ms+subscribeAgain), []Event{TimerFired{}}), "subscribe")
 }
 
 func TestSettingsThatMakeNoSense(t *testing.T) {
@@ -624,13 +624,13 @@
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
 		{"Classes[0].Deadline", func(s *Settings) { s.Classes[0].Deadline = -1 }},
-		{"Classes[1].Memory", func(s *Settings) { s.Classes[1].Memory = -1 }},
+		{"Classes[1].Memory", func(s *Settings) { s.Classes[1].IdempotencyWindow = -1 }},
 		{"Classes[2].Effect", func(s *Settings) { s.Classes[2].Effect = 7 }},
 		{"Slots", func(s *Settings) { s.Slots = 0 }},
-		{"Instances", func(s *Settings) { s.Instances = 0 }},
-		{"HoldRoom", func(s *Settings) { s.HoldRoom = 0 }},
+		{"Instances", func(s *Settings) { s.FleetSize = 0 }},
+		{"HoldRoom", func(s *Settings) { s.QueueCapacity = 0 }},
 		{"Weights", func(s *Settings) { s.Weights = 9 }},
-		{"OrderPause", func(s *Settings) { s.OrderPause = -1 }},
+		{"OrderPause", func(s *Settings) { s.OrderedKeyDelay = -1 }},
 	}
 	for _, tt := range tests {
 		s := plain()
@@ -643,10 +643,10 @@
 
 func TestUnknownThingsChangeNothing(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	got := d.Handle(moment(time.Second), []Event{Ended{ID: "x"}, Withdrawn{ID: "x"},
-		Arrived{ID: "y", Class: 99}, Listed{Endpoints: []Endpoint{{ID: "z", Gone: true}}}})
+	got := d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "x"}, Withdrawn{ID: "x"},
+		Arrived{ID: "y", Class: 99}, EndpointsUpdated{Endpoints: []Endpoint{{ID: "z", Removed: true}}}})
 	expect(t, "unknown", got, "")
-	d.Handle(0, []Event{Woken{}}) // a clock that goes back
+	d.Handle(0, []Event{TimerFired{}}) // a clock that goes back
 	if d.now != moment(time.Second) {
 		t.Errorf("the clock went back to %v", d.now)
 	}
@@ -657,9 +657,9 @@
 func TestLateRuleUnderOverload(t *testing.T) {
 	s := plain()
 	s.Classes = []Class{
-		{Aim: time.Second, Deadline: 5 * time.Second, Worth: 2},                      // four fifths left at 1.8 s
-		{Aim: 4 * time.Second, Deadline: 16 * time.Second, Worth: 1, LateShare: 0.5}, // and at 8.8 s
-		{Aim: 4 * time.Second, Deadline: 16 * time.Second, Worth: 4, LateShare: 0.5},
+		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},                           // four fifths left at 1.8 s
+		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 1, LateValueShare: 0.5}, // and at 8.8 s
+		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 4, LateValueShare: 0.5},
 	}
 	tests := []struct {
 		class    int
@@ -697,8 +697,8 @@
 	d := start(t, plain())
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.queues[0].observe(0, 0.5)
-	expect(t, "0.6 s left, 0.5 s needed", d.Handle(moment(9400*ms), []Event{Woken{}}), "")
-	expect(t, "0.4 s left, 0.5 s needed", d.Handle(moment(9600*ms), []Event{Woken{}}), "refuse m")
+	expect(t, "0.6 s left, 0.5 s needed", d.Handle(moment(9400*ms), []Event{TimerFired{}}), "")
+	expect(t, "0.4 s left, 0.5 s needed", d.Handle(moment(9600*ms), []Event{TimerFired{}}), "refuse m")
 }
 
 // TestGrayErrors guards against taking a share of failing calls for an outage.
@@ -712,7 +712,7 @@
 		d := start(t, plain(), Endpoint{ID: "a"})
 		d.Handle(0, []Event{arrive("m", 0)})
 		for i := range tt.n {
-			d.Handle(moment(time.Duration(i+1)*ms), []Event{Ended{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
+			d.Handle(moment(time.Duration(i+1)*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
 		}
 		if got := d.endpoints["a"].sick; got != tt.sick {
 			t.Errorf("%d of outcome %d: sick %v", tt.n, tt.outcome, got)
@@ -750,11 +750,11 @@
 // TestRoom guards against one queue that fills the holding room.
 func TestRoom(t *testing.T) {
 	s := plain()
-	s.HoldRoom = 20
+	s.QueueCapacity = 20
 	d := start(t, s, Endpoint{ID: "b", Destination: 1}) // nothing is listed for destination 0
 	refused := 0
 	for i := range 20 {
-		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), Left: 10 * time.Second}})
+		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), TimeLeft: 10 * time.Second}})
 		if strings.HasPrefix(said(got), "refuse") {
 			refused++
 		}
@@ -762,13 +762,13 @@
 	if refused != 5 {
 		t.Errorf("%d of 20 refused, want those past three quarters of the room", refused)
 	}
-	expect(t, "another destination", d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, Left: time.Second}}), "n>b")
+	expect(t, "another destination", d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}}), "n>b")
 }
 
 // TestIdleConnectionsMakeRoom guards against many relays whose idle connections fill an endpoint, and against
 // connections closed where nothing speaks for that.
 func TestIdleConnectionsMakeRoom(t *testing.T) {
-	refused := []Event{Heard{Note: endpointNote(noRoomMark, "a")}}
+	refused := []Event{GossipReceived{Message: endpointNote(noRoomMark, "a")}}
 	for _, tt := range []struct {
 		name    string
 		at      time.Duration // of a note that another relay got no connection; the call lasts from 1 s to 2 s
@@ -780,7 +780,7 @@
 		{"another's refused before, as in an outage", 500 * ms, 0, 3 * time.Second, false},
 		{"another's refused long ago", 1500 * ms, 0, 15 * time.Second, false}} {
 		s := plain()
-		s.ConnIdle, s.Instances = 10*time.Second, 40
+		s.IdleConnTimeout, s.FleetSize = 10*time.Second, 40
 		d := start(t, s, Endpoint{ID: "a"})
 		if tt.at > 0 && tt.at < time.Second {
 			d.Handle(moment(tt.at), refused)
@@ -789,12 +789,12 @@
 		if tt.at > time.Second {
 			d.Handle(moment(tt.at), refused)
 		}
-		d.Handle(moment(2*time.Second), []Event{Ended{ID: "m", Endpoint: "a", Outcome: OK, Over: true}})
+		d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 		d.endpoints["a"].connCap = tt.connCap
 		d.Handle(moment(tt.last-500*ms), []Event{arrive("n", 0)})
 		closes := false
-		for _, a := range d.Handle(moment(tt.last), []Event{Ended{ID: "n", Endpoint: "a", Outcome: OK, Over: true}}) {
-			closes = closes || a == CloseIdle{Endpoint: "a"}
+		for _, a := range d.Handle(moment(tt.last), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true}}) {
+			closes = closes || a == CloseIdleConnections{Endpoint: "a"}
 		}
 		if closes != tt.closes {
 			t.Errorf("%s: closes %v", tt.name, closes)
@@ -811,8 +811,8 @@
 		at, id := time.Duration(10+3*i)*100*ms, fmt.Sprint("m", i)
 		d.endpoints["a"].sick, d.endpoints["a"].failures = false, 0
 		d.Handle(moment(at), []Event{arrive(id, 0)})
-		for _, a := range d.Handle(moment(at+10*ms), []Event{Ended{ID: id, Endpoint: "a", Outcome: ConnectError, Over: true}}) {
-			if tell, ok := a.(Tell); ok && readEndpoint(noRoomMark, tell.Note) == "a" {
+		for _, a := range d.Handle(moment(at+10*ms), []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
+			if tell, ok := a.(Broadcast); ok && readEndpoint(noRoomMark, tell.Message) == "a" {
 				told++
 			}
 		}
@@ -827,8 +827,8 @@
 	told := 0
 	for _, d := range fleet(t, 300, 3000) {
 		d.Handle(moment(time.Second), []Event{arrive("m", 0)})
-		for _, a := range d.Handle(moment(1010*ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: ConnectError, Over: true}}) {
-			if tell, ok := a.(Tell); ok && readEndpoint(noRoomMark, tell.Note) == "a" {
+		for _, a := range d.Handle(moment(1010*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
+			if tell, ok := a.(Broadcast); ok && readEndpoint(noRoomMark, tell.Message) == "a" {
 				told++
 			}
 		}
@@ -845,7 +845,7 @@
 		want   float64
 	}{{2, 2}, {400, 0.01}} {
 		s := plain()
-		s.Instances, s.Weights = tt.relays, WeightsNominal
+		s.FleetSize, s.Weights = tt.relays, WeightsNominal
 		d := start(t, s, Endpoint{ID: "a", Weight: 4})
 		if got := d.queues[0].pace; got != tt.want {
 			t.Errorf("%d relays: pace %v, want %v", tt.relays, got, tt.want)
@@ -856,15 +856,15 @@
 // TestRelaysDoNotKnockInStep guards against relays that are refused together and come back together.
 func TestRelaysDoNotKnockInStep(t *testing.T) {
 	s := plain()
-	s.Instances, s.Weights = 400, WeightsNominal
+	s.FleetSize, s.Weights = 400, WeightsNominal
 	seen := map[instant.Time]bool{}
 	for seed := range int64(5) {
 		d, err := New(s, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Handle(0, []Event{Listed{Whole: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
-		d.Handle(moment(ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: QueueFull}})
+		d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
+		d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected}})
 		seen[d.queues[0].holdUntil] = true
 	}
 	if len(seen) < 4 {
@@ -878,7 +878,7 @@
 	s.Slots, s.Weights = 1, WeightsNominal
 	d := start(t, s, Endpoint{ID: "a", Weight: 5})
 	for _, a := range d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}) {
-		if w, ok := a.(Wake); ok && w.After < time.Second {
+		if w, ok := a.(SetTimer); ok && w.After < time.Second {
 			t.Errorf("timer after %v", w.After)
 		}
 	}
@@ -891,18 +891,18 @@
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.queues[0].observe(2, 0.1)
 	d.unanswered = 0.9
-	d.Handle(0, []Event{Arrived{ID: "m", Class: 2, Left: 20 * time.Second}})
-	expect(t, "no slot is wanted", d.Handle(moment(3*time.Second), []Event{Woken{}}), "")
-	expect(t, "one is wanted", d.Handle(moment(3100*ms), []Event{Arrived{ID: "n", Destination: 1, Left: 9 * time.Second}}), "cancel m/0")
-	expect(t, "never twice", d.Handle(moment(3105*ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: Canceled}}), "fail m n>b")
+	d.Handle(0, []Event{Arrived{ID: "m", Class: 2, TimeLeft: 20 * time.Second}})
+	expect(t, "no slot is wanted", d.Handle(moment(3*time.Second), []Event{TimerFired{}}), "")
+	expect(t, "one is wanted", d.Handle(moment(3100*ms), []Event{Arrived{ID: "n", Destination: 1, TimeLeft: 9 * time.Second}}), "cancel m/0")
+	expect(t, "never twice", d.Handle(moment(3105*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Canceled}}), "fail m n>b")
 }
 
 // TestBorrowedLatency guards against queues that know nothing: a lost first call would hold its slot to its end.
 func TestBorrowedLatency(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.Handle(0, []Event{arrive("m", 0)})
-	d.Handle(moment(400*ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: OK, Took: 400 * ms, Over: true},
-		Arrived{ID: "n", Destination: 1, Left: 10 * time.Second}})
+	d.Handle(moment(400*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 400 * ms, Completed: true},
+		Arrived{ID: "n", Destination: 1, TimeLeft: 10 * time.Second}})
 	q := d.queues[1]
 	if q.class[0] != 0.4 || q.mean != 0.4 {
 		t.Errorf("b borrows %v, %v, want what a took", q.class[0], q.mean)
@@ -917,9 +917,9 @@
 func TestTimerThatFiresEarly(t *testing.T) {
 	d := start(t, plain())
 	got := d.Handle(0, []Event{arrive("m", 0)})
-	at := got[len(got)-1].(Wake).After
-	got = d.Handle(moment(at-400), []Event{Woken{}})
-	if len(got) != 1 || got[0].(Wake).After > 10*ms {
+	at := got[len(got)-1].(SetTimer).After
+	got = d.Handle(moment(at-400), []Event{TimerFired{}})
+	if len(got) != 1 || got[0].(SetTimer).After > 10*ms {
 		t.Fatalf("400 ns early: %v, want another timer", got)
 	}
 }
@@ -931,7 +931,7 @@
 	q.mean = 0.5
 	q.arrivals.add(0, 100)
 	q.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
-	expect(t, "2 s of 10 left, nothing held", d.Handle(0, []Event{Arrived{ID: "m", Left: 2 * time.Second}}), "m>a")
+	expect(t, "2 s of 10 left, nothing held", d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
 }
 
 // TestOwnStall guards against holding a relay's own pause against its destinations.
@@ -940,7 +940,7 @@
 	q := d.queues[0]
 	q.observe(0, 0.1)
 	d.Handle(0, []Event{arrive("m", 0)})
-	d.Handle(moment(2*time.Second), []Event{Ended{ID: "m", Endpoint: "a", Outcome: OK, Took: 100 * ms, Over: true}})
+	d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 100 * ms, Completed: true}})
 	if math.Abs(q.mean-0.1) > 1e-9 || d.unanswered != 0 {
 		t.Errorf("mean %v, unanswered %v after a pause of our own", q.mean, d.unanswered)
 	}
@@ -951,10 +951,10 @@
 	s := plain()
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	d.Handle(0, []Event{arrive("m", 0)})
-	expect(t, "a retry goes to the sibling", d.Handle(moment(ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: Failed}}), "m>b")
-	d.Handle(moment(2*ms), []Event{Ended{ID: "m", Endpoint: "b", Attempt: 1, Outcome: OK, Over: true}})
+	expect(t, "a retry goes to the sibling", d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Failed}}), "m>b")
+	d.Handle(moment(2*ms), []Event{AttemptEnded{ID: "m", Endpoint: "b", Attempt: 1, Outcome: OK, Completed: true}})
 	expect(t, "so does its class", d.Handle(moment(3*ms), []Event{arrive("n", 0)}), "n>b")
-	d.Handle(moment(4*ms), []Event{Ended{ID: "n", Endpoint: "b", Outcome: OK, Over: true}})
+	d.Handle(moment(4*ms), []Event{AttemptEnded{ID: "n", Endpoint: "b", Outcome: OK, Completed: true}})
 	d.endpoints["a"].lastUsed = moment(4 * ms)
 	expect(t, "others do not", d.Handle(moment(5*ms), []Event{arrive("o", 1)}), "o>a")
 }
@@ -963,7 +963,7 @@
 // the classes that happened to meet it.
 func TestOutageOfAllClassesEndsForAll(t *testing.T) {
 	s := plain()
-	s.RampTime = time.Second
+	s.SlowStartWindow = time.Second
 	d := start(t, s, Endpoint{ID: "a", Zone: 0}, Endpoint{ID: "b", Zone: 1})
 	a := d.endpoints["a"]
 	now := time.Duration(0)
@@ -976,7 +976,7 @@
 			for _, x := range actions {
 				if send, ok := x.(Send); ok {
 					first = cmp.Or(first, send.Endpoint)
-					e := Ended{ID: id, Endpoint: send.Endpoint, Attempt: n, Outcome: OK, Took: 10 * ms}
+					e := AttemptEnded{ID: id, Endpoint: send.Endpoint, Attempt: n, Outcome: OK, Latency: 10 * ms}
 					if send.Endpoint == "a" {
 						e.Outcome = atA
 					}
@@ -1008,10 +1008,10 @@
 func TestUrgentFirst(t *testing.T) {
 	s := plain()
 	s.Slots = 1
-	s.Classes[1].Aim = 8 * time.Second
+	s.Classes[1].LatencyObjective = 8 * time.Second
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
-	expect(t, "one slot", d.Handle(0, []Event{Arrived{ID: "patient", Class: 1, Left: 10 * time.Second},
-		Arrived{ID: "urgent", Destination: 1, Left: 10 * time.Second}}), "urgent>b")
+	expect(t, "one slot", d.Handle(0, []Event{Arrived{ID: "patient", Class: 1, TimeLeft: 10 * time.Second},
+		Arrived{ID: "urgent", Destination: 1, TimeLeft: 10 * time.Second}}), "urgent>b")
 }
 
 // TestFewKnocksAtSize guards against hundreds of relays whose further knocks push over a destination that
@@ -1022,18 +1022,18 @@
 		outcome     Outcome
 		wait        time.Duration
 		least, most int // of 40 relays are sick after one
-	}{{400, QueueFull, 0, 10, 30}, {400, ConnectError, 0, 10, 30}, {400, QueueFull, time.Second, 40, 40},
-		{2, QueueFull, 0, 0, 0}, {2, ConnectError, 0, 0, 0}} {
+	}{{400, Rejected, 0, 10, 30}, {400, ConnectError, 0, 10, 30}, {400, Rejected, time.Second, 40, 40},
+		{2, Rejected, 0, 0, 0}, {2, ConnectError, 0, 0, 0}} {
 		sick := 0
 		for seed := range int64(40) {
 			s := plain()
-			s.Instances, s.Weights = tt.relays, WeightsNominal
+			s.FleetSize, s.Weights = tt.relays, WeightsNominal
 			d, err := New(s, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Handle(0, []Event{Listed{Whole: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
-			d.Handle(moment(ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: tt.outcome, Wait: tt.wait}})
+			d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
+			d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, RetryAfter: tt.wait}})
 			if d.endpoints["a"].sick {
 				sick++
 			}
@@ -1054,10 +1054,10 @@
 		d := start(t, plain())
 		for i := range 200 {
 			now := time.Duration(i) * time.Second
-			d.Handle(moment(now), []Event{Listed{Whole: true, Endpoints: []Endpoint{{ID: fmt.Sprint("a", i), Kind: kind},
+			d.Handle(moment(now), []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: fmt.Sprint("a", i), Kind: kind},
 				{ID: fmt.Sprint("b", i), Kind: kind}}}, arrive(fmt.Sprint("m", i), 0)})
 			for id, m := range d.messages {
-				d.Handle(moment(now+100*ms), []Event{Ended{ID: id, Endpoint: m.attempts[0].call.ep.ID, Outcome: OK, Over: true}})
+				d.Handle(moment(now+100*ms), []Event{AttemptEnded{ID: id, Endpoint: m.attempts[0].call.ep.ID, Outcome: OK, Completed: true}})
 			}
 		}
 		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.dests) != 1 || len(d.active)+len(d.messages)+len(d.live) != 0 {
@@ -1073,16 +1073,16 @@
 	s.Weights = WeightsNominal
 	for _, weight := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0} {
 		d := start(t, s, Endpoint{ID: "a", Weight: weight})
-		d.Handle(0, []Event{Listed{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrive("m", 0)})
+		d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrive("m", 0)})
 		if q := d.queues[0]; q.pace != 5 || len(q.out) != 1 {
 			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.pace, len(q.out))
 		}
 	}
 	d := start(t, s, Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m", 0)})
-	d.Handle(moment(ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: QueueFull, Wait: math.MaxInt64}})
+	d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: math.MaxInt64}})
 	expect(t, "an endless wait is kept", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "refuse n")
-	expect(t, "no time left", d.Handle(moment(time.Second), []Event{Arrived{ID: "o", Left: -time.Second}}), "refuse o")
+	expect(t, "no time left", d.Handle(moment(time.Second), []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "refuse o")
 }
 
 // BenchmarkHandle reports what a batch costs with 1,000 endpoints listed.
@@ -1096,14 +1096,14 @@
 	for i := range 1000 {
 		list = append(list, Endpoint{ID: fmt.Sprint("e", i), Destination: i / 2})
 	}
-	d.Handle(0, []Event{Listed{Whole: true, Endpoints: list}})
+	d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: list}})
 	now := time.Duration(0)
 	for i := 0; b.Loop(); i++ {
 		id := fmt.Sprint("m", i)
 		now += 10 * ms
-		for _, a := range d.Handle(moment(now), []Event{Arrived{ID: id, Destination: i % 500, Left: 10 * time.Second}}) {
+		for _, a := range d.Handle(moment(now), []Event{Arrived{ID: id, Destination: i % 500, TimeLeft: 10 * time.Second}}) {
 			if a, ok := a.(Send); ok {
-				d.Handle(moment(now+5*ms), []Event{Ended{ID: id, Endpoint: a.Endpoint, Outcome: OK, Over: true}})
+				d.Handle(moment(now+5*ms), []Event{AttemptEnded{ID: id, Endpoint: a.Endpoint, Outcome: OK, Completed: true}})
 			}
 		}
 	}
@@ -1114,12 +1114,12 @@
 	for _, gone := range []bool{false, true} { // the old endpoint stays, or is replaced
 		d := start(t, plain(), Endpoint{ID: "a"})
 		d.sicken(d.endpoints["a"])
-		d.Handle(moment(ms), []Event{Listed{Endpoints: []Endpoint{{ID: "a", Gone: gone}, {ID: "b"}}}})
+		d.Handle(moment(ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Removed: gone}, {ID: "b"}}}})
 		if !d.endpoints["b"].sick {
 			t.Errorf("old one gone %v: the new one is not on its budget", gone)
 		}
 		d.succeeded(d.endpoints["b"], true)
-		d.Handle(moment(2*ms), []Event{Listed{Endpoints: []Endpoint{{ID: "c"}}}})
+		d.Handle(moment(2*ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "c"}}}})
 		if d.endpoints["c"].sick {
 			t.Error("a new one after the return is on a budget")
 		}
@@ -1134,11 +1134,11 @@
 		s.Weights = WeightsNominal
 		d := start(t, s, Endpoint{ID: "a", Kind: kind, Weight: 5})
 		expect(t, "sent", d.Handle(moment(time.Second), []Event{arrive("m", 0)}), "m>a")
-		expect(t, "held", d.Handle(moment(2*time.Second), []Event{Listed{Whole: true}, arrive("n", 0)}), "")
-		expect(t, "its outcome", d.Handle(0, []Event{Ended{ID: "m", Endpoint: "a", Outcome: OK, Over: true}}), "")
-		expect(t, "back", d.Handle(moment(3*time.Second), []Event{Listed{Endpoints: []Endpoint{
+		expect(t, "held", d.Handle(moment(2*time.Second), []Event{EndpointsUpdated{Complete: true}, arrive("n", 0)}), "")
+		expect(t, "its outcome", d.Handle(0, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}}), "")
+		expect(t, "back", d.Handle(moment(3*time.Second), []Event{EndpointsUpdated{Endpoints: []Endpoint{
 			{ID: "a", Kind: kind, Weight: 7, Zone: 1}}}}), "n>a")
-		expect(t, "far ahead", d.Handle(moment(1000*time.Hour), []Event{Ended{ID: "n", Endpoint: "a", Outcome: OK, Over: true},
+		expect(t, "far ahead", d.Handle(moment(1000*time.Hour), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true},
 			arrive("o", 0)}), "o>a")
 		if d.out != 1 || len(d.messages) != 1 {
 			t.Errorf("kind %d: %d calls out, %d messages", kind, d.out, len(d.messages))
@@ -1152,7 +1152,7 @@
 	if n := d.Avoided(); n != 0 {
 		t.Errorf("%d avoided at the start", n)
 	}
-	d.Handle(0, []Event{Listed{Endpoints: []Endpoint{{ID: "b", Destination: 2, Draining: true}}}})
+	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "b", Destination: 2, Draining: true}}}})
 	d.sicken(d.endpoints["a"])
 	if n := d.Avoided(); n != 2 {
 		t.Errorf("%d avoided, want the one that is out and the one that drains", n)
@@ -1166,18 +1166,18 @@
 	s.Slots = 2
 	d := start(t, s, Endpoint{ID: "a", Destination: 0}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	out := func(id string, dest int, ep string, call int, over bool) Event {
-		return Arrived{ID: id, Destination: dest, Left: 9 * time.Second, Resumed: true, Over: over,
-			Tried: []Tried{{Endpoint: ep, Sent: moment(-ms), Out: true, Call: call}}}
+		return Arrived{ID: id, Destination: dest, TimeLeft: 9 * time.Second, Resumed: true, Completed: over,
+			PriorAttempts: []PriorAttempt{{Endpoint: ep, SentAt: moment(-ms), InFlight: true, Call: call}}}
 	}
 	expect(t, "both slots are taken", d.Handle(0, []Event{out("m1", 0, "a", 7, false), out("m2", 1, "b", 8, true),
-		Arrived{ID: "held", Destination: 2, Left: 9 * time.Second, Resumed: true}}), "")
+		Arrived{ID: "held", Destination: 2, TimeLeft: 9 * time.Second, Resumed: true}}), "")
 	expect(t, "the message that is over gives its slot back",
-		d.Handle(moment(10*ms), []Event{Ended{ID: "m2", Endpoint: "b", Outcome: OK, Took: 11 * ms}}), "held>c")
+		d.Handle(moment(10*ms), []Event{AttemptEnded{ID: "m2", Endpoint: "b", Outcome: OK, Latency: 11 * ms}}), "held>c")
 	if d.messages["m2"] != nil {
 		t.Error("the message that is over is still held")
 	}
 	expect(t, "a call that broke is made again",
-		d.Handle(moment(20*ms), []Event{Ended{ID: "m1", Endpoint: "a", Outcome: Reset, Took: 21 * ms}}), "m1>a")
+		d.Handle(moment(20*ms), []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Reset, Latency: 21 * ms}}), "m1>a")
 	for _, c := range d.endpoints["a"].out {
 		if c.no == 7 {
 			t.Error("the call of the process before is still out")
@@ -1191,13 +1191,13 @@
 	s.Weights = WeightsNominal
 	list := []Endpoint{{ID: "a", Destination: 0, Weight: 10}, {ID: "b", Destination: 1, Weight: 10}, {ID: "c", Destination: 2, Weight: 10}}
 	old := start(t, s, list...)
-	old.Handle(0, []Event{Arrived{ID: "m", Left: 9 * time.Second}})
-	old.Handle(moment(100*ms), []Event{Ended{ID: "m", Endpoint: "a", Outcome: QueueFull, Wait: 2 * time.Second, Took: 100 * ms}})
+	old.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 9 * time.Second}})
+	old.Handle(moment(100*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: 100 * ms}})
 	old.sicken(old.endpoints["b"])
 	old.endpoints["b"].q.observe(0, 0.7)
 	d := start(t, s, list[:2]...)
-	events := []Event{Arrived{ID: "m", Left: 9 * time.Second, Resumed: true}}
-	for _, l := range old.Learned() {
+	events := []Event{Arrived{ID: "m", TimeLeft: 9 * time.Second, Resumed: true}}
+	for _, l := range old.ExportState() {
 		events = append([]Event{l}, events...)
 	}
 	expect(t, "in the told wait", d.Handle(moment(200*ms), events), "")
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -36,19 +36,19 @@
 	refusedAt instant.Time // when the last call was sent that a pause is for
 	cutAt     instant.Time // of the pace
 	climbedAt instant.Time
-	pause     time.Duration   // the last after a refusal that told no wait
-	fulls     int             // refusals in a row
-	firstFull instant.Time    // of the refusals in a row
-	lastOK    instant.Time    // 0 for never
-	weight    float64         // calls a second that all relays may make; 0 for unknown
-	pace      float64         // calls a second of this relay; 0 for unknown
-	bucket                    // of the pace
-	word      word            // of the fleet, on the destination
-	triedAt   instant.Time    // when what is out or fenced last got a call
-	row       []float64       // part of the own zone's messages that each zone serves; nil for all at home
-	press     float64         // part of the calls for which the own zone has no room, as learned
-	owed      map[int]float64 // calls that are to go to another zone
-	paced     Paced           // by other relays; used until pacedTo
+	pause     time.Duration    // the last after a refusal that told no wait
+	fulls     int              // refusals in a row
+	firstFull instant.Time     // of the refusals in a row
+	lastOK    instant.Time     // 0 for never
+	weight    float64          // calls a second that all relays may make; 0 for unknown
+	pace      float64          // calls a second of this relay; 0 for unknown
+	bucket                     // of the pace
+	word      word             // of the fleet, on the destination
+	triedAt   instant.Time     // when what is out or fenced last got a call
+	row       []float64        // part of the own zone's messages that each zone serves; nil for all at home
+	press     float64          // part of the calls for which the own zone has no room, as learned
+	owed      map[int]float64  // calls that are to go to another zone
+	paced     PeerRateReceived // by other relays; used until pacedTo
 	pacedTo   instant.Time
 	failing   []failing // at older endpoints, by class
 	arrivals  aged
@@ -162,7 +162,7 @@
 // usable tells whether a queue has an endpoint that takes new work.
 func (q *queue) usable() bool {
 	for _, ep := range q.eps {
-		if !ep.Draining && !ep.Gone {
+		if !ep.Draining && !ep.Removed {
 			return true
 		}
 	}
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -7,16 +7,18 @@
 )
 
 // resumed is a message that an earlier process took on, with the attempts that it made.
-func resumed(id string, class int, tried ...Tried) Event {
-	return Arrived{ID: id, Class: class, Left: 10 * time.Second, Resumed: true, Tried: tried}
+func resumed(id string, class int, tried ...PriorAttempt) Event {
+	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Resumed: true, PriorAttempts: tried}
 }
 
 func TestResumed(t *testing.T) {
 	const safe, keyed, unsafe = 0, 1, 2
 	begin := time.Hour
-	ran := func(ago time.Duration) Tried { return Tried{Endpoint: "gone", Sent: moment(begin - ago)} }
-	unrun := Tried{Endpoint: "a", Sent: moment(begin - time.Second), Unrun: true}
-	spent := make([]Tried, plain().MaxAttempts)
+	ran := func(ago time.Duration) PriorAttempt {
+		return PriorAttempt{Endpoint: "gone", SentAt: moment(begin - ago)}
+	}
+	unrun := PriorAttempt{Endpoint: "a", SentAt: moment(begin - time.Second), NotExecuted: true}
+	spent := make([]PriorAttempt, plain().MaxAttempts)
 	for i := range spent {
 		spent[i] = unrun
 	}
@@ -33,7 +35,7 @@
 		{"unsafe, may have run", resumed("m", unsafe, ran(time.Second)), "fail m"},
 		{"unsafe, never ran", resumed("m", unsafe, unrun, unrun), "m>a"},
 		{"all attempts made", resumed("m", safe, spent...), ""},
-		{"its time is up", Arrived{ID: "m", Resumed: true, Left: -time.Second}, "refuse m"},
+		{"its time is up", Arrived{ID: "m", Resumed: true, TimeLeft: -time.Second}, "refuse m"},
 	}
 	for _, tt := range tests {
 		d := start(t, plain(), Endpoint{ID: "a"})
@@ -67,16 +69,16 @@
 		return n
 	}
 	healthy := sends()
-	if out := sends(Recalled{Endpoint: "a", Sick: true, At: moment(time.Hour - time.Minute)}); out > fewSlots || out >= healthy {
+	if out := sends(StateRestored{Endpoint: "a", Ejected: true, At: moment(time.Hour - time.Minute)}); out > fewSlots || out >= healthy {
 		t.Errorf("in an outage: %d calls at once, %d when healthy", out, healthy)
 	}
-	if ramp := sends(Recalled{Endpoint: "a", At: moment(time.Hour - time.Second)}); ramp >= healthy {
+	if ramp := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Second)}); ramp >= healthy {
 		t.Errorf("in a ramp: %d calls at once, %d when healthy", ramp, healthy)
 	}
-	if warm := sends(Recalled{Endpoint: "a", At: moment(time.Hour - time.Minute)}); warm != healthy {
+	if warm := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Minute)}); warm != healthy {
 		t.Errorf("after a ramp: %d calls at once, want %d", warm, healthy)
 	}
-	if unknown := sends(Recalled{Endpoint: "z", Sick: true}); unknown != healthy {
+	if unknown := sends(StateRestored{Endpoint: "z", Ejected: true}); unknown != healthy {
 		t.Errorf("an endpoint that left: %d calls at once, want %d", unknown, healthy)
 	}
 }
@@ -84,47 +86,47 @@
 // What has to be recalled is told when it happens.
 func TestRemember(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	told := func(actions []Action) (list []Remember) {
+	told := func(actions []Action) (list []PersistHealth) {
 		for _, a := range actions {
-			if r, ok := a.(Remember); ok {
+			if r, ok := a.(PersistHealth); ok {
 				list = append(list, r)
 			}
 		}
 		return list
 	}
 	d.Handle(moment(time.Second), []Event{arrive("m", 0)})
-	d.Handle(moment(2*time.Second), []Event{Ended{ID: "m", Endpoint: "a", Attempt: 0, Outcome: ConnectError}})
-	got := told(d.Handle(moment(3*time.Second), []Event{Ended{ID: "m", Endpoint: "a", Attempt: 1, Outcome: ConnectError}}))
-	if len(got) != 1 || got[0] != (Remember{Endpoint: "a", Sick: true, At: moment(3 * time.Second)}) {
+	d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: ConnectError}})
+	got := told(d.Handle(moment(3*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: ConnectError}}))
+	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", Ejected: true, At: moment(3 * time.Second)}) {
 		t.Errorf("an outage: %v", got)
 	}
-	expect(t, "the next knock", d.Handle(moment(7*time.Second), []Event{Woken{}}), "m>a")
-	got = told(d.Handle(moment(8*time.Second), []Event{Ended{ID: "m", Endpoint: "a", Attempt: 2, Outcome: OK, Over: true}}))
-	if len(got) != 1 || got[0] != (Remember{Endpoint: "a", At: moment(8 * time.Second)}) {
+	expect(t, "the next knock", d.Handle(moment(7*time.Second), []Event{TimerFired{}}), "m>a")
+	got = told(d.Handle(moment(8*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 2, Outcome: OK, Completed: true}}))
+	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", At: moment(8 * time.Second)}) {
 		t.Errorf("the return: %v", got)
 	}
 }
 
 func TestStopping(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	expect(t, "nothing is sent", d.Handle(moment(time.Second), []Event{Stopping{}, arrive("m", 0)}), "")
-	expect(t, "nor later", d.Handle(moment(2*time.Second), []Event{Woken{}}), "")
+	expect(t, "nothing is sent", d.Handle(moment(time.Second), []Event{ShutdownStarted{}, arrive("m", 0)}), "")
+	expect(t, "nor later", d.Handle(moment(2*time.Second), []Event{TimerFired{}}), "")
 }
 
 func TestSpent(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	expect(t, "sent", d.Handle(moment(time.Second), []Event{arrive("m", 2)}), "m>a")
-	expect(t, "ended", d.Handle(moment(2*time.Second), []Event{Ended{ID: "m", Endpoint: "a", Outcome: Ignored, Spent: true}}),
+	expect(t, "ended", d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotSent, AttemptsExhausted: true}}),
 		"refuse m")
 }
 
 func TestHoldRoom(t *testing.T) {
 	s := plain()
-	s.HoldRoom, s.Slots = 2, 1
+	s.QueueCapacity, s.Slots = 2, 1
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	var events []Event
 	for i, id := range []string{"l", "m", "n"} {
-		events = append(events, Arrived{ID: id, Destination: i, Left: 10 * time.Second})
+		events = append(events, Arrived{ID: id, Destination: i, TimeLeft: 10 * time.Second})
 	}
 	expect(t, "a third where two may be held", d.Handle(moment(time.Second), events), "refuse l m>b")
 }
@@ -133,18 +135,18 @@
 // they do.
 func TestUnrecorded(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	d.Handle(0, []Event{Stored{Writable: false}})
+	d.Handle(0, []Event{StorageChanged{Writable: false}})
 	expect(t, "no record", d.Handle(moment(time.Second), []Event{resumed("safe", 0), resumed("keyed", 1), resumed("unsafe", 2)}), "safe>a")
-	expect(t, "records again", d.Handle(moment(2*time.Second), []Event{Ended{ID: "safe", Endpoint: "a", Over: true}, Stored{Writable: true}}), "keyed>a unsafe>a")
+	expect(t, "records again", d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "safe", Endpoint: "a", Completed: true}, StorageChanged{Writable: true}}), "keyed>a unsafe>a")
 }
 
 // An attempt whose endpoint is not known any more was in no zone that another shares its memory with.
 func TestUnknownZone(t *testing.T) {
 	s := plain()
-	s.Classes[1].ByZone = true
+	s.Classes[1].KeysPerZone = true
 	for _, zone := range []int{0, 1} {
 		d := start(t, s, Endpoint{ID: "a", Zone: zone})
-		expect(t, "keyed by zone", d.Handle(moment(time.Hour), []Event{resumed("m", 1, Tried{Sent: moment(time.Hour - time.Second)})}), "")
+		expect(t, "keyed by zone", d.Handle(moment(time.Hour), []Event{resumed("m", 1, PriorAttempt{SentAt: moment(time.Hour - time.Second)})}), "")
 	}
 }
 
@@ -155,13 +157,13 @@
 		s := plain()
 		s.Slots = 1
 		d := start(t, s, Endpoint{ID: "a"})
-		untried := func(id string) Event { return Arrived{ID: id, Left: 9 * time.Second, Resumed: true} }
+		untried := func(id string) Event { return Arrived{ID: id, TimeLeft: 9 * time.Second, Resumed: true} }
 		expect(t, "the oldest first", d.Handle(moment(ms), []Event{untried("old1"), untried("old2"), arrive("fresh", 0)}), "old1>a")
 		var events []Event
 		end := func(id string, n int, o Outcome, wait time.Duration) {
-			events = append(events, Ended{ID: id, Endpoint: "a", Attempt: n, Outcome: o, Wait: wait, Took: 90 * ms, Over: o == OK})
+			events = append(events, AttemptEnded{ID: id, Endpoint: "a", Attempt: n, Outcome: o, RetryAfter: wait, Latency: 90 * ms, Completed: o == OK})
 		}
-		end("old1", 0, QueueFull, wait)
+		end("old1", 0, Rejected, wait)
 		var order []string
 		for at := 100 * ms; at < 9*time.Second; at += 100 * ms {
 			actions := d.Handle(moment(at), events)
@@ -174,7 +176,7 @@
 					}
 					order = append(order, a.ID)
 					end(a.ID, map[string]int{"old1": 1}[a.ID], OK, 0)
-				case Refuse, Fail:
+				case Reject, Fail:
 					t.Errorf("a wait of %v: %+v", wait, a)
 				}
 			}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -59,37 +59,37 @@
 		sends: map[string][]time.Duration{}}
 }
 
-func (c *checker) list(e policy.Listed) {
+func (c *checker) list(e policy.EndpointsUpdated) {
 	named := map[string]bool{}
 	for _, x := range e.Endpoints {
 		named[x.ID] = true
 		p := c.eps[x.ID]
 		if p == nil {
 			p = &place{scope: fmt.Sprint("d", x.Destination)}
-			if x.Kind < len(c.s.Kinds) && c.s.Kinds[x.Kind].Separate {
+			if x.Kind < len(c.s.Kinds) && c.s.Kinds[x.Kind].SeparateRoutes {
 				p.scope = x.ID
 			}
 			c.eps[x.ID] = p
 		}
-		p.Endpoint, p.closed = x, x.Draining || x.Gone
+		p.Endpoint, p.closed = x, x.Draining || x.Removed
 	}
 	for id, p := range c.eps {
-		if e.Whole && !named[id] {
+		if e.Complete && !named[id] {
 			p.closed = true
 		}
 	}
 }
 
-func (c *checker) ended(e policy.Ended) {
+func (c *checker) ended(e policy.AttemptEnded) {
 	m := c.msgs[e.ID]
 	if m == nil || e.Attempt >= len(m.tries) || !m.tries[e.Attempt].open {
 		return
 	}
 	t := &m.tries[e.Attempt]
 	t.open = false
-	t.unrun = e.Outcome == policy.QueueFull || e.Outcome == policy.ConnectError || e.Outcome == policy.Ignored
+	t.unrun = e.Outcome == policy.Rejected || e.Outcome == policy.ConnectError || e.Outcome == policy.NotSent
 	if e.Outcome == policy.TimedOut || e.Outcome == policy.Reset || e.Outcome == policy.Canceled {
-		m.rest = c.now + c.s.OrderPause
+		m.rest = c.now + c.s.OrderedKeyDelay
 	}
 	switch {
 	case e.Outcome == policy.OK:
@@ -100,11 +100,11 @@
 		c.told[t.ep]++
 		c.bad[t.ep] = t.sent
 	}
-	if e.Wait > 0 {
+	if e.RetryAfter > 0 {
 		scope := c.eps[t.ep].scope
-		c.waits[scope] = max(c.waits[scope], c.now+e.Wait)
+		c.waits[scope] = max(c.waits[scope], c.now+e.RetryAfter)
 	}
-	m.over = m.over || e.Over
+	m.over = m.over || e.Completed
 }
 
 func (c *checker) events(now time.Duration, events []policy.Event) {
@@ -112,16 +112,16 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case policy.Arrived:
-			m := &seen{Arrived: e, class: c.s.Classes[e.Class], expires: now + e.Left, left: -1}
+			m := &seen{Arrived: e, class: c.s.Classes[e.Class], expires: now + e.TimeLeft, left: -1}
 			c.msgs[e.ID] = m
 			c.order = append(c.order, m)
-		case policy.Ended:
+		case policy.AttemptEnded:
 			c.ended(e)
 		case policy.Withdrawn:
 			if m := c.msgs[e.ID]; m != nil && !m.over {
 				m.over, m.left = true, now
 			}
-		case policy.Listed:
+		case policy.EndpointsUpdated:
 			c.list(e)
 		}
 	}
@@ -133,7 +133,7 @@
 		switch a := a.(type) {
 		case policy.Send:
 			err = c.send(a)
-		case policy.Refuse:
+		case policy.Reject:
 			err = c.refuse(a)
 		case policy.Fail:
 			if m := c.msgs[a.ID]; m == nil || m.over && m.left != c.now {
@@ -164,13 +164,13 @@
 	return nil
 }
 
-func (c *checker) refuse(a policy.Refuse) error {
+func (c *checker) refuse(a policy.Reject) error {
 	m := c.msgs[a.ID]
 	if m == nil || m.over && m.left != c.now {
 		return fmt.Errorf("rule 1: %s refused, but it is over", a.ID)
 	}
 	m.over = true
-	if m.mayHaveRun() != nil && (m.class.Effect == policy.Unsafe || m.class.Effect == policy.Keyed && m.class.ByZone) {
+	if m.mayHaveRun() != nil && (m.class.Effect == policy.NotIdempotent || m.class.Effect == policy.IdempotentWithKey && m.class.KeysPerZone) {
 		return fmt.Errorf("rule 2: %s refused, but it may have run", a.ID)
 	}
 	return nil
@@ -189,17 +189,17 @@
 		return fmt.Errorf("rule 6: %s sent to %s within a wait", a.ID, a.Endpoint)
 	}
 	for _, t := range m.tries {
-		if t.open && !c.s.SecondCopies {
+		if t.open && !c.s.HedgedRequests {
 			return fmt.Errorf("rule 2: %s has two attempts out", a.ID)
 		}
 	}
 	if t := m.mayHaveRun(); t != nil {
 		switch {
-		case m.class.Effect == policy.Unsafe:
+		case m.class.Effect == policy.NotIdempotent:
 			return fmt.Errorf("rule 2: unsafe %s sent again", a.ID)
-		case m.class.Effect == policy.Keyed && c.now > t.sent+m.class.Memory:
+		case m.class.Effect == policy.IdempotentWithKey && c.now > t.sent+m.class.IdempotencyWindow:
 			return fmt.Errorf("rule 2: keyed %s sent after its memory", a.ID)
-		case m.class.Effect == policy.Keyed && m.class.ByZone && c.eps[t.ep].Zone != p.Zone:
+		case m.class.Effect == policy.IdempotentWithKey && m.class.KeysPerZone && c.eps[t.ep].Zone != p.Zone:
 			return fmt.Errorf("rule 2: keyed %s sent to another zone", a.ID)
 		}
 	}
@@ -240,11 +240,11 @@
 		return nil
 	}
 	list := c.sends[p.scope]
-	if n := len(list); n > 0 && list[n-1] == c.now && c.s.Kinds[p.Kind].Bundle > 1 {
+	if n := len(list); n > 0 && list[n-1] == c.now && c.s.Kinds[p.Kind].MaxBatch > 1 {
 		return nil // the same call, by as many as one holds
 	}
 	list = append(list, c.now)
-	for list[0] <= c.now-c.s.OverloadFor {
+	for list[0] <= c.now-c.s.OverloadWindow {
 		list = list[1:]
 	}
 	c.sends[p.scope] = list
@@ -256,11 +256,11 @@
 	}
 	weight := p.Weight
 	if c.s.Weights == policy.WeightsOff {
-		weight = float64(c.s.Instances)
+		weight = float64(c.s.FleetSize)
 	}
-	all := c.s.OverloadFactor * c.s.ColdShare * weight * c.s.OverloadFor.Seconds()
-	if budget := all/float64(c.s.Instances) + float64(eps+3); float64(len(list)) > budget {
-		return fmt.Errorf("rule 4: %d sends to %s within %v, %.1f allowed, %d eps %v %+v", len(list), p.ID, c.s.OverloadFor, budget, eps, list, c.s)
+	all := c.s.OverloadFactor * c.s.SlowStartInitialShare * weight * c.s.OverloadWindow.Seconds()
+	if budget := all/float64(c.s.FleetSize) + float64(eps+3); float64(len(list)) > budget {
+		return fmt.Errorf("rule 4: %d sends to %s within %v, %.1f allowed, %d eps %v %+v", len(list), p.ID, c.s.OverloadWindow, budget, eps, list, c.s)
 	}
 	return nil
 }
@@ -268,18 +268,18 @@
 // variant draws settings from a seed.
 func variant(r *rand.Rand) policy.Settings {
 	s := policy.Settings{
-		Instances: []int{1, 2, 3, 4, 40, 400}[r.Intn(6)], Slots: 1 + r.Intn(12), HoldRoom: 20 + r.Intn(80), MaxAttempts: 2 + r.Intn(10),
-		SecondCopies: r.Intn(2) == 0, CanCancel: r.Intn(4) > 0, Subscribe: r.Intn(2) == 0,
-		Weights: policy.Weights(r.Intn(3)), Tick: 5 * time.Millisecond,
-		MaxStayAway: 3 * time.Second, ColdShare: 0.14 + 0.2*r.Float64(), RampTime: 9 * time.Second,
-		OverloadFactor: 2 + r.Float64(), OverloadFor: 2 * time.Second, ZoneFee: []float64{0.06, 0},
-		OrderPause: time.Duration(r.Intn(3)) * 200 * time.Millisecond,
-		Kinds:      []policy.Kind{{Bundle: 1}, {Bundle: 5}, {Bundle: 1 + r.Intn(8), Separate: true}},
+		FleetSize: []int{1, 2, 3, 4, 40, 400}[r.Intn(6)], Slots: 1 + r.Intn(12), QueueCapacity: 20 + r.Intn(80), MaxAttempts: 2 + r.Intn(10),
+		HedgedRequests: r.Intn(2) == 0, CanCancel: r.Intn(4) > 0, Subscribe: r.Intn(2) == 0,
+		Weights: policy.Weights(r.Intn(3)), BatchInterval: 5 * time.Millisecond,
+		MaxRetryAfter: 3 * time.Second, SlowStartInitialShare: 0.14 + 0.2*r.Float64(), SlowStartWindow: 9 * time.Second,
+		OverloadFactor: 2 + r.Float64(), OverloadWindow: 2 * time.Second, ZoneCost: []float64{0.06, 0},
+		OrderedKeyDelay: time.Duration(r.Intn(3)) * 200 * time.Millisecond,
+		Kinds:           []policy.Kind{{MaxBatch: 1}, {MaxBatch: 5}, {MaxBatch: 1 + r.Intn(8), SeparateRoutes: true}},
 	}
 	for i := range 4 {
-		s.Classes = append(s.Classes, policy.Class{Aim: time.Second, Deadline: time.Duration(3+r.Intn(15)) * time.Second,
-			Worth: 1 + float64(r.Intn(4)), LateShare: 0.5, Effect: policy.Effect(i % 3), ByZone: r.Intn(2) == 0,
-			Memory: 4 * time.Second, Ordered: i == 2 || i == 3 && r.Intn(2) == 0})
+		s.Classes = append(s.Classes, policy.Class{LatencyObjective: time.Second, Deadline: time.Duration(3+r.Intn(15)) * time.Second,
+			PriorityWeight: 1 + float64(r.Intn(4)), LateValueShare: 0.5, Effect: policy.Effect(i % 3), KeysPerZone: r.Intn(2) == 0,
+			IdempotencyWindow: 4 * time.Second, Ordered: i == 2 || i == 3 && r.Intn(2) == 0})
 	}
 	return s
 }
@@ -298,7 +298,7 @@
 	quiet bool // nothing arrives
 }
 
-func (w *world) list() policy.Listed {
+func (w *world) list() policy.EndpointsUpdated {
 	whole := w.r.Intn(3) == 0 || len(w.eps) == 0
 	if len(w.eps) == 0 || w.r.Intn(3) == 0 {
 		dest := w.r.Intn(4)
@@ -312,20 +312,20 @@
 			w.eps[i].Draining = true
 		}
 		if w.r.Intn(15) == 0 && len(w.eps) > 4 {
-			w.eps[i].Gone = true
+			w.eps[i].Removed = true
 		}
-		if !whole || !w.eps[i].Gone {
+		if !whole || !w.eps[i].Removed {
 			out = append(out, w.eps[i])
 		}
 	}
 	kept := w.eps[:0]
 	for _, e := range w.eps {
-		if !e.Gone {
+		if !e.Removed {
 			kept = append(kept, e)
 		}
 	}
 	w.eps = kept
-	return policy.Listed{Whole: whole, Endpoints: out}
+	return policy.EndpointsUpdated{Complete: whole, Endpoints: out}
 }
 
 // batch moves the clock to the next moment and gives its events.
@@ -349,7 +349,7 @@
 	kept := w.wakes[:0]
 	for _, t := range w.wakes {
 		if t <= w.now {
-			events = append(events, policy.Woken{})
+			events = append(events, policy.TimerFired{})
 		} else {
 			kept = append(kept, t)
 		}
@@ -360,7 +360,7 @@
 		events = append(events, w.list())
 	}
 	if w.r.Intn(40) == 0 {
-		events = append(events, policy.ListFailed{})
+		events = append(events, policy.WatchFailed{})
 	}
 	for range w.r.Intn(4) {
 		if w.quiet {
@@ -369,7 +369,7 @@
 		w.next++
 		class := w.r.Intn(len(w.s.Classes))
 		e := policy.Arrived{ID: fmt.Sprint("m", w.next), Class: class, Destination: w.r.Intn(5),
-			Left: w.s.Classes[class].Deadline - time.Duration(w.r.Intn(2000))*time.Millisecond}
+			TimeLeft: w.s.Classes[class].Deadline - time.Duration(w.r.Intn(2000))*time.Millisecond}
 		if w.s.Classes[class].Ordered && w.r.Intn(5) > 0 {
 			e.Key = fmt.Sprint("k", w.r.Intn(3))
 		}
@@ -395,7 +395,7 @@
 			if t.timeout > 0 {
 				limit = min(limit, t.sent+t.timeout)
 			}
-			e := policy.Ended{ID: m.ID, Endpoint: t.ep, Attempt: i, Took: w.now - t.sent, Over: m.over}
+			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.ep, Attempt: i, Latency: w.now - t.sent, Completed: m.over}
 			switch {
 			case w.now >= limit:
 				e.Outcome = policy.TimedOut
@@ -415,13 +415,13 @@
 			default:
 				continue
 			}
-			if e.Outcome == policy.QueueFull && w.r.Intn(2) == 0 {
-				e.Wait = time.Duration(w.r.Intn(2000)) * time.Millisecond
+			if e.Outcome == policy.Rejected && w.r.Intn(2) == 0 {
+				e.RetryAfter = time.Duration(w.r.Intn(2000)) * time.Millisecond
 				if w.s.Directory != nil && w.r.Intn(4) == 0 {
-					e.Wait = longWait
+					e.RetryAfter = longWait
 				}
 			}
-			e.Over = e.Over || e.Outcome == policy.OK
+			e.Completed = e.Completed || e.Outcome == policy.OK
 			events = append(events, e)
 			if w.r.Intn(30) == 0 {
 				events = append(events, e) // doubled up: changes nothing
@@ -466,7 +466,7 @@
 		all = append(all, actions...)
 		for _, a := range actions {
 			switch a := a.(type) {
-			case policy.Wake:
+			case policy.SetTimer:
 				w.wakes = append(w.wakes, w.now+a.After)
 			case policy.Cancel:
 				m := w.c.msgs[a.ID]
@@ -514,13 +514,13 @@
 		var events []policy.Event
 		if i == 0 {
 			for dest := range 4 {
-				events = append(events, policy.Listed{Endpoints: []policy.Endpoint{
+				events = append(events, policy.EndpointsUpdated{Endpoints: []policy.Endpoint{
 					{ID: fmt.Sprint("e", dest), Destination: dest, Kind: dest % 3, Weight: 5}}})
 			}
 		}
 		for n := range 3 {
 			events = append(events, policy.Arrived{ID: fmt.Sprint("m", i, "-", n), Class: n, Destination: (i + n) % 4,
-				Left: s.Classes[n].Deadline, Key: "k"})
+				TimeLeft: s.Classes[n].Deadline, Key: "k"})
 		}
 		return d.Handle(instant.Time(time.Duration(i)*50*time.Millisecond), events)
 	}
@@ -546,15 +546,15 @@
 // TestCheckerCatches shows for each rule a sequence that breaks it and that the checker catches.
 func TestCheckerCatches(t *testing.T) {
 	s := variant(rand.New(rand.NewSource(1)))
-	s.SecondCopies, s.Instances, s.OrderPause = false, 2, 0
+	s.HedgedRequests, s.FleetSize, s.OrderedKeyDelay = false, 2, 0
 	s.Classes = []policy.Class{
-		{Deadline: 5 * time.Second, Effect: policy.Safe},
-		{Deadline: 9 * time.Second, Effect: policy.Keyed, Memory: 2 * time.Second},
-		{Deadline: 9 * time.Second, Effect: policy.Unsafe, Ordered: true},
+		{Deadline: 5 * time.Second, Effect: policy.Idempotent},
+		{Deadline: 9 * time.Second, Effect: policy.IdempotentWithKey, IdempotencyWindow: 2 * time.Second},
+		{Deadline: 9 * time.Second, Effect: policy.NotIdempotent, Ordered: true},
 	}
-	list := policy.Listed{Whole: true, Endpoints: []policy.Endpoint{{ID: "a", Weight: 3}, {ID: "b", Weight: 3}}}
+	list := policy.EndpointsUpdated{Complete: true, Endpoints: []policy.Endpoint{{ID: "a", Weight: 3}, {ID: "b", Weight: 3}}}
 	arrive := func(id string, class int) policy.Event {
-		return policy.Arrived{ID: id, Class: class, Left: s.Classes[class].Deadline, Key: "k"}
+		return policy.Arrived{ID: id, Class: class, TimeLeft: s.Classes[class].Deadline, Key: "k"}
 	}
 	send := func(id string) policy.Action { return policy.Send{ID: id, Endpoint: "a"} }
 	type step struct {
@@ -563,7 +563,7 @@
 		actions []policy.Action
 	}
 	ended := func(id string, n int, o policy.Outcome) policy.Event {
-		return policy.Ended{ID: id, Endpoint: "a", Attempt: n, Outcome: o}
+		return policy.AttemptEnded{ID: id, Endpoint: "a", Attempt: n, Outcome: o}
 	}
 	var knocks []step
 	for i := range 40 {
@@ -574,22 +574,22 @@
 	}
 	tests := map[string][]step{
 		"1: no answer":      {{0, []policy.Event{list, arrive("m", 0)}, nil}, {6 * time.Second, nil, nil}},
-		"1: two answers":    {{0, []policy.Event{arrive("m", 0)}, []policy.Action{policy.Fail{ID: "m"}, policy.Refuse{ID: "m"}}}},
+		"1: two answers":    {{0, []policy.Event{arrive("m", 0)}, []policy.Action{policy.Fail{ID: "m"}, policy.Reject{ID: "m"}}}},
 		"1: sent after end": {{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{policy.Fail{ID: "m"}, send("m")}}},
 		"2: two out":        {{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{send("m"), send("m")}}},
 		"2: unsafe again": {{0, []policy.Event{list, arrive("m", 2)}, []policy.Action{send("m")}},
 			{1, []policy.Event{ended("m", 0, policy.Failed)}, []policy.Action{send("m")}}},
 		"2: unsafe refused": {{0, []policy.Event{list, arrive("m", 2)}, []policy.Action{send("m")}},
-			{1, []policy.Event{ended("m", 0, policy.Reset)}, []policy.Action{policy.Refuse{ID: "m"}}}},
+			{1, []policy.Event{ended("m", 0, policy.Reset)}, []policy.Action{policy.Reject{ID: "m"}}}},
 		"2: memory over": {{0, []policy.Event{list, arrive("m", 1)}, []policy.Action{send("m")}},
 			{3 * time.Second, []policy.Event{ended("m", 0, policy.TimedOut)}, []policy.Action{send("m")}}},
-		"3: drained": {{0, []policy.Event{list, arrive("m", 0), policy.Listed{Endpoints: []policy.Endpoint{
+		"3: drained": {{0, []policy.Event{list, arrive("m", 0), policy.EndpointsUpdated{Endpoints: []policy.Endpoint{
 			{ID: "a", Draining: true}}}}, []policy.Action{send("m")}}},
 		"4: knocking": knocks,
 		"5: out of turn": {{0, []policy.Event{list, arrive("m", 2), arrive("n", 2)},
 			[]policy.Action{send("m"), send("n")}}},
 		"6: in a wait": {{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{send("m")}},
-			{1, []policy.Event{policy.Ended{ID: "m", Endpoint: "a", Outcome: policy.QueueFull, Wait: time.Second}},
+			{1, []policy.Event{policy.AttemptEnded{ID: "m", Endpoint: "a", Outcome: policy.Rejected, RetryAfter: time.Second}},
 				[]policy.Action{send("m")}}},
 	}
 	names := make([]string, 0, len(tests))
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -7,7 +7,7 @@
 // arm asks for a timer when something is next due by time alone.
 func (d *Dispatcher) arm() {
 	next := never
-	soon := func(t instant.Time) { next = min(next, max(t, d.now.Add(d.s.Tick))) }
+	soon := func(t instant.Time) { next = min(next, max(t, d.now.Add(d.s.BatchInterval))) }
 	soon(d.resub)
 	for _, m := range d.live {
 		if m.q != nil {
@@ -52,8 +52,8 @@
 		soon(m.rest)
 	}
 	// A clock with coarser steps than ours may wake us a little before the time: that timer is used up.
-	if next < never && (d.wakeAt < d.now.Add(d.s.Tick) || next < d.wakeAt) {
+	if next < never && (d.wakeAt < d.now.Add(d.s.BatchInterval) || next < d.wakeAt) {
 		d.wakeAt = next
-		d.act(Wake{After: next.Sub(d.now)})
+		d.act(SetTimer{After: next.Sub(d.now)})
 	}
 }
--- a/policy/trial.go
+++ b/policy/trial.go
@@ -42,7 +42,7 @@
 	t := ep.trial
 	t.stage, t.since, t.seen, t.credit, t.heard = no, at, 0, d.chance.Float64(), nil
 	clear(t.score)
-	d.act(Proved{Endpoint: ep.ID, Share: stageShares[no], Held: t.held})
+	d.act(CanaryStageChanged{Endpoint: ep.ID, Share: stageShares[no], SuspendedUntil: t.held})
 }
 
 // trials lists the endpoints on trial, in the order of the queues.
@@ -60,14 +60,14 @@
 	return all
 }
 
-// Newcomers lists the endpoints on trial.
-func (d *Dispatcher) Newcomers() (all []Newcomer) {
+// Canaries lists the endpoints on trial.
+func (d *Dispatcher) Canaries() (all []Canary) {
 	for _, ep := range d.trials() {
 		t := ep.trial
-		n := Newcomer{Endpoint: ep.ID, Destination: ep.Destination, Stage: t.stage, Share: stageShares[t.stage], Since: t.since,
-			Held: t.held, Holds: t.holds, Proving: d.proves(ep)}
+		n := Canary{Endpoint: ep.ID, Destination: ep.Destination, Stage: t.stage, Share: stageShares[t.stage], StageStartedAt: t.since,
+			SuspendedUntil: t.held, Suspensions: t.holds, HasBaseline: d.proves(ep)}
 		for _, score := range t.score {
-			n.Doubt = math.Max(n.Doubt, score/math.Log(worseTimes))
+			n.RegressionScore = math.Max(n.RegressionScore, score/math.Log(worseTimes))
 		}
 		all = append(all, n)
 	}
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -41,7 +41,7 @@
 		z := d.zone(no)
 		ill := c.ill(seen) && d.reaches(no, seen)
 		switch {
-		case z.state == Ordered && d.now >= z.until:
+		case z.state == EvacuatedByOrder && d.now >= z.until:
 			d.restore(no)
 		case ill && z.state == Serving && float64(away+c.listed) > mostAway*float64(all):
 			for no := range seen { // too much seems ill: all verdicts are taken back
@@ -54,11 +54,11 @@
 			away += c.listed
 			z.evacuations, z.until = z.evacuations+1, 0
 			d.leave(no, Evacuated)
-		case ill && z.state == Returning:
+		case ill && z.state == Recovering:
 			z.setbacks++
-			z.until = d.now.Add(min(d.s.RampTime, againAfter<<min(z.setbacks, 16)))
+			z.until = d.now.Add(min(d.s.SlowStartWindow, againAfter<<min(z.setbacks, 16)))
 			d.leave(no, Evacuated)
-		case z.state == Returning && d.now >= z.since.Add(d.s.RampTime):
+		case z.state == Recovering && d.now >= z.since.Add(d.s.SlowStartWindow):
 			z.returns, z.setbacks = z.returns+1, 0
 			d.enter(no, Serving)
 		}
@@ -126,7 +126,7 @@
 // restore lets a zone return, on the ramp of endpoints that were out; those that fail come after trials of
 // their own.
 func (d *Dispatcher) restore(no int) {
-	d.enter(no, Returning)
+	d.enter(no, Recovering)
 	for _, ep := range d.inZone(no) {
 		if d.elsewhere(ep) && ep.failedAt <= ep.lastOK {
 			d.returns(ep, d.phase(ep), true)
@@ -145,23 +145,23 @@
 		return false
 	}
 	for _, o := range d.zones {
-		if o.state == Returning {
+		if o.state == Recovering {
 			return false
 		}
 	}
-	d.enter(ep.Zone, Returning)
+	d.enter(ep.Zone, Recovering)
 	return true
 }
 
 // leaves tells whether a message keeps out of an endpoint's zone: but not one that only that zone knows.
 func (d *Dispatcher) leaves(ep *endpoint, m *message) bool {
-	return d.s.Zones && d.left(ep) && !(m.class.ByZone && m.firstRun() != nil)
+	return d.s.Zones && d.left(ep) && !(m.class.KeysPerZone && m.firstRun() != nil)
 }
 
 // left tells whether operators have an endpoint's zone left, and its destination can be had elsewhere.
 func (d *Dispatcher) left(ep *endpoint) bool {
 	z := d.zones[ep.Zone]
-	return z != nil && z.state == Ordered && d.elsewhere(ep)
+	return z != nil && z.state == EvacuatedByOrder && d.elsewhere(ep)
 }
 
 // elsewhere tells whether a destination has an endpoint that serves in another zone that is not left.
@@ -169,7 +169,7 @@
 	for _, q := range ep.q.dest.queues {
 		for _, o := range q.eps {
 			z := d.zones[o.Zone]
-			if o.Zone != ep.Zone && !o.sick && !o.Draining && (z == nil || z.state != Ordered) {
+			if o.Zone != ep.Zone && !o.sick && !o.Draining && (z == nil || z.state != EvacuatedByOrder) {
 				return true
 			}
 		}
@@ -202,9 +202,9 @@
 }
 
 // pressed learns from an outcome in the own zone whether that has room.
-func (d *Dispatcher) pressed(ep *endpoint, e Ended) {
-	took := e.Took.Seconds()
-	if !d.s.Zones || ep.Zone != d.s.Zone || ep.ramping || e.Outcome != OK && e.Outcome != QueueFull {
+func (d *Dispatcher) pressed(ep *endpoint, e AttemptEnded) {
+	took := e.Latency.Seconds()
+	if !d.s.Zones || ep.Zone != d.s.Zone || ep.ramping || e.Outcome != OK && e.Outcome != Rejected {
 		return // one that comes back is slow for a while, whatever room it has
 	}
 	if ep.usual == 0 {
@@ -213,7 +213,7 @@
 	if e.Outcome == OK && took <= slowBy*ep.usual {
 		ep.usual += latencyGain * (took - ep.usual)
 		ep.q.press = math.Max(0, ep.q.press-pressDown)
-	} else if e.Wait == 0 {
+	} else if e.RetryAfter == 0 {
 		ep.q.press = math.Min(pressMost, ep.q.press+pressUp)
 	}
 }
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -84,12 +84,12 @@
 
 type due struct {
 	at time.Duration
-	e  Ended
+	e  AttemptEnded
 }
 
 func newZoned(t *testing.T, zones, dests int, change func(*Settings)) *zoned {
 	s := plain()
-	s.Zones, s.Slots, s.HoldRoom, s.RampTime, s.ColdShare = true, 60, 1000, 4*time.Second, 0.5
+	s.Zones, s.Slots, s.QueueCapacity, s.SlowStartWindow, s.SlowStartInitialShare = true, 60, 1000, 4*time.Second, 0.5
 	s.Classes = s.Classes[:1]
 	if change != nil {
 		change(&s)
@@ -114,23 +114,23 @@
 		}
 		if z.now%(10*ms) == 0 {
 			z.n++
-			events = append(events, Arrived{ID: fmt.Sprint(z.n), Destination: z.n % len(z.d.dests), Left: 5 * time.Second})
+			events = append(events, Arrived{ID: fmt.Sprint(z.n), Destination: z.n % len(z.d.dests), TimeLeft: 5 * time.Second})
 		}
-		for _, a := range z.d.Handle(moment(z.now), append(events, Woken{})) {
+		for _, a := range z.d.Handle(moment(z.now), append(events, TimerFired{})) {
 			switch a := a.(type) {
 			case Send:
 				var dest, zone int
 				fmt.Sscanf(a.Endpoint, "%d-%d", &dest, &zone)
 				z.sent[fmt.Sprint(zone)]++
 				z.sent["all"]++
-				e := Ended{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(z.d.messages[a.ID].attempts) - 1, Outcome: z.fails(a.Endpoint, dest, zone)}
-				e.Over = e.Outcome == OK
+				e := AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(z.d.messages[a.ID].attempts) - 1, Outcome: z.fails(a.Endpoint, dest, zone)}
+				e.Completed = e.Outcome == OK
 				z.out = append(z.out, due{z.now + 30*ms + time.Duration(z.rng.IntN(10))*ms, e})
 				slices.SortStableFunc(z.out, func(a, b due) int { return int(a.at - b.at) })
-			case Zoned:
+			case ZoneStateChanged:
 				z.told = append(z.told, fmt.Sprintf("%d %v", a.Zone, a.State))
-			case Remember:
-				if a.Sick && !a.Hearsay {
+			case PersistHealth:
+				if a.Ejected && !a.SecondHand {
 					z.said++
 				}
 			}
@@ -149,7 +149,7 @@
 	}
 	z.fails = func(_ string, _, zone int) Outcome {
 		if zone == 0 && z.rng.IntN(2) == 0 {
-			return QueueFull
+			return Rejected
 		}
 		return OK
 	}
@@ -162,9 +162,9 @@
 
 // What other relays of the zone send counts: where the zones together have less room here, a part goes elsewhere.
 func TestSpillsByWhatOthersSend(t *testing.T) {
-	z := newZoned(t, 3, 1, func(s *Settings) { s.Weights, s.Instances = WeightsNominal, 1 })
-	z.d.Handle(0, []Event{Listed{Endpoints: []Endpoint{{ID: "0-0", Weight: 300}, {ID: "0-1", Zone: 1, Weight: 300}, {ID: "0-2", Zone: 2, Weight: 300}}},
-		Paced{Relays: 3, Tellers: 5, Pace: 1, Traffic: 100, ByZone: []float64{160, 50, 80}, Until: time.Minute}})
+	z := newZoned(t, 3, 1, func(s *Settings) { s.Weights, s.FleetSize = WeightsNominal, 1 })
+	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "0-0", Weight: 300}, {ID: "0-1", Zone: 1, Weight: 300}, {ID: "0-2", Zone: 2, Weight: 300}}},
+		PeerRateReceived{LiveRelays: 3, Reporters: 5, RateShare: 1, ArrivalRate: 100, ArrivalRateByZone: []float64{160, 50, 80}, ValidFor: time.Minute}})
 	z.run(20 * time.Second)
 	for zone, want := range []float64{100.0 / 160, 60.0 / 160 * 50 / 70, 60.0 / 160 * 20 / 70} {
 		if got := float64(z.sent[fmt.Sprint(zone)]) / float64(z.sent["all"]); math.Abs(got-want) > 0.05 {
@@ -204,14 +204,14 @@
 		t.Errorf("after its return: %s", got)
 	}
 	all, _ := z.d.Zones()
-	if all[1].Evacuations != 1 || all[1].Returns != 1 || all[1].Endpoints != 8 {
+	if all[1].Evacuations != 1 || all[1].Recoveries != 1 || all[1].Endpoints != 8 {
 		t.Errorf("%+v", all[1])
 	}
 }
 
 // A zone that comes and goes every few seconds is left once and not returned to; what it costs is trials.
 func TestFlapping(t *testing.T) {
-	z := newZoned(t, 4, 8, func(s *Settings) { s.RampTime = 8 * time.Second })
+	z := newZoned(t, 4, 8, func(s *Settings) { s.SlowStartWindow = 8 * time.Second })
 	z.fails = func(_ string, _, zone int) Outcome {
 		if zone == 1 && z.now/(5*time.Second)%2 == 1 {
 			return ConnectError
@@ -228,7 +228,7 @@
 		z.run(z.now + 100*ms)
 	}
 	all, _ := z.d.Zones()
-	if all[1].Evacuations != 1 || all[1].Returns > 1 {
+	if all[1].Evacuations != 1 || all[1].Recoveries > 1 {
 		t.Errorf("%+v, %v", all[1], z.told)
 	}
 }
@@ -246,7 +246,7 @@
 		}},
 		{"a third fails everywhere", func(_, _, n int) Outcome { return []Outcome{Reset, OK, OK}[n%3] }},
 		{"all fails", func(_, _, _ int) Outcome { return Reset }},
-		{"a load peak", func(_, zone, n int) Outcome { return []Outcome{OK, QueueFull, OK}[zone%2*(n%3)] }},
+		{"a load peak", func(_, zone, n int) Outcome { return []Outcome{OK, Rejected, OK}[zone%2*(n%3)] }},
 		{"cut off", func(_, zone, _ int) Outcome { return []Outcome{OK, ConnectError}[min(1, zone)] }},
 	} {
 		z := newZoned(t, 3, 8, nil)
@@ -290,7 +290,7 @@
 			ep.failedAt = moment(time.Second)
 		}
 	}
-	d.Handle(moment(time.Second), []Event{Woken{}})
+	d.Handle(moment(time.Second), []Event{TimerFired{}})
 	if d.zone(1).state != Serving {
 		t.Error("three fifths of the endpoints are left at once")
 	}
@@ -300,7 +300,7 @@
 // the ramp; and orders that make no sense are refused.
 func TestZoneOrder(t *testing.T) {
 	z := newZoned(t, 3, 4, nil)
-	z.d.Handle(0, []Event{Listed{Endpoints: []Endpoint{{ID: "9-0", Destination: 9}}}})
+	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "9-0", Destination: 9}}}})
 	z.run(time.Second)
 	for _, bad := range []int{-1, 3, 70} {
 		if err := z.d.Order(bad, moment(time.Minute)); err == nil {
@@ -334,16 +334,16 @@
 		return OK
 	}
 	for i := range 5 {
-		z.d.Handle(moment(z.now), []Event{Arrived{ID: fmt.Sprint("only", i), Destination: 9, Left: 5 * time.Second}})
+		z.d.Handle(moment(z.now), []Event{Arrived{ID: fmt.Sprint("only", i), Destination: 9, TimeLeft: 5 * time.Second}})
 	}
 	z.run(11 * time.Second)
 	if z.sent["0"]-before-only > 0 {
 		t.Errorf("%d calls to a zone that is left by order", z.sent["0"]-before-only)
 	}
-	if z.state(0) != Returning {
+	if z.state(0) != Recovering {
 		z.run(11100 * ms)
 	}
-	if z.state(0) != Returning {
+	if z.state(0) != Recovering {
 		t.Errorf("after its end: %v", z.told)
 	}
 	z.run(16 * time.Second)
--- a/policy/zonestate.go
+++ b/policy/zonestate.go
@@ -38,7 +38,7 @@
 func (d *Dispatcher) enter(no int, as ZoneState) {
 	z := d.zone(no)
 	z.state, z.since = as, d.now
-	d.act(Zoned{Zone: no, State: as})
+	d.act(ZoneStateChanged{Zone: no, State: as})
 }
 
 // inZone lists the endpoints of a zone, in the order of the queues.
@@ -76,7 +76,7 @@
 			all++
 			c.listed++
 			c.answered = max(c.answered, ep.lastBegun)
-			old := z.state == Returning && ep.failedAt <= z.since // it failed before its zone began to return
+			old := z.state == Recovering && ep.failedAt <= z.since // it failed before its zone began to return
 			if ep.failedAt > ep.lastOK && (ep.sick || d.now.Sub(ep.failedAt) < knownFor) && !old || d.silent(ep) {
 				c.bad++
 				c.known++
@@ -97,11 +97,11 @@
 }
 
 // Zones says how all zones fare, and whether this relay takes itself for cut off.
-func (d *Dispatcher) Zones() (all []Zone, cutOff bool) {
+func (d *Dispatcher) Zones() (all []ZoneStatus, cutOff bool) {
 	seen, _ := d.survey()
 	for no, c := range seen {
 		z := d.zone(no)
-		all = append(all, Zone{no, z.state, z.since, z.until, c.listed, z.evacuations, z.returns})
+		all = append(all, ZoneStatus{no, z.state, z.since, z.until, c.listed, z.evacuations, z.returns})
 	}
 	return all, d.cutOff
 }
@@ -115,23 +115,23 @@
 	}
 	z, others := d.zone(no), 0
 	for o, c := range seen {
-		if o != no && c.listed > 0 && d.zone(o).state != Ordered {
+		if o != no && c.listed > 0 && d.zone(o).state != EvacuatedByOrder {
 			others++
 		}
 	}
 	switch {
-	case until == 0 && z.state != Ordered:
+	case until == 0 && z.state != EvacuatedByOrder:
 		return errors.New("it is not evacuated by order")
 	case until == 0:
 		d.restore(no)
-	case z.state == Ordered:
+	case z.state == EvacuatedByOrder:
 		return errors.New("it is evacuated by order already")
 	case others == 0:
 		return errors.New("it is the last zone that is left")
 	default:
 		z.until = until
 		z.evacuations++
-		d.leave(no, Ordered)
+		d.leave(no, EvacuatedByOrder)
 	}
 	return nil
 }
