--- a/cmd/milletsail/journal.go
+++ b/cmd/milletsail/journal.go
@@ -99,12 +99,12 @@
 	convert := &cobra.Command{Use: "convert FOLDER --to FORMAT", Short: "Give a folder another form, for a program of before or after", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			owner, err := journal.AcquireOwnership(args[0])
+			if owned := new(journal.OwnedError); errors.As(err, &owned) {
+				return fmt.Errorf("a running relay owns %s: stop it first", args[0])
+			}
 			if err != nil {
 				return err
 			}
-			if owner == nil {
-				return fmt.Errorf("a running relay owns %s: stop it first", args[0])
-			}
 			defer owner.Release()
 			r, err := journal.Convert(args[0], to)
 			if err != nil {
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -98,9 +98,8 @@
 	text := transcript("a newcomer's first notes", node.Tick(0))
 	node.ObserveRate("7", fleet.EncodeRate(0.5, 12.25, zone))
 	text += transcript("a beat with a pace, and a digest", node.Tick(settled))
-	for moment := settled; node.NextTick() < settled+time.Second; {
-		moment = node.NextTick()
-		text += transcript("what follows within a second", node.Tick(moment))
+	for node.NextTick() < settled+time.Second {
+		text += transcript("what follows within a second", node.Tick(node.NextTick()))
 	}
 	compareGolden(t, "own.txt", text)
 }
--- a/internal/journal/owner.go
+++ b/internal/journal/owner.go
@@ -16,11 +16,18 @@
 // way, so no owner is ever left behind.
 type Ownership struct{ file *os.File }
 
-// AcquireOwnership takes the folder if no process has it, and gives nil if one does.
+// OwnedError says that another process owns a state directory.
+type OwnedError struct {
+	Dir string
+}
+
+func (e *OwnedError) Error() string { return "another process owns the state directory " + e.Dir }
+
+// AcquireOwnership makes this process the owner of a state directory. It returns an *OwnedError where another process is.
 func AcquireOwnership(dir string) (*Ownership, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("owner of the folder: %w", err)
+		return nil, fmt.Errorf("owner of the state directory: %w", err)
 	}
 	err = uninterrupted(func() error { return syscall.FcntlFlock(f.Fd(), syscall.F_SETLK, lock()) })
 	if err == nil {
@@ -28,9 +35,9 @@
 	}
 	_ = f.Close()
 	if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EACCES) {
-		return nil, nil
+		return nil, &OwnedError{Dir: dir}
 	}
-	return nil, fmt.Errorf("owner of the folder: %w", err)
+	return nil, fmt.Errorf("owner of the state directory: %w", err)
 }
 
 // Release gives the folder up.
@@ -62,12 +69,12 @@
 		return false, nil
 	}
 	if err != nil {
-		return false, fmt.Errorf("owner of the folder: %w", err)
+		return false, fmt.Errorf("owner of the state directory: %w", err)
 	}
 	defer f.Close()
 	l := lock()
 	if err := uninterrupted(func() error { return syscall.FcntlFlock(f.Fd(), syscall.F_GETLK, l) }); err != nil {
-		return false, fmt.Errorf("owner of the folder: %w", err)
+		return false, fmt.Errorf("owner of the state directory: %w", err)
 	}
 	return l.Type != syscall.F_UNLCK, nil
 }
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -68,12 +68,13 @@
 	last := clock.Now().Add(folderWithin)
 	for by := clock.Now().Add(askTime); ; {
 		o, err := journal.AcquireOwnership(dir)
-		if o != nil || err != nil && (!journal.IsTransient(err) || clock.Now() > last) {
+		owned := errors.As(err, new(*journal.OwnedError))
+		if err == nil || !owned && (!journal.IsTransient(err) || clock.Now() > last) {
 			return o, nil, nil, err
 		}
 		var k *link
 		var off *offer
-		if err == nil {
+		if owned {
 			k, off, err = askFor(dir, by)
 		}
 		if shortOf(err) && clock.Now() < last {
@@ -103,11 +104,12 @@
 func ownBy(ctx context.Context, dir string, by instant.Time) (*journal.Ownership, error) {
 	for {
 		o, err := journal.AcquireOwnership(dir)
-		if o != nil || err != nil && !journal.IsTransient(err) {
+		owned := errors.As(err, new(*journal.OwnedError))
+		if err == nil || !owned && !journal.IsTransient(err) {
 			return o, err
 		}
 		if clock.Now() > by {
-			return nil, errors.New("another process owns the folder")
+			return nil, err
 		}
 		if !clock.Sleep(ctx, askAgainOwn) {
 			return nil, ctx.Err()
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -327,7 +327,7 @@
 func dieAt(step, dir string) {
 	die := func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL) }
 	o, err := journal.AcquireOwnership(dir)
-	if err != nil || o == nil {
+	if err != nil {
 		fmt.Fprintln(os.Stderr, "own:", err)
 		os.Exit(1)
 	}
