--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -11,6 +11,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"milletsail/internal/relay/metrics"
 )
 
 const (
@@ -34,7 +36,7 @@
 // side, so that no crowd there keeps an operator out.
 type adminServer struct {
 	listener net.Listener
-	figures  *figures
+	metrics  *metrics.Metrics
 	offers   sync.Map // by its first word, what answers a call of a part that is on: func(rest string) string
 
 	mu   sync.Mutex
@@ -68,12 +70,12 @@
 }
 
 // openAdmin listens at an address.
-func openAdmin(addr string, f *figures) (*adminServer, error) {
+func openAdmin(addr string, m *metrics.Metrics) (*adminServer, error) {
 	l, err := listenFor("admin endpoint", func() (net.Listener, error) { return net.Listen("tcp", addr) })
 	if err != nil {
 		return nil, fmt.Errorf("admin endpoint: %w", err)
 	}
-	return &adminServer{listener: &acceptor{Listener: l, name: "admin endpoint", why: &f.why}, figures: f}, nil
+	return &adminServer{listener: &acceptor{Listener: l, name: "admin endpoint", reasons: &m.Reasons}, metrics: m}, nil
 }
 
 // serve answers calls until the listener is closed.
@@ -153,15 +155,15 @@
 func (s *adminServer) reply(call string) []byte {
 	switch call {
 	case "health":
-		if why := s.figures.unwritten.Load(); why != nil {
+		if why := s.metrics.StorageError.Load(); why != nil {
 			return []byte("ERR nothing is taken on: " + *why + "\n")
 		}
-		if s.figures.taking.Load() {
+		if s.metrics.Serving.Load() {
 			return []byte("OK\n")
 		}
 		return []byte("ERR this process takes no clients now\n")
 	case "counters":
-		return append(s.figures.text(), "END\n"...)
+		return append(s.metrics.Text(), "END\n"...)
 	}
 	word, rest, _ := strings.Cut(call, " ")
 	if answer, ok := s.offers.Load(word); ok {
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -7,15 +7,16 @@
 	"strings"
 	"testing"
 
+	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
 
 // testAdmin opens an admin endpoint whose process takes clients.
 func testAdmin(t *testing.T) *adminServer {
 	t.Helper()
-	f := newFigures([]policy.Class{{Name: "a"}, {Name: "b"}})
-	f.taking.Store(true)
-	d, err := openAdmin("127.0.0.1:0", f)
+	m := metrics.New([]policy.Class{{Name: "a"}, {Name: "b"}})
+	m.Serving.Store(true)
+	d, err := openAdmin("127.0.0.1:0", m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +45,8 @@
 
 func TestAdminReplies(t *testing.T) {
 	d := testAdmin(t)
-	d.figures.end(1, rejected)
-	d.figures.written.Add(3)
+	d.metrics.CountResult(1, metrics.Rejected)
+	d.metrics.UpstreamRequests.Add(3)
 	want := `relay_downstream_requests{lane="a",result="completed"} 0
 relay_downstream_requests{lane="a",result="rejected"} 0
 relay_downstream_requests{lane="a",result="failed"} 0
@@ -68,7 +69,7 @@
 	for _, bad := range []string{"\n", "HEALTH\n", "health now\n", strings.Repeat("x", maxCall) + "\n",
 		strings.Repeat("x", 10*maxCall), "health\n"} {
 		if bad == "health\n" {
-			d.figures.taking.Store(false)
+			d.metrics.Serving.Store(false)
 		}
 		if got := ask(t, addr, bad); !strings.HasPrefix(got, "ERR") || strings.Count(got, "\n") != 1 {
 			t.Errorf("%.20q: %q", bad, got)
--- a/internal/relay/client_test.go
+++ b/internal/relay/client_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
 
@@ -27,7 +28,7 @@
 	g.changed.L = &g.mu
 	c := &Config{}
 	c.policy.Classes = []policy.Class{{Name: "status", Deadline: time.Minute}}
-	s := newServer(c, new(diagnostics), admit, gone)
+	s := newServer(c, new(metrics.ReasonCounters), admit, gone)
 	go func() { _ = s.http.Serve(g) }()
 	t.Cleanup(func() { _ = s.http.Close() })
 	return s, g
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -9,6 +9,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
 
@@ -26,7 +27,7 @@
 		switch {
 		case m.replies == nil: // refused
 		case err != nil:
-			l.figures.end(l.class(m.Class), rejected)
+			l.metrics.CountResult(l.class(m.Class), metrics.Rejected)
 			answer(m.replies, verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxRetryAfter})
 			l.events = append(l.events, policy.Withdrawn{ID: m.ID})
 		default:
@@ -88,7 +89,7 @@
 
 // stored tells the module and the operators when the journal can't be written any more, and when it can again.
 func (l *loop) stored(ok bool) {
-	if ok == (l.figures.unwritten.Load() == nil) {
+	if ok == (l.metrics.StorageError.Load() == nil) {
 		return
 	}
 	var why *string
@@ -96,7 +97,7 @@
 		text := fmt.Sprint(l.journal.WriteError())
 		why = &text
 	}
-	l.figures.unwritten.Store(why)
+	l.metrics.StorageError.Store(why)
 	if ok {
 		l.postRecorded(true)
 	}
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -5,6 +5,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
 
@@ -13,7 +14,7 @@
 	m := l.messages[e.id] // stays as long as a call is out
 	m.cancel = nil
 	if e.outcome != policy.OK {
-		l.figures.why.count("relay_calls_without_delivery", e.outcome)
+		l.metrics.Reasons.Increment("relay_calls_without_delivery", e.outcome)
 		slog.Info("call without delivery", "id", e.id, "dest", m.Dest, "host", e.host, "attempt", e.attempt,
 			"outcome", e.outcome, "took", e.took, "wait", e.wait)
 	}
@@ -28,9 +29,9 @@
 	l.events = append(l.events, policy.AttemptEnded{ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.outcome,
 		RetryAfter: e.wait, Latency: e.took, Completed: e.over, AttemptsExhausted: e.spent, LoadReport: e.report})
 	if !m.over && e.outcome == policy.OK {
-		l.figures.end(l.class(m.Class), completed)
+		l.metrics.CountResult(l.class(m.Class), metrics.Completed)
 	} else if !m.over && e.over { // its end came without us
-		l.figures.end(l.class(m.Class), failed)
+		l.metrics.CountResult(l.class(m.Class), metrics.Failed)
 	}
 	if e.over || m.over && m.PendingNotification == nil {
 		l.end(m)
@@ -44,12 +45,12 @@
 	}
 	slog.Info("undelivered", "id", m.ID, "dest", m.Dest, "class", m.Class, "status", status, "why", why, "attempts", len(m.Attempts),
 		"taken", m.replies == nil, "left", clock.Until(m.ExpiresAt), "after", v.after)
-	l.figures.why.count("relay_undelivered", why)
-	how := failed
+	l.metrics.Reasons.Increment("relay_undelivered", why)
+	how := metrics.Failed
 	if status == deferred {
-		how = rejected
+		how = metrics.Rejected
 	}
-	l.figures.end(l.class(m.Class), how)
+	l.metrics.CountResult(l.class(m.Class), how)
 	if replies := m.replies; replies != nil {
 		m.replies = nil
 		l.effects = append(l.effects, func() { answer(replies, v) })
@@ -86,13 +87,13 @@
 // pend counts a message as taken on until it is settled.
 func (l *loop) pend(m *message) {
 	m.pending = true
-	l.figures.pending.Add(1)
+	l.metrics.Pending.Add(1)
 }
 
 // settle notes that a message taken on has its end.
 func (l *loop) settle(m *message) {
 	if m.pending {
 		m.pending = false
-		l.figures.pending.Add(-1)
+		l.metrics.Pending.Add(-1)
 	}
 }
--- a/internal/relay/endings_test.go
+++ b/internal/relay/endings_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
 
@@ -94,7 +95,7 @@
 	g.changed.L = &g.mu
 	c := &Config{}
 	c.policy.Classes = []policy.Class{{Name: "status", Deadline: time.Minute}}
-	s := newServer(c, new(diagnostics), admit, gone)
+	s := newServer(c, new(metrics.ReasonCounters), admit, gone)
 	go func() { _ = s.http.Serve(g) }()
 	t.Cleanup(func() { _ = s.http.Close() })
 	return g
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -14,6 +14,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
 
@@ -160,7 +161,7 @@
 
 // heir waits in the folder for newer processes until ctx ends, and brings the loop each one that asks. Where it can't listen
 // at once it goes on trying beside the relay's own work.
-func heir(ctx context.Context, dir string, why *diagnostics, asks func(*link)) {
+func heir(ctx context.Context, dir string, reasons *metrics.ReasonCounters, asks func(*link)) {
 	bound, err := listenInFolder(dir)
 	go func() {
 		for err != nil {
@@ -170,7 +171,7 @@
 			}
 			bound, err = listenInFolder(dir)
 		}
-		l := &acceptor{Listener: bound, name: "handover", why: why}
+		l := &acceptor{Listener: bound, name: "handover", reasons: reasons}
 		defer context.AfterFunc(ctx, func() { _ = l.Close() })()
 		for {
 			c, err := l.Accept()
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -18,6 +18,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 )
 
 // inherits has the platform hold the clients' socket.
@@ -332,7 +333,7 @@
 		os.Exit(1)
 	}
 	by := clock.Now().Add(long)
-	heir(context.Background(), dir, new(diagnostics), func(k *link) {
+	heir(context.Background(), dir, new(metrics.ReasonCounters), func(k *link) {
 		switch step {
 		case "offered", "released":
 			if err := k.step(line{Offer: &offer{Out: []attemptOut{{ID: "m", Host: "h1", Class: "status", Dest: 7}}}}, by); err != nil {
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -8,6 +8,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
 
@@ -34,12 +35,12 @@
 	}
 	if !l.list.table.Named(a.entry.Dest) || !l.journal.Reserve(a.entry) {
 		// Guards the module against destinations that no list has named, and the disk against overflow.
-		l.figures.end(l.class(a.entry.Class), rejected)
+		l.metrics.CountResult(l.class(a.entry.Class), metrics.Rejected)
 		why := "no such destination"
 		if l.list.table.Named(a.entry.Dest) {
 			why = "no room in the folder, or it can't be written"
 		}
-		l.figures.why.add("relay_refused_unseen", why, 1)
+		l.metrics.Reasons.Add("relay_refused_unseen", why, 1)
 		slog.Info("refused", "id", a.entry.ID, "dest", a.entry.Dest, "class", a.entry.Class, "why", why)
 		a.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxRetryAfter}
 		return
@@ -72,7 +73,7 @@
 	if m == nil || m.over || m.Entry != a.entry || m.copied || len(m.replies) > 1 {
 		return
 	}
-	l.figures.why.add("relay_withdrawn", "the client left", 1)
+	l.metrics.Reasons.Add("relay_withdrawn", "the client left", 1)
 	slog.Info("withdrawn", "id", m.ID, "dest", m.Dest, "attempts", len(m.Attempts))
 	l.events = append(l.events, policy.Withdrawn{ID: m.ID})
 	l.end(m)
--- a/internal/relay/lack.go
+++ b/internal/relay/lack.go
@@ -10,6 +10,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/instant"
+	"milletsail/internal/relay/metrics"
 )
 
 // remoteErrors of connect(2) come from the other end or the way there. All others are a lack of this machine.
@@ -41,8 +42,8 @@
 // acceptor accepts connections, whatever a single accept fails with: only the close of its listener ends it.
 type acceptor struct {
 	net.Listener
-	name string // for logs
-	why  *diagnostics
+	name    string // for logs
+	reasons *metrics.ReasonCounters
 
 	failed  time.Duration // how long the last failure lasted
 	cleared instant.Time  // until when connections come that may have waited for so long
@@ -60,7 +61,7 @@
 			return conn, err
 		}
 		slog.Warn("accept failed", "at", a.name, "err", err)
-		a.why.add("relay_accept_failures", a.name, 1)
+		a.reasons.Add("relay_accept_failures", a.name, 1)
 		time.Sleep(wait)
 	}
 }
--- a/internal/relay/lack_test.go
+++ b/internal/relay/lack_test.go
@@ -8,6 +8,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"milletsail/internal/relay/metrics"
 )
 
 // failingListener fails a number of accepts with an error before each connection.
@@ -35,7 +37,7 @@
 		}
 		failing := &failingListener{Listener: l, errno: errno}
 		failing.left.Store(2)
-		a := &acceptor{Listener: failing, name: "clients", why: new(diagnostics)}
+		a := &acceptor{Listener: failing, name: "clients", reasons: new(metrics.ReasonCounters)}
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -49,7 +51,7 @@
 		if _, err := a.Accept(); !errors.Is(err, net.ErrClosed) {
 			t.Errorf("%v: closed, and %v", errno, err)
 		}
-		if text := a.why.text(); text != "relay_accept_failures{reason=\"clients\"} 2\nEND" {
+		if text := a.reasons.Text(); text != "relay_accept_failures{reason=\"clients\"} 2\nEND" {
 			t.Errorf("%v: counted %q", errno, text)
 		}
 	}
@@ -95,7 +97,7 @@
 			}
 			g := &gate{Listener: l, room: 9, open: map[*client]bool{}, waited: func() time.Duration { return time.Hour }}
 			g.changed.L = &g.mu
-			s := newServer(&Config{}, new(diagnostics), func(*arrival) {}, func(*arrival) {})
+			s := newServer(&Config{}, new(metrics.ReasonCounters), func(*arrival) {}, func(*arrival) {})
 			go func() { _ = s.http.Serve(g) }()
 			t.Cleanup(func() { _ = s.http.Close() })
 			begun := time.Now()
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -13,6 +13,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/endpoints"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/internal/settings"
 	"milletsail/policy"
 )
@@ -32,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loop{cfg: cfg, d: d, list: list, figures: newFigures([]policy.Class{{Name: "status"}}), journal: kept, messages: map[string]*message{},
+	l := &loop{cfg: cfg, d: d, list: list, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: kept, messages: map[string]*message{},
 		pool: newPool(time.Second, time.Second, 10, nil)}
 	l.openList(dir)
 	t.Cleanup(func() {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -9,6 +9,7 @@
 	"milletsail/internal/fleet/live"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
 
@@ -40,7 +41,7 @@
 	peers    *peers
 	shared   *live.Service // nil where nothing is shared
 	zoning   *zoning       // nil where zones are off
-	figures  *figures
+	metrics  *metrics.Metrics
 	messages map[string]*message
 	clocks   clock.Pair // as last read, to tell steps of the wall clock
 	list     *endpointList
@@ -180,8 +181,8 @@
 	}
 	l.commit()
 	l.list.maintainStore()
-	l.figures.members.Store(int64(l.list.table.Len()))
-	l.figures.avoided.Store(int64(l.avoided()))
+	l.metrics.Endpoints.Store(int64(l.list.table.Len()))
+	l.metrics.UnavailableEndpoints.Store(int64(l.avoided()))
 	if l.zoning != nil && len(l.zoning.pending) > 0 {
 		l.reorder()
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -15,6 +15,7 @@
 	"milletsail/internal/fleet"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/internal/settings"
 	"milletsail/policy"
 )
@@ -40,16 +41,16 @@
 	if err != nil {
 		return err
 	}
-	figures := newFigures(cfg.policy.Classes)
+	counters := metrics.New(cfg.policy.Classes)
 	var operators *adminServer
 	if cfg.Admin != "" {
-		if operators, err = openAdmin(cfg.Admin, figures); err != nil {
+		if operators, err = openAdmin(cfg.Admin, counters); err != nil {
 			return err
 		}
 		defer operators.listener.Close()
 		go operators.serve()
 	}
-	gate, err := openGate(cfg, &figures.why)
+	gate, err := openGate(cfg, &counters.Reasons)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -79,10 +80,10 @@
 	deciding, retired := context.WithCancel(live)
 	defer retired()
 	s := cfg.Settings
-	l := &loop{cfg: cfg, d: d, journal: kept, figures: figures, inbox: make(chan event, inboxSize), calls: live,
+	l := &loop{cfg: cfg, d: d, journal: kept, metrics: counters, inbox: make(chan event, inboxSize), calls: live,
 		messages: map[string]*message{}, list: list,
 		pool: newPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.policy.IdleConnTimeout,
-			max(1, int(hostShare*float64(cfg.Limits.Sockets))), &figures.written),
+			max(1, int(hostShare*float64(cfg.Limits.Sockets))), &counters.UpstreamRequests),
 		gate: gate, owner: owner, ceded: make(chan bool), retired: retired}
 	l.watch = newWatcher(cfg.Discovery, fleetSpread(&cfg.Settings), func(b listBatch) { l.put(b) }, func() { l.put(watchEnded{}) })
 	l.watch.maxList = int64(listMemory * cfg.Limits.MemoryMB * 1e6)
@@ -102,8 +103,8 @@
 		l.shared = l.share(dir)
 		operators.offer("fleet", alone(l.shared.JSON))
 	}
-	srv := newServer(cfg, &figures.why, func(a *arrival) { l.put(a) }, func(a *arrival) { l.put(departure{a}) })
-	heir(deciding, dir, &figures.why, func(k *link) { l.put(takeover{k}) })
+	srv := newServer(cfg, &counters.Reasons, func(a *arrival) { l.put(a) }, func(a *arrival) { l.put(departure{a}) })
+	heir(deciding, dir, &counters.Reasons, func(k *link) { l.put(takeover{k}) })
 	l.openList(dir)
 	defer func() { l.list.close() }()
 	l.openZones(dir)
@@ -113,7 +114,7 @@
 	if cfg.Newcomers {
 		operators.offer("servers", alone(func() string { return l.ask(l.servers) }))
 	}
-	operators.offer("diagnostics", alone(figures.why.text))
+	operators.offer("diagnostics", alone(counters.Reasons.Text))
 	l.restore(before, off) // clients wait to be served until this is done
 	var work sync.WaitGroup
 	work.Go(func() { l.run(live) })
@@ -126,16 +127,16 @@
 	}
 	served := make(chan error, 1)
 	go func() { served <- srv.http.Serve(gate) }()
-	figures.taking.Store(true)
+	counters.Serving.Store(true)
 
 	work.Go(func() { l.follows(live, discovery) }) // to the end: notices are owed while it drains too
 	select {
 	case err = <-served:
 	case <-l.ceded:
-		figures.taking.Store(false)
+		counters.Serving.Store(false)
 		l.retire(ctx, srv)
 	case <-ctx.Done():
-		figures.taking.Store(false)
+		counters.Serving.Store(false)
 		l.drain(srv)
 	}
 	stop()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -17,6 +17,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
 
@@ -592,7 +593,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loop{cfg: &Config{}, d: d, figures: newFigures([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
+	l := &loop{cfg: &Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
 		messages: map[string]*message{}, list: listAt(7)}
 	l.cfg.policy.Classes = []policy.Class{{Name: "status"}}
 	copyOf := func(id string) *arrival {
@@ -662,7 +663,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loop{cfg: &Config{}, d: d, figures: newFigures([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), messages: map[string]*message{}, list: listAt()}
+	l := &loop{cfg: &Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), messages: map[string]*message{}, list: listAt()}
 	timer := clock.Now().Add(time.Minute)
 	l.wakeAt = timer
 	m := &message{Entry: &journal.Entry{ID: "m"}}
@@ -687,7 +688,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := &loop{cfg: &Config{}, d: d, figures: newFigures([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3),
+		l := &loop{cfg: &Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3),
 			messages: map[string]*message{}, list: listAt(7), notices: &notifier{}}
 		l.cfg.policy.Classes = []policy.Class{{Name: "status"}}
 		start := time.Now()
--- a/internal/relay/diagnostics_test.go
+++ b/internal/relay/selfcheck_test.go
@@ -7,12 +7,13 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
 
 // A step of the wall clock, and a message that is held past its time, are counted once, for on-call staff to see.
 func TestDiagnostics(t *testing.T) {
-	l := &loop{figures: newFigures([]policy.Class{{Name: "status"}}), messages: map[string]*message{}}
+	l := &loop{metrics: metrics.New([]policy.Class{{Name: "status"}}), messages: map[string]*message{}}
 	l.checkClocks() // the first reading tells nothing
 	for _, by := range []time.Duration{time.Hour, -10 * time.Second, 10 * time.Millisecond} {
 		l.clocks = clock.ReadPair()
@@ -24,10 +25,10 @@
 	l.messages["over"] = &message{Entry: &journal.Entry{ID: "over", Class: "status", ExpiresAt: clock.Now().Add(-time.Second)}, over: true}
 	l.checkOverdue()
 	l.checkOverdue()
-	l.figures.why.count("relay_undelivered", policy.ReasonBacklog)
+	l.metrics.Reasons.Increment("relay_undelivered", policy.ReasonBacklog)
 	want := []string{`relay_overdue{reason="status"} 1`, `relay_undelivered{reason="backlog"} 1`, `relay_wall_clock_steps{reason="back"} 1`,
 		`relay_wall_clock_steps{reason="forward"} 1`, "END"}
-	if got := l.figures.why.text(); got != strings.Join(want, "\n") {
+	if got := l.metrics.Reasons.Text(); got != strings.Join(want, "\n") {
 		t.Errorf("%s", got)
 	}
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -16,6 +16,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/internal/settings"
 	"milletsail/policy"
 )
@@ -57,13 +58,13 @@
 	tenants map[string]bool
 	admit   func(*arrival)
 	gone    func(*arrival)
-	why     *diagnostics
+	reasons *metrics.ReasonCounters
 	closing atomic.Bool // answer with Connection: close
 	http    *http.Server
 }
 
-func newServer(c *Config, why *diagnostics, admit, gone func(*arrival)) *server {
-	s := &server{why: why, classes: map[string]*policy.Class{}, tenants: map[string]bool{}, admit: admit, gone: gone}
+func newServer(c *Config, reasons *metrics.ReasonCounters, admit, gone func(*arrival)) *server {
+	s := &server{reasons: reasons, classes: map[string]*policy.Class{}, tenants: map[string]bool{}, admit: admit, gone: gone}
 	for i := range c.policy.Classes {
 		s.classes[c.policy.Classes[i].Name] = &c.policy.Classes[i]
 	}
@@ -110,7 +111,7 @@
 	a, status, err := s.parse(w, r)
 	if err != nil {
 		slog.Debug("request rejected", "err", err)
-		s.why.add("relay_malformed_requests", strconv.Itoa(status), 1)
+		s.reasons.Add("relay_malformed_requests", strconv.Itoa(status), 1)
 		// Where one request ended and the next began may be in doubt as well.
 		w.Header().Set("Connection", "close")
 		s.finish(w, verdict{status: status})
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -8,6 +8,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
 
@@ -54,7 +55,7 @@
 				t.Fatal(err)
 			}
 			notices := &notifier{wanted: make(chan struct{}, 1)}
-			l := &loop{cfg: &Config{}, d: d, figures: newFigures(classes), journal: kept, messages: map[string]*message{}, list: listAt(7), notices: notices}
+			l := &loop{cfg: &Config{}, d: d, metrics: metrics.New(classes), journal: kept, messages: map[string]*message{}, list: listAt(7), notices: notices}
 			l.cfg.policy.Classes = classes
 			m := &message{Entry: &journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left)}}
 			l.messages["m"] = m
