--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -12,6 +12,7 @@
 	"sync"
 	"time"
 
+	"milletsail/internal/relay/listener"
 	"milletsail/internal/relay/metrics"
 )
 
@@ -71,11 +72,11 @@
 
 // openAdmin listens at an address.
 func openAdmin(addr string, m *metrics.Metrics) (*adminServer, error) {
-	l, err := listenFor("admin endpoint", func() (net.Listener, error) { return net.Listen("tcp", addr) })
+	l, err := listener.Listen("admin endpoint", func() (net.Listener, error) { return net.Listen("tcp", addr) })
 	if err != nil {
 		return nil, fmt.Errorf("admin endpoint: %w", err)
 	}
-	return &adminServer{listener: &acceptor{Listener: l, name: "admin endpoint", reasons: &m.Reasons}, metrics: m}, nil
+	return &adminServer{listener: listener.New(l, "admin endpoint", &m.Reasons), metrics: m}, nil
 }
 
 // serve answers calls until the listener is closed.
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -21,6 +21,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/instant"
+	"milletsail/internal/relay/resource"
 	"milletsail/policy"
 )
 
@@ -128,7 +129,7 @@
 		}
 		return r.all(result{outcome: policy.NotSent}) // too late to write it, which tells nothing of the host
 	}
-	if err != nil && lackHere(err) {
+	if err != nil && resource.IsLocalFailure(err) {
 		slog.Warn("call not begun", "host", r.addr, "messages", len(r.parcels), "err", err)
 		return r.all(result{outcome: policy.NotStarted}) // which tells nothing of the host either
 	}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"time"
 
-	"milletsail/internal/clock"
 	"milletsail/internal/endpoints"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/retry"
 	"milletsail/internal/settings"
 	"milletsail/policy"
 )
@@ -132,31 +132,29 @@
 	return addresses
 }
 
-// reloadWithin bounds the tries to read a configuration after a signal: what it moves counts as told 4 s after that.
-const reloadWithin = 3 * time.Second
+// reloadTimeout bounds the tries to read a configuration after a signal: what it moves counts as told 4 s after that.
+const reloadTimeout = 3 * time.Second
 
 // rereadConfig reads a configuration file again after a signal. One that can't be read may still be being written, or the
 // file system may fail for a moment: it is tried again for a while. A further signal meanwhile asks for nothing else.
-func rereadConfig(ctx context.Context, path string, signals <-chan os.Signal) (*Config, error) {
-	for by := clock.Now().Add(reloadWithin); ; {
-		c, err := ReadConfig(path)
-		if err == nil || clock.Now() >= by {
-			return c, err
-		}
-		slog.Warn("configuration can't be read", "err", err)
+func rereadConfig(ctx context.Context, path string, signals <-chan os.Signal) (c *Config, err error) {
+	policy := retry.Policy{Timeout: reloadTimeout, Interval: folderRetryInterval, OnRetry: func(err error) {
+		slog.Warn("configuration can't be read", "error", err)
 		select {
 		case <-signals:
 		default:
 		}
-		if !clock.Sleep(ctx, folderRetry) {
-			return nil, err
-		}
-	}
+	}}
+	err = retry.Do(ctx, policy, func() error {
+		c, err = ReadConfig(path)
+		return err
+	})
+	return c, err
 }
 
 // ReadConfigAtStart is ReadConfig for a process that starts: a file system that fails for a moment refuses no start.
 func ReadConfigAtStart(path string) (c *Config, err error) {
-	err = patiently(context.Background(), folderWithin, "the configuration", func() error {
+	err = retryFolder(context.Background(), folderTimeout, "the configuration", func() error {
 		c, err = ReadConfig(path)
 		return err
 	})
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -12,6 +12,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/instant"
+	"milletsail/internal/relay/resource"
 	"milletsail/internal/settings"
 )
 
@@ -162,7 +163,7 @@
 	if lists > 0 || errors.Is(err, errSilent) {
 		return w.spread, 0
 	}
-	if lackHere(err) { // it is no crowd at discovery that this relay has to make way for
+	if resource.IsLocalFailure(err) { // it is no crowd at discovery that this relay has to make way for
 		return min(w.spread, lackSpan), 0
 	}
 	most := askAgainAlone
--- a/internal/relay/folder.go
+++ b/internal/relay/folder.go
@@ -6,38 +6,31 @@
 	"path/filepath"
 	"time"
 
-	"milletsail/internal/clock"
 	"milletsail/internal/endpoints"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/retry"
 )
 
 const (
-	// folderWithin bounds the tries to read the folder at a start. Trouble of a file system is known to last 30 s, and what was
+	// folderTimeout bounds the tries to read the folder at a start. Trouble of a file system is known to last 30 s, and what was
 	// accepted is owed: a relay without its journal could only lose it.
-	folderWithin = 45 * time.Second
-	// listWithin bounds the tries to read the list of endpoints: it can be had from discovery too.
-	listWithin = 5 * time.Second
-	// folderRetry is the wait between tries.
-	folderRetry = 100 * time.Millisecond
+	folderTimeout = 45 * time.Second
+	// listTimeout bounds the tries to read the list of endpoints: it can be had from discovery too.
+	listTimeout = 5 * time.Second
+	// folderRetryInterval is the wait between tries.
+	folderRetryInterval = 100 * time.Millisecond
 )
 
-// patiently does something with the folder again for as long as it fails for a moment, up to a bound.
-func patiently(ctx context.Context, within time.Duration, what string, do func() error) error {
-	for by := clock.Now().Add(within); ; {
-		err := do()
-		if err == nil || !journal.IsTransient(err) || clock.Now() >= by {
-			return err
-		}
-		slog.Warn("folder fails", "at", what, "err", err)
-		if !clock.Sleep(ctx, folderRetry) {
-			return err
-		}
-	}
+// retryFolder repeats an operation on the state directory for as long as it fails for a moment, up to a timeout.
+func retryFolder(ctx context.Context, timeout time.Duration, operation string, attempt func() error) error {
+	policy := retry.Policy{Timeout: timeout, Interval: folderRetryInterval, Retryable: journal.IsTransient,
+		OnRetry: func(err error) { slog.Warn("state directory fails", "operation", operation, "error", err) }}
+	return retry.Do(ctx, policy, attempt)
 }
 
 // loadJournal opens the journal in the folder.
 func loadJournal(ctx context.Context, cfg *Config, dir string) (kept *journal.Journal, found *journal.Report, err error) {
-	err = patiently(ctx, folderWithin, "the start", func() (err error) {
+	err = retryFolder(ctx, folderTimeout, "the start", func() (err error) {
 		kept, found, err = journal.Open(dir, journal.Options{DiskMB: (1 - listShare) * cfg.Limits.DiskMB, Relay: cfg.Name,
 			SurvivesPowerLoss: cfg.Durability == DurablePower, Files: cfg.Files, Boot: cfg.Boot})
 		return err
@@ -48,7 +41,7 @@
 // openStore reads the list of endpoints in the folder. A file that can't be read in time counts as damaged.
 func openStore(dir string, budget int64) (store *endpoints.Store, table *endpoints.Table, seq int64, found endpoints.LoadReport, err error) {
 	dir = filepath.Join(dir, listFolder)
-	err = patiently(context.Background(), listWithin, "the list of endpoints", func() (err error) {
+	err = retryFolder(context.Background(), listTimeout, "the list of endpoints", func() (err error) {
 		store, table, seq, found, err = endpoints.Open(dir, budget)
 		return err
 	})
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -11,6 +11,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/instant"
+	"milletsail/internal/relay/listener"
 	"milletsail/internal/relay/metrics"
 )
 
@@ -42,12 +43,12 @@
 // openGate takes clients' connections at the socket that the platform holds, where it says so, else at the address
 // that the configuration names.
 func openGate(c *Config, reasons *metrics.ReasonCounters) (*gate, error) {
-	l, err := listenFor("clients", func() (net.Listener, error) { return listen(c) })
+	l, err := listener.Listen("clients", func() (net.Listener, error) { return listen(c) })
 	if err != nil {
 		return nil, err
 	}
-	accepts := &acceptor{Listener: l, name: "clients", reasons: reasons}
-	g := &gate{Listener: accepts, waited: accepts.waited, room: clientRoom(c.Limits.Sockets, c.policy.Slots), open: map[*client]bool{}}
+	accepts := listener.New(l, "clients", reasons)
+	g := &gate{Listener: accepts, waited: accepts.QueueDelay, room: clientRoom(c.Limits.Sockets, c.policy.Slots), open: map[*client]bool{}}
 	g.changed.L = &g.mu
 	return g, nil
 }
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -14,7 +14,9 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/listener"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/resource"
 	"milletsail/policy"
 )
 
@@ -66,7 +68,7 @@
 // handover or, where that can't be had in time, by that process's end. Link and offer are nil without a handover: then
 // the journal tells all that is known.
 func takeOver(ctx context.Context, dir string) (*journal.Ownership, *link, *offer, error) {
-	last := clock.Now().Add(folderWithin)
+	last := clock.Now().Add(folderTimeout)
 	for by := clock.Now().Add(askTime); ; {
 		o, err := journal.AcquireOwnership(dir)
 		owned := errors.As(err, new(*journal.OwnedError))
@@ -78,7 +80,7 @@
 		if owned {
 			k, off, err = askFor(dir, by)
 		}
-		if shortOf(err) && clock.Now() < last {
+		if resource.IsExhausted(err) && clock.Now() < last {
 			by = clock.Now().Add(askTime) // a lack of this process is no reason to end the one before
 		}
 		if err == nil {
@@ -171,7 +173,7 @@
 			}
 			bound, err = listenInFolder(dir)
 		}
-		l := &acceptor{Listener: bound, name: "handover", reasons: reasons}
+		l := listener.New(bound, "handover", reasons)
 		defer context.AfterFunc(ctx, func() { _ = l.Close() })()
 		for {
 			c, err := l.Accept()
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -85,7 +85,7 @@
 	select {
 	case address := <-addresses:
 		t.Fatalf("half a file gives %q", address)
-	case <-time.After(2 * folderRetry):
+	case <-time.After(2 * folderRetryInterval):
 	}
 	write(whole)
 	if address := <-addresses; address == "" {
--- /dev/null
+++ b/internal/relay/resource/resource_test.go
@@ -0,0 +1,33 @@
+package resource
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"syscall"
+	"testing"
+)
+
+// What went wrong here is told from what went wrong at the peer, through any wrapping.
+func TestClassification(t *testing.T) {
+	for _, tt := range []struct {
+		err                      error
+		local, exhausted, system bool
+	}{
+		{syscall.EMFILE, true, true, true},
+		{&net.OpError{Op: "dial", Err: fmt.Errorf("connect: %w", syscall.ENETUNREACH)}, true, false, true},
+		{&net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}, false, false, true},
+		{errors.New("no address"), false, false, false},
+		{nil, false, false, false},
+	} {
+		if got := IsLocalFailure(tt.err); got != tt.local {
+			t.Errorf("%v: local %v", tt.err, got)
+		}
+		if got := IsExhausted(tt.err); got != tt.exhausted {
+			t.Errorf("%v: exhausted %v", tt.err, got)
+		}
+		if got := IsSystemError(tt.err); got != tt.system {
+			t.Errorf("%v: system %v", tt.err, got)
+		}
+	}
+}
