--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -9,6 +9,7 @@
 	"milletsail/internal/endpoints"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/upstream"
 	"milletsail/policy"
 )
 
@@ -23,11 +24,11 @@
 		}
 	case policy.CancelUnwritten:
 		if h, ok := l.list.table.Get(a.Endpoint); ok {
-			l.effects = append(l.effects, func() { l.pool.withhold(h.Dial) })
+			l.effects = append(l.effects, func() { l.pool.CancelUnwritten(h.Dial) })
 		}
 	case policy.CloseIdleConnections:
 		if h, ok := l.list.table.Get(a.Endpoint); ok {
-			l.effects = append(l.effects, func() { l.pool.closeIdle(h.Dial) })
+			l.effects = append(l.effects, func() { l.pool.CloseIdle(h.Dial) })
 		}
 	case policy.SetTimer:
 		// The module has one timer and asks anew only where the one it has is no use to it any more.
@@ -87,7 +88,7 @@
 
 // unsent reports an attempt that was not made.
 func (l *loop) unsent(s send, why policy.Outcome) {
-	l.answered(answered{id: s.m.ID, attempt: s.attempt, host: s.host.Host, result: result{outcome: why}})
+	l.answered(answered{id: s.m.ID, attempt: s.attempt, host: s.host.Host, Result: upstream.Result{Outcome: why}})
 }
 
 // answerMargin before the time of a message is up, an answer to a call that it shares with others counts for none of them.
@@ -124,28 +125,28 @@
 // the time of one is up, and for none while any of them is still waited for.
 func (l *loop) call(sends []send) {
 	ctx, cancel := context.WithCancel(l.calls)
-	r := request{addr: sends[0].host.Dial}
-	end := func(s send, took time.Duration, res result) answered {
-		return answered{id: s.m.ID, attempt: s.attempt, host: s.host.Host, took: took, result: res}
+	r := upstream.Call{Addr: sends[0].host.Dial}
+	end := func(s send, took time.Duration, res upstream.Result) answered {
+		return answered{id: s.m.ID, attempt: s.attempt, host: s.host.Host, took: took, Result: res}
 	}
 	waiting := len(sends)
-	r.timeout = sends[0].timeout
+	r.Timeout = sends[0].timeout
 	if len(sends) > 1 {
 		now := clock.Now()
-		r.timeout, r.answerBy = sharedTimeout(now, sends, l.cfg.policy.BatchInterval), answerBy(now, sends)
+		r.Timeout, r.ResponseDeadline = sharedTimeout(now, sends, l.cfg.policy.BatchInterval), answerBy(now, sends)
 	}
 	for _, s := range sends {
-		p := parcel{ID: s.m.ID, Key: s.m.Key, Body: s.m.Body, fate: new(fate)}
-		r.parcels = append(r.parcels, p)
-		if s.within > 0 && (r.within == 0 || s.within < r.within) {
-			r.within = s.within
+		p := upstream.Message{ID: s.m.ID, Key: s.m.Key, Body: s.m.Body, Claim: new(upstream.WriteClaim)}
+		r.Messages = append(r.Messages, p)
+		if s.within > 0 && (r.WriteTimeout == 0 || s.within < r.WriteTimeout) {
+			r.WriteTimeout = s.within
 		}
 		called := false
 		s.m.call = s.call
 		s.m.cancel = func() {
 			if !called {
 				called = true
-				p.fate.settle()
+				p.Claim.Take()
 				if waiting--; waiting == 0 {
 					cancel()
 				}
@@ -155,7 +156,7 @@
 	go func() {
 		defer cancel()
 		begun := clock.Now()
-		results := l.pool.call(ctx, r)
+		results := l.pool.Do(ctx, r)
 		all := make(ended, len(sends))
 		for i, s := range sends {
 			all[i] = end(s, clock.Since(begun), results[i])
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -14,6 +14,7 @@
 
 	"milletsail/internal/relay/listener"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/protocol"
 )
 
 const (
@@ -21,6 +22,8 @@
 	adminConnections = 8
 	// adminTimeout is how long a caller has for its call, and again for taking the reply.
 	adminTimeout = 2 * time.Second
+	// adminDrainTimeout is how long what a caller sends behind its line is read off.
+	adminDrainTimeout = 100 * time.Millisecond
 	// maxCall bounds the line of a call.
 	maxCall = 128
 	// adminLoopWait bounds how long an operator's line waits for the loop.
@@ -148,8 +151,8 @@
 	if half, ok := c.Conn.(*net.TCPConn); ok {
 		_ = half.CloseWrite()
 	}
-	_ = c.SetDeadline(time.Now().Add(drainTime))
-	_, _ = io.CopyN(io.Discard, c, maxBody)
+	_ = c.SetDeadline(time.Now().Add(adminDrainTimeout))
+	_, _ = io.CopyN(io.Discard, c, protocol.MaxBodySize)
 }
 
 // reply answers one call.
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -13,27 +13,27 @@
 func (l *loop) answered(e answered) {
 	m := l.messages[e.id] // stays as long as a call is out
 	m.cancel = nil
-	if e.outcome != policy.OK {
-		l.metrics.Reasons.Increment("relay_calls_without_delivery", e.outcome)
+	if e.Outcome != policy.OK {
+		l.metrics.Reasons.Increment("relay_calls_without_delivery", e.Outcome)
 		slog.Info("call without delivery", "id", e.id, "dest", m.Dest, "host", e.host, "attempt", e.attempt,
-			"outcome", e.outcome, "took", e.took, "wait", e.wait)
+			"outcome", e.Outcome, "took", e.took, "wait", e.RetryAfter)
 	}
 	l.observed(e)
-	unrun := e.outcome == policy.Rejected || e.outcome == policy.ConnectError || e.outcome == policy.NotSent || e.outcome == policy.NotStarted
+	unrun := e.Outcome == policy.Rejected || e.Outcome == policy.ConnectError || e.Outcome == policy.NotSent || e.Outcome == policy.NotStarted
 	if l.journal.Get(m.ID) == m.Entry {
 		l.journal.EndAttempt(m.Entry, unrun)
 	}
-	if e.outcome == policy.NotStarted { // no attempt was made; until the next segment a later process takes it for one that never ran
+	if e.Outcome == policy.NotStarted { // no attempt was made; until the next segment a later process takes it for one that never ran
 		m.Attempts = m.Attempts[:e.attempt]
 	}
-	l.events = append(l.events, policy.AttemptEnded{ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.outcome,
-		RetryAfter: e.wait, Latency: e.took, Completed: e.over, AttemptsExhausted: e.spent, LoadReport: e.report})
-	if !m.over && e.outcome == policy.OK {
+	l.events = append(l.events, policy.AttemptEnded{ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.Outcome,
+		RetryAfter: e.RetryAfter, Latency: e.took, Completed: e.Completed, AttemptsExhausted: e.AttemptsExhausted, LoadReport: e.LoadReport})
+	if !m.over && e.Outcome == policy.OK {
 		l.metrics.CountResult(l.class(m.Class), metrics.Completed)
-	} else if !m.over && e.over { // its end came without us
+	} else if !m.over && e.Completed { // its end came without us
 		l.metrics.CountResult(l.class(m.Class), metrics.Failed)
 	}
-	if e.over || m.over && m.PendingNotification == nil {
+	if e.Completed || m.over && m.PendingNotification == nil {
 		l.end(m)
 	}
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -13,6 +13,7 @@
 
 	"milletsail/internal/endpoints"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/protocol"
 	"milletsail/internal/relay/retry"
 	"milletsail/internal/settings"
 	"milletsail/policy"
@@ -188,7 +189,7 @@
 	}
 	// In the simulator some deployments are told of changes unasked; on sockets they come to a watch alone.
 	c.policy.Subscribe, c.policy.PublishRates, c.policy.Zones, c.policy.CanaryAnalysis = true, c.Fleet, c.Zones, c.Newcomers
-	c.policy.MaxBatchBytes = maxBody - len("[]")
+	c.policy.MaxBatchBytes = protocol.MaxBodySize - len("[]")
 	_, err = policy.New(c.policy, c.seed) // its own check of the settings
 	return err
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -71,6 +71,9 @@
 	}
 }
 
+// long is longer than anything that a test waits for in vain.
+const long = 20 * time.Second
+
 // receive waits for a value.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -6,6 +6,7 @@
 	"milletsail/internal/endpoints"
 	"milletsail/internal/fleet/live"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/upstream"
 	"milletsail/policy"
 )
 
@@ -31,7 +32,7 @@
 		attempt int
 		host    string
 		took    time.Duration
-		result
+		upstream.Result
 	}
 	// listBatch is a part of an object that discovery sent. The watch goes on once applied is closed.
 	listBatch struct {
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -13,6 +13,7 @@
 	"milletsail/internal/instant"
 	"milletsail/internal/relay/listener"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/socket"
 )
 
 // patience is how long a client may be silent in the middle of a request before it counts as stalled: some take 2 s
@@ -89,7 +90,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for len(g.open) >= max(g.room-g.lent, int(minShare*float64(g.room)), 1) && !g.closed {
-		if worst := g.leastPromise(clock.Now()); worst != nil && worst.stage == waiting && unread(worst.Conn) {
+		if worst := g.leastPromise(clock.Now()); worst != nil && worst.stage == waiting && socket.HasUnread(worst.Conn) {
 			// Its request is here, and only the goroutine that reads it has not come to it.
 			worst.stage, worst.heard = reading, clock.Now()
 			continue
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -17,6 +17,7 @@
 	"milletsail/internal/relay/listener"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/resource"
+	"milletsail/internal/relay/upstream"
 	"milletsail/policy"
 )
 
@@ -294,11 +295,11 @@
 		for _, a := range e {
 			if m := l.messages[a.id]; m != nil && m.cancel != nil && a.attempt == len(m.Attempts)-1 {
 				m.cancel = nil
-				if a.outcome == policy.NotStarted { // a program of before may not know it
-					a.outcome = policy.NotSent
+				if a.Outcome == policy.NotStarted { // a program of before may not know it
+					a.Outcome = policy.NotSent
 				}
-				ends = append(ends, callEnd{ID: a.id, Attempt: a.attempt, Host: a.host, Took: a.took, Outcome: a.outcome,
-					Wait: a.wait, Over: a.over, Spent: a.spent, Report: a.report})
+				ends = append(ends, callEnd{ID: a.id, Attempt: a.attempt, Host: a.host, Took: a.took, Outcome: a.Outcome,
+					Wait: a.RetryAfter, Over: a.Completed, Spent: a.AttemptsExhausted, Report: a.LoadReport})
 			}
 		}
 		if len(ends) > 0 {
@@ -377,8 +378,8 @@
 				if n, ok := out[e.ID]; ok && n == e.Attempt {
 					delete(out, e.ID)
 				}
-				all = append(all, answered{id: e.ID, attempt: e.Attempt, host: e.Host, took: e.Took, result: result{
-					outcome: e.Outcome, wait: e.Wait, over: e.Over, spent: e.Spent, report: e.Report}})
+				all = append(all, answered{id: e.ID, attempt: e.Attempt, host: e.Host, took: e.Took, Result: upstream.Result{
+					Outcome: e.Outcome, RetryAfter: e.Wait, Completed: e.Over, AttemptsExhausted: e.Spent, LoadReport: e.Report}})
 			}
 			l.put(all)
 		case in.Clients != nil:
@@ -389,7 +390,7 @@
 	time.Sleep(closeTime)
 	var all ended
 	for id, n := range out {
-		all = append(all, answered{id: id, attempt: n, result: result{outcome: policy.Reset}})
+		all = append(all, answered{id: id, attempt: n, Result: upstream.Result{Outcome: policy.Reset}})
 	}
 	if len(all) > 0 {
 		l.put(all)
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -137,7 +137,7 @@
 		}
 		l.logChange(b, e)
 		if listed && old.Dial != e.Dial {
-			l.pool.closeIdle(old.Dial)
+			l.pool.CloseIdle(old.Dial)
 		}
 		l.list.persist([]endpoints.Entry{e}, nil)
 		if listed && old.Block != e.Block {
@@ -157,7 +157,7 @@
 
 // gone forgets an entry that was removed, and gives it as the module is told of it.
 func (l *loop) gone(e endpoints.Entry) policy.Endpoint {
-	l.pool.closeIdle(e.Dial)
+	l.pool.CloseIdle(e.Dial)
 	l.journal.DropHealth(e.Host)
 	e.Health = endpoints.Deleted
 	return l.list.endpoint(e)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -10,6 +10,7 @@
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/upstream"
 	"milletsail/policy"
 )
 
@@ -35,7 +36,7 @@
 	d        *policy.Dispatcher
 	journal  *journal.Journal
 	inbox    chan event
-	pool     *pool
+	pool     *upstream.Pool
 	watch    *watcher
 	notices  *notifier
 	peers    *peers
@@ -82,7 +83,7 @@
 		case <-ctx.Done():
 			return
 		case <-sweep.C:
-			l.pool.sweep()
+			l.pool.Sweep()
 			l.checkClocks()
 			if l.heir == nil {
 				l.stored(l.journal.Retry())
@@ -115,7 +116,7 @@
 		if k := l.successor; k != nil {
 			l.successor = nil
 			if l.cede(k) {
-				l.pool.retire()
+				l.pool.DisableKeepAlives()
 				l.retired()
 				close(l.ceded)
 			}
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -15,6 +15,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/protocol"
 )
 
 // The ends of a message that was taken on and not delivered.
@@ -158,7 +159,7 @@
 	defer n.mu.Unlock()
 	for len(n.owed) > 0 {
 		text := noticeLine(n.owed[0])
-		if len(batch) > 0 && len(body)+len(text) > maxBody {
+		if len(batch) > 0 && len(body)+len(text) > protocol.MaxBodySize {
 			break
 		}
 		batch, body, n.owed = append(batch, n.owed[0]), append(body, text...), n.owed[1:]
@@ -180,7 +181,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, protocol.MaxBodySize))
 	if resp.StatusCode == http.StatusBadRequest {
 		return &formError{resp.Status}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -16,6 +16,7 @@
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/upstream"
 	"milletsail/internal/settings"
 	"milletsail/policy"
 )
@@ -82,7 +83,7 @@
 	s := cfg.Settings
 	l := &loop{cfg: cfg, d: d, journal: kept, metrics: counters, inbox: make(chan event, inboxSize), calls: live,
 		messages: map[string]*message{}, list: list,
-		pool: newPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.policy.IdleConnTimeout,
+		pool: upstream.NewPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.policy.IdleConnTimeout,
 			max(1, int(hostShare*float64(cfg.Limits.Sockets))), &counters.UpstreamRequests),
 		gate: gate, owner: owner, ceded: make(chan bool), retired: retired}
 	l.watch = newWatcher(cfg.Discovery, fleetSpread(&cfg.Settings), func(b listBatch) { l.put(b) }, func() { l.put(watchEnded{}) })
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -17,13 +17,12 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/protocol"
 	"milletsail/internal/settings"
 	"milletsail/policy"
 )
 
 const (
-	// maxBody is the protocol's bound on a body.
-	maxBody = 64 << 10
 	// maxName bounds an id or a key that a client sends.
 	maxName = 256
 	// maxHead bounds a request's head, and readTime the time to read a request: clients send at once, and a peer
@@ -167,7 +166,7 @@
 	if err != nil || !(left > 0) || !seconds.MatchString(r.Header.Get("Request-Timeout")) {
 		return nil, http.StatusBadRequest, fmt.Errorf("time-out %q", r.Header.Get("Request-Timeout"))
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodySize))
 	if err != nil {
 		if tooLarge := new(http.MaxBytesError); errors.As(err, &tooLarge) {
 			return nil, http.StatusRequestEntityTooLarge, err
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -87,7 +87,7 @@
 
 // observed tells the other relays of a call that failed, where they know of an outage.
 func (l *loop) observed(e answered) {
-	switch e.outcome {
+	switch e.Outcome {
 	case policy.ConnectError, policy.Failed, policy.Reset, policy.TimedOut:
 		l.shared.ObserveFailure(e.host)
 	}
