--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -66,11 +66,11 @@
 	l.postRecorded(err == nil)
 }
 
-// unrecordedNotice is a notice of a message whose end is to be on disk before the platform is told of it: a process after a
+// unrecordedNotification is a notice of a message whose end is to be on disk before the platform is told of it: a process after a
 // kill would else go on with a message that is over.
-type unrecordedNotice struct {
-	notice  journal.Notification
-	expires instant.Time // of the message: from then on no process sends it any more
+type unrecordedNotification struct {
+	notification journal.Notification
+	expiresAt    instant.Time // of the message: from then on no process sends it any more
 }
 
 // postRecorded posts the notices whose ends are on disk, or whose messages' time is up whether or not they are.
@@ -78,8 +78,8 @@
 	now := clock.Now()
 	waiting := l.unrecorded[:0]
 	for _, n := range l.unrecorded {
-		if written || n.expires <= now {
-			l.notices.owe(n.notice)
+		if written || n.expiresAt <= now {
+			l.notifier.Enqueue(n.notification)
 		} else {
 			waiting = append(waiting, n)
 		}
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -6,6 +6,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/notifier"
 	"milletsail/policy"
 )
 
@@ -47,7 +48,7 @@
 		"taken", m.replies == nil, "left", clock.Until(m.ExpiresAt), "after", v.after)
 	l.metrics.Reasons.Increment("relay_undelivered", why)
 	how := metrics.Failed
-	if status == deferred {
+	if status == notifier.StatusDeferred {
 		how = metrics.Rejected
 	}
 	l.metrics.CountResult(l.class(m.Class), how)
@@ -61,7 +62,7 @@
 	l.settle(m)
 	n := journal.Notification{ID: m.ID, Status: status, RetryAfterMS: v.after.Milliseconds()}
 	l.journal.RecordPendingNotification(m.Entry, n)
-	l.unrecorded = append(l.unrecorded, unrecordedNotice{n, m.ExpiresAt})
+	l.unrecorded = append(l.unrecorded, unrecordedNotification{n, m.ExpiresAt})
 }
 
 // answer gives all that handed a message in the same verdict.
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -86,13 +86,13 @@
 	w := &watcher{onBatch: onBatch, maxList: math.MaxInt64, failed: failed, silence: watchSilence, spread: spread,
 		draw:   func(span time.Duration) time.Duration { return rand.N(span + 1) },
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, asked: make(chan struct{}, 1)}
-	w.redirect(discovery)
+	w.Redirect(discovery)
 	return w
 }
 
-// redirect has the list watched at another address of discovery: a watch that is on, or a wait for the next one,
+// Redirect has the list watched at another address of discovery: a watch that is on, or a wait for the next one,
 // ends, and a new watch begins at once.
-func (w *watcher) redirect(discovery string) {
+func (w *watcher) Redirect(discovery string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.base = "http://" + discovery + "/catalog/members"
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -74,6 +74,11 @@
 // long is longer than anything that a test waits for in vain.
 const long = 20 * time.Second
 
+// roundTripper stands for discovery.
+type roundTripper func(*http.Request) (*http.Response, error)
+
+func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+
 // receive waits for a value.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
@@ -300,7 +305,7 @@
 		})
 		w.prompt = true
 		w.draw = func(span time.Duration) time.Duration { return span }
-		w.client.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
+		w.client.Transport = roundTripper(func(r *http.Request) (*http.Response, error) {
 			now := time.Now()
 			switch {
 			case now.Before(down.from):
--- a/internal/relay/endings_test.go
+++ b/internal/relay/endings_test.go
@@ -18,6 +18,7 @@
 
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/socket"
 	"milletsail/policy"
 )
@@ -368,7 +369,7 @@
 	if want := []string{"order", "payment", "payment", "status", "status"}; !slices.Equal(calls, want) {
 		t.Errorf("calls %v, want %v", calls, want)
 	}
-	if n := p.noticesOf(c); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: undeliverable}) {
+	if n := p.noticesOf(c); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("notices %v", n)
 	}
 }
@@ -415,7 +416,7 @@
 			if len(calls)+len(notices) != 2 { // a second call, or the end of the message
 				t.Errorf("calls %v, notices %v", calls, notices)
 			}
-			if tt.after && (len(notices) != 1 || notices[0].Status != deferred) {
+			if tt.after && (len(notices) != 1 || notices[0].Status != notifier.StatusDeferred) {
 				t.Errorf("calls %v, notices %v", calls, notices)
 			}
 			if len(again) > 0 {
@@ -494,7 +495,7 @@
 	next := p.start()
 	p.until("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	p.kill(next)
-	if calls, notices := p.sent(), p.noticesOf(next); len(calls) != 1 || len(notices) != 1 || notices[0] != (journal.Notification{ID: "m", Status: undeliverable}) {
+	if calls, notices := p.sent(), p.noticesOf(next); len(calls) != 1 || len(notices) != 1 || notices[0] != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("calls %v, notices %v", calls, notices)
 	}
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -45,8 +45,8 @@
 	fleetSaid struct{ live.PeerAssessment }
 	// watchEnded says that the watch on discovery ended or could not be had.
 	watchEnded struct{}
-	// received says that the platform has notices.
-	received struct{ ids []string }
+	// notificationsReceived says that the platform has notices.
+	notificationsReceived struct{ ids []string }
 	// stopSending says that the process is about to end.
 	stopSending struct{}
 	// takeover is a newer process that asks for the folder.
@@ -80,7 +80,7 @@
 
 func (watchEnded) apply(l *loop) { l.events = append(l.events, policy.WatchFailed{}) }
 
-func (e received) apply(l *loop) {
+func (e notificationsReceived) apply(l *loop) {
 	for _, id := range e.ids {
 		if m := l.messages[id]; m != nil {
 			l.end(m)
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -13,6 +13,7 @@
 	"milletsail/internal/instant"
 	"milletsail/internal/relay/listener"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/socket"
 )
 
@@ -21,7 +22,7 @@
 const patience = 500 * time.Millisecond
 
 // fixedRoom is for what a process has open whatever its load: files, listeners, discovery, operators, the runtime.
-const fixedRoom = 22 + lanes
+const fixedRoom = 22 + notifier.MaxSinglePosts
 
 // minShare of the room for clients' connections is left to a new process while the one before has the rest.
 const minShare = 0.25
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -19,6 +19,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/notifier"
 )
 
 // inherits has the platform hold the clients' socket.
@@ -147,7 +148,7 @@
 		t.Errorf("%s is sent again", id)
 	}
 	p.until("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "unsafe", Status: undeliverable}) {
+	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "unsafe", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("notices %v", n)
 	}
 }
--- a/internal/relay/list_flow_test.go
+++ b/internal/relay/list_flow_test.go
@@ -61,7 +61,7 @@
 		indexes <- a.index()
 		a.keepAlive()
 	}
-	w.redirect(strings.TrimPrefix(p.discovery.URL, "http://"))
+	w.Redirect(strings.TrimPrefix(p.discovery.URL, "http://"))
 	if index := receive(t, indexes); index != "40" {
 		t.Errorf("index %s", index)
 	}
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -10,6 +10,7 @@
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/upstream"
 	"milletsail/policy"
 )
@@ -29,6 +30,11 @@
 	overdue bool               // reported as held past its time
 }
 
+// notificationQueue takes notifications for the platform, and never blocks.
+type notificationQueue interface {
+	Enqueue(n journal.Notification)
+}
+
 // loop owns the dispatcher and the journal: nothing else touches their state. It batches events by tick,
 // hands them to the module, and carries out what that decides. It never waits for a socket.
 type loop struct {
@@ -38,7 +44,7 @@
 	inbox    chan event
 	pool     *upstream.Pool
 	watch    *watcher
-	notices  *notifier
+	notifier notificationQueue
 	peers    *peers
 	shared   *live.Service // nil where nothing is shared
 	zoning   *zoning       // nil where zones are off
@@ -54,7 +60,7 @@
 	sends    []send     // of this batch
 	effects  []func()   // of this batch, once its records are written
 	// unrecorded are the notices whose messages' ends are not on disk yet.
-	unrecorded []unrecordedNotice
+	unrecorded []unrecordedNotification
 
 	gate      *gate
 	owner     *journal.Ownership
@@ -138,7 +144,7 @@
 		wait = min(wait, storeEvery)
 	}
 	for _, n := range l.unrecorded {
-		wait = min(wait, max(0, clock.Until(n.expires)))
+		wait = min(wait, max(0, clock.Until(n.expiresAt)))
 	}
 	return wait
 }
@@ -171,9 +177,9 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case policy.Reject:
-			l.refuse(l.messages[a.ID], verdict{http.StatusTooManyRequests, a.RetryAfter}, deferred, a.Reason)
+			l.refuse(l.messages[a.ID], verdict{http.StatusTooManyRequests, a.RetryAfter}, notifier.StatusDeferred, a.Reason)
 		case policy.Fail:
-			l.refuse(l.messages[a.ID], verdict{status: http.StatusBadGateway}, undeliverable, a.Reason)
+			l.refuse(l.messages[a.ID], verdict{status: http.StatusBadGateway}, notifier.StatusUndeliverable, a.Reason)
 		}
 	}
 	l.admitted()
--- a/internal/relay/notices_capacity_bench_test.go
+++ b/internal/relay/notifier/notifier_capacity_bench_test.go
@@ -1,4 +1,4 @@
-package relay
+package notifier
 
 import (
 	"fmt"
@@ -25,11 +25,11 @@
 			}))
 			defer platform.Close()
 			arrived := make(chan int, notices)
-			n := newNotifier(strings.TrimPrefix(platform.URL, "http://"), func(ids []string) { arrived <- len(ids) })
-			go n.run(b.Context())
+			n := New(strings.TrimPrefix(platform.URL, "http://"), func(ids []string) { arrived <- len(ids) })
+			go n.Run(b.Context())
 			for b.Loop() {
 				for i := range notices {
-					n.owe(journal.Notification{ID: fmt.Sprintf("%016x", i), Status: deferred, RetryAfterMS: 500})
+					n.Enqueue(journal.Notification{ID: fmt.Sprintf("%016x", i), Status: StatusDeferred, RetryAfterMS: 500})
 				}
 				for left := notices; left > 0; {
 					left -= <-arrived
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notifier/notifier_test.go
@@ -1,4 +1,4 @@
-package relay
+package notifier
 
 import (
 	"context"
@@ -17,12 +17,12 @@
 
 // A body holds what the protocol allows, and the rest of what is owed waits for the next one.
 func TestNoticesOfABody(t *testing.T) {
-	n := newNotifier("127.0.0.1:0", nil)
+	n := New("127.0.0.1:0", nil)
 	const owed = 1000
 	for i := range owed {
-		n.owe(journal.Notification{ID: fmt.Sprintf("%04d%s", i, strings.Repeat("\x01", 100)), Status: deferred, RetryAfterMS: 5})
+		n.Enqueue(journal.Notification{ID: fmt.Sprintf("%04d%s", i, strings.Repeat("\x01", 100)), Status: StatusDeferred, RetryAfterMS: 5})
 	}
-	batch, body := n.next()
+	batch, body := n.nextBatch()
 	if len(batch) == 0 || len(batch) == owed || len(body) > protocol.MaxBodySize {
 		t.Fatalf("%d notices in %d bytes", len(batch), len(body))
 	}
@@ -47,7 +47,7 @@
 func TestNoticeBesideSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan []string, 1)
-		n := newNotifier("platform", func(ids []string) { got <- ids })
+		n := New("platform", func(ids []string) { got <- ids })
 		posts := 0
 		n.client.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			if posts++; posts == 1 {
@@ -56,9 +56,9 @@
 			}
 			return &http.Response{StatusCode: http.StatusNoContent, Body: http.NoBody}, nil
 		})
-		go n.run(t.Context())
+		go n.Run(t.Context())
 		owed := time.Now()
-		n.owe(journal.Notification{ID: "m", Status: deferred})
+		n.Enqueue(journal.Notification{ID: "m", Status: StatusDeferred})
 		if ids := <-got; len(ids) != 1 || ids[0] != "m" {
 			t.Errorf("received %v", ids)
 		}
@@ -68,6 +68,22 @@
 	})
 }
 
+// platformUntil stands for a platform that receives all notifications but the one of message "odd", up to a time: a post with
+// that one hangs, or is answered 400.
+func platformUntil(healed time.Time, hangs bool) roundTrip {
+	return func(r *http.Request) (*http.Response, error) {
+		body, _ := io.ReadAll(r.Body)
+		switch odd := strings.Contains(string(body), `"odd"`) && time.Now().Before(healed); {
+		case odd && hangs:
+			<-r.Context().Done()
+			return nil, r.Context().Err()
+		case odd:
+			return &http.Response{StatusCode: http.StatusBadRequest, Body: http.NoBody}, nil
+		}
+		return &http.Response{StatusCode: http.StatusNoContent, Body: http.NoBody}, nil
+	}
+}
+
 // A notice that the platform does not take for its form, or whose post hangs each time, holds up no other beyond 300 ms, and
 // gets there itself once the platform takes it; nothing is received twice.
 func TestNoticeThatIsNotTaken(t *testing.T) {
@@ -79,32 +95,22 @@
 				at time.Time
 			}
 			got := make(chan receipt, 1000)
-			n := newNotifier("platform", func(ids []string) {
+			n := New("platform", func(ids []string) {
 				for _, id := range ids {
 					got <- receipt{id, time.Now()}
 				}
 			})
 			healed := time.Now().Add(5 * time.Second)
-			n.client.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
-				body, _ := io.ReadAll(r.Body)
-				switch odd := strings.Contains(string(body), `"odd"`) && time.Now().Before(healed); {
-				case odd && hangs:
-					<-r.Context().Done()
-					return nil, r.Context().Err()
-				case odd:
-					return &http.Response{StatusCode: http.StatusBadRequest, Body: http.NoBody}, nil
-				}
-				return &http.Response{StatusCode: http.StatusNoContent, Body: http.NoBody}, nil
-			})
-			go n.run(ctx)
+			n.client.Transport = platformUntil(healed, hangs)
+			go n.Run(ctx)
 			due := map[string]time.Time{"odd": healed}
 			for i := range 40 {
 				for _, id := range []string{fmt.Sprint(i, "a"), fmt.Sprint(i, "b")} {
 					due[id] = time.Now()
-					n.owe(journal.Notification{ID: id, Status: deferred})
+					n.Enqueue(journal.Notification{ID: id, Status: StatusDeferred})
 				}
 				if i == 3 {
-					n.owe(journal.Notification{ID: "odd", Status: undeliverable})
+					n.Enqueue(journal.Notification{ID: "odd", Status: StatusUndeliverable})
 				}
 				time.Sleep(30 * time.Millisecond)
 			}
@@ -112,7 +118,7 @@
 				r := <-got
 				most := 300 * time.Millisecond
 				if r.id == "odd" {
-					most = postAgainMost + postTime
+					most = maxRetryBackoff + postTimeout
 				}
 				at, owed := due[r.id]
 				if late := r.at.Sub(at); !owed || late > most {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -16,6 +16,7 @@
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/upstream"
 	"milletsail/internal/settings"
 	"milletsail/policy"
@@ -89,7 +90,8 @@
 	l.watch = newWatcher(cfg.Discovery, fleetSpread(&cfg.Settings), func(b listBatch) { l.put(b) }, func() { l.put(watchEnded{}) })
 	l.watch.maxList = int64(listMemory * cfg.Limits.MemoryMB * 1e6)
 	l.watch.prompt = before != nil // the process before had a watch until now, and no other relay starts for that
-	l.notices = newNotifier(cfg.Discovery, func(ids []string) { l.put(received{ids}) })
+	notifications := notifier.New(cfg.Discovery, func(ids []string) { l.put(notificationsReceived{ids}) })
+	l.notifier = notifications
 	l.peers = newPeers(cfg, func(from int, note []byte) {
 		if l.shared.Accepts(note) {
 			l.shared.Receive(from, note)
@@ -120,7 +122,7 @@
 	var work sync.WaitGroup
 	work.Go(func() { l.run(live) })
 	work.Go(func() { l.watch.run(deciding) })
-	work.Go(func() { l.notices.run(deciding) })
+	work.Go(func() { notifications.Run(deciding) })
 	work.Go(func() { l.peers.run(deciding) })
 	work.Go(func() { l.shared.Run(deciding) })
 	if before != nil {
@@ -130,7 +132,7 @@
 	go func() { served <- srv.http.Serve(gate) }()
 	counters.Serving.Store(true)
 
-	work.Go(func() { l.follows(live, discovery) }) // to the end: notices are owed while it drains too
+	work.Go(func() { followDiscovery(live, discovery, l.watch, notifications) }) // to the end: notices are owed while it drains too
 	select {
 	case err = <-served:
 	case <-l.ceded:
@@ -148,16 +150,20 @@
 	return nil
 }
 
-// follows moves the watch and the notices to each new address of discovery until ctx ends.
-func (l *loop) follows(ctx context.Context, discovery <-chan string) {
+// redirectable is a client of discovery.
+type redirectable interface{ Redirect(discovery string) }
+
+// followDiscovery moves discovery's clients, in their order, to each new address of discovery until ctx ends.
+func followDiscovery(ctx context.Context, addresses <-chan string, clients ...redirectable) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case address := <-discovery:
+		case address := <-addresses:
 			slog.Info("discovery moved", "address", address)
-			l.watch.redirect(address)
-			l.notices.redirect(address)
+			for _, client := range clients {
+				client.Redirect(address)
+			}
 		}
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,6 +18,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/protocol"
 	"milletsail/policy"
 )
@@ -162,7 +163,7 @@
 	p.start()
 	p.take("order", "m", "0.4")
 	p.until("the notice is received", func() bool { return len(p.told()) > 0 })
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "m", Status: undeliverable}) {
+	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("notices: %v", n)
 	}
 	if p.deaf != 0 {
@@ -180,7 +181,7 @@
 		p.start()
 		p.take("status", "m", "20")
 		p.until("it is over", func() bool { return len(p.sent()) > 0 && len(readEntries(t, p.dir)) == 0 })
-		if n := p.told(); len(n) != want || want > 0 && n[0].Status != deferred {
+		if n := p.told(); len(n) != want || want > 0 && n[0].Status != notifier.StatusDeferred {
 			t.Errorf("%d: notices %v", status, n)
 		}
 		if c := p.sent(); len(c) != 1 {
@@ -234,7 +235,7 @@
 			}
 			if n := p.told(); len(n) != map[bool]int{true: 0, false: 1}[tt.again] {
 				t.Errorf("notices %v", n)
-			} else if tt.class == "order" && n[0].Status != undeliverable {
+			} else if tt.class == "order" && n[0].Status != notifier.StatusUndeliverable {
 				t.Errorf("an unsafe message that may have run was handed back: %v", n)
 			}
 		})
@@ -277,7 +278,7 @@
 			if again > time.Second {
 				t.Errorf("sent again after %v", again)
 			}
-			if !tt.again && (len(calls) != 1 || len(told) != 1 || told[0].Status != deferred) {
+			if !tt.again && (len(calls) != 1 || len(told) != 1 || told[0].Status != notifier.StatusDeferred) {
 				t.Errorf("calls %v, notices %v", calls, told)
 			}
 			if tt.again && len(calls)+len(told) != 2 { // once more, or, on a machine too slow for that, its end
@@ -434,7 +435,7 @@
 	p.dir = dir
 	p.start()
 	p.until("its notice is received", func() bool { return len(p.told()) == 1 })
-	if n := p.told()[0]; n != (journal.Notification{ID: "m", Status: undeliverable}) {
+	if n := p.told()[0]; n != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("notice %v", n)
 	}
 }
@@ -530,7 +531,7 @@
 	for _, n := range p.told() {
 		status[n.ID] = n.Status
 	}
-	if len(status) != 2 || status["short"] != deferred || status["once"] != undeliverable {
+	if len(status) != 2 || status["short"] != notifier.StatusDeferred || status["once"] != notifier.StatusUndeliverable {
 		t.Errorf("notices %v", status)
 	}
 	if c := p.sent(); len(c) != 2 || strings.Count(c[0], " ") != 3 || c[1] != "other" {
@@ -690,7 +691,7 @@
 			t.Fatal(err)
 		}
 		l := &loop{cfg: &Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3),
-			messages: map[string]*message{}, list: listAt(7), notices: &notifier{}}
+			messages: map[string]*message{}, list: listAt(7), notifier: &notifier.Notifier{}}
 		l.cfg.policy.Classes = []policy.Class{{Name: "status"}}
 		start := time.Now()
 		hand := func(id string, left time.Duration) *arrival {
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -47,7 +47,7 @@
 		addresses := []string{"a:1", "b:1"}
 		for i := range moves {
 			time.Sleep(between)
-			w.redirect(addresses[i%2])
+			w.Redirect(addresses[i%2])
 		}
 		time.Sleep(askWithin)
 		cancel()
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -5,6 +5,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/notifier"
 	"milletsail/policy"
 )
 
@@ -44,12 +45,12 @@
 		if e.PendingNotification != nil {
 			m.over = true
 			l.settle(m)
-			l.notices.owe(*e.PendingNotification)
+			l.notifier.Enqueue(*e.PendingNotification)
 			continue // a call of it that is still out follows below
 		}
 		class := l.class(e.Class)
 		if class < 0 { // the settings have changed, and the module could not end it
-			l.refuse(m, verdict{}, undeliverable, policy.ReasonNone)
+			l.refuse(m, verdict{}, notifier.StatusUndeliverable, policy.ReasonNone)
 			continue
 		}
 		// Whatever the folder says, no message has more time than its class.
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -13,6 +13,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/notifier"
 )
 
 // While calls hang, a planned end leaves their messages on disk for the next process, in time before the platform kills the
@@ -57,7 +58,7 @@
 	if !slices.Equal(calls, []string{"payment", "status"}) {
 		t.Errorf("made again: %v", calls)
 	}
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: undeliverable}) {
+	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("notices %v", n)
 	}
 }
@@ -129,7 +130,7 @@
 		{"its call noted, perhaps not written", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now()}}}, 0, 1},
 		{"its call's end noted as never run", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(), Ended: true, NotExecuted: true}}}, 1, 0},
 		{"its call's end noted, its own not", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(), Ended: true}}}, 0, 1},
-		{"its notice owed, perhaps received", journal.Entry{PendingNotification: &journal.Notification{ID: "m", Status: undeliverable}}, 0, 1},
+		{"its notice owed, perhaps received", journal.Entry{PendingNotification: &journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}}, 0, 1},
 	} {
 		t.Run(strings.ReplaceAll(tt.name, " ", "_"), func(t *testing.T) {
 			p := newPlatform(t)
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -9,6 +9,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/notifier"
 	"milletsail/policy"
 )
 
@@ -35,6 +36,11 @@
 	return f.File.Write(b)
 }
 
+// recordedNotifications keep what is enqueued.
+type recordedNotifications []journal.Notification
+
+func (r *recordedNotifications) Enqueue(n journal.Notification) { *r = append(*r, n) }
+
 // The platform is told of a message's end once that is on disk, since a process after a kill would else send the message
 // on; or once its time is up, when no process does.
 func TestNoticeWaitsForItsRecord(t *testing.T) {
@@ -54,23 +60,23 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			notices := &notifier{wanted: make(chan struct{}, 1)}
-			l := &loop{cfg: &Config{}, d: d, metrics: metrics.New(classes), journal: kept, messages: map[string]*message{}, list: listAt(7), notices: notices}
+			var queue recordedNotifications
+			l := &loop{cfg: &Config{}, d: d, metrics: metrics.New(classes), journal: kept, messages: map[string]*message{}, list: listAt(7), notifier: &queue}
 			l.cfg.policy.Classes = classes
 			m := &message{Entry: &journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left)}}
 			l.messages["m"] = m
 			kept.Accept(m.Entry)
 			l.commit()
 			disk.full.Store(true)
-			l.refuse(m, verdict{}, deferred, policy.ReasonNoTimeLeft)
+			l.refuse(m, verdict{}, notifier.StatusDeferred, policy.ReasonNoTimeLeft)
 			l.commit()
-			if len(notices.owed) != c.before {
-				t.Errorf("%d notices while nothing can be written, want %d", len(notices.owed), c.before)
+			if len(queue) != c.before {
+				t.Errorf("%d notices while nothing can be written, want %d", len(queue), c.before)
 			}
 			disk.full.Store(false)
 			l.stored(kept.Commit() == nil)
-			if len(notices.owed) != 1 {
-				t.Errorf("%d notices once it is written", len(notices.owed))
+			if len(queue) != 1 {
+				t.Errorf("%d notices once it is written", len(queue))
 			}
 		})
 	}
@@ -79,7 +85,7 @@
 // What a journal that could not be written lacks, the process before tells: attempts may have run, and an end stays one.
 func TestUnwrittenJournalIsMadeUpFor(t *testing.T) {
 	e := &journal.Entry{ID: "m", Attempts: []journal.Attempt{{Host: "h1", Ended: true, NotExecuted: true}}}
-	liveMessage{Attempts: 3, Owed: &journal.Notification{ID: "m", Status: deferred}}.agree(e)
+	liveMessage{Attempts: 3, Owed: &journal.Notification{ID: "m", Status: notifier.StatusDeferred}}.agree(e)
 	if len(e.Attempts) != 3 || !e.Attempts[2].Uncertain || e.Attempts[2].NotExecuted || e.PendingNotification == nil {
 		t.Errorf("%+v", e)
 	}
--- a/internal/relay/upstream/deadline_test.go
+++ b/internal/relay/upstream/deadline_test.go
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer connection.Close()
+		defer func() { _ = connection.Close() }()
 		call := Call{Addr: addr, Timeout: long, ResponseDeadline: c.by, Messages: []Message{{ID: "a"}, {ID: "b"}}}
 		got, reuse := pool.roundTrip(ctx, connection, call)
 		if !slices.Equal(got, []Result{c.want, c.want}) || reuse != (c.want == delivered) {
@@ -62,7 +62,7 @@
 	if err != nil {
 		return false
 	}
-	defer request.Body.Close()
+	defer func() { _ = request.Body.Close() }()
 	_, err = io.Copy(io.Discard, request.Body)
 	return err == nil
 }
@@ -101,7 +101,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer connection.Close()
+			defer func() { _ = connection.Close() }()
 			raw := connection.Conn
 			held := &heldUp{Conn: raw, until: func() {
 				<-answered
--- a/internal/relay/upstream/helpers_test.go
+++ b/internal/relay/upstream/helpers_test.go
@@ -28,7 +28,7 @@
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				serve(c)
 			}()
 		}
--- a/internal/relay/upstream/pool_capacity_bench_test.go
+++ b/internal/relay/upstream/pool_capacity_bench_test.go
@@ -22,7 +22,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer listener.Close()
+			defer func() { _ = listener.Close() }()
 			serve := answering("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			go func() {
 				for {
@@ -31,7 +31,7 @@
 						return
 					}
 					go func() {
-						defer conn.Close()
+						defer func() { _ = conn.Close() }()
 						serve(conn)
 					}()
 				}
--- a/internal/relay/upstream/pool_test.go
+++ b/internal/relay/upstream/pool_test.go
@@ -255,7 +255,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer syscall.Close(fd)
+	defer func() { _ = syscall.Close(fd) }()
 	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, 0)); err != nil {
 		t.Fatal(err)
 	}
@@ -269,7 +269,7 @@
 		if err != nil {
 			break
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 	}
 	p := NewPool(50*time.Millisecond, 10*time.Second, 4, &atomic.Int64{})
 	if got := p.Do(t.Context(), testCall(addr))[0]; got.Outcome != policy.ConnectError || p.written.Load() != 0 {
