--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -34,7 +34,7 @@
 		// The module has one timer and asks anew only where the one it has is no use to it any more.
 		l.wakeAt = now.Add(a.After)
 	case policy.Subscribe:
-		l.watch.ask()
+		l.watch.Request()
 	case policy.Broadcast:
 		l.effects = append(l.effects, func() { l.tell(a.Message) })
 	case policy.PersistHealth:
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"milletsail/internal/endpoints"
 	"milletsail/internal/fleet/live"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/discovery"
 	"milletsail/internal/relay/upstream"
 	"milletsail/policy"
 )
@@ -34,11 +34,8 @@
 		took    time.Duration
 		upstream.Result
 	}
-	// listBatch is a part of an object that discovery sent. The watch goes on once applied is closed.
-	listBatch struct {
-		endpoints.Batch
-		applied chan struct{}
-	}
+	// batchReceived is a part of an object that discovery sent.
+	batchReceived struct{ discovery.Batch }
 	// heard is a note of another relay.
 	heard struct{ note []byte }
 	// fleetSaid is what the other relays have found out together.
@@ -70,7 +67,7 @@
 	}
 }
 
-func (e listBatch) apply(l *loop) { l.acceptBatch(e) }
+func (e batchReceived) apply(l *loop) { l.acceptBatch(e.Batch) }
 
 func (e heard) apply(l *loop) { l.events = append(l.events, policy.GossipReceived{Message: e.note}) }
 
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -7,6 +7,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/endpoints"
+	"milletsail/internal/relay/discovery"
 	"milletsail/internal/settings"
 	"milletsail/policy"
 )
@@ -33,10 +34,10 @@
 	seq      int64            // of the last object that is complete
 	clocks   clock.Pair       // as of the start: what translates the wall times in the list, which all machines read from one clock
 
-	replacing bool        // the entries of the present object are marked, since it may be a whole list
-	changes   int         // of the present object
-	removing  *listBatch  // the last batch of a whole list, while entries that it did not name are removed
-	waiting   []listBatch // came meanwhile
+	replacing bool              // the entries of the present object are marked, since it may be a whole list
+	changes   int               // of the present object
+	removing  *discovery.Batch  // the last batch of a whole list, while entries that it did not name are removed
+	waiting   []discovery.Batch // came meanwhile
 }
 
 // endpoint translates an entry into the policy's terms.
@@ -69,7 +70,7 @@
 }
 
 // acceptBatch applies a batch of the watch, or keeps it until the list before it is complete.
-func (l *loop) acceptBatch(b listBatch) {
+func (l *loop) acceptBatch(b discovery.Batch) {
 	if l.list.removing != nil {
 		l.list.waiting = append(l.list.waiting, b)
 		return
@@ -80,7 +81,7 @@
 	l.updateList(b.Batch)
 	switch {
 	case !b.End:
-		close(b.applied)
+		close(b.Applied)
 	case b.Complete && l.list.replacing:
 		l.list.removing = &b // the watch waits until the whole list is in force
 	default:
@@ -222,10 +223,10 @@
 }
 
 // completeList notes that all of an object is in force, and has the watch go on.
-func (l *loop) completeList(last listBatch) {
+func (l *loop) completeList(last discovery.Batch) {
 	l.list.commit(last.Seq)
 	if l.list.changes > loggedChanges || last.Complete {
 		slog.Info("list changed", "seq", last.Seq, "whole", last.Complete, "changes", l.list.changes, "endpoints", l.list.table.Len())
 	}
-	close(last.applied)
+	close(last.Applied)
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -9,6 +9,7 @@
 	"milletsail/internal/fleet/live"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/discovery"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/upstream"
@@ -43,7 +44,7 @@
 	journal  *journal.Journal
 	inbox    chan event
 	pool     *upstream.Pool
-	watch    *watcher
+	watch    *discovery.Watcher
 	notifier notificationQueue
 	peers    *peers
 	shared   *live.Service // nil where nothing is shared
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -15,6 +15,7 @@
 	"milletsail/internal/fleet"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/discovery"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/upstream"
@@ -33,10 +34,14 @@
 	goneBy    = 3650 * time.Millisecond // until then clients may read the last answers
 )
 
+// listMemoryShare is the share of a relay's memory that one list may be as long as: an entry takes no more room in the table
+// than as JSON.
+const listMemoryShare = 0.5
+
 // Run runs a relay until ctx ends, and then brings it to an orderly end: it goes on serving for as long as
 // clients may still come, and leaves what is not delivered by then to the journal in dir. Each address that
-// comes on discovery takes the place of the one in cfg.
-func Run(ctx context.Context, cfg *Config, dir string, discovery <-chan string) error {
+// comes on addresses takes the place of the one in cfg.
+func Run(ctx context.Context, cfg *Config, dir string, addresses <-chan string) error {
 	list := &endpointList{settings: &cfg.Settings, clocks: clock.ReadPair()}
 	cfg.policy.Directory = list
 	d, err := policy.New(cfg.policy, cfg.seed)
@@ -87,9 +92,10 @@
 		pool: upstream.NewPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.policy.IdleConnTimeout,
 			max(1, int(hostShare*float64(cfg.Limits.Sockets))), &counters.UpstreamRequests),
 		gate: gate, owner: owner, ceded: make(chan bool), retired: retired}
-	l.watch = newWatcher(cfg.Discovery, fleetSpread(&cfg.Settings), func(b listBatch) { l.put(b) }, func() { l.put(watchEnded{}) })
-	l.watch.maxList = int64(listMemory * cfg.Limits.MemoryMB * 1e6)
-	l.watch.prompt = before != nil // the process before had a watch until now, and no other relay starts for that
+	l.watch = discovery.New(cfg.Discovery, discovery.RequestJitter(&cfg.Settings), func(b discovery.Batch) { l.put(batchReceived{b}) },
+		func() { l.put(watchEnded{}) })
+	l.watch.MaxListSize = int64(listMemoryShare * cfg.Limits.MemoryMB * 1e6)
+	l.watch.Immediate = before != nil // the process before had a watch until now, and no other relay starts for that
 	notifications := notifier.New(cfg.Discovery, func(ids []string) { l.put(notificationsReceived{ids}) })
 	l.notifier = notifications
 	l.peers = newPeers(cfg, func(from int, note []byte) {
@@ -121,7 +127,7 @@
 	l.restore(before, off) // clients wait to be served until this is done
 	var work sync.WaitGroup
 	work.Go(func() { l.run(live) })
-	work.Go(func() { l.watch.run(deciding) })
+	work.Go(func() { l.watch.Run(deciding) })
 	work.Go(func() { notifications.Run(deciding) })
 	work.Go(func() { l.peers.run(deciding) })
 	work.Go(func() { l.shared.Run(deciding) })
@@ -132,7 +138,7 @@
 	go func() { served <- srv.http.Serve(gate) }()
 	counters.Serving.Store(true)
 
-	work.Go(func() { followDiscovery(live, discovery, l.watch, notifications) }) // to the end: notices are owed while it drains too
+	work.Go(func() { followDiscovery(live, addresses, l.watch, notifications) }) // to the end: notices are owed while it drains too
 	select {
 	case err = <-served:
 	case <-l.ceded:
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -16,7 +16,7 @@
 	if l.zoning != nil && len(l.zoning.pending) > 0 {
 		l.step() // an order goes on before anything is sent
 	}
-	l.watch.seq = l.list.seq
+	l.watch.Version = l.list.seq
 	out := map[string]attemptOut{}
 	if off != nil {
 		for _, a := range off.Out {
