--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -38,6 +38,8 @@
 	deposeTime = time.Second
 	// askAgainOwn is the wait between tries for the folder.
 	askAgainOwn = 10 * time.Millisecond
+	// listenRetryInterval is the wait between attempts to listen in the folder.
+	listenRetryInterval = time.Second
 	// linkTime bounds a write to the other process, linkRoom the lines that wait for it.
 	linkTime, linkRoom = time.Second, 4096
 	// closeTime is what the system gets to close the connections of a process that died, whose calls are else
@@ -169,7 +171,7 @@
 	go func() {
 		for err != nil {
 			slog.Error("no newer process can take over yet", "err", err)
-			if !clock.Sleep(ctx, listenAgain) {
+			if !clock.Sleep(ctx, listenRetryInterval) {
 				return
 			}
 			bound, err = listenInFolder(dir)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -10,6 +10,7 @@
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/discovery"
+	"milletsail/internal/relay/gossip"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/upstream"
@@ -46,7 +47,7 @@
 	pool     *upstream.Pool
 	watch    *discovery.Watcher
 	notifier notificationQueue
-	peers    *peers
+	gossip   *gossip.Transport
 	shared   *live.Service // nil where nothing is shared
 	zoning   *zoning       // nil where zones are off
 	metrics  *metrics.Metrics
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -16,6 +16,7 @@
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/discovery"
+	"milletsail/internal/relay/gossip"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/upstream"
@@ -98,17 +99,8 @@
 	l.watch.Immediate = before != nil // the process before had a watch until now, and no other relay starts for that
 	notifications := notifier.New(cfg.Discovery, func(ids []string) { l.put(notificationsReceived{ids}) })
 	l.notifier = notifications
-	l.peers = newPeers(cfg, func(from int, note []byte) {
-		if l.shared.Accepts(note) {
-			l.shared.Receive(from, note)
-			return
-		}
-		select {
-		case l.inbox <- heard{note}:
-		default: // the loop has more to do than it can: a note may be lost
-		}
-	})
-	if cfg.Fleet && l.peers != nil {
+	l.gossip = gossip.New(gossipOptions(cfg), l.receiveGossip)
+	if cfg.Fleet && l.gossip != nil {
 		l.shared = l.share(dir)
 		operators.offer("fleet", alone(l.shared.JSON))
 	}
@@ -129,7 +121,7 @@
 	work.Go(func() { l.run(live) })
 	work.Go(func() { l.watch.Run(deciding) })
 	work.Go(func() { notifications.Run(deciding) })
-	work.Go(func() { l.peers.run(deciding) })
+	work.Go(func() { l.gossip.Run(deciding) })
 	work.Go(func() { l.shared.Run(deciding) })
 	if before != nil {
 		go l.follow(before, off)
@@ -156,6 +148,11 @@
 	return nil
 }
 
+// gossipOptions are those of the configuration.
+func gossipOptions(cfg *Config) gossip.Options {
+	return gossip.Options{Allowed: cfg.policy.Gossip, Listen: cfg.PeerListen, Broadcast: cfg.PeersAll, Peers: cfg.Peers, Self: cfg.Settings.Ordinal}
+}
+
 // redirectable is a client of discovery.
 type redirectable interface{ Redirect(discovery string) }
 
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -15,9 +15,9 @@
 	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(), Zone: s.Az, Seed: uint64(l.cfg.seed),
 		Send: func(to int, note []byte) {
 			if to == fleet.Everyone {
-				l.peers.tell(note)
+				l.gossip.Broadcast(note)
 			} else {
-				l.peers.tellOne(to, note)
+				l.gossip.Send(to, note)
 			}
 		},
 		OnAssessment: func(said live.PeerAssessment) { l.offer(fleetSaid{said}) },
@@ -28,6 +28,15 @@
 		}})
 }
 
+// receiveGossip hands a message of another relay to the service that it is for; for the goroutine of the gossip transport.
+func (l *loop) receiveGossip(from int, message []byte) {
+	if l.shared.Accepts(message) {
+		l.shared.Receive(from, message)
+		return
+	}
+	l.offer(heard{message})
+}
+
 // offer hands the loop an event that may be lost, where it has more to do than it can.
 func (l *loop) offer(e event) {
 	select {
@@ -40,7 +49,7 @@
 func (l *loop) tell(note []byte) {
 	o, ok := policy.ReadNote(note)
 	if l.shared == nil || !ok {
-		l.peers.tell(note)
+		l.gossip.Broadcast(note)
 		return
 	}
 	kind, key, value := fleet.KindDestinationClosed, strconv.Itoa(o.Destination), uint64(o.Wait.Milliseconds())
