--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -73,7 +73,7 @@
 
 func (e fleetSaid) apply(l *loop) { l.events = append(l.events, said(e.PeerAssessment)...) }
 
-func (e adminCall) apply(*loop) { e.reply <- e.answer() }
+func (e adminCommand) apply(*loop) { e.reply <- e.answer() }
 
 func (watchEnded) apply(l *loop) { l.events = append(l.events, policy.WatchFailed{}) }
 
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -143,7 +143,7 @@
 	p.set(func() { p.answer = func(*http.Request) int { return 0 } })
 	p.take("order", "late", "0.3")
 	p.until("its notice is received", func() bool { return len(p.told()) == 1 })
-	if got := ask(t, p.admin, "health\n"); got != "OK\n" {
+	if got := askOperator(t, p.admin, "health\n"); got != "OK\n" {
 		t.Errorf("health: %q", got)
 	}
 	p.set(func() { p.down = false })
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -337,7 +337,7 @@
 			busy = busy || m.cancel != nil && !l.orphaned
 		}
 		e.idle <- !busy
-	case adminCall:
+	case adminCommand:
 		e.reply <- "ERR a newer process has taken over"
 	case takeover:
 		e.link.close()
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -114,7 +114,7 @@
 	p.take("order", "to the new one", "25")
 	p.until("both are delivered beside the call that is out", func() bool { return len(p.sent()) == 3 })
 	p.until("their answers are counted", func() bool {
-		return strings.Contains(ask(t, p.admin, "counters\n"), "relay_pending 1\n")
+		return strings.Contains(askOperator(t, p.admin, "counters\n"), "relay_pending 1\n")
 	})
 	close(hold)
 	if err := old.exit(t); err != nil {
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -201,7 +201,7 @@
 	c := p.start()
 	p.untilMembers(manyHosts + 1)
 	p.until("the whole list is in force", func() bool {
-		return strings.Contains(ask(t, p.admin, "counters\n"), fmt.Sprint("relay_members ", manyHosts+1))
+		return strings.Contains(askOperator(t, p.admin, "counters\n"), fmt.Sprint("relay_members ", manyHosts+1))
 	})
 	if size := folderSize(t, p.dir); size > 3e6 {
 		t.Errorf("%d bytes are on disk", size)
--- a/internal/relay/list_platform_test.go
+++ b/internal/relay/list_platform_test.go
@@ -85,7 +85,7 @@
 // members is how many hosts the relay has on its list.
 func (p *platform) members() (n int) {
 	p.t.Helper()
-	for line := range strings.Lines(ask(p.t, p.admin, "counters\n")) {
+	for line := range strings.Lines(askOperator(p.t, p.admin, "counters\n")) {
 		_, _ = fmt.Sscanf(line, "relay_members %d", &n)
 	}
 	return n
--- a/internal/relay/listener/listener_test.go
+++ b/internal/relay/listener/listener_test.go
@@ -30,14 +30,14 @@
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 		syscall.EPERM, syscall.EINTR, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 		syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		failing := &failingListener{Listener: l, errno: errno}
 		failing.left.Store(2)
 		a := New(failing, "clients", new(metrics.ReasonCounters))
-		c, err := net.Dial("tcp", l.Addr().String())
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,14 +63,14 @@
 		if tries++; tries < 3 {
 			return nil, &net.OpError{Op: "listen", Net: "tcp", Err: syscall.EADDRINUSE}
 		}
-		return net.Listen("tcp", "127.0.0.1:0")
+		return (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	})
 	if err != nil || tries != 3 {
 		t.Fatalf("%d tries: %v", tries, err)
 	}
 	_ = l.Close()
 	begun := time.Now()
-	if _, err := Listen("clients", func() (net.Listener, error) { return net.Listen("tcp", "no address") }); err == nil || time.Since(begun) > listenTimeout/2 {
+	if _, err := Listen("clients", func() (net.Listener, error) { return (&net.ListenConfig{}).Listen(t.Context(), "tcp", "no address") }); err == nil || time.Since(begun) > listenTimeout/2 {
 		t.Errorf("after %v: %v", time.Since(begun), err)
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -15,6 +15,7 @@
 	"milletsail/internal/fleet"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/admin"
 	"milletsail/internal/relay/discovery"
 	"milletsail/internal/relay/gossip"
 	"milletsail/internal/relay/metrics"
@@ -50,13 +51,13 @@
 		return err
 	}
 	counters := metrics.New(cfg.policy.Classes)
-	var operators *adminServer
+	var operators *admin.Server
 	if cfg.Admin != "" {
-		if operators, err = openAdmin(cfg.Admin, counters); err != nil {
+		if operators, err = admin.Listen(cfg.Admin, counters); err != nil {
 			return err
 		}
-		defer operators.listener.Close()
-		go operators.serve()
+		defer func() { _ = operators.Close() }()
+		go operators.Serve()
 	}
 	gate, err := openGate(cfg, &counters.Reasons)
 	if err != nil {
@@ -102,7 +103,7 @@
 	l.gossip = gossip.New(gossipOptions(cfg), l.receiveGossip)
 	if cfg.Fleet && l.gossip != nil {
 		l.shared = l.share(dir)
-		operators.offer("fleet", alone(l.shared.JSON))
+		operators.Handle("fleet", admin.WithoutArguments(l.shared.JSON))
 	}
 	srv := newServer(cfg, &counters.Reasons, func(a *arrival) { l.put(a) }, func(a *arrival) { l.put(departure{a}) })
 	heir(deciding, dir, &counters.Reasons, func(k *link) { l.put(takeover{k}) })
@@ -110,12 +111,12 @@
 	defer func() { l.list.close() }()
 	l.openZones(dir)
 	if l.zoning != nil {
-		operators.offer("zone", l.askZones)
+		operators.Handle("zone", l.askZones)
 	}
 	if cfg.Newcomers {
-		operators.offer("servers", alone(func() string { return l.ask(l.servers) }))
+		operators.Handle("servers", admin.WithoutArguments(func() string { return l.askLoop(l.servers) }))
 	}
-	operators.offer("diagnostics", alone(counters.Reasons.Text))
+	operators.Handle("diagnostics", admin.WithoutArguments(counters.Reasons.Text))
 	l.restore(before, off) // clients wait to be served until this is done
 	var work sync.WaitGroup
 	work.Go(func() { l.run(live) })
--- a/internal/relay/stored_test.go
+++ b/internal/relay/stored_test.go
@@ -50,7 +50,7 @@
 	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
 	close(hold)
 	p.until("what may be repeated goes out", func() bool { return slices.Contains(p.sent(), "safe") })
-	p.until("the operators are told", func() bool { return strings.HasPrefix(ask(t, p.admin, "health\n"), "ERR nothing is taken on") })
+	p.until("the operators are told", func() bool { return strings.HasPrefix(askOperator(t, p.admin, "health\n"), "ERR nothing is taken on") })
 	resp := p.handIn("status", "late", "25")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("with a full disk: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
@@ -59,7 +59,7 @@
 		t.Error("a message that may not be repeated goes out without a record")
 	}
 	c.full(t, false)
-	p.until("it is taken on again", func() bool { return ask(t, p.admin, "health\n") == "OK\n" })
+	p.until("it is taken on again", func() bool { return askOperator(t, p.admin, "health\n") == "OK\n" })
 	p.until("the rest goes out", func() bool { return slices.Contains(p.sent(), "unsafe") })
 	p.take("status", "after", "25")
 	p.until("all are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
--- a/internal/relay/upstream/deadline_test.go
+++ b/internal/relay/upstream/deadline_test.go
@@ -3,9 +3,9 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"net"
-	"net/http"
 	"slices"
 	"strings"
 	"sync"
@@ -25,7 +25,7 @@
 func TestLateAnswerToASharedCall(t *testing.T) {
 	answered := `[{"id":"a","state":"delivered"},{"id":"b","state":"delivered"}]`
 	addr := rawHost(t, func(c net.Conn) {
-		if readRequest(c) {
+		if readCall(bufio.NewReader(c)) == nil {
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nX-Retry-In-Ms: 250\r\nContent-Length: 63\r\n\r\n" + answered))
 		}
 	})
@@ -56,17 +56,6 @@
 	}
 }
 
-// readRequest reads one request, and tells whether it came whole.
-func readRequest(c net.Conn) bool {
-	request, err := http.ReadRequest(bufio.NewReader(c))
-	if err != nil {
-		return false
-	}
-	defer func() { _ = request.Body.Close() }()
-	_, err = io.Copy(io.Discard, request.Body)
-	return err == nil
-}
-
 // An answer that has arrived counts although the time of its call is up when the relay comes to read it, as after it was held
 // up; a call that was given up on purpose has none.
 func TestAnswerThatHasArrived(t *testing.T) {
@@ -89,7 +78,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			answered := make(chan bool)
 			addr := rawHost(t, func(host net.Conn) {
-				if readRequest(host) {
+				if readCall(bufio.NewReader(host)) == nil {
 					_, _ = host.Write([]byte(c.answer))
 					close(answered)
 					<-t.Context().Done()
@@ -144,12 +133,16 @@
 }
 
 func (h *heldUp) SyscallConn() (syscall.RawConn, error) {
-	return h.Conn.(syscall.Conn).SyscallConn()
+	raw, ok := h.Conn.(syscall.Conn)
+	if !ok {
+		return nil, errors.ErrUnsupported
+	}
+	return raw.SyscallConn()
 }
 
 // endedCall is the context of a call that ends when a test says so.
 type endedCall struct {
-	context.Context
+	context.Context //nolint:containedctx // it stands for a context
 	over atomic.Bool
 	err  error
 }
@@ -175,13 +168,13 @@
 			t.Parallel()
 			began, reset := make(chan time.Time, 1), make(chan bool)
 			addr := rawHost(t, func(c net.Conn) {
-				if _, err := readCall(bufio.NewReader(c)); err != nil {
+				if err := readCall(bufio.NewReader(c)); err != nil {
 					return
 				}
 				_, _ = io.WriteString(c, tt.first)
 				began <- time.Now()
 				<-reset
-				_ = c.(*net.TCPConn).SetLinger(0)
+				resetAtClose(c)
 			})
 			p, call := testPool(), testCall(addr)
 			call.Timeout = time.Hour // a reset that is not noticed fails by the test's own end
--- a/internal/relay/upstream/helpers_test.go
+++ b/internal/relay/upstream/helpers_test.go
@@ -16,7 +16,7 @@
 // rawHost serves each connection to a host by a function.
 func rawHost(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,13 +36,20 @@
 	return l.Addr().String()
 }
 
-// readCall reads one whole request.
-func readCall(in *bufio.Reader) (*http.Request, error) {
+// readCall reads one complete request.
+func readCall(in *bufio.Reader) error {
 	r, err := http.ReadRequest(in)
 	if err == nil {
 		_, err = io.Copy(io.Discard, r.Body)
 	}
-	return r, err
+	return err
+}
+
+// resetAtClose has a connection end with a reset.
+func resetAtClose(c net.Conn) {
+	if tcp, ok := c.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
+	}
 }
 
 // answering gives every request of a connection the same answer.
@@ -50,7 +57,7 @@
 	return func(c net.Conn) {
 		in := bufio.NewReader(c)
 		for {
-			if _, err := readCall(in); err != nil {
+			if err := readCall(in); err != nil {
 				return
 			}
 			if _, err := io.WriteString(c, text); err != nil {
--- a/internal/relay/upstream/pool_capacity_bench_test.go
+++ b/internal/relay/upstream/pool_capacity_bench_test.go
@@ -18,7 +18,7 @@
 		room int
 	}{{"kept", 4}, {"new", 0}} {
 		b.Run(c.name, func(b *testing.B) {
-			listener, err := net.Listen("tcp", "127.0.0.1:0")
+			listener, err := (&net.ListenConfig{}).Listen(b.Context(), "tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -51,6 +51,7 @@
 
 // processorTime is what this process has spent in all.
 func processorTime(b *testing.B) time.Duration {
+	b.Helper()
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
--- a/internal/relay/upstream/pool_test.go
+++ b/internal/relay/upstream/pool_test.go
@@ -52,7 +52,7 @@
 		began, ended := make(chan bool, 1), make(chan error, 1)
 		addr := rawHost(t, func(c net.Conn) {
 			in := bufio.NewReader(c)
-			if _, err := readCall(in); err != nil {
+			if err := readCall(in); err != nil {
 				return
 			}
 			began <- true
@@ -90,7 +90,7 @@
 func TestCallWrittenInTimeOrNot(t *testing.T) {
 	calls := make(chan bool, 1)
 	addr := rawHost(t, func(c net.Conn) {
-		if _, err := readCall(bufio.NewReader(c)); err == nil {
+		if err := readCall(bufio.NewReader(c)); err == nil {
 			calls <- true
 		}
 	})
@@ -181,7 +181,7 @@
 		conns.Add(1)
 		in := bufio.NewReader(c)
 		for {
-			if _, err := readCall(in); err != nil {
+			if err := readCall(in); err != nil {
 				return
 			}
 			calls.Add(1)
@@ -226,7 +226,7 @@
 		sent := make(chan bool, 1)
 		addr := rawHost(t, func(c net.Conn) {
 			in := bufio.NewReader(c)
-			if _, err := readCall(in); err != nil {
+			if err := readCall(in); err != nil {
 				return
 			}
 			if conns.Add(1) > 1 {
@@ -236,7 +236,7 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			_, _ = io.WriteString(c, stray)
 			sent <- true
-			_, _ = readCall(in)
+			_ = readCall(in)
 		})
 		p := testPool()
 		if got := p.Do(t.Context(), testCall(addr))[0]; got.Outcome != policy.OK {
@@ -263,9 +263,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := fmt.Sprint("127.0.0.1:", name.(*syscall.SockaddrInet4).Port)
+	local, ok := name.(*syscall.SockaddrInet4)
+	if !ok {
+		t.Fatalf("an address %v", name)
+	}
+	addr := fmt.Sprint("127.0.0.1:", local.Port)
 	for range 9 { // until its queue is full and what comes is dropped
-		c, err := net.DialTimeout("tcp", addr, 100*time.Millisecond)
+		c, err := (&net.Dialer{Timeout: 100*time.Millisecond}).DialContext(t.Context(), "tcp", addr)
 		if err != nil {
 			break
 		}
--- a/internal/relay/upstream/response_test.go
+++ b/internal/relay/upstream/response_test.go
@@ -16,14 +16,14 @@
 )
 
 func TestOutcomes(t *testing.T) {
-	closed, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = closed.Close()
 	readThen := func(do func(c net.Conn)) string {
 		return rawHost(t, func(c net.Conn) {
-			if _, err := readCall(bufio.NewReader(c)); err == nil {
+			if err := readCall(bufio.NewReader(c)); err == nil {
 				do(c)
 			}
 		})
@@ -46,7 +46,7 @@
 		{"over", reply("HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent, Completed: true}},
 		{"connection refused", closed.Addr().String(), Result{Outcome: policy.ConnectError}},
 		{"closed with no answer", readThen(func(net.Conn) {}), Result{Outcome: policy.Reset}},
-		{"reset", readThen(func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) }), Result{Outcome: policy.Reset}},
+		{"reset", readThen(func(c net.Conn) { resetAtClose(c) }), Result{Outcome: policy.Reset}},
 		{"a head without end", readThen(func(c net.Conn) {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 			for err == nil {
@@ -60,7 +60,7 @@
 			Result{Outcome: policy.Reset}},
 		{"half a first line, then a reset", readThen(func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 ")
-			_ = c.(*net.TCPConn).SetLinger(0)
+			resetAtClose(c)
 		}), Result{Outcome: policy.Reset}},
 		{"half a first line, then silence", readThen(func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r")
@@ -178,7 +178,7 @@
 			gone := make(chan error, 1)
 			addr := rawHost(t, func(c net.Conn) {
 				in := bufio.NewReader(c)
-				if _, err := readCall(in); err != nil {
+				if err := readCall(in); err != nil {
 					return
 				}
 				_, _ = io.WriteString(c, tt.first)
@@ -200,7 +200,7 @@
 			if tt.rest != "" {
 				p.closeIdleIf(func(string, *conn) bool { return true })
 			}
-			receive(t, gone)
+			_ = receive(t, gone)
 		})
 	}
 }
--- a/internal/relay/zoning.go
+++ b/internal/relay/zoning.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return "ERR " + err.Error()
 	}
-	return l.ask(func() string { return l.zoneCalled(line) })
+	return l.askLoop(func() string { return l.zoneCalled(line) })
 }
 
 // zoneCalled answers an operator's line.
