--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -17,6 +17,7 @@
 
 	"milletsail/internal/compat"
 	"milletsail/internal/relay"
+	"milletsail/internal/relay/config"
 )
 
 // heapShare of the memory limit is the runtime's soft limit: in a takeover two processes share the limit, and the
@@ -45,13 +46,13 @@
 	}
 }
 
-func run(config, state string) error {
+func run(configPath, state string) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP) // first of all: unhandled it ends the process
 	if state == "" {
 		return fmt.Errorf("no folder for the journal: set NODE_STATE or -state")
 	}
-	cfg, err := relay.ReadConfigAtStart(config)
+	cfg, err := config.ReadAtStart(configPath)
 	if err != nil {
 		return err
 	}
@@ -59,5 +60,5 @@
 	debug.SetMemoryLimit(int64(heapShare * cfg.Limits.MemoryMB * (1 << 20)))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	return relay.Run(ctx, cfg, state, relay.Reloads(context.Background(), config, hup)) // to the end of the process
+	return relay.Run(ctx, cfg, state, config.Reloads(context.Background(), configPath, hup)) // to the end of the process
 }
--- a/internal/lab/faulty/main.go
+++ b/internal/lab/faulty/main.go
@@ -28,6 +28,7 @@
 	"milletsail/internal/journal"
 	"milletsail/internal/lab/relays"
 	"milletsail/internal/relay"
+	"milletsail/internal/relay/config"
 )
 
 // The faults.
@@ -99,7 +100,7 @@
 	if err := b.rewrite(given, path); err != nil {
 		return err
 	}
-	cfg, err := relay.ReadConfig(path)
+	cfg, err := config.Read(path)
 	if err != nil {
 		return err
 	}
@@ -120,7 +121,7 @@
 			passed <- s
 		}
 	}()
-	return relay.Run(ctx, cfg, state, relay.Reloads(ctx, path, passed))
+	return relay.Run(ctx, cfg, state, config.Reloads(ctx, path, passed))
 }
 
 // leakOn takes memory for good, up to a bound.
--- a/internal/relay/accept_delay_test.go
+++ b/internal/relay/accept_delay_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/metrics"
 )
 
@@ -31,7 +32,7 @@
 			}
 			g := &gate{Listener: l, room: 9, open: map[*client]bool{}, waited: func() time.Duration { return time.Hour }}
 			g.changed.L = &g.mu
-			s := newServer(&Config{}, new(metrics.ReasonCounters), func(*arrival) {}, func(*arrival) {})
+			s := newServer(&config.Config{}, new(metrics.ReasonCounters), func(*arrival) {}, func(*arrival) {})
 			go func() { _ = s.http.Serve(g) }()
 			t.Cleanup(func() { _ = s.http.Close() })
 			begun := time.Now()
--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -133,7 +133,7 @@
 	r.Timeout = sends[0].timeout
 	if len(sends) > 1 {
 		now := clock.Now()
-		r.Timeout, r.ResponseDeadline = sharedTimeout(now, sends, l.cfg.policy.BatchInterval), answerBy(now, sends)
+		r.Timeout, r.ResponseDeadline = sharedTimeout(now, sends, l.cfg.Policy.BatchInterval), answerBy(now, sends)
 	}
 	for _, s := range sends {
 		p := upstream.Message{ID: s.m.ID, Key: s.m.Key, Body: s.m.Body, Claim: new(upstream.WriteClaim)}
--- a/internal/relay/client_test.go
+++ b/internal/relay/client_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
@@ -26,8 +27,8 @@
 	}
 	g := &gate{Listener: l, room: 9, open: map[*client]bool{}}
 	g.changed.L = &g.mu
-	c := &Config{}
-	c.policy.Classes = []policy.Class{{Name: "status", Deadline: time.Minute}}
+	c := &config.Config{}
+	c.Policy.Classes = []policy.Class{{Name: "status", Deadline: time.Minute}}
 	s := newServer(c, new(metrics.ReasonCounters), admit, gone)
 	go func() { _ = s.http.Serve(g) }()
 	t.Cleanup(func() { _ = s.http.Close() })
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -28,7 +28,7 @@
 		case m.replies == nil: // refused
 		case err != nil:
 			l.metrics.CountResult(l.class(m.Class), metrics.Rejected)
-			answer(m.replies, verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxRetryAfter})
+			answer(m.replies, verdict{status: http.StatusServiceUnavailable, after: l.cfg.Policy.MaxRetryAfter})
 			l.events = append(l.events, policy.Withdrawn{ID: m.ID})
 		default:
 			m.copied = len(m.replies) > 1
@@ -43,7 +43,7 @@
 			n++
 		}
 		// Without its record a later process may make an attempt again, which is harmless only in a safe class.
-		safe := func(s send) bool { return l.cfg.policy.Classes[l.class(s.m.Class)].Effect == policy.Idempotent }
+		safe := func(s send) bool { return l.cfg.Policy.Classes[l.class(s.m.Class)].Effect == policy.Idempotent }
 		// Nor is one sent that was not taken on after all.
 		refused := func(s send) bool { return s.m.replies != nil }
 		if err == nil || !slices.ContainsFunc(sends[i:n], func(s send) bool { return !safe(s) || refused(s) }) {
--- a/internal/relay/config_test.go
+++ b/internal/relay/config/config_test.go
@@ -1,4 +1,4 @@
-package relay
+package config
 
 import (
 	"os"
@@ -9,7 +9,7 @@
 
 func TestConfig(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","limits":
-	 {"cores":1,"memory_mb":192,"sockets":1024,"disk_mb":3},"settings":` + testSettings(15, 1, "subscribe") + `}`
+	 {"cores":1,"memory_mb":192,"sockets":1024,"disk_mb":3},"settings":` + testSettings + `}`
 	tests := []struct{ name, old, new, want string }{
 		{"as it should be", "", "", ""},
 		{"no JSON", `{"name"`, `["name"`, "invalid"},
@@ -28,7 +28,7 @@
 		if err := os.WriteFile(path, []byte(strings.Replace(good, tt.old, tt.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := ReadConfig(path)
+		_, err := Read(path)
 		if tt.want == "" {
 			if err != nil {
 				t.Errorf("%s: %v", tt.name, err)
@@ -39,7 +39,7 @@
 			t.Errorf("%s: error %v, want one line with %q", tt.name, err, tt.want)
 		}
 	}
-	if _, err := ReadConfig(filepath.Join(t.TempDir(), "none")); err == nil {
+	if _, err := Read(filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("no file: no error")
 	}
 }
--- a/internal/relay/known.go
+++ b/internal/relay/config/endpoints.go
@@ -1,4 +1,4 @@
-package relay
+package config
 
 import (
 	"encoding/json"
@@ -11,32 +11,34 @@
 	"milletsail/internal/endpoints"
 )
 
-// knownField is the field of a configuration that holds the list of endpoints. The list may be far longer than all else,
+// endpointsField is the field of a configuration that holds the list of endpoints. The list may be far longer than all else,
 // so it is never decoded as a whole.
-const knownField = "known"
+const endpointsField = "known"
 
-// knownList is the list of endpoints in a configuration file, which is read there once it is needed.
-type knownList struct {
-	path string // of the file; empty for no list
-	seq  int64
+// EndpointSource is the list of endpoints in a configuration file, which is read there once it is needed.
+type EndpointSource struct {
+	// Path is that of the file; empty for no list.
+	Path string
+	// Version is that of the list; 0 for none.
+	Version int64
 }
 
-// read hands the list on in batches.
-func (k knownList) read(deliver func(endpoints.Batch) error) error {
-	if k.path == "" {
+// Read hands the list to deliver in batches.
+func (s EndpointSource) Read(deliver func(endpoints.Batch) error) error {
+	if s.Path == "" {
 		return nil
 	}
-	file, err := os.Open(k.path)
+	file, err := os.Open(s.Path)
 	if err != nil {
 		return err
 	}
-	defer file.Close()
-	return decodeConfig(file, new(Config), deliver)
+	defer func() { _ = file.Close() }()
+	return decode(file, new(Config), deliver)
 }
 
-// decodeConfig decodes a configuration. All fields go into c, but for the list of endpoints, which is handed on in
+// decode decodes a configuration. All fields go into c, but for the list of endpoints, which is handed on in
 // batches.
-func decodeConfig(from io.Reader, c *Config, deliver func(endpoints.Batch) error) error {
+func decode(from io.Reader, c *Config, deliver func(endpoints.Batch) error) error {
 	decoder := json.NewDecoder(from)
 	token, err := decoder.Token()
 	if err != nil {
@@ -54,7 +56,7 @@
 	if _, err := decoder.Token(); err != nil { // the object's end
 		return unexpectedEnd(err)
 	}
-	if _, err := decoder.Token(); err != io.EOF {
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return errors.New("invalid: there is more behind the JSON object")
 	}
 	rest, err := json.Marshal(fields)
@@ -71,9 +73,9 @@
 		return unexpectedEnd(err)
 	}
 	name, _ := token.(string)
-	if strings.EqualFold(name, knownField) { // as encoding/json compares names
+	if strings.EqualFold(name, endpointsField) { // as encoding/json compares names
 		if err := endpoints.ReadObject(decoder, deliver); err != nil {
-			return fmt.Errorf("%s: %w", knownField, unexpectedEnd(err))
+			return fmt.Errorf("%s: %w", endpointsField, unexpectedEnd(err))
 		}
 		return nil
 	}
@@ -87,7 +89,7 @@
 
 // unexpectedEnd names an end of the file within the object for what it is.
 func unexpectedEnd(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/relay/endings_test.go
+++ b/internal/relay/endings_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/socket"
@@ -95,8 +96,8 @@
 	}
 	g := &gate{Listener: &hookedListener{Listener: l, hooks: hooks}, room: room, open: map[*client]bool{}}
 	g.changed.L = &g.mu
-	c := &Config{}
-	c.policy.Classes = []policy.Class{{Name: "status", Deadline: time.Minute}}
+	c := &config.Config{}
+	c.Policy.Classes = []policy.Class{{Name: "status", Deadline: time.Minute}}
 	s := newServer(c, new(metrics.ReasonCounters), admit, gone)
 	go func() { _ = s.http.Serve(g) }()
 	t.Cleanup(func() { _ = s.http.Close() })
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -11,6 +11,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/instant"
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/listener"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
@@ -44,13 +45,13 @@
 
 // openGate takes clients' connections at the socket that the platform holds, where it says so, else at the address
 // that the configuration names.
-func openGate(c *Config, reasons *metrics.ReasonCounters) (*gate, error) {
+func openGate(c *config.Config, reasons *metrics.ReasonCounters) (*gate, error) {
 	l, err := listener.Listen("clients", func() (net.Listener, error) { return listen(c) })
 	if err != nil {
 		return nil, err
 	}
 	accepts := listener.New(l, "clients", reasons)
-	g := &gate{Listener: accepts, waited: accepts.QueueDelay, room: clientRoom(c.Limits.Sockets, c.policy.Slots), open: map[*client]bool{}}
+	g := &gate{Listener: accepts, waited: accepts.QueueDelay, room: clientRoom(c.Limits.Sockets, c.Policy.Slots), open: map[*client]bool{}}
 	g.changed.L = &g.mu
 	return g, nil
 }
@@ -62,17 +63,17 @@
 	return max(1, sockets/3, min(int(clientShare*float64(sockets)), rest))
 }
 
-func listen(c *Config) (net.Listener, error) {
-	if c.inherited == "" {
+func listen(c *config.Config) (net.Listener, error) {
+	if c.InheritedSocket == "" {
 		return net.Listen("tcp", c.Listen)
 	}
-	fd, err := strconv.Atoi(c.inherited)
+	fd, err := strconv.Atoi(c.InheritedSocket)
 	if err != nil {
 		return nil, fmt.Errorf("inherited socket: %w", err)
 	}
 	f := os.NewFile(uintptr(fd), "clients")
 	if f == nil {
-		return nil, errors.New("inherited socket: no descriptor " + c.inherited)
+		return nil, errors.New("inherited socket: no descriptor " + c.InheritedSocket)
 	}
 	defer f.Close()
 	return net.FileListener(f)
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -17,6 +17,7 @@
 	"milletsail/internal/relay/listener"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/resource"
+	"milletsail/internal/relay/retry"
 	"milletsail/internal/relay/upstream"
 	"milletsail/policy"
 )
@@ -71,7 +72,7 @@
 // handover or, where that can't be had in time, by that process's end. Link and offer are nil without a handover: then
 // the journal tells all that is known.
 func takeOver(ctx context.Context, dir string) (*journal.Ownership, *link, *offer, error) {
-	last := clock.Now().Add(folderTimeout)
+	last := clock.Now().Add(retry.StorageTimeout)
 	for by := clock.Now().Add(askTime); ; {
 		o, err := journal.AcquireOwnership(dir)
 		owned := errors.As(err, new(*journal.OwnedError))
@@ -278,7 +279,7 @@
 	case *arrival:
 		l.arrivals++
 		if l.orphaned {
-			e.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxRetryAfter}
+			e.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.Policy.MaxRetryAfter}
 			return
 		}
 		l.asked[l.arrivals] = e
@@ -324,7 +325,7 @@
 		l.orphaned = true
 		for no, a := range l.asked {
 			delete(l.asked, no)
-			a.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxRetryAfter}
+			a.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.Policy.MaxRetryAfter}
 		}
 		for _, m := range l.messages {
 			if m.cancel != nil {
@@ -409,7 +410,7 @@
 func (l *loop) handedOver(k *link, h *handedOver) *journal.Entry {
 	e := &journal.Entry{ID: h.Entry.ID, Class: h.Entry.Class, Dest: h.Entry.Dest, Key: h.Entry.Key, ExpiresAt: k.instantOf(h.Entry.Expires), Body: h.Body}
 	if class := l.class(e.Class); class >= 0 {
-		e.ExpiresAt = min(e.ExpiresAt, clock.Now().Add(l.cfg.policy.Classes[class].Deadline))
+		e.ExpiresAt = min(e.ExpiresAt, clock.Now().Add(l.cfg.Policy.Classes[class].Deadline))
 	}
 	return e
 }
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -42,7 +42,7 @@
 		}
 		l.metrics.Reasons.Add("relay_refused_unseen", why, 1)
 		slog.Info("refused", "id", a.entry.ID, "dest", a.entry.Dest, "class", a.entry.Class, "why", why)
-		a.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.policy.MaxRetryAfter}
+		a.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.Policy.MaxRetryAfter}
 		return
 	}
 	slog.Debug("arrived", "id", a.entry.ID, "dest", a.entry.Dest, "class", a.entry.Class, "left", clock.Until(a.entry.ExpiresAt))
@@ -59,7 +59,7 @@
 	if no < 0 {
 		return false
 	}
-	class := l.cfg.policy.Classes[no]
+	class := l.cfg.Policy.Classes[no]
 	if class.Effect == policy.Idempotent || class.Effect == policy.IdempotentWithKey && !class.KeysPerZone {
 		return false
 	}
--- a/internal/relay/list.go
+++ b/internal/relay/list.go
@@ -91,7 +91,7 @@
 }
 
 // looksUp tells whether the module keeps state only for destinations in use, and looks up the rest of the list.
-func (l *loop) looksUp() bool { return l.cfg.policy.Directory != nil && !l.cfg.policy.Zones }
+func (l *loop) looksUp() bool { return l.cfg.Policy.Directory != nil && !l.cfg.Policy.Zones }
 
 // avoided is how many listed endpoints get nothing now but trials. Where the module does not know the whole list, it
 // counts those that drain nowhere.
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -15,6 +15,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/endpoints"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/discovery"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/upstream"
@@ -25,11 +26,11 @@
 // listLoop gives a loop that has its journal and its list in a folder, as Run makes it, and is not run.
 func listLoop(t testing.TB, dir string, diskMB float64) *loop {
 	t.Helper()
-	cfg := &Config{Limits: Limits{DiskMB: diskMB}, Settings: settings.Settings{Shapes: []string{"m2"}, Localities: []string{"a"}}}
+	cfg := &config.Config{Limits: config.Limits{DiskMB: diskMB}, Settings: settings.Settings{Shapes: []string{"m2"}, Localities: []string{"a"}}}
 	list := &endpointList{settings: &cfg.Settings}
-	cfg.policy = policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, Directory: list,
+	cfg.Policy = policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, Directory: list,
 		Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}
-	d, err := policy.New(cfg.policy, 1)
+	d, err := policy.New(cfg.Policy, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/list_start_test.go
+++ b/internal/relay/list_start_test.go
@@ -5,6 +5,8 @@
 	"os"
 	"path/filepath"
 	"testing"
+
+	"milletsail/internal/relay/config"
 )
 
 // The newest list is the one to start from; a configuration's counts also where it has no version, as at the first start of
@@ -33,7 +35,7 @@
 // A relay without anything on disk has the endpoints of a configured list that has version 0.
 func TestConfiguredListWithoutVersion(t *testing.T) {
 	hosts := filler(3)
-	text, err := json.Marshal(map[string]any{knownField: Members{Whole: true, Hosts: hosts}})
+	text, err := json.Marshal(map[string]any{"known": Members{Whole: true, Hosts: hosts}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +44,7 @@
 		t.Fatal(err)
 	}
 	l := listLoop(t, t.TempDir(), 1000)
-	l.cfg.known = knownList{path: path}
+	l.cfg.KnownEndpoints = config.EndpointSource{Path: path}
 	l.openList(t.TempDir())
 	if n := l.list.table.Len(); n != len(hosts) {
 		t.Errorf("%d endpoints are listed, want %d", n, len(hosts))
--- a/internal/relay/liststart.go
+++ b/internal/relay/liststart.go
@@ -32,7 +32,7 @@
 		slog.Warn("list of endpoints: damaged", "err", damage)
 	}
 	l.list.table, l.list.store, l.list.seq = table, store, seq
-	source := newestList(seq, journalList(l.journal.LegacyList()), listSource{"configuration", l.cfg.known.seq, l.cfg.known.read})
+	source := newestList(seq, journalList(l.journal.LegacyList()), listSource{"configuration", l.cfg.KnownEndpoints.Version, l.cfg.KnownEndpoints.Read})
 	if source.read != nil {
 		if err := source.read(l.list.replace); err != nil {
 			slog.Error("list of endpoints: all of it is asked for", "source", source.name, "err", err)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -9,6 +9,7 @@
 	"milletsail/internal/fleet/live"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/discovery"
 	"milletsail/internal/relay/gossip"
 	"milletsail/internal/relay/metrics"
@@ -40,7 +41,7 @@
 // loop owns the dispatcher and the journal: nothing else touches their state. It batches events by tick,
 // hands them to the module, and carries out what that decides. It never waits for a socket.
 type loop struct {
-	cfg      *Config
+	cfg      *config.Config
 	d        *policy.Dispatcher
 	journal  *journal.Journal
 	inbox    chan event
@@ -111,7 +112,7 @@
 			}
 		}
 		// What comes within a tick of the last batch is one batch.
-		tick := time.NewTimer(clock.Until(l.stepped.Add(l.cfg.policy.BatchInterval)))
+		tick := time.NewTimer(clock.Until(l.stepped.Add(l.cfg.Policy.BatchInterval)))
 		for more := true; more; {
 			select {
 			case e := <-l.inbox:
@@ -156,8 +157,8 @@
 
 // class gives the number of a class, or -1.
 func (l *loop) class(name string) int {
-	for i := range l.cfg.policy.Classes {
-		if l.cfg.policy.Classes[i].Name == name {
+	for i := range l.cfg.Policy.Classes {
+		if l.cfg.Policy.Classes[i].Name == name {
 			return i
 		}
 	}
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -26,6 +26,7 @@
 
 	"milletsail/internal/endpoints"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/upstream"
 	"milletsail/internal/settings"
 )
@@ -45,7 +46,7 @@
 	if path == "" {
 		os.Exit(m.Run())
 	}
-	cfg, err := ReadConfig(path)
+	cfg, err := config.Read(path)
 	if n, limited := strconv.ParseUint(os.Getenv(childFiles), 10, 64); limited == nil {
 		err = errors.Join(err, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}))
 	}
@@ -54,7 +55,7 @@
 		defer stop()
 		hup := make(chan os.Signal, 1)
 		signal.Notify(hup, syscall.SIGHUP)
-		err = Run(ctx, cfg, os.Getenv(childState), Reloads(context.Background(), path, hup))
+		err = Run(ctx, cfg, os.Getenv(childState), config.Reloads(context.Background(), path, hup))
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -16,6 +16,7 @@
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/admin"
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/discovery"
 	"milletsail/internal/relay/gossip"
 	"milletsail/internal/relay/metrics"
@@ -36,6 +37,9 @@
 	goneBy    = 3650 * time.Millisecond // until then clients may read the last answers
 )
 
+// ReadConfig reads and checks a configuration file, as config.Read does; for programs that only know this package.
+func ReadConfig(path string) (*config.Config, error) { return config.Read(path) }
+
 // listMemoryShare is the share of a relay's memory that one list may be as long as: an entry takes no more room in the table
 // than as JSON.
 const listMemoryShare = 0.5
@@ -43,14 +47,14 @@
 // Run runs a relay until ctx ends, and then brings it to an orderly end: it goes on serving for as long as
 // clients may still come, and leaves what is not delivered by then to the journal in dir. Each address that
 // comes on addresses takes the place of the one in cfg.
-func Run(ctx context.Context, cfg *Config, dir string, addresses <-chan string) error {
+func Run(ctx context.Context, cfg *config.Config, dir string, addresses <-chan string) error {
 	list := &endpointList{settings: &cfg.Settings, clocks: clock.ReadPair()}
-	cfg.policy.Directory = list
-	d, err := policy.New(cfg.policy, cfg.seed)
+	cfg.Policy.Directory = list
+	d, err := policy.New(cfg.Policy, cfg.RandomSeed)
 	if err != nil {
 		return err
 	}
-	counters := metrics.New(cfg.policy.Classes)
+	counters := metrics.New(cfg.Policy.Classes)
 	var operators *admin.Server
 	if cfg.Admin != "" {
 		if operators, err = admin.Listen(cfg.Admin, counters); err != nil {
@@ -91,7 +95,7 @@
 	s := cfg.Settings
 	l := &loop{cfg: cfg, d: d, journal: kept, metrics: counters, inbox: make(chan event, inboxSize), calls: live,
 		messages: map[string]*message{}, list: list,
-		pool: upstream.NewPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.policy.IdleConnTimeout,
+		pool: upstream.NewPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.Policy.IdleConnTimeout,
 			max(1, int(hostShare*float64(cfg.Limits.Sockets))), &counters.UpstreamRequests),
 		gate: gate, owner: owner, ceded: make(chan bool), retired: retired}
 	l.watch = discovery.New(cfg.Discovery, discovery.RequestJitter(&cfg.Settings), func(b discovery.Batch) { l.put(batchReceived{b}) },
@@ -150,8 +154,8 @@
 }
 
 // gossipOptions are those of the configuration.
-func gossipOptions(cfg *Config) gossip.Options {
-	return gossip.Options{Allowed: cfg.policy.Gossip, Listen: cfg.PeerListen, Broadcast: cfg.PeersAll, Peers: cfg.Peers, Self: cfg.Settings.Ordinal}
+func gossipOptions(cfg *config.Config) gossip.Options {
+	return gossip.Options{Allowed: cfg.Policy.Gossip, Listen: cfg.PeerListen, Broadcast: cfg.PeersAll, Peers: cfg.Peers, Self: cfg.Settings.Ordinal}
 }
 
 // redirectable is a client of discovery.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -17,6 +17,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/protocol"
@@ -452,7 +453,7 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	cfg, err := ReadConfig(p.config())
+	cfg, err := config.Read(p.config())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -595,9 +596,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loop{cfg: &Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
+	l := &loop{cfg: &config.Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
 		messages: map[string]*message{}, list: listAt(7)}
-	l.cfg.policy.Classes = []policy.Class{{Name: "status"}}
+	l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
 	copyOf := func(id string) *arrival {
 		return &arrival{verdict: make(chan verdict, 1),
 			entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)}}
@@ -642,7 +643,7 @@
 		byZone bool
 		want   int
 	}{{policy.Idempotent, false, 503}, {policy.IdempotentWithKey, false, 503}, {policy.IdempotentWithKey, true, 502}, {policy.NotIdempotent, false, 502}} {
-		l.cfg.policy.Classes[0].Effect, l.cfg.policy.Classes[0].KeysPerZone = c.effect, c.byZone
+		l.cfg.Policy.Classes[0].Effect, l.cfg.Policy.Classes[0].KeysPerZone = c.effect, c.byZone
 		id := fmt.Sprint("out", i)
 		gone, again := copyOf(id), copyOf(id)
 		l.accept(gone)
@@ -665,7 +666,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loop{cfg: &Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), messages: map[string]*message{}, list: listAt()}
+	l := &loop{cfg: &config.Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), messages: map[string]*message{}, list: listAt()}
 	timer := clock.Now().Add(time.Minute)
 	l.wakeAt = timer
 	m := &message{Entry: &journal.Entry{ID: "m"}}
@@ -690,9 +691,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := &loop{cfg: &Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3),
+		l := &loop{cfg: &config.Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3),
 			messages: map[string]*message{}, list: listAt(7), notifier: &notifier.Notifier{}}
-		l.cfg.policy.Classes = []policy.Class{{Name: "status"}}
+		l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
 		start := time.Now()
 		hand := func(id string, left time.Duration) *arrival {
 			a := &arrival{verdict: make(chan verdict, 1), entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(left)}}
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -6,6 +6,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"milletsail/internal/relay/config"
+	"milletsail/internal/relay/retry"
 )
 
 // A configuration that is being written when its signal comes is read once it is whole, and further signals meanwhile lose
@@ -25,12 +28,12 @@
 	}
 	write(whole[:len(whole)/2])
 	signals := make(chan os.Signal, 1)
-	addresses := Reloads(t.Context(), path, signals)
+	addresses := config.Reloads(t.Context(), path, signals)
 	signals <- syscall.SIGHUP
 	select {
 	case address := <-addresses:
 		t.Fatalf("half a file gives %q", address)
-	case <-time.After(2 * folderRetryInterval):
+	case <-time.After(2 * retry.StorageInterval):
 	}
 	write(whole)
 	if address := <-addresses; address == "" {
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -55,7 +55,7 @@
 		}
 		// Whatever the folder says, no message has more time than its class.
 		a := policy.Arrived{ID: e.ID, Class: class, Destination: e.Dest, Resumed: true,
-			TimeLeft: min(clock.Until(e.ExpiresAt), l.cfg.policy.Classes[class].Deadline), Size: bundled(e)}
+			TimeLeft: min(clock.Until(e.ExpiresAt), l.cfg.Policy.Classes[class].Deadline), Size: bundled(e)}
 		for _, t := range e.Attempts {
 			// An attempt that was out when the process ended may have run.
 			a.PriorAttempts = append(a.PriorAttempts, policy.PriorAttempt{Endpoint: t.Host, SentAt: min(t.StartedAt, clock.Now()), NotExecuted: t.Ended && t.NotExecuted})
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -16,6 +16,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/protocol"
 	"milletsail/internal/settings"
@@ -62,10 +63,10 @@
 	http    *http.Server
 }
 
-func newServer(c *Config, reasons *metrics.ReasonCounters, admit, gone func(*arrival)) *server {
+func newServer(c *config.Config, reasons *metrics.ReasonCounters, admit, gone func(*arrival)) *server {
 	s := &server{reasons: reasons, classes: map[string]*policy.Class{}, tenants: map[string]bool{}, admit: admit, gone: gone}
-	for i := range c.policy.Classes {
-		s.classes[c.policy.Classes[i].Name] = &c.policy.Classes[i]
+	for i := range c.Policy.Classes {
+		s.classes[c.Policy.Classes[i].Name] = &c.Policy.Classes[i]
 	}
 	for _, t := range c.Settings.Tenants {
 		s.tenants[t.Name] = true
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -12,7 +12,7 @@
 // share has this relay share what it learns with the others, and brings the loop what they say.
 func (l *loop) share(dir string) *live.Service {
 	s := &l.cfg.Settings
-	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(), Zone: s.Az, Seed: uint64(l.cfg.seed),
+	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(), Zone: s.Az, Seed: uint64(l.cfg.RandomSeed),
 		Send: func(to int, note []byte) {
 			if to == fleet.Everyone {
 				l.gossip.Broadcast(note)
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -13,6 +13,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/notifier"
 )
 
@@ -106,7 +107,7 @@
 		t.Fatal(err)
 	}
 	defer owner.Release()
-	cfg, err := ReadConfig(p.config())
+	cfg, err := config.Read(p.config())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -8,6 +8,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/policy"
@@ -61,8 +62,8 @@
 				t.Fatal(err)
 			}
 			var queue recordedNotifications
-			l := &loop{cfg: &Config{}, d: d, metrics: metrics.New(classes), journal: kept, messages: map[string]*message{}, list: listAt(7), notifier: &queue}
-			l.cfg.policy.Classes = classes
+			l := &loop{cfg: &config.Config{}, d: d, metrics: metrics.New(classes), journal: kept, messages: map[string]*message{}, list: listAt(7), notifier: &queue}
+			l.cfg.Policy.Classes = classes
 			m := &message{Entry: &journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left)}}
 			l.messages["m"] = m
 			kept.Accept(m.Entry)
--- a/internal/relay/upstream/deadline_test.go
+++ b/internal/relay/upstream/deadline_test.go
@@ -143,8 +143,8 @@
 // endedCall is the context of a call that ends when a test says so.
 type endedCall struct {
 	context.Context //nolint:containedctx // it stands for a context
-	over atomic.Bool
-	err  error
+	over            atomic.Bool
+	err             error
 }
 
 func (e *endedCall) Err() error {
--- a/internal/relay/upstream/pool_test.go
+++ b/internal/relay/upstream/pool_test.go
@@ -269,7 +269,7 @@
 	}
 	addr := fmt.Sprint("127.0.0.1:", local.Port)
 	for range 9 { // until its queue is full and what comes is dropped
-		c, err := (&net.Dialer{Timeout: 100*time.Millisecond}).DialContext(t.Context(), "tcp", addr)
+		c, err := (&net.Dialer{Timeout: 100 * time.Millisecond}).DialContext(t.Context(), "tcp", addr)
 		if err != nil {
 			break
 		}
--- a/internal/relay/wire_handover_test.go
+++ b/internal/relay/wire_handover_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/config"
 )
 
 // Masks of the handover.
@@ -362,7 +363,7 @@
 	p.discovery.URL = "http://" + discovery.addr
 	p.admin = closedAddress(t)
 	disk := &fullDisk{FS: journal.Disk}
-	p.runHere(func(cfg *Config) { cfg.Files = disk })
+	p.runHere(func(cfg *config.Config) { cfg.Files = disk })
 	p.take("order", "turned away", "0.3") // its end is deferred, and its notice owed
 	host.next()
 	close(release["turned away"])
@@ -398,9 +399,9 @@
 }
 
 // runHere runs a relay in this process, which may change what no file configures, and waits until it is ready.
-func (p *platform) runHere(change func(*Config)) {
+func (p *platform) runHere(change func(*config.Config)) {
 	p.t.Helper()
-	cfg, err := ReadConfig(p.config())
+	cfg, err := config.Read(p.config())
 	if err != nil {
 		p.t.Fatal(err)
 	}
