--- a/internal/relay/gate_test.go
+++ b/internal/relay/clients_test.go
@@ -2,55 +2,19 @@
 
 import (
 	"bufio"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"slices"
+	"strings"
 	"syscall"
 	"testing"
 	"time"
 
-	"milletsail/internal/clock"
+	"milletsail/internal/relay/frontend"
 )
 
-func TestLeastPromise(t *testing.T) {
-	now := clock.Now()
-	ago := func(s stage, d time.Duration) *client { return &client{stage: s, heard: now.Add(-d)} }
-	tests := []struct {
-		name string
-		open []*client // the first one goes, if any does
-		none bool
-	}{
-		{"the oldest that sent nothing", []*client{ago(waiting, 3*time.Second), ago(waiting, time.Second)}, false},
-		{"one that sent nothing before one that stalls", []*client{ago(waiting, time.Millisecond), ago(reading, 2*time.Second)}, false},
-		{"the one stalled longest", []*client{ago(reading, 2*time.Second), ago(reading, time.Second), ago(answerDue, time.Minute)}, false},
-		{"one whose last answer is out before one that stalls", []*client{ago(lingering, lingerLeast), ago(reading, 2*time.Second)}, false},
-		{"none whose answer is on its way", []*client{ago(lingering, lingerLeast/2), ago(answerDue, time.Minute)}, true},
-		{"none that writes on or is owed its answer", []*client{ago(reading, patience/2), ago(answerDue, time.Minute)}, true},
-	}
-	for _, tt := range tests {
-		g := &gate{open: map[*client]bool{}}
-		for _, c := range tt.open {
-			g.open[c] = true
-		}
-		want := tt.open[0]
-		if tt.none {
-			want = nil
-		}
-		if got := g.leastPromise(now); got != want {
-			t.Errorf("%s: got %+v", tt.name, got)
-		}
-	}
-}
-
-// Clients get what is left beside calls, idle connections and another process, within their share.
-func TestClientRoom(t *testing.T) {
-	for _, tt := range []struct{ sockets, slots, want int }{{1024, 33, 512}, {224, 33, 85}, {192, 33, 64}, {192, 100, 64}, {3, 9, 1}} {
-		if got := clientRoom(tt.sockets, tt.slots); got != tt.want {
-			t.Errorf("%d descriptors, %d slots: room %d, want %d", tt.sockets, tt.slots, got, tt.want)
-		}
-	}
-}
-
 // slowPost begins to hand a message in; the rest goes when finish is called, which gives the answer.
 func slowPost(t *testing.T, p *platform, id string) (c net.Conn, finish func() (*http.Response, error)) {
 	t.Helper()
@@ -152,3 +116,56 @@
 		return seq == 41
 	})
 }
+
+// A planned end: connections that rest are closed with nothing on them, an answer tells that its connection closes, and
+// what its client sends all the same is neither sent on nor left for the next process.
+func TestPlannedEndOfConnections(t *testing.T) {
+	p := newPlatform(t)
+	p.addHost("h1", 7)
+	old := p.start()
+	resting, next := p.keep(), p.keep()
+	for i, c := range []*keptConn{resting, next} {
+		if resp := c.handIn(t, "status", fmt.Sprint("before", i)); resp.StatusCode != http.StatusAccepted || resp.Close {
+			t.Fatalf("before the end: %s", resp.Status)
+		}
+	}
+	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	p.until("it drains", func() bool {
+		c := p.keep()
+		defer c.Close()
+		_, _ = io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: relay\r\n\r\n")
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		return err == nil && resp.Close
+	})
+	fresh, opened := p.keep(), time.Now() // it sends nothing, and must not hold up the end
+	_, _ = io.WriteString(next, posted("last")+posted("crossed"))
+	got, err := io.ReadAll(next.in)
+	if err != nil || strings.Count(string(got), "HTTP/1.1 202 ") != 1 || !strings.Contains(string(got), "Connection: close") {
+		t.Errorf("answer %q (%v)", got, err)
+	}
+	if got, err := io.ReadAll(resting.in); len(got) > 0 || err != nil {
+		t.Errorf("a resting connection: %q (%v)", got, err)
+	}
+	if err := old.exit(t); err != nil {
+		t.Errorf("exit: %v", err)
+	}
+	if took := time.Since(opened); took >= frontend.ReadTimeout {
+		t.Errorf("it ended %v after a connection came that sends nothing: not before its read limit", took)
+	}
+	if got, err := io.ReadAll(fresh.in); len(got) > 0 {
+		t.Errorf("a fresh connection: %q (%v)", got, err)
+	}
+	if e := readEntries(t, p.dir); len(e) != 0 {
+		t.Errorf("left in the journal: %v", e)
+	}
+	if calls := p.sent(); !slices.Contains(calls, "last") || slices.Contains(calls, "crossed") {
+		t.Errorf("calls %v", calls)
+	}
+}
+
+// posted is a complete request for destination 7.
+func posted(id string) string {
+	return clientRequest("POST /status", "hi", "Request-Id: "+id, "Idempotency-Key:")
+}
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -9,6 +9,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/frontend"
 	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
@@ -28,12 +29,12 @@
 		case m.replies == nil: // refused
 		case err != nil:
 			l.metrics.CountResult(l.class(m.Class), metrics.Rejected)
-			answer(m.replies, verdict{status: http.StatusServiceUnavailable, after: l.cfg.Policy.MaxRetryAfter})
+			answer(m.replies, frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.Policy.MaxRetryAfter})
 			l.events = append(l.events, policy.Withdrawn{ID: m.ID})
 		default:
 			m.copied = len(m.replies) > 1
 			l.pend(m)
-			answer(m.replies, verdict{status: http.StatusAccepted})
+			answer(m.replies, frontend.Response{Status: http.StatusAccepted})
 			m.replies = nil
 		}
 	}
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -5,6 +5,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/frontend"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/policy"
@@ -40,12 +41,12 @@
 }
 
 // refuse ends a message undelivered: by its answer if that is still due, else by a notice.
-func (l *loop) refuse(m *message, v verdict, status string, why policy.Reason) {
+func (l *loop) refuse(m *message, v frontend.Response, status string, why policy.Reason) {
 	if m == nil || m.over {
 		return
 	}
 	slog.Info("undelivered", "id", m.ID, "dest", m.Dest, "class", m.Class, "status", status, "why", why, "attempts", len(m.Attempts),
-		"taken", m.replies == nil, "left", clock.Until(m.ExpiresAt), "after", v.after)
+		"taken", m.replies == nil, "left", clock.Until(m.ExpiresAt), "after", v.RetryAfter)
 	l.metrics.Reasons.Increment("relay_undelivered", why)
 	how := metrics.Failed
 	if status == notifier.StatusDeferred {
@@ -60,13 +61,13 @@
 	}
 	m.over = true
 	l.settle(m)
-	n := journal.Notification{ID: m.ID, Status: status, RetryAfterMS: v.after.Milliseconds()}
+	n := journal.Notification{ID: m.ID, Status: status, RetryAfterMS: v.RetryAfter.Milliseconds()}
 	l.journal.RecordPendingNotification(m.Entry, n)
 	l.unrecorded = append(l.unrecorded, unrecordedNotification{n, m.ExpiresAt})
 }
 
 // answer gives all that handed a message in the same verdict.
-func answer(replies []chan verdict, v verdict) {
+func answer(replies []chan frontend.Response, v frontend.Response) {
 	for _, reply := range replies {
 		reply <- v
 	}
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"milletsail/internal/fleet/live"
-	"milletsail/internal/journal"
 	"milletsail/internal/relay/discovery"
+	"milletsail/internal/relay/frontend"
 	"milletsail/internal/relay/upstream"
 	"milletsail/policy"
 )
@@ -16,14 +16,10 @@
 
 // The events.
 type (
-	// arrival is a message that a client hands in.
-	arrival struct {
-		entry   *journal.Entry
-		verdict chan verdict // room for one
-		left    chan bool    // closed when the client has left, where another process has its connection
-	}
-	// departure says that a client left before its message was answered.
-	departure struct{ arrival *arrival }
+	// messageArrived is a message that a client submits.
+	messageArrived struct{ *frontend.Submission }
+	// clientLeft says that a client left before its message was answered.
+	clientLeft struct{ *frontend.Submission }
 	// ended is the end of a call, for each of its messages.
 	ended []answered
 	// answered is the end of a call for one message.
@@ -54,9 +50,9 @@
 	question struct{ idle chan bool }
 )
 
-func (e *arrival) apply(l *loop) { l.arrive(e) }
+func (e messageArrived) apply(l *loop) { l.arrive(e.Submission) }
 
-func (e departure) apply(l *loop) { l.departed(e.arrival) }
+func (e clientLeft) apply(l *loop) { l.withdraw(e.Submission) }
 
 func (e ended) apply(l *loop) {
 	for _, a := range e {
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -14,6 +14,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/frontend"
 	"milletsail/internal/relay/listener"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/resource"
@@ -219,7 +220,7 @@
 		l.step()
 	}
 	k.clocks = clock.ReadPair()
-	off := &offer{Clients: l.gate.clients(), Clocks: &k.clocks}
+	off := &offer{Clients: l.clients.Count(), Clocks: &k.clocks}
 	for _, learned := range l.d.ExportState() {
 		off.Learned = append(off.Learned, learned.Translate(k.toLink))
 	}
@@ -257,7 +258,7 @@
 	}
 	_ = k.conn.SetDeadline(time.Time{})
 	slog.Info("handed over", "out", len(off.Out), "clients", off.Clients)
-	l.heir, l.asked = k, map[int]*arrival{}
+	l.heir, l.asked = k, map[int]*frontend.Submission{}
 	go k.write()
 	go func() { // what the newer process wants
 		for {
@@ -276,19 +277,19 @@
 // pass does with an event what is left to do after a handover.
 func (l *loop) pass(e event) {
 	switch e := e.(type) {
-	case *arrival:
+	case messageArrived:
 		l.arrivals++
 		if l.orphaned {
-			e.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.Policy.MaxRetryAfter}
+			e.Response <- frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.Policy.MaxRetryAfter}
 			return
 		}
-		l.asked[l.arrivals] = e
-		m := e.entry
+		l.asked[l.arrivals] = e.Submission
+		m := e.Entry
 		l.heir.put(line{Arrival: &handedOver{No: l.arrivals, Body: m.Body,
 			Entry: &handedEntry{ID: m.ID, Class: m.Class, Dest: m.Dest, Key: m.Key, Expires: l.heir.wallOf(m.ExpiresAt)}}})
-	case departure:
+	case clientLeft:
 		for no, a := range l.asked {
-			if a == e.arrival {
+			if a == e.Submission {
 				delete(l.asked, no)
 				l.heir.put(line{Left: no})
 			}
@@ -310,7 +311,7 @@
 		}
 	case line:
 		if v := e.Verdict; v != nil && l.asked[v.No] != nil {
-			l.asked[v.No].verdict <- verdict{status: v.Status, after: v.After}
+			l.asked[v.No].Response <- frontend.Response{Status: v.Status, RetryAfter: v.After}
 			delete(l.asked, v.No)
 			l.heir.put(line{Answered: v.No})
 		}
@@ -325,7 +326,7 @@
 		l.orphaned = true
 		for no, a := range l.asked {
 			delete(l.asked, no)
-			a.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.Policy.MaxRetryAfter}
+			a.Response <- frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.Policy.MaxRetryAfter}
 		}
 		for _, m := range l.messages {
 			if m.cancel != nil {
@@ -343,7 +344,7 @@
 	case takeover:
 		e.link.close()
 	}
-	if n := l.gate.clients(); l.heir != nil && n != l.reported {
+	if n := l.clients.Count(); l.heir != nil && n != l.reported {
 		l.reported = n
 		l.heir.put(line{Clients: &n})
 	}
@@ -356,7 +357,7 @@
 	for _, a := range off.Out {
 		out[a.ID] = a.Attempt
 	}
-	asked := map[int]*arrival{} // handed in there
+	asked := map[int]*forwardedSubmission{} // submitted there
 	for {
 		var in line
 		if err := k.in.Decode(&in); err != nil {
@@ -364,9 +365,9 @@
 		}
 		switch {
 		case in.Arrival != nil && in.Arrival.Entry != nil:
-			a := &arrival{entry: l.handedOver(k, in.Arrival), verdict: make(chan verdict, 1), left: make(chan bool)}
+			a := &forwardedSubmission{&frontend.Submission{Entry: l.handedOver(k, in.Arrival), Response: make(chan frontend.Response, 1)}, make(chan bool)}
 			asked[in.Arrival.No] = a
-			l.put(a)
+			l.put(messageArrived{a.Submission})
 			go l.reply(a, k, in.Arrival.No)
 		case in.Left != 0:
 			if a := asked[in.Left]; a != nil {
@@ -386,7 +387,7 @@
 			}
 			l.put(all)
 		case in.Clients != nil:
-			l.gate.lend(*in.Clients)
+			l.clients.Reserve(*in.Clients)
 		}
 	}
 	k.close()
@@ -401,7 +402,7 @@
 	for _, a := range asked {
 		close(a.left)
 	}
-	l.gate.lend(0)
+	l.clients.Reserve(0)
 	slog.Info("the process before is gone", "calls", len(out))
 }
 
@@ -415,12 +416,18 @@
 	return e
 }
 
+// forwardedSubmission is a message that a client submitted to the predecessor.
+type forwardedSubmission struct {
+	*frontend.Submission
+	left chan bool // closed when the client has left
+}
+
 // reply gives the process before the answer to a message that was handed in there.
-func (l *loop) reply(a *arrival, k *link, no int) {
+func (l *loop) reply(a *forwardedSubmission, k *link, no int) {
 	select {
-	case v := <-a.verdict:
-		k.put(line{Verdict: &ruling{No: no, Status: v.status, After: v.after}})
+	case v := <-a.Response:
+		k.put(line{Verdict: &ruling{No: no, Status: v.Status, After: v.RetryAfter}})
 	case <-a.left:
-		l.put(departure{a})
+		l.put(clientLeft{a.Submission})
 	}
 }
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -8,6 +8,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/frontend"
 	"milletsail/internal/relay/metrics"
 	"milletsail/policy"
 )
@@ -16,37 +17,37 @@
 const jsonGrowth = 6
 
 // arrive takes in a message that is handed in.
-func (l *loop) arrive(a *arrival) {
-	if m := l.messages[a.entry.ID]; m != nil {
+func (l *loop) arrive(a *frontend.Submission) {
+	if m := l.messages[a.Entry.ID]; m != nil {
 		// The same message once more, as after a connection that broke: it is ours already, unless it is over or
 		// still undecided.
 		switch {
 		case m.over && l.mayHaveRun(m): // 503 would say that handing it in again is harmless
-			a.verdict <- verdict{status: http.StatusBadGateway}
+			a.Response <- frontend.Response{Status: http.StatusBadGateway}
 		case m.over:
-			a.verdict <- verdict{status: http.StatusServiceUnavailable}
+			a.Response <- frontend.Response{Status: http.StatusServiceUnavailable}
 		case m.replies != nil:
-			m.replies = append(m.replies, a.verdict)
+			m.replies = append(m.replies, a.Response)
 		default:
 			m.copied = true
-			a.verdict <- verdict{status: http.StatusAccepted}
+			a.Response <- frontend.Response{Status: http.StatusAccepted}
 		}
 		return
 	}
-	if !l.list.table.Named(a.entry.Dest) || !l.journal.Reserve(a.entry) {
+	if !l.list.table.Named(a.Entry.Dest) || !l.journal.Reserve(a.Entry) {
 		// Guards the module against destinations that no list has named, and the disk against overflow.
-		l.metrics.CountResult(l.class(a.entry.Class), metrics.Rejected)
+		l.metrics.CountResult(l.class(a.Entry.Class), metrics.Rejected)
 		why := "no such destination"
-		if l.list.table.Named(a.entry.Dest) {
+		if l.list.table.Named(a.Entry.Dest) {
 			why = "no room in the folder, or it can't be written"
 		}
 		l.metrics.Reasons.Add("relay_refused_unseen", why, 1)
-		slog.Info("refused", "id", a.entry.ID, "dest", a.entry.Dest, "class", a.entry.Class, "why", why)
-		a.verdict <- verdict{status: http.StatusServiceUnavailable, after: l.cfg.Policy.MaxRetryAfter}
+		slog.Info("refused", "id", a.Entry.ID, "dest", a.Entry.Dest, "class", a.Entry.Class, "why", why)
+		a.Response <- frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.Policy.MaxRetryAfter}
 		return
 	}
-	slog.Debug("arrived", "id", a.entry.ID, "dest", a.entry.Dest, "class", a.entry.Class, "left", clock.Until(a.entry.ExpiresAt))
-	m := &message{Entry: a.entry, replies: []chan verdict{a.verdict}}
+	slog.Debug("arrived", "id", a.Entry.ID, "dest", a.Entry.Dest, "class", a.Entry.Class, "left", clock.Until(a.Entry.ExpiresAt))
+	m := &message{Entry: a.Entry, replies: []chan frontend.Response{a.Response}}
 	l.messages[m.ID] = m
 	l.fresh = append(l.fresh, m)
 	l.events = append(l.events, policy.Arrived{ID: m.ID, Class: l.class(m.Class), Destination: m.Dest,
@@ -66,11 +67,11 @@
 	return slices.ContainsFunc(m.Attempts, func(a journal.Attempt) bool { return !a.Ended || !a.NotExecuted })
 }
 
-// departed withdraws a message whose client left without an answer. Others may have handed in the same id, by
+// withdraw withdraws a message whose client left without an answer. Others may have handed in the same id, by
 // chance or on purpose: their leaving takes back nothing, and what one of them was told is owed to it.
-func (l *loop) departed(a *arrival) {
-	m := l.messages[a.entry.ID]
-	if m == nil || m.over || m.Entry != a.entry || m.copied || len(m.replies) > 1 {
+func (l *loop) withdraw(a *frontend.Submission) {
+	m := l.messages[a.Entry.ID]
+	if m == nil || m.over || m.Entry != a.Entry || m.copied || len(m.replies) > 1 {
 		return
 	}
 	l.metrics.Reasons.Add("relay_withdrawn", "the client left", 1)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -11,6 +11,7 @@
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/discovery"
+	"milletsail/internal/relay/frontend"
 	"milletsail/internal/relay/gossip"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
@@ -24,13 +25,13 @@
 // message is what the loop holds of a message taken on.
 type message struct {
 	*journal.Entry
-	replies []chan verdict     // of those that handed it in, until they are answered
-	copied  bool               // a further copy of it was answered 202
-	call    int                // the module's number of the call out
-	cancel  context.CancelFunc // ends the wait for the call out; nil while there is none
-	over    bool               // ended, but a call is still out
-	pending bool               // taken on and not ended, as the figures have it
-	overdue bool               // reported as held past its time
+	replies []chan frontend.Response // of those that handed it in, until they are answered
+	copied  bool                     // a further copy of it was answered 202
+	call    int                      // the module's number of the call out
+	cancel  context.CancelFunc       // ends the wait for the call out; nil while there is none
+	over    bool                     // ended, but a call is still out
+	pending bool                     // taken on and not ended, as the figures have it
+	overdue bool                     // reported as held past its time
 }
 
 // notificationQueue takes notifications for the platform, and never blocks.
@@ -65,16 +66,16 @@
 	// unrecorded are the notices whose messages' ends are not on disk yet.
 	unrecorded []unrecordedNotification
 
-	gate      *gate
+	clients   *frontend.ConnectionLimiter
 	owner     *journal.Ownership
-	successor *link            // asks for the folder
-	heir      *link            // has it: nothing is decided here any more
-	ceded     chan bool        // closed then
-	retired   func()           // ends what only the owner of the folder does
-	asked     map[int]*arrival // that the heir decides on
-	arrivals  int              // numbers of these
-	reported  int              // connections that the heir was told of
-	orphaned  bool             // the heir is gone
+	successor *link                        // asks for the folder
+	heir      *link                        // has it: nothing is decided here any more
+	ceded     chan bool                    // closed then
+	retired   func()                       // ends what only the owner of the folder does
+	asked     map[int]*frontend.Submission // that the heir decides on
+	arrivals  int                          // numbers of these
+	reported  int                          // connections that the heir was told of
+	orphaned  bool                         // the heir is gone
 }
 
 // put hands the loop an event.
@@ -180,9 +181,9 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case policy.Reject:
-			l.refuse(l.messages[a.ID], verdict{http.StatusTooManyRequests, a.RetryAfter}, notifier.StatusDeferred, a.Reason)
+			l.refuse(l.messages[a.ID], frontend.Response{Status: http.StatusTooManyRequests, RetryAfter: a.RetryAfter}, notifier.StatusDeferred, a.Reason)
 		case policy.Fail:
-			l.refuse(l.messages[a.ID], verdict{status: http.StatusBadGateway}, notifier.StatusUndeliverable, a.Reason)
+			l.refuse(l.messages[a.ID], frontend.Response{Status: http.StatusBadGateway}, notifier.StatusUndeliverable, a.Reason)
 		}
 	}
 	l.admitted()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,6 +18,7 @@
 	"milletsail/internal/relay/admin"
 	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/discovery"
+	"milletsail/internal/relay/frontend"
 	"milletsail/internal/relay/gossip"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
@@ -63,11 +64,11 @@
 		defer func() { _ = operators.Close() }()
 		go operators.Serve()
 	}
-	gate, err := openGate(cfg, &counters.Reasons)
+	clients, err := frontend.Listen(cfg, &counters.Reasons)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	defer gate.Close()
+	defer func() { _ = clients.Close() }()
 	owner, before, off, err := takeOver(ctx, dir)
 	if err != nil && ctx.Err() != nil {
 		return nil // told to end before there was anything to bring to an end
@@ -96,8 +97,8 @@
 	l := &loop{cfg: cfg, d: d, journal: kept, metrics: counters, inbox: make(chan event, inboxSize), calls: live,
 		messages: map[string]*message{}, list: list,
 		pool: upstream.NewPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.Policy.IdleConnTimeout,
-			max(1, int(hostShare*float64(cfg.Limits.Sockets))), &counters.UpstreamRequests),
-		gate: gate, owner: owner, ceded: make(chan bool), retired: retired}
+			max(1, int(frontend.UpstreamShare*float64(cfg.Limits.Sockets))), &counters.UpstreamRequests),
+		clients: clients, owner: owner, ceded: make(chan bool), retired: retired}
 	l.watch = discovery.New(cfg.Discovery, discovery.RequestJitter(&cfg.Settings), func(b discovery.Batch) { l.put(batchReceived{b}) },
 		func() { l.put(watchEnded{}) })
 	l.watch.MaxListSize = int64(listMemoryShare * cfg.Limits.MemoryMB * 1e6)
@@ -109,7 +110,8 @@
 		l.shared = l.share(dir)
 		operators.Handle("fleet", admin.WithoutArguments(l.shared.JSON))
 	}
-	srv := newServer(cfg, &counters.Reasons, func(a *arrival) { l.put(a) }, func(a *arrival) { l.put(departure{a}) })
+	srv := frontend.NewServer(cfg, &counters.Reasons,
+		func(s *frontend.Submission) { l.put(messageArrived{s}) }, func(s *frontend.Submission) { l.put(clientLeft{s}) })
 	heir(deciding, dir, &counters.Reasons, func(k *link) { l.put(takeover{k}) })
 	l.openList(dir)
 	defer func() { l.list.close() }()
@@ -132,7 +134,7 @@
 		go l.follow(before, off)
 	}
 	served := make(chan error, 1)
-	go func() { served <- srv.http.Serve(gate) }()
+	go func() { served <- srv.Serve(clients) }()
 	counters.Serving.Store(true)
 
 	work.Go(func() { followDiscovery(live, addresses, l.watch, notifications) }) // to the end: notices are owed while it drains too
@@ -198,9 +200,9 @@
 
 // retire brings a relay to its end whose place a newer process has taken: it stays for as long as clients keep its
 // connections or calls are out, but after a signal to end no longer than drain does.
-func (l *loop) retire(ctx context.Context, srv *server) {
-	srv.closing.Store(true)
-	_ = l.gate.Close()
+func (l *loop) retire(ctx context.Context, srv *frontend.Server) {
+	srv.StartDraining()
+	_ = l.clients.Close()
 	end, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer context.AfterFunc(ctx, func() {
@@ -208,7 +210,7 @@
 			cancel()
 		}
 	})()
-	for l.gate.clients() > 0 || !l.idle() {
+	for l.clients.Count() > 0 || !l.idle() {
 		if !clock.Sleep(end, askIdle) {
 			break
 		}
@@ -218,12 +220,12 @@
 
 // drain brings a relay to its end. No request that was read goes unanswered: answers close their
 // connections, and those that stay unused are closed last.
-func (l *loop) drain(srv *server) {
+func (l *loop) drain(srv *frontend.Server) {
 	begun := clock.Now()
 	until := func(stage time.Duration) time.Duration { return clock.Until(begun.Add(stage)) }
-	srv.closing.Store(true)
+	srv.StartDraining()
 	time.Sleep(until(listenOn))
-	_ = l.gate.Close()
+	_ = l.clients.Close()
 	for until(sendOn) > 0 && l.busy() {
 		time.Sleep(askIdle)
 	}
@@ -236,20 +238,20 @@
 
 // shutdown closes the clients' connections: those that rest at once, the others once the answers that are being written
 // are out. The process ends when the clients have read these, or at a moment.
-func (l *loop) shutdown(srv *server, by instant.Time) {
+func (l *loop) shutdown(srv *frontend.Server, by instant.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), lastWords)
 	defer cancel()
-	if err := srv.http.Shutdown(ctx); err != nil {
+	if err := srv.Shutdown(ctx); err != nil {
 		slog.Warn("connections left", "err", err)
 	}
 	// No request is taken up any more: what is left of the others ends with the process.
-	for l.gate.any(func(c *client) bool { return c.stage == lingering || c.stage == answerDue }) && clock.Now() < by {
+	for l.clients.ResponsesUnread() && clock.Now() < by {
 		time.Sleep(askIdle / 10)
 	}
 }
 
 // busy tells whether a message is held, or a request that may become one is still being written.
-func (l *loop) busy() bool { return l.gate.busy() || !l.idle() }
+func (l *loop) busy() bool { return l.clients.Busy() || !l.idle() }
 
 // idle tells whether nothing is held.
 func (l *loop) idle() bool {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,6 +18,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/config"
+	"milletsail/internal/relay/frontend"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/protocol"
@@ -107,7 +108,7 @@
 		{"negative destination", "status", header("X-Envelope", "dest=-7"), 400},
 		{"huge destination", "status", header("X-Envelope", "dest=99999999999999999999"), 400},
 		{"no id", "status", header("Request-Id", ""), 400},
-		{"long id", "status", header("Request-Id", strings.Repeat("i", maxName+1)), 400},
+		{"long id", "status", header("Request-Id", strings.Repeat("i", frontend.MaxIDSize+1)), 400},
 		{"no key in a keyed class", "payment", header("Idempotency-Key", ""), 400},
 		{"no time-out", "status", header("Request-Timeout", ""), 400},
 		{"time-out of zero", "status", header("Request-Timeout", "0"), 400},
@@ -579,8 +580,8 @@
 			t.Errorf("%s: answer %q", tt.name, answer)
 		}
 	}
-	if readTime >= 3*time.Second {
-		t.Errorf("a silent peer is closed after %v, and is owed that within 3 s", readTime)
+	if frontend.ReadTimeout >= 3*time.Second {
+		t.Errorf("a silent peer is closed after %v, and is owed that within 3 s", frontend.ReadTimeout)
 	}
 	p.take("status", "good", "20")
 	if id := p.called(); id != "good" {
@@ -599,21 +600,21 @@
 	l := &loop{cfg: &config.Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
 		messages: map[string]*message{}, list: listAt(7)}
 	l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
-	copyOf := func(id string) *arrival {
-		return &arrival{verdict: make(chan verdict, 1),
-			entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)}}
+	copyOf := func(id string) *frontend.Submission {
+		return &frontend.Submission{Response: make(chan frontend.Response, 1),
+			Entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)}}
 	}
-	status := func(a *arrival) int {
+	status := func(a *frontend.Submission) int {
 		select {
-		case v := <-a.verdict:
-			return v.status
+		case v := <-a.Response:
+			return v.Status
 		default:
 			return 0
 		}
 	}
 	first, second, late := copyOf("m"), copyOf("m"), copyOf("m")
-	l.accept(first)
-	l.accept(second)
+	l.accept(messageArrived{first})
+	l.accept(messageArrived{second})
 	if s := status(second); s != 0 {
 		t.Errorf("a copy of an undecided message was answered %d", s)
 	}
@@ -621,17 +622,17 @@
 	if a, b := status(first), status(second); a != http.StatusAccepted || b != a {
 		t.Errorf("answers %d and %d", a, b)
 	}
-	l.accept(late)
-	for _, a := range []*arrival{late, second, first} {
-		l.accept(departure{a})
+	l.accept(messageArrived{late})
+	for _, a := range []*frontend.Submission{late, second, first} {
+		l.accept(clientLeft{a})
 	}
 	l.step()
 	if l.messages["m"] == nil || l.journal.Get("m") == nil {
 		t.Error("a message that others were told is taken on was withdrawn")
 	}
 	alone := copyOf("n")
-	l.accept(alone)
-	l.accept(departure{alone})
+	l.accept(messageArrived{alone})
+	l.accept(clientLeft{alone})
 	l.step()
 	if l.messages["n"] != nil || l.journal.Get("n") != nil {
 		t.Error("a message whose client left unanswered was kept")
@@ -646,13 +647,13 @@
 		l.cfg.Policy.Classes[0].Effect, l.cfg.Policy.Classes[0].KeysPerZone = c.effect, c.byZone
 		id := fmt.Sprint("out", i)
 		gone, again := copyOf(id), copyOf(id)
-		l.accept(gone)
+		l.accept(messageArrived{gone})
 		l.step()
 		m := l.messages[id]
 		l.journal.StartAttempt(m.Entry, "h1", clock.Now())
 		m.cancel = func() {}
-		l.accept(departure{gone})
-		l.accept(again)
+		l.accept(clientLeft{gone})
+		l.accept(messageArrived{again})
 		if got := status(again); got != c.want {
 			t.Errorf("%+v: answered %d", c, got)
 		}
@@ -695,9 +696,9 @@
 			messages: map[string]*message{}, list: listAt(7), notifier: &notifier.Notifier{}}
 		l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
 		start := time.Now()
-		hand := func(id string, left time.Duration) *arrival {
-			a := &arrival{verdict: make(chan verdict, 1), entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(left)}}
-			l.accept(a)
+		hand := func(id string, left time.Duration) *frontend.Submission {
+			a := &frontend.Submission{Response: make(chan frontend.Response, 1), Entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(left)}}
+			l.accept(messageArrived{a})
 			return a
 		}
 		first := hand("first", time.Second)
@@ -705,7 +706,7 @@
 		l.step()
 		time.Sleep(l.due() - tick/2)
 		delete(l.messages, "first")
-		l.events = append(l.events, policy.Withdrawn{ID: first.entry.ID})
+		l.events = append(l.events, policy.Withdrawn{ID: first.Entry.ID})
 		l.step()
 		for range 3 { // as far as the timers wake the relay before the second message's time is up
 			time.Sleep(min(l.due(), 2*time.Second-time.Since(start)))
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -5,6 +5,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/frontend"
 	"milletsail/internal/relay/notifier"
 	"milletsail/policy"
 )
@@ -25,7 +26,7 @@
 		for _, learned := range off.Learned {
 			l.events = append(l.events, learned.Translate(k.fromLink))
 		}
-		l.gate.lend(off.Clients)
+		l.clients.Reserve(off.Clients)
 	}
 	for _, e := range l.journal.Entries() {
 		if off != nil && off.Unwritten {
@@ -50,7 +51,7 @@
 		}
 		class := l.class(e.Class)
 		if class < 0 { // the settings have changed, and the module could not end it
-			l.refuse(m, verdict{}, notifier.StatusUndeliverable, policy.ReasonNone)
+			l.refuse(m, frontend.Response{}, notifier.StatusUndeliverable, policy.ReasonNone)
 			continue
 		}
 		// Whatever the folder says, no message has more time than its class.
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -9,6 +9,7 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/config"
+	"milletsail/internal/relay/frontend"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/policy"
@@ -69,7 +70,7 @@
 			kept.Accept(m.Entry)
 			l.commit()
 			disk.full.Store(true)
-			l.refuse(m, verdict{}, notifier.StatusDeferred, policy.ReasonNoTimeLeft)
+			l.refuse(m, frontend.Response{}, notifier.StatusDeferred, policy.ReasonNoTimeLeft)
 			l.commit()
 			if len(queue) != c.before {
 				t.Errorf("%d notices while nothing can be written, want %d", len(queue), c.before)
