--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -88,7 +88,7 @@
 
 // unsent reports an attempt that was not made.
 func (l *loop) unsent(s send, why policy.Outcome) {
-	l.answered(answered{id: s.m.ID, attempt: s.attempt, host: s.host.Host, Result: upstream.Result{Outcome: why}})
+	l.completeAttempt(attemptEnded{id: s.m.ID, attempt: s.attempt, endpoint: s.host.Host, Result: upstream.Result{Outcome: why}})
 }
 
 // answerMargin before the time of a message is up, an answer to a call that it shares with others counts for none of them.
@@ -126,8 +126,8 @@
 func (l *loop) call(sends []send) {
 	ctx, cancel := context.WithCancel(l.calls)
 	r := upstream.Call{Addr: sends[0].host.Dial}
-	end := func(s send, took time.Duration, res upstream.Result) answered {
-		return answered{id: s.m.ID, attempt: s.attempt, host: s.host.Host, took: took, Result: res}
+	end := func(s send, took time.Duration, res upstream.Result) attemptEnded {
+		return attemptEnded{id: s.m.ID, attempt: s.attempt, endpoint: s.host.Host, latency: took, Result: res}
 	}
 	waiting := len(sends)
 	r.Timeout = sends[0].timeout
@@ -157,7 +157,7 @@
 		defer cancel()
 		begun := clock.Now()
 		results := l.pool.Do(ctx, r)
-		all := make(ended, len(sends))
+		all := make(callEnded, len(sends))
 		for i, s := range sends {
 			all[i] = end(s, clock.Since(begun), results[i])
 		}
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -11,14 +11,14 @@
 	"milletsail/policy"
 )
 
-// answered takes in the end of a call for a message.
-func (l *loop) answered(e answered) {
+// completeAttempt takes in the end of a call for a message.
+func (l *loop) completeAttempt(e attemptEnded) {
 	m := l.messages[e.id] // stays as long as a call is out
 	m.cancel = nil
 	if e.Outcome != policy.OK {
 		l.metrics.Reasons.Increment("relay_calls_without_delivery", e.Outcome)
-		slog.Info("call without delivery", "id", e.id, "dest", m.Dest, "host", e.host, "attempt", e.attempt,
-			"outcome", e.Outcome, "took", e.took, "wait", e.RetryAfter)
+		slog.Info("call without delivery", "id", e.id, "dest", m.Dest, "host", e.endpoint, "attempt", e.attempt,
+			"outcome", e.Outcome, "took", e.latency, "wait", e.RetryAfter)
 	}
 	l.observed(e)
 	unrun := e.Outcome == policy.Rejected || e.Outcome == policy.ConnectError || e.Outcome == policy.NotSent || e.Outcome == policy.NotStarted
@@ -28,8 +28,8 @@
 	if e.Outcome == policy.NotStarted { // no attempt was made; until the next segment a later process takes it for one that never ran
 		m.Attempts = m.Attempts[:e.attempt]
 	}
-	l.events = append(l.events, policy.AttemptEnded{ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.Outcome,
-		RetryAfter: e.RetryAfter, Latency: e.took, Completed: e.Completed, AttemptsExhausted: e.AttemptsExhausted, LoadReport: e.LoadReport})
+	l.events = append(l.events, policy.AttemptEnded{ID: e.id, Endpoint: e.endpoint, Attempt: e.attempt, Outcome: e.Outcome,
+		RetryAfter: e.RetryAfter, Latency: e.latency, Completed: e.Completed, AttemptsExhausted: e.AttemptsExhausted, LoadReport: e.LoadReport})
 	if !m.over && e.Outcome == policy.OK {
 		l.metrics.CountResult(l.class(m.Class), metrics.Completed)
 	} else if !m.over && e.Completed { // its end came without us
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -6,6 +6,7 @@
 	"milletsail/internal/fleet/live"
 	"milletsail/internal/relay/discovery"
 	"milletsail/internal/relay/frontend"
+	"milletsail/internal/relay/handover"
 	"milletsail/internal/relay/upstream"
 	"milletsail/policy"
 )
@@ -20,14 +21,14 @@
 	messageArrived struct{ *frontend.Submission }
 	// clientLeft says that a client left before its message was answered.
 	clientLeft struct{ *frontend.Submission }
-	// ended is the end of a call, for each of its messages.
-	ended []answered
-	// answered is the end of a call for one message.
-	answered struct {
-		id      string
-		attempt int
-		host    string
-		took    time.Duration
+	// callEnded is the end of a call, for each of its messages.
+	callEnded []attemptEnded
+	// attemptEnded is the end of a call for one message.
+	attemptEnded struct {
+		id       string
+		attempt  int
+		endpoint string
+		latency  time.Duration
 		upstream.Result
 	}
 	// batchReceived is a part of an object that discovery sent.
@@ -42,23 +43,25 @@
 	notificationsReceived struct{ ids []string }
 	// stopSending says that the process is about to end.
 	stopSending struct{}
-	// takeover is a newer process that asks for the folder.
-	takeover struct{ link *link }
-	// heirGone says that the newer process is gone.
-	heirGone struct{}
-	// question asks whether anything is still to be done.
-	question struct{ idle chan bool }
+	// successorRequested is a successor that requests the state directory.
+	successorRequested struct{ link *handover.Link }
+	// successorMessage is a message of the successor after a handover.
+	successorMessage struct{ handover.Message }
+	// successorGone says that the successor is gone.
+	successorGone struct{}
+	// idleQuery asks whether nothing is left to do.
+	idleQuery struct{ idle chan bool }
 )
 
 func (e messageArrived) apply(l *loop) { l.arrive(e.Submission) }
 
 func (e clientLeft) apply(l *loop) { l.withdraw(e.Submission) }
 
-func (e ended) apply(l *loop) {
+func (e callEnded) apply(l *loop) {
 	for _, a := range e {
 		// A message may have had its end before the call that it was part of.
-		if m := l.messages[a.id]; m != nil && m.cancel != nil && a.attempt == len(m.Attempts)-1 {
-			l.answered(a)
+		if l.inFlight(a.id, a.attempt) != nil {
+			l.completeAttempt(a)
 		}
 	}
 }
@@ -81,18 +84,18 @@
 	}
 }
 
-func (e takeover) apply(l *loop) {
-	if l.successor != nil {
-		l.successor.close()
+func (e successorRequested) apply(l *loop) {
+	if l.handover.requester != nil {
+		l.handover.requester.Close()
 	}
-	l.successor = e.link
+	l.handover.requester = e.link
 }
 
 func (stopSending) apply(l *loop) { l.events = append(l.events, policy.ShutdownStarted{}) }
 
-func (e question) apply(l *loop) { e.idle <- len(l.messages) == 0 }
+func (e idleQuery) apply(l *loop) { e.idle <- len(l.messages) == 0 }
 
-// apply of a line or an end of the link is for pass alone: neither comes before a handover.
-func (line) apply(*loop) {}
+// apply does nothing: messages and the end of a successor come after a handover, and handleAfterHandover takes them.
+func (successorMessage) apply(*loop) {}
 
-func (heirGone) apply(*loop) {}
+func (successorGone) apply(*loop) {}
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
 	"net"
@@ -18,7 +17,7 @@
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
-	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/handover"
 	"milletsail/internal/relay/notifier"
 )
 
@@ -276,35 +275,37 @@
 	p.addHost("h1", 7)
 	p.inherits()
 	old := p.start()
-	path, closeDir, err := folderSocket(p.dir)
-	if err != nil {
-		t.Fatal(err)
+	request := func(conn net.Conn) error {
+		_, err := io.WriteString(conn, `{"step":"ask"}`+"\n")
+		return err
 	}
-	defer closeDir()
 	steps := []struct {
 		name string
-		take func(*link) error
+		take func(net.Conn) error
 	}{
-		{"before it asks", func(*link) error { return nil }},
-		{"once it has asked", func(k *link) error { return k.step(line{Step: stepAsk}, clock.Now().Add(long)) }},
-		{"with the offer", func(k *link) error {
-			if err := k.step(line{Step: stepAsk}, clock.Now().Add(long)); err != nil {
+		{"before it asks", func(net.Conn) error { return nil }},
+		{"once it has asked", request},
+		{"with the offer", func(conn net.Conn) error {
+			if err := request(conn); err != nil {
 				return err
 			}
-			_, err := k.await(clock.Now().Add(long))
+			offer, err := bufio.NewReader(conn).ReadString('\n')
+			if err == nil && !strings.HasPrefix(offer, `{"offer":`) {
+				return fmt.Errorf("the predecessor sent %q", offer)
+			}
 			return err
 		}},
 	}
 	for _, s := range steps {
-		c, err := net.Dial("unix", path)
+		c, err := net.Dial("unix", filepath.Join(p.dir, "handover"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := newLink(c)
-		if err := s.take(k); err != nil {
+		_ = c.SetDeadline(time.Now().Add(long))
+		if err := s.take(c); err != nil {
 			t.Errorf("%s: %v", s.name, err)
 		}
-		k.close()
+		_ = c.Close()
 		p.take("status", s.name, "25")
 		p.until(s.name, func() bool { return slices.Contains(p.sent(), s.name) })
 	}
@@ -312,11 +313,11 @@
 	p.answer = func(*http.Request) int { return 0 }
 	p.take("status", "out", "25")
 	p.until("its call is out", func() bool { return slices.Contains(p.sent(), "out") })
-	k, off, err := askFor(p.dir, clock.Now().Add(long))
-	if err != nil || len(off.Out) != 1 {
-		t.Fatalf("offer %+v, %v", off, err)
+	acquired, err := handover.Request(t.Context(), p.dir, clock.Now().Add(long))
+	if err != nil || len(acquired.Offer.InFlight) != 1 {
+		t.Fatalf("acquired %+v, %v", acquired, err)
 	}
-	k.close()
+	acquired.Predecessor.Close()
 	if err := old.exit(t); err != nil { // its call is off the wire with it
 		t.Error(err)
 	}
@@ -333,22 +334,35 @@
 		fmt.Fprintln(os.Stderr, "own:", err)
 		os.Exit(1)
 	}
-	by := clock.Now().Add(long)
-	heir(context.Background(), dir, new(metrics.ReasonCounters), func(k *link) {
+	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, "handover"), Net: "unix"})
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "listen:", err)
+		os.Exit(1)
+	}
+	go func() {
+		defer die()
+		conn, err := socket.Accept()
+		if err != nil {
+			return
+		}
+		in := bufio.NewReader(conn)
+		if request, err := in.ReadString('\n'); err != nil || request != `{"step":"ask"}`+"\n" {
+			return
+		}
 		switch step {
 		case "offered", "released":
-			if err := k.step(line{Offer: &offer{Out: []attemptOut{{ID: "m", Host: "h1", Class: "status", Dest: 7}}}}, by); err != nil {
-				break
+			offer := `{"offer":{"out":[{"id":"m","attempt":0,"class":"status","dest":7,"host":"h1"}],"learned":null,"clients":0}}`
+			if _, err := io.WriteString(conn, offer+"\n"); err != nil {
+				return
 			}
 			if step == "released" {
-				_, _ = k.await(by)
+				_, _ = in.ReadString('\n')
 				o.Release()
 			}
 		case "half an offer":
-			_, _ = io.WriteString(k.conn, `{"offer":{"out":[`)
+			_, _ = io.WriteString(conn, `{"offer":{"out":[`)
 		}
-		die()
-	})
+	}()
 	fmt.Println("ready")
 	select {}
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -66,16 +66,9 @@
 	// unrecorded are the notices whose messages' ends are not on disk yet.
 	unrecorded []unrecordedNotification
 
-	clients   *frontend.ConnectionLimiter
-	owner     *journal.Ownership
-	successor *link                        // asks for the folder
-	heir      *link                        // has it: nothing is decided here any more
-	ceded     chan bool                    // closed then
-	retired   func()                       // ends what only the owner of the folder does
-	asked     map[int]*frontend.Submission // that the heir decides on
-	arrivals  int                          // numbers of these
-	reported  int                          // connections that the heir was told of
-	orphaned  bool                         // the heir is gone
+	clients  *frontend.ConnectionLimiter
+	owner    *journal.Ownership
+	handover handoverState
 }
 
 // put hands the loop an event.
@@ -95,20 +88,20 @@
 		case <-sweep.C:
 			l.pool.Sweep()
 			l.checkClocks()
-			if l.heir == nil {
+			if l.handover.decides() {
 				l.stored(l.journal.Retry())
 				l.list.maintainStore()
 				l.checkOverdue()
 			}
 			continue
 		case e := <-l.inbox:
-			if l.heir != nil {
-				l.pass(e)
+			if !l.handover.decides() {
+				l.handleAfterHandover(e)
 				continue
 			}
 			l.accept(e)
 		case <-timer.C:
-			if l.heir != nil {
+			if !l.handover.decides() {
 				continue
 			}
 		}
@@ -123,12 +116,12 @@
 			}
 		}
 		l.step()
-		if k := l.successor; k != nil {
-			l.successor = nil
-			if l.cede(k) {
+		if requester := l.handover.requester; requester != nil {
+			l.handover.requester = nil
+			if l.handOver(requester) {
 				l.pool.DisableKeepAlives()
-				l.retired()
-				close(l.ceded)
+				l.handover.endOwnerTasks()
+				close(l.handover.completed)
 			}
 		}
 	}
@@ -138,7 +131,7 @@
 // module's timer stays as it is then, since the module does not ask for it twice.
 func (l *loop) due() time.Duration {
 	switch {
-	case l.heir != nil:
+	case !l.handover.decides():
 		return time.Hour
 	case len(l.events) > 0 || l.list.removing != nil:
 		return 0
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,6 +20,7 @@
 	"milletsail/internal/relay/discovery"
 	"milletsail/internal/relay/frontend"
 	"milletsail/internal/relay/gossip"
+	"milletsail/internal/relay/handover"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/upstream"
@@ -69,14 +70,14 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	defer func() { _ = clients.Close() }()
-	owner, before, off, err := takeOver(ctx, dir)
+	acquired, err := handover.Acquire(ctx, dir)
 	if err != nil && ctx.Err() != nil {
 		return nil // told to end before there was anything to bring to an end
 	}
 	if err != nil {
 		return err
 	}
-	defer owner.Release()
+	defer acquired.Ownership.Release()
 	kept, found, err := loadJournal(ctx, cfg, dir)
 	if err != nil && ctx.Err() != nil {
 		return nil // nothing was taken on by this process
@@ -91,18 +92,19 @@
 
 	live, stop := context.WithCancel(context.Background())
 	defer stop()
-	deciding, retired := context.WithCancel(live)
-	defer retired()
+	deciding, endOwnerTasks := context.WithCancel(live)
+	defer endOwnerTasks()
 	s := cfg.Settings
 	l := &loop{cfg: cfg, d: d, journal: kept, metrics: counters, inbox: make(chan event, inboxSize), calls: live,
 		messages: map[string]*message{}, list: list,
 		pool: upstream.NewPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.Policy.IdleConnTimeout,
 			max(1, int(frontend.UpstreamShare*float64(cfg.Limits.Sockets))), &counters.UpstreamRequests),
-		clients: clients, owner: owner, ceded: make(chan bool), retired: retired}
+		clients: clients, owner: acquired.Ownership,
+		handover: handoverState{completed: make(chan struct{}), endOwnerTasks: endOwnerTasks}}
 	l.watch = discovery.New(cfg.Discovery, discovery.RequestJitter(&cfg.Settings), func(b discovery.Batch) { l.put(batchReceived{b}) },
 		func() { l.put(watchEnded{}) })
 	l.watch.MaxListSize = int64(listMemoryShare * cfg.Limits.MemoryMB * 1e6)
-	l.watch.Immediate = before != nil // the process before had a watch until now, and no other relay starts for that
+	l.watch.Immediate = acquired.Predecessor != nil // the process before had a watch until now, and no other relay starts for that
 	notifications := notifier.New(cfg.Discovery, func(ids []string) { l.put(notificationsReceived{ids}) })
 	l.notifier = notifications
 	l.gossip = gossip.New(gossipOptions(cfg), l.receiveGossip)
@@ -112,7 +114,7 @@
 	}
 	srv := frontend.NewServer(cfg, &counters.Reasons,
 		func(s *frontend.Submission) { l.put(messageArrived{s}) }, func(s *frontend.Submission) { l.put(clientLeft{s}) })
-	heir(deciding, dir, &counters.Reasons, func(k *link) { l.put(takeover{k}) })
+	handover.ListenForSuccessors(deciding, dir, &counters.Reasons, func(link *handover.Link) { l.put(successorRequested{link}) })
 	l.openList(dir)
 	defer func() { l.list.close() }()
 	l.openZones(dir)
@@ -123,15 +125,15 @@
 		operators.Handle("servers", admin.WithoutArguments(func() string { return l.askLoop(l.servers) }))
 	}
 	operators.Handle("diagnostics", admin.WithoutArguments(counters.Reasons.Text))
-	l.restore(before, off) // clients wait to be served until this is done
+	l.restore(acquired.Predecessor, acquired.Offer) // clients wait to be served until this is done
 	var work sync.WaitGroup
 	work.Go(func() { l.run(live) })
 	work.Go(func() { l.watch.Run(deciding) })
 	work.Go(func() { notifications.Run(deciding) })
 	work.Go(func() { l.gossip.Run(deciding) })
 	work.Go(func() { l.shared.Run(deciding) })
-	if before != nil {
-		go l.follow(before, off)
+	if acquired.Predecessor != nil {
+		go l.followPredecessor(acquired.Predecessor, acquired.Offer)
 	}
 	served := make(chan error, 1)
 	go func() { served <- srv.Serve(clients) }()
@@ -140,7 +142,7 @@
 	work.Go(func() { followDiscovery(live, addresses, l.watch, notifications) }) // to the end: notices are owed while it drains too
 	select {
 	case err = <-served:
-	case <-l.ceded:
+	case <-l.handover.completed:
 		counters.Serving.Store(false)
 		l.retire(ctx, srv)
 	case <-ctx.Done():
@@ -255,7 +257,7 @@
 
 // idle tells whether nothing is held.
 func (l *loop) idle() bool {
-	q := question{make(chan bool, 1)}
+	q := idleQuery{make(chan bool, 1)}
 	l.put(q)
 	return <-q.idle
 }
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -6,42 +6,43 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/frontend"
+	"milletsail/internal/relay/handover"
 	"milletsail/internal/relay/notifier"
 	"milletsail/policy"
 )
 
 // restore takes up what the journal holds, the list of endpoints, and what the process before has out, where that one
 // handed over.
-func (l *loop) restore(k *link, off *offer) {
+func (l *loop) restore(k *handover.Link, off *handover.Offer) {
 	l.inform()
 	if l.zoning != nil && len(l.zoning.pending) > 0 {
 		l.step() // an order goes on before anything is sent
 	}
 	l.watch.Version = l.list.seq
-	out := map[string]attemptOut{}
+	out := map[string]handover.Attempt{}
 	if off != nil {
-		for _, a := range off.Out {
+		for _, a := range off.InFlight {
 			out[a.ID] = a
 		}
-		for _, learned := range off.Learned {
-			l.events = append(l.events, learned.Translate(k.fromLink))
+		for _, learned := range off.PolicyState {
+			l.events = append(l.events, learned.Translate(k.DecodeInstant))
 		}
 		l.clients.Reserve(off.Clients)
 	}
 	for _, e := range l.journal.Entries() {
-		if off != nil && off.Unwritten {
+		if off != nil && off.JournalIncomplete {
 			live, ok := off.Live[e.ID]
 			if !ok { // its end could not be written
 				l.journal.Complete(e)
 				continue
 			}
-			live.agree(e)
+			live.Reconcile(e)
 		}
 		m := &message{Entry: e}
 		l.messages[e.ID] = m
 		l.pend(m)
 		if o, ok := out[e.ID]; ok {
-			o.agree(e, k.instantOf(o.Begun))
+			o.Reconcile(e, k.Instant(o.StartedAt))
 		}
 		if e.PendingNotification != nil {
 			m.over = true
@@ -70,11 +71,11 @@
 	for _, o := range out { // their messages are over, but they hold slots
 		m := l.messages[o.ID]
 		if m == nil {
-			m = &message{Entry: &journal.Entry{ID: o.ID, Class: o.Class, Dest: o.Dest, Attempts: make([]journal.Attempt, o.Attempt+1)}, over: true}
+			m = &message{Entry: &journal.Entry{ID: o.ID, Class: o.Class, Dest: o.Destination, Attempts: make([]journal.Attempt, o.Attempt+1)}, over: true}
 			l.messages[o.ID] = m
 		}
-		a := policy.Arrived{ID: o.ID, Class: l.class(o.Class), Destination: o.Dest, Resumed: true, Completed: true,
-			PriorAttempts: slices.Repeat([]policy.PriorAttempt{{Endpoint: o.Host, SentAt: k.instantOf(o.Begun)}}, o.Attempt+1)}
+		a := policy.Arrived{ID: o.ID, Class: l.class(o.Class), Destination: o.Destination, Resumed: true, Completed: true,
+			PriorAttempts: slices.Repeat([]policy.PriorAttempt{{Endpoint: o.Endpoint, SentAt: k.Instant(o.StartedAt)}}, o.Attempt+1)}
 		l.rejoin(k, m, o, &a)
 		l.events = append(l.events, a)
 	}
@@ -82,9 +83,9 @@
 }
 
 // rejoin marks the last attempt of a message as still out in the process before.
-func (l *loop) rejoin(k *link, m *message, o attemptOut, a *policy.Arrived) {
+func (l *loop) rejoin(k *handover.Link, m *message, o handover.Attempt, a *policy.Arrived) {
 	last := &a.PriorAttempts[o.Attempt]
 	last.InFlight, last.Call = true, o.Call
 	m.call = o.Call
-	m.cancel = func() { k.put(line{Cancel: &attemptOut{ID: o.ID, Attempt: o.Attempt}}) }
+	m.cancel = func() { k.Send(handover.Message{Cancel: &handover.Attempt{ID: o.ID, Attempt: o.Attempt}}) }
 }
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -95,9 +95,9 @@
 }
 
 // observed tells the other relays of a call that failed, where they know of an outage.
-func (l *loop) observed(e answered) {
+func (l *loop) observed(e attemptEnded) {
 	switch e.Outcome {
 	case policy.ConnectError, policy.Failed, policy.Reset, policy.TimedOut:
-		l.shared.ObserveFailure(e.host)
+		l.shared.ObserveFailure(e.endpoint)
 	}
 }
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -10,6 +10,7 @@
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/frontend"
+	"milletsail/internal/relay/handover"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/policy"
@@ -87,7 +88,7 @@
 // What a journal that could not be written lacks, the process before tells: attempts may have run, and an end stays one.
 func TestUnwrittenJournalIsMadeUpFor(t *testing.T) {
 	e := &journal.Entry{ID: "m", Attempts: []journal.Attempt{{Host: "h1", Ended: true, NotExecuted: true}}}
-	liveMessage{Attempts: 3, Owed: &journal.Notification{ID: "m", Status: notifier.StatusDeferred}}.agree(e)
+	handover.LiveMessage{Attempts: 3, PendingNotification: &journal.Notification{ID: "m", Status: notifier.StatusDeferred}}.Reconcile(e)
 	if len(e.Attempts) != 3 || !e.Attempts[2].Uncertain || e.Attempts[2].NotExecuted || e.PendingNotification == nil {
 		t.Errorf("%+v", e)
 	}
