--- a/cmd/milletsail/admin.go
+++ b/cmd/milletsail/admin.go
@@ -2,10 +2,7 @@
 
 import (
 	"encoding/json"
-	"fmt"
-	"io"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -16,48 +13,67 @@
 // adminTimeout bounds connecting to an admin endpoint, and the exchange after it.
 const adminTimeout = 2 * time.Second
 
-// askRelays sends one command line to the admin endpoints at addresses, and writes a table of their JSON replies, or the
-// replies unchanged if raw. A relay that refuses or does not answer is named, and gives exit status 1.
-func askRelays[T any](c *cobra.Command, addresses []string, line, head string, raw bool, rows func(io.Writer, T)) error {
-	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-	if !raw {
-		fmt.Fprintln(w, head)
+// adminQuery asks relays for a JSON reply at their admin endpoints, and shows the replies.
+type adminQuery[T any] struct {
+	line   string                    // the command line that each relay gets
+	header string                    // of the table, with tabs between the columns
+	raw    bool                      // replies are printed unchanged, without a table
+	rows   func(out *table, reply T) // adds the lines of one reply
+}
+
+// run queries the relays one after the other. One that rejects the query or does not answer is named on standard error,
+// and gives errFailed in the end.
+func (q adminQuery[T]) run(command *cobra.Command, addresses []string) error {
+	out := newTable(command.OutOrStdout(), 0)
+	if !q.raw {
+		out.printf("%s\n", q.header)
 	}
-	silent := 0
+	failed := 0
 	for _, address := range addresses {
-		reply, err := askRelay(address, line)
-		var said T
-		if err == nil {
-			err = json.Unmarshal([]byte(reply), &said)
-		}
+		text, reply, err := q.query(address)
 		switch {
 		case err != nil:
-			fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", address, err)
-			silent++
-		case raw:
-			fmt.Fprintln(w, reply)
+			command.PrintErrf("%s: %v\n", address, err)
+			failed++
+		case q.raw:
+			out.printf("%s\n", text)
 		default:
-			rows(w, said)
+			q.rows(out, reply)
 		}
 	}
-	if err := w.Flush(); err != nil {
+	if err := out.flush(); err != nil {
 		return err
 	}
-	if silent > 0 {
-		return exit(broken)
+	if failed > 0 {
+		return errFailed
 	}
 	return nil
 }
 
-// askRelay sends one command line to the admin endpoint at address, and returns its reply. A refusal by the relay is an error.
-func askRelay(address, line string) (string, error) {
+// query returns the reply of one relay, as it came and decoded.
+func (q adminQuery[T]) query(address string) (text string, reply T, err error) {
+	text, err = callRelay(address, q.line)
+	if err != nil {
+		return "", reply, err
+	}
+	return text, reply, json.Unmarshal([]byte(text), &reply)
+}
+
+// rejectedError says that a relay rejected a command.
+type rejectedError struct{ reason string }
+
+func (e *rejectedError) Error() string { return "refused: " + e.reason }
+
+// callRelay sends one command line to the admin endpoint at address, and returns its reply. It returns a *rejectedError where
+// the relay rejects the command.
+func callRelay(address, line string) (string, error) {
 	reply, err := admin.Call(address, line, adminTimeout)
 	if err != nil {
 		return "", err
 	}
 	text := strings.TrimSpace(reply)
-	if what, bad := strings.CutPrefix(text, "ERR "); bad {
-		return "", fmt.Errorf("refused: %s", what)
+	if reason, rejected := strings.CutPrefix(text, "ERR "); rejected {
+		return "", &rejectedError{reason}
 	}
 	return text, nil
 }
--- /dev/null
+++ b/cmd/milletsail/agent.go
@@ -0,0 +1,52 @@
+package main
+
+import (
+	"fmt"
+	"os/signal"
+	"path/filepath"
+	"syscall"
+
+	"github.com/spf13/cobra"
+
+	"milletsail/internal/rollout"
+)
+
+func agentCommand() *cobra.Command {
+	agent := &cobra.Command{Use: "agent", Short: "Run the processes of one relay for rollouts"}
+	agent.AddCommand(&cobra.Command{Use: "run FILE", Short: "Run a relay, and change its program as a rollout's controller asks", Args: cobra.ExactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			config, err := rollout.ReadAgentConfig(args[0])
+			if err != nil {
+				return err
+			}
+			return runAgent(command, config)
+		}})
+	return agent
+}
+
+// runAgent runs a relay and its agent until a signal ends them.
+func runAgent(command *cobra.Command, config *rollout.AgentConfig) error {
+	ctx, stop := signal.NotifyContext(command.Context(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	program, err := rollout.Serving(config.Folder, config.Program)
+	if err != nil {
+		return err
+	}
+	processes, err := rollout.NewProcesses(ctx, *config, program)
+	if err != nil {
+		return fmt.Errorf("relay %d: %w", config.Relay, err)
+	}
+	defer processes.Stop()
+	server, err := rollout.NewServer(config.Relay, config.Folder, config.Program, processes)
+	if err != nil {
+		return err
+	}
+	defer server.Close()
+	address, err := server.Listen(config.Address)
+	if err != nil {
+		return err
+	}
+	command.Printf("relay %d runs %s, its agent is at %s\n", config.Relay, filepath.Base(program), address)
+	<-ctx.Done()
+	return nil
+}
--- a/cmd/milletsail/campaign.go
+++ b/cmd/milletsail/campaign.go
@@ -1,174 +1,213 @@
 package main
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
 	"slices"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
 	"milletsail/internal/lab/campaign"
 	"milletsail/internal/lab/report"
 	"milletsail/internal/lab/scenario"
-	"milletsail/scenarios"
 )
 
+// defaultMetrics are the columns of a campaign's table where none are named.
+var defaultMetrics = []string{"served", "late", "local_part", "evacuations", "returns", "fell", "carried", "zone_back", "accused"}
+
+// campaignRun is the flags of a campaign.
+type campaignRun struct {
+	relay   string
+	out     string
+	cases   []string
+	metrics []string
+	atOnce  int
+	seeds   int
+}
+
 func campaignCommand() *cobra.Command {
-	var relay, out string
-	var cases, figures []string
-	var atOnce, seeds int
-	c := &cobra.Command{Use: "campaign CAMPAIGN", Short: "Play a campaign: cases of one scenario, over seeds and variants",
+	var run campaignRun
+	command := &cobra.Command{Use: "campaign CAMPAIGN", Short: "Play a campaign: cases of one scenario, over seeds and variants",
 		Long: "Play a campaign (a file, or the name of one that comes with the program): cases made from one scenario, each over\n" +
 			"several seeds and variants, and hold the figures against what each case expects.",
 		Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			p, err := findCampaign(args[0])
-			if err != nil {
-				return err
-			}
-			if atOnce > 0 {
-				p.AtOnce = atOnce
-			}
-			if seeds > 0 {
-				p.Seeds = seeds
-				for i := range p.Cases {
-					p.Cases[i].Seeds = 0
-				}
-			}
-			for _, name := range figures {
-				if campaign.Figures[name] == nil {
-					return fmt.Errorf("--figures: there is none called %q", name)
-				}
-			}
-			path, done, err := binary(c.Context(), relay)
-			defer done()
-			if err != nil {
-				return err
-			}
-			lines := io.Discard
-			if out != "" {
-				file, err := os.Create(out)
-				if err != nil {
-					return err
-				}
-				defer file.Close()
-				lines = file
-			}
-			player := func(ctx context.Context, s *scenario.Scenario) (*report.Figures, error) {
-				return figuresOf(ctx, s, path)
-			}
-			plays, err := p.Run(c.Context(), cases, player, func(one campaign.Play) {
-				_ = json.NewEncoder(lines).Encode(one) // the sum below does not need it
-				fmt.Fprintf(c.ErrOrStderr(), "%s, %s, seed %d: served %.1f%%%s\n", one.Case, one.Variant, one.Seed, 100*one.Figures["served"], said(one))
-			})
-			if err != nil {
-				return err
-			}
-			return sum(c.OutOrStdout(), p, plays, figures)
-		}}
-	c.Flags().StringVar(&relay, "relay", "", "the relay's `binary` (default as for run)")
-	c.Flags().StringVar(&out, "out", "", "`file` for the plays, a line of JSON each")
-	c.Flags().StringSliceVar(&cases, "case", nil, "`names` of cases (default all)")
-	c.PersistentFlags().StringSliceVar(&figures, "figures", []string{"served", "late", "local_part", "evacuations", "returns", "fell", "carried", "zone_back", "accused"}, "`names` of figures for the table")
-	c.Flags().IntVar(&atOnce, "at-once", 0, "plays side by side (default as the campaign has it)")
-	c.Flags().IntVar(&seeds, "seeds", 0, "seeds of each case, from 1 on (default as the campaign has it)")
-	c.AddCommand(sumCommand(&figures))
-	return c
+		RunE: func(command *cobra.Command, args []string) error { return run.run(command, args[0]) }}
+	command.Flags().StringVar(&run.relay, "relay", "", "the relay's `binary` (default as for run)")
+	command.Flags().StringVar(&run.out, "out", "", "`file` for the plays, a line of JSON each")
+	command.Flags().StringSliceVar(&run.cases, "case", nil, "`names` of cases (default all)")
+	command.PersistentFlags().StringSliceVar(&run.metrics, "figures", defaultMetrics, "`names` of figures for the table")
+	command.Flags().IntVar(&run.atOnce, "at-once", 0, "plays side by side (default as the campaign has it)")
+	command.Flags().IntVar(&run.seeds, "seeds", 0, "seeds of each case, from 1 on (default as the campaign has it)")
+	command.AddCommand(run.sumCommand())
+	return command
 }
 
-// findCampaign reads a campaign: a file, else one that comes with the program; its scenario is found in the same way.
-func findCampaign(name string) (*campaign.Plan, error) {
-	text, err := textOf(name, scenarios.Campaign)
+func (r *campaignRun) run(command *cobra.Command, name string) error {
+	plan, err := findCampaign(name)
+	if err != nil {
+		return err
+	}
+	r.adjust(plan)
+	for _, metric := range r.metrics {
+		if campaign.Figures[metric] == nil {
+			return fmt.Errorf("--figures: there is none called %q", metric)
+		}
+	}
+	relay, err := findRelay(command.Context(), r.relay)
+	if err != nil {
+		return err
+	}
+	defer relay.remove()
+	results, err := r.runCases(command, plan, relay.path)
 	if err != nil {
-		return nil, fmt.Errorf("there is no file %s, and no campaign of that name", name)
+		return err
+	}
+	return showCampaign(command, plan, results, r.metrics)
+}
+
+// adjust puts the flags in the place of what a campaign says itself.
+func (r *campaignRun) adjust(plan *campaign.Plan) {
+	if r.atOnce > 0 {
+		plan.AtOnce = r.atOnce
+	}
+	if r.seeds == 0 {
+		return
+	}
+	plan.Seeds = r.seeds
+	for i := range plan.Cases {
+		plan.Cases[i].Seeds = 0
 	}
-	return campaign.Read(name, text, func(base string) ([]byte, error) { return textOf(base, scenarios.Get) })
 }
 
-// sumCommand sums plays up that were written before, of one run or of several.
-func sumCommand(figures *[]string) *cobra.Command {
+// runCases runs the cases, and writes each result to the file for them as it comes.
+func (r *campaignRun) runCases(command *cobra.Command, plan *campaign.Plan, relay string) (results []campaign.Play, err error) {
+	written := io.Discard
+	if r.out != "" {
+		file, err := os.Create(r.out)
+		if err != nil {
+			return nil, err
+		}
+		defer func() { err = errors.Join(err, file.Close()) }()
+		written = file
+	}
+	encoder := json.NewEncoder(written)
+	runOne := func(ctx context.Context, s *scenario.Scenario) (*report.Figures, error) {
+		return measure(ctx, s, relay)
+	}
+	return plan.Run(command.Context(), r.cases, runOne, func(result campaign.Play) {
+		_ = encoder.Encode(result) // the table does not need it
+		command.PrintErrf("%s, %s, seed %d: served %.1f%%%s\n", result.Case, result.Variant, result.Seed, 100*result.Figures["served"],
+			remarks(result))
+	})
+}
+
+// sumCommand sums up results that were written before, of one run or of several.
+func (r *campaignRun) sumCommand() *cobra.Command {
 	return &cobra.Command{Use: "sum CAMPAIGN FILE...", Short: "Sum up plays that were written with --out", Args: cobra.MinimumNArgs(2),
-		RunE: func(c *cobra.Command, args []string) error {
-			p, err := findCampaign(args[0])
+		RunE: func(command *cobra.Command, args []string) error {
+			plan, err := findCampaign(args[0])
 			if err != nil {
 				return err
 			}
-			var plays []campaign.Play
+			var results []campaign.Play
 			for _, path := range args[1:] {
-				file, err := os.Open(path)
+				read, err := readResults(path)
 				if err != nil {
 					return err
 				}
-				defer file.Close()
-				for in := json.NewDecoder(bufio.NewReader(file)); ; {
-					var one campaign.Play
-					if err := in.Decode(&one); err == io.EOF {
-						break
-					} else if err != nil {
-						return fmt.Errorf("%s: %w", path, err)
-					}
-					plays = append(plays, one)
-				}
+				results = append(results, read...)
 			}
-			return sum(c.OutOrStdout(), p, plays, *figures)
+			return showCampaign(command, plan, results, r.metrics)
 		}}
 }
 
-// said is what a play has to say beside its figures.
-func said(one campaign.Play) string {
-	if one.Void != "" {
-		return "; void: " + one.Void
+// readResults reads a file that a campaign wrote with --out.
+func readResults(path string) (results []campaign.Play, err error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = file.Close() }() // nothing was written to it
+	decoder := json.NewDecoder(file)
+	for {
+		var result campaign.Play
+		err := decoder.Decode(&result)
+		if errors.Is(err, io.EOF) {
+			return results, nil
+		}
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", path, err)
+		}
+		results = append(results, result)
+	}
+}
+
+// remarks is what there is to say of a result beside its metrics.
+func remarks(result campaign.Play) string {
+	if result.Void != "" {
+		return "; void: " + result.Void
 	}
-	parts := slices.Concat(one.Broken, one.Missed)
+	parts := slices.Concat(result.Broken, result.Missed)
 	if len(parts) == 0 {
 		return ""
 	}
-	if len(parts) > mostShown {
-		parts = append(parts[:mostShown], fmt.Sprintf("and %d more", len(parts)-mostShown))
+	if len(parts) > maxShownViolations {
+		parts = append(parts[:maxShownViolations], fmt.Sprintf("and %d more", len(parts)-maxShownViolations))
 	}
 	return "; " + strings.Join(parts, "; ")
 }
 
-// sum writes the table of a campaign and what did not hold, and gives that as the exit status.
-func sum(to io.Writer, p *campaign.Plan, plays []campaign.Play, figures []string) error {
-	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "case\tfigure\tvariant\tplays\tmean\tfrom\tto\tpaired difference, 95%")
-	for _, r := range p.Table(plays, figures) {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.4g\t%.4g\t%.4g", r.Case, r.Figure, r.Variant, r.Plays, r.Mean, r.Low, r.High)
-		if r.Pairs > 0 {
-			fmt.Fprintf(w, "\t%+.3g (%+.3g to %+.3g)", r.Diff, r.DiffLow, r.DiffUpp)
-		}
-		fmt.Fprintln(w)
+// campaignCounts counts the results of a campaign that did not hold.
+type campaignCounts struct{ invalid, broken, missed int }
+
+func (c *campaignCounts) add(result campaign.Play) {
+	switch {
+	case result.Void != "":
+		c.invalid++
+	case len(result.Broken) > 0:
+		c.broken++
+	case len(result.Missed) > 0:
+		c.missed++
 	}
-	if err := w.Flush(); err != nil {
+}
+
+// showCampaign prints the table of a campaign and what did not hold, and gives that as the exit status.
+func showCampaign(command *cobra.Command, plan *campaign.Plan, results []campaign.Play, metrics []string) error {
+	if err := showTable(command, plan, results, metrics); err != nil {
 		return err
 	}
-	var voids, brokens, missed int
-	for _, one := range plays {
-		switch {
-		case one.Void != "":
-			voids++
-		case len(one.Broken) > 0:
-			brokens++
-		case len(one.Missed) > 0:
-			missed++
-		}
-		if text := said(one); text != "" {
-			fmt.Fprintf(to, "%s, %s, seed %d%s\n", one.Case, one.Variant, one.Seed, text)
+	var counts campaignCounts
+	for _, result := range results {
+		counts.add(result)
+		if text := remarks(result); text != "" {
+			command.Printf("%s, %s, seed %d%s\n", result.Case, result.Variant, result.Seed, text)
 		}
 	}
-	fmt.Fprintf(to, "%d plays: %d broke a rule, %d stayed void, %d missed what was expected\n", len(plays), brokens, voids, missed)
+	command.Printf("%d plays: %d broke a rule, %d stayed void, %d missed what was expected\n", len(results), counts.broken, counts.invalid,
+		counts.missed)
 	switch {
-	case brokens+missed > 0:
-		return exit(broken)
-	case voids > 0:
-		return exit(void)
+	case counts.broken+counts.missed > 0:
+		return errFailed
+	case counts.invalid > 0:
+		return errInvalid
 	}
 	return nil
 }
+
+func showTable(command *cobra.Command, plan *campaign.Plan, results []campaign.Play, metrics []string) error {
+	rows := newTable(command.OutOrStdout(), 0)
+	rows.printf("case\tfigure\tvariant\tplays\tmean\tfrom\tto\tpaired difference, 95%%\n")
+	for _, row := range plan.Table(results, metrics) {
+		rows.printf("%s\t%s\t%s\t%d\t%.4g\t%.4g\t%.4g", row.Case, row.Figure, row.Variant, row.Plays, row.Mean, row.Low, row.High)
+		if row.Pairs > 0 {
+			rows.printf("\t%+.3g (%+.3g to %+.3g)", row.Diff, row.DiffLow, row.DiffUpp)
+		}
+		rows.printf("\n")
+	}
+	return rows.flush()
+}
--- a/cmd/milletsail/fleet.go
+++ b/cmd/milletsail/fleet.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -14,70 +13,79 @@
 )
 
 func fleetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "fleet", Short: "See what relays know of one another"}
+	fleet := &cobra.Command{Use: "fleet", Short: "See what relays know of one another"}
+	fleet.AddCommand(fleetShowCommand())
+	return fleet
+}
+
+func fleetShowCommand() *cobra.Command {
 	var raw bool
 	show := &cobra.Command{Use: "show ADDRESS...", Short: "Ask relays at their admin endpoints what each believes, from whom, and how old that is",
 		Long: "Ask relays at their admin endpoints (the address `admin`) what each believes, from whom, and how old that is.\n" +
 			"They tell it where sharing is on (`fleet` in the configuration, or $NODE_FLEET=on). Exit status 1 where one does not answer.",
 		Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, addresses []string) error {
-			var silent int
-			var views []live.View
-			for _, address := range addresses {
-				v, err := askView(address)
-				if err != nil {
-					fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", address, err)
-					silent++
-					continue
-				}
-				views = append(views, v)
-			}
-			if err := showViews(c.OutOrStdout(), views, raw); err != nil {
+		RunE: func(command *cobra.Command, addresses []string) error {
+			views, failed := fetchViews(command, addresses)
+			if err := showViews(command.OutOrStdout(), views, raw); err != nil {
 				return err
 			}
-			if silent > 0 {
-				return exit(broken)
+			if failed > 0 {
+				return errFailed
 			}
 			return nil
 		}}
 	show.Flags().BoolVar(&raw, "json", false, "a line of JSON for each relay")
-	c.AddCommand(show)
-	return c
+	return show
+}
+
+// fetchViews fetches the views of relays, and counts those that give none; these are named on standard error.
+func fetchViews(command *cobra.Command, addresses []string) (views []live.View, failed int) {
+	for _, address := range addresses {
+		view, err := fetchView(address)
+		if err != nil {
+			command.PrintErrf("%s: %v\n", address, err)
+			failed++
+			continue
+		}
+		views = append(views, view)
+	}
+	return views, failed
 }
 
-// askView asks one relay.
-func askView(address string) (v live.View, err error) {
+// fetchView fetches the view of one relay.
+func fetchView(address string) (view live.View, err error) {
 	reply, err := admin.Call(address, "fleet", adminTimeout)
 	if err != nil {
-		return v, err
+		return view, err
 	}
 	if text := strings.TrimSpace(reply); strings.HasPrefix(text, "ERR") {
-		return v, fmt.Errorf("%s: is sharing on there?", text)
+		return view, fmt.Errorf("%s: is sharing on there?", text)
 	}
-	return v, json.Unmarshal([]byte(reply), &v)
+	return view, json.Unmarshal([]byte(reply), &view)
 }
 
-func showViews(to io.Writer, views []live.View, raw bool) error {
+// showViews prints views as a table, or each as a line of JSON.
+func showViews(out io.Writer, views []live.View, raw bool) error {
 	if raw {
-		out := json.NewEncoder(to)
-		for _, v := range views {
-			if err := out.Encode(v); err != nil {
+		encoder := json.NewEncoder(out)
+		for _, view := range views {
+			if err := encoder.Encode(view); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "relay\tkind\tof\tsaid by\tvalue\tage s\tbound s\t")
-	for _, v := range views {
-		fmt.Fprintf(w, "%d\tlive\t%d relays, %d suspected\t\t\t\t\t\n", v.Self, len(v.Live), len(v.Suspected))
-		for _, b := range v.Facts {
+	rows := newTable(out, 0)
+	rows.printf("relay\tkind\tof\tsaid by\tvalue\tage s\tbound s\t\n")
+	for _, view := range views {
+		rows.printf("%d\tlive\t%d relays, %d suspected\t\t\t\t\t\n", view.Self, len(view.Live), len(view.Suspected))
+		for _, fact := range view.Facts {
 			fading := ""
-			if b.Fading {
+			if fact.Fading {
 				fading = "fading"
 			}
-			fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%d\t%.3f\t%.0f\t%s\n", v.Self, b.Kind, b.Key, b.Origin, b.Value, b.AgeS, b.BoundS, fading)
+			rows.printf("%d\t%s\t%s\t%d\t%d\t%.3f\t%.0f\t%s\n", view.Self, fact.Kind, fact.Key, fact.Origin, fact.Value, fact.AgeS, fact.BoundS, fading)
 		}
 	}
-	return w.Flush()
+	return rows.flush()
 }
--- a/cmd/milletsail/rollout.go
+++ b/cmd/milletsail/rollout.go
@@ -6,161 +6,152 @@
 	"fmt"
 	"io"
 	"os/signal"
-	"path/filepath"
 	"syscall"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
 	"milletsail/internal/rollout"
 )
 
+// checksumDigits of a version's checksum are shown.
+const checksumDigits = 12
+
+// rolloutTool is what the commands on a rollout share.
+type rolloutTool struct {
+	state string // folder of the rollout's records
+}
+
 func rolloutCommand() *cobra.Command {
-	c := &cobra.Command{Use: "rollout", Short: "Bring a version of the program to a fleet in stages, and back"}
-	var state string
-	c.PersistentFlags().StringVar(&state, "state", "rollout", "`folder` of the rollout's records")
-	var force bool
-	work := func(c *cobra.Command, r *rollout.Controller) error {
-		ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
-		defer stop()
-		err := r.Run(ctx)
-		if errors.Is(err, context.Canceled) {
-			err = nil
-		}
-		showRollout(c.OutOrStdout(), r.State())
-		if err = errors.Join(err, r.Close()); err != nil {
-			return err
-		}
-		if p := r.State().Phase; p == rollout.Stopped || p == rollout.Paused {
-			return exit(broken)
-		}
-		return nil
-	}
-	start := &cobra.Command{Use: "start PLAN", Short: "Begin a rollout, and carry it out", Args: cobra.ExactArgs(1),
+	tool := new(rolloutTool)
+	command := &cobra.Command{Use: "rollout", Short: "Bring a version of the program to a fleet in stages, and back"}
+	command.PersistentFlags().StringVar(&tool.state, "state", "rollout", "`folder` of the rollout's records")
+	command.AddCommand(tool.startCommand(), tool.continueCommand(), tool.statusCommand(), canariesCommand())
+	command.AddCommand(
+		tool.orderCommand(rollout.OrderPause, "Have nothing further change, for now"),
+		tool.orderCommand(rollout.OrderAbort, "Have nothing further change: the versions stay mixed"),
+		tool.orderCommand(rollout.OrderRollback, "Take all changed relays back, the last one first"),
+		tool.orderCommand(rollout.OrderResume, "Go on after a pause, also by a changed plan"),
+	)
+	return command
+}
+
+func (t *rolloutTool) startCommand() *cobra.Command {
+	return &cobra.Command{Use: "start PLAN", Short: "Begin a rollout, and carry it out", Args: cobra.ExactArgs(1),
 		Long: "Begin a rollout by a plan, and carry it out until it is done, paused, stopped or rolled back. Exit status 1 where it is paused or stopped.\n" +
 			"Where this command ends before, `milletsail rollout continue` goes on, as the plan says.",
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			plan, err := rollout.ReadPlan(args[0])
 			if err != nil {
 				return err
 			}
-			r, err := rollout.Start(c.Context(), state, plan)
+			controller, err := rollout.Start(command.Context(), t.state, plan)
 			if err != nil {
 				return err
 			}
-			return work(c, r)
+			return runController(command, controller)
 		}}
-	goOn := &cobra.Command{Use: "continue", Short: "Take over a rollout whose controller has ended", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			r, err := rollout.Open(state, force)
+}
+
+func (t *rolloutTool) continueCommand() *cobra.Command {
+	var force bool
+	resume := &cobra.Command{Use: "continue", Short: "Take over a rollout whose controller has ended", Args: cobra.NoArgs,
+		RunE: func(command *cobra.Command, _ []string) error {
+			controller, err := rollout.Open(t.state, force)
 			if err != nil {
 				return err
 			}
-			return work(c, r)
+			return runController(command, controller)
 		}}
-	goOn.Flags().BoolVar(&force, "force", false, "though another controller seems to be at work: it is obeyed no more")
-	status := &cobra.Command{Use: "status", Short: "Say how a rollout stands", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			s, err := rollout.ReadState(state)
+	resume.Flags().BoolVar(&force, "force", false, "though another controller seems to be at work: it is obeyed no more")
+	return resume
+}
+
+func (t *rolloutTool) statusCommand() *cobra.Command {
+	return &cobra.Command{Use: "status", Short: "Say how a rollout stands", Args: cobra.NoArgs,
+		RunE: func(command *cobra.Command, _ []string) error {
+			state, err := rollout.ReadState(t.state)
 			if err != nil {
 				return err
 			}
-			if s.Plan == nil {
-				return fmt.Errorf("there is no rollout in %s", state)
+			if state.Plan == nil {
+				return fmt.Errorf("there is no rollout in %s", t.state)
 			}
-			showRollout(c.OutOrStdout(), s)
-			return nil
+			return showRollout(command.OutOrStdout(), state)
 		}}
-	c.AddCommand(start, goOn, status, serversCommand())
-	for _, o := range []struct{ what, short string }{
-		{rollout.OrderPause, "Have nothing further change, for now"},
-		{rollout.OrderAbort, "Have nothing further change: the versions stay mixed"},
-		{rollout.OrderRollback, "Take all changed relays back, the last one first"},
-		{rollout.OrderResume, "Go on after a pause, also by a changed plan"},
-	} {
-		var changed string
-		cmd := &cobra.Command{Use: o.what, Short: o.short, Args: cobra.NoArgs,
-			Long: o.short + ".\nThe controller at work takes the order; where there is none, this command takes over.",
-			RunE: func(c *cobra.Command, _ []string) error {
-				order := rollout.Order{What: o.what}
-				if changed != "" {
-					plan, err := rollout.ReadPlan(changed)
-					if err != nil {
-						return err
-					}
-					order.Plan = plan
-				}
-				r, err := rollout.Open(state, false)
-				if errors.Is(err, rollout.ErrHeld) {
-					if err = rollout.GiveOrder(state, order); err == nil {
-						fmt.Fprintln(c.OutOrStdout(), "left for the controller at work")
-					}
-					return err
-				}
+}
+
+// orderCommand gives an order to the controller at work, or carries it out where there is none.
+func (t *rolloutTool) orderCommand(what, short string) *cobra.Command {
+	var planFile string
+	command := &cobra.Command{Use: what, Short: short, Args: cobra.NoArgs,
+		Long: short + ".\nThe controller at work takes the order; where there is none, this command takes over.",
+		RunE: func(command *cobra.Command, _ []string) error {
+			order := rollout.Order{What: what}
+			if planFile != "" {
+				plan, err := rollout.ReadPlan(planFile)
 				if err != nil {
 					return err
 				}
-				if err := r.Obey(order); err != nil {
-					return errors.Join(err, r.Close())
-				}
-				return work(c, r)
-			}}
-		if o.what == rollout.OrderResume {
-			cmd.Flags().StringVar(&changed, "plan", "", "`file` with a changed plan")
+				order.Plan = plan
+			}
+			return t.carryOut(command, order)
+		}}
+	if what == rollout.OrderResume {
+		command.Flags().StringVar(&planFile, "plan", "", "`file` with a changed plan")
+	}
+	return command
+}
+
+func (t *rolloutTool) carryOut(command *cobra.Command, order rollout.Order) error {
+	controller, err := rollout.Open(t.state, false)
+	if errors.Is(err, rollout.ErrHeld) {
+		if err := rollout.GiveOrder(t.state, order); err != nil {
+			return err
 		}
-		c.AddCommand(cmd)
+		command.Println("left for the controller at work")
+		return nil
+	}
+	if err != nil {
+		return err
 	}
-	return c
+	if err := controller.Obey(order); err != nil {
+		return errors.Join(err, controller.Close())
+	}
+	return runController(command, controller)
 }
 
-// showRollout writes how a rollout stands.
-func showRollout(to io.Writer, s rollout.State) {
-	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
-	why := ""
-	if s.Why != "" {
-		why = ": " + s.Why
+// runController carries a rollout on until it ends or a signal comes, and prints how it stands then. One that is paused or stopped
+// gives errFailed.
+func runController(command *cobra.Command, controller *rollout.Controller) error {
+	ctx, stop := signal.NotifyContext(command.Context(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	err := controller.Run(ctx)
+	if errors.Is(err, context.Canceled) {
+		err = nil
+	}
+	shown := showRollout(command.OutOrStdout(), controller.State())
+	if err := errors.Join(err, shown, controller.Close()); err != nil {
+		return err
 	}
-	fmt.Fprintf(w, "%s%s\n", s.Phase, why)
-	fmt.Fprintf(w, "version\t%.12s\n", s.New)
-	fmt.Fprintf(w, "stage\t%d of %d\n", min(s.Stage+1, len(s.Plan.Stages)), len(s.Plan.Stages))
-	fmt.Fprintf(w, "relays\t%d of %d changed, %d in change\n", len(s.Changed), len(s.Plan.Agents), len(s.Changing))
-	for relay, what := range s.Failed {
-		fmt.Fprintf(w, "relay %d\t%s\n", relay, what)
+	if phase := controller.State().Phase; phase == rollout.Stopped || phase == rollout.Paused {
+		return errFailed
 	}
-	_ = w.Flush()
+	return nil
 }
 
-func agentCommand() *cobra.Command {
-	c := &cobra.Command{Use: "agent", Short: "Run the processes of one relay for rollouts"}
-	c.AddCommand(&cobra.Command{Use: "run FILE", Short: "Run a relay, and change its program as a rollout's controller asks", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			config, err := rollout.ReadAgentConfig(args[0])
-			if err != nil {
-				return err
-			}
-			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
-			defer stop()
-			program, err := rollout.Serving(config.Folder, config.Program)
-			if err != nil {
-				return err
-			}
-			p, err := rollout.NewProcesses(ctx, *config, program)
-			if err != nil {
-				return fmt.Errorf("relay %d: %w", config.Relay, err)
-			}
-			defer p.Stop()
-			s, err := rollout.NewServer(config.Relay, config.Folder, config.Program, p)
-			if err != nil {
-				return err
-			}
-			defer s.Close()
-			address, err := s.Listen(config.Address)
-			if err != nil {
-				return err
-			}
-			fmt.Fprintf(c.OutOrStdout(), "relay %d runs %s, its agent is at %s\n", config.Relay, filepath.Base(program), address)
-			<-ctx.Done()
-			return nil
-		}})
-	return c
+// showRollout prints how a rollout stands.
+func showRollout(out io.Writer, state rollout.State) error {
+	reason := ""
+	if state.Why != "" {
+		reason = ": " + state.Why
+	}
+	rows := newTable(out, 0)
+	rows.printf("%s%s\n", state.Phase, reason)
+	rows.printf("version\t%.*s\n", checksumDigits, state.New)
+	rows.printf("stage\t%d of %d\n", min(state.Stage+1, len(state.Plan.Stages)), len(state.Plan.Stages))
+	rows.printf("relays\t%d of %d changed, %d in change\n", len(state.Changed), len(state.Plan.Agents), len(state.Changing))
+	for relay, failure := range state.Failed {
+		rows.printf("relay %d\t%s\n", relay, failure)
+	}
+	return rows.flush()
 }
--- a/cmd/milletsail/scale.go
+++ b/cmd/milletsail/scale.go
@@ -23,12 +23,12 @@
 )
 
 func scaleCommand() *cobra.Command {
-	c := &cobra.Command{Use: "scale", Short: "Measure how the cost of control grows with the size of the platform"}
-	c.AddCommand(scaleRunCommand(), scaleReportCommand(), scaleListCommand(), scaleHollowCommand())
-	return c
+	command := &cobra.Command{Use: "scale", Short: "Measure how the cost of control grows with the size of the platform"}
+	command.AddCommand(scaleRunCommand(), scaleReportCommand(), scaleListCommand(), scaleHollowCommand())
+	return command
 }
 
-// scaleRun is the flags of a scale run.
+// scaleRun is the flags of a run of a plan.
 type scaleRun struct {
 	relay, relayB  string
 	labelA, labelB string
@@ -39,91 +39,116 @@
 }
 
 func scaleRunCommand() *cobra.Command {
-	var r scaleRun
-	c := &cobra.Command{Use: "run PLAN", Short: "Run a plan (a file, or the name of one that comes with the program)", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error { return r.run(c, args[0]) }}
-	c.Flags().StringVar(&r.relay, "relay", "", "the relay's `binary` (default relay beside this program, else built from the source here)")
-	c.Flags().StringVar(&r.relayB, "relay-b", "", "`binary` of another version, measured in turn with the first at each point")
-	c.Flags().StringVar(&r.labelA, "label", firstLabel, "`name` of the version in the report")
-	c.Flags().StringVar(&r.labelB, "label-b", secondLabel, "`name` of the other version in the report")
-	c.Flags().StringVar(&r.out, "out", "scale-runs", "`folder` for the result")
-	c.Flags().Uint64Var(&r.seed, "seed", 0, "seed in place of the plan's; 0 for that one")
-	c.Flags().IntSliceVar(&r.points, "points", nil, "`points` in place of the plan's")
-	c.Flags().BoolVar(&r.quiet, "quiet", false, "no progress")
-	return c
+	var run scaleRun
+	command := &cobra.Command{Use: "run PLAN", Short: "Run a plan (a file, or the name of one that comes with the program)", Args: cobra.ExactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error { return run.run(command, args[0]) }}
+	command.Flags().StringVar(&run.relay, "relay", "", "the relay's `binary` (default relay beside this program, else built from the source here)")
+	command.Flags().StringVar(&run.relayB, "relay-b", "", "`binary` of another version, measured in turn with the first at each point")
+	command.Flags().StringVar(&run.labelA, "label", firstLabel, "`name` of the version in the report")
+	command.Flags().StringVar(&run.labelB, "label-b", secondLabel, "`name` of the other version in the report")
+	command.Flags().StringVar(&run.out, "out", "scale-runs", "`folder` for the result")
+	command.Flags().Uint64Var(&run.seed, "seed", 0, "seed in place of the plan's; 0 for that one")
+	command.Flags().IntSliceVar(&run.points, "points", nil, "`points` in place of the plan's")
+	command.Flags().BoolVar(&run.quiet, "quiet", false, "no progress")
+	return command
 }
 
 // findPlan gives a plan: a file, else one that comes with the program.
 func findPlan(name string) (*scale.Plan, error) {
-	text, err := textOf(name, scenarios.Scale)
+	text, err := readFileOr(name, scenarios.Scale)
 	if err != nil {
 		return nil, fmt.Errorf("there is no file %s, and no plan of that name: they are %s", name, strings.Join(scenarios.ScaleNames(), ", "))
 	}
 	return scale.ParsePlan(name, text)
 }
 
-func (r *scaleRun) run(c *cobra.Command, name string) error {
-	plan, err := findPlan(name)
+func (r *scaleRun) run(command *cobra.Command, name string) error {
+	plan, err := r.findPlan(name)
 	if err != nil {
 		return err
 	}
-	if r.seed != 0 {
-		plan.Seed = r.seed
+	relay, err := findRelay(command.Context(), r.relay)
+	if err != nil {
+		return err
 	}
-	if len(r.points) > 0 {
-		if err := plan.SetPoints(r.points); err != nil {
-			return fmt.Errorf("--points: %w", err)
+	defer relay.remove()
+	options, err := r.options(command, relay.path)
+	if err != nil {
+		return err
+	}
+	run, file, err := plan.Run(command.Context(), options)
+	if run != nil {
+		if err := report.Table(command.OutOrStdout(), run); err != nil {
+			return err
 		}
 	}
-	path, done, err := binary(c.Context(), r.relay)
-	defer done()
+	if file != "" {
+		command.Printf("result in %s\n", file)
+	}
+	return scaleStatus(command, run, err)
+}
+
+// findPlan returns a plan with the flags in the place of what it says itself.
+func (r *scaleRun) findPlan(name string) (*scale.Plan, error) {
+	plan, err := findPlan(name)
 	if err != nil {
-		return err
+		return nil, err
 	}
+	if r.seed != 0 {
+		plan.Seed = r.seed
+	}
+	if len(r.points) == 0 {
+		return plan, nil
+	}
+	if err := plan.SetPoints(r.points); err != nil {
+		return nil, fmt.Errorf("--points: %w", err)
+	}
+	return plan, nil
+}
+
+func (r *scaleRun) options(command *cobra.Command, relay string) (scale.Options, error) {
 	self, err := os.Executable()
 	if err != nil {
-		return err
+		return scale.Options{}, err
+	}
+	options := scale.Options{
+		Versions: []scale.Version{{Label: r.labelA, Binary: relay}},
+		Out:      r.out,
+		Program:  programRevision(),
+		Self:     self,
 	}
-	o := scale.Options{Versions: []scale.Version{{Label: r.labelA, Binary: path}}, Out: r.out, Program: programRevision(), Self: self}
 	if r.relayB != "" {
-		pathB, err := namedBinary("--relay-b", r.relayB)
+		other, err := namedBinary("--relay-b", r.relayB)
 		if err != nil {
-			return err
+			return scale.Options{}, err
 		}
-		o.Versions = append(o.Versions, scale.Version{Label: r.labelB, Binary: pathB})
+		options.Versions = append(options.Versions, scale.Version{Label: r.labelB, Binary: other})
 	}
 	if !r.quiet {
-		o.Progress = func(line string) { fmt.Fprintln(c.ErrOrStderr(), line) }
-	}
-	run, file, err := plan.Run(c.Context(), o)
-	if run != nil {
-		if err := report.Table(c.OutOrStdout(), run); err != nil {
-			return err
-		}
-	}
-	if file != "" {
-		fmt.Fprintf(c.OutOrStdout(), "result in %s\n", file)
+		options.Progress = func(line string) { command.PrintErrln(line) }
 	}
-	return scaleStatus(run, err)
+	return options, nil
 }
 
 // scaleStatus is the exit status of a run.
-func scaleStatus(run *scale.Run, err error) error {
+func scaleStatus(command *cobra.Command, run *scale.Run, err error) error {
 	switch {
 	case errors.Is(err, context.Canceled):
-		fmt.Fprintln(os.Stderr, "milletsail: broken off; the points that are done are kept")
-		return exit(void)
+		command.PrintErrln("milletsail: broken off; the points that are done are kept")
+		return errInvalid
 	case err != nil:
 		return err
 	case run.Invalid != "":
-		return exit(void)
+		return errInvalid
 	}
 	return nil
 }
 
 func scaleReportCommand() *cobra.Command {
 	return &cobra.Command{Use: "report DIR", Short: "Write the tables of a folder's runs, and their plots into it", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error { return writeScaleReport(c.OutOrStdout(), args[0]) }}
+		RunE: func(command *cobra.Command, args []string) error {
+			return writeScaleReport(command.OutOrStdout(), args[0])
+		}}
 }
 
 func writeScaleReport(out io.Writer, dir string) error {
@@ -148,13 +173,13 @@
 
 func scaleListCommand() *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "List the plans that come with the program", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(command *cobra.Command, _ []string) error {
 			for _, name := range scenarios.ScaleNames() {
 				plan, err := findPlan(name)
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%-14s %s\n", name, plan.Title)
+				command.Printf("%-14s %s\n", name, plan.Title)
 			}
 			return nil
 		}}
@@ -163,7 +188,7 @@
 // scaleHollowCommand is what a scale run starts for its hollow relays.
 func scaleHollowCommand() *cobra.Command {
 	return &cobra.Command{Use: scale.HollowCommand, Short: "Run hollow relays, as a scale run has it", Hidden: true, Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			return hollow.Run(c.Context(), c.InOrStdin(), c.OutOrStdout())
+		RunE: func(command *cobra.Command, _ []string) error {
+			return hollow.Run(command.Context(), command.InOrStdin(), command.OutOrStdout())
 		}}
 }
--- /dev/null
+++ b/cmd/milletsail/scenariorun.go
@@ -0,0 +1,164 @@
+package main
+
+import (
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"milletsail/internal/lab"
+	"milletsail/internal/lab/checker"
+	"milletsail/internal/lab/history"
+	"milletsail/internal/lab/report"
+	"milletsail/internal/lab/scenario"
+	"milletsail/internal/rollout"
+)
+
+const (
+	// maxShownViolations of a run are printed in full.
+	maxShownViolations = 10
+	// rolloutStart is when a rollout beside a run begins.
+	rolloutStart = 2 * time.Second
+	// rolloutCheckInterval is the time between the comparisons of a rollout beside a run.
+	rolloutCheckInterval = 250 * time.Millisecond
+	// maxBakeFactor is how many times its least length a stage may be extended to for want of traffic.
+	maxBakeFactor = 20
+)
+
+// scenarioRun is the flags of one run of a scenario.
+type scenarioRun struct {
+	relay, report, history, logs string
+	environment                  []string
+	seed                         uint64
+	quiet                        bool
+	rollout                      string // a version to roll out beside the run; empty for none
+	bake                         time.Duration
+	rollback                     bool
+}
+
+// run runs a scenario, prints the report, and gives the outcome as the exit status.
+func (r *scenarioRun) run(command *cobra.Command, script *scenario.Scenario) error {
+	if r.seed != 0 {
+		script.Seed = r.seed
+	}
+	relay, err := findRelay(command.Context(), r.relay)
+	if err != nil {
+		return err
+	}
+	defer relay.remove()
+	options := lab.Options{Binary: relay.path, Env: r.environment, History: r.history, Logs: r.logs}
+	if !r.quiet {
+		options.Progress = progressPrinter(command, script)
+	}
+	var rolled lab.Rolled
+	if r.rollout != "" {
+		options.Beside = lab.Roll(r.rollout, r.rolloutPlan(), rolloutStart, r.rollback, &rolled)
+	}
+	result, err := lab.Play(command.Context(), script, options)
+	if err != nil {
+		return err
+	}
+	if r.rollout != "" {
+		if err := showRolledOut(command, &rolled); err != nil {
+			return err
+		}
+	}
+	return r.showResult(command, result.Events, result.Verdict)
+}
+
+func (r *scenarioRun) rolloutPlan() rollout.Plan {
+	plan := rollout.DefaultPlan()
+	plan.Bake = rollout.Duration(r.bake)
+	plan.LongestBake = rollout.Duration(maxBakeFactor * r.bake)
+	plan.Gate.Every = rollout.Duration(rolloutCheckInterval)
+	return plan
+}
+
+// showRolledOut prints how the rollout beside a run went.
+func showRolledOut(command *cobra.Command, rolled *lab.Rolled) error {
+	command.Printf("rollout: ended in stage %d after %.1f s with %d relays changed; taken back in %.1f s\n", rolled.State.Stage+1,
+		rolled.Took.Seconds(), rolled.Most, rolled.Back.Seconds())
+	if rolled.State.Plan == nil {
+		return nil
+	}
+	return showRollout(command.OutOrStdout(), rolled.State)
+}
+
+// progressPrinter returns a function that prints a line a second on standard error, over the one before on a terminal.
+func progressPrinter(command *cobra.Command, s *scenario.Scenario) func(time.Duration) {
+	prefix, suffix := "", "\n"
+	if isTerminal(command.ErrOrStderr()) {
+		prefix, suffix = "\r\x1b[K", ""
+	}
+	return func(at time.Duration) {
+		var active []string
+		for _, fault := range s.Faults {
+			if at >= fault.At.D() && at < fault.At.D()+max(fault.For.D(), time.Second) {
+				active = append(active, fault.Kind)
+			}
+		}
+		command.PrintErrf("%s%3.0f s of %v  %s%s", prefix, at.Seconds(), s.Length.D(), strings.Join(active, ", "), suffix)
+	}
+}
+
+func isTerminal(out io.Writer) bool {
+	file, ok := out.(*os.File)
+	if !ok {
+		return false
+	}
+	info, err := file.Stat()
+	return err == nil && info.Mode()&os.ModeCharDevice != 0
+}
+
+// showResult prints the report of a run and the broken rules, and gives the outcome as the exit status.
+func (r *scenarioRun) showResult(command *cobra.Command, events []history.Event, outcome checker.Verdict) error {
+	metrics := report.Of(events, outcome)
+	if !r.quiet {
+		command.PrintErrln()
+	}
+	if err := metrics.Text(command.OutOrStdout()); err != nil {
+		return err
+	}
+	showViolations(command, events, outcome)
+	if r.report != "" {
+		if err := metrics.Write(r.report); err != nil {
+			return err
+		}
+		command.Printf("report in %s\n", filepath.Join(r.report, "index.html"))
+	}
+	return resultStatus(outcome)
+}
+
+// showViolations prints broken rules with their lines of the history.
+func showViolations(command *cobra.Command, events []history.Event, outcome checker.Verdict) {
+	eventsByLine := map[int]*history.Event{}
+	for i := range events {
+		eventsByLine[events[i].Line] = &events[i]
+	}
+	for i, violation := range outcome.Violations {
+		if i == maxShownViolations {
+			command.Printf("and %d more\n", len(outcome.Violations)-i)
+			return
+		}
+		command.Printf("BROKEN %s: relay %d, message %q: %s\n", violation.Rule, violation.Relay, violation.ID, violation.Text)
+		for _, line := range violation.Lines {
+			if event := eventsByLine[line]; event != nil {
+				command.Printf("  %d: %s\n", line, event.JSON())
+			}
+		}
+	}
+}
+
+// resultStatus is the exit status of an outcome.
+func resultStatus(outcome checker.Verdict) error {
+	switch {
+	case len(outcome.Violations) > 0:
+		return errFailed
+	case outcome.Void != "" || outcome.Cut:
+		return errInvalid
+	}
+	return nil
+}
--- a/cmd/milletsail/zone.go
+++ b/cmd/milletsail/zone.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -10,51 +9,70 @@
 	"milletsail/internal/relay"
 )
 
+// defaultEvacuation is how long a zone is left where the operator names no time.
+const defaultEvacuation = 10 * time.Minute
+
 func zoneCommand() *cobra.Command {
-	c := &cobra.Command{Use: "zone", Short: "Have relays leave a zone, return to it, or say how zones fare",
+	zone := &cobra.Command{Use: "zone", Short: "Have relays leave a zone, return to it, or say how zones fare",
 		Long: "Have relays leave a zone, return to it, or say how zones fare, each at its admin endpoint (the address `admin`).\n" +
 			"They do so where zones are on (`zones` in the configuration, or $NODE_ZONES=on). Exit status 1 where one refuses or does not answer."}
-	var last time.Duration
+	zone.AddCommand(zoneEvacuateCommand(), zoneRestoreCommand(), zoneStatusCommand())
+	return zone
+}
+
+func zoneEvacuateCommand() *cobra.Command {
+	var duration time.Duration
 	evacuate := &cobra.Command{Use: "evacuate ZONE ADDRESS...", Short: "Leave a zone for a time", Args: cobra.MinimumNArgs(2),
-		RunE: func(c *cobra.Command, args []string) error {
-			return order(c, fmt.Sprintf("zone evacuate %s %s", args[0], last), args[1:])
+		RunE: func(command *cobra.Command, args []string) error {
+			return orderRelays(command, fmt.Sprintf("zone evacuate %s %s", args[0], duration), args[1:])
 		}}
-	evacuate.Flags().DurationVar(&last, "for", 10*time.Minute, "how long: after it the zone returns by itself")
-	restore := &cobra.Command{Use: "restore ZONE ADDRESS...", Short: "Return to a zone, on the ramp of what was out", Args: cobra.MinimumNArgs(2),
-		RunE: func(c *cobra.Command, args []string) error { return order(c, "zone restore "+args[0], args[1:]) }}
-	var raw bool
-	status := &cobra.Command{Use: "status ADDRESS...", Short: "Say how zones fare", Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, addresses []string) error {
-			head := "relay\tin\tzone\tstate\tfor s\torder s\tendpoints\tevacuations\treturns\t"
-			return askRelays(c, addresses, "zone status", head, raw, func(w io.Writer, s relay.ZoneStatus) {
-				for _, z := range s.Zones {
-					note := ""
-					if s.CutOff && z.Zone != s.Zone {
-						note = "cut off from it"
-					}
-					fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%.1f\t%.0f\t%d\t%d\t%d\t%s\n", s.Self, s.Zone, z.Zone, z.State, z.ForS, z.UntilS, z.Endpoints,
-						z.Evacuations, z.Returns, note)
-				}
-			})
+	evacuate.Flags().DurationVar(&duration, "for", defaultEvacuation, "how long: after it the zone returns by itself")
+	return evacuate
+}
+
+func zoneRestoreCommand() *cobra.Command {
+	return &cobra.Command{Use: "restore ZONE ADDRESS...", Short: "Return to a zone, on the ramp of what was out", Args: cobra.MinimumNArgs(2),
+		RunE: func(command *cobra.Command, args []string) error {
+			return orderRelays(command, "zone restore "+args[0], args[1:])
 		}}
-	status.Flags().BoolVar(&raw, "json", false, "a line of JSON for each relay")
-	c.AddCommand(evacuate, restore, status)
-	return c
 }
 
-// order gives an order to relays, one after the other, and says what each answers.
-func order(c *cobra.Command, line string, addresses []string) error {
-	refused := 0
+func zoneStatusCommand() *cobra.Command {
+	query := adminQuery[relay.ZoneStatus]{
+		line:   "zone status",
+		header: "relay\tin\tzone\tstate\tfor s\torder s\tendpoints\tevacuations\treturns\t",
+		rows:   zoneRows,
+	}
+	status := &cobra.Command{Use: "status ADDRESS...", Short: "Say how zones fare", Args: cobra.MinimumNArgs(1),
+		RunE: func(command *cobra.Command, addresses []string) error { return query.run(command, addresses) }}
+	status.Flags().BoolVar(&query.raw, "json", false, "a line of JSON for each relay")
+	return status
+}
+
+func zoneRows(out *table, status relay.ZoneStatus) {
+	for _, zone := range status.Zones {
+		remark := ""
+		if status.CutOff && zone.Zone != status.Zone {
+			remark = "cut off from it"
+		}
+		out.printf("%d\t%s\t%s\t%s\t%.1f\t%.0f\t%d\t%d\t%d\t%s\n", status.Self, status.Zone, zone.Zone, zone.State, zone.ForS, zone.UntilS,
+			zone.Endpoints, zone.Evacuations, zone.Returns, remark)
+	}
+}
+
+// orderRelays gives an order to relays, one after the other, and prints what each replies.
+func orderRelays(command *cobra.Command, line string, addresses []string) error {
+	failed := 0
 	for _, address := range addresses {
-		reply, err := askRelay(address, line)
+		reply, err := callRelay(address, line)
 		if err != nil {
 			reply = err.Error()
-			refused++
+			failed++
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", address, reply)
+		command.Printf("%s: %s\n", address, reply)
 	}
-	if refused > 0 {
-		return exit(broken)
+	if failed > 0 {
+		return errFailed
 	}
 	return nil
 }
