--- a/policy/api.go
+++ b/policy/api.go
@@ -19,7 +19,7 @@
 // Outcome says how one attempt ended.
 type Outcome int
 
-// The outcomes of an attempt. QueueFull, ConnectError, Ignored and Unsent prove that it never ran.
+// The outcomes of an attempt; see [Outcome.ProvesNotExecuted].
 const (
 	OK           Outcome = iota // delivered
 	Failed                      // answered with an error
@@ -34,6 +34,17 @@
 
 var outcomeNames = [...]string{"ok", "failed", "full", "timed out", "no connection", "reset", "canceled", "not sent", "not begun"}
 
+// ProvesNotExecuted reports whether an attempt with this outcome certainly never ran at the endpoint, so that a
+// retry cannot execute the message twice.
+func (o Outcome) ProvesNotExecuted() bool {
+	switch o {
+	case Rejected, ConnectError, NotSent, NotStarted:
+		return true
+	case OK, Failed, TimedOut, Reset, Canceled:
+	}
+	return false
+}
+
 // String names an outcome for logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
--- a/policy/call.go
+++ b/policy/call.go
@@ -90,13 +90,10 @@
 	a := &m.attempts[e.Attempt]
 	c := a.call
 	a.open = false
-	a.unrun = e.Outcome == Rejected || e.Outcome == ConnectError || e.Outcome == NotSent
+	a.unrun = e.Outcome.ProvesNotExecuted()
 	m.open--
-	if e.Outcome == NotStarted {
-		a.unrun = true
-		if e.Attempt == len(m.attempts)-1 { // its number goes to the next one
-			m.attempts = m.attempts[:e.Attempt]
-		}
+	if e.Outcome == NotStarted && e.Attempt == len(m.attempts)-1 { // its number goes to the next one
+		m.attempts = m.attempts[:e.Attempt]
 	}
 	c.open--
 	if c.open == 0 {
