--- a/policy/bucket.go
+++ b/policy/bucket.go
@@ -9,35 +9,35 @@
 
 // This file holds token buckets, and those of paces and budgets.
 
-// bucket is a token bucket.
-type bucket struct {
-	tokens   float64
-	tokensAt instant.Time
+// tokenBucket is a token bucket.
+type tokenBucket struct {
+	tokens    float64
+	updatedAt instant.Time
 }
 
-// fill adds the tokens that came since the last time, up to depth, and gives how many there are.
-func (b *bucket) fill(now instant.Time, rate, depth float64) float64 {
-	b.tokens = math.Min(depth, b.tokens+rate*math.Max(0, now.Sub(b.tokensAt).Seconds()))
-	b.tokensAt = max(b.tokensAt, now)
+// refill adds the tokens that came since the last time, up to depth, and gives how many there are.
+func (b *tokenBucket) refill(now instant.Time, rate, depth float64) float64 {
+	b.tokens = math.Min(depth, b.tokens+rate*math.Max(0, now.Sub(b.updatedAt).Seconds()))
+	b.updatedAt = max(b.updatedAt, now)
 	return b.tokens
 }
 
-// wait is the time in which tokens come at a rate, a little more than less.
-func wait(tokens, rate float64) time.Duration {
+// tokenDelay is the time in which tokens come at a rate, a little more than less.
+func tokenDelay(tokens, rate float64) time.Duration {
 	return time.Duration(math.Min(3600, math.Max(0, tokens)/rate)*float64(time.Second)) + time.Microsecond
 }
 
-// tokens is what the pace of a queue allows to be sent now.
-func (d *Dispatcher) tokens(q *queue) float64 {
-	d.climb(q)
-	return q.fill(d.now, q.pace, math.Max(1, q.pace*burstSpan.Seconds()))
+// sendTokens is what the pace of a queue allows to be sent now.
+func (d *Dispatcher) sendTokens(q *queue) float64 {
+	d.increaseRate(q)
+	return q.refill(d.now, q.sendRate, math.Max(1, q.sendRate*rateWindow.Seconds()))
 }
 
-// epTokens is what the budget of a sick or ramping endpoint allows to be sent now.
-func (d *Dispatcher) epTokens(ep *endpoint) float64 {
-	if ep.ramping && d.coldFor(ep) >= d.s.SlowStartWindow {
-		ep.ramping = false
+// slowStartTokens is what the budget of a sick or ramping endpoint allows to be sent now.
+func (d *Dispatcher) slowStartTokens(ep *endpoint) float64 {
+	if ep.slowStarting && d.timeSinceRecovery(ep) >= d.settings.SlowStartWindow {
+		ep.slowStarting = false
 	}
-	rate := d.budget(ep, d.coldFor(ep))
-	return ep.fill(d.now, rate, math.Max(1, rampBurst*rate*d.s.OverloadWindow.Seconds()))
+	rate := d.slowStartBudget(ep, d.timeSinceRecovery(ep))
+	return ep.refill(d.now, rate, math.Max(1, slowStartBurst*rate*d.settings.OverloadWindow.Seconds()))
 }
--- a/policy/call.go
+++ b/policy/call.go
@@ -9,71 +9,71 @@
 
 // This file holds calls that are out.
 
-// callOff ends the wait for a call.
-func (d *Dispatcher) callOff(c *call) {
+// cancelCall ends the wait for a call.
+func (d *Dispatcher) cancelCall(c *call) {
 	c.canceled = true
-	for _, m := range c.msgs {
+	for _, m := range c.messages {
 		if i := len(m.attempts) - 1; m.attempts[i].call == c && m.attempts[i].open {
-			d.act(Cancel{ID: m.ID, Attempt: i})
+			d.emit(Cancel{ID: m.ID, Attempt: i})
 		}
 	}
 }
 
 // call is one call out: one message, or a bundle.
 type call struct {
-	ep       *endpoint
-	no       int
-	sent     instant.Time
-	open     int // messages without an outcome
-	size     int // of its messages
-	msgs     []*message
-	canceled bool // to take its slot back
+	endpoint     *endpoint
+	number       int
+	sentAt       instant.Time
+	openAttempts int // messages without an outcome
+	size         int // of its messages
+	messages     []*message
+	canceled     bool // to take its slot back
 }
 
-// attempt adds one message to a call.
-func (d *Dispatcher) attempt(m *message, c *call) {
-	m.release()
+// startAttempt adds one message to a call.
+func (d *Dispatcher) startAttempt(m *message, c *call) {
+	m.dequeue()
 	within := time.Duration(0)
-	if by := d.forgotten(m); by < never {
+	if by := d.idempotencyExpiry(m); by < never {
 		within = by.Sub(d.now)
 	}
-	m.attempts = append(m.attempts, attempt{call: c, sent: d.now, open: true})
-	m.open++
-	c.open++
+	m.attempts = append(m.attempts, attempt{call: c, sentAt: d.now, open: true})
+	m.openAttempts++
+	c.openAttempts++
 	c.size += m.Size
-	c.msgs = append(c.msgs, m)
-	d.act(Send{ID: m.ID, Endpoint: c.ep.ID, Timeout: d.timeout(m, c), Call: c.no, WriteTimeout: within})
+	c.messages = append(c.messages, m)
+	d.emit(Send{ID: m.ID, Endpoint: c.endpoint.ID, Timeout: d.attemptTimeout(m, c), Call: c.number, WriteTimeout: within})
 }
 
-// send starts a call with a message and, where the kind allows it, others of the queue.
-func (d *Dispatcher) send(q *queue, ep *endpoint, first *message) {
-	d.turn++
-	q.served = d.turn
-	c := &call{ep: ep, no: d.turn, sent: d.now}
-	d.out++
-	d.wake(q)
-	q.out, ep.out = append(q.out, c), append(ep.out, c)
-	ep.lastUsed = d.now
-	if q.pace > 0 {
-		q.tokens = math.Max(0, d.tokens(q)-1)
+// startCall starts a call with a message and, where the kind allows it, others of the queue.
+func (d *Dispatcher) startCall(q *queue, ep *endpoint, first *message) {
+	d.lastCall++
+	q.lastCall = d.lastCall
+	c := &call{endpoint: ep, number: d.lastCall, sentAt: d.now}
+	d.callsInFlight++
+	d.activate(q)
+	q.calls, ep.calls = append(q.calls, c), append(ep.calls, c)
+	ep.lastUsedAt = d.now
+	if q.sendRate > 0 {
+		q.tokens = math.Max(0, d.sendTokens(q)-1)
 	}
-	if d.s.Zones {
-		d.spilled(q, ep)
+	if d.settings.Zones {
+		d.recordSpillover(q, ep)
 	}
-	if d.s.CanaryAnalysis {
-		d.credit(q, ep)
+	if d.settings.CanaryAnalysis {
+		d.addCanaryCredit(q, ep)
 	}
-	if ep.sick || ep.ramping {
-		ep.tokens = math.Max(0, d.epTokens(ep)-1)
+	if ep.ejected || ep.slowStarting {
+		ep.tokens = math.Max(0, d.slowStartTokens(ep)-1)
 	}
-	if ep.sick || d.fenced(q) {
-		q.triedAt = d.now
+	if ep.ejected || d.singleProber(q) {
+		q.probedAt = d.now
 	}
-	d.attempt(first, c)
-	for i := 0; i < len(q.held) && c.open < q.bundle && !ep.sick; {
-		m := q.held[i]
-		if d.sendable(m) && d.short(q, m) == d.short(q, first) && d.repeatable(m, ep) && (d.s.MaxBatchBytes == 0 || c.size+m.Size <= d.s.MaxBatchBytes) {
-			d.attempt(m, c)
+	d.startAttempt(first, c)
+	for i := 0; i < len(q.waiting) && c.openAttempts < q.maxBatch && !ep.ejected; {
+		m := q.waiting[i]
+		if d.attemptAllowed(m) && d.nearDeadline(q, m) == d.nearDeadline(q, first) && d.retryAllowed(m, ep) && (d.settings.MaxBatchBytes == 0 || c.size+m.Size <= d.settings.MaxBatchBytes) {
+			d.startAttempt(m, c)
 			continue
 		}
 		i++
@@ -90,15 +90,15 @@
 	a := &m.attempts[e.Attempt]
 	c := a.call
 	a.open = false
-	a.unrun = e.Outcome.ProvesNotExecuted()
-	m.open--
+	a.notExecuted = e.Outcome.ProvesNotExecuted()
+	m.openAttempts--
 	if e.Outcome == NotStarted && e.Attempt == len(m.attempts)-1 { // its number goes to the next one
 		m.attempts = m.attempts[:e.Attempt]
 	}
-	c.open--
-	if c.open == 0 {
-		d.out--
-		c.ep.out, c.ep.q.out = remove(c.ep.out, c), remove(c.ep.q.out, c)
+	c.openAttempts--
+	if c.openAttempts == 0 {
+		d.callsInFlight--
+		c.endpoint.calls, c.endpoint.queue.calls = remove(c.endpoint.calls, c), remove(c.endpoint.queue.calls, c)
 	}
 	return m, c
 }
--- a/policy/counter.go
+++ b/policy/counter.go
@@ -8,36 +8,36 @@
 
 // This file holds the counters that admission estimates from.
 
-// aged is a counter whose counts fade with time constant counterAge (in policy.go).
-type aged struct {
-	n     float64
-	at    instant.Time
-	since instant.Time // when it began to count
+// decayingCounter is a counter whose counts fade with time constant counterAge (in policy.go).
+type decayingCounter struct {
+	value     float64
+	updatedAt instant.Time
+	startedAt instant.Time // when it began to count
 }
 
-func (a *aged) add(now instant.Time, n float64) {
-	a.n = a.n*math.Exp(-float64(now.Sub(a.at))/float64(counterAge)) + n
-	a.at = now
+func (a *decayingCounter) add(now instant.Time, n float64) {
+	a.value = a.value*math.Exp(-float64(now.Sub(a.updatedAt))/float64(counterTimeConstant)) + n
+	a.updatedAt = now
 }
 
 // count is what is left of the counts.
-func (a *aged) count(now instant.Time) float64 {
-	return a.n * math.Exp(-float64(now.Sub(a.at))/float64(counterAge))
+func (a *decayingCounter) count(now instant.Time) float64 {
+	return a.value * math.Exp(-float64(now.Sub(a.updatedAt))/float64(counterTimeConstant))
 }
 
 // rate is the count a second over the counter's age.
-func (a *aged) rate(now instant.Time) float64 {
-	age := counterAge.Seconds()
-	return a.count(now) / (age * (1 - math.Exp(-math.Max(1, now.Sub(a.since).Seconds())/age)))
+func (a *decayingCounter) rate(now instant.Time) float64 {
+	age := counterTimeConstant.Seconds()
+	return a.count(now) / (age * (1 - math.Exp(-math.Max(1, now.Sub(a.startedAt).Seconds())/age)))
 }
 
-// virtual feeds an arrival to the copy of a queue under the basic rule alone.
-func (d *Dispatcher) virtual(q *queue, τ float64) {
-	q.copyWork = math.Max(0, q.copyWork-d.now.Sub(q.copyAt).Seconds())
-	q.copyAt = d.now
-	if q.copyWork > τ {
+// recordVirtualArrival feeds an arrival to the copy of a queue under the basic rule alone.
+func (d *Dispatcher) recordVirtualArrival(q *queue, τ float64) {
+	q.virtualBacklog = math.Max(0, q.virtualBacklog-d.now.Sub(q.virtualUpdatedAt).Seconds())
+	q.virtualUpdatedAt = d.now
+	if q.virtualBacklog > τ {
 		q.misses.add(d.now, 1)
 		return
 	}
-	q.copyWork += q.pitch(d.now)
+	q.virtualBacklog += q.sendInterval(d.now)
 }
--- a/policy/decisions_scene_test.go
+++ b/policy/decisions_scene_test.go
@@ -22,7 +22,7 @@
 	working     condition = iota // answers, with few errors
 	slow                         // answers late
 	failing                      // answers with errors
-	refusing                     // refuses every call
+	rejecting                    // refuses every call
 	waiting                      // refuses every call and tells a wait
 	hanging                      // never answers
 	unreachable                  // takes no connection
@@ -690,7 +690,7 @@
 			return ended(policy.Reset, took)
 		}
 		return ended(policy.Failed, took)
-	case refusing:
+	case rejecting:
 		return ended(policy.Rejected, soon)
 	case waiting:
 		return callFate{policy.AttemptEnded{Outcome: policy.Rejected, RetryAfter: s.milliseconds(4000)}, soon}
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -11,39 +11,39 @@
 
 // Dispatcher decides for one relay. It is not safe for concurrent use.
 type Dispatcher struct {
-	s         Settings
-	now       instant.Time
-	endpoints map[string]*endpoint
-	dests     map[int]*destination
-	active    []*queue // those with messages held or calls out
-	queues    []*queue // in the order in which they were first seen
-	messages  map[string]*message
-	live      []*message // unfinished, in the order of arrival
-	resting   []*message // over, but their keys rest
-	keys      map[string][]*message
-	out       int // calls out
-	// unanswered is the share of calls out for stuckAfter mean latencies that had no success.
-	unanswered float64
-	seq        int
-	turn       int
-	meanWorth  float64
-	resub      instant.Time // when to subscribe
-	wakeAt     instant.Time // when the next timer is due; 0 for none
-	heardAt    instant.Time // when the last note came
-	shareAt    instant.Time // when to share a pace next
-	shareNext  int          // among queues
-	relays     int          // that count as there; 0 for unknown
-	zones      map[int]*zone
-	cutOff     bool // nothing answers in all zones but the own
-	stopping   bool // send nothing more
-	unrecorded bool // attempts leave no trace for a later process
-	actions    []Action
-	chance     *rand.Rand
-	pools      map[int]*latencies // by kind of destination
-	onTrial    int                // endpoints with a trial
-	bad        int                // endpoints that countsAsBad
-	listedAt   instant.Time       // of the first Listed; never before it
-	idle       list.List          // of *destination: on demand only, by idleSince; those that have become busy may still be in it
+	settings      Settings
+	now           instant.Time
+	endpoints     map[string]*endpoint
+	destinations  map[int]*destination
+	active        []*queue // those with messages held or calls out
+	queues        []*queue // in the order in which they were first seen
+	messages      map[string]*message
+	unfinished    []*message // unfinished, in the order of arrival
+	blockingKeys  []*message // over, but their keys rest
+	orderedKeys   map[string][]*message
+	callsInFlight int // calls out
+	// unansweredShare is the share of calls out for stuckAfter mean latencies that had no success.
+	unansweredShare  float64
+	lastSequence     int
+	lastCall         int
+	meanPriority     float64
+	subscribeAt      instant.Time // when to subscribe
+	timerDueAt       instant.Time // when the next timer is due; 0 for none
+	lastGossipAt     instant.Time // when the last note came
+	publishAt        instant.Time // when to share a pace next
+	publishNext      int          // among queues
+	liveRelays       int          // that count as there; 0 for unknown
+	zones            map[int]*zone
+	isolated         bool // nothing answers in all zones but the own
+	stopping         bool // send nothing more
+	storageReadOnly  bool // attempts leave no trace for a later process
+	actions          []Action
+	random           *rand.Rand
+	latencyPriors    map[int]*latencyEstimate // by kind of destination
+	canaryCount      int                      // endpoints with a trial
+	unavailableCount int                      // endpoints that countsAsBad
+	firstListedAt    instant.Time             // of the first Listed; never before it
+	idleDestinations list.List                // of *destination: on demand only, by idleSince; those that have become busy may still be in it
 }
 
 // New returns a dispatcher that knows nothing yet. Settings that make no sense give an error.
@@ -51,14 +51,14 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{s: s, endpoints: map[string]*endpoint{}, dests: map[int]*destination{},
-		messages: map[string]*message{}, keys: map[string][]*message{},
-		pools: map[int]*latencies{}, chance: rand.New(rand.NewPCG(uint64(seed), 0)), resub: never, listedAt: never}
+	d := &Dispatcher{settings: s, endpoints: map[string]*endpoint{}, destinations: map[int]*destination{},
+		messages: map[string]*message{}, orderedKeys: map[string][]*message{},
+		latencyPriors: map[int]*latencyEstimate{}, random: rand.New(rand.NewPCG(uint64(seed), 0)), subscribeAt: never, firstListedAt: never}
 	if s.Subscribe {
-		d.resub = 0 // at once
+		d.subscribeAt = 0 // at once
 	}
 	for _, c := range s.Classes {
-		d.meanWorth += c.PriorityWeight / float64(len(s.Classes))
+		d.meanPriority += c.PriorityWeight / float64(len(s.Classes))
 	}
 	return d, nil
 }
@@ -66,10 +66,10 @@
 // never is later than every moment.
 const never = instant.Never
 
-func (d *Dispatcher) act(a Action) { d.actions = append(d.actions, a) }
+func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// truth is 1 for what is so.
-func truth(so bool) float64 {
+// indicator is 1 for what is so.
+func indicator(so bool) float64 {
 	if so {
 		return 1
 	}
@@ -86,32 +86,32 @@
 	return list
 }
 
-// apply takes in one event, and gives the message that is up for admission by it, if any.
-func (d *Dispatcher) apply(e Event) *message {
+// handleEvent takes in one event, and gives the message that is up for admission by it, if any.
+func (d *Dispatcher) handleEvent(e Event) *message {
 	switch e := e.(type) {
 	case Arrived:
-		return d.take(e)
+		return d.accept(e)
 	case AttemptEnded:
-		d.ended(e)
+		d.handleAttemptEnded(e)
 	case Withdrawn:
 		d.withdraw(e.ID)
 	case EndpointsUpdated: // taken in ahead of the others
 	case WatchFailed:
-		if d.s.Subscribe {
-			d.resub = d.now.Add(subscribeAgain)
+		if d.settings.Subscribe {
+			d.subscribeAt = d.now.Add(resubscribeDelay)
 		}
 	case StateRestored:
-		d.recall(e)
+		d.restoreHealth(e)
 	case StateInherited:
-		d.inherit(e)
+		d.restoreInherited(e)
 	case GossipReceived:
-		d.heard(e.Message)
+		d.handleGossip(e.Message)
 	case PeerSuspected:
-		d.accused(e)
+		d.handlePeerSuspected(e)
 	case PeerRateReceived:
-		d.pacedBy(e)
+		d.handlePeerRate(e)
 	case StorageChanged:
-		d.unrecorded = !e.Writable
+		d.storageReadOnly = !e.Writable
 	case ShutdownStarted:
 		d.stopping = true
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -57,8 +57,8 @@
 						d.Handle(moment(9100*ms), []Event{AttemptEnded{ID: id, Endpoint: a.Endpoint, Outcome: OK, Completed: true}})
 					}
 				}
-				d.endpoints["a"].lastUsed = 0
-				d.endpoints["a"].lastOK = moment(9100 * ms)
+				d.endpoints["a"].lastUsedAt = 0
+				d.endpoints["a"].lastSuccessAt = moment(9100 * ms)
 			}
 		}
 		if got := hearsay(d.Handle(moment(10*time.Second), []Event{c.e})); got != c.want {
@@ -85,7 +85,7 @@
 	}
 	last := time.Duration(0)
 	for _, rank := range []int{0, 1, 7, 100} {
-		at, want := tried(rank, 10*time.Second), time.Duration((1+math.Log2(1+float64(rank)))*float64(tryEach))-100*ms
+		at, want := tried(rank, 10*time.Second), time.Duration((1+math.Log2(1+float64(rank)))*float64(probeInterval))-100*ms
 		if at < want || at > want+200*ms || at <= last {
 			t.Errorf("rank %d tries after %v, want about %v", rank, at, want)
 		}
@@ -116,7 +116,7 @@
 		}
 	}
 	for i := 1; i < len(at); i++ {
-		if at[i]-at[i-1] < tryEach {
+		if at[i]-at[i-1] < probeInterval {
 			t.Errorf("tried at %v and again at %v", at[i-1], at[i])
 		}
 	}
@@ -128,10 +128,10 @@
 // A relay that has just started begins with the fleet's pace, one that has learned its own does not; and no pace is
 // taken that is beyond what a relay comes to by itself.
 func TestBeginsWithTheFleetsPace(t *testing.T) {
-	for _, c := range []struct{ told, want float64 }{{0.4, 0.4}, {0.01, paceFloor}, {50, paceRoom}} {
+	for _, c := range []struct{ told, want float64 }{{0.4, 0.4}, {0.01, minRateShare}, {50, probingRateShare}} {
 		d := large(t, 10, 100, "a")
 		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: c.told, ArrivalRate: 1, ValidFor: time.Minute}})
-		if got := d.queues[0].pace; math.Abs(got-10*c.want) > 1e-9 {
+		if got := d.queues[0].sendRate; math.Abs(got-10*c.want) > 1e-9 {
 			t.Errorf("told %v, it begins with %v a second, want %v", c.told, got, 10*c.want)
 		}
 	}
@@ -139,7 +139,7 @@
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
 	d.Handle(moment(2*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 	d.Handle(moment(3*ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: 0.4, ArrivalRate: 1, ValidFor: time.Minute}})
-	if got := d.queues[0].pace; got < 9.9 {
+	if got := d.queues[0].sendRate; got < 9.9 {
 		t.Errorf("a relay at work comes to %v a second by the word of others", got)
 	}
 }
@@ -155,11 +155,11 @@
 	for _, v := range traffic {
 		d := large(t, len(traffic), 100, "a")
 		q := d.queues[0]
-		q.arrivals = aged{n: v * counterAge.Seconds(), at: 0, since: moment(-time.Hour)}
+		q.arrivals = decayingCounter{value: v * counterTimeConstant.Seconds(), updatedAt: 0, startedAt: moment(-time.Hour)}
 		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 8, RateShare: 1, ArrivalRate: mean, ArrivalRateError: 0.5, ValidFor: time.Second}})
-		sum += d.part(q)
-		if d.now = moment(2 * time.Second); d.part(q) != 1 {
-			t.Errorf("past its bound: %v", d.part(q))
+		sum += d.trafficShare(q)
+		if d.now = moment(2 * time.Second); d.trafficShare(q) != 1 {
+			t.Errorf("past its bound: %v", d.trafficShare(q))
 		}
 	}
 	if sum > 10 || sum < 7 {
--- a/policy/fleetstate.go
+++ b/policy/fleetstate.go
@@ -8,23 +8,23 @@
 
 // This file holds what is exchanged with the fleet; fleet.go decides on it.
 
-// word is what the fleet says, with the times by this relay's clock.
-type word struct {
-	origins, rank      int
-	first, last, until instant.Time
+// peerReport is what the fleet says, with the times by this relay's clock.
+type peerReport struct {
+	observers, rank                int
+	oldestAt, newestAt, validUntil instant.Time
 }
 
-// binds tells whether the fleet says anything, and it is not too old to be used.
-func (w word) binds(now instant.Time) bool { return w.origins > 0 && now < w.until }
+// valid tells whether the fleet says anything, and it is not too old to be used.
+func (w peerReport) valid(now instant.Time) bool { return w.observers > 0 && now < w.validUntil }
 
-// share tells the others this relay's pace for one destination after the other.
-func (d *Dispatcher) share() {
-	if !d.s.PublishRates || d.now < d.shareAt || len(d.queues) == 0 {
+// publishRate tells the others this relay's pace for one destination after the other.
+func (d *Dispatcher) publishRate() {
+	if !d.settings.PublishRates || d.now < d.publishAt || len(d.queues) == 0 {
 		return
 	}
-	d.shareAt = d.now.Add(max(shareLeast, time.Duration(d.s.FleetSize)*shareEach))
-	d.shareNext++
-	if q := d.queues[d.shareNext%len(d.queues)]; !q.apart && q.weight > 0 {
-		d.act(PublishRate{Destination: q.dest.no, RateShare: q.pace / d.even(q), ArrivalRate: q.arrivals.rate(d.now)})
+	d.publishAt = d.now.Add(max(minPublishInterval, time.Duration(d.settings.FleetSize)*publishIntervalPerRelay))
+	d.publishNext++
+	if q := d.queues[d.publishNext%len(d.queues)]; !q.separateRoute && q.listedRate > 0 {
+		d.emit(PublishRate{Destination: q.destination.number, RateShare: q.sendRate / d.evenShare(q), ArrivalRate: q.arrivals.rate(d.now)})
 	}
 }
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -9,64 +9,64 @@
 
 // This file holds what goes from one process of a relay to the next.
 
-// resume puts a message that an earlier process admitted back into its queue, with the attempts made for it; one
+// resumeMessage puts a message that an earlier process admitted back into its queue, with the attempts made for it; one
 // with an attempt still out comes back to its queue by that attempt's end.
-func (d *Dispatcher) resume(m *message) {
+func (d *Dispatcher) resumeMessage(m *message) {
 	for _, t := range m.PriorAttempts {
-		ep := d.lookUp(t.Endpoint, true)
+		ep := d.lookUpEndpoint(t.Endpoint, true)
 		if ep == nil {
 			// Its zone is not known any more: no other is known to share its memory.
 			ep = &endpoint{Endpoint: Endpoint{ID: t.Endpoint, Destination: m.Destination, Zone: -1, Removed: true},
-				q: d.dest(m.Destination).queues[0], strikes: make([]float64, len(d.s.Classes))}
+				queue: d.destination(m.Destination).queues[0], classFailures: make([]float64, len(d.settings.Classes))}
 		}
-		c := &call{ep: ep, sent: t.SentAt}
+		c := &call{endpoint: ep, sentAt: t.SentAt}
 		if t.InFlight {
-			c = d.rejoin(ep, t)
-			c.open++
+			c = d.adoptCall(ep, t)
+			c.openAttempts++
 			c.size += m.Size
-			c.msgs = append(c.msgs, m)
-			m.open++
+			c.messages = append(c.messages, m)
+			m.openAttempts++
 		}
-		m.attempts = append(m.attempts, attempt{call: c, sent: t.SentAt, unrun: t.NotExecuted, open: t.InFlight})
+		m.attempts = append(m.attempts, attempt{call: c, sentAt: t.SentAt, notExecuted: t.NotExecuted, open: t.InFlight})
 		if !t.NotExecuted {
-			m.rest = max(m.rest, d.now.Add(d.s.OrderedKeyDelay))
+			m.keyBlockedUntil = max(m.keyBlockedUntil, d.now.Add(d.settings.OrderedKeyDelay))
 		}
 	}
 	switch {
 	case m.Completed:
-		d.finish(m)
-	case m.open == 0:
-		d.hold(d.route(m), m)
+		d.complete(m)
+	case m.openAttempts == 0:
+		d.enqueue(d.selectQueue(m), m)
 	}
 }
 
-// rejoin gives the call of an attempt that an earlier process still has out: it holds a slot here as well.
-func (d *Dispatcher) rejoin(ep *endpoint, t PriorAttempt) *call {
-	for _, c := range ep.q.out {
-		if c.no == t.Call {
+// adoptCall gives the call of an attempt that an earlier process still has out: it holds a slot here as well.
+func (d *Dispatcher) adoptCall(ep *endpoint, t PriorAttempt) *call {
+	for _, c := range ep.queue.calls {
+		if c.number == t.Call {
 			return c
 		}
 	}
-	c := &call{ep: ep, no: t.Call, sent: t.SentAt}
-	d.turn = max(d.turn, t.Call)
-	d.out++
-	d.wake(ep.q)
-	older := func(a, b *call) int { return cmp.Compare(a.sent, b.sent) }
-	ep.q.out, ep.out = append(ep.q.out, c), append(ep.out, c)
-	slices.SortStableFunc(ep.q.out, older)
-	slices.SortStableFunc(ep.out, older)
+	c := &call{endpoint: ep, number: t.Call, sentAt: t.SentAt}
+	d.lastCall = max(d.lastCall, t.Call)
+	d.callsInFlight++
+	d.activate(ep.queue)
+	older := func(a, b *call) int { return cmp.Compare(a.sentAt, b.sentAt) }
+	ep.queue.calls, ep.calls = append(ep.queue.calls, c), append(ep.calls, c)
+	slices.SortStableFunc(ep.queue.calls, older)
+	slices.SortStableFunc(ep.calls, older)
 	return c
 }
 
 // ExportState is what this dispatcher has learned, for the process that takes over from it.
 func (d *Dispatcher) ExportState() (all []StateInherited) {
 	for _, q := range d.queues {
-		l := StateInherited{RetryAfterUntil: q.waitUntil, BackoffUntil: q.holdUntil, Outcomes: q.n, MeanLatency: q.mean, ClassLatency: slices.Clone(q.class), Concurrency: q.width,
-			SendRate: q.pace, Tokens: q.tokens, TokensAt: q.tokensAt, ConsecutiveRejections: q.fulls, FirstRejectionAt: q.firstFull, LastSuccessAt: q.lastOK,
-			Arrivals: DecayingCount{q.arrivals.n, q.arrivals.at, q.arrivals.since}, Misses: DecayingCount{q.misses.n, q.misses.at, q.misses.since}}
-		for _, ep := range q.eps {
-			l.Endpoints = append(l.Endpoints, InheritedEndpoint{ID: ep.ID, Ejected: ep.sick, SlowStarting: ep.ramping, EjectedAt: ep.sickAt,
-				RecoveredAt: ep.recovered, LastSuccessAt: ep.lastOK, ConsecutiveFailures: ep.failures, ConnectionLimit: ep.connCap, Tokens: ep.tokens, TokensAt: ep.tokensAt})
+		l := StateInherited{RetryAfterUntil: q.retryAfterUntil, BackoffUntil: q.backoffUntil, Outcomes: q.outcomes, MeanLatency: q.mean, ClassLatency: slices.Clone(q.byClass), Concurrency: q.typicalConcurrency,
+			SendRate: q.sendRate, Tokens: q.tokens, TokensAt: q.updatedAt, ConsecutiveRejections: q.consecutiveRejections, FirstRejectionAt: q.firstRejectionAt, LastSuccessAt: q.lastSuccessAt,
+			Arrivals: DecayingCount{q.arrivals.value, q.arrivals.updatedAt, q.arrivals.startedAt}, Misses: DecayingCount{q.misses.value, q.misses.updatedAt, q.misses.startedAt}}
+		for _, ep := range q.endpoints {
+			l.Endpoints = append(l.Endpoints, InheritedEndpoint{ID: ep.ID, Ejected: ep.ejected, SlowStarting: ep.slowStarting, EjectedAt: ep.ejectedAt,
+				RecoveredAt: ep.recoveredAt, LastSuccessAt: ep.lastSuccessAt, ConsecutiveFailures: ep.consecutiveFailures, ConnectionLimit: ep.connectionLimit, Tokens: ep.tokens, TokensAt: ep.updatedAt})
 		}
 		if len(l.Endpoints) > 0 {
 			all = append(all, l)
@@ -88,44 +88,44 @@
 	return l
 }
 
-// inherit takes in what the process before has learned of a queue, but for endpoints that are no longer listed.
-func (d *Dispatcher) inherit(l StateInherited) {
+// restoreInherited takes in what the process before has learned of a queue, but for endpoints that are no longer listed.
+func (d *Dispatcher) restoreInherited(l StateInherited) {
 	var q *queue
 	for _, e := range l.Endpoints {
-		ep := d.lookUp(e.ID, true)
+		ep := d.lookUpEndpoint(e.ID, true)
 		if ep == nil {
 			continue
 		}
-		q = ep.q
-		d.setSick(ep, e.Ejected)
-		ep.ramping, ep.sickAt, ep.recovered, ep.lastOK = e.SlowStarting, e.EjectedAt, e.RecoveredAt, e.LastSuccessAt
-		ep.failures, ep.connCap, ep.bucket = e.ConsecutiveFailures, e.ConnectionLimit, bucket{e.Tokens, e.TokensAt}
-		q.ill = q.ill || e.Ejected
+		q = ep.queue
+		d.setEjected(ep, e.Ejected)
+		ep.slowStarting, ep.ejectedAt, ep.recoveredAt, ep.lastSuccessAt = e.SlowStarting, e.EjectedAt, e.RecoveredAt, e.LastSuccessAt
+		ep.consecutiveFailures, ep.connectionLimit, ep.tokenBucket = e.ConsecutiveFailures, e.ConnectionLimit, tokenBucket{e.Tokens, e.TokensAt}
+		q.outageSuspected = q.outageSuspected || e.Ejected
 	}
 	if q == nil {
 		return
 	}
-	q.waitUntil, q.holdUntil, q.width, q.fulls, q.firstFull, q.lastOK = l.RetryAfterUntil, l.BackoffUntil, l.Concurrency, l.ConsecutiveRejections, l.FirstRejectionAt, l.LastSuccessAt
-	q.pace, q.bucket = l.SendRate, bucket{l.Tokens, l.TokensAt}
-	q.arrivals, q.misses = aged{l.Arrivals.Count, l.Arrivals.UpdatedAt, l.Arrivals.StartedAt}, aged{l.Misses.Count, l.Misses.UpdatedAt, l.Misses.StartedAt}
-	if len(l.ClassLatency) == len(q.class) {
-		q.latencies = latencies{n: l.Outcomes, mean: l.MeanLatency, class: slices.Clone(l.ClassLatency)}
-		if pool := d.pool(q.kind); pool.n < l.Outcomes { // what others of the kind borrow
-			*pool = latencies{n: l.Outcomes, mean: l.MeanLatency, class: slices.Clone(l.ClassLatency)}
+	q.retryAfterUntil, q.backoffUntil, q.typicalConcurrency, q.consecutiveRejections, q.firstRejectionAt, q.lastSuccessAt = l.RetryAfterUntil, l.BackoffUntil, l.Concurrency, l.ConsecutiveRejections, l.FirstRejectionAt, l.LastSuccessAt
+	q.sendRate, q.tokenBucket = l.SendRate, tokenBucket{l.Tokens, l.TokensAt}
+	q.arrivals, q.misses = decayingCounter{l.Arrivals.Count, l.Arrivals.UpdatedAt, l.Arrivals.StartedAt}, decayingCounter{l.Misses.Count, l.Misses.UpdatedAt, l.Misses.StartedAt}
+	if len(l.ClassLatency) == len(q.byClass) {
+		q.latencyEstimate = latencyEstimate{outcomes: l.Outcomes, mean: l.MeanLatency, byClass: slices.Clone(l.ClassLatency)}
+		if pool := d.latencyPrior(q.kind); pool.outcomes < l.Outcomes { // what others of the kind borrow
+			*pool = latencyEstimate{outcomes: l.Outcomes, mean: l.MeanLatency, byClass: slices.Clone(l.ClassLatency)}
 		}
 	}
 }
 
-// recall takes over an endpoint's outage or ramp from an earlier process, so that a restart in the middle of
+// restoreHealth takes over an endpoint's outage or ramp from an earlier process, so that a restart in the middle of
 // either does not send to a cold destination as to a warm one.
-func (d *Dispatcher) recall(e StateRestored) {
-	ramping := d.now.Sub(e.At) < d.s.SlowStartWindow
-	ep := d.lookUp(e.Endpoint, e.Ejected || ramping)
+func (d *Dispatcher) restoreHealth(e StateRestored) {
+	ramping := d.now.Sub(e.At) < d.settings.SlowStartWindow
+	ep := d.lookUpEndpoint(e.Endpoint, e.Ejected || ramping)
 	switch {
 	case ep == nil:
 	case e.Ejected:
-		d.sicken(ep)
+		d.eject(ep)
 	case ramping:
-		ep.ramping, ep.recovered = true, e.At
+		ep.slowStarting, ep.recoveredAt = true, e.At
 	}
 }
--- a/policy/lack.go
+++ b/policy/lack.go
@@ -10,37 +10,37 @@
 // This file decides what to do where a call could not be begun for a lack of this machine: descriptors, ports, memory of the
 // kernel, a route. It says nothing of the endpoint, and no attempt is used up.
 
-// The pause of an endpoint after a call that could not be begun: lackPause, and twice as long after each further one until a
-// call there begins, up to lackPauseMost. Service has to be back within seconds of the lack's end.
-const lackPause, lackPauseMost = 20 * time.Millisecond, 320 * time.Millisecond
+// The pause of an endpoint after a call that could not be begun: initialResourceBackoff, and twice as long after each further one until a
+// call there begins, up to maxResourceBackoff. Service has to be back within seconds of the lack's end.
+const initialResourceBackoff, maxResourceBackoff = 20 * time.Millisecond, 320 * time.Millisecond
 
-// lack is the pause of an endpoint to which no call could be begun.
-type lack struct {
+// resourceBackoff is the pause of an endpoint to which no call could be begun.
+type resourceBackoff struct {
 	until instant.Time
-	pause time.Duration
+	delay time.Duration
 }
 
-// lacks takes in that a call could not be begun for one of its messages: its endpoint gets nothing for a moment, and what the
+// recordNotStarted takes in that a call could not be begun for one of its messages: its endpoint gets nothing for a moment, and what the
 // call took of pace and budget is there again.
-func (d *Dispatcher) lacks(c *call) {
-	q, ep := c.ep.q, c.ep
-	if c.open == 0 && q.pace > 0 {
+func (d *Dispatcher) recordNotStarted(c *call) {
+	q, ep := c.endpoint.queue, c.endpoint
+	if c.openAttempts == 0 && q.sendRate > 0 {
 		q.tokens++
 	}
-	if c.open == 0 && (ep.sick || ep.ramping) {
+	if c.openAttempts == 0 && (ep.ejected || ep.slowStarting) {
 		ep.tokens++
 	}
-	if d.now < ep.lack.until { // one of several that were out
+	if d.now < ep.resourceBackoff.until { // one of several that were out
 		return
 	}
-	ep.lack.pause = min(max(lackPause, 2*ep.lack.pause), lackPauseMost)
-	ep.lack.until = d.now.Add(ep.lack.pause)
+	ep.resourceBackoff.delay = min(max(initialResourceBackoff, 2*ep.resourceBackoff.delay), maxResourceBackoff)
+	ep.resourceBackoff.until = d.now.Add(ep.resourceBackoff.delay)
 }
 
-// begins notes that a call to an endpoint has begun.
-func (ep *endpoint) begins() { ep.lack = lack{} }
+// recordStarted notes that a call to an endpoint has begun.
+func (ep *endpoint) recordStarted() { ep.resourceBackoff = resourceBackoff{} }
 
-// lacking tells whether no call can be begun to any endpoint of a queue.
-func (q *queue) lacking(now instant.Time) bool {
-	return len(q.eps) > 0 && !slices.ContainsFunc(q.eps, func(ep *endpoint) bool { return now >= ep.lack.until })
+// resourcesExhausted tells whether no call can be begun to any endpoint of a queue.
+func (q *queue) resourcesExhausted(now instant.Time) bool {
+	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, func(ep *endpoint) bool { return now >= ep.resourceBackoff.until })
 }
--- a/policy/lack_test.go
+++ b/policy/lack_test.go
@@ -21,21 +21,21 @@
 		for i := range 10 {
 			unsent := AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: NotStarted}
 			expect(t, "at once", d.Handle(moment(now+ms), []Event{unsent}), "")
-			pause := min(lackPause<<i, lackPauseMost)
+			pause := min(initialResourceBackoff<<i, maxResourceBackoff)
 			expect(t, "in the pause", d.Handle(moment(now+pause-ms), []Event{TimerFired{}}), "")
 			now += pause + 2*ms
 			expect(t, "behind it", d.Handle(moment(now), []Event{TimerFired{}}), "m>a")
 		}
 		ep := d.endpoints["a"]
-		if m := d.messages["m"]; len(m.attempts) != 1 || m.firstRun() == nil || ep.failures != 0 || ep.sick || ep.strikes[class] != 0 {
-			t.Errorf("class %d: %d attempts, %v failures", class, len(m.attempts), ep.failures)
+		if m := d.messages["m"]; len(m.attempts) != 1 || m.firstPossibleExecution() == nil || ep.consecutiveFailures != 0 || ep.ejected || ep.classFailures[class] != 0 {
+			t.Errorf("class %d: %d attempts, %v failures", class, len(m.attempts), ep.consecutiveFailures)
 		}
-		if q := d.queues[0]; q.pace > 0 && d.tokens(q) < 0 {
+		if q := d.queues[0]; q.sendRate > 0 && d.sendTokens(q) < 0 {
 			t.Errorf("class %d: %v tokens", class, q.tokens)
 		}
 		expect(t, "delivered", d.Handle(moment(now+ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: OK, Completed: true}}), "")
-		if ep.lack != (lack{}) {
-			t.Errorf("class %d: still a pause of %v", class, ep.lack.pause)
+		if ep.resourceBackoff != (resourceBackoff{}) {
+			t.Errorf("class %d: still a pause of %v", class, ep.resourceBackoff.delay)
 		}
 	}
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -4,18 +4,18 @@
 
 // This file holds what is known of latencies.
 
-// latencies are mean latencies in seconds; 0 for unknown.
-type latencies struct {
-	n     int     // outcomes counted
-	mean  float64 // of all classes
-	class []float64
+// latencyEstimate are mean latencies in seconds; 0 for unknown.
+type latencyEstimate struct {
+	outcomes int     // outcomes counted
+	mean     float64 // of all classes
+	byClass  []float64
 }
 
-// observe adds a latency to the means; the first ones weigh more, as what was there is borrowed.
-func (l *latencies) observe(class int, took float64) {
-	l.n++
-	gain := math.Max(latencyGain, 1/float64(l.n+1))
-	for _, mean := range []*float64{&l.mean, &l.class[class]} {
+// record adds a latency to the means; the first ones weigh more, as what was there is borrowed.
+func (l *latencyEstimate) record(class int, took float64) {
+	l.outcomes++
+	gain := math.Max(latencyWeight, 1/float64(l.outcomes+1))
+	for _, mean := range []*float64{&l.mean, &l.byClass[class]} {
 		if *mean == 0 {
 			*mean = took
 		}
@@ -23,26 +23,26 @@
 	}
 }
 
-// borrow fills what a queue does not know of its latencies from all destinations of its kind.
-func (d *Dispatcher) borrow(q *queue) {
-	pool := d.pool(q.kind)
-	if pool.n == 0 {
+// applyLatencyPrior fills what a queue does not know of its latencies from all destinations of its kind.
+func (d *Dispatcher) applyLatencyPrior(q *queue) {
+	pool := d.latencyPrior(q.kind)
+	if pool.outcomes == 0 {
 		return
 	}
-	if q.n == 0 {
+	if q.outcomes == 0 {
 		q.mean = pool.mean
 	}
-	for i, mean := range q.class {
-		if mean == 0 || q.n == 0 {
-			q.class[i] = pool.class[i]
+	for i, mean := range q.byClass {
+		if mean == 0 || q.outcomes == 0 {
+			q.byClass[i] = pool.byClass[i]
 		}
 	}
 }
 
-// pool gives what is known of a kind.
-func (d *Dispatcher) pool(kind int) *latencies {
-	if d.pools[kind] == nil {
-		d.pools[kind] = &latencies{class: make([]float64, len(d.s.Classes))}
+// latencyPrior gives what is known of a kind.
+func (d *Dispatcher) latencyPrior(kind int) *latencyEstimate {
+	if d.latencyPriors[kind] == nil {
+		d.latencyPriors[kind] = &latencyEstimate{byClass: make([]float64, len(d.settings.Classes))}
 	}
-	return d.pools[kind]
+	return d.latencyPriors[kind]
 }
--- a/policy/list.go
+++ b/policy/list.go
@@ -9,12 +9,12 @@
 
 // This file holds changes of the list of endpoints.
 
-// listed takes in a change of the list.
-func (d *Dispatcher) listed(e EndpointsUpdated) {
-	d.listedAt = min(d.listedAt, d.now)
+// updateEndpoints takes in a change of the list.
+func (d *Dispatcher) updateEndpoints(e EndpointsUpdated) {
+	d.firstListedAt = min(d.firstListedAt, d.now)
 	for _, entry := range e.Endpoints {
-		if d.concerns(entry) {
-			d.entry(entry, d.now)
+		if d.affectsState(entry) {
+			d.updateEndpoint(entry, d.now)
 		}
 	}
 	if e.Complete {
@@ -23,78 +23,78 @@
 			named[entry.ID] = true
 		}
 		for _, q := range slices.Clone(d.queues) {
-			for _, ep := range append([]*endpoint(nil), q.eps...) {
+			for _, ep := range append([]*endpoint(nil), q.endpoints...) {
 				if !named[ep.ID] {
-					d.drop(ep)
+					d.removeEndpoint(ep)
 				}
 			}
 		}
 	}
 	for _, q := range slices.Clone(d.active) {
-		if len(q.held) > 0 && !q.usable() {
+		if len(q.waiting) > 0 && !q.acceptsCalls() {
 			d.reroute(q)
 		}
 	}
 }
 
-// entry takes in one entry of the list, as told at a moment.
-func (d *Dispatcher) entry(e Endpoint, at instant.Time) {
+// updateEndpoint takes in one entry of the list, as told at a moment.
+func (d *Dispatcher) updateEndpoint(e Endpoint, at instant.Time) {
 	ep := d.endpoints[e.ID]
 	if e.Removed {
 		if ep != nil {
-			d.drop(ep)
+			d.removeEndpoint(ep)
 		}
 		return
 	}
 	cold := false
 	if ep == nil {
-		dest := d.dest(e.Destination)
+		dest := d.destination(e.Destination)
 		if ep = d.endpoints[e.ID]; ep == nil { // loading the destination may have brought it
 			ep = d.addEndpoint(dest, e, at)
-			cold = ep.q.ill
+			cold = ep.queue.outageSuspected
 		}
 	}
-	d.arrives(ep, e)
-	d.update(ep, func() { ep.Endpoint = e })
-	d.weigh(ep.q, e.Weight, at)
+	d.startCanary(ep, e)
+	d.updateAvailability(ep, func() { ep.Endpoint = e })
+	d.setListedRate(ep.queue, e.Weight, at)
 	if cold { // at a destination that is out it is as cold as the others
-		d.sicken(ep)
+		d.eject(ep)
 	}
 }
 
 // addEndpoint adds an endpoint that is listed since a moment to its destination.
 func (d *Dispatcher) addEndpoint(dest *destination, e Endpoint, since instant.Time) *endpoint {
-	ep := &endpoint{strikes: make([]float64, len(d.s.Classes)), q: dest.queues[0]}
+	ep := &endpoint{classFailures: make([]float64, len(d.settings.Classes)), queue: dest.queues[0]}
 	d.endpoints[e.ID] = ep
 	kind := Kind{MaxBatch: 1}
-	if e.Kind >= 0 && e.Kind < len(d.s.Kinds) {
-		kind = d.s.Kinds[e.Kind]
+	if e.Kind >= 0 && e.Kind < len(d.settings.Kinds) {
+		kind = d.settings.Kinds[e.Kind]
 	}
-	if kind.SeparateRoutes && (len(ep.q.eps) > 0 || len(dest.queues) > 1) {
-		ep.q = d.addQueue(dest, 1, true, since)
+	if kind.SeparateRoutes && (len(ep.queue.endpoints) > 0 || len(dest.queues) > 1) {
+		ep.queue = d.addQueue(dest, 1, true, since)
 	}
-	ep.q.bundle, ep.q.apart, ep.q.kind = max(1, kind.MaxBatch), kind.SeparateRoutes, e.Kind
-	ep.q.eps = append(ep.q.eps, ep)
+	ep.queue.maxBatch, ep.queue.separateRoute, ep.queue.kind = max(1, kind.MaxBatch), kind.SeparateRoutes, e.Kind
+	ep.queue.endpoints = append(ep.queue.endpoints, ep)
 	return ep
 }
 
-// drop forgets an endpoint that left the list; calls out there still end.
-func (d *Dispatcher) drop(ep *endpoint) {
-	d.update(ep, func() { ep.Removed = true })
-	if ep.trial != nil {
-		d.onTrial--
+// removeEndpoint forgets an endpoint that left the list; calls out there still end.
+func (d *Dispatcher) removeEndpoint(ep *endpoint) {
+	d.updateAvailability(ep, func() { ep.Removed = true })
+	if ep.canary != nil {
+		d.canaryCount--
 	}
 	delete(d.endpoints, ep.ID)
-	ep.q.eps = remove(ep.q.eps, ep)
-	d.forget(ep.q)
+	ep.queue.endpoints = remove(ep.queue.endpoints, ep)
+	d.removeUnusedQueue(ep.queue)
 }
 
-// weigh takes in the rate that a queue's destination is listed with since a moment.
-func (d *Dispatcher) weigh(q *queue, weight float64, since instant.Time) {
-	if d.s.Weights == WeightsOff || !(weight > 0) || math.IsInf(weight, 0) || weight == q.weight {
+// setListedRate takes in the rate that a queue's destination is listed with since a moment.
+func (d *Dispatcher) setListedRate(q *queue, weight float64, since instant.Time) {
+	if d.settings.Weights == WeightsOff || !(weight > 0) || math.IsInf(weight, 0) || weight == q.listedRate {
 		return
 	}
-	q.weight = weight
-	q.pace, q.cutAt = d.even(q), since
-	q.tokens, q.tokensAt = math.Max(1, q.pace*burstSpan.Seconds()), since
+	q.listedRate = weight
+	q.sendRate, q.decreasedAt = d.evenShare(q), since
+	q.tokens, q.updatedAt = math.Max(1, q.sendRate*rateWindow.Seconds()), since
 }
--- a/policy/message.go
+++ b/policy/message.go
@@ -13,38 +13,38 @@
 // message is a message taken and not yet retired.
 type message struct {
 	Arrived
-	class    *Class
-	seq      int
-	expires  instant.Time
-	q        *queue // where it is held; nil while it is not
-	attempts []attempt
-	open     int // attempts without an outcome
-	over     bool
-	rest     instant.Time // until when its key rests after it
+	class           *Class
+	sequence        int
+	expiresAt       instant.Time
+	queue           *queue // where it is held; nil while it is not
+	attempts        []attempt
+	openAttempts    int // attempts without an outcome
+	done            bool
+	keyBlockedUntil instant.Time // until when its key rests after it
 }
 
 type attempt struct {
-	call  *call
-	sent  instant.Time
-	open  bool
-	unrun bool // proved never to have run
+	call        *call
+	sentAt      instant.Time
+	open        bool
+	notExecuted bool // proved never to have run
 }
 
-// take notes a new message, or gives nil where it makes no sense.
-func (d *Dispatcher) take(e Arrived) *message {
-	if e.Class < 0 || e.Class >= len(d.s.Classes) || d.messages[e.ID] != nil {
+// accept notes a new message, or gives nil where it makes no sense.
+func (d *Dispatcher) accept(e Arrived) *message {
+	if e.Class < 0 || e.Class >= len(d.settings.Classes) || d.messages[e.ID] != nil {
 		return nil
 	}
-	d.seq++
-	m := &message{Arrived: e, class: &d.s.Classes[e.Class], seq: d.seq,
-		expires: d.now.Add(e.TimeLeft)}
+	d.lastSequence++
+	m := &message{Arrived: e, class: &d.settings.Classes[e.Class], sequence: d.lastSequence,
+		expiresAt: d.now.Add(e.TimeLeft)}
 	d.messages[e.ID] = m
-	d.live = append(d.live, m)
+	d.unfinished = append(d.unfinished, m)
 	if m.class.Ordered && m.Key != "" {
-		d.keys[m.Key] = append(d.keys[m.Key], m)
+		d.orderedKeys[m.Key] = append(d.orderedKeys[m.Key], m)
 	}
 	if e.Resumed {
-		d.resume(m)
+		d.resumeMessage(m)
 		return nil
 	}
 	return m
@@ -53,32 +53,32 @@
 // withdraw drops a message that nobody wants any more.
 func (d *Dispatcher) withdraw(id string) {
 	m := d.messages[id]
-	if m == nil || m.over {
+	if m == nil || m.done {
 		return
 	}
-	d.finish(m)
+	d.complete(m)
 	for i := range m.attempts {
-		if m.attempts[i].open && d.s.CanCancel {
-			d.act(Cancel{ID: m.ID, Attempt: i})
+		if m.attempts[i].open && d.settings.CanCancel {
+			d.emit(Cancel{ID: m.ID, Attempt: i})
 		}
 	}
 }
 
-// firstRun is the first attempt that may have run, or nil.
-func (m *message) firstRun() *attempt {
+// firstPossibleExecution is the first attempt that may have run, or nil.
+func (m *message) firstPossibleExecution() *attempt {
 	for i := range m.attempts {
-		if !m.attempts[i].unrun {
+		if !m.attempts[i].notExecuted {
 			return &m.attempts[i]
 		}
 	}
 	return nil
 }
 
-// forgotten is when a receiver that may have run a message may no longer know it, never where that is no matter: two
+// idempotencyExpiry is when a receiver that may have run a message may no longer know it, never where that is no matter: two
 // ticks early, since the module's times are those of its batches.
-func (d *Dispatcher) forgotten(m *message) instant.Time {
-	if first := m.firstRun(); first != nil && m.class.Effect == IdempotentWithKey {
-		return first.sent.Add(m.class.IdempotencyWindow).Add(-(2 * d.s.BatchInterval))
+func (d *Dispatcher) idempotencyExpiry(m *message) instant.Time {
+	if first := m.firstPossibleExecution(); first != nil && m.class.Effect == IdempotentWithKey {
+		return first.sentAt.Add(m.class.IdempotencyWindow).Add(-(2 * d.settings.BatchInterval))
 	}
 	return never
 }
@@ -107,40 +107,40 @@
 	return c.LatencyObjective + time.Duration((1-share)/(1-c.LateValueShare)*float64(c.Deadline-c.LatencyObjective))
 }
 
-// release takes a message out of its queue.
-func (m *message) release() {
-	if m.q != nil {
-		m.q.held = remove(m.q.held, m)
-		m.q = nil
+// dequeue takes a message out of its queue.
+func (m *message) dequeue() {
+	if m.queue != nil {
+		m.queue.waiting = remove(m.queue.waiting, m)
+		m.queue = nil
 	}
 }
 
-// finish notes that a message has its final answer.
-func (d *Dispatcher) finish(m *message) {
-	if !m.over {
-		m.over = true
-		m.release()
-		d.live = remove(d.live, m)
+// complete notes that a message has its final answer.
+func (d *Dispatcher) complete(m *message) {
+	if !m.done {
+		m.done = true
+		m.dequeue()
+		d.unfinished = remove(d.unfinished, m)
 	}
-	d.retire(m)
+	d.releaseKey(m)
 }
 
-// retire forgets a message that is over and has nothing out, and lets the next of its key go.
-func (d *Dispatcher) retire(m *message) {
-	if !m.over || m.open > 0 {
+// releaseKey forgets a message that is over and has nothing out, and lets the next of its key go.
+func (d *Dispatcher) releaseKey(m *message) {
+	if !m.done || m.openAttempts > 0 {
 		return
 	}
-	if d.now < m.rest {
-		if !slices.Contains(d.resting, m) {
-			d.resting = append(d.resting, m)
+	if d.now < m.keyBlockedUntil {
+		if !slices.Contains(d.blockingKeys, m) {
+			d.blockingKeys = append(d.blockingKeys, m)
 		}
 		return
 	}
-	d.resting = remove(d.resting, m)
+	d.blockingKeys = remove(d.blockingKeys, m)
 	delete(d.messages, m.ID)
-	if line := remove(d.keys[m.Key], m); len(line) > 0 {
-		d.keys[m.Key] = line
+	if line := remove(d.orderedKeys[m.Key], m); len(line) > 0 {
+		d.orderedKeys[m.Key] = line
 	} else {
-		delete(d.keys, m.Key)
+		delete(d.orderedKeys, m.Key)
 	}
 }
--- a/policy/messages_capacity_bench_test.go
+++ b/policy/messages_capacity_bench_test.go
@@ -38,8 +38,8 @@
 		events = append(events, Arrived{ID: id, Destination: i % destinations, TimeLeft: day, Size: 200, Resumed: true})
 	}
 	d.Handle(0, events)
-	if len(d.live) != messages || d.out > 0 {
-		b.Fatalf("%d messages, %d calls out", len(d.live), d.out)
+	if len(d.unfinished) != messages || d.callsInFlight > 0 {
+		b.Fatalf("%d messages, %d calls out", len(d.unfinished), d.callsInFlight)
 	}
 	return d
 }
@@ -71,7 +71,7 @@
 	parts := []struct {
 		name string
 		work func()
-	}{{"expire", d.expire}, {"dispatch", d.dispatch}, {"reap", d.reap}, {"rest", d.rest}, {"arm", d.arm}}
+	}{{"expire", d.expireMessages}, {"dispatch", d.dispatch}, {"reap", d.cancelStalledCalls}, {"rest", d.deactivateIdle}, {"arm", d.armTimer}}
 	for _, part := range parts {
 		b.Run(part.name, func(b *testing.B) {
 			for b.Loop() {
@@ -131,7 +131,7 @@
 					for now := step; now < span; now += step {
 						serve(b, d, now, draw())
 					}
-					b.ReportMetric(float64(len(d.dests)), "destinations")
+					b.ReportMetric(float64(len(d.destinations)), "destinations")
 					b.ReportMetric((heap()-before)/1e6, "MB")
 					runtime.KeepAlive(d)
 				}
--- a/policy/newcomers.go
+++ b/policy/newcomers.go
@@ -11,105 +11,105 @@
 // evidence, and nothing for a while where they do worse than the destination's older ones.
 
 const (
-	// newFor is the age up to which an endpoint that was not known before is new.
-	newFor = time.Minute
-	// A stage lasts stageLeast, and until stageSeen outcomes, of all relays together, or stageMost without
+	// canaryMaxAge is the age up to which an endpoint that was not known before is new.
+	canaryMaxAge = time.Minute
+	// A stage lasts minStageDuration, and until minStageOutcomes outcomes, of all relays together, or maxStageDuration without
 	// them; and while its outcomes speak by more than stays of what would hold it for its being worse: one
 	// failure does where failures are rare.
-	stageLeast, stageMost, stageSeen, stays = 2 * time.Second, 4500 * time.Millisecond, 8, 1.0 / 3
-	// A newcomer is worse in a class if its outcomes fit the failing share of the older ones, leastFailing at
-	// least, worseTimes less well than one that lies halfway from there to 1 (Wald's likelihood ratio, begun
+	minStageDuration, maxStageDuration, minStageOutcomes, maxPromotionScore = 2 * time.Second, 4500 * time.Millisecond, 8, 1.0 / 3
+	// A newcomer is worse in a class if its outcomes fit the failing share of the older ones, minFailureShare at
+	// least, regressionLikelihoodRatio less well than one that lies halfway from there to 1 (Wald's likelihood ratio, begun
 	// anew at 0, as in Page's cumulative sum: it may do well at first).
-	leastFailing, worseTimes = 0.02, 1000.0
-	// It then gets nothing for holdFor, twice as long after each further time, up to holdMost, and begins
+	minFailureShare, regressionLikelihoodRatio = 0.02, 1000.0
+	// It then gets nothing for initialSuspension, twice as long after each further time, up to maxSuspension, and begins
 	// anew.
-	holdFor, holdMost = 15 * time.Second, 4 * time.Minute
-	// ownFailing of its calls to older endpoints a relay may see fail and still speak against newcomers.
-	ownFailing = 0.25
+	initialSuspension, maxSuspension = 15 * time.Second, 4 * time.Minute
+	// maxBaselineFailureShare of its calls to older endpoints a relay may see fail and still speak against newcomers.
+	maxBaselineFailureShare = 0.25
 )
 
-// stageShares of a destination's calls go to its newcomers, over all relays, until they are through, but to
+// canaryStageShares of a destination's calls go to its newcomers, over all relays, until they are through, but to
 // none more than to the others.
-var stageShares = [...]float64{0.02, 0.06, 0.2, 0.5}
+var canaryStageShares = [...]float64{0.02, 0.06, 0.2, 0.5}
 
-// arrives takes in an endpoint that was not listed before, or has started anew since.
-func (d *Dispatcher) arrives(ep *endpoint, e Endpoint) {
-	if d.isNew(e) && e.StartedAt > ep.StartedAt && !e.Draining {
-		if ep.trial == nil {
-			d.onTrial++
+// startCanary takes in an endpoint that was not listed before, or has started anew since.
+func (d *Dispatcher) startCanary(ep *endpoint, e Endpoint) {
+	if d.youngEnoughForCanary(e) && e.StartedAt > ep.StartedAt && !e.Draining {
+		if ep.canary == nil {
+			d.canaryCount++
 		}
-		ep.trial = &trial{since: d.now, credit: d.chance.Float64(), score: make([]float64, len(d.s.Classes))}
+		ep.canary = &canaryState{stageStartedAt: d.now, credit: d.random.Float64(), scores: make([]float64, len(d.settings.Classes))}
 	}
 }
 
-// isNew tells whether a listed endpoint may be on trial by its age.
-func (d *Dispatcher) isNew(e Endpoint) bool {
-	return d.s.CanaryAnalysis && e.StartedAt > 0 && d.now.Sub(e.StartedAt) < newFor
+// youngEnoughForCanary tells whether a listed endpoint may be on trial by its age.
+func (d *Dispatcher) youngEnoughForCanary(e Endpoint) bool {
+	return d.settings.CanaryAnalysis && e.StartedAt > 0 && d.now.Sub(e.StartedAt) < canaryMaxAge
 }
 
-// proves tells whether an endpoint is on trial: only beside an older one that serves its destination.
-func (d *Dispatcher) proves(ep *endpoint) bool {
-	return ep.trial != nil && slices.ContainsFunc(ep.q.eps, func(o *endpoint) bool {
-		return o.trial == nil && !o.sick && !o.Draining && !d.silent(o)
+// hasBaseline tells whether an endpoint is on trial: only beside an older one that serves its destination.
+func (d *Dispatcher) hasBaseline(ep *endpoint) bool {
+	return ep.canary != nil && slices.ContainsFunc(ep.queue.endpoints, func(o *endpoint) bool {
+		return o.canary == nil && !o.ejected && !o.Draining && !d.unresponsive(o)
 	})
 }
 
-// waits tells whether an endpoint on trial gets nothing now.
-func (d *Dispatcher) waits(ep *endpoint) bool {
-	return ep.trial != nil && (d.now < ep.trial.held || ep.trial.credit < 1) && d.proves(ep)
+// canaryWithheld tells whether an endpoint on trial gets nothing now.
+func (d *Dispatcher) canaryWithheld(ep *endpoint) bool {
+	return ep.canary != nil && (d.now < ep.canary.suspendedUntil || ep.canary.credit < 1) && d.hasBaseline(ep)
 }
 
-// compare takes in an outcome of an endpoint on trial, here or at another relay.
-func (d *Dispatcher) compare(ep *endpoint, class int, bad bool) {
-	t := ep.trial
-	t.seen++
-	usual := math.Max(leastFailing, ep.q.failing[class].share())
+// recordCanaryOutcome takes in an outcome of an endpoint on trial, here or at another relay.
+func (d *Dispatcher) recordCanaryOutcome(ep *endpoint, class int, bad bool) {
+	t := ep.canary
+	t.outcomes++
+	usual := math.Max(minFailureShare, ep.queue.baseline[class].share())
 	worse := usual + (1-usual)/2
 	if !bad {
-		t.score[class] = math.Max(0, t.score[class]+math.Log((1-worse)/(1-usual)))
+		t.scores[class] = math.Max(0, t.scores[class]+math.Log((1-worse)/(1-usual)))
 		return
 	}
-	if t.score[class] += math.Log(worse / usual); t.score[class] >= math.Log(worseTimes) && d.now >= t.held {
-		t.held = d.now.Add(min(holdMost, holdFor<<min(t.holds, 8)))
-		t.holds++
-		d.stage(ep, 0, t.held)
+	if t.scores[class] += math.Log(worse / usual); t.scores[class] >= math.Log(regressionLikelihoodRatio) && d.now >= t.suspendedUntil {
+		t.suspendedUntil = d.now.Add(min(maxSuspension, initialSuspension<<min(t.suspensions, 8)))
+		t.suspensions++
+		d.startCanaryStage(ep, 0, t.suspendedUntil)
 	}
 }
 
-// prove moves the endpoints on trial on, with each batch.
-func (d *Dispatcher) prove() {
-	for _, ep := range d.trials() {
-		t, doubt := ep.trial, 0.0
-		for _, score := range t.score {
+// evaluateCanaries moves the endpoints on trial on, with each batch.
+func (d *Dispatcher) evaluateCanaries() {
+	for _, ep := range d.canaries() {
+		t, doubt := ep.canary, 0.0
+		for _, score := range t.scores {
 			doubt = math.Max(doubt, score)
 		}
-		age := d.now.Sub(t.since)
+		age := d.now.Sub(t.stageStartedAt)
 		switch {
-		case doubt > stays*math.Log(worseTimes) || age < stageLeast || t.seen < stageSeen && age < stageMost:
-		case t.stage+1 < len(stageShares):
-			d.stage(ep, t.stage+1, d.now)
+		case doubt > maxPromotionScore*math.Log(regressionLikelihoodRatio) || age < minStageDuration || t.outcomes < minStageOutcomes && age < maxStageDuration:
+		case t.stage+1 < len(canaryStageShares):
+			d.startCanaryStage(ep, t.stage+1, d.now)
 		default:
-			ep.trial = nil
-			d.onTrial--
-			d.act(CanaryStageChanged{Endpoint: ep.ID})
+			ep.canary = nil
+			d.canaryCount--
+			d.emit(CanaryStageChanged{Endpoint: ep.ID})
 		}
 	}
 }
 
-// judged draws from a call's end what it says of a newcomer, or of what is usual beside one. An endpoint that
+// analyzeOutcome draws from a call's end what it says of a newcomer, or of what is usual beside one. An endpoint that
 // refuses may just be at its limit. A relay whose own network is bad speaks against nobody.
-func (d *Dispatcher) judged(ep *endpoint, m *message, e AttemptEnded, late bool) {
-	if !d.s.CanaryAnalysis || e.Outcome == Rejected || e.Outcome == NotSent || e.Outcome == Canceled && !late {
+func (d *Dispatcher) analyzeOutcome(ep *endpoint, m *message, e AttemptEnded, late bool) {
+	if !d.settings.CanaryAnalysis || e.Outcome == Rejected || e.Outcome == NotSent || e.Outcome == Canceled && !late {
 		return
 	}
-	q, bad := ep.q, e.Outcome != OK || late
-	if ep.trial == nil {
-		q.failing[m.Class].add(bad)
-	} else if !bad || q.failing[m.Class].share() < ownFailing {
-		d.compare(ep, m.Class, bad)
+	q, bad := ep.queue, e.Outcome != OK || late
+	if ep.canary == nil {
+		q.baseline[m.Class].add(bad)
+	} else if !bad || q.baseline[m.Class].share() < maxBaselineFailureShare {
+		d.recordCanaryOutcome(ep, m.Class, bad)
 		// Later outcomes come faster: a part of them says as much, if it is the same of good and bad ones.
-		if d.s.Gossip && d.chance.Float64() < stageShares[1]/stageShares[ep.trial.stage] {
-			d.act(Broadcast{Message: trialNote{ep.ID, m.Class, bad, d.chance.Uint64() % maxNumber}.note()})
+		if d.settings.Gossip && d.random.Float64() < canaryStageShares[1]/canaryStageShares[ep.canary.stage] {
+			d.emit(Broadcast{Message: canaryMessage{ep.ID, m.Class, bad, d.random.Uint64() % maxGossipNumber}.encode()})
 		}
 	}
 }
--- a/policy/newcomers_test.go
+++ b/policy/newcomers_test.go
@@ -164,7 +164,7 @@
 				p.run(40*time.Second, 2)
 				through := 0
 				for _, d := range p.relays {
-					if d.endpoints["new"].trial == nil {
+					if d.endpoints["new"].canary == nil {
 						through++
 					}
 				}
@@ -188,16 +188,16 @@
 		"the older ones are out": func(p *proving) []Endpoint {
 			for _, d := range p.relays {
 				for _, ep := range d.endpoints {
-					d.sicken(ep)
+					d.eject(ep)
 				}
 			}
 			p.fails = func(ep string, _ int) Outcome { return map[bool]Outcome{true: ConnectError}[ep != "new"] }
 			return []Endpoint{{ID: "new", StartedAt: moment(p.now)}}
 		},
-		"long ago": func(p *proving) []Endpoint { return []Endpoint{{ID: "new", StartedAt: moment(p.now - 2*newFor)}} },
+		"long ago": func(p *proving) []Endpoint { return []Endpoint{{ID: "new", StartedAt: moment(p.now - 2*canaryMaxAge)}} },
 		"off": func(p *proving) []Endpoint {
 			for _, d := range p.relays {
-				d.s.CanaryAnalysis = false
+				d.settings.CanaryAnalysis = false
 			}
 			return []Endpoint{{ID: "new", StartedAt: moment(p.now)}}
 		},
@@ -208,7 +208,7 @@
 			p.run(5*time.Minute+5*time.Second, 2)
 			p.list(change(p)...)
 			if ep := p.relays[0].endpoints["new"]; name == "long ago" || name == "off" {
-				if ep.trial != nil {
+				if ep.canary != nil {
 					t.Error("it is on trial")
 				}
 				return // calls gather at few endpoints while there is little to do, as they always did
@@ -228,29 +228,29 @@
 	p.list(Endpoint{ID: "new", StartedAt: moment(p.now)})
 	d := p.relays[0]
 	ep := d.endpoints["new"]
-	bad := trialNote{"new", 0, true, 7}.note()
+	bad := canaryMessage{"new", 0, true, 7}.encode()
 	for range 10 {
 		p.handle(0, GossipReceived{Message: bad})
 	}
-	if ep.trial.held > 0 || ep.trial.seen != 1 {
-		t.Errorf("ten copies of a note count %d times", ep.trial.seen)
+	if ep.canary.suspendedUntil > 0 || ep.canary.outcomes != 1 {
+		t.Errorf("ten copies of a note count %d times", ep.canary.outcomes)
 	}
-	for _, note := range [][]byte{bad[:1], bad[:2], {}, trialNote{"none", 0, true, 1}.note(), trialNote{"new", 99, true, 1}.note(), trialNote{"old-a", 0, true, 1}.note()} {
+	for _, note := range [][]byte{bad[:1], bad[:2], {}, canaryMessage{"none", 0, true, 1}.encode(), canaryMessage{"new", 99, true, 1}.encode(), canaryMessage{"old-a", 0, true, 1}.encode()} {
 		p.handle(0, GossipReceived{Message: note})
 	}
-	if ep.trial.seen != 1 {
-		t.Errorf("%d outcomes after notes that say nothing", ep.trial.seen)
+	if ep.canary.outcomes != 1 {
+		t.Errorf("%d outcomes after notes that say nothing", ep.canary.outcomes)
 	}
 	for no := range uint64(3) {
-		p.handle(0, GossipReceived{Message: trialNote{"new", 0, true, no}.note()})
+		p.handle(0, GossipReceived{Message: canaryMessage{"new", 0, true, no}.encode()})
 	}
-	if held := ep.trial.held.Sub(moment(p.now)); held != holdFor || ep.trial.stage != 0 {
+	if held := ep.canary.suspendedUntil.Sub(moment(p.now)); held != initialSuspension || ep.canary.stage != 0 {
 		t.Errorf("held for %v", held)
 	}
-	if share := p.share("new", time.Duration(ep.trial.held.Add(-50*ms)), 5); share > 0 {
+	if share := p.share("new", time.Duration(ep.canary.suspendedUntil.Add(-50*ms)), 5); share > 0 {
 		t.Errorf("%.3f of the calls while it is held back", share)
 	}
-	if share := p.share("new", p.now+time.Second, 5); share > 0.25 || d.waits(ep) && ep.trial.credit >= 1 {
+	if share := p.share("new", p.now+time.Second, 5); share > 0.25 || d.canaryWithheld(ep) && ep.canary.credit >= 1 {
 		t.Errorf("%.3f of the calls at once after a hold", share)
 	}
 
@@ -262,10 +262,10 @@
 	for range 50 {
 		lone.now += 50 * ms
 		d := lone.relays[0]
-		d.judged(d.endpoints["new"], &message{Arrived: Arrived{Class: 0}}, AttemptEnded{Outcome: Failed}, false)
+		d.analyzeOutcome(d.endpoints["new"], &message{Arrived: Arrived{Class: 0}}, AttemptEnded{Outcome: Failed}, false)
 		for _, a := range d.actions {
 			if tell, ok := a.(Broadcast); ok {
-				if _, trial := readTrial(tell.Message); trial {
+				if _, trial := decodeCanaryMessage(tell.Message); trial {
 					told++
 				}
 			}
--- a/policy/notes_test.go
+++ b/policy/notes_test.go
@@ -8,17 +8,17 @@
 )
 
 func TestNotes(t *testing.T) {
-	for _, l := range []limitNote{{}, {dest: 7, wait: 1500 * ms, age: 90 * ms}, {open: true, dest: 7, age: 90 * ms},
-		{dest: maxNumber, wait: maxNumber * ms, age: maxNumber * ms}} {
-		if got, ok := readLimit(l.note()); !ok || got != l {
+	for _, l := range []limitMessage{{}, {destination: 7, retryAfter: 1500 * ms, callAge: 90 * ms}, {accepted: true, destination: 7, callAge: 90 * ms},
+		{destination: maxGossipNumber, retryAfter: maxGossipNumber * ms, callAge: maxGossipNumber * ms}} {
+		if got, ok := decodeLimitMessage(l.encode()); !ok || got != l {
 			t.Errorf("%v was read as %v, %v", l, got, ok)
 		}
 	}
-	whole := limitNote{dest: 300, wait: 700 * ms, age: 300 * ms}.note()
-	for _, bad := range [][]byte{nil, {}, {closedMark}, whole[:2], whole[:len(whole)-1], append(bytes.Clone(whole), 0),
-		append([]byte{'x'}, whole[1:]...), append([]byte{closedMark}, bytes.Repeat([]byte{0xff}, 200)...),
-		limitNote{dest: maxNumber + 1}.note(), limitNote{wait: (maxNumber + 1) * ms}.note()} {
-		if l, ok := readLimit(bad); ok {
+	whole := limitMessage{destination: 300, retryAfter: 700 * ms, callAge: 300 * ms}.encode()
+	for _, bad := range [][]byte{nil, {}, {circuitOpenType}, whole[:2], whole[:len(whole)-1], append(bytes.Clone(whole), 0),
+		append([]byte{'x'}, whole[1:]...), append([]byte{circuitOpenType}, bytes.Repeat([]byte{0xff}, 200)...),
+		limitMessage{destination: maxGossipNumber + 1}.encode(), limitMessage{retryAfter: (maxGossipNumber + 1) * ms}.encode()} {
+		if l, ok := decodeLimitMessage(bad); ok {
 			t.Errorf("%x was read as %v", bad, l)
 		}
 	}
@@ -76,8 +76,8 @@
 	}
 	for _, d := range all[1:] {
 		d.Handle(moment(at+10*ms), []Event{GossipReceived{Message: told[0]}, arrive("m", 0)})
-		if q := d.queues[0]; q.pace >= d.even(q)*1.3 || len(q.out) > 0 {
-			t.Fatalf("pace %v and %d calls out after a note", q.pace, len(q.out))
+		if q := d.queues[0]; q.sendRate >= d.evenShare(q)*1.3 || len(q.calls) > 0 {
+			t.Fatalf("pace %v and %d calls out after a note", q.sendRate, len(q.calls))
 		}
 	}
 	back := 0
@@ -109,17 +109,17 @@
 	}{{300, true, true}, {300, false, false}, {2, false, true}} {
 		d := fleet(t, tt.relays, 60)[0]
 		q := d.queues[0]
-		q.pace = d.even(q) / 2
+		q.sendRate = d.evenShare(q) / 2
 		for at := time.Second; at < 20*time.Second; at += 500 * ms {
 			var events []Event
 			if tt.heard {
-				events = append(events, GossipReceived{Message: limitNote{dest: 5}.note()})
+				events = append(events, GossipReceived{Message: limitMessage{destination: 5}.encode()})
 			}
 			d.Handle(moment(at), append(events, arrive(fmt.Sprint(at), 0)))
-			d.tokens(q)
+			d.sendTokens(q)
 		}
-		if above := q.pace > d.even(q); above != tt.above || q.pace < 0.9*d.even(q) {
-			t.Errorf("%d relays, notes %v: pace %v, even share %v", tt.relays, tt.heard, q.pace, d.even(q))
+		if above := q.sendRate > d.evenShare(q); above != tt.above || q.sendRate < 0.9*d.evenShare(q) {
+			t.Errorf("%d relays, notes %v: pace %v, even share %v", tt.relays, tt.heard, q.sendRate, d.evenShare(q))
 		}
 	}
 }
@@ -140,7 +140,7 @@
 		t.Errorf("%d notes of a later refusal", len(again))
 	}
 	silent := fleet(t, 2, 400)[0]
-	silent.s.Gossip = false
+	silent.settings.Gossip = false
 	if told := notes(silent, at, time.Second, "m"); len(told) != 0 {
 		t.Error("a note where none is allowed")
 	}
@@ -151,21 +151,21 @@
 func TestNotesAreEvidenceOnly(t *testing.T) {
 	d := fleet(t, 80, 40)[0]
 	q := d.queues[0]
-	for _, note := range [][]byte{nil, []byte("hello"), limitNote{dest: 5, wait: time.Second}.note()} {
+	for _, note := range [][]byte{nil, []byte("hello"), limitMessage{destination: 5, retryAfter: time.Second}.encode()} {
 		d.Handle(moment(time.Second), []Event{GossipReceived{Message: note}})
 	}
-	if q.holdUntil != 0 || len(d.dests) != 1 || len(d.endpoints) != 1 {
-		t.Errorf("hold until %v, %d destinations, %d endpoints", q.holdUntil, len(d.dests), len(d.endpoints))
+	if q.backoffUntil != 0 || len(d.destinations) != 1 || len(d.endpoints) != 1 {
+		t.Errorf("hold until %v, %d destinations, %d endpoints", q.backoffUntil, len(d.destinations), len(d.endpoints))
 	}
 	for i := range 1000 {
-		d.Handle(moment(time.Second+time.Duration(i)*ms), []Event{GossipReceived{Message: limitNote{wait: time.Hour}.note()}})
+		d.Handle(moment(time.Second+time.Duration(i)*ms), []Event{GossipReceived{Message: limitMessage{retryAfter: time.Hour}.encode()}})
 	}
-	if q.pace < 0.8*d.even(q) || q.holdUntil > moment(4*time.Second) || q.waitUntil != 0 || d.endpoints["a"].sick {
-		t.Errorf("pace %v of %v, hold until %v, wait until %v, sick %v after a second of notes", q.pace, d.even(q),
-			q.holdUntil, q.waitUntil, d.endpoints["a"].sick)
+	if q.sendRate < 0.8*d.evenShare(q) || q.backoffUntil > moment(4*time.Second) || q.retryAfterUntil != 0 || d.endpoints["a"].ejected {
+		t.Errorf("pace %v of %v, hold until %v, wait until %v, sick %v after a second of notes", q.sendRate, d.evenShare(q),
+			q.backoffUntil, q.retryAfterUntil, d.endpoints["a"].ejected)
 	}
 	d.Handle(moment(10*time.Second), []Event{arrive("m", 0)})
-	if len(q.out) != 1 {
+	if len(q.calls) != 1 {
 		t.Error("nothing is sent once the notes have aged")
 	}
 }
@@ -182,7 +182,7 @@
 		sent := 2*time.Second + tt.after
 		all[1].Handle(moment(sent), []Event{arrive("n", 0)})
 		notes(all[0], 2*time.Second, time.Second, "m")
-		refusal := limitNote{wait: time.Second, age: 100 * ms}.note()
+		refusal := limitMessage{retryAfter: time.Second, callAge: 100 * ms}.encode()
 		var told [][]byte
 		all[1].Handle(moment(2100*ms), []Event{GossipReceived{Message: refusal}})
 		all[2].Handle(moment(2100*ms), []Event{GossipReceived{Message: refusal}})
@@ -191,8 +191,8 @@
 				told = append(told, tell.Message)
 			}
 		}
-		if len(told) > 0 != tt.ends || all[1].queues[0].holdUntil > moment(2200*ms) == tt.ends {
-			t.Fatalf("%s: %d notes, pause until %v", tt.name, len(told), all[1].queues[0].holdUntil)
+		if len(told) > 0 != tt.ends || all[1].queues[0].backoffUntil > moment(2200*ms) == tt.ends {
+			t.Fatalf("%s: %d notes, pause until %v", tt.name, len(told), all[1].queues[0].backoffUntil)
 		}
 		if !tt.ends {
 			continue
@@ -200,11 +200,11 @@
 		for _, d := range []*Dispatcher{all[0], all[2]} {
 			d.Handle(moment(2210*ms), []Event{GossipReceived{Message: told[0]}})
 		}
-		if q := all[2].queues[0]; q.holdUntil > moment(2210*ms) {
-			t.Errorf("the others pause until %v", q.holdUntil)
+		if q := all[2].queues[0]; q.backoffUntil > moment(2210*ms) {
+			t.Errorf("the others pause until %v", q.backoffUntil)
 		}
-		if q := all[0].queues[0]; q.waitUntil < moment(3*time.Second) {
-			t.Errorf("a told wait ends at %v", q.waitUntil)
+		if q := all[0].queues[0]; q.retryAfterUntil < moment(3*time.Second) {
+			t.Errorf("a told wait ends at %v", q.retryAfterUntil)
 		}
 	}
 }
@@ -215,7 +215,7 @@
 	all := fleet(t, 80, 40)
 	for _, d := range all {
 		d.Handle(moment(time.Second), []Event{arrive("m", 0)})
-		d.sicken(d.endpoints["a"])
+		d.eject(d.endpoints["a"])
 	}
 	var told [][]byte
 	back := 10 * time.Second
@@ -230,15 +230,15 @@
 	sent := 0
 	for _, d := range all[1:] {
 		d.Handle(moment(back), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}})
-		d.Handle(moment(back+10*ms), []Event{GossipReceived{Message: told[0]}, GossipReceived{Message: endpointNote(backMark, "unlisted")}, arrive("n", 0)})
+		d.Handle(moment(back+10*ms), []Event{GossipReceived{Message: told[0]}, GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, "unlisted")}, arrive("n", 0)})
 		ep := d.endpoints["a"]
-		if ep.sick || !ep.ramping || ep.recovered != moment(back+10*ms) || len(d.endpoints) != 1 {
-			t.Fatalf("sick %v, ramping %v, back since %v, %d endpoints", ep.sick, ep.ramping, ep.recovered, len(d.endpoints))
+		if ep.ejected || !ep.slowStarting || ep.recoveredAt != moment(back+10*ms) || len(d.endpoints) != 1 {
+			t.Fatalf("sick %v, ramping %v, back since %v, %d endpoints", ep.ejected, ep.slowStarting, ep.recoveredAt, len(d.endpoints))
 		}
-		d.Handle(moment(back+d.s.OverloadWindow), []Event{TimerFired{}})
-		sent += len(d.queues[0].out)
+		d.Handle(moment(back+d.settings.OverloadWindow), []Event{TimerFired{}})
+		sent += len(d.queues[0].calls)
 	}
-	s := all[0].s
+	s := all[0].settings
 	share := s.SlowStartInitialShare + (1-s.SlowStartInitialShare)*float64(s.OverloadWindow/2)/float64(s.SlowStartWindow)
 	most := int(s.OverloadFactor * share * 40 * s.OverloadWindow.Seconds()) // that the rule allows
 	if sent == 0 || sent > most {
--- a/policy/ondemand.go
+++ b/policy/ondemand.go
@@ -5,59 +5,59 @@
 // This file keeps the state of destinations on demand (Settings.Directory); policy.go decides when it may go.
 
 // onDemand tells whether state is kept only for destinations in use.
-func (d *Dispatcher) onDemand() bool { return d.s.Directory != nil && !d.s.Zones }
+func (d *Dispatcher) onDemand() bool { return d.settings.Directory != nil && !d.settings.Zones }
 
-// load fills the state of a destination from the directory. What is listed counts as listed since the first Listed: so
+// loadDestination fills the state of a destination from the directory. What is listed counts as listed since the first Listed: so
 // its counters and its pace are what they would be had state been kept all the time.
-func (d *Dispatcher) load(dest *destination) {
-	endpoints, since := d.s.Directory.Endpoints(dest.no), d.now
+func (d *Dispatcher) loadDestination(dest *destination) {
+	endpoints, since := d.settings.Directory.Endpoints(dest.number), d.now
 	if len(endpoints) > 0 {
-		since = min(d.now, d.listedAt)
+		since = min(d.now, d.firstListedAt)
 	}
 	d.addQueue(dest, 1, false, since)
 	d.markIdle(dest)
 	for _, e := range endpoints {
-		d.entry(e, since)
+		d.updateEndpoint(e, since)
 	}
 }
 
-// lookUp gives the state of a listed endpoint, or nil. Where that is kept on demand, it is loaded for a fact that binds.
-func (d *Dispatcher) lookUp(id string, binds bool) *endpoint {
+// lookUpEndpoint gives the state of a listed endpoint, or nil. Where that is kept on demand, it is loaded for a fact that binds.
+func (d *Dispatcher) lookUpEndpoint(id string, binds bool) *endpoint {
 	if ep := d.endpoints[id]; ep != nil || !binds || !d.onDemand() {
 		return ep
 	}
-	if no, listed := d.s.Directory.Destination(id); listed {
-		d.dest(no)
+	if no, listed := d.settings.Directory.Destination(id); listed {
+		d.destination(no)
 	}
 	return d.endpoints[id]
 }
 
 // sharedQueue gives the queue of a known destination whose endpoints share one, or nil. State is loaded as by lookUp.
 func (d *Dispatcher) sharedQueue(no int, binds bool) *queue {
-	dest := d.dests[no]
-	if dest == nil && binds && d.onDemand() && len(d.s.Directory.Endpoints(no)) > 0 {
-		dest = d.dest(no)
+	dest := d.destinations[no]
+	if dest == nil && binds && d.onDemand() && len(d.settings.Directory.Endpoints(no)) > 0 {
+		dest = d.destination(no)
 	}
-	if dest == nil || dest.queues[0].apart {
+	if dest == nil || dest.queues[0].separateRoute {
 		return nil
 	}
 	return dest.queues[0]
 }
 
-// concerns tells whether an entry of the list has a bearing on state that is kept.
-func (d *Dispatcher) concerns(e Endpoint) bool {
+// affectsState tells whether an entry of the list has a bearing on state that is kept.
+func (d *Dispatcher) affectsState(e Endpoint) bool {
 	if !d.onDemand() || d.endpoints[e.ID] != nil {
 		return true
 	}
-	return !e.Removed && (d.dests[e.Destination] != nil || d.joins(e))
+	return !e.Removed && (d.destinations[e.Destination] != nil || d.joinsAsCanary(e))
 }
 
-// joins tells whether a listed endpoint is new beside an older one, so that it has to be on trial.
-func (d *Dispatcher) joins(e Endpoint) bool {
-	if !d.isNew(e) {
+// joinsAsCanary tells whether a listed endpoint is new beside an older one, so that it has to be on trial.
+func (d *Dispatcher) joinsAsCanary(e Endpoint) bool {
+	if !d.youngEnoughForCanary(e) {
 		return false
 	}
-	return slices.ContainsFunc(d.s.Directory.Endpoints(e.Destination), func(o Endpoint) bool { return !d.isNew(o) })
+	return slices.ContainsFunc(d.settings.Directory.Endpoints(e.Destination), func(o Endpoint) bool { return !d.youngEnoughForCanary(o) })
 }
 
 // markIdle notes that a destination has become idle now.
@@ -67,26 +67,26 @@
 	}
 	dest.idleSince = d.now
 	if dest.idleElement == nil {
-		dest.idleElement = d.idle.PushBack(dest)
+		dest.idleElement = d.idleDestinations.PushBack(dest)
 	} else {
-		d.idle.MoveToBack(dest.idleElement)
+		d.idleDestinations.MoveToBack(dest.idleElement)
 	}
 }
 
 // evictIdle drops the state of destinations that have been idle for long. It looks at the front of the idle ones alone, so that a
 // batch does no work for the others.
 func (d *Dispatcher) evictIdle() {
-	for range evictMost {
-		front := d.idle.Front()
+	for range maxEvictionsPerBatch {
+		front := d.idleDestinations.Front()
 		if front == nil {
 			return
 		}
 		dest := front.Value.(*destination)
 		switch {
-		case d.now.Sub(dest.idleSince) < idleAfter:
+		case d.now.Sub(dest.idleSince) < stateIdleTimeout:
 			return
 		case slices.ContainsFunc(dest.queues, func(q *queue) bool { return q.active }):
-			d.idle.Remove(front) // it comes back when it is idle
+			d.idleDestinations.Remove(front) // it comes back when it is idle
 			dest.idleElement = nil
 		case slices.ContainsFunc(dest.queues, func(q *queue) bool { return !d.evictable(q) }):
 			d.markIdle(dest) // looked at again after as long
@@ -98,12 +98,12 @@
 
 // evict drops the state of a destination and its endpoints.
 func (d *Dispatcher) evict(dest *destination) {
-	d.idle.Remove(dest.idleElement)
+	d.idleDestinations.Remove(dest.idleElement)
 	dest.idleElement = nil
-	delete(d.dests, dest.no)
+	delete(d.destinations, dest.number)
 	for _, q := range dest.queues {
 		d.removeQueue(q)
-		for _, ep := range q.eps {
+		for _, ep := range q.endpoints {
 			delete(d.endpoints, ep.ID)
 		}
 	}
--- a/policy/ondemand_bench_test.go
+++ b/policy/ondemand_bench_test.go
@@ -41,10 +41,10 @@
 				now += time.Second / 208
 				no = (no + 7919) % tt.used
 				serve(b, d, now, no)
-				most = max(most, len(d.dests))
+				most = max(most, len(d.destinations))
 			}
 			b.ReportMetric(float64(most), "destinations")
-			b.ReportMetric((heap()-before)/float64(len(d.dests)), "B/destination")
+			b.ReportMetric((heap()-before)/float64(len(d.destinations)), "B/destination")
 			runtime.KeepAlive(d)
 		})
 	}
--- a/policy/ondemand_test.go
+++ b/policy/ondemand_test.go
@@ -141,12 +141,12 @@
 	draining := 0
 	for _, eps := range p.list.lists {
 		for _, e := range eps {
-			draining += int(truth(e.Draining))
+			draining += int(indicator(e.Draining))
 		}
 	}
 	avoided := 0
 	for _, ep := range p.eager.endpoints {
-		avoided += int(truth(ep.sick || ep.Draining || p.eager.silent(ep)))
+		avoided += int(indicator(ep.ejected || ep.Draining || p.eager.unresponsive(ep)))
 	}
 	if got, otherwise := p.lazy.Avoided()+draining, p.eager.Avoided(); got != avoided || otherwise != avoided {
 		p.t.Fatalf("at %v: %d avoided on demand, %d otherwise, want %d", p.now, got, otherwise, avoided)
@@ -191,11 +191,11 @@
 	age := time.Duration(rapid.IntRange(0, 5000).Draw(p.t, "age")) * ms
 	switch rapid.IntRange(0, 7).Draw(p.t, "fact") {
 	case 0:
-		return GossipReceived{Message: limitNote{dest: no, age: age}.note()}
+		return GossipReceived{Message: limitMessage{destination: no, callAge: age}.encode()}
 	case 1:
-		return GossipReceived{Message: limitNote{dest: no, open: true, age: age}.note()}
+		return GossipReceived{Message: limitMessage{destination: no, accepted: true, callAge: age}.encode()}
 	case 2:
-		return GossipReceived{Message: endpointNote(backMark, p.anyEndpoint().ID)}
+		return GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, p.anyEndpoint().ID)}
 	case 3:
 		return PeerSuspected{Destination: no, Observers: rapid.IntRange(0, 5).Draw(p.t, "origins"),
 			OldestAge: age, NewestAge: age / 2, ValidFor: 5 * time.Second, Rank: rapid.IntRange(0, 2).Draw(p.t, "rank")}
@@ -276,7 +276,7 @@
 }
 
 func (d *Dispatcher) stateCounts() [4]int {
-	return [4]int{len(d.dests), len(d.queues), len(d.endpoints), d.idle.Len()}
+	return [4]int{len(d.destinations), len(d.queues), len(d.endpoints), d.idleDestinations.Len()}
 }
 
 func TestStateIsBoundedByTraffic(t *testing.T) {
@@ -293,23 +293,23 @@
 		t.Fatalf("%v in state after messages for 100", got)
 	}
 	serve(t, d, time.Minute, used[:10]...)
-	d.Handle(moment(time.Second+idleAfter-1), nil)
+	d.Handle(moment(time.Second+stateIdleTimeout-1), nil)
 	if got := d.stateCounts(); got != [4]int{100, 100, 100, 100} {
 		t.Fatalf("%v in state before the time", got)
 	}
 	for i := 1; i <= 3; i++ {
-		d.Handle(moment(time.Second+idleAfter), []Event{TimerFired{}})
-		left := max(10, 100-i*evictMost)
+		d.Handle(moment(time.Second+stateIdleTimeout), []Event{TimerFired{}})
+		left := max(10, 100-i*maxEvictionsPerBatch)
 		if got := d.stateCounts(); got != [4]int{left, left, left, left} {
 			t.Fatalf("%v in state after %d batches of eviction, want %d", got, i, left)
 		}
 	}
 	for i, q := range d.queues {
-		if q.index != i || d.dests[q.dest.no] != q.dest || d.endpoints[q.eps[0].ID] != q.eps[0] {
-			t.Errorf("queue %d, of destination %d, is not where it should be", i, q.dest.no)
+		if q.index != i || d.destinations[q.destination.number] != q.destination || d.endpoints[q.endpoints[0].ID] != q.endpoints[0] {
+			t.Errorf("queue %d, of destination %d, is not where it should be", i, q.destination.number)
 		}
 	}
-	d.Handle(moment(time.Minute+idleAfter), nil)
+	d.Handle(moment(time.Minute+stateIdleTimeout), nil)
 	if got := d.stateCounts(); got != [4]int{} {
 		t.Errorf("%v in state at the end", got)
 	}
@@ -345,15 +345,15 @@
 		"slow start":        {event(StateRestored{Endpoint: "e7", At: 0}), long},
 		"few connections": {func(d *Dispatcher) {
 			serve(t, d, 0, 7)
-			d.endpoints["e7"].connCap = 1
+			d.endpoints["e7"].connectionLimit = 1
 		}, long},
 		"finding on the destination": {event(PeerSuspected{Destination: 7, Observers: 1, ValidFor: long}), long},
 		"finding on the endpoint":    {event(PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: long}), long},
 		"rate of the fleet":          {event(PeerRateReceived{Destination: 7, Reporters: 3, RateShare: 1, ValidFor: long}), long},
 		"used allowance": {func(d *Dispatcher) {
 			serve(t, d, 0, 7)
-			q := d.dests[7].queues[0]
-			q.pace, q.tokens = 1/long.Seconds(), 0
+			q := d.destinations[7].queues[0]
+			q.sendRate, q.tokens = 1/long.Seconds(), 0
 		}, long},
 	}
 	for name, tt := range tests {
@@ -362,17 +362,17 @@
 			s.SlowStartWindow, s.IdleConnTimeout = long, long
 			d, _ := startOnDemand(t, s, many(10)...)
 			tt.cause(d)
-			kept := d.dests[7]
+			kept := d.destinations[7]
 			for now := time.Minute; now < min(tt.until, 2*long); now += time.Minute {
 				d.Handle(moment(now), nil)
-				if kept == nil || d.dests[7] != kept || d.endpoints["e7"] == nil {
+				if kept == nil || d.destinations[7] != kept || d.endpoints["e7"] == nil {
 					t.Fatalf("at %v its state is gone", now)
 				}
 			}
 			if tt.until == forever {
 				return
 			}
-			d.Handle(moment(long+idleAfter), nil)
+			d.Handle(moment(long+stateIdleTimeout), nil)
 			if got := d.stateCounts(); got != [4]int{} {
 				t.Errorf("%v in state when nothing binds any more", got)
 			}
@@ -394,10 +394,10 @@
 		"return recalled":       {StateRestored{Endpoint: "e7", At: moment(55 * time.Second)}, true},
 		"old return recalled":   {StateRestored{Endpoint: "e7", At: 0}, false},
 		"learned":               {StateInherited{Endpoints: []InheritedEndpoint{{ID: "e7"}}}, true},
-		"refusal elsewhere":     {received(limitNote{dest: 7}.note()), true},
-		"success elsewhere":     {received(limitNote{dest: 7, open: true}.note()), false},
-		"return elsewhere":      {received(endpointNote(backMark, "e7")), false},
-		"no connection":         {received(endpointNote(noRoomMark, "e7")), false},
+		"refusal elsewhere":     {received(limitMessage{destination: 7}.encode()), true},
+		"success elsewhere":     {received(limitMessage{destination: 7, accepted: true}.encode()), false},
+		"return elsewhere":      {received(encodeEndpointMessage(endpointRecoveredType, "e7")), false},
+		"no connection":         {received(encodeEndpointMessage(connectErrorType, "e7")), false},
 		"bad note":              {received([]byte("c")), false},
 		"finding":               {PeerSuspected{Destination: 7, Observers: 1, ValidFor: time.Second}, true},
 		"finding on endpoint":   {PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: time.Second}, true},
@@ -405,7 +405,7 @@
 		"finding on no one":     {PeerSuspected{Endpoint: "none", Observers: 1, ValidFor: time.Second}, false},
 		"rate":                  {PeerRateReceived{Destination: 7, ValidFor: time.Second}, true},
 		"rate of an unlisted":   {PeerRateReceived{Destination: 99, ValidFor: time.Second}, false},
-		"refusal of an unknown": {received(limitNote{dest: 99}.note()), false},
+		"refusal of an unknown": {received(limitMessage{destination: 99}.encode()), false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -440,17 +440,17 @@
 	if got := d.stateCounts(); got != [4]int{1, 1, 2, 1} {
 		t.Errorf("%v in state", got)
 	}
-	d.endpoints["new"].trial.score[0] = math.Log(worseTimes) // it keeps the trial from going on
-	d.Handle(moment(time.Hour+3*idleAfter), nil)
+	d.endpoints["new"].canary.scores[0] = math.Log(regressionLikelihoodRatio) // it keeps the trial from going on
+	d.Handle(moment(time.Hour+3*stateIdleTimeout), nil)
 	if len(d.Canaries()) != 1 {
 		t.Error("a trial that is not over has been forgotten")
 	}
-	d.endpoints["new"].trial.score[0] = 0
+	d.endpoints["new"].canary.scores[0] = 0
 	for i := range 10 {
-		d.Handle(moment(time.Hour+time.Duration(4+2*i)*idleAfter), nil)
+		d.Handle(moment(time.Hour+time.Duration(4+2*i)*stateIdleTimeout), nil)
 	}
-	if got := d.stateCounts(); got != [4]int{} || d.onTrial != 0 {
-		t.Errorf("%v in state and %d on trial at the end", got, d.onTrial)
+	if got := d.stateCounts(); got != [4]int{} || d.canaryCount != 0 {
+		t.Errorf("%v in state and %d on trial at the end", got, d.canaryCount)
 	}
 }
 
@@ -500,10 +500,10 @@
 	for _, d := range []*Dispatcher{eager, lazy} {
 		d.Handle(moment(time.Minute), []Event{Arrived{ID: "m", TimeLeft: time.Second}})
 	}
-	want, got := eager.dests[0].queues[0], lazy.dests[0].queues[0]
-	if got.arrivals != want.arrivals || got.pace != want.pace || got.bucket != want.bucket || got.cutAt != want.cutAt {
-		t.Errorf("arrivals %+v, pace %v, bucket %+v, cut at %v, want %+v, %v, %+v, %v", got.arrivals, got.pace, got.bucket, got.cutAt,
-			want.arrivals, want.pace, want.bucket, want.cutAt)
+	want, got := eager.destinations[0].queues[0], lazy.destinations[0].queues[0]
+	if got.arrivals != want.arrivals || got.sendRate != want.sendRate || got.tokenBucket != want.tokenBucket || got.decreasedAt != want.decreasedAt {
+		t.Errorf("arrivals %+v, pace %v, bucket %+v, cut at %v, want %+v, %v, %+v, %v", got.arrivals, got.sendRate, got.tokenBucket, got.decreasedAt,
+			want.arrivals, want.sendRate, want.tokenBucket, want.decreasedAt)
 	}
 	if rate := got.arrivals.rate(moment(time.Minute)); rate > 0.11 {
 		t.Errorf("%v arrivals a second, from one in a minute", rate)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -189,7 +189,7 @@
 	s.QueueCapacity = 8
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	for _, id := range []string{"a", "b", "c"} {
-		d.sicken(d.endpoints[id])
+		d.eject(d.endpoints[id])
 		d.endpoints[id].tokens = -100 // no trial is due
 	}
 	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "d", Destination: 3}}}})
@@ -219,7 +219,7 @@
 		{"held, but u is 0", 0, 9, 2, 2, true, false},
 	}
 	for _, tt := range tests {
-		if got := refusing(tt.u, tt.x, tt.τ, tt.net, tt.held); got != tt.want {
+		if got := exceedsDelayBound(tt.u, tt.x, tt.τ, tt.net, tt.held); got != tt.want {
 			t.Errorf("%s: got %v", tt.name, got)
 		}
 	}
@@ -228,30 +228,30 @@
 func TestBacklog(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	if u := d.backlog(q); u != 0 {
+	if u := d.queueingDelay(q); u != 0 {
 		t.Errorf("idle: u = %v, want 0", u)
 	}
 	q.mean = 0.5
-	q.held = make([]*message, 6)
-	if u := d.backlog(q); u != 3 {
+	q.waiting = make([]*message, 6)
+	if u := d.queueingDelay(q); u != 3 {
 		t.Errorf("six held, none out: u = %v, want 6 × 0.5", u)
 	}
-	q.out = []*call{{ep: q.eps[0]}, {ep: q.eps[0]}}
-	if u := d.backlog(q); u != 1.5 {
+	q.calls = []*call{{endpoint: q.endpoints[0]}, {endpoint: q.endpoints[0]}}
+	if u := d.queueingDelay(q); u != 1.5 {
 		t.Errorf("six held, two out: u = %v, want 6 × 0.5 / 2", u)
 	}
 	d.now = moment(5500 * ms) // both calls have been out for 5.5 s: 0.5 + 0.1×5, then 1 + 0.1×4.5
-	if got := d.latency(q); math.Abs(got-1.45) > 1e-9 {
+	if got := d.currentLatency(q); math.Abs(got-1.45) > 1e-9 {
 		t.Errorf("calls out count with their age: %v, want 1.45", got)
 	}
-	q.waitUntil = d.now.Add(8 * time.Second)
-	if u := d.backlog(q); u != 8 {
+	q.retryAfterUntil = d.now.Add(8 * time.Second)
+	if u := d.queueingDelay(q); u != 8 {
 		t.Errorf("in a wait: u = %v, want the 8 s that remain", u)
 	}
 }
 
 func TestRatesAndVirtualCopy(t *testing.T) {
-	var a aged
+	var a decayingCounter
 	if a.rate(0) != 0 {
 		t.Error("a fresh counter has a rate")
 	}
@@ -265,9 +265,9 @@
 	q := d.queues[0]
 	q.mean = 2
 	for i, want := range []float64{0, 0, 1, 1} { // work 0, 2 and 4 against τ = 3; a miss adds none
-		d.virtual(q, 3)
-		if q.misses.n != want {
-			t.Errorf("arrival %d: %v misses of the copy, want %v", i, q.misses.n, want)
+		d.recordVirtualArrival(q, 3)
+		if q.misses.value != want {
+			t.Errorf("arrival %d: %v misses of the copy, want %v", i, q.misses.value, want)
 		}
 		if i == 2 {
 			d.now = moment(2 * time.Second) // the copy's work drains to 2
@@ -416,8 +416,8 @@
 func TestWaitOfABundle(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	expect(t, "one call", d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}), "m>a n>a")
-	if d.out != 1 {
-		t.Errorf("%d calls out, want one bundle", d.out)
+	if d.callsInFlight != 1 {
+		t.Errorf("%d calls out, want one bundle", d.callsInFlight)
 	}
 	got := d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, arrive("o", 0)})
 	expect(t, "in the wait", got, "")
@@ -461,16 +461,16 @@
 	d := start(t, s, Endpoint{ID: "a", Weight: 10})
 	ep := d.endpoints["a"]
 	d.now = moment(time.Second)
-	d.sicken(ep)
-	d.succeeded(ep, true)
-	if got, want := d.budget(ep, 0), rampSafety*2*0.2*10; math.Abs(got-want) > 1e-9 {
+	d.eject(ep)
+	d.recordSuccess(ep, true)
+	if got, want := d.slowStartBudget(ep, 0), slowStartSafety*2*0.2*10; math.Abs(got-want) > 1e-9 {
 		t.Errorf("budget at the return: %v, want %v", got, want)
 	}
-	if got, want := d.budget(ep, 10*time.Second), rampSafety*2*10; math.Abs(got-want) > 1e-9 {
+	if got, want := d.slowStartBudget(ep, 10*time.Second), slowStartSafety*2*10; math.Abs(got-want) > 1e-9 {
 		t.Errorf("budget when warm: %v, want %v", got, want)
 	}
 	d.now = moment(12 * time.Second)
-	if d.epTokens(ep); ep.ramping {
+	if d.slowStartTokens(ep); ep.slowStarting {
 		t.Error("still ramping after the ramp time")
 	}
 }
@@ -482,14 +482,14 @@
 	d.Handle(moment(10*ms), []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: OK, Completed: true}, arrive("m3", 0)})
 	d.Handle(moment(20*ms), []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
 	ep := d.endpoints["a"]
-	if ep.sick || ep.failures > 0 || ep.connCap != 1 {
-		t.Errorf("sick %v, failures %v, cap %v", ep.sick, ep.failures, ep.connCap)
+	if ep.ejected || ep.consecutiveFailures > 0 || ep.connectionLimit != 1 {
+		t.Errorf("sick %v, failures %v, cap %v", ep.ejected, ep.consecutiveFailures, ep.connectionLimit)
 	}
 	for range 20 {
-		d.succeeded(ep, true)
+		d.recordSuccess(ep, true)
 	}
-	if ep.connCap < 1.9 {
-		t.Errorf("cap %v after twenty successes", ep.connCap)
+	if ep.connectionLimit < 1.9 {
+		t.Errorf("cap %v after twenty successes", ep.connectionLimit)
 	}
 }
 
@@ -498,7 +498,7 @@
 func TestLostCallIsSentAgain(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.observe(0, 0.1)
+	q.record(0, 0.1)
 	d.Handle(0, []Event{arrive("lost", 0)})
 	d.Handle(moment(50*ms), []Event{arrive("m", 0)})
 	expect(t, "nothing overtook it", d.Handle(moment(140*ms), []Event{TimerFired{}}), "")
@@ -512,8 +512,8 @@
 	s := plain()
 	s.Slots = 2
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
-	d.queues[0].observe(0, 0.1)
-	d.queues[1].observe(0, 0.1)
+	d.queues[0].record(0, 0.1)
+	d.queues[1].record(0, 0.1)
 	at := func(id string, dest int) Event { return Arrived{ID: id, Destination: dest, TimeLeft: 10 * time.Second} }
 	d.Handle(0, []Event{at("m", 0)})
 	d.Handle(moment(100*ms), []Event{at("n", 1)})
@@ -528,38 +528,38 @@
 	s.Weights, s.FleetSize = WeightsNominal, 4
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
 	q := d.queues[0]
-	if q.pace != 2 {
-		t.Fatalf("pace %v, want 8 / 4", q.pace)
+	if q.sendRate != 2 {
+		t.Fatalf("pace %v, want 8 / 4", q.sendRate)
 	}
 	refused := func(at time.Duration) {
 		d.now = moment(at)
-		d.full(q, limitNote{})
+		d.recordRejection(q, limitMessage{})
 	}
 	refused(time.Second)
-	cut := q.pace
-	if refused(1100 * ms); !(cut < 2) || q.pace != cut {
-		t.Errorf("pace %v after a refusal, %v after another of the same moment", cut, q.pace)
+	cut := q.sendRate
+	if refused(1100 * ms); !(cut < 2) || q.sendRate != cut {
+		t.Errorf("pace %v after a refusal, %v after another of the same moment", cut, q.sendRate)
 	}
-	q.held = []*message{{}}
+	q.waiting = []*message{{}}
 	d.now = moment(4 * time.Second)
-	d.succeeded(d.endpoints["a"], false)
+	d.recordSuccess(d.endpoints["a"], false)
 	slow := d.now
-	d.tokens(q)
-	if d.now = d.now.Add(500 * ms); d.now.Sub(q.cutAt) > 1500*ms || q.cutAt >= slow {
-		t.Errorf("calm since %v, without room at %v", q.cutAt, slow)
+	d.sendTokens(q)
+	if d.now = d.now.Add(500 * ms); d.now.Sub(q.decreasedAt) > 1500*ms || q.decreasedAt >= slow {
+		t.Errorf("calm since %v, without room at %v", q.decreasedAt, slow)
 	}
 	for range 40 {
 		d.now = d.now.Add(500 * ms)
-		d.tokens(q)
+		d.sendTokens(q)
 	}
-	if q.pace < 2 {
-		t.Errorf("pace %v after 20 s in calm, want the even share back", q.pace)
+	if q.sendRate < 2 {
+		t.Errorf("pace %v after 20 s in calm, want the even share back", q.sendRate)
 	}
 	for i := range 30 {
 		refused(time.Duration(d.now.Add(time.Duration(1+i%2) * time.Second)))
 	}
-	if q.pace > 0.5 {
-		t.Errorf("pace %v after refusals for 45 s: a quarter of the listed rate is not reached", q.pace)
+	if q.sendRate > 0.5 {
+		t.Errorf("pace %v after refusals for 45 s: a quarter of the listed rate is not reached", q.sendRate)
 	}
 }
 
@@ -572,14 +572,14 @@
 	ep := d.endpoints["a"]
 	d.Handle(moment(500*ms), []Event{arrive("n", 0)})
 	d.Handle(moment(600*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 2 * time.Second}})
-	if ep.sick {
+	if ep.ejected {
 		t.Error("a wait as long as a span of counting is taken for an outage")
 	}
 	d.Handle(moment(3400*ms), []Event{arrive("m", 0)})
 	d.Handle(moment(3500*ms), []Event{arrive("o", 0)})
 	d.Handle(moment(3600*ms), []Event{AttemptEnded{ID: "o", Endpoint: "a", Outcome: Rejected, RetryAfter: 6 * time.Second}})
 	d.Handle(moment(3700*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
-	if !ep.sick {
+	if !ep.ejected {
 		t.Error("a destination that told a wait of 6 s is not taken for shut")
 	}
 	sent := 0
@@ -601,7 +601,7 @@
 	s.ZoneCost = []float64{0.06, 0}
 	d := start(t, s, Endpoint{ID: "a", Kind: 2}, Endpoint{ID: "b", Kind: 2, Zone: 1})
 	expect(t, "the cheaper of two idle routes", d.Handle(0, []Event{arrive("m", 0)}), "m>b")
-	d.queues[1].mean, d.queues[1].class[0] = 5, 5
+	d.queues[1].mean, d.queues[1].byClass[0] = 5, 5
 	expect(t, "the faster at a fee", d.Handle(0, []Event{arrive("n", 0)}), "n>a")
 }
 
@@ -614,7 +614,7 @@
 	}
 	expect(t, "at the start", d.Handle(0, nil), "subscribe")
 	expect(t, "failed", d.Handle(moment(ms), []Event{WatchFailed{}}), "")
-	expect(t, "again", d.Handle(moment(ms+subscribeAgain), []Event{TimerFired{}}), "subscribe")
+	expect(t, "again", d.Handle(moment(ms+resubscribeDelay), []Event{TimerFired{}}), "subscribe")
 }
 
 func TestSettingsThatMakeNoSense(t *testing.T) {
@@ -676,18 +676,18 @@
 		q := d.queues[0]
 		q.mean = 0.5
 		for range tt.held {
-			q.held = append(q.held, &message{class: &s.Classes[1], expires: moment(time.Hour), q: q})
+			q.waiting = append(q.waiting, &message{class: &s.Classes[1], expiresAt: moment(time.Hour), queue: q})
 		}
 		if tt.overload {
 			q.arrivals.add(0, 100)
 		}
-		m := &message{Arrived: Arrived{ID: "m", Class: tt.class}, class: &d.s.Classes[tt.class],
-			expires: moment(d.s.Classes[tt.class].Deadline)}
-		d.live = append(d.live, m)
+		m := &message{Arrived: Arrived{ID: "m", Class: tt.class}, class: &d.settings.Classes[tt.class],
+			expiresAt: moment(d.settings.Classes[tt.class].Deadline)}
+		d.unfinished = append(d.unfinished, m)
 		q.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
 		d.admit(m)
-		if m.over != tt.refused {
-			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.held, m.over)
+		if m.done != tt.refused {
+			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.held, m.done)
 		}
 	}
 }
@@ -696,7 +696,7 @@
 func TestNoAttemptWithoutTime(t *testing.T) {
 	d := start(t, plain())
 	d.Handle(0, []Event{arrive("m", 0)})
-	d.queues[0].observe(0, 0.5)
+	d.queues[0].record(0, 0.5)
 	expect(t, "0.6 s left, 0.5 s needed", d.Handle(moment(9400*ms), []Event{TimerFired{}}), "")
 	expect(t, "0.4 s left, 0.5 s needed", d.Handle(moment(9600*ms), []Event{TimerFired{}}), "refuse m")
 }
@@ -714,7 +714,7 @@
 		for i := range tt.n {
 			d.Handle(moment(time.Duration(i+1)*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
 		}
-		if got := d.endpoints["a"].sick; got != tt.sick {
+		if got := d.endpoints["a"].ejected; got != tt.sick {
 			t.Errorf("%d of outcome %d: sick %v", tt.n, tt.outcome, got)
 		}
 	}
@@ -724,13 +724,13 @@
 func TestSiblingTrials(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	a, b := d.endpoints["a"], d.endpoints["b"]
-	d.sicken(a)
-	d.sicken(b)
-	if d.open(b) {
+	d.eject(a)
+	d.eject(b)
+	if d.acceptsCall(b) {
 		t.Error("a trial at once")
 	}
-	d.succeeded(a, true)
-	if !d.open(b) {
+	d.recordSuccess(a, true)
+	if !d.acceptsCall(b) {
 		t.Error("no trial after the sibling's return")
 	}
 }
@@ -738,11 +738,11 @@
 // TestStuckFactor guards against slots lost to calls that will never be answered.
 func TestStuckFactor(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	if got := d.stuckFactor(); got != silentAfter {
+	if got := d.stalledCallFactor(); got != unresponsiveFactor {
 		t.Errorf("at the start: %v", got)
 	}
-	d.unanswered = 0.9
-	if got := d.stuckFactor(); got != stuckAfter {
+	d.unansweredShare = 0.9
+	if got := d.stalledCallFactor(); got != stalledFactor {
 		t.Errorf("with late calls unanswered: %v", got)
 	}
 }
@@ -768,7 +768,7 @@
 // TestIdleConnectionsMakeRoom guards against many relays whose idle connections fill an endpoint, and against
 // connections closed where nothing speaks for that.
 func TestIdleConnectionsMakeRoom(t *testing.T) {
-	refused := []Event{GossipReceived{Message: endpointNote(noRoomMark, "a")}}
+	refused := []Event{GossipReceived{Message: encodeEndpointMessage(connectErrorType, "a")}}
 	for _, tt := range []struct {
 		name    string
 		at      time.Duration // of a note that another relay got no connection; the call lasts from 1 s to 2 s
@@ -790,7 +790,7 @@
 			d.Handle(moment(tt.at), refused)
 		}
 		d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
-		d.endpoints["a"].connCap = tt.connCap
+		d.endpoints["a"].connectionLimit = tt.connCap
 		d.Handle(moment(tt.last-500*ms), []Event{arrive("n", 0)})
 		closes := false
 		for _, a := range d.Handle(moment(tt.last), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true}}) {
@@ -805,14 +805,14 @@
 // TestConnectionRefusedIsTold guards against a relay that alone knows of an endpoint without room, and against a note
 // for each of its connections.
 func TestConnectionRefusedIsTold(t *testing.T) {
-	d := fleet(t, tellers, 400)[0]
+	d := fleet(t, connectErrorReporters, 400)[0]
 	told := 0
 	for i := range 4 {
 		at, id := time.Duration(10+3*i)*100*ms, fmt.Sprint("m", i)
-		d.endpoints["a"].sick, d.endpoints["a"].failures = false, 0
+		d.endpoints["a"].ejected, d.endpoints["a"].consecutiveFailures = false, 0
 		d.Handle(moment(at), []Event{arrive(id, 0)})
 		for _, a := range d.Handle(moment(at+10*ms), []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
-			if tell, ok := a.(Broadcast); ok && readEndpoint(noRoomMark, tell.Message) == "a" {
+			if tell, ok := a.(Broadcast); ok && decodeEndpointMessage(connectErrorType, tell.Message) == "a" {
 				told++
 			}
 		}
@@ -828,12 +828,12 @@
 	for _, d := range fleet(t, 300, 3000) {
 		d.Handle(moment(time.Second), []Event{arrive("m", 0)})
 		for _, a := range d.Handle(moment(1010*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
-			if tell, ok := a.(Broadcast); ok && readEndpoint(noRoomMark, tell.Message) == "a" {
+			if tell, ok := a.(Broadcast); ok && decodeEndpointMessage(connectErrorType, tell.Message) == "a" {
 				told++
 			}
 		}
 	}
-	if told < 1 || told > 3*tellers {
+	if told < 1 || told > 3*connectErrorReporters {
 		t.Errorf("%d relays of 300 told it", told)
 	}
 }
@@ -847,7 +847,7 @@
 		s := plain()
 		s.FleetSize, s.Weights = tt.relays, WeightsNominal
 		d := start(t, s, Endpoint{ID: "a", Weight: 4})
-		if got := d.queues[0].pace; got != tt.want {
+		if got := d.queues[0].sendRate; got != tt.want {
 			t.Errorf("%d relays: pace %v, want %v", tt.relays, got, tt.want)
 		}
 	}
@@ -865,7 +865,7 @@
 		}
 		d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
 		d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected}})
-		seen[d.queues[0].holdUntil] = true
+		seen[d.queues[0].backoffUntil] = true
 	}
 	if len(seen) < 4 {
 		t.Errorf("five relays come back at %d moments", len(seen))
@@ -889,8 +889,8 @@
 	s := plain()
 	s.Slots = 1
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
-	d.queues[0].observe(2, 0.1)
-	d.unanswered = 0.9
+	d.queues[0].record(2, 0.1)
+	d.unansweredShare = 0.9
 	d.Handle(0, []Event{Arrived{ID: "m", Class: 2, TimeLeft: 20 * time.Second}})
 	expect(t, "no slot is wanted", d.Handle(moment(3*time.Second), []Event{TimerFired{}}), "")
 	expect(t, "one is wanted", d.Handle(moment(3100*ms), []Event{Arrived{ID: "n", Destination: 1, TimeLeft: 9 * time.Second}}), "cancel m/0")
@@ -904,11 +904,11 @@
 	d.Handle(moment(400*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 400 * ms, Completed: true},
 		Arrived{ID: "n", Destination: 1, TimeLeft: 10 * time.Second}})
 	q := d.queues[1]
-	if q.class[0] != 0.4 || q.mean != 0.4 {
-		t.Errorf("b borrows %v, %v, want what a took", q.class[0], q.mean)
+	if q.byClass[0] != 0.4 || q.mean != 0.4 {
+		t.Errorf("b borrows %v, %v, want what a took", q.byClass[0], q.mean)
 	}
-	q.observe(0, 0.2)
-	if got := q.class[0]; math.Abs(got-0.3) > 1e-9 {
+	q.record(0, 0.2)
+	if got := q.byClass[0]; math.Abs(got-0.3) > 1e-9 {
 		t.Errorf("own first outcome counts half: %v, want 0.3", got)
 	}
 }
@@ -938,11 +938,11 @@
 func TestOwnStall(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.observe(0, 0.1)
+	q.record(0, 0.1)
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 100 * ms, Completed: true}})
-	if math.Abs(q.mean-0.1) > 1e-9 || d.unanswered != 0 {
-		t.Errorf("mean %v, unanswered %v after a pause of our own", q.mean, d.unanswered)
+	if math.Abs(q.mean-0.1) > 1e-9 || d.unansweredShare != 0 {
+		t.Errorf("mean %v, unanswered %v after a pause of our own", q.mean, d.unansweredShare)
 	}
 }
 
@@ -955,7 +955,7 @@
 	d.Handle(moment(2*ms), []Event{AttemptEnded{ID: "m", Endpoint: "b", Attempt: 1, Outcome: OK, Completed: true}})
 	expect(t, "so does its class", d.Handle(moment(3*ms), []Event{arrive("n", 0)}), "n>b")
 	d.Handle(moment(4*ms), []Event{AttemptEnded{ID: "n", Endpoint: "b", Outcome: OK, Completed: true}})
-	d.endpoints["a"].lastUsed = moment(4 * ms)
+	d.endpoints["a"].lastUsedAt = moment(4 * ms)
 	expect(t, "others do not", d.Handle(moment(5*ms), []Event{arrive("o", 1)}), "o>a")
 }
 
@@ -990,10 +990,10 @@
 	}
 	call(0, ConnectError)
 	call(1, ConnectError)
-	if !a.sick {
+	if !a.ejected {
 		t.Fatal("an endpoint that takes no connection is not out")
 	}
-	for n := 0; n < 200 && (a.sick || a.ramping); n++ {
+	for n := 0; n < 200 && (a.ejected || a.slowStarting); n++ {
 		call(1, OK) // what of the other class is tried there brings it back
 	}
 	for range 20 {
@@ -1034,11 +1034,11 @@
 			}
 			d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
 			d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, RetryAfter: tt.wait}})
-			if d.endpoints["a"].sick {
+			if d.endpoints["a"].ejected {
 				sick++
 			}
-			d.full(d.queues[0], limitNote{})
-			if d.full(d.queues[0], limitNote{}); tt.relays > 2 && !d.endpoints["a"].sick {
+			d.recordRejection(d.queues[0], limitMessage{})
+			if d.recordRejection(d.queues[0], limitMessage{}); tt.relays > 2 && !d.endpoints["a"].ejected {
 				t.Errorf("%d relays, outcome %d: not sick after more", tt.relays, tt.outcome)
 			}
 		}
@@ -1057,10 +1057,10 @@
 			d.Handle(moment(now), []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: fmt.Sprint("a", i), Kind: kind},
 				{ID: fmt.Sprint("b", i), Kind: kind}}}, arrive(fmt.Sprint("m", i), 0)})
 			for id, m := range d.messages {
-				d.Handle(moment(now+100*ms), []Event{AttemptEnded{ID: id, Endpoint: m.attempts[0].call.ep.ID, Outcome: OK, Completed: true}})
+				d.Handle(moment(now+100*ms), []Event{AttemptEnded{ID: id, Endpoint: m.attempts[0].call.endpoint.ID, Outcome: OK, Completed: true}})
 			}
 		}
-		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.dests) != 1 || len(d.active)+len(d.messages)+len(d.live) != 0 {
+		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.destinations) != 1 || len(d.active)+len(d.messages)+len(d.unfinished) != 0 {
 			t.Errorf("kind %d: %d endpoints, %d queues, %d active, %d messages", kind, len(d.endpoints), len(d.queues),
 				len(d.active), len(d.messages))
 		}
@@ -1074,8 +1074,8 @@
 	for _, weight := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0} {
 		d := start(t, s, Endpoint{ID: "a", Weight: weight})
 		d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrive("m", 0)})
-		if q := d.queues[0]; q.pace != 5 || len(q.out) != 1 {
-			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.pace, len(q.out))
+		if q := d.queues[0]; q.sendRate != 5 || len(q.calls) != 1 {
+			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.sendRate, len(q.calls))
 		}
 	}
 	d := start(t, s, Endpoint{ID: "a"})
@@ -1113,14 +1113,14 @@
 func TestNewEndpointOfADestinationThatIsOut(t *testing.T) {
 	for _, gone := range []bool{false, true} { // the old endpoint stays, or is replaced
 		d := start(t, plain(), Endpoint{ID: "a"})
-		d.sicken(d.endpoints["a"])
+		d.eject(d.endpoints["a"])
 		d.Handle(moment(ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Removed: gone}, {ID: "b"}}}})
-		if !d.endpoints["b"].sick {
+		if !d.endpoints["b"].ejected {
 			t.Errorf("old one gone %v: the new one is not on its budget", gone)
 		}
-		d.succeeded(d.endpoints["b"], true)
+		d.recordSuccess(d.endpoints["b"], true)
 		d.Handle(moment(2*ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "c"}}}})
-		if d.endpoints["c"].sick {
+		if d.endpoints["c"].ejected {
 			t.Error("a new one after the return is on a budget")
 		}
 	}
@@ -1140,8 +1140,8 @@
 			{ID: "a", Kind: kind, Weight: 7, Zone: 1}}}}), "n>a")
 		expect(t, "far ahead", d.Handle(moment(1000*time.Hour), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true},
 			arrive("o", 0)}), "o>a")
-		if d.out != 1 || len(d.messages) != 1 {
-			t.Errorf("kind %d: %d calls out, %d messages", kind, d.out, len(d.messages))
+		if d.callsInFlight != 1 || len(d.messages) != 1 {
+			t.Errorf("kind %d: %d calls out, %d messages", kind, d.callsInFlight, len(d.messages))
 		}
 	}
 }
@@ -1153,7 +1153,7 @@
 		t.Errorf("%d avoided at the start", n)
 	}
 	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "b", Destination: 2, Draining: true}}}})
-	d.sicken(d.endpoints["a"])
+	d.eject(d.endpoints["a"])
 	if n := d.Avoided(); n != 2 {
 		t.Errorf("%d avoided, want the one that is out and the one that drains", n)
 	}
@@ -1178,8 +1178,8 @@
 	}
 	expect(t, "a call that broke is made again",
 		d.Handle(moment(20*ms), []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Reset, Latency: 21 * ms}}), "m1>a")
-	for _, c := range d.endpoints["a"].out {
-		if c.no == 7 {
+	for _, c := range d.endpoints["a"].calls {
+		if c.number == 7 {
 			t.Error("the call of the process before is still out")
 		}
 	}
@@ -1193,8 +1193,8 @@
 	old := start(t, s, list...)
 	old.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 9 * time.Second}})
 	old.Handle(moment(100*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: 100 * ms}})
-	old.sicken(old.endpoints["b"])
-	old.endpoints["b"].q.observe(0, 0.7)
+	old.eject(old.endpoints["b"])
+	old.endpoints["b"].queue.record(0, 0.7)
 	d := start(t, s, list[:2]...)
 	events := []Event{Arrived{ID: "m", TimeLeft: 9 * time.Second, Resumed: true}}
 	for _, l := range old.ExportState() {
@@ -1203,10 +1203,10 @@
 	expect(t, "in the told wait", d.Handle(moment(200*ms), events), "")
 	expect(t, "and still", d.Handle(moment(2*time.Second), nil), "")
 	expect(t, "after it", d.Handle(moment(2200*ms), nil), "m>a")
-	if !d.endpoints["b"].sick || d.endpoints["b"].q.mean != 0.7 {
-		t.Errorf("b: sick %v, mean %v", d.endpoints["b"].sick, d.endpoints["b"].q.mean)
+	if !d.endpoints["b"].ejected || d.endpoints["b"].queue.mean != 0.7 {
+		t.Errorf("b: sick %v, mean %v", d.endpoints["b"].ejected, d.endpoints["b"].queue.mean)
 	}
-	if got, want := d.endpoints["a"].q.pace, old.endpoints["a"].q.pace; got != want {
+	if got, want := d.endpoints["a"].queue.sendRate, old.endpoints["a"].queue.sendRate; got != want {
 		t.Errorf("pace %v, want %v", got, want)
 	}
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -13,7 +13,7 @@
 
 // destination is where messages go: one queue, or one for each route.
 type destination struct {
-	no     int
+	number int
 	queues []*queue // routes, or the one shared queue; queues[0] also serves while nothing is listed
 	// idleElement is the destination's place in Dispatcher.idle, or nil; idleSince is when it was put there.
 	idleElement *list.Element
@@ -22,82 +22,82 @@
 
 // queue is one first-come queue of the paper.
 type queue struct {
-	dest   *destination
-	eps    []*endpoint
-	held   []*message
-	out    []*call
-	width  float64 // mean number of calls out at a success
-	served int     // the turn in which it was last served
-	latencies
-	kind      int
-	waitUntil instant.Time
-	holdUntil instant.Time // our own pause after a refusal without a wait
-	toldUntil instant.Time // other relays know of a refusal up to then
-	refusedAt instant.Time // when the last call was sent that a pause is for
-	cutAt     instant.Time // of the pace
-	climbedAt instant.Time
-	pause     time.Duration    // the last after a refusal that told no wait
-	fulls     int              // refusals in a row
-	firstFull instant.Time     // of the refusals in a row
-	lastOK    instant.Time     // 0 for never
-	weight    float64          // calls a second that all relays may make; 0 for unknown
-	pace      float64          // calls a second of this relay; 0 for unknown
-	bucket                     // of the pace
-	word      word             // of the fleet, on the destination
-	triedAt   instant.Time     // when what is out or fenced last got a call
-	row       []float64        // part of the own zone's messages that each zone serves; nil for all at home
-	press     float64          // part of the calls for which the own zone has no room, as learned
-	owed      map[int]float64  // calls that are to go to another zone
-	paced     PeerRateReceived // by other relays; used until pacedTo
-	pacedTo   instant.Time
-	failing   []failing // at older endpoints, by class
-	arrivals  aged
-	misses    aged // of the virtual copy under the basic rule
-	copyWork  float64
-	copyAt    instant.Time
-	bundle    int
-	apart     bool
-	active    bool // among Dispatcher.active
-	index     int  // in Dispatcher.queues
-	ill       bool // the last that was heard of an endpoint's health was bad
+	destination        *destination
+	endpoints          []*endpoint
+	waiting            []*message
+	calls              []*call
+	typicalConcurrency float64 // mean number of calls out at a success
+	lastCall           int     // the turn in which it was last served
+	latencyEstimate
+	kind                  int
+	retryAfterUntil       instant.Time
+	backoffUntil          instant.Time // our own pause after a refusal without a wait
+	announcedUntil        instant.Time // other relays know of a refusal up to then
+	rejectedCallAt        instant.Time // when the last call was sent that a pause is for
+	decreasedAt           instant.Time // of the pace
+	increasedAt           instant.Time
+	backoff               time.Duration    // the last after a refusal that told no wait
+	consecutiveRejections int              // refusals in a row
+	firstRejectionAt      instant.Time     // of the refusals in a row
+	lastSuccessAt         instant.Time     // 0 for never
+	listedRate            float64          // calls a second that all relays may make; 0 for unknown
+	sendRate              float64          // calls a second of this relay; 0 for unknown
+	tokenBucket                            // of the pace
+	peerReport            peerReport       // of the fleet, on the destination
+	probedAt              instant.Time     // when what is out or fenced last got a call
+	zoneShares            []float64        // part of the own zone's messages that each zone serves; nil for all at home
+	spillover             float64          // part of the calls for which the own zone has no room, as learned
+	zoneCredits           map[int]float64  // calls that are to go to another zone
+	peerRate              PeerRateReceived // by other relays; used until pacedTo
+	peerRateUntil         instant.Time
+	baseline              []failureRate // at older endpoints, by class
+	arrivals              decayingCounter
+	misses                decayingCounter // of the virtual copy under the basic rule
+	virtualBacklog        float64
+	virtualUpdatedAt      instant.Time
+	maxBatch              int
+	separateRoute         bool
+	active                bool // among Dispatcher.active
+	index                 int  // in Dispatcher.queues
+	outageSuspected       bool // the last that was heard of an endpoint's health was bad
 }
 
-// hold puts a message into a queue, by its order of arrival.
-func (d *Dispatcher) hold(q *queue, m *message) {
-	i := sort.Search(len(q.held), func(i int) bool { return q.held[i].seq > m.seq })
-	q.held = append(q.held, nil)
-	copy(q.held[i+1:], q.held[i:])
-	q.held[i] = m
-	m.q = q
-	d.wake(q)
+// enqueue puts a message into a queue, by its order of arrival.
+func (d *Dispatcher) enqueue(q *queue, m *message) {
+	i := sort.Search(len(q.waiting), func(i int) bool { return q.waiting[i].sequence > m.sequence })
+	q.waiting = append(q.waiting, nil)
+	copy(q.waiting[i+1:], q.waiting[i:])
+	q.waiting[i] = m
+	m.queue = q
+	d.activate(q)
 }
 
-// wake notes that a queue has something to do.
-func (d *Dispatcher) wake(q *queue) {
+// activate notes that a queue has something to do.
+func (d *Dispatcher) activate(q *queue) {
 	if !q.active {
 		q.active = true
 		d.active = append(d.active, q)
 	}
 }
 
-// rest drops the queues that have nothing to do from the active ones, and forgets routes that left.
-func (d *Dispatcher) rest() {
+// deactivateIdle drops the queues that have nothing to do from the active ones, and forgets routes that left.
+func (d *Dispatcher) deactivateIdle() {
 	d.active = slices.DeleteFunc(d.active, func(q *queue) bool {
-		q.active = len(q.held) > 0 || len(q.out) > 0
+		q.active = len(q.waiting) > 0 || len(q.calls) > 0
 		if !q.active {
-			d.forget(q)
-			d.markIdle(q.dest)
+			d.removeUnusedQueue(q)
+			d.markIdle(q.destination)
 		}
 		return !q.active
 	})
 }
 
-// forget drops a queue without endpoints and work, unless it is the one that stands for its destination.
-func (d *Dispatcher) forget(q *queue) {
-	if len(q.eps) > 0 || q.active || q.dest.queues[0] == q && len(q.dest.queues) == 1 {
+// removeUnusedQueue drops a queue without endpoints and work, unless it is the one that stands for its destination.
+func (d *Dispatcher) removeUnusedQueue(q *queue) {
+	if len(q.endpoints) > 0 || q.active || q.destination.queues[0] == q && len(q.destination.queues) == 1 {
 		return
 	}
-	q.dest.queues = remove(q.dest.queues, q)
+	q.destination.queues = remove(q.destination.queues, q)
 	d.removeQueue(q)
 }
 
@@ -120,21 +120,21 @@
 
 // reroute lets the held messages of a queue choose their route again.
 func (d *Dispatcher) reroute(q *queue) {
-	for _, m := range append([]*message(nil), q.held...) {
-		m.release()
-		d.hold(d.route(m), m)
+	for _, m := range append([]*message(nil), q.waiting...) {
+		m.dequeue()
+		d.enqueue(d.selectQueue(m), m)
 	}
 }
 
-// dest gives a destination, with one queue at least.
-func (d *Dispatcher) dest(no int) *destination {
-	if dest := d.dests[no]; dest != nil {
+// destination gives a destination, with one queue at least.
+func (d *Dispatcher) destination(no int) *destination {
+	if dest := d.destinations[no]; dest != nil {
 		return dest
 	}
-	dest := &destination{no: no}
-	d.dests[no] = dest
+	dest := &destination{number: no}
+	d.destinations[no] = dest
 	if d.onDemand() {
-		d.load(dest)
+		d.loadDestination(dest)
 	} else {
 		d.addQueue(dest, 1, false, d.now)
 	}
@@ -144,24 +144,24 @@
 // addQueue adds a queue to a destination that counts since a moment.
 func (d *Dispatcher) addQueue(dest *destination, bundle int, apart bool, since instant.Time) *queue {
 	q := &queue{
-		dest:      dest,
-		bundle:    max(1, bundle),
-		apart:     apart,
-		failing:   make([]failing, len(d.s.Classes)),
-		latencies: latencies{class: make([]float64, len(d.s.Classes))},
-		bucket:    bucket{tokensAt: since},
-		arrivals:  aged{since: since},
-		misses:    aged{since: since},
-		index:     len(d.queues),
+		destination:     dest,
+		maxBatch:        max(1, bundle),
+		separateRoute:   apart,
+		baseline:        make([]failureRate, len(d.settings.Classes)),
+		latencyEstimate: latencyEstimate{byClass: make([]float64, len(d.settings.Classes))},
+		tokenBucket:     tokenBucket{updatedAt: since},
+		arrivals:        decayingCounter{startedAt: since},
+		misses:          decayingCounter{startedAt: since},
+		index:           len(d.queues),
 	}
 	dest.queues = append(dest.queues, q)
 	d.queues = append(d.queues, q)
 	return q
 }
 
-// usable tells whether a queue has an endpoint that takes new work.
-func (q *queue) usable() bool {
-	for _, ep := range q.eps {
+// acceptsCalls tells whether a queue has an endpoint that takes new work.
+func (q *queue) acceptsCalls() bool {
+	for _, ep := range q.endpoints {
 		if !ep.Draining && !ep.Removed {
 			return true
 		}
@@ -169,13 +169,13 @@
 	return false
 }
 
-// down tells whether all endpoints of a queue are out.
-func (q *queue) down() bool {
-	return len(q.eps) > 0 && !slices.ContainsFunc(q.eps, func(ep *endpoint) bool { return !ep.sick })
+// allEjected tells whether all endpoints of a queue are out.
+func (q *queue) allEjected() bool {
+	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, func(ep *endpoint) bool { return !ep.ejected })
 }
 
-// calls is how many calls n messages of a queue travel in.
-func (q *queue) calls(n int) float64 { return float64(n) / float64(q.bundle) }
+// callsFor is how many calls n messages of a queue travel in.
+func (q *queue) callsFor(n int) float64 { return float64(n) / float64(q.maxBatch) }
 
-// even is this relay's even share of a queue's limit, in calls a second.
-func (d *Dispatcher) even(q *queue) float64 { return q.weight / d.there() }
+// evenShare is this relay's even share of a queue's limit, in calls a second.
+func (d *Dispatcher) evenShare(q *queue) float64 { return q.listedRate / d.relayCount() }
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -46,7 +46,7 @@
 // A message that was taken on before is not up for admission again.
 func TestResumedIsNotRefusedForBacklog(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	d.dest(0).queues[0].mean, d.dest(0).queues[0].waitUntil = 1, moment(60*time.Second)
+	d.destination(0).queues[0].mean, d.destination(0).queues[0].retryAfterUntil = 1, moment(60*time.Second)
 	expect(t, "a fresh one", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "refuse n")
 	expect(t, "a resumed one", d.Handle(moment(time.Second), []Event{resumed("m", 0)}), "")
 }
@@ -69,7 +69,7 @@
 		return n
 	}
 	healthy := sends()
-	if out := sends(StateRestored{Endpoint: "a", Ejected: true, At: moment(time.Hour - time.Minute)}); out > fewSlots || out >= healthy {
+	if out := sends(StateRestored{Endpoint: "a", Ejected: true, At: moment(time.Hour - time.Minute)}); out > maxUnhealthyCalls || out >= healthy {
 		t.Errorf("in an outage: %d calls at once, %d when healthy", out, healthy)
 	}
 	if ramp := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Second)}); ramp >= healthy {
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -4,56 +4,56 @@
 
 // This file holds the timer.
 
-// arm asks for a timer when something is next due by time alone.
-func (d *Dispatcher) arm() {
+// armTimer asks for a timer when something is next due by time alone.
+func (d *Dispatcher) armTimer() {
 	next := never
-	soon := func(t instant.Time) { next = min(next, max(t, d.now.Add(d.s.BatchInterval))) }
-	soon(d.resub)
-	for _, m := range d.live {
-		if m.q != nil {
-			soon(d.lastChance(m))
-			soon(d.forgotten(m))
+	soon := func(t instant.Time) { next = min(next, max(t, d.now.Add(d.settings.BatchInterval))) }
+	soon(d.subscribeAt)
+	for _, m := range d.unfinished {
+		if m.queue != nil {
+			soon(d.finalAttemptAt(m))
+			soon(d.idempotencyExpiry(m))
 		}
 	}
 	for _, q := range d.active {
-		for _, c := range q.out {
-			for _, factor := range []float64{stuckAfter, silentAfter, silentAfter * finalFactor} {
-				if at := d.lateAt(c, factor); at > d.now && !c.canceled {
+		for _, c := range q.calls {
+			for _, factor := range []float64{stalledFactor, unresponsiveFactor, unresponsiveFactor * finalAttemptFactor} {
+				if at := d.overdueAt(c, factor); at > d.now && !c.canceled {
 					soon(at)
 				}
 			}
 		}
-		if len(q.held) == 0 {
+		if len(q.waiting) == 0 {
 			continue
 		}
-		at := max(d.pausedTo(q), d.now)
-		if q.pace > 0 && d.tokens(q) < 1 && !d.tries(q) {
-			at = max(at, d.now.Add(wait(1-q.tokens, q.pace)))
+		at := max(d.blockedUntil(q), d.now)
+		if q.sendRate > 0 && d.sendTokens(q) < 1 && !d.isProber(q) {
+			at = max(at, d.now.Add(tokenDelay(1-q.tokens, q.sendRate)))
 		}
-		if d.fenced(q) && len(q.eps) > 0 {
-			at = max(at, d.tryAt(q.eps[0]))
+		if d.singleProber(q) && len(q.endpoints) > 0 {
+			at = max(at, d.probeTurn(q.endpoints[0]))
 		}
 		if at > d.now {
 			soon(at)
 		}
-		for _, ep := range q.eps {
-			if ep.lack.until > d.now {
-				soon(max(at, ep.lack.until))
+		for _, ep := range q.endpoints {
+			if ep.resourceBackoff.until > d.now {
+				soon(max(at, ep.resourceBackoff.until))
 			}
-			if (ep.sick || ep.ramping) && d.epTokens(ep) < 1 {
-				soon(max(at, d.now.Add(wait(1-ep.tokens, d.budget(ep, d.coldFor(ep))))))
+			if (ep.ejected || ep.slowStarting) && d.slowStartTokens(ep) < 1 {
+				soon(max(at, d.now.Add(tokenDelay(1-ep.tokens, d.slowStartBudget(ep, d.timeSinceRecovery(ep))))))
 			}
-			if turn := d.tryAt(ep); ep.sick && turn > d.now {
+			if turn := d.probeTurn(ep); ep.ejected && turn > d.now {
 				soon(max(at, turn))
 			}
 		}
 	}
-	for _, m := range d.resting {
-		soon(m.rest)
+	for _, m := range d.blockingKeys {
+		soon(m.keyBlockedUntil)
 	}
 	// A clock with coarser steps than ours may wake us a little before the time: that timer is used up.
-	if next < never && (d.wakeAt < d.now.Add(d.s.BatchInterval) || next < d.wakeAt) {
-		d.wakeAt = next
-		d.act(SetTimer{After: next.Sub(d.now)})
+	if next < never && (d.timerDueAt < d.now.Add(d.settings.BatchInterval) || next < d.timerDueAt) {
+		d.timerDueAt = next
+		d.emit(SetTimer{After: next.Sub(d.now)})
 	}
 }
--- a/policy/timer_test.go
+++ b/policy/timer_test.go
@@ -9,7 +9,7 @@
 func TestFindingOnADestinationWithoutEndpoints(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Destination: 7})
 	const now = 10 * time.Second
-	d.Handle(moment(now), []Event{PeerSuspected{Destination: 7, Observers: witnesses, OldestAge: time.Second, NewestAge: 0, ValidFor: 5 * time.Second}})
+	d.Handle(moment(now), []Event{PeerSuspected{Destination: 7, Observers: minObservers, OldestAge: time.Second, NewestAge: 0, ValidFor: 5 * time.Second}})
 	d.Handle(moment(now+ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Destination: 7, Removed: true}}}})
 	actions := d.Handle(moment(now+2*ms), []Event{Arrived{ID: "m", Destination: 7, TimeLeft: 10 * time.Second}})
 	expect(t, "no endpoint is listed", actions, "")
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -19,7 +19,7 @@
 		rates := rapid.SliceOfN(rapid.Float64Range(0, 100), 2, 6)
 		demand := rates.Draw(t, "demand")
 		room := rapid.SliceOfN(rapid.Float64Range(0, 100), len(demand), len(demand)).Draw(t, "room")
-		shares := spill(demand, room)
+		shares := spilloverShares(demand, room)
 		sumDemand, sumRoom, served := 0.0, 0.0, 0.0
 		for z := range demand {
 			sum, in := 0.0, 0.0
@@ -58,7 +58,7 @@
 		for i, z := range order {
 			d2[i], r2[i] = demand[z], room[z]
 		}
-		for i, row := range spill(d2, r2) {
+		for i, row := range spilloverShares(d2, r2) {
 			for j, part := range row {
 				if math.Abs(part-shares[order[i]][order[j]]) > 1e-6 {
 					t.Fatalf("in another order %d sends %d %v, not %v", order[i], order[j], part, shares[order[i]][order[j]])
@@ -114,7 +114,7 @@
 		}
 		if z.now%(10*ms) == 0 {
 			z.n++
-			events = append(events, Arrived{ID: fmt.Sprint(z.n), Destination: z.n % len(z.d.dests), TimeLeft: 5 * time.Second})
+			events = append(events, Arrived{ID: fmt.Sprint(z.n), Destination: z.n % len(z.d.destinations), TimeLeft: 5 * time.Second})
 		}
 		for _, a := range z.d.Handle(moment(z.now), append(events, TimerFired{})) {
 			switch a := a.(type) {
@@ -138,7 +138,7 @@
 	}
 }
 
-func (z *zoned) state(no int) ZoneState { return z.d.zone(no).state }
+func (z *zoned) state(no int) ZoneState { return z.d.zoneStatus(no).state }
 
 // Calls stay in the own zone while it answers as it is used to, and leave it as far as it slows down.
 func TestLocalFirst(t *testing.T) {
@@ -185,7 +185,7 @@
 		return OK
 	}
 	for _, ep := range z.d.endpoints { // what is served from everywhere
-		ep.q.press = pressMost
+		ep.queue.spillover = maxSpillover
 	}
 	z.run(2 * time.Second)
 	down = true
@@ -219,11 +219,11 @@
 		return OK
 	}
 	for _, ep := range z.d.endpoints {
-		ep.q.press = 0.5
+		ep.queue.spillover = 0.5
 	}
 	for z.now < 35*time.Second {
 		for _, q := range z.d.queues { // as if the own zone had no room for half of them, all the time
-			q.press = 0.5
+			q.spillover = 0.5
 		}
 		z.run(z.now + 100*ms)
 	}
@@ -255,7 +255,7 @@
 		ever := false
 		for z.now < 12*time.Second {
 			for _, q := range z.d.queues {
-				q.press = 0.7
+				q.spillover = 0.7
 			}
 			z.run(z.now + 100*ms)
 			_, cutOff := z.d.Zones()
@@ -286,12 +286,12 @@
 	}
 	d := start(t, s, eps...)
 	for _, ep := range d.endpoints {
-		if ep.lastOK = moment(900 * ms); ep.Zone == 1 {
-			ep.failedAt = moment(time.Second)
+		if ep.lastSuccessAt = moment(900 * ms); ep.Zone == 1 {
+			ep.lastFailureAt = moment(time.Second)
 		}
 	}
 	d.Handle(moment(time.Second), []Event{TimerFired{}})
-	if d.zone(1).state != Serving {
+	if d.zoneStatus(1).state != Serving {
 		t.Error("three fifths of the endpoints are left at once")
 	}
 }
--- a/policy/zonestate.go
+++ b/policy/zonestate.go
@@ -12,19 +12,19 @@
 
 // zone is what is known of a zone.
 type zone struct {
-	state                ZoneState
-	since                instant.Time
-	until                instant.Time // an order's end, or of the wait after a setback
-	setbacks             int          // in a row, on the way back
-	badSince             instant.Time // when endpoints there began to fail; 0 where none do
-	evacuations, returns int
+	state                   ZoneState
+	enteredAt               instant.Time
+	deadline                instant.Time // an order's end, or of the wait after a setback
+	failedRecoveries        int          // in a row, on the way back
+	failingSince            instant.Time // when endpoints there began to fail; 0 where none do
+	evacuations, recoveries int
 }
 
 // maxZones bounds the numbers of zones: a wrong one in a list must not take memory.
 const maxZones = 64
 
-// zone gives what is known of a zone.
-func (d *Dispatcher) zone(no int) *zone {
+// zoneStatus gives what is known of a zone.
+func (d *Dispatcher) zoneStatus(no int) *zone {
 	if d.zones[no] == nil {
 		if d.zones == nil {
 			d.zones = map[int]*zone{}
@@ -34,17 +34,17 @@
 	return d.zones[no]
 }
 
-// enter notes a zone's state.
-func (d *Dispatcher) enter(no int, as ZoneState) {
-	z := d.zone(no)
-	z.state, z.since = as, d.now
-	d.act(ZoneStateChanged{Zone: no, State: as})
+// setZoneState notes a zone's state.
+func (d *Dispatcher) setZoneState(no int, as ZoneState) {
+	z := d.zoneStatus(no)
+	z.state, z.enteredAt = as, d.now
+	d.emit(ZoneStateChanged{Zone: no, State: as})
 }
 
-// inZone lists the endpoints of a zone, in the order of the queues.
-func (d *Dispatcher) inZone(no int) (all []*endpoint) {
+// endpointsInZone lists the endpoints of a zone, in the order of the queues.
+func (d *Dispatcher) endpointsInZone(no int) (all []*endpoint) {
 	for _, q := range d.queues {
-		for _, ep := range q.eps {
+		for _, ep := range q.endpoints {
 			if ep.Zone == no {
 				all = append(all, ep)
 			}
@@ -53,44 +53,44 @@
 	return all
 }
 
-// census counts a zone's endpoints: listed, those that anything is known of, and of these those that fail.
-type census struct {
-	listed, known, bad int
-	dests              uint64       // of those that fail, one bit each, by number
-	answered           instant.Time // when the latest call that was answered was sent
+// zoneSurvey counts a zone's endpoints: listed, those that anything is known of, and of these those that fail.
+type zoneSurvey struct {
+	listed, known, failing int
+	failingDestinations    uint64       // of those that fail, one bit each, by number
+	lastAnsweredAt         instant.Time // when the latest call that was answered was sent
 }
 
-func (c census) destinations() int { return bits.OnesCount64(c.dests) }
+func (c zoneSurvey) destinationCount() int { return bits.OnesCount64(c.failingDestinations) }
 
-// survey counts all zones.
-func (d *Dispatcher) survey() (seen []census, all int) {
+// surveyZones counts all zones.
+func (d *Dispatcher) surveyZones() (seen []zoneSurvey, all int) {
 	for _, q := range d.queues {
-		for _, ep := range q.eps {
+		for _, ep := range q.endpoints {
 			if ep.Zone < 0 || ep.Zone >= maxZones || ep.Draining {
 				continue
 			}
 			for len(seen) <= ep.Zone {
-				seen = append(seen, census{})
+				seen = append(seen, zoneSurvey{})
 			}
-			c, z := &seen[ep.Zone], d.zone(ep.Zone)
+			c, z := &seen[ep.Zone], d.zoneStatus(ep.Zone)
 			all++
 			c.listed++
-			c.answered = max(c.answered, ep.lastBegun)
-			old := z.state == Recovering && ep.failedAt <= z.since // it failed before its zone began to return
-			if ep.failedAt > ep.lastOK && (ep.sick || d.now.Sub(ep.failedAt) < knownFor) && !old || d.silent(ep) {
-				c.bad++
+			c.lastAnsweredAt = max(c.lastAnsweredAt, ep.succeededCallAt)
+			old := z.state == Recovering && ep.lastFailureAt <= z.enteredAt // it failed before its zone began to return
+			if ep.lastFailureAt > ep.lastSuccessAt && (ep.ejected || d.now.Sub(ep.lastFailureAt) < healthObservationWindow) && !old || d.unresponsive(ep) {
+				c.failing++
 				c.known++
-				c.dests |= 1 << (q.dest.no % 64)
-			} else if ep.lastOK > 0 && d.now.Sub(ep.lastOK) < knownFor {
+				c.failingDestinations |= 1 << (q.destination.number % 64)
+			} else if ep.lastSuccessAt > 0 && d.now.Sub(ep.lastSuccessAt) < healthObservationWindow {
 				c.known++
 			}
 		}
 	}
 	for no, c := range seen {
-		if z := d.zone(no); c.bad == 0 {
-			z.badSince = 0
-		} else if z.badSince == 0 {
-			z.badSince = d.now
+		if z := d.zoneStatus(no); c.failing == 0 {
+			z.failingSince = 0
+		} else if z.failingSince == 0 {
+			z.failingSince = d.now
 		}
 	}
 	return seen, all
@@ -98,24 +98,24 @@
 
 // Zones says how all zones fare, and whether this relay takes itself for cut off.
 func (d *Dispatcher) Zones() (all []ZoneStatus, cutOff bool) {
-	seen, _ := d.survey()
+	seen, _ := d.surveyZones()
 	for no, c := range seen {
-		z := d.zone(no)
-		all = append(all, ZoneStatus{no, z.state, z.since, z.until, c.listed, z.evacuations, z.returns})
+		z := d.zoneStatus(no)
+		all = append(all, ZoneStatus{no, z.state, z.enteredAt, z.deadline, c.listed, z.evacuations, z.recoveries})
 	}
-	return all, d.cutOff
+	return all, d.isolated
 }
 
 // Order has a zone left until a moment by the order of operators, or restored where that is 0. One that
 // makes no sense is refused with the reason. Handle has to be called after it.
 func (d *Dispatcher) Order(no int, until instant.Time) error {
-	seen, _ := d.survey()
-	if !d.s.Zones || no < 0 || no >= len(seen) || seen[no].listed == 0 {
+	seen, _ := d.surveyZones()
+	if !d.settings.Zones || no < 0 || no >= len(seen) || seen[no].listed == 0 {
 		return errors.New("zones are off, or no endpoint is listed in this one")
 	}
-	z, others := d.zone(no), 0
+	z, others := d.zoneStatus(no), 0
 	for o, c := range seen {
-		if o != no && c.listed > 0 && d.zone(o).state != EvacuatedByOrder {
+		if o != no && c.listed > 0 && d.zoneStatus(o).state != EvacuatedByOrder {
 			others++
 		}
 	}
@@ -123,66 +123,66 @@
 	case until == 0 && z.state != EvacuatedByOrder:
 		return errors.New("it is not evacuated by order")
 	case until == 0:
-		d.restore(no)
+		d.startRecovery(no)
 	case z.state == EvacuatedByOrder:
 		return errors.New("it is evacuated by order already")
 	case others == 0:
 		return errors.New("it is the last zone that is left")
 	default:
-		z.until = until
+		z.deadline = until
 		z.evacuations++
-		d.leave(no, EvacuatedByOrder)
+		d.evacuate(no, EvacuatedByOrder)
 	}
 	return nil
 }
 
-// apportion takes in what arrives for a destination in each zone.
-func (d *Dispatcher) apportion(q *queue, traffic []float64) {
-	if q.row = nil; d.s.Zone < 0 || d.s.Zone >= len(traffic) || q.weight == 0 {
+// updateZoneShares takes in what arrives for a destination in each zone.
+func (d *Dispatcher) updateZoneShares(q *queue, traffic []float64) {
+	if q.zoneShares = nil; d.settings.Zone < 0 || d.settings.Zone >= len(traffic) || q.listedRate == 0 {
 		return
 	}
 	room := make([]float64, len(traffic))
-	for _, ep := range q.eps {
-		if ep.Zone >= 0 && ep.Zone < len(room) && !ep.sick && !ep.Draining && !d.left(ep) {
-			room[ep.Zone] += q.weight / float64(len(q.eps))
+	for _, ep := range q.endpoints {
+		if ep.Zone >= 0 && ep.Zone < len(room) && !ep.ejected && !ep.Draining && !d.evacuatedByOrder(ep) {
+			room[ep.Zone] += q.listedRate / float64(len(q.endpoints))
 		}
 	}
-	q.row = spill(traffic, room)[d.s.Zone]
+	q.zoneShares = spilloverShares(traffic, room)[d.settings.Zone]
 }
 
-// home is the zone that the next call of a queue should go to: the own, or one that is owed a call.
-func (d *Dispatcher) home(q *queue) int {
-	best := d.s.Zone
-	if !d.s.Zones || len(q.owed) == 0 {
+// targetZone is the zone that the next call of a queue should go to: the own, or one that is owed a call.
+func (d *Dispatcher) targetZone(q *queue) int {
+	best := d.settings.Zone
+	if !d.settings.Zones || len(q.zoneCredits) == 0 {
 		return best
 	}
 	for no := range maxZones {
-		if owed := q.owed[no]; owed >= 1 && (best == d.s.Zone || owed > q.owed[best]) {
+		if owed := q.zoneCredits[no]; owed >= 1 && (best == d.settings.Zone || owed > q.zoneCredits[best]) {
 			best = no
 		}
 	}
 	return best
 }
 
-// spilled counts a call against what is owed: each call adds to it the parts of it that other zones should have.
-func (d *Dispatcher) spilled(q *queue, to *endpoint) {
+// recordSpillover counts a call against what is owed: each call adds to it the parts of it that other zones should have.
+func (d *Dispatcher) recordSpillover(q *queue, to *endpoint) {
 	others := map[int]bool{}
-	for _, ep := range q.eps {
-		if ep.Zone != d.s.Zone && ep.Zone >= 0 && ep.Zone < maxZones && !ep.sick && !ep.Draining {
+	for _, ep := range q.endpoints {
+		if ep.Zone != d.settings.Zone && ep.Zone >= 0 && ep.Zone < maxZones && !ep.ejected && !ep.Draining {
 			others[ep.Zone] = true
 		}
 	}
-	if q.owed == nil {
-		q.owed = map[int]float64{}
+	if q.zoneCredits == nil {
+		q.zoneCredits = map[int]float64{}
 	}
 	for no := range others {
-		part := q.press / float64(len(others))
-		if no < len(q.row) {
-			part += (1 - q.press) * q.row[no]
+		part := q.spillover / float64(len(others))
+		if no < len(q.zoneShares) {
+			part += (1 - q.spillover) * q.zoneShares[no]
 		}
-		q.owed[no] = math.Min(2, q.owed[no]+part)
+		q.zoneCredits[no] = math.Min(2, q.zoneCredits[no]+part)
 	}
-	if to.Zone != d.s.Zone {
-		q.owed[to.Zone] = math.Max(0, q.owed[to.Zone]-1)
+	if to.Zone != d.settings.Zone {
+		q.zoneCredits[to.Zone] = math.Max(0, q.zoneCredits[to.Zone]-1)
 	}
 }
