--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -44,7 +44,7 @@
 	host := "s-3740d6df"
 	for _, n := range []int{1, 64, 1000} {
 		b.Run(fmt.Sprintf("before/%d", n), func(b *testing.B) {
-			f, err := os.Create(filepath.Join(b.TempDir(), v1Name))
+			f, err := os.Create(filepath.Join(b.TempDir(), formatV1File))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -77,7 +77,7 @@
 				defer j.Close()
 				written := 0
 				commit := func() {
-					written += len(j.pending)
+					written += len(j.buffered)
 					if err := j.Commit(); err != nil {
 						b.Fatal(err)
 					}
@@ -140,32 +140,32 @@
 		s := newState()
 		for i := range live {
 			e := message(i)
-			s.apply(&record{op: opTaken, ref: uint64(i + 1), entry: e})
+			s.apply(&record{op: opAccepted, entrySeq: uint64(i + 1), entry: e})
 			e.Attempts = []Attempt{{Host: "s-3740d6df", StartedAt: clock.Now()}}
 		}
 		old, err := s.encodeV1()
 		if err != nil {
 			b.Fatal(err)
 		}
-		j := &Journal{state: s, o: Options{Boot: clock.BootID()}}
-		now := header{format: Format, segment: 1, first: 1, boot: clock.BootID()}.encode()
+		j := &Journal{state: s, options: Options{Boot: clock.BootID()}}
+		now := header{format: Format, segment: 1, firstSequence: 1, boot: clock.BootID()}.encode()
 		var seq uint64
 		var before uint32
 		add := func(r record) {
 			seq++
-			now, _ = frame(now, &r, seq, before, unknownPair)
-			before = r.gist()
+			now, _ = appendFramed(now, &r, seq, before, wallClockOnly)
+			before = r.digest()
 		}
-		add(record{op: opSnapshot})
-		for _, e := range j.all() {
-			add(record{op: opTaken, ref: e.ref, entry: e})
-			add(record{op: opBegun, ref: e.ref, host: e.Attempts[0].Host, at: e.Attempts[0].StartedAt})
+		add(record{op: opSnapshotEnd})
+		for _, e := range j.liveEntries() {
+			add(record{op: opAccepted, entrySeq: e.seq, entry: e})
+			add(record{op: opAttemptStarted, entrySeq: e.seq, host: e.Attempts[0].Host, at: e.Attempts[0].StartedAt})
 		}
 		s, j = nil, nil
 		for name, c := range map[string]struct {
 			file string
 			raw  []byte
-		}{"before": {v1Name, old}, "now": {segmentFile(1), now}} {
+		}{"before": {formatV1File, old}, "now": {segmentFileName(1), now}} {
 			b.Run(fmt.Sprintf("%s/%d", name, 2*live), func(b *testing.B) {
 				dir := b.TempDir()
 				path := filepath.Join(dir, c.file)
@@ -204,7 +204,7 @@
 						got.replayV1(raw, &Report{})
 					} else {
 						var err error
-						if got, _, err = load(Disk, dir, clock.BootID(), SystemClocks); err != nil {
+						if got, _, err = loadState(Disk, dir, clock.BootID(), SystemClocks); err != nil {
 							b.Fatal(err)
 						}
 					}
--- a/internal/journal/format.go
+++ b/internal/journal/format.go
@@ -30,20 +30,20 @@
 	Format = 2
 	// formatV1 is the form before, which v1.go reads.
 	formatV1 = 1
-	// marker begins each record.
-	marker uint32 = 0xa55e_c0de
-	// recordHead and headerHead are the bytes before a record's payload and before a segment header's variable part.
-	recordHead = 24
-	headerHead = 16
-	// maxRecord bounds a payload: a body of 64 KiB and names, or a long list of hosts.
-	maxRecord = 16 << 20
-	// maxHeader bounds the rest of a header.
-	maxHeader = 4096
-
-	segmentName = "segment-"
-	newSuffix   = ".new"
-	damagedName = "damaged-"
-	v1Name      = "journal"
+	// recordMarker begins each record.
+	recordMarker uint32 = 0xa55e_c0de
+	// recordHeaderSize and segmentHeaderSize are the bytes before a record's payload and before a segment header's variable part.
+	recordHeaderSize  = 24
+	segmentHeaderSize = 16
+	// maxPayloadSize bounds a payload: a body of 64 KiB and names, or a long list of hosts.
+	maxPayloadSize = 16 << 20
+	// maxSegmentHeaderSize bounds the rest of a header.
+	maxSegmentHeaderSize = 4096
+
+	segmentPrefix    = "segment-"
+	unfinishedSuffix = ".new"
+	quarantinePrefix = "damaged-"
+	formatV1File     = "journal"
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -53,15 +53,15 @@
 
 // The operations. Those of a message name it by its number, the sequence of the record that took it on.
 const (
-	opTaken    op = iota + 1 // a message is taken on
-	opBegun                  // an attempt begins
-	opEnded                  // the last attempt has ended
-	opOwed                   // it ends by a notice
-	opOver                   // nothing more is owed for it
-	opHealth                 // what is remembered of a host
-	opList                   // the list as last told
-	opKept                   // of a snapshot: a message with all that is known of it
-	opSnapshot               // closes a snapshot
+	opAccepted            op = iota + 1 // a message is taken on
+	opAttemptStarted                    // an attempt begins
+	opAttemptEnded                      // the last attempt has ended
+	opNotificationPending               // it ends by a notice
+	opCompleted                         // nothing more is owed for it
+	opHealth                            // what is remembered of a host
+	opLegacyList                        // the list as last told
+	opSnapshotEntry                     // of a snapshot: a message with all that is known of it
+	opSnapshotEnd                       // closes a snapshot
 )
 
 var opNames = [...]string{"", "taken", "begun", "ended", "owed", "over", "health", "list", "kept", "snapshot"}
@@ -75,112 +75,112 @@
 
 // record is one change.
 type record struct {
-	op     op
-	ref    uint64 // number of the message
-	entry  *Entry // taken, kept
-	host   string
-	at     instant.Time
-	flag   bool // ended: unrun; health: sick
-	notice Notification
-	list   LegacyEndpointList
-	count  uint64 // snapshot: records in it
-	sum    uint32 // snapshot: of their checksums
+	op               op
+	entrySeq         uint64 // number of the message
+	entry            *Entry // taken, kept
+	host             string
+	at               instant.Time
+	flag             bool // ended: unrun; health: sick
+	notification     Notification
+	list             LegacyEndpointList
+	snapshotRecords  uint64 // snapshot: records in it
+	snapshotChecksum uint32 // snapshot: of their checksums
 }
 
 // header begins a segment.
 type header struct {
-	format  uint32
-	segment uint64
-	first   uint64 // sequence of the first record
-	power   bool   // durability
-	boot    string
-	relay   string
-	clocks  clock.Pair // when the segment was begun; zero in one of a program that wrote none
+	format            uint32
+	segment           uint64
+	firstSequence     uint64 // sequence of the first record
+	survivesPowerLoss bool   // durability
+	boot              string
+	relay             string
+	clocks            clock.Pair // when the segment was begun; zero in one of a program that wrote none
 }
 
-// fields is a payload as it is written.
-type fields struct {
-	b      []byte
+// payloadWriter is a payload as it is written.
+type payloadWriter struct {
+	buf    []byte
 	clocks clock.Pair // of the segment
 }
 
-func (f *fields) num(v uint64) { f.b = binary.AppendUvarint(f.b, v) }
+func (f *payloadWriter) uvarint(v uint64) { f.buf = binary.AppendUvarint(f.buf, v) }
 
-func (f *fields) signed(v int64) { f.b = binary.AppendVarint(f.b, v) }
+func (f *payloadWriter) varint(v int64) { f.buf = binary.AppendVarint(f.buf, v) }
 
-func (f *fields) flag(v bool) {
+func (f *payloadWriter) boolean(v bool) {
 	if v {
-		f.b = append(f.b, 1)
+		f.buf = append(f.buf, 1)
 	} else {
-		f.b = append(f.b, 0)
+		f.buf = append(f.buf, 0)
 	}
 }
 
-func (f *fields) text(v string) {
-	f.num(uint64(len(v)))
-	f.b = append(f.b, v...)
+func (f *payloadWriter) str(v string) {
+	f.uvarint(uint64(len(v)))
+	f.buf = append(f.buf, v...)
 }
 
-// time writes a moment on the segment's scale, in nanoseconds since 1970; the zero Time is 0.
-func (f *fields) time(t instant.Time) { f.signed(int64(f.clocks.WallOf(t))) }
+// instant writes a moment on the segment's scale, in nanoseconds since 1970; the zero Time is 0.
+func (f *payloadWriter) instant(t instant.Time) { f.varint(int64(f.clocks.WallOf(t))) }
 
-// input is a payload as it is read. After an error its values mean nothing.
-type input struct {
-	b      []byte
-	bad    bool
-	clocks clock.Pair // of the segment
+// payloadReader is a payload as it is read. After an error its values mean nothing.
+type payloadReader struct {
+	rest      []byte
+	malformed bool
+	clocks    clock.Pair // of the segment
 }
 
-func (in *input) num() uint64 {
-	v, n := binary.Uvarint(in.b)
+func (in *payloadReader) uvarint() uint64 {
+	v, n := binary.Uvarint(in.rest)
 	if n <= 0 {
-		in.bad, in.b = true, nil
+		in.malformed, in.rest = true, nil
 		return 0
 	}
-	in.b = in.b[n:]
+	in.rest = in.rest[n:]
 	return v
 }
 
-func (in *input) signed() int64 {
-	v, n := binary.Varint(in.b)
+func (in *payloadReader) varint() int64 {
+	v, n := binary.Varint(in.rest)
 	if n <= 0 {
-		in.bad, in.b = true, nil
+		in.malformed, in.rest = true, nil
 		return 0
 	}
-	in.b = in.b[n:]
+	in.rest = in.rest[n:]
 	return v
 }
 
-func (in *input) flag() bool {
-	if len(in.b) == 0 {
-		in.bad = true
+func (in *payloadReader) boolean() bool {
+	if len(in.rest) == 0 {
+		in.malformed = true
 		return false
 	}
-	v := in.b[0]
-	in.b = in.b[1:]
-	in.bad = in.bad || v > 1
+	v := in.rest[0]
+	in.rest = in.rest[1:]
+	in.malformed = in.malformed || v > 1
 	return v == 1
 }
 
-func (in *input) bytes() []byte {
-	n := in.num()
-	if n > uint64(len(in.b)) {
-		in.bad, in.b = true, nil
+func (in *payloadReader) bytes() []byte {
+	n := in.uvarint()
+	if n > uint64(len(in.rest)) {
+		in.malformed, in.rest = true, nil
 		return nil
 	}
-	v := in.b[:n]
-	in.b = in.b[n:]
+	v := in.rest[:n]
+	in.rest = in.rest[n:]
 	return v
 }
 
-func (in *input) text() string { return string(in.bytes()) }
+func (in *payloadReader) str() string { return string(in.bytes()) }
 
-func (in *input) time() instant.Time { return in.clocks.InstantOf(boundedWall(in.signed())) }
+func (in *payloadReader) instant() instant.Time { return in.clocks.InstantOf(clampWall(in.varint())) }
 
-// names gives strings that come again and again one place in memory.
-type names map[string]string
+// interner gives strings that come again and again one place in memory.
+type interner map[string]string
 
-func (n names) of(b []byte) string {
+func (n interner) intern(b []byte) string {
 	if s, ok := n[string(b)]; ok {
 		return s
 	}
@@ -191,154 +191,154 @@
 	return s
 }
 
-// append adds the payload of a record to b, with times on a segment's scale.
-func (r *record) append(b []byte, clocks clock.Pair) []byte {
-	f := fields{append(b, byte(r.op)), clocks}
+// appendPayload adds the payload of a record to b, with times on a segment's scale.
+func (r *record) appendPayload(b []byte, clocks clock.Pair) []byte {
+	f := payloadWriter{append(b, byte(r.op)), clocks}
 	switch r.op {
-	case opTaken, opKept:
+	case opAccepted, opSnapshotEntry:
 		e := r.entry
-		f.num(r.ref)
-		f.time(e.ExpiresAt)
-		f.time(e.AcceptedAt)
-		f.signed(int64(e.Dest))
-		f.text(e.Class)
-		f.text(e.ID)
-		f.text(e.Key)
-		if r.op == opKept {
-			f.num(uint64(len(e.Attempts)))
+		f.uvarint(r.entrySeq)
+		f.instant(e.ExpiresAt)
+		f.instant(e.AcceptedAt)
+		f.varint(int64(e.Dest))
+		f.str(e.Class)
+		f.str(e.ID)
+		f.str(e.Key)
+		if r.op == opSnapshotEntry {
+			f.uvarint(uint64(len(e.Attempts)))
 			for _, a := range e.Attempts {
-				f.text(a.Host)
-				f.time(a.StartedAt)
-				f.flag(a.Ended)
-				f.flag(a.NotExecuted)
-				f.flag(a.Uncertain)
+				f.str(a.Host)
+				f.instant(a.StartedAt)
+				f.boolean(a.Ended)
+				f.boolean(a.NotExecuted)
+				f.boolean(a.Uncertain)
 			}
-			f.flag(e.PendingNotification != nil)
+			f.boolean(e.PendingNotification != nil)
 			if e.PendingNotification != nil {
-				f.text(e.PendingNotification.Status)
-				f.signed(e.PendingNotification.RetryAfterMS)
+				f.str(e.PendingNotification.Status)
+				f.varint(e.PendingNotification.RetryAfterMS)
 			}
 		}
-		f.b = append(f.b, e.Body...)
-	case opBegun:
-		f.num(r.ref)
-		f.time(r.at)
-		f.text(r.host)
-	case opEnded:
-		f.num(r.ref)
-		f.flag(r.flag)
-	case opOwed:
-		f.num(r.ref)
-		f.text(r.notice.Status)
-		f.signed(r.notice.RetryAfterMS)
-	case opOver:
-		f.num(r.ref)
+		f.buf = append(f.buf, e.Body...)
+	case opAttemptStarted:
+		f.uvarint(r.entrySeq)
+		f.instant(r.at)
+		f.str(r.host)
+	case opAttemptEnded:
+		f.uvarint(r.entrySeq)
+		f.boolean(r.flag)
+	case opNotificationPending:
+		f.uvarint(r.entrySeq)
+		f.str(r.notification.Status)
+		f.varint(r.notification.RetryAfterMS)
+	case opCompleted:
+		f.uvarint(r.entrySeq)
 	case opHealth:
-		f.text(r.host)
-		f.flag(r.flag)
-		f.time(r.at)
-	case opList:
-		f.num(uint64(r.list.Endpoints))
-		f.b = append(f.b, r.list.Text...)
-	case opSnapshot:
-		f.num(r.count)
-		f.num(uint64(r.sum))
+		f.str(r.host)
+		f.boolean(r.flag)
+		f.instant(r.at)
+	case opLegacyList:
+		f.uvarint(uint64(r.list.Endpoints))
+		f.buf = append(f.buf, r.list.Text...)
+	case opSnapshotEnd:
+		f.uvarint(r.snapshotRecords)
+		f.uvarint(uint64(r.snapshotChecksum))
 	}
-	return f.b
+	return f.buf
 }
 
-var errPayload = errors.New("the payload makes no sense")
+var errMalformedPayload = errors.New("the payload makes no sense")
 
-// parse reads a payload of a segment with such clocks. What it gives shares nothing with the bytes.
-func (r *record) parse(payload []byte, known names, clocks clock.Pair) error {
+// decodePayload reads a payload of a segment with such clocks. What it gives shares nothing with the bytes.
+func (r *record) decodePayload(payload []byte, known interner, clocks clock.Pair) error {
 	if len(payload) == 0 {
-		return errPayload
+		return errMalformedPayload
 	}
-	in := input{b: payload[1:], clocks: clocks}
+	in := payloadReader{rest: payload[1:], clocks: clocks}
 	*r = record{op: op(payload[0])}
 	switch r.op {
-	case opTaken, opKept:
+	case opAccepted, opSnapshotEntry:
 		e := &Entry{}
-		r.entry, r.ref = e, in.num()
-		e.ExpiresAt, e.AcceptedAt = in.time(), in.time()
-		e.Dest = int(in.signed())
-		e.Class, e.ID, e.Key = known.of(in.bytes()), in.text(), in.text()
-		if r.op == opKept {
-			n := in.num()
-			if n > uint64(len(in.b)) { // each takes a byte at least
-				return errPayload
+		r.entry, r.entrySeq = e, in.uvarint()
+		e.ExpiresAt, e.AcceptedAt = in.instant(), in.instant()
+		e.Dest = int(in.varint())
+		e.Class, e.ID, e.Key = known.intern(in.bytes()), in.str(), in.str()
+		if r.op == opSnapshotEntry {
+			n := in.uvarint()
+			if n > uint64(len(in.rest)) { // each takes a byte at least
+				return errMalformedPayload
 			}
 			for range n {
-				e.Attempts = append(e.Attempts, Attempt{Host: known.of(in.bytes()), StartedAt: in.time(), Ended: in.flag(), NotExecuted: in.flag(), Uncertain: in.flag()})
+				e.Attempts = append(e.Attempts, Attempt{Host: known.intern(in.bytes()), StartedAt: in.instant(), Ended: in.boolean(), NotExecuted: in.boolean(), Uncertain: in.boolean()})
 			}
-			if in.flag() {
-				e.PendingNotification = &Notification{ID: e.ID, Status: known.of(in.bytes()), RetryAfterMS: in.signed()}
+			if in.boolean() {
+				e.PendingNotification = &Notification{ID: e.ID, Status: known.intern(in.bytes()), RetryAfterMS: in.varint()}
 			}
 		}
-		e.Body = append([]byte(nil), in.b...)
-		in.b = nil
-	case opBegun:
-		r.ref, r.at, r.host = in.num(), in.time(), known.of(in.bytes())
-	case opEnded:
-		r.ref, r.flag = in.num(), in.flag()
-	case opOwed:
-		r.ref, r.notice.Status, r.notice.RetryAfterMS = in.num(), known.of(in.bytes()), in.signed()
-	case opOver:
-		r.ref = in.num()
+		e.Body = append([]byte(nil), in.rest...)
+		in.rest = nil
+	case opAttemptStarted:
+		r.entrySeq, r.at, r.host = in.uvarint(), in.instant(), known.intern(in.bytes())
+	case opAttemptEnded:
+		r.entrySeq, r.flag = in.uvarint(), in.boolean()
+	case opNotificationPending:
+		r.entrySeq, r.notification.Status, r.notification.RetryAfterMS = in.uvarint(), known.intern(in.bytes()), in.varint()
+	case opCompleted:
+		r.entrySeq = in.uvarint()
 	case opHealth:
-		r.host, r.flag, r.at = known.of(in.bytes()), in.flag(), in.time()
-	case opList:
-		r.list.Endpoints = int(min(in.num(), maxRecord))
-		r.list.Text = append([]byte(nil), in.b...)
-		in.b = nil
-	case opSnapshot:
-		r.count, r.sum = in.num(), uint32(in.num())
+		r.host, r.flag, r.at = known.intern(in.bytes()), in.boolean(), in.instant()
+	case opLegacyList:
+		r.list.Endpoints = int(min(in.uvarint(), maxPayloadSize))
+		r.list.Text = append([]byte(nil), in.rest...)
+		in.rest = nil
+	case opSnapshotEnd:
+		r.snapshotRecords, r.snapshotChecksum = in.uvarint(), uint32(in.uvarint())
 	default:
-		return fmt.Errorf("%w: %v", errPayload, r.op)
+		return fmt.Errorf("%w: %v", errMalformedPayload, r.op)
 	}
-	if in.bad || len(in.b) > 0 {
-		return errPayload
+	if in.malformed || len(in.rest) > 0 {
+		return errMalformedPayload
 	}
 	return nil
 }
 
-// gist is what the next record tells of this one.
-func (r *record) gist() uint32 { return uint32(r.op)<<24 | uint32(r.ref)&0xffffff }
+// digest is what the next record tells of this one.
+func (r *record) digest() uint32 { return uint32(r.op)<<24 | uint32(r.entrySeq)&0xffffff }
 
-// frame adds a record with its head to b, and gives its checksum as well.
-func frame(b []byte, r *record, seq uint64, before uint32, clocks clock.Pair) ([]byte, uint32) {
+// appendFramed adds a record with its head to b, and gives its checksum as well.
+func appendFramed(b []byte, r *record, seq uint64, before uint32, clocks clock.Pair) ([]byte, uint32) {
 	start := len(b)
-	b = binary.LittleEndian.AppendUint32(b, marker)
+	b = binary.LittleEndian.AppendUint32(b, recordMarker)
 	b = append(b, 0, 0, 0, 0)
 	b = binary.LittleEndian.AppendUint64(b, seq)
 	b = binary.LittleEndian.AppendUint32(b, before)
 	b = append(b, 0, 0, 0, 0)
-	b = r.append(b, clocks)
-	binary.LittleEndian.PutUint32(b[start+4:], uint32(len(b)-start-recordHead))
-	sum := checksum(b[start:])
+	b = r.appendPayload(b, clocks)
+	binary.LittleEndian.PutUint32(b[start+4:], uint32(len(b)-start-recordHeaderSize))
+	sum := frameChecksum(b[start:])
 	binary.LittleEndian.PutUint32(b[start+20:], sum)
 	return b, sum
 }
 
-// checksum is that of a whole framed record.
-func checksum(framed []byte) uint32 {
-	return crc32.Update(crc32.Checksum(framed[:20], castagnoli), castagnoli, framed[recordHead:])
+// frameChecksum is that of a whole framed record.
+func frameChecksum(framed []byte) uint32 {
+	return crc32.Update(crc32.Checksum(framed[:20], castagnoli), castagnoli, framed[recordHeaderSize:])
 }
 
 // encode gives a segment's header.
 func (h header) encode() []byte {
-	var f fields
-	f.num(h.segment)
-	f.num(h.first)
-	f.flag(h.power)
-	f.text(h.boot)
-	f.text(h.relay)
-	f.signed(int64(h.clocks.At))
-	f.signed(int64(h.clocks.Wall))
+	var f payloadWriter
+	f.uvarint(h.segment)
+	f.uvarint(h.firstSequence)
+	f.boolean(h.survivesPowerLoss)
+	f.str(h.boot)
+	f.str(h.relay)
+	f.varint(int64(h.clocks.At))
+	f.varint(int64(h.clocks.Wall))
 	b := append([]byte(magic), 0, 0, 0, 0, 0, 0, 0, 0)
 	binary.LittleEndian.PutUint32(b[8:], h.format)
-	binary.LittleEndian.PutUint32(b[12:], uint32(len(f.b)))
-	b = append(b, f.b...)
+	binary.LittleEndian.PutUint32(b[12:], uint32(len(f.buf)))
+	b = append(b, f.buf...)
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
@@ -354,7 +354,7 @@
 
 // segmentNumber reads the number from a segment's name.
 func segmentNumber(name string) (uint64, bool) {
-	rest, ok := strings.CutPrefix(name, segmentName)
+	rest, ok := strings.CutPrefix(name, segmentPrefix)
 	if !ok {
 		return 0, false
 	}
@@ -362,4 +362,4 @@
 	return n, err == nil
 }
 
-func segmentFile(n uint64) string { return segmentName + strconv.FormatUint(n, 10) }
+func segmentFileName(n uint64) string { return segmentPrefix + strconv.FormatUint(n, 10) }
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	_ = j.Close()
-	found, err := filepath.Glob(filepath.Join(dir, segmentName+"*"))
+	found, err := filepath.Glob(filepath.Join(dir, segmentPrefix+"*"))
 	if err != nil || len(found) != 1 {
 		t.Fatalf("%v, %v", found, err)
 	}
@@ -52,7 +52,7 @@
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, segmentFile(3)), raw, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, segmentFileName(3)), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		j, r, err := Open(dir, Options{DiskMB: 64})
@@ -63,7 +63,7 @@
 			return
 		}
 		defer j.Close()
-		if size := j.live + len(j.entries); size > 200*len(raw)+(len(raw)/recordHead+1)*(attemptsRoom+memberRoom*maxRecord) {
+		if size := j.liveSize + len(j.entries); size > 200*len(raw)+(len(raw)/recordHeaderSize+1)*(laterRecordsReserve+endpointReserve*maxPayloadSize) {
 			t.Fatalf("%d bytes need room for %d", len(raw), size)
 		}
 		again, whole, err := Read(dir)
@@ -94,30 +94,30 @@
 			t.Skip(err) // a list that is no JSON, say
 		}
 		again := newState()
-		if rest, _ := again.replayV1(back, &Report{}); rest > 0 || len(again.all()) != len(s.all()) {
-			t.Fatalf("%d messages, %d when given back, %d bytes unread", len(s.all()), len(again.all()), rest)
+		if rest, _ := again.replayV1(back, &Report{}); rest > 0 || len(again.liveEntries()) != len(s.liveEntries()) {
+			t.Fatalf("%d messages, %d when given back, %d bytes unread", len(s.liveEntries()), len(again.liveEntries()), rest)
 		}
 	})
 }
 
 // Any payload gives an error or a record that is written as it was read.
 func FuzzPayload(f *testing.F) {
-	w := &window{from: bytes.NewReader(life(f)), size: 1 << 20}
+	w := &scanner{source: bytes.NewReader(life(f)), size: 1 << 20}
 	if _, err := w.readHeader("x"); err != nil {
 		f.Fatal(err)
 	}
-	for b, ok := w.framed(); ok; b, ok = w.framed() {
-		f.Add(bytes.Clone(b[recordHead:]))
-		w.skip(len(b))
+	for b, ok := w.frame(); ok; b, ok = w.frame() {
+		f.Add(bytes.Clone(b[recordHeaderSize:]))
+		w.advance(len(b))
 	}
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		var r, again record
-		if r.parse(payload, names{}, unknownPair) != nil {
+		if r.decodePayload(payload, interner{}, wallClockOnly) != nil {
 			return
 		}
-		first := r.append(nil, unknownPair)
-		if err := again.parse(first, names{}, unknownPair); err != nil || !bytes.Equal(again.append(nil, unknownPair), first) {
-			t.Fatalf("%q is read as %q, and that as %q (%v)", payload, first, again.append(nil, unknownPair), err)
+		first := r.appendPayload(nil, wallClockOnly)
+		if err := again.decodePayload(first, interner{}, wallClockOnly); err != nil || !bytes.Equal(again.appendPayload(nil, wallClockOnly), first) {
+			t.Fatalf("%q is read as %q, and that as %q (%v)", payload, first, again.appendPayload(nil, wallClockOnly), err)
 		}
 	})
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -24,20 +24,20 @@
 )
 
 const (
-	// diskShare of the folder's limit is used: the rest is for whole blocks and for what else lies there.
-	diskShare = 0.9
-	// attemptsRoom is set aside for the later records of each message when it is taken on.
-	attemptsRoom = 2048
-	// memberRoom is set aside for each host of the list.
-	memberRoom = 256
-	// slackSize is how far a segment may outgrow twice what is live before the next one is begun.
-	slackSize = 256 << 10
-	// damagedShare of the limit is for ranges that were set aside.
-	damagedShare = 1.0 / 16
-	// tryAgain is the least time between tries to begin a segment after one that failed: each writes all that is live.
-	tryAgain = 250 * time.Millisecond
-	// readTries bounds how often a folder is read anew whose segments change meanwhile.
-	readTries = 10
+	// usableShare of the folder's limit is used: the rest is for whole blocks and for what else lies there.
+	usableShare = 0.9
+	// laterRecordsReserve is set aside for the later records of each message when it is taken on.
+	laterRecordsReserve = 2048
+	// endpointReserve is set aside for each host of the list.
+	endpointReserve = 256
+	// compactionSlack is how far a segment may outgrow twice what is live before the next one is begun.
+	compactionSlack = 256 << 10
+	// quarantineShare of the limit is for ranges that were set aside.
+	quarantineShare = 1.0 / 16
+	// recoveryInterval is the least time between tries to begin a segment after one that failed: each writes all that is live.
+	recoveryInterval = 250 * time.Millisecond
+	// maxReadAttempts bounds how often a folder is read anew whose segments change meanwhile.
+	maxReadAttempts = 10
 )
 
 // Entry is a message that was taken on and has not come to its end.
@@ -52,7 +52,7 @@
 	Attempts            []Attempt
 	PendingNotification *Notification // its end, until the platform has it
 
-	ref uint64
+	seq uint64
 }
 
 // Attempt is one call made for a message.
@@ -96,53 +96,53 @@
 // Journal is the journal of a running relay. It is not safe for concurrent use.
 type Journal struct {
 	*state
-	o        Options
-	dir      string
-	limit    int // bytes of the old and the new segment together
-	file     File
-	segment  uint64
-	size     int // of the segment
-	seq      uint64
-	before   uint32 // gist of the last record
-	reserved int    // for messages that may be taken on before the next Commit
-	pending  []byte
-	fresh    []*Entry   // taken on since the last Commit
-	old      []string   // files to remove once the next segment is durable
-	broken   error      // why the segment can't be written on
-	clocks   clock.Pair // of the segment
-	tried    instant.Time
-	snapshot []byte // room that is used again
+	options             Options
+	dir                 string
+	sizeLimit           int // bytes of the old and the new segment together
+	file                File
+	segment             uint64
+	segmentSize         int // of the segment
+	lastSequence        uint64
+	previousDigest      uint32 // gist of the last record
+	reserved            int    // for messages that may be taken on before the next Commit
+	buffered            []byte
+	uncommitted         []*Entry   // taken on since the last Commit
+	obsolete            []string   // files to remove once the next segment is durable
+	writeError          error      // why the segment can't be written on
+	clocks              clock.Pair // of the segment
+	lastRecoveryAttempt instant.Time
+	snapshotBuffer      []byte // room that is used again
 }
 
 // Open replays the journal in a folder and begins a new segment. Where that can't be written, the journal is broken,
 // as after a failed Commit, but what it holds is there.
-func Open(dir string, o Options) (*Journal, *Report, error) {
-	if o.Files == nil {
-		o.Files = Disk
+func Open(dir string, options Options) (*Journal, *Report, error) {
+	if options.Files == nil {
+		options.Files = Disk
 	}
-	if o.Clocks.Now == nil {
-		o.Clocks = SystemClocks
-		if o.Boot != "" { // a stand-in's boot began whenever it says
-			o.Clocks.Uptime = func() time.Duration { return 0 }
+	if options.Clocks.Now == nil {
+		options.Clocks = SystemClocks
+		if options.Boot != "" { // a stand-in's boot began whenever it says
+			options.Clocks.Uptime = func() time.Duration { return 0 }
 		}
 	}
-	if o.Boot == "" {
-		o.Boot = clock.BootID()
+	if options.Boot == "" {
+		options.Boot = clock.BootID()
 	}
-	s, r, err := load(o.Files, dir, o.Boot, o.Clocks)
+	s, r, err := loadState(options.Files, dir, options.Boot, options.Clocks)
 	if err != nil {
 		return nil, r, fmt.Errorf("journal: %w", err)
 	}
-	if o.Relay != "" && r.Relay != "" && o.Relay != r.Relay {
-		return nil, r, fmt.Errorf("journal: the folder %s is relay %s's, and this is %s", dir, r.Relay, o.Relay)
+	if options.Relay != "" && r.Relay != "" && options.Relay != r.Relay {
+		return nil, r, fmt.Errorf("journal: the folder %s is relay %s's, and this is %s", dir, r.Relay, options.Relay)
 	}
-	j := &Journal{state: s, o: o, dir: dir, limit: int(diskShare * o.DiskMB * 1e6), segment: r.segment, seq: r.LastSequence}
-	if err := j.clear(); err != nil {
+	j := &Journal{state: s, options: options, dir: dir, sizeLimit: int(usableShare * options.DiskMB * 1e6), segment: r.segment, lastSequence: r.LastSequence}
+	if err := j.scanDir(); err != nil {
 		return nil, r, fmt.Errorf("journal: %w", err)
 	}
-	j.setAside(r)
-	if err := j.begin(); err != nil {
-		j.fail(err)
+	j.quarantine(r)
+	if err := j.compact(); err != nil {
+		j.markUnwritable(err)
 	}
 	return j, r, nil
 }
@@ -152,15 +152,15 @@
 	var s *state
 	var r *Report
 	var err error
-	for range readTries { // a relay that runs may take a segment away just then
-		if s, r, err = load(Disk, dir, clock.BootID(), SystemClocks); !errors.Is(err, fs.ErrNotExist) {
+	for range maxReadAttempts { // a relay that runs may take a segment away just then
+		if s, r, err = loadState(Disk, dir, clock.BootID(), SystemClocks); !errors.Is(err, fs.ErrNotExist) {
 			break
 		}
 	}
 	if err != nil {
 		return nil, r, fmt.Errorf("journal: %w", err)
 	}
-	return &Journal{state: s, o: Options{Files: Disk, Clocks: SystemClocks}, dir: dir, broken: errors.New("opened to be read")}, r, nil
+	return &Journal{state: s, options: Options{Files: Disk, Clocks: SystemClocks}, dir: dir, writeError: errors.New("opened to be read")}, r, nil
 }
 
 // Close closes the segment. What was not committed is lost.
@@ -174,7 +174,7 @@
 }
 
 // Entries are the messages taken on and not over, in the order in which they were taken on.
-func (j *Journal) Entries() []*Entry { return j.all() }
+func (j *Journal) Entries() []*Entry { return j.liveEntries() }
 
 // Get gives a message that is not over, or nil.
 func (j *Journal) Get(id string) *Entry { return j.entries[id] }
@@ -190,105 +190,107 @@
 	if j.list.Text == nil {
 		return
 	}
-	j.live -= j.listLen
-	j.list, j.listLen = LegacyEndpointList{}, 0
-	if j.broken != nil {
+	j.liveSize -= j.listSize
+	j.list, j.listSize = LegacyEndpointList{}, 0
+	if j.writeError != nil {
 		return // the next segment begins without it
 	}
-	if err := j.begin(); err != nil {
-		j.fail(err)
+	if err := j.compact(); err != nil {
+		j.markUnwritable(err)
 	}
 }
 
 // WriteError tells why nothing can be written, or gives nil.
-func (j *Journal) WriteError() error { return j.broken }
+func (j *Journal) WriteError() error { return j.writeError }
 
 // Reserve tells whether a message may be taken on, and keeps room for it until the next Commit: all that is
 // live must fit twice, or no new segment could be begun.
 func (j *Journal) Reserve(e *Entry) bool {
-	if j.broken != nil || 2*(j.live+j.reserved+need(e)) > j.limit {
+	if j.writeError != nil || 2*(j.liveSize+j.reserved+requiredSize(e)) > j.sizeLimit {
 		return false
 	}
-	j.reserved += need(e)
+	j.reserved += requiredSize(e)
 	return true
 }
 
-// need is the room that an entry takes up, with its later records.
-func need(e *Entry) int { return len(e.Body) + 4*len(e.ID) + len(e.Key) + attemptsRoom }
+// requiredSize is the room that an entry takes up, with its later records.
+func requiredSize(e *Entry) int { return len(e.Body) + 4*len(e.ID) + len(e.Key) + laterRecordsReserve }
 
 // Accept notes a message taken on.
 func (j *Journal) Accept(e *Entry) {
 	if e.AcceptedAt.IsZero() {
-		e.AcceptedAt = j.o.Clocks.Now()
+		e.AcceptedAt = j.options.Clocks.Now()
 	}
-	j.note(record{op: opTaken, ref: j.seq + 1, entry: e})
-	j.fresh = append(j.fresh, e)
+	j.appendRecord(record{op: opAccepted, entrySeq: j.lastSequence + 1, entry: e})
+	j.uncommitted = append(j.uncommitted, e)
 }
 
 // StartAttempt notes an attempt; it must be committed before the attempt's first byte goes out.
 func (j *Journal) StartAttempt(e *Entry, host string, at instant.Time) {
-	j.note(record{op: opBegun, ref: e.ref, host: host, at: at})
+	j.appendRecord(record{op: opAttemptStarted, entrySeq: e.seq, host: host, at: at})
 }
 
 // EndAttempt notes the outcome of a message's last attempt.
-func (j *Journal) EndAttempt(e *Entry, unrun bool) {
-	j.note(record{op: opEnded, ref: e.ref, flag: unrun})
+func (j *Journal) EndAttempt(e *Entry, notExecuted bool) {
+	j.appendRecord(record{op: opAttemptEnded, entrySeq: e.seq, flag: notExecuted})
 }
 
 // RecordPendingNotification notes that a message ends by a notice.
 func (j *Journal) RecordPendingNotification(e *Entry, n Notification) {
-	j.note(record{op: opOwed, ref: e.ref, notice: n})
+	j.appendRecord(record{op: opNotificationPending, entrySeq: e.seq, notification: n})
 }
 
 // Complete notes that nothing more is owed for a message.
-func (j *Journal) Complete(e *Entry) { j.note(record{op: opOver, ref: e.ref}) }
+func (j *Journal) Complete(e *Entry) { j.appendRecord(record{op: opCompleted, entrySeq: e.seq}) }
 
 // RecordHealth notes what a later process has to know of a host's outage.
 func (j *Journal) RecordHealth(host string, h HealthRecord) {
-	j.note(record{op: opHealth, host: host, flag: h.Ejected, at: h.ChangedAt})
+	j.appendRecord(record{op: opHealth, host: host, flag: h.Ejected, at: h.ChangedAt})
 }
 
 // DropHealth drops what is remembered of a host that is gone; the files forget with the next segment.
 func (j *Journal) DropHealth(host string) { delete(j.health, host) }
 
 // RecordLegacyList notes a list of hosts as programs of before did, for tests and for folders that go back to one.
-func (j *Journal) RecordLegacyList(l LegacyEndpointList) { j.note(record{op: opList, list: l}) }
+func (j *Journal) RecordLegacyList(l LegacyEndpointList) {
+	j.appendRecord(record{op: opLegacyList, list: l})
+}
 
-// note applies a record and buffers it.
-func (j *Journal) note(r record) {
+// appendRecord applies a record and buffers it.
+func (j *Journal) appendRecord(r record) {
 	j.apply(&r)
-	j.seq++
-	if j.broken == nil { // else the next segment begins with all that is live
-		j.pending, _ = frame(j.pending, &r, j.seq, j.before, j.clocks)
+	j.lastSequence++
+	if j.writeError == nil { // else the next segment begins with all that is live
+		j.buffered, _ = appendFramed(j.buffered, &r, j.lastSequence, j.previousDigest, j.clocks)
 	}
-	j.before = r.gist()
+	j.previousDigest = r.digest()
 }
 
 // Commit writes what was noted, and makes it durable. After an error nothing that needs a record may go on; a later
 // Commit begins a new segment from what is in memory, at once the first time, and then from time to time.
 func (j *Journal) Commit() error {
 	j.reserved = 0
-	defer func() { j.fresh = j.fresh[:0] }()
-	n := len(j.pending)
-	if n == 0 && j.broken == nil {
+	defer func() { j.uncommitted = j.uncommitted[:0] }()
+	n := len(j.buffered)
+	if n == 0 && j.writeError == nil {
 		return nil
 	}
-	if j.broken != nil && j.o.Clocks.Now().Sub(j.tried) < tryAgain {
-		j.pending = j.pending[:0]
-		return fmt.Errorf("journal: %w", j.broken)
+	if j.writeError != nil && j.options.Clocks.Now().Sub(j.lastRecoveryAttempt) < recoveryInterval {
+		j.buffered = j.buffered[:0]
+		return fmt.Errorf("journal: %w", j.writeError)
 	}
 	var err error
-	switch full := j.size+n+j.live > j.limit; {
-	case j.broken != nil || full || j.size+n > 2*j.live+slackSize:
-		err = j.begin()
+	switch full := j.segmentSize+n+j.liveSize > j.sizeLimit; {
+	case j.writeError != nil || full || j.segmentSize+n > 2*j.liveSize+compactionSlack:
+		err = j.compact()
 	case j.file == nil:
 		err = errClosed
 	default:
-		err = j.append(n)
+		err = j.writeBuffered(n)
 	}
-	j.pending = j.pending[:0]
+	j.buffered = j.buffered[:0]
 	if err != nil && err != errClosed {
-		j.fail(err)
+		j.markUnwritable(err)
 	}
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
@@ -296,64 +298,64 @@
 	return nil
 }
 
-// append writes what was noted to the segment.
-func (j *Journal) append(n int) error {
-	if err := writeAll(j.file, j.pending); err != nil {
-		if cut := j.file.Truncate(int64(j.size)); cut != nil {
+// writeBuffered writes what was noted to the segment.
+func (j *Journal) writeBuffered(n int) error {
+	if err := writeAll(j.file, j.buffered); err != nil {
+		if cut := j.file.Truncate(int64(j.segmentSize)); cut != nil {
 			slog.Warn("journal: what was written in part stays", "err", cut)
 		}
 		return err
 	}
-	if j.o.SurvivesPowerLoss {
+	if j.options.SurvivesPowerLoss {
 		if err := j.file.Sync(); err != nil {
-			j.undo(j.file)
+			j.revokeUncommitted(j.file)
 			return err
 		}
 	}
-	j.size += n
+	j.segmentSize += n
 	return nil
 }
 
-// undo takes back the messages that were taken on by a write which is not durable: nobody is told that they were, and a
+// revokeUncommitted takes back the messages that were taken on by a write which is not durable: nobody is told that they were, and a
 // process that finds them in the segment after a kill must not deliver them.
-func (j *Journal) undo(f File) {
+func (j *Journal) revokeUncommitted(f File) {
 	var b []byte
-	for _, e := range j.fresh {
-		j.seq++
-		r := record{op: opOver, ref: e.ref}
-		b, _ = frame(b, &r, j.seq, j.before, j.clocks)
-		j.before = r.gist()
+	for _, e := range j.uncommitted {
+		j.lastSequence++
+		r := record{op: opCompleted, entrySeq: e.seq}
+		b, _ = appendFramed(b, &r, j.lastSequence, j.previousDigest, j.clocks)
+		j.previousDigest = r.digest()
 	}
 	if len(b) == 0 {
 		return
 	}
 	if err := writeAll(f, b); err != nil {
-		slog.Warn("journal: messages that were not taken on may stay in a segment", "messages", len(j.fresh), "err", err)
+		slog.Warn("journal: messages that were not taken on may stay in a segment", "messages", len(j.uncommitted), "err", err)
 	}
 }
 
 // Retry begins a new segment where the last one can't be written on, if it is time for that; it tells whether the
 // journal can be written to.
-func (j *Journal) Retry() bool { return j.broken == nil || j.Commit() == nil }
+func (j *Journal) Retry() bool { return j.writeError == nil || j.Commit() == nil }
 
-// fail gives a segment up.
-func (j *Journal) fail(err error) {
-	if j.broken == nil {
+// markUnwritable gives a segment up.
+func (j *Journal) markUnwritable(err error) {
+	if j.writeError == nil {
 		slog.Error("journal: nothing is taken on until it can be written", "err", err)
-		j.tried = 0 // the reason may be gone with a new file
+		j.lastRecoveryAttempt = 0 // the reason may be gone with a new file
 	} else {
-		j.tried = j.o.Clocks.Now()
+		j.lastRecoveryAttempt = j.options.Clocks.Now()
 	}
-	j.broken = err
-	j.leave()
+	j.writeError = err
+	j.closeSegment()
 }
 
-// leave gives up the present segment, which stays until the next one is durable.
-func (j *Journal) leave() {
+// closeSegment gives up the present segment, which stays until the next one is durable.
+func (j *Journal) closeSegment() {
 	if j.file != nil {
 		_ = j.file.Close()
 		j.file = nil
-		j.old = append(j.old, filepath.Join(j.dir, segmentFile(j.segment)))
+		j.obsolete = append(j.obsolete, filepath.Join(j.dir, segmentFileName(j.segment)))
 	}
 }
 
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -80,7 +80,7 @@
 // segmentOf gives the only segment of a folder.
 func segmentOf(t *testing.T, dir string) string {
 	t.Helper()
-	found, err := filepath.Glob(filepath.Join(dir, segmentName+"*"))
+	found, err := filepath.Glob(filepath.Join(dir, segmentPrefix+"*"))
 	if err != nil || len(found) != 1 {
 		t.Fatalf("segments %v, %v", found, err)
 	}
@@ -94,7 +94,7 @@
 	j := openJournal(t, dir, 3)
 	j.Accept(&Entry{ID: "a", Body: []byte("1")})
 	commit(t, j)
-	whole := j.size
+	whole := j.segmentSize
 	j.Accept(&Entry{ID: "b", Body: []byte("2")})
 	commit(t, j)
 	path := segmentOf(t, dir)
@@ -233,7 +233,7 @@
 			t.Errorf("%s: attempts %+v", e.ID, e.Attempts)
 		}
 	}
-	if found, _ := filepath.Glob(filepath.Join(dir, damagedName+"*")); len(found) != 1 {
+	if found, _ := filepath.Glob(filepath.Join(dir, quarantinePrefix+"*")); len(found) != 1 {
 		t.Errorf("set aside: %v", found)
 	}
 }
@@ -274,8 +274,8 @@
 	if _, _, err := Open(dir, Options{DiskMB: 3, Relay: "n2"}); err == nil {
 		t.Error("another relay's folder is taken")
 	}
-	path := filepath.Join(dir, segmentFile(7))
-	newer := header{format: Format + 1, segment: 7, first: 1}.encode()
+	path := filepath.Join(dir, segmentFileName(7))
+	newer := header{format: Format + 1, segment: 7, firstSequence: 1}.encode()
 	if err := os.WriteFile(path, newer, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -309,11 +309,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, v1Name), raw, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, formatV1File), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	j := openJournal(t, dir, 3)
-	if _, err := os.Stat(filepath.Join(dir, v1Name)); err == nil {
+	if _, err := os.Stat(filepath.Join(dir, formatV1File)); err == nil {
 		t.Error("the old file stays")
 	}
 	back, err := j.encodeV1()
@@ -343,11 +343,11 @@
 		}
 		commit(t, j)
 		// At worst both the old file and a new one with all that is live.
-		if j.size+j.live > mb*1e6 {
-			t.Fatalf("%d bytes on disk with %d live", j.size, j.live)
+		if j.segmentSize+j.liveSize > mb*1e6 {
+			t.Fatalf("%d bytes on disk with %d live", j.segmentSize, j.liveSize)
 		}
-		if st, err := os.Stat(segmentOf(t, dir)); err != nil || int(st.Size()) != j.size {
-			t.Fatalf("file of %v bytes (%v), %d counted", st, err, j.size)
+		if st, err := os.Stat(segmentOf(t, dir)); err != nil || int(st.Size()) != j.segmentSize {
+			t.Fatalf("file of %v bytes (%v), %d counted", st, err, j.segmentSize)
 		}
 	}
 	if refused == 0 {
--- a/internal/journal/live_capacity_bench_test.go
+++ b/internal/journal/live_capacity_bench_test.go
@@ -30,14 +30,14 @@
 			}
 			memory := heapInUse() - before
 			for b.Loop() {
-				if err := j.begin(); err != nil {
+				if err := j.compact(); err != nil {
 					b.Fatal(err)
 				}
 			}
 			messages := float64(live)
 			b.ReportMetric(memory/messages, "B-memory/message")
-			b.ReportMetric(float64(j.size)/messages, "B-disk/message")
-			b.ReportMetric(2*float64(j.live)/messages, "B-room/message")
+			b.ReportMetric(float64(j.segmentSize)/messages, "B-disk/message")
+			b.ReportMetric(2*float64(j.liveSize)/messages, "B-room/message")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/messages, "ns/message")
 			runtime.KeepAlive(j)
 		})
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -308,7 +308,7 @@
 			}
 		}
 		if i%4 == 3 {
-			j.size = 1 << 30 // the next segment is due
+			j.segmentSize = 1 << 30 // the next segment is due
 		}
 		if j.Commit() != nil {
 			continue
--- a/internal/journal/prefix_test.go
+++ b/internal/journal/prefix_test.go
@@ -56,7 +56,7 @@
 	for n := range len(old) {
 		cut := t.TempDir()
 		writeFile(t, filepath.Join(cut, filepath.Base(path)), old)
-		writeFile(t, filepath.Join(cut, segmentFile(9)+newSuffix), old[:n])
+		writeFile(t, filepath.Join(cut, segmentFileName(9)+unfinishedSuffix), old[:n])
 		after, r, err := Open(cut, Options{DiskMB: 3})
 		if err != nil || after.Get("before") == nil || !r.Complete() {
 			t.Fatalf("%d of %d bytes: %v, %+v", n, len(old), err, r)
--- a/internal/journal/refused_test.go
+++ b/internal/journal/refused_test.go
@@ -19,7 +19,7 @@
 			j.Accept(&Entry{ID: "before", Class: "order"})
 			commit(t, j)
 			if compaction {
-				j.size = j.limit
+				j.segmentSize = j.sizeLimit
 			}
 			j.Accept(&Entry{ID: "fresh", Class: "order"})
 			m.failAt, m.failFor, m.failure = m.calls+call, 1, syscall.EIO
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -53,140 +53,140 @@
 
 // state is what a journal holds, in memory.
 type state struct {
-	entries map[string]*Entry
-	byRef   map[uint64]*Entry
-	order   []*Entry // as taken; those that are over leave at the next compaction
-	health  map[string]HealthRecord
-	list    LegacyEndpointList
-	live    int // bytes that the entries and the list need, with room for later records
-	listLen int
+	entries  map[string]*Entry
+	bySeq    map[uint64]*Entry
+	order    []*Entry // as taken; those that are over leave at the next compaction
+	health   map[string]HealthRecord
+	list     LegacyEndpointList
+	liveSize int // bytes that the entries and the list need, with room for later records
+	listSize int
 }
 
 func newState() *state {
-	return &state{entries: map[string]*Entry{}, byRef: map[uint64]*Entry{}, health: map[string]HealthRecord{}}
+	return &state{entries: map[string]*Entry{}, bySeq: map[uint64]*Entry{}, health: map[string]HealthRecord{}}
 }
 
 // apply changes the state by one record.
 func (s *state) apply(r *record) {
 	switch r.op {
-	case opTaken, opKept:
+	case opAccepted, opSnapshotEntry:
 		e := r.entry
-		e.ref = r.ref
+		e.seq = r.entrySeq
 		if old := s.entries[e.ID]; old != nil {
-			s.over(old)
+			s.remove(old)
 		}
-		s.entries[e.ID], s.byRef[e.ref] = e, e
+		s.entries[e.ID], s.bySeq[e.seq] = e, e
 		s.order = append(s.order, e)
-		s.live += need(e)
+		s.liveSize += requiredSize(e)
 		return
 	case opHealth:
 		s.health[r.host] = HealthRecord{Ejected: r.flag, ChangedAt: r.at}
 		return
-	case opList:
-		s.live -= s.listLen
-		s.list, s.listLen = r.list, max(len(r.list.Text), r.list.Endpoints*memberRoom)
-		s.live += s.listLen
+	case opLegacyList:
+		s.liveSize -= s.listSize
+		s.list, s.listSize = r.list, max(len(r.list.Text), r.list.Endpoints*endpointReserve)
+		s.liveSize += s.listSize
 		return
 	}
-	e := s.byRef[r.ref]
+	e := s.bySeq[r.entrySeq]
 	if e == nil {
 		return
 	}
 	switch r.op {
-	case opBegun:
+	case opAttemptStarted:
 		e.Attempts = append(e.Attempts, Attempt{Host: r.host, StartedAt: r.at})
-	case opEnded:
+	case opAttemptEnded:
 		if n := len(e.Attempts); n > 0 {
 			e.Attempts[n-1].Ended, e.Attempts[n-1].NotExecuted = true, r.flag
 		}
-	case opOwed:
-		e.PendingNotification = &Notification{ID: e.ID, Status: r.notice.Status, RetryAfterMS: r.notice.RetryAfterMS}
-	case opOver:
-		s.over(e)
+	case opNotificationPending:
+		e.PendingNotification = &Notification{ID: e.ID, Status: r.notification.Status, RetryAfterMS: r.notification.RetryAfterMS}
+	case opCompleted:
+		s.remove(e)
 	}
 }
 
-func (s *state) over(e *Entry) {
+func (s *state) remove(e *Entry) {
 	delete(s.entries, e.ID)
-	delete(s.byRef, e.ref)
-	s.live -= need(e)
+	delete(s.bySeq, e.seq)
+	s.liveSize -= requiredSize(e)
 }
 
-// all are the messages that are not over, in the order in which they were taken on.
-func (s *state) all() []*Entry {
+// liveEntries are the messages that are not over, in the order in which they were taken on.
+func (s *state) liveEntries() []*Entry {
 	return slices.DeleteFunc(slices.Clone(s.order), func(e *Entry) bool { return s.entries[e.ID] != e })
 }
 
-// doubt notes that an attempt of a message may be missing: one that may have run, as early as it can have been.
-func doubt(e *Entry) {
+// addUncertainAttempt notes that an attempt of a message may be missing: one that may have run, as early as it can have been.
+func addUncertainAttempt(e *Entry) {
 	if e.PendingNotification == nil {
 		e.Attempts = append(e.Attempts, Attempt{StartedAt: e.AcceptedAt, Uncertain: true})
 	}
 }
 
-func (s *state) doubtAll() {
+func (s *state) addUncertainAttempts() {
 	for _, e := range s.entries {
-		doubt(e)
+		addUncertainAttempt(e)
 	}
 }
 
-// missing takes in that records are missing, the last of which has a gist. All of them come after the snapshot, or
+// inferMissing takes in that records are missing, the last of which has a gist. All of them come after the snapshot, or
 // are part of it.
-func (s *state) missing(n uint64, gist uint32, inSnapshot bool) (what string) {
+func (s *state) inferMissing(n uint64, gist uint32, inSnapshot bool) (what string) {
 	if n == 0 {
 		return ""
 	}
 	o := op(gist >> 24)
 	if n > 1 && !inSnapshot {
-		s.doubtAll()
+		s.addUncertainAttempts()
 	}
-	for ref, e := range s.byRef {
+	for ref, e := range s.bySeq {
 		if uint32(ref)&0xffffff != gist&0xffffff {
 			continue
 		}
 		switch o {
-		case opBegun:
+		case opAttemptStarted:
 			if n == 1 {
-				doubt(e)
+				addUncertainAttempt(e)
 			}
-		case opOwed:
+		case opNotificationPending:
 			e.PendingNotification = &Notification{ID: e.ID, Status: "undeliverable"}
-		case opOver:
-			s.over(e)
+		case opCompleted:
+			s.remove(e)
 		}
 	}
 	return o.String()
 }
 
-// window reads a file piece by piece.
-type window struct {
-	from io.Reader
-	size int64
-	room []byte
-	buf  []byte // the part of room that was read and not passed over
-	pos  int64  // of buf[0] in the file
-	err  error
+// scanner reads a file piece by piece.
+type scanner struct {
+	source  io.Reader
+	size    int64
+	storage []byte
+	buf     []byte // the part of room that was read and not passed over
+	offset  int64  // of buf[0] in the file
+	err     error
 }
 
 // readSize is how much is read at once.
 const readSize = 256 << 10
 
-// have tells whether n bytes are there from the position on, and reads them if need be.
-func (w *window) have(n int) bool {
+// fill tells whether n bytes are there from the position on, and reads them if need be.
+func (w *scanner) fill(n int) bool {
 	for len(w.buf) < n && w.err == nil {
-		if w.pos+int64(len(w.buf)) >= w.size {
+		if w.offset+int64(len(w.buf)) >= w.size {
 			return false
 		}
 		if cap(w.buf)-len(w.buf) < readSize {
-			if len(w.room) < n+readSize {
-				w.room = make([]byte, max(2*readSize, n+readSize))
+			if len(w.storage) < n+readSize {
+				w.storage = make([]byte, max(2*readSize, n+readSize))
 			}
-			w.buf = w.room[:copy(w.room, w.buf)]
+			w.buf = w.storage[:copy(w.storage, w.buf)]
 		}
-		got, err := w.from.Read(w.buf[len(w.buf):min(cap(w.buf), len(w.buf)+readSize)])
+		got, err := w.source.Read(w.buf[len(w.buf):min(cap(w.buf), len(w.buf)+readSize)])
 		w.buf = w.buf[:len(w.buf)+got]
 		if err == io.EOF {
-			w.size = w.pos + int64(len(w.buf))
+			w.size = w.offset + int64(len(w.buf))
 		} else if err != nil {
 			w.err = err
 		}
@@ -194,50 +194,50 @@
 	return len(w.buf) >= n
 }
 
-func (w *window) skip(n int) {
-	w.buf, w.pos = w.buf[n:], w.pos+int64(n)
+func (w *scanner) advance(n int) {
+	w.buf, w.offset = w.buf[n:], w.offset+int64(n)
 }
 
-// left is how many bytes follow.
-func (w *window) left() int64 { return w.size - w.pos }
+// remaining is how many bytes follow.
+func (w *scanner) remaining() int64 { return w.size - w.offset }
 
-// framed gives the record at the position, if one is there whole and its checksum is right.
-func (w *window) framed() ([]byte, bool) {
-	if !w.have(recordHead) || binary.LittleEndian.Uint32(w.buf) != marker {
+// frame gives the record at the position, if one is there whole and its checksum is right.
+func (w *scanner) frame() ([]byte, bool) {
+	if !w.fill(recordHeaderSize) || binary.LittleEndian.Uint32(w.buf) != recordMarker {
 		return nil, false
 	}
 	n := binary.LittleEndian.Uint32(w.buf[4:])
-	if n > maxRecord || int64(n)+recordHead > w.left() || !w.have(recordHead+int(n)) {
+	if n > maxPayloadSize || int64(n)+recordHeaderSize > w.remaining() || !w.fill(recordHeaderSize+int(n)) {
 		return nil, false
 	}
-	b := w.buf[:recordHead+int(n)]
-	return b, checksum(b) == binary.LittleEndian.Uint32(b[20:])
+	b := w.buf[:recordHeaderSize+int(n)]
+	return b, frameChecksum(b) == binary.LittleEndian.Uint32(b[20:])
 }
 
-// unfinished tells whether what is at the position is the begin of a record whose rest was never written.
-func (w *window) unfinished() bool {
-	if !w.have(recordHead) {
+// atTornRecord tells whether what is at the position is the begin of a record whose rest was never written.
+func (w *scanner) atTornRecord() bool {
+	if !w.fill(recordHeaderSize) {
 		return true
 	}
 	n := binary.LittleEndian.Uint32(w.buf[4:])
-	return binary.LittleEndian.Uint32(w.buf) == marker && n <= maxRecord && int64(n)+recordHead > w.left()
+	return binary.LittleEndian.Uint32(w.buf) == recordMarker && n <= maxPayloadSize && int64(n)+recordHeaderSize > w.remaining()
 }
 
-var markerBytes = binary.LittleEndian.AppendUint32(nil, marker)
+var markerBytes = binary.LittleEndian.AppendUint32(nil, recordMarker)
 
-// next moves on to the next good record with a sequence above one, and tells whether there is any.
-func (w *window) next(above uint64) bool {
-	for w.left() >= recordHead {
-		if !w.have(readSize) && !w.have(recordHead) {
+// resync moves on to the next good record with a sequence above one, and tells whether there is any.
+func (w *scanner) resync(above uint64) bool {
+	for w.remaining() >= recordHeaderSize {
+		if !w.fill(readSize) && !w.fill(recordHeaderSize) {
 			return false
 		}
 		i := bytes.Index(w.buf[1:], markerBytes)
 		if i < 0 {
-			w.skip(max(1, len(w.buf)-len(markerBytes)))
+			w.advance(max(1, len(w.buf)-len(markerBytes)))
 			continue
 		}
-		w.skip(i + 1)
-		if b, ok := w.framed(); ok && binary.LittleEndian.Uint64(b[8:]) > above {
+		w.advance(i + 1)
+		if b, ok := w.frame(); ok && binary.LittleEndian.Uint64(b[8:]) > above {
 			return true
 		}
 	}
@@ -245,67 +245,67 @@
 }
 
 // readHeader reads a segment's header.
-func (w *window) readHeader(name string) (h header, err error) {
+func (w *scanner) readHeader(name string) (h header, err error) {
 	bad := errors.New("the header can't be read")
-	if !w.have(headerHead) || string(w.buf[:8]) != magic {
+	if !w.fill(segmentHeaderSize) || string(w.buf[:8]) != magic {
 		return h, bad
 	}
 	h.format = binary.LittleEndian.Uint32(w.buf[8:])
 	n := binary.LittleEndian.Uint32(w.buf[12:])
-	if n > maxHeader || !w.have(headerHead+int(n)+4) {
+	if n > maxSegmentHeaderSize || !w.fill(segmentHeaderSize+int(n)+4) {
 		return h, bad
 	}
-	end := headerHead + int(n)
+	end := segmentHeaderSize + int(n)
 	if crc32.Checksum(w.buf[:end], castagnoli) != binary.LittleEndian.Uint32(w.buf[end:]) {
 		return h, bad
 	}
 	if h.format > Format {
 		return h, &NewerError{name, h.format}
 	}
-	in := input{b: w.buf[headerHead:end]}
-	h.segment, h.first, h.power, h.boot, h.relay = in.num(), in.num(), in.flag(), in.text(), in.text()
-	if in.bad {
+	in := payloadReader{rest: w.buf[segmentHeaderSize:end]}
+	h.segment, h.firstSequence, h.survivesPowerLoss, h.boot, h.relay = in.uvarint(), in.uvarint(), in.boolean(), in.str(), in.str()
+	if in.malformed {
 		return h, bad
 	}
-	h.clocks = clock.Pair{At: instant.Time(in.signed()), Wall: clock.Wall(in.signed())}
-	if in.bad { // of a program that wrote none
+	h.clocks = clock.Pair{At: instant.Time(in.varint()), Wall: clock.Wall(in.varint())}
+	if in.malformed { // of a program that wrote none
 		h.clocks = clock.Pair{}
 	}
-	w.skip(end + 4)
+	w.advance(end + 4)
 	return h, nil
 }
 
 // readSegment replays a segment. ok tells whether its snapshot is whole.
 func readSegment(from io.Reader, size int64, name string, boot string) (s *state, r *Report, ok bool, err error) {
 	s, r = newState(), &Report{File: name, Bytes: size}
-	w := &window{from: from, size: size}
+	w := &scanner{source: from, size: size}
 	h, err := w.readHeader(name)
 	if newer := new(NewerError); errors.As(err, &newer) {
 		return nil, r, false, err
 	}
-	r.Format, r.Relay, r.SurvivesPowerLoss, r.Boot, r.segment, r.clocks = Format, h.relay, h.power, h.boot, h.segment, h.clocks
+	r.Format, r.Relay, r.SurvivesPowerLoss, r.Boot, r.segment, r.clocks = Format, h.relay, h.survivesPowerLoss, h.boot, h.segment, h.clocks
 	clocks := h.clocks
 	if clocks == (clock.Pair{}) {
-		clocks = unknownPair
+		clocks = wallClockOnly
 	}
-	last := h.first - 1
+	last := h.firstSequence - 1
 	if err != nil {
 		last = 0
 	}
 	r.Rebooted = h.boot != "" && boot != "" && h.boot != boot
-	known := names{}
+	known := interner{}
 	var count uint64
 	var sum uint32
 	snapshot := true // its end is still to come
 	headless := err != nil
-	for w.left() > 0 && w.err == nil {
-		b, good := w.framed()
+	for w.remaining() > 0 && w.err == nil {
+		b, good := w.frame()
 		if good {
 			good = binary.LittleEndian.Uint64(b[8:]) > last
 		}
 		if !good {
-			at, torn := w.pos, w.unfinished()
-			if !w.next(last) {
+			at, torn := w.offset, w.atTornRecord()
+			if !w.resync(last) {
 				rest := size - at
 				// Where the machine went on, what was written is there: then only a write that was cut short
 				// leaves an unfinished record, and what else can't be read was damaged later.
@@ -313,69 +313,69 @@
 					r.Torn = rest
 				} else {
 					r.Damage = append(r.Damage, Damage{Offset: at, Length: rest, file: name, LastRecord: "the end"})
-					s.doubtAll()
+					s.addUncertainAttempts()
 				}
 				break
 			}
-			b, _ = w.framed()
-			r.Damage = append(r.Damage, Damage{Offset: at, Length: w.pos - at, file: name})
+			b, _ = w.frame()
+			r.Damage = append(r.Damage, Damage{Offset: at, Length: w.offset - at, file: name})
 		}
 		seq := binary.LittleEndian.Uint64(b[8:])
 		var rec record
-		if err := rec.parse(b[recordHead:], known, clocks); err != nil { // its checksum is right: this program can't know it
-			r.Damage = append(r.Damage, Damage{Offset: w.pos, Length: int64(len(b)), FirstSequence: seq, Missing: 1, LastRecord: err.Error(), file: name})
-			s.doubtAll()
+		if err := rec.decodePayload(b[recordHeaderSize:], known, clocks); err != nil { // its checksum is right: this program can't know it
+			r.Damage = append(r.Damage, Damage{Offset: w.offset, Length: int64(len(b)), FirstSequence: seq, Missing: 1, LastRecord: err.Error(), file: name})
+			s.addUncertainAttempts()
 			last = seq
-			w.skip(len(b))
+			w.advance(len(b))
 			continue
 		}
 		if gap := seq - last - 1; gap > 0 && !(headless && count == 0) {
-			inSnapshot := snapshot && (rec.op == opKept || rec.op == opHealth || rec.op == opList || rec.op == opSnapshot)
-			if n := len(r.Damage); n == 0 || r.Damage[n-1].Offset+r.Damage[n-1].Length != w.pos {
-				r.Damage = append(r.Damage, Damage{Offset: w.pos, file: name})
+			inSnapshot := snapshot && (rec.op == opSnapshotEntry || rec.op == opHealth || rec.op == opLegacyList || rec.op == opSnapshotEnd)
+			if n := len(r.Damage); n == 0 || r.Damage[n-1].Offset+r.Damage[n-1].Length != w.offset {
+				r.Damage = append(r.Damage, Damage{Offset: w.offset, file: name})
 			}
 			d := &r.Damage[len(r.Damage)-1]
-			d.FirstSequence, d.Missing, d.LastRecord = last+1, gap, s.missing(gap, binary.LittleEndian.Uint32(b[16:]), inSnapshot)
+			d.FirstSequence, d.Missing, d.LastRecord = last+1, gap, s.inferMissing(gap, binary.LittleEndian.Uint32(b[16:]), inSnapshot)
 		}
-		if rec.op == opSnapshot {
-			ok = rec.count == count && rec.sum == sum && !headless
+		if rec.op == opSnapshotEnd {
+			ok = rec.snapshotRecords == count && rec.snapshotChecksum == sum && !headless
 			snapshot = false
 		} else {
 			s.apply(&rec)
 		}
 		count++
-		sum = mix(sum, binary.LittleEndian.Uint32(b[20:]))
+		sum = addChecksum(sum, binary.LittleEndian.Uint32(b[20:]))
 		last = seq
 		r.Records++
-		w.skip(len(b))
+		w.advance(len(b))
 	}
 	if w.err != nil {
 		return nil, r, false, fmt.Errorf("%s: %w", name, w.err)
 	}
 	r.LastSequence = last
-	if r.Rebooted && !h.power || headless {
-		s.doubtAll() // nothing was synced, or nobody knows whether it was: any record may be missing
+	if r.Rebooted && !h.survivesPowerLoss || headless {
+		s.addUncertainAttempts() // nothing was synced, or nobody knows whether it was: any record may be missing
 	}
 	return s, r, ok, nil
 }
 
-// mix adds a checksum to the sum of a snapshot's checksums.
-func mix(sum, next uint32) uint32 { return sum*31 + next }
+// addChecksum adds a checksum to the sum of a snapshot's checksums.
+func addChecksum(sum, next uint32) uint32 { return sum*31 + next }
 
-// load finds the newest state in a folder, with its moments on this boot's clock.
-func load(files FS, dir, boot string, clocks Clocks) (*state, *Report, error) {
-	s, r, err := newest(files, dir, boot)
+// loadState finds the newest state in a folder, with its moments on this boot's clock.
+func loadState(files FS, dir, boot string, clocks Clocks) (*state, *Report, error) {
+	s, r, err := readNewest(files, dir, boot)
 	if err != nil {
 		return s, r, err
 	}
 	now := clocks.Now()
 	known := r.clocks != (clock.Pair{})
-	if known && boot != "" && r.Boot == boot && max(s.latest(), r.clocks.At) <= now {
+	if known && boot != "" && r.Boot == boot && max(s.latestInstant(), r.clocks.At) <= now {
 		return s, r, nil
 	}
 	scale := r.clocks
 	if !known {
-		scale = unknownPair
+		scale = wallClockOnly
 	}
 	uptime := time.Duration(0)
 	if r.Rebooted {
@@ -386,8 +386,8 @@
 	return s, r, nil
 }
 
-// newest reads the newest state in a folder, with its moments as they were written.
-func newest(files FS, dir, boot string) (*state, *Report, error) {
+// readNewest reads the newest state in a folder, with its moments as they were written.
+func readNewest(files FS, dir, boot string) (*state, *Report, error) {
 	found, err := files.List(dir)
 	if err != nil {
 		return nil, nil, err
@@ -398,7 +398,7 @@
 		if n, ok := segmentNumber(name); ok {
 			segments = append(segments, n)
 		}
-		v1 = v1 || name == v1Name
+		v1 = v1 || name == formatV1File
 	}
 	slices.Sort(segments)
 	slices.Reverse(segments)
@@ -406,25 +406,25 @@
 	var with *Report
 	var passed []string
 	for _, n := range segments {
-		s, r, ok, err := readFile(files, filepath.Join(dir, segmentFile(n)), boot)
+		s, r, ok, err := readSegmentFile(files, filepath.Join(dir, segmentFileName(n)), boot)
 		if err != nil {
 			return nil, r, err
 		}
 		r.segment = n
 		if r.SkippedSegments = passed; ok {
 			if len(passed) > 0 && !(r.Rebooted && r.SurvivesPowerLoss) {
-				s.doubtAll() // no power loss explains it: the newer segment was whole once
+				s.addUncertainAttempts() // no power loss explains it: the newer segment was whole once
 			}
 			return s, r, nil
 		}
 		r.SkippedSegments = nil
-		passed = append(passed, segmentFile(n))
+		passed = append(passed, segmentFileName(n))
 		if fallback == nil {
 			fallback, with = s, r
 		}
 	}
 	if v1 {
-		s, r, err := loadV1(files, dir)
+		s, r, err := readV1File(files, dir)
 		if err == nil {
 			r.SkippedSegments = passed
 			if len(segments) > 0 {
@@ -440,7 +440,7 @@
 	return fallback, with, nil
 }
 
-func readFile(files FS, path, boot string) (*state, *Report, bool, error) {
+func readSegmentFile(files FS, path, boot string) (*state, *Report, bool, error) {
 	f, size, err := files.Open(path)
 	if err != nil {
 		return nil, nil, false, err
@@ -449,10 +449,10 @@
 	return readSegment(f, size, filepath.Base(path), boot)
 }
 
-// loadV1 reads the form of before, which is one file. Records after an unreadable one are lost in it, attempts among
+// readV1File reads the form of before, which is one file. Records after an unreadable one are lost in it, attempts among
 // them.
-func loadV1(files FS, dir string) (*state, *Report, error) {
-	f, size, err := files.Open(filepath.Join(dir, v1Name))
+func readV1File(files FS, dir string) (*state, *Report, error) {
+	f, size, err := files.Open(filepath.Join(dir, formatV1File))
 	if errors.Is(err, fs.ErrNotExist) {
 		return newState(), &Report{Format: Format}, nil
 	}
@@ -464,13 +464,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	s, r := newState(), &Report{File: v1Name, Format: 1, Bytes: size}
+	s, r := newState(), &Report{File: formatV1File, Format: 1, Bytes: size}
 	rest, torn := s.replayV1(raw, r)
 	if torn {
 		r.Torn = int64(rest)
 	} else if rest > 0 {
-		r.Damage = append(r.Damage, Damage{Offset: size - int64(rest), Length: int64(rest), file: v1Name, LastRecord: "the end"})
-		s.doubtAll()
+		r.Damage = append(r.Damage, Damage{Offset: size - int64(rest), Length: int64(rest), file: formatV1File, LastRecord: "the end"})
+		s.addUncertainAttempts()
 	}
 	return s, r, nil
 }
--- a/internal/journal/timescale.go
+++ b/internal/journal/timescale.go
@@ -23,15 +23,15 @@
 // SystemClocks are the machine's own.
 var SystemClocks = Clocks{Now: clock.Now, Wall: clock.ReadWall, Uptime: clock.Uptime}
 
-// pair reads both clocks.
-func (c Clocks) pair() clock.Pair { return clock.Pair{At: c.Now(), Wall: c.Wall()} }
+// readPair reads both clocks.
+func (c Clocks) readPair() clock.Pair { return clock.Pair{At: c.Now(), Wall: c.Wall()} }
 
-// unknownPair reads the times of a segment that holds no clocks as if the wall clock were the monotonic one. What it gives
+// wallClockOnly reads the times of a segment that holds no clocks as if the wall clock were the monotonic one. What it gives
 // has to be rebased.
-var unknownPair = clock.Pair{At: 1, Wall: 1}
+var wallClockOnly = clock.Pair{At: 1, Wall: 1}
 
-// latest is the last moment in a state that had passed when it was written.
-func (s *state) latest() (last instant.Time) {
+// latestInstant is the last moment in a state that had passed when it was written.
+func (s *state) latestInstant() (last instant.Time) {
 	for _, e := range s.entries {
 		last = max(last, e.AcceptedAt)
 		for _, a := range e.Attempts {
@@ -48,7 +48,7 @@
 // stands now on the state's own scale. Neither a deadline nor a window for repeats gets longer by it: where the wall clock
 // shows an earlier time than the state does, it tells nothing, and the time of all is up.
 func (s *state) rebase(present, now instant.Time, uptime time.Duration) {
-	last := s.latest()
+	last := s.latestInstant()
 	trusted := present >= last
 	present = max(present, last.Add(uptime))
 	move := func(t instant.Time) instant.Time {
@@ -80,8 +80,8 @@
 	}
 }
 
-// boundedWall keeps a time from disk within what can be reckoned with.
-func boundedWall(v int64) clock.Wall {
+// clampWall keeps a time from disk within what can be reckoned with.
+func clampWall(v int64) clock.Wall {
 	const most = math.MaxInt64 / 4
 	return clock.Wall(max(-most, min(v, most)))
 }
--- a/internal/journal/timescale_test.go
+++ b/internal/journal/timescale_test.go
@@ -20,11 +20,11 @@
 // sameV1 tells whether two files of the form of before hold the same records, times but for clockError.
 func sameV1(a, b []byte) bool {
 	for len(a) > 0 && len(b) > 0 {
-		one, oneBody, oneLength, err := readV1(a)
+		one, oneBody, oneLength, err := decodeV1(a)
 		if err != nil {
 			return false
 		}
-		two, twoBody, twoLength, err := readV1(b)
+		two, twoBody, twoLength, err := decodeV1(b)
 		if err != nil {
 			return false
 		}
@@ -163,17 +163,17 @@
 		t.Fatal(err)
 	}
 	length := int(binary.LittleEndian.Uint32(raw[12:]))
-	in := input{b: raw[headerHead : headerHead+length]}
-	in.num()
-	in.num()
-	in.flag()
-	in.text()
-	in.text()
-	kept := length - len(in.b)
-	head := bytes.Clone(raw[:headerHead+kept])
+	in := payloadReader{rest: raw[segmentHeaderSize : segmentHeaderSize+length]}
+	in.uvarint()
+	in.uvarint()
+	in.boolean()
+	in.str()
+	in.str()
+	kept := length - len(in.rest)
+	head := bytes.Clone(raw[:segmentHeaderSize+kept])
 	binary.LittleEndian.PutUint32(head[12:], uint32(kept))
 	head = binary.LittleEndian.AppendUint32(head, crc32.Checksum(head, castagnoli))
-	if err := os.WriteFile(path, append(head, raw[headerHead+length+4:]...), 0o600); err != nil {
+	if err := os.WriteFile(path, append(head, raw[segmentHeaderSize+length+4:]...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/journal/tools.go
+++ b/internal/journal/tools.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Summary{Report: *r, Complete: r.Complete(), ByClass: map[string]int{}, RequiredBytes: j.live, Hosts: j.list.Endpoints}
+	s := &Summary{Report: *r, Complete: r.Complete(), ByClass: map[string]int{}, RequiredBytes: j.liveSize, Hosts: j.list.Endpoints}
 	for _, e := range j.Entries() {
 		s.Live++
 		s.ByClass[e.Class]++
@@ -62,27 +62,27 @@
 	return s, nil
 }
 
-// dumped is one live message as Dump writes it, with wall times for the reader's eye.
-type dumped struct {
-	ID       string          `json:"id"`
-	Class    string          `json:"class,omitempty"`
-	Dest     int             `json:"dest,omitempty"`
-	Key      string          `json:"key,omitempty"`
-	Expires  time.Time       `json:"expires,omitzero"`
-	Taken    time.Time       `json:"taken,omitzero"`
-	Attempts []dumpedAttempt `json:"attempts,omitempty"`
-	Owed     *Notification   `json:"owed,omitempty"`
-	Bytes    int             `json:"body_bytes"`
-	Body     []byte          `json:"body,omitempty"`
+// dumpedEntry is one live message as Dump writes it, with wall times for the reader's eye.
+type dumpedEntry struct {
+	ID                  string          `json:"id"`
+	Class               string          `json:"class,omitempty"`
+	Dest                int             `json:"dest,omitempty"`
+	Key                 string          `json:"key,omitempty"`
+	ExpiresAt           time.Time       `json:"expires,omitzero"`
+	AcceptedAt          time.Time       `json:"taken,omitzero"`
+	Attempts            []dumpedAttempt `json:"attempts,omitempty"`
+	PendingNotification *Notification   `json:"owed,omitempty"`
+	Bytes               int             `json:"body_bytes"`
+	Body                []byte          `json:"body,omitempty"`
 }
 
 // dumpedAttempt is one attempt as Dump writes it.
 type dumpedAttempt struct {
-	Host  string
-	Begun time.Time
-	Ended bool
-	Unrun bool
-	Doubt bool
+	Host        string    `json:"Host"`
+	StartedAt   time.Time `json:"Begun"`
+	Ended       bool      `json:"Ended"`
+	NotExecuted bool      `json:"Unrun"`
+	Uncertain   bool      `json:"Doubt"`
 }
 
 // wallTime gives the wall time of a moment, as the clocks stand now; the zero Time gives the zero one.
@@ -102,8 +102,8 @@
 	out := json.NewEncoder(to)
 	clocks := clock.ReadPair()
 	for _, e := range j.Entries() {
-		d := dumped{ID: e.ID, Class: e.Class, Dest: e.Dest, Key: e.Key, Expires: wallTime(clocks, e.ExpiresAt), Taken: wallTime(clocks, e.AcceptedAt),
-			Owed: e.PendingNotification, Bytes: len(e.Body)}
+		d := dumpedEntry{ID: e.ID, Class: e.Class, Dest: e.Dest, Key: e.Key, ExpiresAt: wallTime(clocks, e.ExpiresAt), AcceptedAt: wallTime(clocks, e.AcceptedAt),
+			PendingNotification: e.PendingNotification, Bytes: len(e.Body)}
 		for _, a := range e.Attempts {
 			d.Attempts = append(d.Attempts, dumpedAttempt{a.Host, wallTime(clocks, a.StartedAt), a.Ended, a.NotExecuted, a.Uncertain})
 		}
@@ -133,9 +133,9 @@
 	if len(there) > 0 {
 		return nil, fmt.Errorf("%s is not empty: a repair goes into a folder of its own", to)
 	}
-	out := &Journal{state: j.state, dir: to, segment: r.segment, seq: r.LastSequence,
-		o: Options{Relay: r.Relay, SurvivesPowerLoss: true, Files: Disk, Boot: clock.BootID(), Clocks: SystemClocks}}
-	if err := out.begin(); err != nil {
+	out := &Journal{state: j.state, dir: to, segment: r.segment, lastSequence: r.LastSequence,
+		options: Options{Relay: r.Relay, SurvivesPowerLoss: true, Files: Disk, Boot: clock.BootID(), Clocks: SystemClocks}}
+	if err := out.compact(); err != nil {
 		return nil, err
 	}
 	return r, out.Close()
@@ -144,20 +144,20 @@
 // Convert gives a folder another form, in place: 1 for a program of before, Format for this one. The files of the form
 // before go once the new ones are durable. The caller has to own the folder.
 func Convert(dir string, format int) (*Report, error) {
-	s, r, err := load(Disk, dir, clock.BootID(), SystemClocks)
+	s, r, err := loadState(Disk, dir, clock.BootID(), SystemClocks)
 	if err != nil {
 		return r, err
 	}
-	j := &Journal{state: s, dir: dir, segment: r.segment, seq: r.LastSequence,
-		o: Options{Relay: r.Relay, SurvivesPowerLoss: true, Files: Disk, Boot: clock.BootID(), Clocks: SystemClocks}}
-	if err := j.clear(); err != nil {
+	j := &Journal{state: s, dir: dir, segment: r.segment, lastSequence: r.LastSequence,
+		options: Options{Relay: r.Relay, SurvivesPowerLoss: true, Files: Disk, Boot: clock.BootID(), Clocks: SystemClocks}}
+	if err := j.scanDir(); err != nil {
 		return r, err
 	}
 	switch format {
 	case 1:
-		return r, j.toV1()
+		return r, j.writeV1()
 	case Format:
-		if err := j.begin(); err != nil {
+		if err := j.compact(); err != nil {
 			return r, err
 		}
 		return r, j.Close()
@@ -165,24 +165,24 @@
 	return r, fmt.Errorf("there is no format %d: they are 1 to %d", format, Format)
 }
 
-// toV1 writes the form of before in the place of the segments.
-func (j *Journal) toV1() error {
+// writeV1 writes the form of before in the place of the segments.
+func (j *Journal) writeV1() error {
 	b, err := j.encodeV1()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(j.dir, v1Name)
-	f, err := Disk.Create(path + newSuffix)
+	path := filepath.Join(j.dir, formatV1File)
+	f, err := Disk.Create(path + unfinishedSuffix)
 	if err != nil {
 		return err
 	}
 	if err := errors.Join(writeAll(f, b), f.Sync(), f.Close()); err != nil {
-		return errors.Join(err, Disk.Remove(path+newSuffix))
+		return errors.Join(err, Disk.Remove(path+unfinishedSuffix))
 	}
-	if err := errors.Join(Disk.Rename(path+newSuffix, path), Disk.SyncDir(j.dir)); err != nil {
+	if err := errors.Join(Disk.Rename(path+unfinishedSuffix, path), Disk.SyncDir(j.dir)); err != nil {
 		return err
 	}
-	for _, old := range j.old {
+	for _, old := range j.obsolete {
 		if old != path {
 			err = errors.Join(err, Disk.Remove(old))
 		}
--- a/internal/journal/tools_test.go
+++ b/internal/journal/tools_test.go
@@ -63,7 +63,7 @@
 			t.Fatal(err)
 		}
 		found, _ := filepath.Glob(filepath.Join(dir, "*"))
-		if len(found) != 1 || (filepath.Base(found[0]) == v1Name) != (format == 1) {
+		if len(found) != 1 || (filepath.Base(found[0]) == formatV1File) != (format == 1) {
 			t.Errorf("format %d: %v", format, found)
 		}
 		got, r, err := Read(dir)
@@ -78,3 +78,22 @@
 		t.Error("there is no format 3")
 	}
 }
+
+// The keys of a dump are read by scripts, so they stay as they were before the fields were renamed.
+func TestDumpKeepsItsKeys(t *testing.T) {
+	dir := t.TempDir()
+	fill(t, openJournal(t, dir, 3), clock.Now().Add(-time.Second))
+	var out strings.Builder
+	if err := Dump(dir, &out, true); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{
+		`"expires":"`, `"taken":"`, `"attempts":[{"Host":"h1","Begun":"`,
+		`,"Ended":true,"Unrun":true,"Doubt":false}`, `"owed":{"id":"owing","status":"deferred","again_ms":30}`,
+		`"body_bytes":10,"body":"`,
+	} {
+		if !strings.Contains(out.String(), want) {
+			t.Errorf("%s is missing in:\n%s", want, out.String())
+		}
+	}
+}
