--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -52,7 +52,7 @@
 		n := NewNode(1, 3, 1, "v", 0, 1, 0)
 		f := Fact{FactID: FactID{kind, 0, "7"}, FactVersion: FactVersion{1, 1}}
 		for at := time.Duration(0); at < 2*bound.ExpiresAfter; at += 100 * time.Millisecond {
-			claim, _ := pack(0, 0, []Fact{{FactID: f.FactID, FactVersion: f.FactVersion, ObservedAt: at}}, at) // always new, it says
+			claim, _ := encodeMessage(0, 0, []Fact{{FactID: f.FactID, FactVersion: f.FactVersion, ObservedAt: at}}, at) // always new, it says
 			n.Receive(0, claim, at)
 			a, ok := n.Get(f.FactID, at)
 			if ok != (at < bound.ExpiresAfter) || ok && (a.Age != at || a.Fading != (at >= bound.FadesAfter)) {
@@ -67,10 +67,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const now = 5 * time.Second
 		all := facts(t)
-		note, n := pack(hasDigest, 77, all, now)
-		m, ok := parse(note)
-		if len(note) > MaxMessageSize || !ok || m.digest != 77 || len(m.facts) != n || n < min(len(all), 8) {
-			t.Fatalf("%d bytes, %v, %d of %d facts", len(note), ok, n, len(all))
+		note, n := encodeMessage(flagDigest, 77, all, now)
+		m, err := decodeMessage(note)
+		if len(note) > MaxMessageSize || err != nil || m.digest != 77 || len(m.facts) != n || n < min(len(all), 8) {
+			t.Fatalf("%d bytes, %v, %d of %d facts", len(note), err, n, len(all))
 		}
 		for i, f := range m.facts {
 			if f.ObservedAt, f.Via = f.ObservedAt+now, all[i].Via; f != all[i] {
@@ -82,18 +82,18 @@
 
 // Any bytes are read or are not; what is read can be written again.
 func FuzzNote(f *testing.F) {
-	note, _ := pack(hasDigest, 7, []Fact{{FactID: FactID{KindDestinationClosed, 3, "7"}, FactVersion: FactVersion{5, 6}, Value: 100}}, time.Second)
+	note, _ := encodeMessage(flagDigest, 7, []Fact{{FactID: FactID{KindDestinationClosed, 3, "7"}, FactVersion: FactVersion{5, 6}, Value: 100}}, time.Second)
 	for n := range note {
 		f.Add(note[:n])
 	}
 	f.Add(note)
 	f.Fuzz(func(t *testing.T, note []byte) {
-		m, ok := parse(note)
-		if !ok {
+		m, err := decodeMessage(note)
+		if err != nil {
 			return
 		}
-		again, n := pack(m.flags, m.digest, m.facts, 0)
-		if back, ok := parse(again); !ok || n != len(m.facts) && len(note) <= MaxMessageSize-10 || len(back.facts) != n {
+		again, n := encodeMessage(m.flags, m.digest, m.facts, 0)
+		if back, err := decodeMessage(again); err != nil || n != len(m.facts) && len(note) <= MaxMessageSize-10 || len(back.facts) != n {
 			t.Fatalf("%x is read, and written as %x", note, again)
 		}
 		node := NewNode(1, 10, 1, "v", 0, 1, 0)
@@ -224,7 +224,7 @@
 			m := newModel(200, c.loss, seed)
 			m.run(3*time.Second, nil)
 			for _, n := range m.nodes { // which takes some beats of each: see TestLoss
-				n.loss = c.loss
+				n.losses.rate = c.loss
 			}
 			m.nodes[17].Observe(KindDestinationClosed, "7", 500, false, m.now, m.now)
 			begun := m.now
@@ -250,7 +250,7 @@
 		m := newModel(c.relays, c.loss, 1)
 		m.run(time.Second, nil)
 		for _, n := range m.nodes {
-			n.loss = c.loss
+			n.losses.rate = c.loss
 		}
 		rest := m.sent
 		m.run(m.now+time.Second, nil)
@@ -274,8 +274,8 @@
 		m := newModel(30, c.loss, 1)
 		m.run(60*time.Second, nil)
 		for i, n := range m.nodes {
-			if math.Abs(n.loss-c.loss) > 0.15 || n.tellings() < c.tellings || c.loss == 0 && n.tellings() > 1 {
-				t.Errorf("with %v lost, relay %d takes it for %.2f and tells %d times", c.loss, i, n.loss, n.tellings())
+			if math.Abs(n.losses.rate-c.loss) > 0.15 || n.losses.transmitLimit() < c.tellings || c.loss == 0 && n.losses.transmitLimit() > 1 {
+				t.Errorf("with %v lost, relay %d takes it for %.2f and tells %d times", c.loss, i, n.losses.rate, n.losses.transmitLimit())
 			}
 		}
 	}
@@ -341,7 +341,7 @@
 	m.nodes[3].Observe(KindDestinationClosed, "7", 0, false, m.now, m.now)
 	m.run(m.now+time.Second, nil)
 	m.cut = func(a, b int) bool { return a == 5 || b == 5 }
-	m.run(m.now+5*beatLeast+3*time.Second, nil)
+	m.run(m.now+5*minHeartbeatInterval+3*time.Second, nil)
 	if live := m.nodes[0].LiveMembers(m.now); slices.Contains(live, 5) || len(live) != 19 || !m.nodes[0].Suspected(5, m.now) {
 		t.Errorf("live %v", live)
 	}
--- a/internal/fleet/gossip_capacity_bench_test.go
+++ b/internal/fleet/gossip_capacity_bench_test.go
@@ -55,7 +55,7 @@
 			for b.Loop() {
 				id := FactID{KindDestinationClosed, uint16(1 + i%1199), fmt.Sprint(i % (facts / 5))}
 				fact := Fact{FactID: id, FactVersion: FactVersion{1_764_000_000, uint32(facts + i)}, Value: 1000}
-				datagram, _ := pack(0, 0, []Fact{fact}, 0)
+				datagram, _ := encodeMessage(0, 0, []Fact{fact}, 0)
 				n.Receive(int(id.Origin), datagram, 0)
 				size += len(datagram)
 				i++
@@ -74,7 +74,7 @@
 			for b.Loop() {
 				id := FactID{KindMember, uint16(1 + i%(relays-1)), "1.2.3"}
 				fact := Fact{FactID: id, FactVersion: FactVersion{1_764_000_000, uint32(i)}, Value: uint64(i) << zoneBits}
-				datagram, _ := pack(0, 0, []Fact{fact}, 0)
+				datagram, _ := encodeMessage(0, 0, []Fact{fact}, 0)
 				n.Receive(int(id.Origin), datagram, 0)
 				size += len(datagram)
 				i++
@@ -111,7 +111,7 @@
 					m.run(m.now+500*time.Millisecond, nil)
 					dropped = 0
 					for i, n := range m.nodes {
-						if i != 5 && n.silence(5, m.now) >= time.Duration(goneAfter*float64(beat)) {
+						if i != 5 && n.silence(5, m.now) >= time.Duration(failureTimeout*float64(beat)) {
 							dropped++
 						}
 					}
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -10,7 +10,7 @@
 
 // say has origin's note with a fact heard by n, from via.
 func say(n *Node, kind Kind, origin, via int, key string, value uint64, seq uint32, at, now time.Duration) {
-	note, _ := pack(0, 0, []Fact{{FactID: FactID{kind, uint16(origin), key}, FactVersion: FactVersion{1, seq}, Value: value, ObservedAt: at}}, now)
+	note, _ := encodeMessage(0, 0, []Fact{{FactID: FactID{kind, uint16(origin), key}, FactVersion: FactVersion{1, seq}, Value: value, ObservedAt: at}}, now)
 	n.Receive(via, note, now)
 }
 
@@ -68,7 +68,7 @@
 		t.Errorf("past its use: %+v", p)
 	}
 	for _, v := range []float64{-1, 0, 65, 1e12, math.Inf(1)} { // numbers at their ends
-		if pace, traffic := paceOf(EncodeRate(v, v, 2)); pace < 0 || pace > 66 || traffic < 0 || traffic > 5e6 {
+		if pace, traffic := decodeRate(EncodeRate(v, v, 2)); pace < 0 || pace > 66 || traffic < 0 || traffic > 5e6 {
 			t.Errorf("%v is told as %v and %v", v, pace, traffic)
 		}
 	}
@@ -93,7 +93,7 @@
 			if n.NextTick() <= m.now {
 				out := n.Tick(m.now)
 				for _, s := range out {
-					if len(s.Message) > 2 && s.Message[2]&isNewcomer != 0 {
+					if len(s.Message) > 2 && s.Message[2]&flagJoin != 0 {
 						asked[s.To] = true
 					}
 				}
@@ -101,7 +101,7 @@
 			}
 			m.run(m.now+5*time.Millisecond, nil)
 		}
-		if len(asked) < 1 || len(asked) > newcomerAsks || asked[Everyone] || loss == 0 && len(asked) > 2 {
+		if len(asked) < 1 || len(asked) > maxJoinRequests || asked[Everyone] || loss == 0 && len(asked) > 2 {
 			t.Errorf("loss %v: asked %v", loss, asked)
 		}
 		known := 0
