--- a/policy/trial.go
+++ b/policy/canary.go
@@ -2,11 +2,21 @@
 
 import (
 	"math"
-
 	"milletsail/internal/instant"
 )
 
-// This file holds the state of endpoints on trial; newcomers.go decides on it.
+const (
+	// failureRateDecay is what each outcome leaves of the earlier ones: about the last fifty count.
+	failureRateDecay = 0.98
+	// maxReportsPerStage bounds the gossip messages of a stage that are told from copies of themselves.
+	maxReportsPerStage = 256
+	// maxCanaryCredit is the number of calls that a canary may save up.
+	maxCanaryCredit = 2
+)
+
+// canaryStageShares of a destination's calls go to its newcomers, over all relays, until they are through, but to
+// none more than to the others.
+var canaryStageShares = [...]float64{0.02, 0.06, 0.2, 0.5}
 
 // canaryState is how an endpoint that is new on the list fares.
 type canaryState struct {
@@ -23,9 +33,6 @@
 // failureRate counts outcomes and those that are bad; older ones fade.
 type failureRate struct{ failed, total float64 }
 
-// failureRateDecay is what is left of the counts with each outcome: about the last fifty count.
-const failureRateDecay = 0.98
-
 func (f *failureRate) add(bad bool) {
 	f.failed, f.total = failureRateDecay*f.failed+indicator(bad), failureRateDecay*f.total+1
 }
@@ -36,9 +43,6 @@
 	return math.Min(1-minFailureShare, share+math.Sqrt(share*(1-share)/(f.total+1)))
 }
 
-// maxReportsPerStage bounds the notes of a stage that are told from copies of themselves.
-const maxReportsPerStage = 256
-
 // startCanaryStage begins a stage.
 func (d *Dispatcher) startCanaryStage(ep *endpoint, no int, at instant.Time) {
 	t := ep.canary
--- a/policy/newcomers.go
+++ b/policy/canary_analysis.go
@@ -6,32 +6,35 @@
 	"time"
 )
 
-// This file decides by how endpoints that are new on the list do (docs/rollout.md), where Settings.Newcomers
-// is on: they begin with a small share of their destination's calls over the whole fleet, get more by
-// evidence, and nothing for a while where they do worse than the destination's older ones.
-
 const (
-	// canaryMaxAge is the age up to which an endpoint that was not known before is new.
+	// canaryMaxAge is the age up to which an endpoint that was not known before is a canary.
 	canaryMaxAge = time.Minute
-	// A stage lasts minStageDuration, and until minStageOutcomes outcomes, of all relays together, or maxStageDuration without
-	// them; and while its outcomes speak by more than stays of what would hold it for its being worse: one
-	// failure does where failures are rare.
-	minStageDuration, maxStageDuration, minStageOutcomes, maxPromotionScore = 2 * time.Second, 4500 * time.Millisecond, 8, 1.0 / 3
-	// A newcomer is worse in a class if its outcomes fit the failing share of the older ones, minFailureShare at
-	// least, regressionLikelihoodRatio less well than one that lies halfway from there to 1 (Wald's likelihood ratio, begun
-	// anew at 0, as in Page's cumulative sum: it may do well at first).
-	minFailureShare, regressionLikelihoodRatio = 0.02, 1000.0
-	// It then gets nothing for initialSuspension, twice as long after each further time, up to maxSuspension, and begins
-	// anew.
-	initialSuspension, maxSuspension = 15 * time.Second, 4 * time.Minute
-	// maxBaselineFailureShare of its calls to older endpoints a relay may see fail and still speak against newcomers.
+	// minStageDuration is the least duration of a stage.
+	minStageDuration = 2 * time.Second
+	// maxStageDuration ends a stage that has fewer than minStageOutcomes outcomes.
+	maxStageDuration = 4500 * time.Millisecond
+	// minStageOutcomes is the number of outcomes, of all relays together, that end a stage before maxStageDuration.
+	minStageOutcomes = 8
+	// maxPromotionScore is the regression score, as a share of the one that suspends a canary, above which it stays
+	// in its stage: one failure is enough where failures are rare.
+	maxPromotionScore = 1.0 / 3
+	// minFailureShare is the least share of failing calls that the baseline is taken to have.
+	minFailureShare = 0.02
+	// regressionLikelihoodRatio suspends a canary: its outcomes fit the baseline's failure share so many times less
+	// well than one halfway from there to 1 (Wald's sequential probability ratio test, restarted at 0 as in Page's
+	// CUSUM, since a canary may do well at first).
+	regressionLikelihoodRatio = 1000.0
+	// initialSuspension is the duration of a canary's first suspension. It doubles with each further one.
+	initialSuspension = 15 * time.Second
+	// maxSuspension bounds the duration of a suspension.
+	maxSuspension = 4 * time.Minute
+	// maxBaselineFailureShare is the share of failing calls to older endpoints up to which a relay's observations
+	// count against canaries; above it, its own network may be the cause.
 	maxBaselineFailureShare = 0.25
+	// maxSuspensionDoublings bounds the shift that doubles a suspension; maxSuspension is reached long before.
+	maxSuspensionDoublings = 8
 )
 
-// canaryStageShares of a destination's calls go to its newcomers, over all relays, until they are through, but to
-// none more than to the others.
-var canaryStageShares = [...]float64{0.02, 0.06, 0.2, 0.5}
-
 // startCanary takes in an endpoint that was not listed before, or has started anew since.
 func (d *Dispatcher) startCanary(ep *endpoint, e Endpoint) {
 	if d.youngEnoughForCanary(e) && e.StartedAt > ep.StartedAt && !e.Draining {
--- a/policy/counter.go
+++ b/policy/decaying_counter.go
@@ -2,11 +2,13 @@
 
 import (
 	"math"
-
 	"milletsail/internal/instant"
+	"time"
 )
 
-// This file holds the counters that admission estimates from.
+// counterTimeConstant is the time constant of the arrival and miss rates (λ and r): some arrivals of each queue,
+// but short enough to follow a jump of traffic.
+const counterTimeConstant = 10 * time.Second
 
 // decayingCounter is a counter whose counts fade with time constant counterAge (in policy.go).
 type decayingCounter struct {
@@ -30,14 +32,3 @@
 	age := counterTimeConstant.Seconds()
 	return a.count(now) / (age * (1 - math.Exp(-math.Max(1, now.Sub(a.startedAt).Seconds())/age)))
 }
-
-// recordVirtualArrival feeds an arrival to the copy of a queue under the basic rule alone.
-func (d *Dispatcher) recordVirtualArrival(q *queue, τ float64) {
-	q.virtualBacklog = math.Max(0, q.virtualBacklog-d.now.Sub(q.virtualUpdatedAt).Seconds())
-	q.virtualUpdatedAt = d.now
-	if q.virtualBacklog > τ {
-		q.misses.add(d.now, 1)
-		return
-	}
-	q.virtualBacklog += q.sendInterval(d.now)
-}
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -3,12 +3,9 @@
 import (
 	"container/list"
 	"math/rand/v2"
-
 	"milletsail/internal/instant"
 )
 
-// This file holds the dispatcher.
-
 // Dispatcher decides for one relay. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings      Settings
@@ -85,35 +82,3 @@
 	}
 	return list
 }
-
-// handleEvent takes in one event, and gives the message that is up for admission by it, if any.
-func (d *Dispatcher) handleEvent(e Event) *message {
-	switch e := e.(type) {
-	case Arrived:
-		return d.accept(e)
-	case AttemptEnded:
-		d.handleAttemptEnded(e)
-	case Withdrawn:
-		d.withdraw(e.ID)
-	case EndpointsUpdated: // taken in ahead of the others
-	case WatchFailed:
-		if d.settings.Subscribe {
-			d.subscribeAt = d.now.Add(resubscribeDelay)
-		}
-	case StateRestored:
-		d.restoreHealth(e)
-	case StateInherited:
-		d.restoreInherited(e)
-	case GossipReceived:
-		d.handleGossip(e.Message)
-	case PeerSuspected:
-		d.handlePeerSuspected(e)
-	case PeerRateReceived:
-		d.handlePeerRate(e)
-	case StorageChanged:
-		d.storageReadOnly = !e.Writable
-	case ShutdownStarted:
-		d.stopping = true
-	}
-	return nil
-}
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -1,12 +1,6 @@
 package policy
 
-import (
-	"time"
-
-	"milletsail/internal/instant"
-)
-
-// This file holds endpoints and what is known of their health.
+import "milletsail/internal/instant"
 
 // endpoint is one listed endpoint and what is known of its health.
 type endpoint struct {
@@ -33,51 +27,3 @@
 	resourceBackoff     resourceBackoff // it gets nothing for a moment, since a call there could not be begun
 	canary              *canaryState    // nil where it is not new on the list, or has proved itself
 }
-
-// connectionsFull tells whether an endpoint took no connection lately, of this relay or of another while it served
-// this one: idle ones take the room of others there. Elsewhere closing them only costs a handshake again.
-func (d *Dispatcher) connectionsFull(ep *endpoint) bool {
-	return ep.connectionLimit > 0 || ep.connectionsFullAt > 0 && d.now.Sub(ep.connectionsFullAt) < d.settings.IdleConnTimeout
-}
-
-// Avoided is how many listed endpoints get nothing now but trials: out, silent, or on their way out. With a Directory in use,
-// those on their way out are left out: the caller knows of all of them.
-func (d *Dispatcher) Avoided() int {
-	n := d.unavailableCount
-	for _, q := range d.active { // only what has a call out can be silent
-		for _, ep := range q.endpoints {
-			if !ep.ejected && !ep.Draining && d.unresponsive(ep) {
-				n++
-			}
-		}
-	}
-	return n
-}
-
-// isUnavailable tells whether Avoided counts an endpoint whatever the time is.
-func (d *Dispatcher) isUnavailable(ep *endpoint) bool {
-	if d.onDemand() {
-		return !ep.Removed && ep.ejected && !ep.Draining
-	}
-	return !ep.Removed && (ep.ejected || ep.Draining)
-}
-
-// updateAvailability makes a change to an endpoint that may bear on what Avoided counts.
-func (d *Dispatcher) updateAvailability(ep *endpoint, change func()) {
-	d.unavailableCount -= int(indicator(d.isUnavailable(ep)))
-	change()
-	d.unavailableCount += int(indicator(d.isUnavailable(ep)))
-}
-
-// setEjected marks an endpoint as out or not.
-func (d *Dispatcher) setEjected(ep *endpoint, sick bool) {
-	d.updateAvailability(ep, func() { ep.ejected = sick })
-}
-
-// timeSinceRecovery is how long an endpoint has been back.
-func (d *Dispatcher) timeSinceRecovery(ep *endpoint) time.Duration {
-	if ep.ejected {
-		return 0
-	}
-	return min(d.now.Sub(ep.recoveredAt), d.settings.SlowStartWindow)
-}
--- a/policy/list.go
+++ b/policy/endpoint_list.go
@@ -1,13 +1,13 @@
 package policy
 
 import (
-	"math"
-	"slices"
-
 	"milletsail/internal/instant"
+	"slices"
+	"time"
 )
 
-// This file holds changes of the list of endpoints.
+// resubscribeDelay is the time before a failed watch of the endpoint list is started again.
+const resubscribeDelay = 500 * time.Millisecond
 
 // updateEndpoints takes in a change of the list.
 func (d *Dispatcher) updateEndpoints(e EndpointsUpdated) {
@@ -88,13 +88,3 @@
 	ep.queue.endpoints = remove(ep.queue.endpoints, ep)
 	d.removeUnusedQueue(ep.queue)
 }
-
-// setListedRate takes in the rate that a queue's destination is listed with since a moment.
-func (d *Dispatcher) setListedRate(q *queue, weight float64, since instant.Time) {
-	if d.settings.Weights == WeightsOff || !(weight > 0) || math.IsInf(weight, 0) || weight == q.listedRate {
-		return
-	}
-	q.listedRate = weight
-	q.sendRate, q.decreasedAt = d.evenShare(q), since
-	q.tokens, q.updatedAt = math.Max(1, q.sendRate*rateWindow.Seconds()), since
-}
--- a/policy/notes.go
+++ b/policy/gossip_codec.go
@@ -5,6 +5,19 @@
 	"time"
 )
 
+// The first byte of a gossip message is its type. The letters are the wire format.
+const (
+	circuitOpenType       = 'c' // a destination has rejected a call
+	circuitClosedType     = 'o' // a destination has accepted a call
+	endpointRecoveredType = 'b' // an ejected endpoint answers again
+	connectErrorType      = 'n' // an endpoint has not accepted a connection
+	canarySuccessType     = 'g' // a call to a canary has succeeded
+	canaryFailureType     = 'w' // a call to a canary has failed
+)
+
+// maxGossipNumber bounds the numbers of a gossip message, so that none overflows.
+const maxGossipNumber = 1 << 31
+
 // limitMessage is what relays tell each other of a destination's limit: it refused a call that was sent an age ago, for a
 // wait, or for none that was told; or it took one, so that it is open.
 type limitMessage struct {
@@ -14,10 +27,6 @@
 	callAge     time.Duration
 }
 
-// The first byte of a note says of which form it is: a limitNote, with its numbers and milliseconds, or that an
-// endpoint is back, or has taken no connection, with its name.
-const circuitOpenType, circuitClosedType, endpointRecoveredType, connectErrorType = 'c', 'o', 'b', 'n'
-
 // canaryMessage is what relays tell each other of an endpoint on trial: how a message of a class fared there. Its number,
 // drawn, tells it from a copy of itself.
 type canaryMessage struct {
@@ -27,9 +36,6 @@
 	number   uint64
 }
 
-// The first byte of a trialNote.
-const canarySuccessType, canaryFailureType = 'g', 'w'
-
 func (n canaryMessage) encode() []byte {
 	b := []byte{canarySuccessType}
 	if n.failed {
@@ -87,9 +93,6 @@
 	return limitMessage{o.Open, o.Destination, o.Wait, o.Age}.encode()
 }
 
-// maxGossipNumber bounds the numbers of a note, so that none overflows.
-const maxGossipNumber = 1 << 31
-
 func (n limitMessage) encode() []byte {
 	b := []byte{circuitOpenType}
 	if n.accepted {
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -2,13 +2,10 @@
 
 import (
 	"cmp"
-	"slices"
-
 	"milletsail/internal/instant"
+	"slices"
 )
 
-// This file holds what goes from one process of a relay to the next.
-
 // resumeMessage puts a message that an earlier process admitted back into its queue, with the attempts made for it; one
 // with an attempt still out comes back to its queue by that attempt's end.
 func (d *Dispatcher) resumeMessage(m *message) {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// This file holds what is known of latencies.
+// latencyWeight is the weight of a new outcome in a moving average: about the last ten calls count.
+const latencyWeight = 0.1
 
 // latencyEstimate are mean latencies in seconds; 0 for unknown.
 type latencyEstimate struct {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -2,15 +2,12 @@
 
 import (
 	"container/list"
+	"milletsail/internal/instant"
 	"slices"
 	"sort"
 	"time"
-
-	"milletsail/internal/instant"
 )
 
-// This file holds destinations and their queues.
-
 // destination is where messages go: one queue, or one for each route.
 type destination struct {
 	number int
@@ -118,14 +115,6 @@
 	}
 }
 
-// reroute lets the held messages of a queue choose their route again.
-func (d *Dispatcher) reroute(q *queue) {
-	for _, m := range append([]*message(nil), q.waiting...) {
-		m.dequeue()
-		d.enqueue(d.selectQueue(m), m)
-	}
-}
-
 // destination gives a destination, with one queue at least.
 func (d *Dispatcher) destination(no int) *destination {
 	if dest := d.destinations[no]; dest != nil {
@@ -173,9 +162,3 @@
 func (q *queue) allEjected() bool {
 	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, func(ep *endpoint) bool { return !ep.ejected })
 }
-
-// callsFor is how many calls n messages of a queue travel in.
-func (q *queue) callsFor(n int) float64 { return float64(n) / float64(q.maxBatch) }
-
-// evenShare is this relay's even share of a queue's limit, in calls a second.
-func (d *Dispatcher) evenShare(q *queue) float64 { return q.listedRate / d.relayCount() }
--- a/policy/lack.go
+++ b/policy/resource_backoff.go
@@ -1,18 +1,18 @@
 package policy
 
 import (
+	"milletsail/internal/instant"
 	"slices"
 	"time"
-
-	"milletsail/internal/instant"
 )
 
-// This file decides what to do where a call could not be begun for a lack of this machine: descriptors, ports, memory of the
-// kernel, a route. It says nothing of the endpoint, and no attempt is used up.
-
-// The pause of an endpoint after a call that could not be begun: initialResourceBackoff, and twice as long after each further one until a
-// call there begins, up to maxResourceBackoff. Service has to be back within seconds of the lack's end.
-const initialResourceBackoff, maxResourceBackoff = 20 * time.Millisecond, 320 * time.Millisecond
+const (
+	// initialResourceBackoff is the pause of an endpoint after a call that could not be started. It doubles with each
+	// further one until a call starts.
+	initialResourceBackoff = 20 * time.Millisecond
+	// maxResourceBackoff bounds that pause: service has to be back within seconds of the shortage's end.
+	maxResourceBackoff = 320 * time.Millisecond
+)
 
 // resourceBackoff is the pause of an endpoint to which no call could be begun.
 type resourceBackoff struct {
--- a/policy/ondemand.go
+++ b/policy/state_store.go
@@ -1,8 +1,18 @@
 package policy
 
-import "slices"
+import (
+	"math"
+	"slices"
+	"time"
+)
 
-// This file keeps the state of destinations on demand (Settings.Directory); policy.go decides when it may go.
+const (
+	// stateIdleTimeout is the idle time after which state that is kept on demand may be dropped: the counters have
+	// decayed, send rates have recovered, and latencies need not be what they were.
+	stateIdleTimeout = 2 * time.Minute
+	// maxEvictionsPerBatch bounds the destinations that one batch evicts.
+	maxEvictionsPerBatch = 32
+)
 
 // onDemand tells whether state is kept only for destinations in use.
 func (d *Dispatcher) onDemand() bool { return d.settings.Directory != nil && !d.settings.Zones }
@@ -108,3 +118,24 @@
 		}
 	}
 }
+
+// evictable tells whether nothing that is known of an idle queue binds: no wait, pause or finding of the
+// fleet in force, no refusals or failures in a row, no outage or return from one, no connection limit, no
+// trial, and no part of its pace that is used up. What is forgotten then are estimates.
+func (d *Dispatcher) evictable(q *queue) bool {
+	allowance, depth := q.tokenBucket, math.Max(1, q.sendRate*rateWindow.Seconds())
+	used := q.sendRate > 0 && allowance.refill(d.now, q.sendRate, depth) < depth
+	paused := d.now < max(q.retryAfterUntil, q.backoffUntil, q.announcedUntil, q.peerRateUntil)
+	if used || paused || q.peerReport.valid(d.now) || q.consecutiveRejections > 0 || q.outageSuspected {
+		return false
+	}
+	return !slices.ContainsFunc(q.endpoints, d.endpointInUse)
+}
+
+// endpointInUse tells whether something that is known of an endpoint without a call out binds.
+func (d *Dispatcher) endpointInUse(ep *endpoint) bool {
+	cold := ep.ejected || ep.slowStarting && d.timeSinceRecovery(ep) < d.settings.SlowStartWindow
+	capped := d.connectionsFull(ep) && d.now.Sub(max(ep.lastUsedAt, ep.connectionsFullAt)) < d.settings.IdleConnTimeout
+	paused := d.now < ep.resourceBackoff.until
+	return cold || capped || paused || ep.consecutiveFailures > 0 || ep.canary != nil || ep.peerReport.valid(d.now)
+}
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -2,8 +2,6 @@
 
 import "milletsail/internal/instant"
 
-// This file holds the timer.
-
 // armTimer asks for a timer when something is next due by time alone.
 func (d *Dispatcher) armTimer() {
 	next := never
--- /dev/null
+++ b/policy/value.go
@@ -0,0 +1,30 @@
+package policy
+
+import (
+	"math"
+	"time"
+)
+
+// valueAt is the share of its worth that a message has at an age.
+func (c *Class) valueAt(age time.Duration) float64 {
+	switch {
+	case age <= c.LatencyObjective:
+		return 1
+	case age > c.Deadline:
+		return 0
+	case c.ExponentialDecay && c.LatencyObjective > 0:
+		return math.Max(c.LateValueShare, math.Pow(0.5, float64(age-c.LatencyObjective)/float64(c.LatencyObjective)))
+	}
+	return 1 - (1-c.LateValueShare)*float64(age-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective)
+}
+
+// ageAt is the age at which a message has only a share of its worth left.
+func (c *Class) ageAt(share float64) time.Duration {
+	switch {
+	case share <= c.LateValueShare:
+		return c.Deadline
+	case c.ExponentialDecay:
+		return min(c.Deadline, c.LatencyObjective-time.Duration(math.Log2(share)*float64(c.LatencyObjective)))
+	}
+	return c.LatencyObjective + time.Duration((1-share)/(1-c.LateValueShare)*float64(c.Deadline-c.LatencyObjective))
+}
--- a/policy/zones.go
+++ b/policy/zone_evacuation.go
@@ -1,27 +1,31 @@
 package policy
 
 import (
-	"math"
+	"errors"
+	"milletsail/internal/instant"
 	"time"
 )
 
-// This file decides by zones (docs/zones.md), where Settings.Zones is on: calls stay in the relay's own
-// while that has room, a zone whose endpoints fail together is left at once and returned to gradually, and
-// operators may order either.
-
 const (
-	// A zone is out when minFailingEndpoints endpoints of minFailingDestinations destinations, and zoneFailureThreshold of those that anything is
-	// known of from the last healthObservationWindow, fail there, and of the others together no more than maxOtherZonesFailureShare.
-	minFailingEndpoints, minFailingDestinations, zoneFailureThreshold, maxOtherZonesFailureShare, healthObservationWindow = 3, 2, 0.6, 0.25, 5 * time.Second
-	// panicThreshold of the listed endpoints may be left at once: what is left could not carry more, and the
-	// verdict more likely is wrong. (Envoy's panic threshold has the same reason.)
+	// minFailingEndpoints is the number of endpoints that must fail in a zone for it to count as failing.
+	minFailingEndpoints = 3
+	// minFailingDestinations is the number of destinations that these must belong to.
+	minFailingDestinations = 2
+	// zoneFailureThreshold is the share of a zone's endpoints of known health that must fail.
+	zoneFailureThreshold = 0.6
+	// maxOtherZonesFailureShare is the share of the other zones' endpoints that may fail: above it, the zone isn't the
+	// cause.
+	maxOtherZonesFailureShare = 0.25
+	// healthObservationWindow is the age up to which an outcome says something of an endpoint's health.
+	healthObservationWindow = 5 * time.Second
+	// panicThreshold is the share of the listed endpoints that may be evacuated at once: the rest could not carry more,
+	// and the observation is more likely to be wrong (the reason of Envoy's panic threshold).
 	panicThreshold = 0.5
-	// initialRecoveryBackoff a setback on its return a zone waits, twice as long after each further one, up to the ramp.
+	// initialRecoveryBackoff is the time before a zone whose recovery failed may recover again. It doubles with each
+	// further failure, up to the slow start window.
 	initialRecoveryBackoff = time.Second
-	// A call that takes slowCallFactor of the usual shows that the own zone has no room: spilloverIncrease more of the calls
-	// go elsewhere, up to maxSpillover, and spilloverDecrease less with each that was quick. That settles where one in
-	// ten is slow.
-	slowCallFactor, spilloverIncrease, spilloverDecrease, maxSpillover = 2.0, 0.09, 0.01, 0.9
+	// maxRecoveryDoublings bounds the shift that doubles that time.
+	maxRecoveryDoublings = 16
 )
 
 // evaluateZones finds which zones are out, with each batch, and ends what has run its time.
@@ -153,67 +157,72 @@
 	return true
 }
 
-// avoidsZone tells whether a message keeps out of an endpoint's zone: but not one that only that zone knows.
-func (d *Dispatcher) avoidsZone(ep *endpoint, m *message) bool {
-	return d.settings.Zones && d.evacuatedByOrder(ep) && !(m.class.KeysPerZone && m.firstPossibleExecution() != nil)
-}
-
-// evacuatedByOrder tells whether operators have an endpoint's zone left, and its destination can be had elsewhere.
-func (d *Dispatcher) evacuatedByOrder(ep *endpoint) bool {
-	z := d.zones[ep.Zone]
-	return z != nil && z.state == EvacuatedByOrder && d.servedElsewhere(ep)
+// zone is what is known of a zone.
+type zone struct {
+	state                   ZoneState
+	enteredAt               instant.Time
+	deadline                instant.Time // an order's end, or of the wait after a setback
+	failedRecoveries        int          // in a row, on the way back
+	failingSince            instant.Time // when endpoints there began to fail; 0 where none do
+	evacuations, recoveries int
 }
 
-// servedElsewhere tells whether a destination has an endpoint that serves in another zone that is not left.
-func (d *Dispatcher) servedElsewhere(ep *endpoint) bool {
-	for _, q := range ep.queue.destination.queues {
-		for _, o := range q.endpoints {
-			z := d.zones[o.Zone]
-			if o.Zone != ep.Zone && !o.ejected && !o.Draining && (z == nil || z.state != EvacuatedByOrder) {
-				return true
-			}
+// zoneStatus gives what is known of a zone.
+func (d *Dispatcher) zoneStatus(no int) *zone {
+	if d.zones[no] == nil {
+		if d.zones == nil {
+			d.zones = map[int]*zone{}
 		}
+		d.zones[no] = &zone{}
 	}
-	return false
+	return d.zones[no]
 }
 
-// spilloverShares is how zones share a destination: the part of each zone's messages (rows) that each (columns)
-// serves, by what arrives and what there is room for. Each serves its own first; the rest goes to the others
-// in proportion to the room that they have left, and what nobody has room for stays.
-func spilloverShares(demand, room []float64) [][]float64 {
-	free, sumFree, sumOver := make([]float64, len(demand)), 0.0, 0.0
-	for z := range demand {
-		free[z] = math.Max(0, room[z]-demand[z])
-		sumFree, sumOver = sumFree+free[z], sumOver+math.Max(0, demand[z]-room[z])
-	}
-	shares := make([][]float64, len(demand))
-	for z := range demand {
-		shares[z] = make([]float64, len(demand))
-		goes := 0.0
-		if over := demand[z] - room[z]; over > 0 && sumFree > 0 {
-			goes = over / demand[z] * math.Min(1, sumFree/sumOver)
-			for y := range demand { // what is full has nothing free
-				shares[z][y] = goes * free[y] / sumFree
+// setZoneState notes a zone's state.
+func (d *Dispatcher) setZoneState(no int, as ZoneState) {
+	z := d.zoneStatus(no)
+	z.state, z.enteredAt = as, d.now
+	d.emit(ZoneStateChanged{Zone: no, State: as})
+}
+
+// endpointsInZone lists the endpoints of a zone, in the order of the queues.
+func (d *Dispatcher) endpointsInZone(no int) (all []*endpoint) {
+	for _, q := range d.queues {
+		for _, ep := range q.endpoints {
+			if ep.Zone == no {
+				all = append(all, ep)
 			}
 		}
-		shares[z][z] = 1 - goes
 	}
-	return shares
+	return all
 }
 
-// recordLocalLoad learns from an outcome in the own zone whether that has room.
-func (d *Dispatcher) recordLocalLoad(ep *endpoint, e AttemptEnded) {
-	took := e.Latency.Seconds()
-	if !d.settings.Zones || ep.Zone != d.settings.Zone || ep.slowStarting || e.Outcome != OK && e.Outcome != Rejected {
-		return // one that comes back is slow for a while, whatever room it has
-	}
-	if ep.normalLatency == 0 {
-		ep.normalLatency = took
+// Order has a zone left until a moment by the order of operators, or restored where that is 0. One that
+// makes no sense is refused with the reason. Handle has to be called after it.
+func (d *Dispatcher) Order(no int, until instant.Time) error {
+	seen, _ := d.surveyZones()
+	if !d.settings.Zones || no < 0 || no >= len(seen) || seen[no].listed == 0 {
+		return errors.New("zones are off, or no endpoint is listed in this one")
 	}
-	if e.Outcome == OK && took <= slowCallFactor*ep.normalLatency {
-		ep.normalLatency += latencyWeight * (took - ep.normalLatency)
-		ep.queue.spillover = math.Max(0, ep.queue.spillover-spilloverDecrease)
-	} else if e.RetryAfter == 0 {
-		ep.queue.spillover = math.Min(maxSpillover, ep.queue.spillover+spilloverIncrease)
+	z, others := d.zoneStatus(no), 0
+	for o, c := range seen {
+		if o != no && c.listed > 0 && d.zoneStatus(o).state != EvacuatedByOrder {
+			others++
+		}
 	}
+	switch {
+	case until == 0 && z.state != EvacuatedByOrder:
+		return errors.New("it is not evacuated by order")
+	case until == 0:
+		d.startRecovery(no)
+	case z.state == EvacuatedByOrder:
+		return errors.New("it is evacuated by order already")
+	case others == 0:
+		return errors.New("it is the last zone that is left")
+	default:
+		z.deadline = until
+		z.evacuations++
+		d.evacuate(no, EvacuatedByOrder)
+	}
+	return nil
 }
