--- /dev/null
+++ b/policy/admission_test.go
@@ -0,0 +1,152 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Messages for destinations that are out leave a part of the holding room to those for others.
+func TestRoomBesideAnOutage(t *testing.T) {
+	s := plain()
+	s.QueueCapacity = 8
+	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
+	for _, id := range []string{"a", "b", "c"} {
+		d.eject(d.endpoints[id])
+		d.endpoints[id].tokens = -100 // no trial is due
+	}
+	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "d", Destination: 3}}}})
+	var all []Action
+	for i := range 9 {
+		all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: fmt.Sprint(i), Destination: i % 3, TimeLeft: time.Hour}})...)
+	}
+	all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: "other", Destination: 3, TimeLeft: time.Hour}})...)
+	expect(t, "the last quarter is for the other", all, "refuse 6 refuse 7 refuse 8 other>d")
+}
+
+func TestRefusing(t *testing.T) {
+	tests := []struct {
+		name         string
+		u, x, τ, net float64
+		held, want   bool
+	}{
+		{"u exactly τ", 2, 0.1, 2, 0, true, false},
+		{"u above τ", 2.01, 0.1, 2, 0, false, true},
+		{"nothing held", 0, 5, 3, 1, false, false},
+		{"bound met exactly: 2(1.5+1-2) = 1", 1.5, 1, 2, 2, true, true},
+		{"bound missed: 2(1.4+1-2) = 0.8", 1.4, 1, 2, 2, true, false},
+		{"λ = r: no bound", 1.9, 5, 2, 0, true, false},
+		{"λ below r: no bound", 1.9, 5, 2, -1, true, false},
+		{"static rule: x = τ + 1/(λ-r)", 0.001, 2.5, 2, 2, true, true},
+		{"no time left and idle", 0, 0.1, -0.1, 1, false, true},
+		{"held, but u is 0", 0, 9, 2, 2, true, false},
+	}
+	for _, tt := range tests {
+		if got := exceedsDelayBound(tt.u, tt.x, tt.τ, tt.net, tt.held); got != tt.want {
+			t.Errorf("%s: got %v", tt.name, got)
+		}
+	}
+}
+
+func TestRatesAndVirtualCopy(t *testing.T) {
+	var a decayingCounter
+	if a.rate(0) != 0 {
+		t.Error("a fresh counter has a rate")
+	}
+	for i := range 400 {
+		a.add(moment(time.Duration(i)*100*ms), 1)
+	}
+	if got := a.rate(moment(40 * time.Second)); math.Abs(got-10) > 0.3 {
+		t.Errorf("ten a second: rate %v", got)
+	}
+	d := start(t, plain(), Endpoint{ID: "a"})
+	q := d.queues[0]
+	q.mean = 2
+	for i, want := range []float64{0, 0, 1, 1} { // work 0, 2 and 4 against τ = 3; a miss adds none
+		d.recordVirtualArrival(q, 3)
+		if q.misses.value != want {
+			t.Errorf("arrival %d: %v misses of the copy, want %v", i, q.misses.value, want)
+		}
+		if i == 2 {
+			d.now = moment(2 * time.Second) // the copy's work drains to 2
+		}
+	}
+}
+
+func TestFreshDispatcherUsesTheBasicRuleAlone(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"})
+	expect(t, "first message", d.Handle(0, []Event{arrive("m", 0)}), "m>a")
+	if λ, r := d.queues[0].arrivals.rate(0), d.queues[0].misses.rate(0); λ <= 0 || r != 0 {
+		t.Errorf("λ = %v, r = %v", λ, r)
+	}
+}
+
+// TestLateRuleUnderOverload guards against a queue that serves everybody late, and against patient
+// messages that fill it before urgent ones worth more.
+func TestLateRuleUnderOverload(t *testing.T) {
+	s := plain()
+	s.Classes = []Class{
+		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},                           // four fifths left at 1.8 s
+		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 1, LateValueShare: 0.5}, // and at 8.8 s
+		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 4, LateValueShare: 0.5},
+	}
+	tests := []struct {
+		class    int
+		overload bool
+		held     int // at half a second each
+		refused  bool
+	}{
+		{0, false, 8, false}, {0, true, 3, false}, {0, true, 5, true},
+		{1, false, 20, false}, {1, true, 3, false}, {1, true, 5, true}, // class 0 is worth more
+		{2, true, 17, false}, {2, true, 19, true},
+	}
+	for _, tt := range tests {
+		d := start(t, s, Endpoint{ID: "a"})
+		q := d.queues[0]
+		q.mean = 0.5
+		for range tt.held {
+			q.waiting = append(q.waiting, &message{class: &s.Classes[1], expiresAt: moment(time.Hour), queue: q})
+		}
+		if tt.overload {
+			q.arrivals.add(0, 100)
+		}
+		m := &message{Arrived: Arrived{ID: "m", Class: tt.class}, class: &d.settings.Classes[tt.class],
+			expiresAt: moment(d.settings.Classes[tt.class].Deadline)}
+		d.unfinished = append(d.unfinished, m)
+		q.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
+		d.admit(m)
+		if m.done != tt.refused {
+			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.held, m.done)
+		}
+	}
+}
+
+// TestRoom guards against one queue that fills the holding room.
+func TestRoom(t *testing.T) {
+	s := plain()
+	s.QueueCapacity = 20
+	d := start(t, s, Endpoint{ID: "b", Destination: 1}) // nothing is listed for destination 0
+	refused := 0
+	for i := range 20 {
+		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), TimeLeft: 10 * time.Second}})
+		if strings.HasPrefix(said(got), "refuse") {
+			refused++
+		}
+	}
+	if refused != 5 {
+		t.Errorf("%d of 20 refused, want those past three quarters of the room", refused)
+	}
+	expect(t, "another destination", d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}}), "n>b")
+}
+
+// TestImpatientClients guards against taking little time left for age: under overload all were refused.
+func TestImpatientClients(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"})
+	q := d.queues[0]
+	q.mean = 0.5
+	q.arrivals.add(0, 100)
+	q.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
+	expect(t, "2 s of 10 left, nothing held", d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
+}
--- /dev/null
+++ b/policy/connection_limit_test.go
@@ -0,0 +1,98 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// TestConnectionCap guards against taking a connection limit for an outage.
+func TestConnectionCap(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"})
+	d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0)})
+	d.Handle(moment(10*ms), []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: OK, Completed: true}, arrive("m3", 0)})
+	d.Handle(moment(20*ms), []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
+	ep := d.endpoints["a"]
+	if ep.ejected || ep.consecutiveFailures > 0 || ep.connectionLimit != 1 {
+		t.Errorf("sick %v, failures %v, cap %v", ep.ejected, ep.consecutiveFailures, ep.connectionLimit)
+	}
+	for range 20 {
+		d.recordSuccess(ep, true)
+	}
+	if ep.connectionLimit < 1.9 {
+		t.Errorf("cap %v after twenty successes", ep.connectionLimit)
+	}
+}
+
+// TestIdleConnectionsMakeRoom guards against many relays whose idle connections fill an endpoint, and against
+// connections closed where nothing speaks for that.
+func TestIdleConnectionsMakeRoom(t *testing.T) {
+	refused := []Event{GossipReceived{Message: encodeEndpointMessage(connectErrorType, "a")}}
+	for _, tt := range []struct {
+		name    string
+		at      time.Duration // of a note that another relay got no connection; the call lasts from 1 s to 2 s
+		connCap float64
+		last    time.Duration // end of a later call
+		closes  bool
+	}{{"none refused", 0, 0, 3 * time.Second, false}, {"our own refused", 0, 2, 3 * time.Second, true},
+		{"another's refused meanwhile", 1500 * ms, 0, 3 * time.Second, true},
+		{"another's refused before, as in an outage", 500 * ms, 0, 3 * time.Second, false},
+		{"another's refused long ago", 1500 * ms, 0, 15 * time.Second, false}} {
+		s := plain()
+		s.IdleConnTimeout, s.FleetSize = 10*time.Second, 40
+		d := start(t, s, Endpoint{ID: "a"})
+		if tt.at > 0 && tt.at < time.Second {
+			d.Handle(moment(tt.at), refused)
+		}
+		d.Handle(moment(time.Second), []Event{arrive("m", 0)})
+		if tt.at > time.Second {
+			d.Handle(moment(tt.at), refused)
+		}
+		d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
+		d.endpoints["a"].connectionLimit = tt.connCap
+		d.Handle(moment(tt.last-500*ms), []Event{arrive("n", 0)})
+		closes := false
+		for _, a := range d.Handle(moment(tt.last), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true}}) {
+			closes = closes || a == CloseIdleConnections{Endpoint: "a"}
+		}
+		if closes != tt.closes {
+			t.Errorf("%s: closes %v", tt.name, closes)
+		}
+	}
+}
+
+// TestConnectionRefusedIsTold guards against a relay that alone knows of an endpoint without room, and against a note
+// for each of its connections.
+func TestConnectionRefusedIsTold(t *testing.T) {
+	d := fleet(t, connectErrorReporters, 400)[0]
+	told := 0
+	for i := range 4 {
+		at, id := time.Duration(10+3*i)*100*ms, fmt.Sprint("m", i)
+		d.endpoints["a"].ejected, d.endpoints["a"].consecutiveFailures = false, 0
+		d.Handle(moment(at), []Event{arrive(id, 0)})
+		for _, a := range d.Handle(moment(at+10*ms), []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
+			if tell, ok := a.(Broadcast); ok && decodeEndpointMessage(connectErrorType, tell.Message) == "a" {
+				told++
+			}
+		}
+	}
+	if told != 1 {
+		t.Errorf("%d notes within a second", told)
+	}
+}
+
+// TestFewTellWhatAllMeet guards against a note from each relay of a fleet that meets the same outage.
+func TestFewTellWhatAllMeet(t *testing.T) {
+	told := 0
+	for _, d := range fleet(t, 300, 3000) {
+		d.Handle(moment(time.Second), []Event{arrive("m", 0)})
+		for _, a := range d.Handle(moment(1010*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
+			if tell, ok := a.(Broadcast); ok && decodeEndpointMessage(connectErrorType, tell.Message) == "a" {
+				told++
+			}
+		}
+	}
+	if told < 1 || told > 3*connectErrorReporters {
+		t.Errorf("%d relays of 300 told it", told)
+	}
+}
--- /dev/null
+++ b/policy/endpoint_list_test.go
@@ -0,0 +1,68 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestDrains(t *testing.T) {
+	s := plain()
+	s.Slots = 8
+	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
+	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Draining: true}}}})
+	expect(t, "draining", d.Handle(1, []Event{arrive("m", 0), arrive("n", 0)}), "m>b n>b")
+	d.Handle(2, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "c"}}}})
+	expect(t, "gone", d.Handle(3, []Event{arrive("o", 0)}), "o>c")
+}
+
+func TestSubscribe(t *testing.T) {
+	s := plain()
+	s.Subscribe = true
+	d, err := New(s, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	expect(t, "at the start", d.Handle(0, nil), "subscribe")
+	expect(t, "failed", d.Handle(moment(ms), []Event{WatchFailed{}}), "")
+	expect(t, "again", d.Handle(moment(ms+resubscribeDelay), []Event{TimerFired{}}), "subscribe")
+}
+
+// TestReplacedEndpointsAreForgotten guards against routes and endpoints that left and are walked for ever.
+func TestReplacedEndpointsAreForgotten(t *testing.T) {
+	for kind := range 3 {
+		d := start(t, plain())
+		for i := range 200 {
+			now := time.Duration(i) * time.Second
+			d.Handle(moment(now), []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: fmt.Sprint("a", i), Kind: kind},
+				{ID: fmt.Sprint("b", i), Kind: kind}}}, arrive(fmt.Sprint("m", i), 0)})
+			for id, m := range d.messages {
+				d.Handle(moment(now+100*ms), []Event{AttemptEnded{ID: id, Endpoint: m.attempts[0].call.endpoint.ID, Outcome: OK, Completed: true}})
+			}
+		}
+		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.destinations) != 1 || len(d.active)+len(d.messages)+len(d.unfinished) != 0 {
+			t.Errorf("kind %d: %d endpoints, %d queues, %d active, %d messages", kind, len(d.endpoints), len(d.queues),
+				len(d.active), len(d.messages))
+		}
+	}
+}
+
+// TestListThatEmptiesAndComesBack guards against state that stays spoilt: calls are out while the list empties, the
+// weight and the zone change, and the clock jumps back and far ahead.
+func TestListThatEmptiesAndComesBack(t *testing.T) {
+	for kind := range 3 {
+		s := plain()
+		s.Weights = WeightsNominal
+		d := start(t, s, Endpoint{ID: "a", Kind: kind, Weight: 5})
+		expect(t, "sent", d.Handle(moment(time.Second), []Event{arrive("m", 0)}), "m>a")
+		expect(t, "held", d.Handle(moment(2*time.Second), []Event{EndpointsUpdated{Complete: true}, arrive("n", 0)}), "")
+		expect(t, "its outcome", d.Handle(0, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}}), "")
+		expect(t, "back", d.Handle(moment(3*time.Second), []Event{EndpointsUpdated{Endpoints: []Endpoint{
+			{ID: "a", Kind: kind, Weight: 7, Zone: 1}}}}), "n>a")
+		expect(t, "far ahead", d.Handle(moment(1000*time.Hour), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true},
+			arrive("o", 0)}), "o>a")
+		if d.callsInFlight != 1 || len(d.messages) != 1 {
+			t.Errorf("kind %d: %d calls out, %d messages", kind, d.callsInFlight, len(d.messages))
+		}
+	}
+}
--- /dev/null
+++ b/policy/expiry_test.go
@@ -0,0 +1,35 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// The client of a message that is given up learns when its destination may get messages again.
+func TestGivenUpToldWhenToComeBack(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"})
+	d.Handle(moment(ms), []Event{arrive("m", 0)})
+	d.Handle(moment(8600*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: 2400 * ms}})
+	for _, a := range d.Handle(moment(10*time.Second), []Event{TimerFired{}}) {
+		if a, ok := a.(Reject); ok {
+			if a.RetryAfter != time.Second {
+				t.Errorf("told to come again after %v, want the rest of the wait", a.RetryAfter)
+			}
+			return
+		}
+	}
+	t.Error("not given up")
+}
+
+func TestHeldMessagesEndInTime(t *testing.T) {
+	d := start(t, plain())
+	got := d.Handle(0, []Event{arrive("m", 2)})
+	expect(t, "no endpoint listed", got, "")
+	at := got[len(got)-1].(SetTimer).After
+	if at > 10*time.Second || at < 9900*ms {
+		t.Errorf("timer after %v", at)
+	}
+	expect(t, "before its end", d.Handle(moment(at-ms), []Event{TimerFired{}}), "")
+	expect(t, "at its end", d.Handle(moment(at), []Event{TimerFired{}}), "refuse m")
+	expect(t, "late outcome", d.Handle(moment(at+ms), []Event{AttemptEnded{ID: "m", Outcome: OK}}), "")
+}
--- /dev/null
+++ b/policy/queueing_delay_test.go
@@ -0,0 +1,97 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Held messages that travel together take the time of their calls, not a call's time each.
+func TestBacklogCountsCalls(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
+	d.Handle(moment(ms), []Event{arrive("first", 0)})
+	d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "first", Endpoint: "a", Outcome: OK, Latency: time.Second, Completed: true}})
+	d.Handle(moment(2*time.Second), []Event{arrive("refused", 0)})
+	d.Handle(moment(2100*ms), []Event{AttemptEnded{ID: "refused", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second, Latency: 100 * ms}})
+	var events []Event
+	for i := range 7 { // with the one held that are two calls of a second
+		events = append(events, arrive(fmt.Sprint("m", i), 0))
+	}
+	expect(t, "two calls ahead, with ten seconds left", d.Handle(moment(2200*ms), events), "")
+	for i := range 100 {
+		events = append(events, arrive(fmt.Sprint("n", i), 0))
+	}
+	if got := said(d.Handle(moment(2300*ms), events)); !strings.Contains(got, "refuse") {
+		t.Error("twenty calls ahead: nothing refused")
+	}
+}
+
+// A wait stops the calls that a backlog is worked off with, but they all come back after it: what is held is not
+// taken for work of one call after another.
+func TestBacklogInAWait(t *testing.T) {
+	s := plain()
+	s.Slots = 20
+	d := start(t, s, Endpoint{ID: "a"})
+	now := time.Duration(0)
+	round := func(n int, e AttemptEnded) []Event { // n calls out at once, all ended after a second
+		var in, out []Event
+		for i := range n {
+			id := fmt.Sprint(now, "/", i)
+			in = append(in, arrive(id, 0))
+			e.ID, e.Endpoint = id, "a"
+			out = append(out, e)
+		}
+		d.Handle(moment(now), in)
+		now += time.Second
+		return out
+	}
+	for range 10 {
+		d.Handle(moment(now), round(8, AttemptEnded{Outcome: OK, Latency: time.Second, Completed: true}))
+		now += 9 * time.Second
+	}
+	d.Handle(moment(now), round(10, AttemptEnded{Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: time.Second}))
+	expect(t, "10 held, 2 s to wait, some calls of a second at once", d.Handle(moment(now+ms), []Event{arrive("m", 0)}), "")
+}
+
+func TestBacklog(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"})
+	q := d.queues[0]
+	if u := d.queueingDelay(q); u != 0 {
+		t.Errorf("idle: u = %v, want 0", u)
+	}
+	q.mean = 0.5
+	q.waiting = make([]*message, 6)
+	if u := d.queueingDelay(q); u != 3 {
+		t.Errorf("six held, none out: u = %v, want 6 × 0.5", u)
+	}
+	q.calls = []*call{{endpoint: q.endpoints[0]}, {endpoint: q.endpoints[0]}}
+	if u := d.queueingDelay(q); u != 1.5 {
+		t.Errorf("six held, two out: u = %v, want 6 × 0.5 / 2", u)
+	}
+	d.now = moment(5500 * ms) // both calls have been out for 5.5 s: 0.5 + 0.1×5, then 1 + 0.1×4.5
+	if got := d.currentLatency(q); math.Abs(got-1.45) > 1e-9 {
+		t.Errorf("calls out count with their age: %v, want 1.45", got)
+	}
+	q.retryAfterUntil = d.now.Add(8 * time.Second)
+	if u := d.queueingDelay(q); u != 8 {
+		t.Errorf("in a wait: u = %v, want the 8 s that remain", u)
+	}
+}
+
+// TestBorrowedLatency guards against queues that know nothing: a lost first call would hold its slot to its end.
+func TestBorrowedLatency(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+	d.Handle(0, []Event{arrive("m", 0)})
+	d.Handle(moment(400*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 400 * ms, Completed: true},
+		Arrived{ID: "n", Destination: 1, TimeLeft: 10 * time.Second}})
+	q := d.queues[1]
+	if q.byClass[0] != 0.4 || q.mean != 0.4 {
+		t.Errorf("b borrows %v, %v, want what a took", q.byClass[0], q.mean)
+	}
+	q.record(0, 0.2)
+	if got := q.byClass[0]; math.Abs(got-0.3) > 1e-9 {
+		t.Errorf("own first outcome counts half: %v, want 0.3", got)
+	}
+}
--- /dev/null
+++ b/policy/rules_world_test.go
@@ -0,0 +1,224 @@
+package policy_test
+
+import (
+	"fmt"
+	"math/rand"
+	"milletsail/internal/instant"
+	"milletsail/policy"
+	"time"
+)
+
+// variant draws settings from a seed.
+func variant(r *rand.Rand) policy.Settings {
+	s := policy.Settings{
+		FleetSize: []int{1, 2, 3, 4, 40, 400}[r.Intn(6)], Slots: 1 + r.Intn(12), QueueCapacity: 20 + r.Intn(80), MaxAttempts: 2 + r.Intn(10),
+		HedgedRequests: r.Intn(2) == 0, CanCancel: r.Intn(4) > 0, Subscribe: r.Intn(2) == 0,
+		Weights: policy.Weights(r.Intn(3)), BatchInterval: 5 * time.Millisecond,
+		MaxRetryAfter: 3 * time.Second, SlowStartInitialShare: 0.14 + 0.2*r.Float64(), SlowStartWindow: 9 * time.Second,
+		OverloadFactor: 2 + r.Float64(), OverloadWindow: 2 * time.Second, ZoneCost: []float64{0.06, 0},
+		OrderedKeyDelay: time.Duration(r.Intn(3)) * 200 * time.Millisecond,
+		Kinds:           []policy.Kind{{MaxBatch: 1}, {MaxBatch: 5}, {MaxBatch: 1 + r.Intn(8), SeparateRoutes: true}},
+	}
+	for i := range 4 {
+		s.Classes = append(s.Classes, policy.Class{LatencyObjective: time.Second, Deadline: time.Duration(3+r.Intn(15)) * time.Second,
+			PriorityWeight: 1 + float64(r.Intn(4)), LateValueShare: 0.5, Effect: policy.Effect(i % 3), KeysPerZone: r.Intn(2) == 0,
+			IdempotencyWindow: 4 * time.Second, Ordered: i == 2 || i == 3 && r.Intn(2) == 0})
+	}
+	return s
+}
+
+// world draws legal events from a seed; it knows nothing of servers.
+type world struct {
+	r     *rand.Rand
+	s     policy.Settings
+	c     *checker
+	now   time.Duration
+	next  int
+	wakes []time.Duration
+	eps   []policy.Endpoint
+	mood  []policy.Outcome // what the attempts of a destination mostly get just now
+	fates map[string]policy.Outcome
+	quiet bool // nothing arrives
+}
+
+func (w *world) list() policy.EndpointsUpdated {
+	whole := w.r.Intn(3) == 0 || len(w.eps) == 0
+	if len(w.eps) == 0 || w.r.Intn(3) == 0 {
+		dest := w.r.Intn(4)
+		w.eps = append(w.eps, policy.Endpoint{ID: fmt.Sprint("e", w.next), Destination: dest, Kind: dest % 3,
+			Zone: w.r.Intn(2), Weight: 2 + float64(dest)*3})
+		w.next++
+	}
+	var out []policy.Endpoint
+	for i := range w.eps {
+		if w.r.Intn(12) == 0 {
+			w.eps[i].Draining = true
+		}
+		if w.r.Intn(15) == 0 && len(w.eps) > 4 {
+			w.eps[i].Removed = true
+		}
+		if !whole || !w.eps[i].Removed {
+			out = append(out, w.eps[i])
+		}
+	}
+	kept := w.eps[:0]
+	for _, e := range w.eps {
+		if !e.Removed {
+			kept = append(kept, e)
+		}
+	}
+	w.eps = kept
+	return policy.EndpointsUpdated{Complete: whole, Endpoints: out}
+}
+
+// batch moves the clock to the next moment and gives its events.
+func (w *world) batch() []policy.Event {
+	at := w.now + time.Duration(1+w.r.Intn(60))*5*time.Millisecond
+	for _, t := range w.wakes {
+		at = min(at, t)
+	}
+	for _, m := range w.c.order {
+		if !m.over && m.expires > w.now {
+			at = min(at, m.expires)
+		}
+		for _, t := range m.tries {
+			if t.open && t.timeout > 0 && t.sent+t.timeout > w.now {
+				at = min(at, t.sent+t.timeout)
+			}
+		}
+	}
+	w.now = max(at, w.now+5*time.Millisecond)
+	var events []policy.Event
+	kept := w.wakes[:0]
+	for _, t := range w.wakes {
+		if t <= w.now {
+			events = append(events, policy.TimerFired{})
+		} else {
+			kept = append(kept, t)
+		}
+	}
+	w.wakes = kept
+	events = append(events, w.outcomes()...)
+	if w.r.Intn(12) == 0 {
+		events = append(events, w.list())
+	}
+	if w.r.Intn(40) == 0 {
+		events = append(events, policy.WatchFailed{})
+	}
+	for range w.r.Intn(4) {
+		if w.quiet {
+			break
+		}
+		w.next++
+		class := w.r.Intn(len(w.s.Classes))
+		e := policy.Arrived{ID: fmt.Sprint("m", w.next), Class: class, Destination: w.r.Intn(5),
+			TimeLeft: w.s.Classes[class].Deadline - time.Duration(w.r.Intn(2000))*time.Millisecond}
+		if w.s.Classes[class].Ordered && w.r.Intn(5) > 0 {
+			e.Key = fmt.Sprint("k", w.r.Intn(3))
+		}
+		events = append(events, e)
+	}
+	return events
+}
+
+// outcomes ends attempts: those whose time is up, and others by chance.
+func (w *world) outcomes() []policy.Event {
+	var events []policy.Event
+	for d := range w.mood {
+		if w.r.Intn(80) == 0 {
+			w.mood[d] = policy.Outcome(w.r.Intn(8))
+		}
+	}
+	for _, m := range w.c.order {
+		for i, t := range m.tries {
+			if !t.open {
+				continue
+			}
+			limit := m.expires
+			if t.timeout > 0 {
+				limit = min(limit, t.sent+t.timeout)
+			}
+			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.ep, Attempt: i, Latency: w.now - t.sent, Completed: m.over}
+			switch {
+			case w.now >= limit:
+				e.Outcome = policy.TimedOut
+			case w.r.Intn(6) == 0:
+				e.Outcome = w.mood[w.c.eps[t.ep].Destination]
+				if w.r.Intn(4) == 0 {
+					e.Outcome = policy.Outcome(w.r.Intn(8))
+				}
+				call := fmt.Sprint(t.ep, t.sent) // the messages of one call share its fate
+				if fate, ok := w.fates[call]; ok {
+					e.Outcome = fate
+				}
+				if e.Outcome == policy.TimedOut {
+					continue
+				}
+				w.fates[call] = e.Outcome
+			default:
+				continue
+			}
+			if e.Outcome == policy.Rejected && w.r.Intn(2) == 0 {
+				e.RetryAfter = time.Duration(w.r.Intn(2000)) * time.Millisecond
+				if w.s.Directory != nil && w.r.Intn(4) == 0 {
+					e.RetryAfter = longWait
+				}
+			}
+			e.Completed = e.Completed || e.Outcome == policy.OK
+			events = append(events, e)
+			if w.r.Intn(30) == 0 {
+				events = append(events, e) // doubled up: changes nothing
+			}
+		}
+		if !m.over && w.r.Intn(400) == 0 {
+			events = append(events, policy.Withdrawn{ID: m.ID})
+		}
+	}
+	return events
+}
+
+// play runs a dispatcher on seeded events under the checker and returns its actions.
+func play(seed int64, steps int) ([]policy.Action, error) {
+	r := rand.New(rand.NewSource(seed))
+	return playIn(&world{r: r, s: variant(r)}, seed, steps)
+}
+
+// playIn does so with a world that has its settings.
+func playIn(w *world, seed int64, steps int) ([]policy.Action, error) {
+	r, s := w.r, w.s
+	w.c, w.now, w.mood, w.fates = newChecker(s), time.Hour, make([]policy.Outcome, 5), map[string]policy.Outcome{}
+	d, err := policy.New(s, seed)
+	if err != nil {
+		return nil, err
+	}
+	var all []policy.Action
+	for range steps {
+		if r.Intn(600) == 0 { // killed and begun anew
+			if d, err = policy.New(s, seed); err != nil {
+				return nil, err
+			}
+			w.c, w.wakes = newChecker(s), nil
+			w.eps = nil
+		}
+		if s.Directory != nil {
+			w.pause()
+		}
+		events := w.batch()
+		w.c.events(w.now, events)
+		actions := d.Handle(instant.Time(w.now), events)
+		all = append(all, actions...)
+		for _, a := range actions {
+			switch a := a.(type) {
+			case policy.SetTimer:
+				w.wakes = append(w.wakes, w.now+a.After)
+			case policy.Cancel:
+				m := w.c.msgs[a.ID]
+				m.tries[a.Attempt].timeout = max(1, w.now-m.tries[a.Attempt].sent)
+			}
+		}
+		if err := w.c.actions(actions); err != nil {
+			return all, err
+		}
+	}
+	return all, nil
+}
--- /dev/null
+++ b/policy/sendrate_test.go
@@ -0,0 +1,63 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// TestPaceFollows guards against a pace that is cut by refusals and never comes back, one that rises although the
+// destination reports that its allowance is used up, and one that a limit far below the listed rate does not reach.
+func TestPaceFollows(t *testing.T) {
+	s := plain()
+	s.Weights, s.FleetSize = WeightsNominal, 4
+	d := start(t, s, Endpoint{ID: "a", Weight: 8})
+	q := d.queues[0]
+	if q.sendRate != 2 {
+		t.Fatalf("pace %v, want 8 / 4", q.sendRate)
+	}
+	refused := func(at time.Duration) {
+		d.now = moment(at)
+		d.recordRejection(q, limitMessage{})
+	}
+	refused(time.Second)
+	cut := q.sendRate
+	if refused(1100 * ms); !(cut < 2) || q.sendRate != cut {
+		t.Errorf("pace %v after a refusal, %v after another of the same moment", cut, q.sendRate)
+	}
+	q.waiting = []*message{{}}
+	d.now = moment(4 * time.Second)
+	d.recordSuccess(d.endpoints["a"], false)
+	slow := d.now
+	d.sendTokens(q)
+	if d.now = d.now.Add(500 * ms); d.now.Sub(q.decreasedAt) > 1500*ms || q.decreasedAt >= slow {
+		t.Errorf("calm since %v, without room at %v", q.decreasedAt, slow)
+	}
+	for range 40 {
+		d.now = d.now.Add(500 * ms)
+		d.sendTokens(q)
+	}
+	if q.sendRate < 2 {
+		t.Errorf("pace %v after 20 s in calm, want the even share back", q.sendRate)
+	}
+	for i := range 30 {
+		refused(time.Duration(d.now.Add(time.Duration(1+i%2) * time.Second)))
+	}
+	if q.sendRate > 0.5 {
+		t.Errorf("pace %v after refusals for 45 s: a quarter of the listed rate is not reached", q.sendRate)
+	}
+}
+
+// TestEvenShares guards against paces that add up to more than the listed rate.
+func TestEvenShares(t *testing.T) {
+	for _, tt := range []struct {
+		relays int
+		want   float64
+	}{{2, 2}, {400, 0.01}} {
+		s := plain()
+		s.FleetSize, s.Weights = tt.relays, WeightsNominal
+		d := start(t, s, Endpoint{ID: "a", Weight: 4})
+		if got := d.queues[0].sendRate; got != tt.want {
+			t.Errorf("%d relays: pace %v, want %v", tt.relays, got, tt.want)
+		}
+	}
+}
--- /dev/null
+++ b/policy/settings_test.go
@@ -0,0 +1,61 @@
+package policy
+
+import (
+	"math"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestSettingsThatMakeNoSense(t *testing.T) {
+	tests := []struct {
+		field string
+		spoil func(*Settings)
+	}{
+		{"Classes", func(s *Settings) { s.Classes = nil }},
+		{"Classes[0].Deadline", func(s *Settings) { s.Classes[0].Deadline = -1 }},
+		{"Classes[1].Memory", func(s *Settings) { s.Classes[1].IdempotencyWindow = -1 }},
+		{"Classes[2].Effect", func(s *Settings) { s.Classes[2].Effect = 7 }},
+		{"Slots", func(s *Settings) { s.Slots = 0 }},
+		{"Instances", func(s *Settings) { s.FleetSize = 0 }},
+		{"HoldRoom", func(s *Settings) { s.QueueCapacity = 0 }},
+		{"Weights", func(s *Settings) { s.Weights = 9 }},
+		{"OrderPause", func(s *Settings) { s.OrderedKeyDelay = -1 }},
+	}
+	for _, tt := range tests {
+		s := plain()
+		tt.spoil(&s)
+		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), tt.field) {
+			t.Errorf("%s: error %v", tt.field, err)
+		}
+	}
+}
+
+func TestUnknownThingsChangeNothing(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"})
+	got := d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "x"}, Withdrawn{ID: "x"},
+		Arrived{ID: "y", Class: 99}, EndpointsUpdated{Endpoints: []Endpoint{{ID: "z", Removed: true}}}})
+	expect(t, "unknown", got, "")
+	d.Handle(0, []Event{TimerFired{}}) // a clock that goes back
+	if d.now != moment(time.Second) {
+		t.Errorf("the clock went back to %v", d.now)
+	}
+}
+
+// TestBadInput guards against values that make no sense: sensible events after them are decided as ever.
+func TestBadInput(t *testing.T) {
+	s := plain()
+	s.Weights = WeightsNominal
+	for _, weight := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0} {
+		d := start(t, s, Endpoint{ID: "a", Weight: weight})
+		d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrive("m", 0)})
+		if q := d.queues[0]; q.sendRate != 5 || len(q.calls) != 1 {
+			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.sendRate, len(q.calls))
+		}
+	}
+	d := start(t, s, Endpoint{ID: "a"})
+	d.Handle(0, []Event{arrive("m", 0)})
+	d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: math.MaxInt64}})
+	expect(t, "an endless wait is kept", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "refuse n")
+	expect(t, "no time left", d.Handle(moment(time.Second), []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "refuse o")
+}
--- /dev/null
+++ b/policy/slowstart_test.go
@@ -0,0 +1,77 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+// TestReturn plays each kind of outage: trials stay within the rule's budget, and a success starts a ramp.
+func TestReturn(t *testing.T) {
+	s := plain()
+	s.Weights = WeightsNominal
+	for _, outcome := range []Outcome{ConnectError, Failed, Reset, Rejected, TimedOut} {
+		d := start(t, s, Endpoint{ID: "a", Weight: 5})
+		sends, out := 0, map[string]int{}
+		for now := time.Duration(0); now < 24*time.Second; now += 20 * ms {
+			var events []Event
+			for id, n := range out {
+				events = append(events, AttemptEnded{ID: id, Endpoint: "a", Attempt: n, Outcome: outcome})
+			}
+			out = map[string]int{}
+			if now%(200*ms) == 0 {
+				events = append(events, Arrived{ID: fmt.Sprint(now), TimeLeft: 10 * time.Second})
+			}
+			for _, a := range d.Handle(moment(now), events) {
+				if a, ok := a.(Send); ok {
+					out[a.ID] = len(d.messages[a.ID].attempts) - 1
+					if now >= 20*time.Second {
+						sends++
+					}
+				}
+			}
+		}
+		// In 4 s a cold destination may take 2 × 0.2 × 5 × 4 = 8 calls.
+		if sends > 8 || sends == 0 {
+			t.Errorf("outcome %d: %d calls in 4 s of an outage", outcome, sends)
+		}
+	}
+}
+
+func TestRampAfterSuccess(t *testing.T) {
+	s := plain()
+	s.Weights, s.Slots = WeightsNominal, 40
+	d := start(t, s, Endpoint{ID: "a", Weight: 10})
+	ep := d.endpoints["a"]
+	d.now = moment(time.Second)
+	d.eject(ep)
+	d.recordSuccess(ep, true)
+	if got, want := d.slowStartBudget(ep, 0), slowStartSafety*2*0.2*10; math.Abs(got-want) > 1e-9 {
+		t.Errorf("budget at the return: %v, want %v", got, want)
+	}
+	if got, want := d.slowStartBudget(ep, 10*time.Second), slowStartSafety*2*10; math.Abs(got-want) > 1e-9 {
+		t.Errorf("budget when warm: %v, want %v", got, want)
+	}
+	d.now = moment(12 * time.Second)
+	if d.slowStartTokens(ep); ep.slowStarting {
+		t.Error("still ramping after the ramp time")
+	}
+}
+
+// TestNewEndpointOfADestinationThatIsOut guards against all relays rushing to a replacement at once.
+func TestNewEndpointOfADestinationThatIsOut(t *testing.T) {
+	for _, gone := range []bool{false, true} { // the old endpoint stays, or is replaced
+		d := start(t, plain(), Endpoint{ID: "a"})
+		d.eject(d.endpoints["a"])
+		d.Handle(moment(ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Removed: gone}, {ID: "b"}}}})
+		if !d.endpoints["b"].ejected {
+			t.Errorf("old one gone %v: the new one is not on its budget", gone)
+		}
+		d.recordSuccess(d.endpoints["b"], true)
+		d.Handle(moment(2*ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "c"}}}})
+		if d.endpoints["c"].ejected {
+			t.Error("a new one after the return is on a budget")
+		}
+	}
+}
--- a/policy/timer_test.go
+++ b/policy/timer_test.go
@@ -18,3 +18,26 @@
 		t.Errorf("%q after an endpoint is listed again", said(actions))
 	}
 }
+
+// TestNoTimerWithoutCause guards against a timer every tick while a queue with a free token waits for a slot.
+func TestNoTimerWithoutCause(t *testing.T) {
+	s := plain()
+	s.Slots, s.Weights = 1, WeightsNominal
+	d := start(t, s, Endpoint{ID: "a", Weight: 5})
+	for _, a := range d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}) {
+		if w, ok := a.(SetTimer); ok && w.After < time.Second {
+			t.Errorf("timer after %v", w.After)
+		}
+	}
+}
+
+// TestTimerThatFiresEarly guards against a clock of coarser steps that uses up the timer of a last chance.
+func TestTimerThatFiresEarly(t *testing.T) {
+	d := start(t, plain())
+	got := d.Handle(0, []Event{arrive("m", 0)})
+	at := got[len(got)-1].(SetTimer).After
+	got = d.Handle(moment(at-400), []Event{TimerFired{}})
+	if len(got) != 1 || got[0].(SetTimer).After > 10*ms {
+		t.Fatalf("400 ns early: %v, want another timer", got)
+	}
+}
