--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -68,7 +68,7 @@
 // a moment: on the link of a handover, in format 1 of the journal and in the file of orders moments are written as wall times,
 // and a segment's header holds one as a number.
 var translators = map[string]bool{"internal/relay/handoverlink.go": true, "internal/journal/v1.go": true, "internal/zones/zones.go": true,
-	"internal/journal/replay.go": true}
+	"internal/journal/header.go": true}
 
 // No part of the relay reads the wall clock by itself, or makes a moment out of a number: a difference between such a
 // reading and a moment is what lost messages in issue 31.
--- /dev/null
+++ b/internal/journal/commit.go
@@ -0,0 +1,211 @@
+package journal
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"path/filepath"
+	"time"
+
+	"milletsail/internal/instant"
+)
+
+// recoveryInterval is the least time between two attempts to begin a segment after a failed one: each writes all live
+// entries.
+const recoveryInterval = 250 * time.Millisecond
+
+// Reserve reports whether an entry may be accepted, and reserves space for it until the next Commit. It requires room
+// for all live entries twice, since compaction needs the old and the new segment at the same time.
+func (j *Journal) Reserve(e *Entry) bool {
+	if j.writeError != nil || 2*(j.liveSize+j.reserved+requiredSize(e)) > j.sizeLimit {
+		return false
+	}
+	j.reserved += requiredSize(e)
+	return true
+}
+
+// Accept records that a request was accepted.
+func (j *Journal) Accept(e *Entry) {
+	if e.AcceptedAt.IsZero() {
+		e.AcceptedAt = j.options.Clocks.Now()
+	}
+	j.appendRecord(record{op: opAccepted, entrySeq: j.lastSequence + 1, entry: e})
+	j.uncommitted = append(j.uncommitted, e)
+}
+
+// StartAttempt records that an attempt starts. It must be committed before the first byte of the attempt is sent.
+func (j *Journal) StartAttempt(e *Entry, host string, at instant.Time) {
+	j.appendRecord(record{op: opAttemptStarted, entrySeq: e.seq, host: host, at: at})
+}
+
+// EndAttempt records the result of the entry's last attempt.
+func (j *Journal) EndAttempt(e *Entry, notExecuted bool) {
+	j.appendRecord(record{op: opAttemptEnded, entrySeq: e.seq, notExecuted: notExecuted})
+}
+
+// RecordPendingNotification records that a request ended with a notification that the platform has to receive.
+func (j *Journal) RecordPendingNotification(e *Entry, n Notification) {
+	j.appendRecord(record{op: opNotificationPending, entrySeq: e.seq, notification: n})
+}
+
+// Complete records that nothing is pending for a request, and removes its entry.
+func (j *Journal) Complete(e *Entry) { j.appendRecord(record{op: opCompleted, entrySeq: e.seq}) }
+
+// RecordHealth records the health of an endpoint for the next process.
+func (j *Journal) RecordHealth(host string, h HealthRecord) {
+	j.appendRecord(record{op: opHealth, host: host, ejected: h.Ejected, at: h.ChangedAt})
+}
+
+// DropHealth removes the health of an endpoint that has left the list. It takes effect on disk with the next segment.
+func (j *Journal) DropHealth(host string) { delete(j.health, host) }
+
+// RecordLegacyList records an endpoint list as older programs did. It serves tests and directories that are converted
+// back for such a program.
+func (j *Journal) RecordLegacyList(l LegacyEndpointList) {
+	j.appendRecord(record{op: opLegacyList, list: l})
+}
+
+// DropLegacyList removes the legacy list once its owner stores it elsewhere, and begins a segment without it.
+func (j *Journal) DropLegacyList() {
+	if j.list.Text == nil {
+		return
+	}
+	j.liveSize -= j.listSize
+	j.list, j.listSize = LegacyEndpointList{}, 0
+	if j.writeError != nil {
+		return // the next segment is written without it
+	}
+	if err := j.compact(); err != nil {
+		j.markUnwritable(err)
+	}
+}
+
+// appendRecord applies a record to the state and buffers it for the next Commit.
+func (j *Journal) appendRecord(r record) {
+	j.apply(&r)
+	j.lastSequence++
+	if j.writeError == nil { // otherwise the next segment's snapshot contains it
+		j.buffered, _ = appendFramed(j.buffered, &r, j.lastSequence, j.previousDigest, j.clocks)
+	}
+	j.previousDigest = r.digest()
+}
+
+// Commit writes the buffered records and makes them durable. After an error the caller must not act on any record since
+// the last successful Commit. A later Commit then recovers by beginning a new segment from memory: the first one at
+// once, the following ones at most every recoveryInterval.
+func (j *Journal) Commit() error {
+	j.reserved = 0
+	defer func() {
+		j.buffered = j.buffered[:0]
+		j.uncommitted = j.uncommitted[:0]
+	}()
+	if len(j.buffered) == 0 && j.writeError == nil {
+		return nil
+	}
+	if j.writeError != nil && j.options.Clocks.Now().Sub(j.lastRecoveryAttempt) < recoveryInterval {
+		return fmt.Errorf("journal: %w", j.writeError)
+	}
+	err := j.writeOrCompact()
+	if err != nil {
+		if !errors.Is(err, ErrClosed) {
+			j.markUnwritable(err)
+		}
+		return fmt.Errorf("journal: %w", err)
+	}
+	return nil
+}
+
+// writeOrCompact appends the buffered records to the segment, or replaces the segment if it can't be written, would
+// leave no room for its compaction, or has outgrown its live entries.
+func (j *Journal) writeOrCompact() error {
+	size := j.segmentSize + len(j.buffered)
+	full := size+j.liveSize > j.sizeLimit
+	outgrown := size > 2*j.liveSize+compactionSlack
+	switch {
+	case j.writeError != nil || full || outgrown:
+		return j.compact()
+	case j.file == nil:
+		return ErrClosed
+	}
+	return j.writeBuffered()
+}
+
+// writeBuffered appends the buffered records to the segment.
+func (j *Journal) writeBuffered() error {
+	if err := writeAll(j.file, j.buffered); err != nil {
+		if truncateErr := j.file.Truncate(int64(j.segmentSize)); truncateErr != nil {
+			slog.Warn("journal: a partial write could not be truncated", "segment", j.segment, "error", truncateErr)
+		}
+		return err
+	}
+	if j.options.SurvivesPowerLoss {
+		if err := j.file.Sync(); err != nil {
+			j.revokeUncommitted(j.file)
+			return err
+		}
+	}
+	j.segmentSize += len(j.buffered)
+	return nil
+}
+
+// revokeUncommitted completes the entries of a write that is not durable. Their clients get an error, so a process that
+// finds them in the segment after a kill must not deliver them.
+func (j *Journal) revokeUncommitted(f File) {
+	var buffer []byte
+	for _, e := range j.uncommitted {
+		j.lastSequence++
+		completed := record{op: opCompleted, entrySeq: e.seq}
+		buffer, _ = appendFramed(buffer, &completed, j.lastSequence, j.previousDigest, j.clocks)
+		j.previousDigest = completed.digest()
+	}
+	if len(buffer) == 0 {
+		return
+	}
+	if err := writeAll(f, buffer); err != nil {
+		slog.Warn("journal: rejected entries may remain in a segment", "entries", len(j.uncommitted), "error", err)
+	}
+}
+
+// Retry reports whether the journal can be written. If it could not, Retry first tries to begin a new segment, at the
+// rate that Commit describes.
+func (j *Journal) Retry() bool { return j.writeError == nil || j.Commit() == nil }
+
+// markUnwritable closes the segment after a failed write.
+func (j *Journal) markUnwritable(err error) {
+	if j.writeError == nil {
+		slog.Error("journal: write failed, accepting nothing until it recovers", "error", err)
+		j.lastRecoveryAttempt = 0 // the fault may be confined to this file, so the first recovery is not delayed
+	} else {
+		j.lastRecoveryAttempt = j.options.Clocks.Now()
+	}
+	j.writeError = err
+	j.closeSegment()
+}
+
+// closeSegment closes the current segment. The file stays until the next segment is durable.
+func (j *Journal) closeSegment() {
+	if j.file == nil {
+		return
+	}
+	_ = j.file.Close() // what matters was synced before
+	j.file = nil
+	j.obsolete = append(j.obsolete, filepath.Join(j.dir, segmentFileName(j.segment)))
+}
+
+// ShortWriteError says that a file accepted only a part of a write without giving a reason.
+type ShortWriteError struct {
+	Written, Length int // bytes
+}
+
+func (e *ShortWriteError) Error() string {
+	return fmt.Sprintf("%d of %d bytes written", e.Written, e.Length)
+}
+
+// writeAll writes b. A short write is an error.
+func writeAll(f File, b []byte) error {
+	n, err := f.Write(b)
+	if err == nil && n < len(b) {
+		err = &ShortWriteError{Written: n, Length: len(b)}
+	}
+	return err
+}
--- /dev/null
+++ b/internal/journal/compaction.go
@@ -0,0 +1,169 @@
+package journal
+
+import (
+	"errors"
+	"io/fs"
+	"log/slog"
+	"path/filepath"
+	"strings"
+
+	"milletsail/internal/clock"
+)
+
+const (
+	// compactionSlack is how far a segment may outgrow twice its live entries before it is compacted, in bytes. It keeps
+	// nearly empty journals from being compacted by each Commit.
+	compactionSlack = 256 << 10
+	// maxReusedBuffer bounds the snapshot buffer that is kept between compactions, in bytes.
+	maxReusedBuffer = 4 << 20
+)
+
+// scanDir removes unfinished segments that an earlier process left, and finds the segments to remove after the next
+// compaction. Quarantined ranges count against the size limit.
+func (j *Journal) scanDir() error {
+	names, err := j.options.Files.List(j.dir)
+	if err != nil {
+		return err
+	}
+	var quarantined []string
+	var quarantinedSize int64
+	for _, name := range names {
+		path := filepath.Join(j.dir, name)
+		number, isSegment := parseSegmentFileName(name)
+		switch {
+		case isUnfinished(name):
+			if err := j.options.Files.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
+				slog.Warn("journal: unfinished segment could not be removed", "file", name, "error", err)
+			}
+		case isSegment:
+			j.segment = max(j.segment, number)
+			j.obsolete = append(j.obsolete, path)
+		case name == formatV1File:
+			j.obsolete = append(j.obsolete, path)
+		case strings.HasPrefix(name, quarantinePrefix):
+			if f, size, err := j.options.Files.Open(path); err == nil {
+				_ = f.Close() // only its size was wanted
+				quarantined, quarantinedSize = append(quarantined, path), quarantinedSize+size
+			}
+		}
+	}
+	j.limitQuarantine(quarantined, quarantinedSize)
+	return nil
+}
+
+// isUnfinished reports whether a file is a segment, or a journal of format 1, that did not get its final name.
+func isUnfinished(name string) bool {
+	return strings.HasSuffix(name, unfinishedSuffix) &&
+		(strings.HasPrefix(name, segmentPrefix) || name == formatV1File+unfinishedSuffix)
+}
+
+// compact writes a new segment that begins with a snapshot of the live entries, and removes the older segments once the
+// new one is durable.
+func (j *Journal) compact() error {
+	number := j.segment + 1
+	path := filepath.Join(j.dir, segmentFileName(number))
+	clocks := j.options.Clocks.readPair()
+	content, lastSequence, lastDigest := j.encodeSnapshot(number, clocks)
+	f, err := j.createSegment(path, content)
+	if err != nil {
+		return err
+	}
+	if j.options.SurvivesPowerLoss {
+		if err := j.options.Files.SyncDir(j.dir); err != nil {
+			// The rename may or may not survive a power loss: the previous segment stays, and this one is not used.
+			j.lastSequence, j.previousDigest, j.clocks = lastSequence, lastDigest, clocks
+			j.revokeUncommitted(f)
+			_ = f.Close() // SyncDir's error is the one to return
+			j.closeSegment()
+			j.segment = number
+			j.obsolete = append(j.obsolete, path)
+			return err
+		}
+	}
+	j.closeSegment()
+	if j.writeError != nil {
+		slog.Warn("journal: writable again", "segment", number)
+	}
+	j.file, j.segment, j.segmentSize, j.clocks = f, number, len(content), clocks
+	j.lastSequence, j.previousDigest = lastSequence, lastDigest
+	j.writeError = nil
+	j.removeObsolete()
+	return nil
+}
+
+// createSegment writes a segment file under a temporary name, makes its content durable if the options ask for it, and
+// gives it its final name.
+func (j *Journal) createSegment(path string, content []byte) (File, error) {
+	temporary := path + unfinishedSuffix
+	f, err := j.options.Files.Create(temporary)
+	if err != nil {
+		return nil, err
+	}
+	err = writeAll(f, content)
+	if err == nil && j.options.SurvivesPowerLoss {
+		err = f.Sync()
+	}
+	if err == nil {
+		err = j.options.Files.Rename(temporary, path)
+	}
+	if err != nil {
+		_ = f.Close()                         // the write's error is the one to return
+		_ = j.options.Files.Remove(temporary) // otherwise scanDir removes it
+		return nil, err
+	}
+	return f, nil
+}
+
+// removeObsolete removes the segments that the current one replaces. What can't be removed is tried again after the
+// next compaction.
+func (j *Journal) removeObsolete() {
+	var remaining []string
+	for _, path := range j.obsolete {
+		if err := j.options.Files.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			slog.Warn("journal: obsolete segment could not be removed", "file", path, "error", err)
+			remaining = append(remaining, path)
+		}
+	}
+	j.obsolete = remaining
+}
+
+// encodeSnapshot returns the content of a new segment: its header and a snapshot of the live entries, the legacy list and
+// the health records. It also returns the sequence and the digest of the snapshot's last record.
+func (j *Journal) encodeSnapshot(number uint64, clocks clock.Pair) (content []byte, sequence uint64, digest uint32) {
+	j.order = j.liveEntries()
+	sequence = j.lastSequence
+	head := header{
+		format:            Format,
+		segment:           number,
+		firstSequence:     sequence + 1,
+		survivesPowerLoss: j.options.SurvivesPowerLoss,
+		boot:              j.options.Boot,
+		relay:             j.options.Relay,
+		clocks:            clocks,
+	}
+	content = append(j.snapshotBuffer[:0], head.encode()...)
+	var records uint64
+	var sum uint32
+	add := func(r record) {
+		var recordChecksum uint32
+		sequence++
+		content, recordChecksum = appendFramed(content, &r, sequence, digest, clocks)
+		digest, sum = r.digest(), addChecksum(sum, recordChecksum)
+		records++
+	}
+	for _, e := range j.order {
+		add(record{op: opSnapshotEntry, entrySeq: e.seq, entry: e})
+	}
+	if j.list.Text != nil {
+		add(record{op: opLegacyList, list: j.list})
+	}
+	for host, health := range j.health {
+		add(record{op: opHealth, host: host, ejected: health.Ejected, at: health.ChangedAt})
+	}
+	add(record{op: opSnapshotEnd, snapshotRecords: records, snapshotChecksum: sum})
+	j.snapshotBuffer = content
+	if cap(content) > maxReusedBuffer {
+		j.snapshotBuffer = nil
+	}
+	return content, sequence, digest
+}
--- /dev/null
+++ b/internal/journal/dump.go
@@ -0,0 +1,85 @@
+package journal
+
+import (
+	"encoding/json"
+	"io"
+	"time"
+
+	"milletsail/internal/clock"
+	"milletsail/internal/instant"
+)
+
+// dumpedEntry is one live entry as Dump writes it, with wall times.
+type dumpedEntry struct {
+	ID                  string          `json:"id"`
+	Class               string          `json:"class,omitempty"`
+	Dest                int             `json:"dest,omitempty"`
+	Key                 string          `json:"key,omitempty"`
+	ExpiresAt           time.Time       `json:"expires,omitzero"`
+	AcceptedAt          time.Time       `json:"taken,omitzero"`
+	Attempts            []dumpedAttempt `json:"attempts,omitempty"`
+	PendingNotification *Notification   `json:"owed,omitempty"`
+	Bytes               int             `json:"body_bytes"`
+	Body                []byte          `json:"body,omitempty"`
+}
+
+// dumpedAttempt is one attempt as Dump writes it.
+type dumpedAttempt struct {
+	Host        string    `json:"Host"`
+	StartedAt   time.Time `json:"Begun"`
+	Ended       bool      `json:"Ended"`
+	NotExecuted bool      `json:"Unrun"`
+	Uncertain   bool      `json:"Doubt"`
+}
+
+// wallTime translates a moment by a reading of both clocks. The zero Time becomes the zero time.Time.
+func wallTime(clocks clock.Pair, t instant.Time) time.Time {
+	if t.IsZero() {
+		return time.Time{}
+	}
+	return clocks.WallOf(t).Time()
+}
+
+// Dump writes the live entries of the directory dir to w as one line of JSON each, in the order in which they were
+// accepted.
+func Dump(dir string, w io.Writer, withBodies bool) error {
+	j, _, err := Read(dir)
+	if err != nil {
+		return err
+	}
+	encoder := json.NewEncoder(w)
+	clocks := clock.ReadPair()
+	for _, e := range j.Entries() {
+		if err := encoder.Encode(newDumpedEntry(e, clocks, withBodies)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// newDumpedEntry translates an entry for Dump.
+func newDumpedEntry(e *Entry, clocks clock.Pair, withBody bool) dumpedEntry {
+	dumped := dumpedEntry{
+		ID:                  e.ID,
+		Class:               e.Class,
+		Dest:                e.Dest,
+		Key:                 e.Key,
+		ExpiresAt:           wallTime(clocks, e.ExpiresAt),
+		AcceptedAt:          wallTime(clocks, e.AcceptedAt),
+		PendingNotification: e.PendingNotification,
+		Bytes:               len(e.Body),
+	}
+	for _, attempt := range e.Attempts {
+		dumped.Attempts = append(dumped.Attempts, dumpedAttempt{
+			Host:        attempt.Host,
+			StartedAt:   wallTime(clocks, attempt.StartedAt),
+			Ended:       attempt.Ended,
+			NotExecuted: attempt.NotExecuted,
+			Uncertain:   attempt.Uncertain,
+		})
+	}
+	if withBody {
+		dumped.Body = e.Body
+	}
+	return dumped
+}
--- /dev/null
+++ b/internal/journal/load.go
@@ -0,0 +1,137 @@
+package journal
+
+import (
+	"errors"
+	"io"
+	"io/fs"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"milletsail/internal/clock"
+)
+
+// loadState replays the newest complete segment of a directory, with its times on this boot's clock.
+func loadState(files FS, dir, boot string, clocks Clocks) (*state, *Report, error) {
+	s, r, err := readNewest(files, dir, boot)
+	if err != nil {
+		return s, r, err
+	}
+	now := clocks.Now()
+	hasClocks := r.clocks != (clock.Pair{})
+	sameBoot := boot != "" && r.Boot == boot
+	if hasClocks && sameBoot && max(s.latestInstant(), r.clocks.At) <= now {
+		return s, r, nil
+	}
+	scale := r.clocks
+	if !hasClocks {
+		scale = wallClockOnly
+	}
+	uptime := time.Duration(0)
+	if r.Rebooted {
+		uptime = clocks.Uptime()
+	}
+	r.UsedWallClock = r.File != ""
+	s.rebase(scale.InstantOf(clocks.Wall()), now, uptime)
+	return s, r, nil
+}
+
+// readNewest replays the newest complete segment of a directory, with its times as they were written. If no segment is
+// complete it reads a journal of format 1, or else the newest segment as far as it goes.
+func readNewest(files FS, dir, boot string) (*state, *Report, error) {
+	segments, hasV1, err := listSegments(files, dir)
+	if err != nil {
+		return nil, nil, err
+	}
+	var partialState *state
+	var partialReport *Report
+	var skipped []string
+	for _, number := range segments {
+		s, r, complete, err := readSegmentFile(files, filepath.Join(dir, segmentFileName(number)), boot)
+		if err != nil {
+			return nil, r, err
+		}
+		r.segment = number
+		if complete {
+			r.SkippedSegments = skipped
+			powerLoss := r.Rebooted && r.SurvivesPowerLoss
+			if len(skipped) > 0 && !powerLoss {
+				s.addUncertainAttempts() // the newer segment was complete once, and its records are lost
+			}
+			return s, r, nil
+		}
+		skipped = append(skipped, segmentFileName(number))
+		if partialState == nil {
+			partialState, partialReport = s, r
+		}
+	}
+	switch {
+	case hasV1:
+		s, r, err := readV1File(files, dir)
+		if err == nil {
+			r.SkippedSegments = skipped
+			if len(segments) > 0 {
+				r.segment = segments[0]
+			}
+		}
+		return s, r, err
+	case partialState == nil:
+		return newState(), &Report{Format: Format}, nil
+	}
+	partialReport.Partial = true
+	return partialState, partialReport, nil
+}
+
+// listSegments returns the numbers of a directory's segments, the newest first, and whether it holds a journal of
+// format 1.
+func listSegments(files FS, dir string) (numbers []uint64, hasV1 bool, err error) {
+	names, err := files.List(dir)
+	if err != nil {
+		return nil, false, err
+	}
+	for _, name := range names {
+		if number, ok := parseSegmentFileName(name); ok {
+			numbers = append(numbers, number)
+		}
+		hasV1 = hasV1 || name == formatV1File
+	}
+	slices.Sort(numbers)
+	slices.Reverse(numbers)
+	return numbers, hasV1, nil
+}
+
+// readSegmentFile opens and replays a segment.
+func readSegmentFile(files FS, path, boot string) (s *state, r *Report, complete bool, err error) {
+	f, size, err := files.Open(path)
+	if err != nil {
+		return nil, nil, false, err
+	}
+	s, r, complete, err = readSegment(f, size, filepath.Base(path), boot)
+	_ = f.Close() // it was only read
+	return s, r, complete, err
+}
+
+// readV1File replays a journal of format 1. All records behind an unreadable one are lost in it, attempts among them.
+func readV1File(files FS, dir string) (*state, *Report, error) {
+	f, size, err := files.Open(filepath.Join(dir, formatV1File))
+	if errors.Is(err, fs.ErrNotExist) {
+		return newState(), &Report{Format: Format}, nil
+	}
+	if err != nil {
+		return nil, nil, err
+	}
+	raw, err := io.ReadAll(f)
+	_ = f.Close() // it was only read
+	if err != nil {
+		return nil, nil, err
+	}
+	s, r := newState(), &Report{File: formatV1File, Format: formatV1, Bytes: size}
+	unread, torn := s.replayV1(raw, r)
+	if torn {
+		r.Torn = int64(unread)
+	} else if unread > 0 {
+		r.addDamage(Damage{Offset: size - int64(unread), Length: int64(unread), LastRecord: unreadableEnd})
+		s.addUncertainAttempts()
+	}
+	return s, r, nil
+}
--- /dev/null
+++ b/internal/journal/payload.go
@@ -0,0 +1,237 @@
+package journal
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+
+	"milletsail/internal/clock"
+	"milletsail/internal/instant"
+)
+
+// maxInterned bounds how many strings an interner shares.
+const maxInterned = 4096
+
+// errMalformedPayload says that a payload with a valid checksum can't be decoded.
+var errMalformedPayload = errors.New("malformed payload")
+
+// payloadWriter encodes the fields of a payload.
+type payloadWriter struct {
+	buf    []byte
+	clocks clock.Pair // of the segment
+}
+
+func (w *payloadWriter) uvarint(v uint64) { w.buf = binary.AppendUvarint(w.buf, v) }
+
+func (w *payloadWriter) varint(v int64) { w.buf = binary.AppendVarint(w.buf, v) }
+
+func (w *payloadWriter) boolean(v bool) {
+	if v {
+		w.buf = append(w.buf, 1)
+	} else {
+		w.buf = append(w.buf, 0)
+	}
+}
+
+func (w *payloadWriter) str(v string) {
+	w.uvarint(uint64(len(v)))
+	w.buf = append(w.buf, v...)
+}
+
+// instant writes a moment as the segment's clocks translate it to a wall time, in nanoseconds since 1970. The zero Time
+// is 0.
+func (w *payloadWriter) instant(t instant.Time) { w.varint(int64(w.clocks.WallOf(t))) }
+
+// payloadReader decodes the fields of a payload. Once malformed is set, the values that it returns are meaningless.
+type payloadReader struct {
+	rest      []byte
+	malformed bool
+	clocks    clock.Pair // of the segment
+}
+
+func (r *payloadReader) uvarint() uint64 {
+	v, n := binary.Uvarint(r.rest)
+	if n <= 0 {
+		r.malformed, r.rest = true, nil
+		return 0
+	}
+	r.rest = r.rest[n:]
+	return v
+}
+
+func (r *payloadReader) varint() int64 {
+	v, n := binary.Varint(r.rest)
+	if n <= 0 {
+		r.malformed, r.rest = true, nil
+		return 0
+	}
+	r.rest = r.rest[n:]
+	return v
+}
+
+func (r *payloadReader) boolean() bool {
+	if len(r.rest) == 0 {
+		r.malformed = true
+		return false
+	}
+	v := r.rest[0]
+	r.rest = r.rest[1:]
+	r.malformed = r.malformed || v > 1
+	return v == 1
+}
+
+func (r *payloadReader) bytes() []byte {
+	n := r.uvarint()
+	if n > uint64(len(r.rest)) {
+		r.malformed, r.rest = true, nil
+		return nil
+	}
+	v := r.rest[:n]
+	r.rest = r.rest[n:]
+	return v
+}
+
+func (r *payloadReader) str() string { return string(r.bytes()) }
+
+func (r *payloadReader) instant() instant.Time { return r.clocks.InstantOf(clampWall(r.varint())) }
+
+// tail returns a copy of all that follows.
+func (r *payloadReader) tail() []byte {
+	v := append([]byte(nil), r.rest...)
+	r.rest = nil
+	return v
+}
+
+// interner shares the memory of strings that occur in many records.
+type interner map[string]string
+
+func (n interner) intern(b []byte) string {
+	if s, ok := n[string(b)]; ok {
+		return s
+	}
+	s := string(b)
+	if len(n) < maxInterned {
+		n[s] = s
+	}
+	return s
+}
+
+// appendPayload appends the payload of a record to b, with times on the scale of the segment's clocks.
+func (r *record) appendPayload(b []byte, clocks clock.Pair) []byte {
+	w := payloadWriter{append(b, byte(r.op)), clocks}
+	switch r.op {
+	case opAccepted, opSnapshotEntry:
+		r.appendEntry(&w)
+	case opAttemptStarted:
+		w.uvarint(r.entrySeq)
+		w.instant(r.at)
+		w.str(r.host)
+	case opAttemptEnded:
+		w.uvarint(r.entrySeq)
+		w.boolean(r.notExecuted)
+	case opNotificationPending:
+		w.uvarint(r.entrySeq)
+		w.str(r.notification.Status)
+		w.varint(r.notification.RetryAfterMS)
+	case opCompleted:
+		w.uvarint(r.entrySeq)
+	case opHealth:
+		w.str(r.host)
+		w.boolean(r.ejected)
+		w.instant(r.at)
+	case opLegacyList:
+		w.uvarint(uint64(r.list.Endpoints))
+		w.buf = append(w.buf, r.list.Text...)
+	case opSnapshotEnd:
+		w.uvarint(r.snapshotRecords)
+		w.uvarint(uint64(r.snapshotChecksum))
+	}
+	return w.buf
+}
+
+// appendEntry writes an entry: an accepted one has no attempts yet, and one of a snapshot has all that is known of it.
+func (r *record) appendEntry(w *payloadWriter) {
+	e := r.entry
+	w.uvarint(r.entrySeq)
+	w.instant(e.ExpiresAt)
+	w.instant(e.AcceptedAt)
+	w.varint(int64(e.Dest))
+	w.str(e.Class)
+	w.str(e.ID)
+	w.str(e.Key)
+	if r.op == opSnapshotEntry {
+		w.uvarint(uint64(len(e.Attempts)))
+		for _, attempt := range e.Attempts {
+			w.str(attempt.Host)
+			w.instant(attempt.StartedAt)
+			w.boolean(attempt.Ended)
+			w.boolean(attempt.NotExecuted)
+			w.boolean(attempt.Uncertain)
+		}
+		w.boolean(e.PendingNotification != nil)
+		if e.PendingNotification != nil {
+			w.str(e.PendingNotification.Status)
+			w.varint(e.PendingNotification.RetryAfterMS)
+		}
+	}
+	w.buf = append(w.buf, e.Body...)
+}
+
+// decodePayload decodes a payload of a segment with the given clocks. The record shares no memory with the payload.
+func (r *record) decodePayload(payload []byte, shared interner, clocks clock.Pair) error {
+	if len(payload) == 0 {
+		return errMalformedPayload
+	}
+	in := payloadReader{rest: payload[1:], clocks: clocks}
+	*r = record{op: op(payload[0])}
+	switch r.op {
+	case opAccepted, opSnapshotEntry:
+		r.decodeEntry(&in, shared)
+	case opAttemptStarted:
+		r.entrySeq, r.at, r.host = in.uvarint(), in.instant(), shared.intern(in.bytes())
+	case opAttemptEnded:
+		r.entrySeq, r.notExecuted = in.uvarint(), in.boolean()
+	case opNotificationPending:
+		r.entrySeq = in.uvarint()
+		r.notification.Status, r.notification.RetryAfterMS = shared.intern(in.bytes()), in.varint()
+	case opCompleted:
+		r.entrySeq = in.uvarint()
+	case opHealth:
+		r.host, r.ejected, r.at = shared.intern(in.bytes()), in.boolean(), in.instant()
+	case opLegacyList:
+		r.list.Endpoints = int(min(in.uvarint(), maxPayloadSize))
+		r.list.Text = in.tail()
+	case opSnapshotEnd:
+		r.snapshotRecords, r.snapshotChecksum = in.uvarint(), uint32(in.uvarint())
+	default:
+		return fmt.Errorf("%w: %v", errMalformedPayload, r.op)
+	}
+	if in.malformed || len(in.rest) > 0 {
+		return errMalformedPayload
+	}
+	return nil
+}
+
+// decodeEntry reads what appendEntry wrote.
+func (r *record) decodeEntry(in *payloadReader, shared interner) {
+	e := &Entry{}
+	r.entry, r.entrySeq = e, in.uvarint()
+	e.ExpiresAt, e.AcceptedAt = in.instant(), in.instant()
+	e.Dest = int(in.varint())
+	e.Class, e.ID, e.Key = shared.intern(in.bytes()), in.str(), in.str()
+	if r.op == opSnapshotEntry {
+		attempts := in.uvarint()
+		if attempts > uint64(len(in.rest)) { // an attempt takes at least a byte, so a larger count is not even looped over
+			in.malformed = true
+			return
+		}
+		for range attempts {
+			e.Attempts = append(e.Attempts, Attempt{Host: shared.intern(in.bytes()), StartedAt: in.instant(), Ended: in.boolean(),
+				NotExecuted: in.boolean(), Uncertain: in.boolean()})
+		}
+		if in.boolean() {
+			e.PendingNotification = &Notification{ID: e.ID, Status: shared.intern(in.bytes()), RetryAfterMS: in.varint()}
+		}
+	}
+	e.Body = in.tail()
+}
--- /dev/null
+++ b/internal/journal/state.go
@@ -0,0 +1,121 @@
+package journal
+
+import (
+	"slices"
+)
+
+// state is what the records up to a point amount to.
+type state struct {
+	entries  map[string]*Entry // live entries by ID
+	bySeq    map[uint64]*Entry // the same by the sequence of the record that accepted them
+	order    []*Entry          // as accepted; completed ones are removed by the next compaction
+	health   map[string]HealthRecord
+	list     LegacyEndpointList
+	listSize int // disk space reserved for the list, in bytes
+	liveSize int // disk space reserved for the entries and the list, in bytes
+}
+
+func newState() *state {
+	return &state{entries: map[string]*Entry{}, bySeq: map[uint64]*Entry{}, health: map[string]HealthRecord{}}
+}
+
+// apply changes the state by one record.
+func (s *state) apply(r *record) {
+	switch r.op {
+	case opAccepted, opSnapshotEntry:
+		s.add(r.entry, r.entrySeq)
+	case opHealth:
+		s.health[r.host] = HealthRecord{Ejected: r.ejected, ChangedAt: r.at}
+	case opLegacyList:
+		s.liveSize -= s.listSize
+		s.list, s.listSize = r.list, max(len(r.list.Text), r.list.Endpoints*endpointReserve)
+		s.liveSize += s.listSize
+	default:
+		if e := s.bySeq[r.entrySeq]; e != nil {
+			s.update(e, r)
+		}
+	}
+}
+
+// add adds an entry. It replaces a live one with the same ID.
+func (s *state) add(e *Entry, seq uint64) {
+	e.seq = seq
+	if previous := s.entries[e.ID]; previous != nil {
+		s.remove(previous)
+	}
+	s.entries[e.ID], s.bySeq[seq] = e, e
+	s.order = append(s.order, e)
+	s.liveSize += requiredSize(e)
+}
+
+// update changes a live entry by a record that refers to it.
+func (s *state) update(e *Entry, r *record) {
+	switch r.op {
+	case opAttemptStarted:
+		e.Attempts = append(e.Attempts, Attempt{Host: r.host, StartedAt: r.at})
+	case opAttemptEnded:
+		if n := len(e.Attempts); n > 0 {
+			e.Attempts[n-1].Ended, e.Attempts[n-1].NotExecuted = true, r.notExecuted
+		}
+	case opNotificationPending:
+		e.PendingNotification = &Notification{ID: e.ID, Status: r.notification.Status, RetryAfterMS: r.notification.RetryAfterMS}
+	case opCompleted:
+		s.remove(e)
+	}
+}
+
+// remove removes a live entry.
+func (s *state) remove(e *Entry) {
+	delete(s.entries, e.ID)
+	delete(s.bySeq, e.seq)
+	s.liveSize -= requiredSize(e)
+}
+
+// liveEntries returns the live entries in the order in which they were accepted.
+func (s *state) liveEntries() []*Entry {
+	return slices.DeleteFunc(slices.Clone(s.order), func(e *Entry) bool { return s.entries[e.ID] != e })
+}
+
+// addUncertainAttempt takes into account that an attempt's record may be missing: an attempt may have executed the
+// request at any time since it was accepted. An entry with a pending notification is not attempted again.
+func addUncertainAttempt(e *Entry) {
+	if e.PendingNotification == nil {
+		e.Attempts = append(e.Attempts, Attempt{StartedAt: e.AcceptedAt, Uncertain: true})
+	}
+}
+
+// addUncertainAttempts adds an uncertain attempt to all live entries.
+func (s *state) addUncertainAttempts() {
+	for _, e := range s.entries {
+		addUncertainAttempt(e)
+	}
+}
+
+// inferMissing takes into account that records are missing. The last of them is known by its digest, and so is its
+// effect; the others may have started attempts, unless they are part of a snapshot. It returns the name of the last
+// one's operation.
+func (s *state) inferMissing(missing uint64, lastDigest uint32, inSnapshot bool) (lastRecord string) {
+	if missing == 0 {
+		return ""
+	}
+	lastOp := op(lastDigest >> digestOpShift)
+	if missing > 1 && !inSnapshot {
+		s.addUncertainAttempts()
+	}
+	for seq, e := range s.bySeq {
+		if uint32(seq)&digestSeqMask != lastDigest&digestSeqMask {
+			continue
+		}
+		switch lastOp {
+		case opAttemptStarted:
+			if missing == 1 { // otherwise it has its uncertain attempt already
+				addUncertainAttempt(e)
+			}
+		case opNotificationPending:
+			e.PendingNotification = &Notification{ID: e.ID, Status: undeliverableStatus}
+		case opCompleted:
+			s.remove(e)
+		}
+	}
+	return lastOp.String()
+}
--- a/internal/journal/timescale.go
+++ b/internal/journal/timescale.go
@@ -8,80 +8,87 @@
 	"milletsail/internal/instant"
 )
 
-// The times in a segment are wall times as they stood when it was begun, run on with the monotonic clock: steps of the wall
-// clock don't show in them. The header holds both clocks of that time. A process of the same boot so reads the very
-// moments. After another boot, or from a program that left no clocks, the wall clock is all there is: rebase.
+// Segments store moments as wall times: the wall clock as it stood when the segment was begun, continued by the monotonic
+// clock, so that later steps of the wall clock have no effect. The header stores both clock readings. A process of the
+// same boot translates the times back exactly. After a reboot, or if the writer stored no readings, only the wall clock
+// is left to relate them to the present: see rebase.
 
-// Clocks are the machine's clocks as a journal reads them. Tests put others in their place.
+// Clocks are the clocks that a journal reads. Tests replace them.
 type Clocks struct {
 	Now  func() instant.Time
 	Wall func() clock.Wall
-	// Uptime is the least time that has passed since anything that was written in another boot.
+	// Uptime is the time since the boot: at least this much has passed since anything an earlier boot has written.
 	Uptime func() time.Duration
 }
 
-// SystemClocks are the machine's own.
+// SystemClocks are the clocks of the machine.
 var SystemClocks = Clocks{Now: clock.Now, Wall: clock.ReadWall, Uptime: clock.Uptime}
 
 // readPair reads both clocks.
 func (c Clocks) readPair() clock.Pair { return clock.Pair{At: c.Now(), Wall: c.Wall()} }
 
-// wallClockOnly reads the times of a segment that holds no clocks as if the wall clock were the monotonic one. What it gives
-// has to be rebased.
+// wallClockOnly translates the times of a segment without clock readings, as if the wall clock were the monotonic one. The
+// result has to be rebased.
 var wallClockOnly = clock.Pair{At: 1, Wall: 1}
 
-// latestInstant is the last moment in a state that had passed when it was written.
-func (s *state) latestInstant() (last instant.Time) {
+// latestInstant is the latest moment in a state that had passed when it was written.
+func (s *state) latestInstant() (latest instant.Time) {
 	for _, e := range s.entries {
-		last = max(last, e.AcceptedAt)
-		for _, a := range e.Attempts {
-			last = max(last, a.StartedAt)
+		latest = max(latest, e.AcceptedAt)
+		for _, attempt := range e.Attempts {
+			latest = max(latest, attempt.StartedAt)
 		}
 	}
-	for _, h := range s.health {
-		last = max(last, h.ChangedAt)
+	for _, health := range s.health {
+		latest = max(latest, health.ChangedAt)
 	}
-	return last
+	return latest
 }
 
-// rebase carries a state whose moments are not of this boot's clock over to it, by the wall clock: present is where that
-// stands now on the state's own scale. Neither a deadline nor a window for repeats gets longer by it: where the wall clock
-// shows an earlier time than the state does, it tells nothing, and the time of all is up.
+// rebase translates the times of a state that are not on this boot's monotonic clock. present is the wall clock's current
+// reading on the scale of those times; uptime bounds from below how long ago the state was written.
+//
+// Neither a deadline nor an idempotency window is extended by it. If the wall clock is behind the state it can't be
+// trusted: then all deadlines have passed, and all else happened long ago.
 func (s *state) rebase(present, now instant.Time, uptime time.Duration) {
-	last := s.latestInstant()
-	trusted := present >= last
-	present = max(present, last.Add(uptime))
-	move := func(t instant.Time) instant.Time {
+	latest := s.latestInstant()
+	trusted := present >= latest
+	present = max(present, latest.Add(uptime))
+	translate := func(t instant.Time) instant.Time {
 		if t.IsZero() {
 			return 0
 		}
 		return now.Add(t.Sub(present))
 	}
-	past := func(t instant.Time) instant.Time {
+	translatePast := func(t instant.Time) instant.Time {
 		if !trusted {
 			return 0 // long ago
 		}
-		return max(0, min(now, move(t)))
+		return max(0, min(now, translate(t)))
 	}
 	for _, e := range s.entries {
-		e.AcceptedAt = past(e.AcceptedAt)
-		if e.ExpiresAt = move(e.ExpiresAt); !trusted {
+		e.AcceptedAt = translatePast(e.AcceptedAt)
+		e.ExpiresAt = translate(e.ExpiresAt)
+		if !trusted {
 			e.ExpiresAt = min(e.ExpiresAt, now)
 		}
 		for i := range e.Attempts {
-			e.Attempts[i].StartedAt = past(e.Attempts[i].StartedAt)
+			e.Attempts[i].StartedAt = translatePast(e.Attempts[i].StartedAt)
 		}
 	}
-	for host, h := range s.health {
-		if h.ChangedAt = past(h.ChangedAt); !trusted {
-			h.ChangedAt = now // a slow start begins anew: it may not have been long
+	for host, health := range s.health {
+		health.ChangedAt = translatePast(health.ChangedAt)
+		if !trusted {
+			health.ChangedAt = now // slow start begins again, since it may have begun shortly before
 		}
-		s.health[host] = h
+		s.health[host] = health
 	}
 }
 
-// clampWall keeps a time from disk within what can be reckoned with.
+// maxWall bounds stored times, in nanoseconds, so that differences of two of them can't overflow.
+const maxWall = math.MaxInt64 / 4
+
+// clampWall limits a stored time to the range in which it can be computed with.
 func clampWall(v int64) clock.Wall {
-	const most = math.MaxInt64 / 4
-	return clock.Wall(max(-most, min(v, most)))
+	return clock.Wall(max(-maxWall, min(v, maxWall)))
 }
--- a/internal/journal/transient.go
+++ b/internal/journal/transient.go
@@ -6,11 +6,14 @@
 	"syscall"
 )
 
-// transientErrors are those of a file system that may be over in a moment. Others say that a folder is not what it should be.
-var transientErrors = []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.EINTR, syscall.EAGAIN, syscall.EBUSY, syscall.ENFILE,
-	syscall.EMFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOLCK, syscall.ETIMEDOUT, syscall.ESTALE}
+// transientErrors are the errors of a file system that may go away by themselves. All others mean that the directory is
+// not usable.
+var transientErrors = []syscall.Errno{
+	syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.EINTR, syscall.EAGAIN, syscall.EBUSY, syscall.ENFILE,
+	syscall.EMFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOLCK, syscall.ETIMEDOUT, syscall.ESTALE,
+}
 
-// IsTransient tells whether what failed with an error may succeed a moment later.
+// IsTransient reports whether the operation that returned err may succeed a moment later.
 func IsTransient(err error) bool {
 	errno := syscall.Errno(0)
 	return errors.As(err, &errno) && slices.Contains(transientErrors, errno)
--- a/internal/journal/v1.go
+++ b/internal/journal/v1.go
@@ -13,11 +13,32 @@
 	"milletsail/internal/instant"
 )
 
-// The form of before, format 1: one file "journal" of records with a head (lengths of the JSON and of the body, and
-// their checksum, big-endian), JSON and body. It is read to be carried over, and written to go back.
+// Format 1, the previous one, is a single file "journal" of records. It is read for upgrades and written for rollbacks.
+// The numbers are big-endian.
+//
+//	record: length of the JSON 4 | length of the body 4 | CRC-32C 4 | JSON | body
 
-const recordHeaderSizeV1 = 12
+const (
+	// bodyLengthOffsetV1 is where a record holds the length of its body.
+	bodyLengthOffsetV1 = 4
+	// checksumOffsetV1 is where a record holds its checksum.
+	checksumOffsetV1 = 8
+	// recordHeaderSizeV1 is the length of a record in front of its JSON, in bytes.
+	recordHeaderSizeV1 = 12
+)
+
+// The operations of format 1, as they are stored.
+const (
+	opAcceptedV1            = "taken"
+	opAttemptStartedV1      = "begun"
+	opAttemptEndedV1        = "ended"
+	opNotificationPendingV1 = "owed"
+	opCompletedV1           = "over"
+	opHealthV1              = "health"
+	opLegacyListV1          = "list"
+)
 
+// recordV1 is the JSON of a record. Which fields are set depends on the operation.
 type recordV1 struct {
 	Op           string          `json:"op"`
 	Entry        *entryV1        `json:"entry,omitempty"`
@@ -28,14 +49,16 @@
 	Notification *Notification   `json:"notice,omitempty"`
 	Health       *healthV1       `json:"health,omitempty"`
 	List         json.RawMessage `json:"list,omitempty"`
-	Hosts        int             `json:"hosts,omitempty"`
+	Hosts        int             `json:"hosts,omitempty"` // number of endpoints in List
 }
 
+// healthV1 is the health of an endpoint.
 type healthV1 struct {
 	Ejected bool      `json:"sick,omitempty"`
 	At      time.Time `json:"at,omitzero"`
 }
 
+// entryV1 is an accepted request; its body follows the JSON.
 type entryV1 struct {
 	ID      string    `json:"id"`
 	Class   string    `json:"class,omitempty"`
@@ -44,81 +67,90 @@
 	Expires time.Time `json:"expires,omitzero"`
 }
 
-// replayV1 applies the records of a file, and returns how many bytes at its end can't be read, and whether they are
-// the begin of a record that was never finished.
-func (s *state) replayV1(raw []byte, report *Report) (rest int, torn bool) {
+// replayV1 applies the records of a file. It returns how many bytes at the end can't be read, and whether they are a torn
+// record.
+func (s *state) replayV1(raw []byte, report *Report) (unread int, torn bool) {
 	for len(raw) > 0 {
-		v, body, n, err := decodeV1(raw)
+		stored, body, length, err := decodeV1(raw)
 		if err != nil {
 			return len(raw), errors.Is(err, errTornRecord)
 		}
 		report.LastSequence++
 		report.Records++
-		if r := v.toRecord(s, report.LastSequence); r.op != 0 {
+		if r, ok := stored.toRecord(s, report.LastSequence); ok {
 			if r.entry != nil {
 				r.entry.Body = body
 			}
 			s.apply(&r)
 		}
-		raw = raw[n:]
+		raw = raw[length:]
 	}
 	return 0, false
 }
 
-// toRecord gives a record in today's terms.
-func (v *recordV1) toRecord(s *state, seq uint64) (r record) {
+// toRecord translates a record to the current format. It reports false for one that changes nothing.
+func (v *recordV1) toRecord(s *state, sequence uint64) (r record, ok bool) {
 	switch {
-	case v.Op == "taken" && v.Entry != nil:
+	case v.Op == opAcceptedV1 && v.Entry != nil:
 		e := v.Entry
-		return record{op: opAccepted, entrySeq: seq, entry: &Entry{ID: e.ID, Class: e.Class, Dest: e.Dest, Key: e.Key, ExpiresAt: instantV1(e.Expires)}}
-	case v.Op == "health" && v.Health != nil:
-		return record{op: opHealth, host: v.Host, flag: v.Health.Ejected, at: instantV1(v.Health.At)}
-	case v.Op == "list" && v.List != nil:
-		return record{op: opLegacyList, list: LegacyEndpointList{v.List, v.Hosts}}
+		entry := &Entry{ID: e.ID, Class: e.Class, Dest: e.Dest, Key: e.Key, ExpiresAt: instantV1(e.Expires)}
+		return record{op: opAccepted, entrySeq: sequence, entry: entry}, true
+	case v.Op == opHealthV1 && v.Health != nil:
+		return record{op: opHealth, host: v.Host, ejected: v.Health.Ejected, at: instantV1(v.Health.At)}, true
+	case v.Op == opLegacyListV1 && v.List != nil:
+		return record{op: opLegacyList, list: LegacyEndpointList{v.List, v.Hosts}}, true
 	}
 	e := s.entries[v.ID]
 	if e == nil {
-		return r
+		return record{}, false
 	}
-	r.entrySeq = e.seq
 	switch {
-	case v.Op == "begun":
-		r.op, r.host, r.at = opAttemptStarted, v.Host, instantV1(v.At)
-	case v.Op == "ended":
-		r.op, r.flag = opAttemptEnded, v.NotExecuted
-	case v.Op == "owed" && v.Notification != nil:
-		r.op, r.notification = opNotificationPending, *v.Notification
-	case v.Op == "over":
-		r.op = opCompleted
+	case v.Op == opAttemptStartedV1:
+		return record{op: opAttemptStarted, entrySeq: e.seq, host: v.Host, at: instantV1(v.At)}, true
+	case v.Op == opAttemptEndedV1:
+		return record{op: opAttemptEnded, entrySeq: e.seq, notExecuted: v.NotExecuted}, true
+	case v.Op == opNotificationPendingV1 && v.Notification != nil:
+		return record{op: opNotificationPending, entrySeq: e.seq, notification: *v.Notification}, true
+	case v.Op == opCompletedV1:
+		return record{op: opCompleted, entrySeq: e.seq}, true
 	}
-	return r
+	return record{}, false
 }
 
-var errTornRecord = errors.New("torn record")
+var (
+	// errTornRecord says that the file ends within a record.
+	errTornRecord = errors.New("torn record")
+	// errRecordLength says that a record's lengths exceed the limit.
+	errRecordLength = errors.New("record too long")
+	// errRecordChecksum says that a record's checksum does not match its content.
+	errRecordChecksum = errors.New("record checksum mismatch")
+)
 
-// decodeV1 reads the first record of raw and returns its length.
-func decodeV1(raw []byte) (r recordV1, body []byte, n int, err error) {
+// decodeV1 decodes the first record of raw. It returns the record's length as well.
+func decodeV1(raw []byte) (r recordV1, body []byte, length int, err error) {
 	if len(raw) < recordHeaderSizeV1 {
 		return r, nil, 0, errTornRecord
 	}
-	text, rest := uint64(binary.BigEndian.Uint32(raw)), uint64(binary.BigEndian.Uint32(raw[4:]))
-	if text+rest > maxPayloadSize {
-		return r, nil, 0, errors.New("bad lengths")
+	jsonLength := uint64(binary.BigEndian.Uint32(raw))
+	bodyLength := uint64(binary.BigEndian.Uint32(raw[bodyLengthOffsetV1:]))
+	if jsonLength+bodyLength > maxPayloadSize {
+		return r, nil, 0, errRecordLength
 	}
-	if n = recordHeaderSizeV1 + int(text+rest); n > len(raw) {
+	length = recordHeaderSizeV1 + int(jsonLength+bodyLength)
+	if length > len(raw) {
 		return r, nil, 0, errTornRecord
 	}
-	sum := crc32.Update(crc32.Checksum(raw[:8], castagnoli), castagnoli, raw[recordHeaderSizeV1:n])
-	if sum != binary.BigEndian.Uint32(raw[8:]) {
-		return r, nil, 0, errors.New("bad checksum")
+	if checksumV1(raw[:length]) != binary.BigEndian.Uint32(raw[checksumOffsetV1:]) {
+		return r, nil, 0, errRecordChecksum
 	}
-	if err = json.Unmarshal(raw[recordHeaderSizeV1:recordHeaderSizeV1+int(text)], &r); err != nil {
+	bodyOffset := recordHeaderSizeV1 + int(jsonLength)
+	if err = json.Unmarshal(raw[recordHeaderSizeV1:bodyOffset], &r); err != nil {
 		return r, nil, 0, fmt.Errorf("record: %w", err)
 	}
-	return r, slices.Clone(raw[recordHeaderSizeV1+int(text) : n]), n, nil
+	return r, slices.Clone(raw[bodyOffset:length]), length, nil
 }
 
-// appendV1 adds a record to b.
+// appendV1 appends a record to b.
 func appendV1(b []byte, r recordV1, body []byte) ([]byte, error) {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -127,14 +159,19 @@
 	start := len(b)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(text)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
-	b = append(b, 0, 0, 0, 0)
-	b = append(append(b, text...), body...)
-	sum := crc32.Update(crc32.Checksum(b[start:start+8], castagnoli), castagnoli, b[start+recordHeaderSizeV1:])
-	binary.BigEndian.PutUint32(b[start+8:], sum)
+	b = append(b, 0, 0, 0, 0) // checksum, set below
+	b = append(b, text...)
+	b = append(b, body...)
+	binary.BigEndian.PutUint32(b[start+checksumOffsetV1:], checksumV1(b[start:]))
 	return b, nil
 }
 
-// instantV1 reads a time of that form, which knows the wall clock alone: rebase has to follow.
+// checksumV1 is the CRC-32C of all of a record but the checksum itself.
+func checksumV1(r []byte) uint32 {
+	return crc32.Update(crc32.Checksum(r[:checksumOffsetV1], castagnoli), castagnoli, r[recordHeaderSizeV1:])
+}
+
+// instantV1 reads a time of format 1, which stores wall times alone. The state has to be rebased afterwards.
 func instantV1(t time.Time) instant.Time {
 	if t.IsZero() {
 		return 0
@@ -142,7 +179,7 @@
 	return wallClockOnly.InstantOf(clampWall(t.UnixNano()))
 }
 
-// encodeV1 gives a state in the form of before.
+// encodeV1 encodes a state in format 1.
 func (s *state) encodeV1() (b []byte, err error) {
 	clocks := clock.ReadPair()
 	add := func(r recordV1, body []byte) {
@@ -151,22 +188,22 @@
 		err = errors.Join(err, failed)
 	}
 	for _, e := range s.liveEntries() {
-		add(recordV1{Op: "taken", Entry: &entryV1{e.ID, e.Class, e.Dest, e.Key, wallTime(clocks, e.ExpiresAt)}}, e.Body)
-		for _, a := range e.Attempts {
-			add(recordV1{Op: "begun", ID: e.ID, Host: a.Host, At: wallTime(clocks, a.StartedAt)}, nil)
-			if a.Ended {
-				add(recordV1{Op: "ended", ID: e.ID, NotExecuted: a.NotExecuted}, nil)
+		add(recordV1{Op: opAcceptedV1, Entry: &entryV1{e.ID, e.Class, e.Dest, e.Key, wallTime(clocks, e.ExpiresAt)}}, e.Body)
+		for _, attempt := range e.Attempts {
+			add(recordV1{Op: opAttemptStartedV1, ID: e.ID, Host: attempt.Host, At: wallTime(clocks, attempt.StartedAt)}, nil)
+			if attempt.Ended {
+				add(recordV1{Op: opAttemptEndedV1, ID: e.ID, NotExecuted: attempt.NotExecuted}, nil)
 			}
 		}
 		if e.PendingNotification != nil {
-			add(recordV1{Op: "owed", ID: e.ID, Notification: e.PendingNotification}, nil)
+			add(recordV1{Op: opNotificationPendingV1, ID: e.ID, Notification: e.PendingNotification}, nil)
 		}
 	}
 	if s.list.Text != nil {
-		add(recordV1{Op: "list", List: s.list.Text, Hosts: s.list.Endpoints}, nil)
+		add(recordV1{Op: opLegacyListV1, List: s.list.Text, Hosts: s.list.Endpoints}, nil)
 	}
-	for host, h := range s.health {
-		add(recordV1{Op: "health", Host: host, Health: &healthV1{h.Ejected, wallTime(clocks, h.ChangedAt)}}, nil)
+	for host, health := range s.health {
+		add(recordV1{Op: opHealthV1, Host: host, Health: &healthV1{health.Ejected, wallTime(clocks, health.ChangedAt)}}, nil)
 	}
 	return b, err
 }
