--- a/internal/journal/compaction.go
+++ b/internal/journal/compaction.go
@@ -64,7 +64,7 @@
 	path := filepath.Join(j.dir, segmentFileName(number))
 	clocks := j.options.Clocks.readPair()
 	content, lastSequence, lastDigest := j.encodeSnapshot(number, clocks)
-	f, err := j.createSegment(path, content)
+	file, err := j.createSegment(path, content)
 	if err != nil {
 		return err
 	}
@@ -72,8 +72,8 @@
 		if err := j.options.Files.SyncDir(j.dir); err != nil {
 			// The rename may or may not survive a power loss: the previous segment stays, and this one is not used.
 			j.lastSequence, j.previousDigest, j.clocks = lastSequence, lastDigest, clocks
-			j.revokeUncommitted(f)
-			_ = f.Close() // SyncDir's error is the one to return
+			j.revokeUncommitted(file)
+			_ = file.Close() // SyncDir's error is the one to return
 			j.closeSegment()
 			j.segment = number
 			j.obsolete = append(j.obsolete, path)
@@ -84,7 +84,7 @@
 	if j.writeError != nil {
 		slog.Warn("journal: writable again", "segment", number)
 	}
-	j.file, j.segment, j.segmentSize, j.clocks = f, number, len(content), clocks
+	j.file, j.segment, j.segmentSize, j.clocks = file, number, len(content), clocks
 	j.lastSequence, j.previousDigest = lastSequence, lastDigest
 	j.writeError = nil
 	j.removeObsolete()
@@ -95,23 +95,23 @@
 // gives it its final name.
 func (j *Journal) createSegment(path string, content []byte) (File, error) {
 	temporary := path + unfinishedSuffix
-	f, err := j.options.Files.Create(temporary)
+	file, err := j.options.Files.Create(temporary)
 	if err != nil {
 		return nil, err
 	}
-	err = writeAll(f, content)
+	err = writeAll(file, content)
 	if err == nil && j.options.SurvivesPowerLoss {
-		err = f.Sync()
+		err = file.Sync()
 	}
 	if err == nil {
 		err = j.options.Files.Rename(temporary, path)
 	}
 	if err != nil {
-		_ = f.Close()                         // the write's error is the one to return
+		_ = file.Close()                      // the write's error is the one to return
 		_ = j.options.Files.Remove(temporary) // otherwise scanDir removes it
 		return nil, err
 	}
-	return f, nil
+	return file, nil
 }
 
 // removeObsolete removes the segments that the current one replaces. What can't be removed is tried again after the
--- a/internal/journal/dump.go
+++ b/internal/journal/dump.go
@@ -58,18 +58,18 @@
 }
 
 // newDumpedEntry translates an entry for Dump.
-func newDumpedEntry(e *Entry, clocks clock.Pair, withBody bool) dumpedEntry {
+func newDumpedEntry(entry *Entry, clocks clock.Pair, withBody bool) dumpedEntry {
 	dumped := dumpedEntry{
-		ID:                  e.ID,
-		Class:               e.Class,
-		Dest:                e.Dest,
-		Key:                 e.Key,
-		ExpiresAt:           wallTime(clocks, e.ExpiresAt),
-		AcceptedAt:          wallTime(clocks, e.AcceptedAt),
-		PendingNotification: e.PendingNotification,
-		Bytes:               len(e.Body),
+		ID:                  entry.ID,
+		Class:               entry.Class,
+		Dest:                entry.Dest,
+		Key:                 entry.Key,
+		ExpiresAt:           wallTime(clocks, entry.ExpiresAt),
+		AcceptedAt:          wallTime(clocks, entry.AcceptedAt),
+		PendingNotification: entry.PendingNotification,
+		Bytes:               len(entry.Body),
 	}
-	for _, attempt := range e.Attempts {
+	for _, attempt := range entry.Attempts {
 		dumped.Attempts = append(dumped.Attempts, dumpedAttempt{
 			Host:        attempt.Host,
 			StartedAt:   wallTime(clocks, attempt.StartedAt),
@@ -79,7 +79,7 @@
 		})
 	}
 	if withBody {
-		dumped.Body = e.Body
+		dumped.Body = entry.Body
 	}
 	return dumped
 }
--- a/internal/journal/header.go
+++ b/internal/journal/header.go
@@ -16,7 +16,8 @@
 // a record with the snapshot's record count and checksum, and then one record for each change. The numbers of fixed
 // size are little-endian.
 //
-//	header: magic 8 | format 4 | length of the fields 4 | fields: segment, first sequence, durability, boot, relay, clocks | CRC-32C 4
+//	header: magic 8 | format 4 | length of the fields 4 | fields | CRC-32C 4
+//	fields: segment, first sequence, durability, boot ID, relay, clocks
 
 // ReadableFormats are the storage formats that this program reads.
 var ReadableFormats = []int{formatV1, Format}
@@ -90,8 +91,8 @@
 }
 
 func (e *NewerError) Error() string {
-	return fmt.Sprintf("%s has format %d, and this program reads formats up to %d: start the newer program, or let it convert the directory",
-		e.File, e.Format, Format)
+	return fmt.Sprintf("%s has format %d, and this program reads formats up to %d: "+
+		"start the newer program, or let it convert the directory", e.File, e.Format, Format)
 }
 
 // readHeader reads the header of the segment with the given file name. It returns errMalformedHeader or a *NewerError.
@@ -111,7 +112,7 @@
 	if h.format > Format { // behind the checksum: a flipped bit is damage and not a newer format
 		return h, &NewerError{name, h.format}
 	}
-	fields := payloadReader{rest: s.buf[segmentHeaderSize:end]}
+	fields := payloadReader{unread: s.buf[segmentHeaderSize:end]}
 	h.segment, h.firstSequence = fields.uvarint(), fields.uvarint()
 	h.survivesPowerLoss = fields.boolean()
 	h.boot, h.relay = fields.str(), fields.str()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -135,13 +135,13 @@
 	if err != nil {
 		return nil, report, fmt.Errorf("journal: %w", err)
 	}
-	j := &Journal{
+	opened := &Journal{
 		state:      replayed,
 		options:    Options{Files: Disk, Clocks: SystemClocks},
 		dir:        dir,
 		writeError: ErrReadOnly,
 	}
-	return j, report, nil
+	return opened, report, nil
 }
 
 // Close closes the segment. Records that were not committed are lost.
--- a/internal/journal/load.go
+++ b/internal/journal/load.go
@@ -13,27 +13,27 @@
 
 // loadState replays the newest complete segment of a directory, with its times on this boot's clock.
 func loadState(files FS, dir, boot string, clocks Clocks) (*state, *Report, error) {
-	s, r, err := readNewest(files, dir, boot)
+	loaded, report, err := readNewest(files, dir, boot)
 	if err != nil {
-		return s, r, err
+		return loaded, report, err
 	}
 	now := clocks.Now()
-	hasClocks := r.clocks != (clock.Pair{})
-	sameBoot := boot != "" && r.Boot == boot
-	if hasClocks && sameBoot && max(s.latestInstant(), r.clocks.At) <= now {
-		return s, r, nil
+	hasClocks := report.clocks != (clock.Pair{})
+	sameBoot := boot != "" && report.Boot == boot
+	if hasClocks && sameBoot && max(loaded.latestInstant(), report.clocks.At) <= now {
+		return loaded, report, nil
 	}
-	scale := r.clocks
+	scale := report.clocks
 	if !hasClocks {
 		scale = wallClockOnly
 	}
 	uptime := time.Duration(0)
-	if r.Rebooted {
+	if report.Rebooted {
 		uptime = clocks.Uptime()
 	}
-	r.UsedWallClock = r.File != ""
-	s.rebase(scale.InstantOf(clocks.Wall()), now, uptime)
-	return s, r, nil
+	report.UsedWallClock = report.File != ""
+	loaded.rebase(scale.InstantOf(clocks.Wall()), now, uptime)
+	return loaded, report, nil
 }
 
 // readNewest replays the newest complete segment of a directory, with its times as they were written. If no segment is
@@ -47,34 +47,34 @@
 	var partialReport *Report
 	var skipped []string
 	for _, number := range segments {
-		s, r, complete, err := readSegmentFile(files, filepath.Join(dir, segmentFileName(number)), boot)
+		replayed, report, complete, err := readSegmentFile(files, filepath.Join(dir, segmentFileName(number)), boot)
 		if err != nil {
-			return nil, r, err
+			return nil, report, err
 		}
-		r.segment = number
+		report.segment = number
 		if complete {
-			r.SkippedSegments = skipped
-			powerLoss := r.Rebooted && r.SurvivesPowerLoss
+			report.SkippedSegments = skipped
+			powerLoss := report.Rebooted && report.SurvivesPowerLoss
 			if len(skipped) > 0 && !powerLoss {
-				s.addUncertainAttempts() // the newer segment was complete once, and its records are lost
+				replayed.addUncertainAttempts() // the newer segment was complete once, and its records are lost
 			}
-			return s, r, nil
+			return replayed, report, nil
 		}
 		skipped = append(skipped, segmentFileName(number))
 		if partialState == nil {
-			partialState, partialReport = s, r
+			partialState, partialReport = replayed, report
 		}
 	}
 	switch {
 	case hasV1:
-		s, r, err := readV1File(files, dir)
+		replayed, report, err := readV1File(files, dir)
 		if err == nil {
-			r.SkippedSegments = skipped
+			report.SkippedSegments = skipped
 			if len(segments) > 0 {
-				r.segment = segments[0]
+				report.segment = segments[0]
 			}
 		}
-		return s, r, err
+		return replayed, report, err
 	case partialState == nil:
 		return newState(), &Report{Format: Format}, nil
 	}
--- a/internal/journal/ownership.go
+++ b/internal/journal/ownership.go
@@ -91,4 +91,6 @@
 }
 
 // newWriteLock describes an exclusive lock of a whole file.
-func newWriteLock() *syscall.Flock_t { return &syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart} }
+func newWriteLock() *syscall.Flock_t {
+	return &syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart}
+}
--- a/internal/journal/payload.go
+++ b/internal/journal/payload.go
@@ -44,50 +44,50 @@
 
 // payloadReader decodes the fields of a payload. Once malformed is set, the values that it returns are meaningless.
 type payloadReader struct {
-	rest      []byte
+	unread    []byte
 	malformed bool
 	clocks    clock.Pair // of the segment
 }
 
 func (r *payloadReader) uvarint() uint64 {
-	v, n := binary.Uvarint(r.rest)
+	v, n := binary.Uvarint(r.unread)
 	if n <= 0 {
-		r.malformed, r.rest = true, nil
+		r.malformed, r.unread = true, nil
 		return 0
 	}
-	r.rest = r.rest[n:]
+	r.unread = r.unread[n:]
 	return v
 }
 
 func (r *payloadReader) varint() int64 {
-	v, n := binary.Varint(r.rest)
+	v, n := binary.Varint(r.unread)
 	if n <= 0 {
-		r.malformed, r.rest = true, nil
+		r.malformed, r.unread = true, nil
 		return 0
 	}
-	r.rest = r.rest[n:]
+	r.unread = r.unread[n:]
 	return v
 }
 
 func (r *payloadReader) boolean() bool {
-	if len(r.rest) == 0 {
+	if len(r.unread) == 0 {
 		r.malformed = true
 		return false
 	}
-	v := r.rest[0]
-	r.rest = r.rest[1:]
+	v := r.unread[0]
+	r.unread = r.unread[1:]
 	r.malformed = r.malformed || v > 1
 	return v == 1
 }
 
 func (r *payloadReader) bytes() []byte {
 	n := r.uvarint()
-	if n > uint64(len(r.rest)) {
-		r.malformed, r.rest = true, nil
+	if n > uint64(len(r.unread)) {
+		r.malformed, r.unread = true, nil
 		return nil
 	}
-	v := r.rest[:n]
-	r.rest = r.rest[n:]
+	v := r.unread[:n]
+	r.unread = r.unread[n:]
 	return v
 }
 
@@ -97,8 +97,8 @@
 
 // tail returns a copy of all that follows.
 func (r *payloadReader) tail() []byte {
-	v := append([]byte(nil), r.rest...)
-	r.rest = nil
+	v := append([]byte(nil), r.unread...)
+	r.unread = nil
 	return v
 }
 
@@ -118,63 +118,63 @@
 
 // appendPayload appends the payload of a record to b, with times on the scale of the segment's clocks.
 func (r *record) appendPayload(b []byte, clocks clock.Pair) []byte {
-	w := payloadWriter{append(b, byte(r.op)), clocks}
+	payload := payloadWriter{append(b, byte(r.op)), clocks}
 	switch r.op {
 	case opAccepted, opSnapshotEntry:
-		r.appendEntry(&w)
+		r.appendEntry(&payload)
 	case opAttemptStarted:
-		w.uvarint(r.entrySeq)
-		w.instant(r.at)
-		w.str(r.host)
+		payload.uvarint(r.entrySeq)
+		payload.instant(r.at)
+		payload.str(r.host)
 	case opAttemptEnded:
-		w.uvarint(r.entrySeq)
-		w.boolean(r.notExecuted)
+		payload.uvarint(r.entrySeq)
+		payload.boolean(r.notExecuted)
 	case opNotificationPending:
-		w.uvarint(r.entrySeq)
-		w.str(r.notification.Status)
-		w.varint(r.notification.RetryAfterMS)
+		payload.uvarint(r.entrySeq)
+		payload.str(r.notification.Status)
+		payload.varint(r.notification.RetryAfterMS)
 	case opCompleted:
-		w.uvarint(r.entrySeq)
+		payload.uvarint(r.entrySeq)
 	case opHealth:
-		w.str(r.host)
-		w.boolean(r.ejected)
-		w.instant(r.at)
+		payload.str(r.host)
+		payload.boolean(r.ejected)
+		payload.instant(r.at)
 	case opLegacyList:
-		w.uvarint(uint64(r.list.Endpoints))
-		w.buf = append(w.buf, r.list.Text...)
+		payload.uvarint(uint64(r.list.Endpoints))
+		payload.buf = append(payload.buf, r.list.Text...)
 	case opSnapshotEnd:
-		w.uvarint(r.snapshotRecords)
-		w.uvarint(uint64(r.snapshotChecksum))
+		payload.uvarint(r.snapshotRecords)
+		payload.uvarint(uint64(r.snapshotChecksum))
 	}
-	return w.buf
+	return payload.buf
 }
 
 // appendEntry writes an entry: an accepted one has no attempts yet, and one of a snapshot has all that is known of it.
-func (r *record) appendEntry(w *payloadWriter) {
-	e := r.entry
-	w.uvarint(r.entrySeq)
-	w.instant(e.ExpiresAt)
-	w.instant(e.AcceptedAt)
-	w.varint(int64(e.Dest))
-	w.str(e.Class)
-	w.str(e.ID)
-	w.str(e.Key)
+func (r *record) appendEntry(payload *payloadWriter) {
+	entry := r.entry
+	payload.uvarint(r.entrySeq)
+	payload.instant(entry.ExpiresAt)
+	payload.instant(entry.AcceptedAt)
+	payload.varint(int64(entry.Dest))
+	payload.str(entry.Class)
+	payload.str(entry.ID)
+	payload.str(entry.Key)
 	if r.op == opSnapshotEntry {
-		w.uvarint(uint64(len(e.Attempts)))
-		for _, attempt := range e.Attempts {
-			w.str(attempt.Host)
-			w.instant(attempt.StartedAt)
-			w.boolean(attempt.Ended)
-			w.boolean(attempt.NotExecuted)
-			w.boolean(attempt.Uncertain)
+		payload.uvarint(uint64(len(entry.Attempts)))
+		for _, attempt := range entry.Attempts {
+			payload.str(attempt.Host)
+			payload.instant(attempt.StartedAt)
+			payload.boolean(attempt.Ended)
+			payload.boolean(attempt.NotExecuted)
+			payload.boolean(attempt.Uncertain)
 		}
-		w.boolean(e.PendingNotification != nil)
-		if e.PendingNotification != nil {
-			w.str(e.PendingNotification.Status)
-			w.varint(e.PendingNotification.RetryAfterMS)
+		payload.boolean(entry.PendingNotification != nil)
+		if entry.PendingNotification != nil {
+			payload.str(entry.PendingNotification.Status)
+			payload.varint(entry.PendingNotification.RetryAfterMS)
 		}
 	}
-	w.buf = append(w.buf, e.Body...)
+	payload.buf = append(payload.buf, entry.Body...)
 }
 
 // decodePayload decodes a payload of a segment with the given clocks. The record shares no memory with the payload.
@@ -182,7 +182,7 @@
 	if len(payload) == 0 {
 		return errMalformedPayload
 	}
-	in := payloadReader{rest: payload[1:], clocks: clocks}
+	in := payloadReader{unread: payload[1:], clocks: clocks}
 	*r = record{op: op(payload[0])}
 	switch r.op {
 	case opAccepted, opSnapshotEntry:
@@ -206,7 +206,7 @@
 	default:
 		return fmt.Errorf("%w: %v", errMalformedPayload, r.op)
 	}
-	if in.malformed || len(in.rest) > 0 {
+	if in.malformed || len(in.unread) > 0 {
 		return errMalformedPayload
 	}
 	return nil
@@ -214,24 +214,24 @@
 
 // decodeEntry reads what appendEntry wrote.
 func (r *record) decodeEntry(in *payloadReader, shared interner) {
-	e := &Entry{}
-	r.entry, r.entrySeq = e, in.uvarint()
-	e.ExpiresAt, e.AcceptedAt = in.instant(), in.instant()
-	e.Dest = int(in.varint())
-	e.Class, e.ID, e.Key = shared.intern(in.bytes()), in.str(), in.str()
+	entry := &Entry{}
+	r.entry, r.entrySeq = entry, in.uvarint()
+	entry.ExpiresAt, entry.AcceptedAt = in.instant(), in.instant()
+	entry.Dest = int(in.varint())
+	entry.Class, entry.ID, entry.Key = shared.intern(in.bytes()), in.str(), in.str()
 	if r.op == opSnapshotEntry {
 		attempts := in.uvarint()
-		if attempts > uint64(len(in.rest)) { // an attempt takes at least a byte, so a larger count is not even looped over
+		if attempts > uint64(len(in.unread)) { // an attempt takes at least a byte, so a larger count is not even looped over
 			in.malformed = true
 			return
 		}
 		for range attempts {
-			e.Attempts = append(e.Attempts, Attempt{Host: shared.intern(in.bytes()), StartedAt: in.instant(), Ended: in.boolean(),
+			entry.Attempts = append(entry.Attempts, Attempt{Host: shared.intern(in.bytes()), StartedAt: in.instant(), Ended: in.boolean(),
 				NotExecuted: in.boolean(), Uncertain: in.boolean()})
 		}
 		if in.boolean() {
-			e.PendingNotification = &Notification{ID: e.ID, Status: shared.intern(in.bytes()), RetryAfterMS: in.varint()}
+			entry.PendingNotification = &Notification{ID: entry.ID, Status: shared.intern(in.bytes()), RetryAfterMS: in.varint()}
 		}
 	}
-	e.Body = in.tail()
+	entry.Body = in.tail()
 }
--- a/internal/journal/quarantine.go
+++ b/internal/journal/quarantine.go
@@ -30,12 +30,12 @@
 
 // quarantine copies the damaged ranges that a replay found to files of their own, as far as there is space, and logs
 // what is missing.
-func (j *Journal) quarantine(r *Report) {
-	for _, name := range r.SkippedSegments {
+func (j *Journal) quarantine(report *Report) {
+	for _, name := range report.SkippedSegments {
 		slog.Warn("journal: segment skipped, its snapshot is incomplete", "file", name)
 	}
 	capacity := int64(j.quarantineCapacity())
-	for _, damage := range r.Damage {
+	for _, damage := range report.Damage {
 		copiedTo := ""
 		if damage.Length > 0 && damage.Length <= capacity {
 			name := fmt.Sprintf("%s%s-%d", quarantinePrefix, damage.file, damage.Offset)
@@ -51,7 +51,7 @@
 			"first_missing_sequence", damage.FirstSequence, "missing_records", damage.Missing, "last_missing_record", damage.LastRecord,
 			"quarantined_as", copiedTo)
 	}
-	if r.Rebooted && !r.SurvivesPowerLoss {
+	if report.Rebooted && !report.SurvivesPowerLoss {
 		slog.Warn("journal: machine rebooted and durability is process, all entries get an uncertain attempt")
 	}
 }
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -79,7 +79,9 @@
 }
 
 // digest identifies the record in the frame of its successor.
-func (r *record) digest() uint32 { return uint32(r.op)<<digestOpShift | uint32(r.entrySeq)&digestSeqMask }
+func (r *record) digest() uint32 {
+	return uint32(r.op)<<digestOpShift | uint32(r.entrySeq)&digestSeqMask
+}
 
 // appendFramed appends a record with its frame to b. It returns the record's checksum as well.
 func appendFramed(b []byte, r *record, sequence uint64, previousDigest uint32, clocks clock.Pair) ([]byte, uint32) {
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -111,23 +111,29 @@
 // applyFrame applies a valid record and advances behind it.
 func (p *segmentReplay) applyFrame(found frame) {
 	sequence := found.sequence()
-	var r record
-	if err := r.decodePayload(found.payload(), p.shared, p.clocks); err != nil {
+	var decoded record
+	if err := decoded.decodePayload(found.payload(), p.shared, p.clocks); err != nil {
 		// The checksum is valid, so another program wrote an operation that this one does not know.
-		p.report.addDamage(Damage{Offset: p.scanner.offset, Length: int64(len(found)), FirstSequence: sequence, Missing: 1, LastRecord: err.Error()})
+		p.report.addDamage(Damage{
+			Offset:        p.scanner.offset,
+			Length:        int64(len(found)),
+			FirstSequence: sequence,
+			Missing:       1,
+			LastRecord:    err.Error(),
+		})
 		p.state.addUncertainAttempts()
 		p.lastSequence = sequence
 		p.scanner.advance(len(found))
 		return
 	}
 	if gap := sequence - p.lastSequence - 1; gap > 0 && (!p.headless || p.records > 0) {
-		p.recordGap(gap, found.previousDigest(), r.op)
+		p.recordGap(gap, found.previousDigest(), decoded.op)
 	}
-	if r.op == opSnapshotEnd {
-		p.snapshotComplete = r.snapshotRecords == p.records && r.snapshotChecksum == p.checksum && !p.headless
+	if decoded.op == opSnapshotEnd {
+		p.snapshotComplete = decoded.snapshotRecords == p.records && decoded.snapshotChecksum == p.checksum && !p.headless
 		p.inSnapshot = false
 	} else {
-		p.state.apply(&r)
+		p.state.apply(&decoded)
 	}
 	p.records++
 	p.checksum = addChecksum(p.checksum, found.checksum())
--- a/internal/journal/scanner.go
+++ b/internal/journal/scanner.go
@@ -24,14 +24,14 @@
 }
 
 // fill reports whether n bytes follow the offset, and reads them into buf.
-func (s *scanner) fill(n int) bool {
-	for len(s.buf) < n && s.err == nil {
+func (s *scanner) fill(needed int) bool {
+	for len(s.buf) < needed && s.err == nil {
 		if s.offset+int64(len(s.buf)) >= s.size {
 			return false
 		}
 		if cap(s.buf)-len(s.buf) < readSize {
-			if len(s.storage) < n+readSize {
-				s.storage = make([]byte, max(2*readSize, n+readSize))
+			if len(s.storage) < needed+readSize {
+				s.storage = make([]byte, max(2*readSize, needed+readSize))
 			}
 			s.buf = s.storage[:copy(s.storage, s.buf)]
 		}
@@ -43,7 +43,7 @@
 			s.err = err
 		}
 	}
-	return len(s.buf) >= n
+	return len(s.buf) >= needed
 }
 
 // advance moves the offset on by n bytes, which fill must have read.
@@ -74,7 +74,8 @@
 		return true
 	}
 	length := binary.LittleEndian.Uint32(s.buf[payloadLengthOffset:])
-	return binary.LittleEndian.Uint32(s.buf) == recordMarker && length <= maxPayloadSize && int64(length)+recordHeaderSize > s.remaining()
+	plausible := binary.LittleEndian.Uint32(s.buf) == recordMarker && length <= maxPayloadSize
+	return plausible && int64(length)+recordHeaderSize > s.remaining()
 }
 
 // resync advances to the next valid record with a sequence above a given one, and reports whether there is one.
--- a/internal/journal/stat.go
+++ b/internal/journal/stat.go
@@ -24,7 +24,7 @@
 
 // Summarize reads the directory dir and summarizes its content as of now.
 func Summarize(dir string, now instant.Time) (*Summary, error) {
-	j, report, err := Read(dir)
+	opened, report, err := Read(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -32,13 +32,13 @@
 		Report:        *report,
 		Complete:      report.Complete(),
 		ByClass:       map[string]int{},
-		RequiredBytes: j.liveSize,
-		Hosts:         j.list.Endpoints,
+		RequiredBytes: opened.liveSize,
+		Hosts:         opened.list.Endpoints,
 	}
-	for _, e := range j.Entries() {
+	for _, e := range opened.Entries() {
 		summary.addEntry(e, now)
 	}
-	for _, health := range j.health {
+	for _, health := range opened.health {
 		if health.Ejected {
 			summary.Ejected++
 		}
--- a/internal/journal/timescale_test.go
+++ b/internal/journal/timescale_test.go
@@ -163,13 +163,13 @@
 		t.Fatal(err)
 	}
 	length := int(binary.LittleEndian.Uint32(raw[12:]))
-	in := payloadReader{rest: raw[segmentHeaderSize : segmentHeaderSize+length]}
+	in := payloadReader{unread: raw[segmentHeaderSize : segmentHeaderSize+length]}
 	in.uvarint()
 	in.uvarint()
 	in.boolean()
 	in.str()
 	in.str()
-	kept := length - len(in.rest)
+	kept := length - len(in.unread)
 	head := bytes.Clone(raw[:segmentHeaderSize+kept])
 	binary.LittleEndian.PutUint32(head[12:], uint32(kept))
 	head = binary.LittleEndian.AppendUint32(head, crc32.Checksum(head, castagnoli))
--- a/internal/journal/v1.go
+++ b/internal/journal/v1.go
@@ -187,16 +187,17 @@
 		b, failed = appendV1(b, r, body)
 		err = errors.Join(err, failed)
 	}
-	for _, e := range s.liveEntries() {
-		add(recordV1{Op: opAcceptedV1, Entry: &entryV1{e.ID, e.Class, e.Dest, e.Key, wallTime(clocks, e.ExpiresAt)}}, e.Body)
-		for _, attempt := range e.Attempts {
-			add(recordV1{Op: opAttemptStartedV1, ID: e.ID, Host: attempt.Host, At: wallTime(clocks, attempt.StartedAt)}, nil)
+	for _, entry := range s.liveEntries() {
+		accepted := &entryV1{entry.ID, entry.Class, entry.Dest, entry.Key, wallTime(clocks, entry.ExpiresAt)}
+		add(recordV1{Op: opAcceptedV1, Entry: accepted}, entry.Body)
+		for _, attempt := range entry.Attempts {
+			add(recordV1{Op: opAttemptStartedV1, ID: entry.ID, Host: attempt.Host, At: wallTime(clocks, attempt.StartedAt)}, nil)
 			if attempt.Ended {
-				add(recordV1{Op: opAttemptEndedV1, ID: e.ID, NotExecuted: attempt.NotExecuted}, nil)
+				add(recordV1{Op: opAttemptEndedV1, ID: entry.ID, NotExecuted: attempt.NotExecuted}, nil)
 			}
 		}
-		if e.PendingNotification != nil {
-			add(recordV1{Op: opNotificationPendingV1, ID: e.ID, Notification: e.PendingNotification}, nil)
+		if entry.PendingNotification != nil {
+			add(recordV1{Op: opNotificationPendingV1, ID: entry.ID, Notification: entry.PendingNotification}, nil)
 		}
 	}
 	if s.list.Text != nil {
