--- a/internal/fleet/assessment_test.go
+++ b/internal/fleet/assessment_test.go
@@ -40,7 +40,8 @@
 	}{
 		{"all", nil, 0, Assessment{4, 0, 7 * time.Second, 4 * time.Second, 26 * time.Second}},
 		{"same zone", sameZone, 0, Assessment{3, 0, 7 * time.Second, 4 * time.Second, 26 * time.Second}},
-		{"healthy after the second", nil, 2500 * time.Millisecond, Assessment{2, 0, 5 * time.Second, 4 * time.Second, 26 * time.Second}},
+		{"healthy after the second", nil, 2500 * time.Millisecond,
+			Assessment{2, 0, 5 * time.Second, 4 * time.Second, 26 * time.Second}},
 		{"healthy after the last", sameZone, 5 * time.Second, Assessment{}},
 	} {
 		if c.healthyAt > 0 {
@@ -51,7 +52,8 @@
 		}
 	}
 	receiveReport(node, KindEndpointEjected, 6, 6, 1, 9000, now-time.Second)
-	if got := node.Assess(KindEndpointEjected, KindEndpointRecovered, "h", nil, now); got.RecentObservers != 1 || got.Observers != 1 {
+	got := node.Assess(KindEndpointEjected, KindEndpointRecovered, "h", nil, now)
+	if got.RecentObservers != 1 || got.Observers != 1 {
 		t.Errorf("with a recent one: %+v", got)
 	}
 	expired := now + Lifetimes[KindEndpointEjected].ExpiresAfter
--- a/internal/fleet/broadcast.go
+++ b/internal/fleet/broadcast.go
@@ -1,8 +1,6 @@
 package fleet
 
-import (
-	"time"
-)
+import "time"
 
 // pendingBroadcast is a fact that has transmissions left.
 type pendingBroadcast struct {
@@ -35,8 +33,8 @@
 	return latest
 }
 
-// takeDue returns the facts that are due, and removes those that have reached limit or have a newer version in the store.
-func (q *transmitLimitedQueue) takeDue(store *Store, limit int, now time.Duration) (due []Fact) {
+// nextBatch returns the facts that are due, and removes those that have reached limit or have a newer version in the store.
+func (q *transmitLimitedQueue) nextBatch(store *Store, limit int, now time.Duration) (due []Fact) {
 	remaining := q.pending[:0]
 	for _, broadcast := range q.pending {
 		fact := store.facts[broadcast.id]
@@ -57,7 +55,7 @@
 
 // broadcastDue returns messages to all relays with the broadcasts that are due.
 func (n *Node) broadcastDue(now time.Duration) (out []Outgoing) {
-	due := n.broadcasts.takeDue(n.Store, n.losses.transmitLimit(), now)
+	due := n.broadcasts.nextBatch(n.Store, n.losses.transmitLimit(), now)
 	for len(due) > 0 {
 		data, sent := encodeMessage(0, 0, due, now)
 		out = append(out, Outgoing{Everyone, data})
--- a/internal/fleet/gossip_capacity_bench_test.go
+++ b/internal/fleet/gossip_capacity_bench_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// BenchmarkHeardFact measures a received datagram with one new fact: its size, and the time to merge it.
-func BenchmarkHeardFact(b *testing.B) {
+// BenchmarkReceivedFact measures a received datagram with one new fact: its size, and the time to merge it.
+func BenchmarkReceivedFact(b *testing.B) {
 	for _, facts := range []int{490, 49_000} {
 		b.Run(fmt.Sprint(facts), func(b *testing.B) {
 			n := nodeWithFacts(facts)
--- a/internal/fleet/live/incarnation.go
+++ b/internal/fleet/live/incarnation.go
@@ -11,11 +11,12 @@
 	"milletsail/internal/clock"
 )
 
-// incarnationFile keeps the last incarnation in a relay's folder.
+// incarnationFile is the file of the last incarnation in a relay's state directory.
 const incarnationFile = "incarnation"
 
-// NextIncarnation gives the number of a process that starts: above that of the process before in the folder, whatever the
-// wall clock says, and where the folder was lost by the wall clock, which other relays have seen pass.
+// NextIncarnation returns and stores the incarnation of a process that starts. It is higher than that of the process before
+// with the same state directory, even if the wall clock was set back; if the directory was lost, it is the wall clock's time in
+// seconds since 1970.
 func NextIncarnation(dir string) uint32 {
 	path := filepath.Join(dir, incarnationFile)
 	next := uint32(clock.ReadWall().Seconds())
@@ -25,7 +26,8 @@
 		}
 	}
 	if err := atomicfile.Replace(path, []byte(strconv.FormatUint(uint64(next), 10)+"\n")); err != nil {
-		slog.Warn("incarnation not kept: after a step back of the wall clock others may not hear the next process", "err", err)
+		// If the wall clock is set back before the next start, other relays take that process's facts for old ones.
+		slog.Warn("incarnation not stored", "incarnation", next, "error", err)
 	}
 	return next
 }
--- a/internal/fleet/live/incarnation_test.go
+++ b/internal/fleet/live/incarnation_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Each process of a folder has a higher incarnation than the one before, also where the wall clock was set back; what can't
-// be read counts for nothing.
+// Each process has a higher incarnation than the one before with the same state directory, even if the wall clock was set back.
+// A file that can't be parsed is ignored.
 func TestNextIncarnation(t *testing.T) {
 	dir := t.TempDir()
 	first := NextIncarnation(dir)
@@ -27,6 +27,6 @@
 		t.Fatal(err)
 	}
 	if next := NextIncarnation(dir); next < first {
-		t.Errorf("%d comes after what can't be read, at %d", next, first)
+		t.Errorf("%d comes after an invalid file, after %d", next, first)
 	}
 }
--- a/internal/fleet/live/stored_test.go
+++ b/internal/fleet/live/stored_test.go
@@ -17,7 +17,7 @@
 	nextText = "4000000001\n"
 )
 
-// The file of the last incarnation in a relay's folder stays readable (upgrade), and is written with the very bytes
+// The file of the last incarnation in a state directory stays readable (upgrade), and is written with the very bytes
 // that commit 569f7cf reads (rollback).
 func TestStoredIncarnation(t *testing.T) {
 	text, err := os.ReadFile(storedIncarnation)
--- /dev/null
+++ b/internal/fleet/live/view.go
@@ -0,0 +1,68 @@
+package live
+
+import (
+	"encoding/json"
+
+	"milletsail/internal/fleet"
+)
+
+// FactView is one fact in a View.
+type FactView struct {
+	Kind        string  `json:"kind"` // fleet.Lifetime.Name
+	Key         string  `json:"key"`
+	Origin      int     `json:"origin"`
+	Value       uint64  `json:"value"`
+	AgeS        float64 `json:"age_s"`
+	BoundS      float64 `json:"bound_s"` // the age at which it expires
+	Fading      bool    `json:"fading,omitempty"`
+	KnownS      float64 `json:"known_s"` // how long this relay has had facts of the kind and key
+	Via         int     `json:"via"`     // the relay from which it was received
+	Incarnation uint32  `json:"incarnation"`
+}
+
+// View is the state of a relay's gossip, for operators.
+type View struct {
+	Self      int        `json:"self"`
+	Live      []int      `json:"live"`                // live relays
+	Suspected []int      `json:"suspected,omitempty"` // those of Live that have missed heartbeats
+	Digest    uint32     `json:"digest"`
+	Facts     []FactView `json:"beliefs"`
+}
+
+// View returns the state of this relay's gossip.
+func (s *Service) View() View {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now()
+	view := View{Self: s.options.Self, Live: s.node.LiveMembers(now), Digest: s.node.Digest(now), Facts: []FactView{}}
+	for _, member := range view.Live {
+		if member != s.options.Self && s.node.Suspected(member, now) {
+			view.Suspected = append(view.Suspected, member)
+		}
+	}
+	for _, fact := range s.node.Facts(0, now) {
+		lifetime := fleet.Lifetimes[fact.Kind]
+		view.Facts = append(view.Facts, FactView{
+			Kind:        lifetime.Name,
+			Key:         fact.Key,
+			Origin:      int(fact.Origin),
+			Value:       fact.Value,
+			AgeS:        fact.Age.Seconds(),
+			BoundS:      lifetime.ExpiresAfter.Seconds(),
+			Fading:      fact.Fading,
+			KnownS:      s.node.KnownFor(fact.Kind, fact.Key, now).Seconds(),
+			Via:         int(fact.Via),
+			Incarnation: fact.Incarnation,
+		})
+	}
+	return view
+}
+
+// JSON returns the view as one line of JSON.
+func (s *Service) JSON() string {
+	text, err := json.Marshal(s.View())
+	if err != nil {
+		return "{}" // can't happen: a view has no value without an encoding
+	}
+	return string(text)
+}
--- a/internal/fleet/live/view_capacity_bench_test.go
+++ b/internal/fleet/live/view_capacity_bench_test.go
@@ -8,8 +8,7 @@
 	"milletsail/internal/fleet"
 )
 
-// BenchmarkReceivedFact measures a datagram with one new fact that a service takes in, with what follows from it: a summary of
-// what the fleet says, and this relay's rank among the live members.
+// BenchmarkReceivedFact measures a received message with one new fact, including the assessment that follows from it.
 func BenchmarkReceivedFact(b *testing.B) {
 	for _, relays := range []int{60, 300, 1200} {
 		b.Run(fmt.Sprint(relays), func(b *testing.B) {
@@ -26,14 +25,14 @@
 						datagrams = append(datagrams, send.Message)
 					}
 				}
-				now += time.Minute // each is told in a datagram of its own
+				now += time.Minute // each is broadcast in a message of its own
 				sender.RemoveExpired(now)
 			}
 			i := 0
 			for b.Loop() {
 				if i%len(datagrams) == 0 {
 					b.StopTimer()
-					s = New(s.o)
+					s = New(s.options)
 					b.StartTimer()
 				}
 				s.Receive(1, datagrams[i%len(datagrams)])
@@ -42,19 +41,19 @@
 			if reported == 0 {
 				b.Fatal("no fact was new")
 			}
-			// Heartbeats, which are among the datagrams and bring no update, cost little beside.
+			// Heartbeats, which are among the messages and cause no assessment, cost little in comparison.
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(reported), "ns/fact")
 		})
 	}
 }
 
-// BenchmarkView measures what an operator's look at a relay costs it by the number of facts: the time for which the service is
-// locked and the text is made, and the bytes of the answer.
+// BenchmarkView measures a view as JSON by the number of facts: the time for which the service is locked and the text is
+// encoded, and its size.
 func BenchmarkView(b *testing.B) {
 	for _, facts := range []int{490, 4_900, 49_000} {
 		b.Run(fmt.Sprint(facts), func(b *testing.B) {
 			s := New(Options{Size: 1200, Version: "v"})
-			now := time.Since(s.begun)
+			now := time.Since(s.startedAt)
 			for i := range facts {
 				id := fleet.FactID{Kind: fleet.KindEndpointEjected, Origin: uint16(1 + i%1199), Key: fmt.Sprint("s-", i/5)}
 				s.node.Merge(fleet.Fact{FactID: id, FactVersion: fleet.FactVersion{Incarnation: 1, Seq: uint32(i)}, ObservedAt: now}, now)
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -65,13 +65,16 @@
 	return append(data, f.Key...)
 }
 
-// encodeMessage returns a message with a digest, if flagDigest is set, and the leading facts that fit; encoded is their number.
+// encodeMessage returns a message with a digest, if flagDigest is set, and the leading facts that fit; encoded is their
+// number.
 func encodeMessage(flags byte, digest uint32, facts []Fact, now time.Duration) (data []byte, encoded int) {
 	return encodeWithBuckets(flags, digest, nil, facts, now)
 }
 
 // encodeWithBuckets is encodeMessage with bucket digests, unless they are nil.
-func encodeWithBuckets(flags byte, digest uint32, buckets *BucketDigests, facts []Fact, now time.Duration) (data []byte, encoded int) {
+func encodeWithBuckets(
+	flags byte, digest uint32, buckets *BucketDigests, facts []Fact, now time.Duration,
+) (data []byte, encoded int) {
 	if buckets != nil {
 		flags |= flagBucketDigests
 	}
@@ -126,25 +129,25 @@
 	return decoded, nil
 }
 
-// decodeFact decodes the fact at the start of data, which must not be empty, and returns the rest.
-func decodeFact(data []byte) (fact Fact, rest []byte, err error) {
-	fact.Kind, rest = Kind(data[0]), data[1:]
+// decodeFact decodes the fact at the start of data, which must not be empty, and returns what follows it.
+func decodeFact(data []byte) (fact Fact, remaining []byte, err error) {
+	fact.Kind, remaining = Kind(data[0]), data[1:]
 	var origin, incarnation, seq, ageMillis, keySize uint64
 	for _, field := range []*uint64{&origin, &incarnation, &seq, &fact.Value, &ageMillis, &keySize} {
-		value, size := binary.Uvarint(rest)
+		value, size := binary.Uvarint(remaining)
 		if size <= 0 {
-			return fact, rest, errMalformedMessage
+			return fact, remaining, errMalformedMessage
 		}
-		*field, rest = value, rest[size:]
+		*field, remaining = value, remaining[size:]
 	}
 	if fact.Kind == 0 || origin > math.MaxUint16 || incarnation > math.MaxUint32 || seq > math.MaxUint32 {
-		return fact, rest, errMalformedMessage
+		return fact, remaining, errMalformedMessage
 	}
-	if keySize > maxKeySize || keySize > uint64(len(rest)) {
-		return fact, rest, errMalformedMessage
+	if keySize > maxKeySize || keySize > uint64(len(remaining)) {
+		return fact, remaining, errMalformedMessage
 	}
 	fact.Origin, fact.Incarnation, fact.Seq = uint16(origin), uint32(incarnation), uint32(seq)
 	fact.ObservedAt = -time.Duration(min(ageMillis, uint64(maxAge/time.Millisecond))) * time.Millisecond
-	fact.Key, rest = string(rest[:keySize]), rest[keySize:]
-	return fact, rest, nil
+	fact.Key, remaining = string(remaining[:keySize]), remaining[keySize:]
+	return fact, remaining, nil
 }
--- a/internal/fleet/message_test.go
+++ b/internal/fleet/message_test.go
@@ -14,7 +14,8 @@
 		all := drawFacts(t)
 		data, encoded := encodeMessage(flagDigest, 77, all, now)
 		decoded, err := decodeMessage(data)
-		if err != nil || len(data) > MaxMessageSize || decoded.digest != 77 || len(decoded.facts) != encoded || encoded < min(len(all), 8) {
+		if err != nil || len(data) > MaxMessageSize || decoded.digest != 77 ||
+			len(decoded.facts) != encoded || encoded < min(len(all), 8) {
 			t.Fatalf("%d bytes, %v, %d of %d facts", len(data), err, encoded, len(all))
 		}
 		for i, fact := range decoded.facts {
