--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,9 +1,8 @@
-// Package zones keeps the orders of operators about zones in a file of a relay's folder, and reads the lines by which
-// they are given.
+// Package zones stores the orders by which operators evacuate zones, and parses the commands that give them.
 //
-// It promises that an order that was confirmed outlasts a restart until its end, that the file is replaced whole or not
-// at all, and that a spoilt file is an error with its place and no orders, never others than were given. It decides
-// nothing: whether an order makes sense is for its user to say before it is kept. A Book is not safe for concurrent use.
+// An order that was confirmed survives restarts until it expires. The file is replaced atomically; a corrupt one is an error
+// with its position, and no orders. Whether an order makes sense is checked by the caller before it is stored. An OrderStore is
+// not safe for concurrent use.
 package zones
 
 import (
@@ -14,7 +13,6 @@
 	"io/fs"
 	"os"
 	"path/filepath"
-	"strings"
 	"time"
 
 	"milletsail/internal/atomicfile"
@@ -23,27 +21,30 @@
 )
 
 const (
+	// fileName is the file of the orders in the state directory.
 	fileName = "zones.json"
-	// format is that of the file, and formatWall the one before, which knew wall times alone. A file of a later one is an error.
-	format, formatWall = 2, 1
-	// most is the longest that an order may run: one that is forgotten must not shape a fleet for good.
-	most = 24 * time.Hour
+	// format is the version of the file's format. A file of a later version is an error.
+	format = 2
+	// formatWall is the version before, which has wall clock times only.
+	formatWall = 1
+	// maxDuration is the longest duration of an order: a forgotten one must not route around a zone for good.
+	maxDuration = 24 * time.Hour
 )
 
-// Order is to leave a zone until a time.
+// Order evacuates a zone until a time.
 type Order struct {
 	Zone  string
 	Until instant.Time
 }
 
-// OrderStore is the orders in force, on disk.
+// OrderStore holds the orders in force, in memory and on disk.
 type OrderStore struct {
 	path   string
 	orders []Order
 }
 
-// file is what is on disk. Its times are wall times, for the reader's eye; the clocks translate them as long as the machine
-// has not started anew.
+// file is the content of the file. Its times are wall clock times, for people who read it; the pair of clock readings converts
+// them exactly as long as the machine has not rebooted.
 type file struct {
 	Format int         `json:"format"`
 	Boot   string      `json:"boot,omitempty"`
@@ -51,129 +52,109 @@
 	Orders []fileOrder `json:"orders"`
 }
 
+// fileOrder is one order in the file.
 type fileOrder struct {
 	Zone  string    `json:"zone"`
 	Until time.Time `json:"until"`
 }
 
-// until gives the end of an order of a file. After another boot, and in the format before, the wall clock tells it, and no
-// order runs longer than one may.
-func (f *file) until(o fileOrder) instant.Time {
-	end := clock.Wall(o.Until.UnixNano())
+// until returns the end of an order. After a reboot, and in formatWall, only the wall clock gives it, and maxDuration bounds it:
+// the wall clock may have been set.
+func (f *file) until(order fileOrder) instant.Time {
+	end := clock.Wall(order.Until.UnixNano())
 	if boot := clock.BootID(); f.Format == format && boot != "" && f.Boot == boot {
 		return f.Clocks.InstantOf(end)
 	}
 	now := clock.ReadPair()
-	return min(now.InstantOf(end), now.At.Add(most))
+	return min(now.InstantOf(end), now.At.Add(maxDuration))
 }
 
-// Open reads the orders kept in a folder. With an error, the book is empty and may be used.
-func Open(folder string) (*OrderStore, error) {
-	b := &OrderStore{path: filepath.Join(folder, fileName)}
-	text, err := os.ReadFile(b.path)
+// CorruptError says that the file of orders can't be decoded, or holds an order that is invalid.
+type CorruptError struct {
+	Path string
+	Err  error // with the position
+}
+
+func (e *CorruptError) Error() string { return e.Path + ": " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *CorruptError) Unwrap() error { return e.Err }
+
+// Open reads the orders in a state directory. With an error, the store is empty and may still be used; the error is a
+// *CorruptError if the file could be read but not decoded.
+func Open(dir string) (*OrderStore, error) {
+	store := &OrderStore{path: filepath.Join(dir, fileName)}
+	text, err := os.ReadFile(store.path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return b, nil
+		return store, nil
 	}
 	if err != nil {
-		return b, err
+		return store, err
 	}
-	var f file
-	in := json.NewDecoder(bytes.NewReader(text))
-	in.DisallowUnknownFields()
-	if err := in.Decode(&f); err != nil {
-		return b, fmt.Errorf("%s, byte %d: %w", b.path, in.InputOffset(), err)
+	stored, err := decodeFile(text)
+	if err != nil {
+		return store, &CorruptError{store.path, err}
 	}
-	if f.Format != format && f.Format != formatWall {
-		return b, fmt.Errorf("%s: format %d is not known", b.path, f.Format)
+	for _, order := range stored.Orders {
+		store.orders = append(store.orders, Order{order.Zone, stored.until(order)})
 	}
-	for i, o := range f.Orders {
-		if o.Zone == "" || o.Until.IsZero() {
-			return b, fmt.Errorf("%s: order %d has no zone or no end", b.path, i)
+	return store, nil
+}
+
+// decodeFile decodes the content of the file strictly.
+func decodeFile(text []byte) (*file, error) {
+	var decoded file
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&decoded); err != nil {
+		return nil, fmt.Errorf("byte %d: %w", decoder.InputOffset(), err)
+	}
+	if decoded.Format != format && decoded.Format != formatWall {
+		return nil, fmt.Errorf("unknown format %d", decoded.Format)
+	}
+	for i, order := range decoded.Orders {
+		if order.Zone == "" || order.Until.IsZero() {
+			return nil, fmt.Errorf("order %d: zone or end is missing", i)
 		}
 	}
-	for _, o := range f.Orders {
-		b.orders = append(b.orders, Order{o.Zone, f.until(o)})
-	}
-	return b, nil
+	return &decoded, nil
 }
 
-// Active lists the orders that run at a time, and forgets the others.
-func (b *OrderStore) Active(now instant.Time) []Order {
-	var left []Order
-	for _, o := range b.orders {
-		if now < o.Until {
-			left = append(left, o)
+// Active returns the orders in force at a time, and removes the expired ones.
+func (s *OrderStore) Active(now instant.Time) []Order {
+	var active []Order
+	for _, order := range s.orders {
+		if now < order.Until {
+			active = append(active, order)
 		}
 	}
-	b.orders = left
-	return left
+	s.orders = active
+	return active
 }
 
-// Put puts an order in force in place of one for the same zone, or ends that where until is zero, and returns once it
-// is on disk. With an error, what was in force before still is.
-func (b *OrderStore) Put(zone string, until, now instant.Time) error {
+// Put puts an order in force in place of one for the same zone, or ends that if until is zero. It returns when the change is on
+// disk. With an error, the orders before it are still in force.
+func (s *OrderStore) Put(zone string, until, now instant.Time) error {
 	var orders []Order
-	for _, o := range b.Active(now) {
-		if o.Zone != zone {
-			orders = append(orders, o)
+	for _, order := range s.Active(now) {
+		if order.Zone != zone {
+			orders = append(orders, order)
 		}
 	}
 	if !until.IsZero() {
 		orders = append(orders, Order{zone, until})
 	}
-	f := file{Format: format, Boot: clock.BootID(), Clocks: clock.ReadPair()}
-	for _, o := range orders {
-		f.Orders = append(f.Orders, fileOrder{o.Zone, f.Clocks.WallOf(o.Until).Time()})
+	content := file{Format: format, Boot: clock.BootID(), Clocks: clock.ReadPair()}
+	for _, order := range orders {
+		content.Orders = append(content.Orders, fileOrder{order.Zone, content.Clocks.WallOf(order.Until).Time()})
 	}
-	text, err := json.Marshal(f)
+	text, err := json.Marshal(content)
 	if err != nil {
 		return err
 	}
-	if err := atomicfile.Replace(b.path, append(text, '\n')); err != nil {
+	if err := atomicfile.Replace(s.path, append(text, '\n')); err != nil {
 		return err
 	}
-	b.orders = orders
+	s.orders = orders
 	return nil
 }
-
-// Action is what a line asks for.
-type Action string
-
-// The verbs.
-const (
-	Evacuate Action = "evacuate"
-	Restore  Action = "restore"
-	Status   Action = "status"
-)
-
-// Command is a line that asks for something: "status", "restore ZONE" or "evacuate ZONE TIME".
-type Command struct {
-	Action   Action
-	Zone     string
-	Duration time.Duration
-}
-
-// ParseCommand reads a line.
-func ParseCommand(text string) (l Command, err error) {
-	words := strings.Fields(text)
-	if len(words) == 0 {
-		return l, errors.New("nothing is asked for")
-	}
-	l.Action = Action(words[0])
-	want := map[Action]int{Status: 1, Restore: 2, Evacuate: 3}[l.Action]
-	switch {
-	case want == 0:
-		return l, fmt.Errorf("%q is not evacuate, restore or status", words[0])
-	case len(words) != want:
-		return l, fmt.Errorf("%s takes %d words, there are %d", l.Action, want-1, len(words)-1)
-	}
-	if want > 1 {
-		l.Zone = words[1]
-	}
-	if want > 2 {
-		if l.Duration, err = time.ParseDuration(words[2]); err != nil || l.Duration <= 0 || l.Duration > most {
-			return l, fmt.Errorf("%q is no time above 0 and up to %v, such as \"10m\"", words[2], most)
-		}
-	}
-	return l, nil
-}
