--- a/internal/zones/stored_test.go
+++ b/internal/zones/stored_test.go
@@ -15,7 +15,7 @@
 )
 
 // These tests pin the file of orders on disk. The files of storedDir are what the code of commit 569f7cf wrote, or
-// in format 1 what it read, and are never written anew: what is left in relays' folders has to stay readable
+// in format 1 what it read, and are never written anew: what is left in state directories has to stay readable
 // (upgrade), and later code has to write the same text (rollback). That the keys of the clocks begin with capitals
 // is part of it.
 
@@ -24,7 +24,7 @@
 	storedDir = "testdata/569f7cf"
 	// storedFormat2 is a file of format 2, of storedBoot and with storedClocks.
 	storedFormat2 = "format2.json"
-	// storedFormat1 is a file of format 1, with wall times alone.
+	// storedFormat1 is a file of format 1, with wall clock times only.
 	storedFormat1 = "format1.json"
 	// storedMask is a file of format 2 with what differs from run to run masked by words in capitals.
 	storedMask = "written.json"
@@ -32,13 +32,13 @@
 	storedBoot = "569f7cf0-0000-4000-8000-000000000001"
 	// storedAt is the moment of both clocks in storedFormat2: 1000 s after the boot.
 	storedAt = instant.Boot + instant.Time(1000*time.Second)
-	// longestOrder is the longest that an order may run.
+	// longestOrder is the longest duration of an order.
 	longestOrder = 24 * time.Hour
 	// readingTime is more than a test takes between two readings of the clock.
 	readingTime = time.Minute
 )
 
-// openStored opens a folder with a stored file, in which some text is put in place of other.
+// openStored opens a directory with a stored file, in which some text is replaced.
 func openStored(t *testing.T, name, old, replacement string) *OrderStore {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(storedDir, name))
@@ -53,19 +53,19 @@
 	if err := os.WriteFile(filepath.Join(dir, "zones.json"), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	book, err := Open(dir)
+	store, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return book
+	return store
 }
 
-// A process of the same boot reads the orders at their very moments, by the clocks in the file: this machine's boot
-// takes the place of the stored one.
+// A process of the same boot reads the exact ends of the orders, by the clocks in the file: this machine's boot ID replaces
+// the stored one.
 func TestReadsStoredOrders(t *testing.T) {
 	boot := clock.BootID()
 	if boot == "" {
-		t.Fatal("the system tells no identity of its boot")
+		t.Fatal("the system gives no ID of its boot")
 	}
 	got := openStored(t, storedFormat2, storedBoot, boot).Active(storedAt)
 	want := []Order{{"a", storedAt.Add(time.Hour)}, {"zone \"b\"", storedAt.Add(90*time.Second + 7)}}
@@ -74,13 +74,13 @@
 	}
 }
 
-// After another boot, and of format 1, the wall clock tells the end of an order: one of the past is over, and one
-// whose end lies far ahead runs the longest that an order may.
+// After a reboot, and in format 1, the wall clock gives the end of an order: one in the past has expired, and one far in
+// the future ends after the longest duration.
 func TestReadsStoredOrdersByTheWallClock(t *testing.T) {
 	for _, name := range []string{storedFormat2, storedFormat1} {
-		book := openStored(t, name, "2026-01-02T04:04:05Z", "2200-01-02T04:04:05Z")
+		store := openStored(t, name, "2026-01-02T04:04:05Z", "2200-01-02T04:04:05Z")
 		now := clock.Now()
-		got := book.Active(now)
+		got := store.Active(now)
 		if len(got) != 1 || got[0].Zone != "a" {
 			t.Errorf("%s: orders %v, want that for zone a alone", name, got)
 			continue
@@ -108,17 +108,17 @@
 	{regexp.MustCompile(`"until":"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?(Z|[+-]\d\d:\d\d)"`), `"until":"TIME"`},
 }
 
-// What is written has the text of commit 569f7cf, but for the boot, the clocks and the times; these agree with each
-// other.
+// What is written has the text of commit 569f7cf, except for the boot, the clocks and the times, which are consistent with
+// each other.
 func TestWritesStoredOrders(t *testing.T) {
 	dir, now := t.TempDir(), clock.Now()
-	book, err := Open(dir)
+	store, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ends := []instant.Time{now.Add(time.Hour), now.Add(90*time.Second + 7)}
 	for i, zone := range []string{"a", "zone \"b\""} {
-		if err := book.Put(zone, ends[i], now); err != nil {
+		if err := store.Put(zone, ends[i], now); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -140,7 +140,7 @@
 	checkTimes(t, text, ends)
 }
 
-// checkTimes fails unless each order ends when it was said, by the clocks in the file.
+// checkTimes fails unless each order has its end, by the clocks in the file.
 func checkTimes(t *testing.T, text []byte, ends []instant.Time) {
 	t.Helper()
 	var written writtenFile
