--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -13,6 +13,7 @@
 	"io/fs"
 	"os"
 	"path/filepath"
+	"slices"
 	"time"
 
 	"milletsail/internal/atomicfile"
@@ -120,7 +121,7 @@
 	return &decoded, nil
 }
 
-// Active returns the orders in force at a time, and removes the expired ones.
+// Active returns a copy of the orders in force at a time, and removes the expired ones.
 func (s *OrderStore) Active(now instant.Time) []Order {
 	var active []Order
 	for _, order := range s.orders {
@@ -129,7 +130,7 @@
 		}
 	}
 	s.orders = active
-	return active
+	return slices.Clone(active)
 }
 
 // Put puts an order in force in place of one for the same zone, or ends that if until is zero. It returns when the change is on
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -42,6 +43,29 @@
 	}
 }
 
+// What a caller does with the active orders does not change the stored ones: a relay removes those that it has applied from its
+// list, and stores another one later.
+func TestActiveIsACopy(t *testing.T) {
+	now := clock.Now()
+	store, err := Open(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, zone := range []string{"a", "b"} {
+		if err := store.Put(zone, now.Add(time.Hour), now); err != nil {
+			t.Fatal(err)
+		}
+	}
+	pending := store.Active(now)
+	pending = slices.DeleteFunc(pending, func(o Order) bool { return o.Zone == "a" })
+	if err := store.Put("c", now.Add(time.Hour), now); err != nil {
+		t.Fatal(err)
+	}
+	if all := store.Active(now); len(all) != 3 || len(pending) != 1 {
+		t.Errorf("active orders %v, want those for zones a, b and c", all)
+	}
+}
+
 // A corrupt file gives a CorruptError that names it, and no orders; and it can be replaced.
 func TestCorruptFile(t *testing.T) {
 	dir := t.TempDir()
@@ -136,10 +160,12 @@
 		file file
 		want time.Duration
 	}{
-		{"same boot", file{Format: format, Boot: clock.BootID(), Clocks: stepped, Orders: orders(stepped.WallOf(end))}, time.Minute},
+		{"same boot", file{Format: format, Boot: clock.BootID(), Clocks: stepped, Orders: orders(stepped.WallOf(end))},
+			time.Minute},
 		{"after a reboot", file{Format: format, Boot: "another", Clocks: stepped, Orders: orders(now.WallOf(end))}, time.Minute},
 		{"wall clock times only", file{Format: formatWall, Orders: orders(now.WallOf(end))}, time.Minute},
-		{"a wall clock that was far ahead", file{Format: formatWall, Orders: orders(now.WallOf(now.At.Add(99 * time.Hour)))}, maxDuration},
+		{"a wall clock that was far ahead", file{Format: formatWall, Orders: orders(now.WallOf(now.At.Add(99 * time.Hour)))},
+			maxDuration},
 	} {
 		if got := c.file.until(c.file.Orders[0]).Sub(now.At); got < c.want-time.Second || got > c.want+time.Second {
 			t.Errorf("%s: it ends after %v, want %v", c.name, got, c.want)
