--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes the settings object that an instance gets at its start, from the simulator's wire
-// or from the configuration of a real relay, and translates it into the terms of package policy.
+// Package settings decodes the settings object that an instance receives at its start, from the simulator or in the
+// configuration of a relay, and converts it into the settings of package policy.
 package settings
 
 import (
@@ -10,112 +10,157 @@
 	"milletsail/policy"
 )
 
-// Settings are the start-up parameters that the module and the relay need, named as in the object.
+// Settings is the settings object. Durations are in seconds. A key that is missing here is ignored.
 type Settings struct {
-	Az         int `json:"az"`
-	Categories []struct {
-		Name        string  `json:"name"`
-		AimS        float64 `json:"aim_s"`
-		DeadlineS   float64 `json:"deadline_s"`
-		Idempotency string  `json:"idempotency"`
-		Group       string  `json:"group"`
-		FifoByKey   bool    `json:"fifo_by_key"`
-		LateShare   float64 `json:"late_share"`
-		MemorySpanS float64 `json:"memory_span_s"`
-		Points      float64 `json:"points"`
-	} `json:"categories"`
-	Discovery string `json:"discovery"`
-	Limits    struct {
-		Cancel         bool    `json:"cancel"`
-		ConnIdleS      float64 `json:"conn_idle_s"`
-		ConnTimeoutS   float64 `json:"connect_timeout_s"`
-		MaxAttempts    int     `json:"max_attempts"`
-		MaxOpen        int     `json:"max_open"`
-		MaxRetryAfterS float64 `json:"max_retry_after_s"`
-		Peers          bool    `json:"peers"`
-		RetryAfter     bool    `json:"retry_after"`
-		SecondCopies   bool    `json:"second_copies"`
-	} `json:"limits"`
-	Localities []string `json:"localities"`
-	NInstances int      `json:"n_instances"`
-	Ordinal    int      `json:"ordinal"`
-	QuantumS   float64  `json:"quantum_s"`
-	Rules      struct {
-		ColdShare      float64 `json:"cold_share"`
-		OverloadFactor float64 `json:"overload_factor"`
-		OverloadForS   float64 `json:"overload_for_s"`
-		RampTimeS      float64 `json:"ramp_time_s"`
-		OrderPauseS    float64 `json:"order_pause_s"`
-	} `json:"rules"`
-	Shapes    []string `json:"shapes"`
-	Specifics struct {
-		BundleMax      []int     `json:"bundle_max"`
-		LosesWorth     string    `json:"loses_worth"`
-		MaxCalls       int       `json:"max_calls"`
-		RouteFee       []float64 `json:"route_fee"`
-		SeparateRoutes []bool    `json:"separate_routes"`
-	} `json:"specifics"`
-	Tenants []struct {
-		Name string `json:"name"`
-	} `json:"tenants"`
-	Weights string `json:"weights"`
+	Az         int        `json:"az"`         // zone of this instance, an index in Localities
+	Categories []Category `json:"categories"` // classes of messages
+	Discovery  string     `json:"discovery"`  // "subscribe" or "automatic"
+	Limits     Limits     `json:"limits"`
+	Localities []string   `json:"localities"`  // names of zones
+	NInstances int        `json:"n_instances"` // number of relays in the fleet
+	Ordinal    int        `json:"ordinal"`     // number of this instance
+	QuantumS   float64    `json:"quantum_s"`   // batch interval
+	Rules      Rules      `json:"rules"`
+	Shapes     []string   `json:"shapes"` // names of the kinds of endpoints
+	Specifics  Specifics  `json:"specifics"`
+	Tenants    []Tenant   `json:"tenants"`
+	Weights    string     `json:"weights"` // meaning of endpoint weights: "off", "nominal" or "rough"
 }
 
-var (
-	effects = map[string]policy.Effect{"retryable": policy.Idempotent, "dedup": policy.IdempotentWithKey, "fragile": policy.NotIdempotent}
-	weights = map[string]policy.Weights{"off": policy.WeightsOff, "nominal": policy.WeightsNominal,
-		"rough": policy.WeightsRough}
-)
+// Category holds the settings of one class of messages.
+type Category struct {
+	Name               string  `json:"name"`
+	LatencyObjectiveS  float64 `json:"aim_s"`
+	DeadlineS          float64 `json:"deadline_s"`
+	Idempotency        string  `json:"idempotency"` // "retryable", "dedup" or "fragile"
+	Group              string  `json:"group"`       // "all" if idempotency keys are shared by all zones
+	Ordered            bool    `json:"fifo_by_key"`
+	LateValueShare     float64 `json:"late_share"`
+	IdempotencyWindowS float64 `json:"memory_span_s"`
+	PriorityWeight     float64 `json:"points"`
+}
+
+// Limits holds the limits and optional features of an instance.
+type Limits struct {
+	CanCancel        bool    `json:"cancel"`
+	IdleConnTimeoutS float64 `json:"conn_idle_s"`
+	ConnTimeoutS     float64 `json:"connect_timeout_s"`
+	MaxAttempts      int     `json:"max_attempts"`
+	QueueCapacity    int     `json:"max_open"`
+	MaxRetryAfterS   float64 `json:"max_retry_after_s"`
+	Gossip           bool    `json:"peers"`
+	RetryAfter       bool    `json:"retry_after"`
+	HedgedRequests   bool    `json:"second_copies"`
+}
+
+// Rules holds what is agreed with the operators of endpoints.
+type Rules struct {
+	SlowStartInitialShare float64 `json:"cold_share"`
+	OverloadFactor        float64 `json:"overload_factor"`
+	OverloadWindowS       float64 `json:"overload_for_s"`
+	SlowStartWindowS      float64 `json:"ramp_time_s"`
+	OrderedKeyDelayS      float64 `json:"order_pause_s"`
+}
+
+// Specifics holds settings by the index of an endpoint kind, or of a zone.
+type Specifics struct {
+	MaxBatch       []int     `json:"bundle_max"`  // by endpoint kind
+	LateDecay      string    `json:"loses_worth"` // "halving" if the value of late messages decays exponentially
+	Slots          int       `json:"max_calls"`   // maximum number of requests in flight
+	ZoneCost       []float64 `json:"route_fee"`   // by zone
+	SeparateRoutes []bool    `json:"separate_routes"`
+}
+
+// Tenant is a client with settings of its own.
+type Tenant struct {
+	Name string `json:"name"`
+}
+
+// effects maps the values of Category.Idempotency.
+var effects = map[string]policy.Effect{
+	"retryable": policy.Idempotent,
+	"dedup":     policy.IdempotentWithKey,
+	"fragile":   policy.NotIdempotent,
+}
+
+// weights maps the values of Settings.Weights.
+var weights = map[string]policy.Weights{
+	"off":     policy.WeightsOff,
+	"nominal": policy.WeightsNominal,
+	"rough":   policy.WeightsRough,
+}
 
-// Policy translates the settings into the policy's terms.
+// Policy converts the settings into those of package policy. The error names the key with an unknown value.
 func (s *Settings) Policy() (policy.Settings, error) {
-	p := policy.Settings{
-		FleetSize: s.NInstances, Zone: s.Az, ZoneCost: s.Specifics.RouteFee, Slots: s.Specifics.MaxCalls,
-		QueueCapacity: s.Limits.MaxOpen, MaxAttempts: s.Limits.MaxAttempts, HedgedRequests: s.Limits.SecondCopies,
-		CanCancel: s.Limits.Cancel, Gossip: s.Limits.Peers,
+	converted := policy.Settings{
+		FleetSize: s.NInstances, Zone: s.Az, ZoneCost: s.Specifics.ZoneCost, Slots: s.Specifics.Slots,
+		QueueCapacity: s.Limits.QueueCapacity, MaxAttempts: s.Limits.MaxAttempts, HedgedRequests: s.Limits.HedgedRequests,
+		CanCancel: s.Limits.CanCancel, Gossip: s.Limits.Gossip,
 		BatchInterval:         Seconds(s.QuantumS),
-		SlowStartInitialShare: s.Rules.ColdShare, SlowStartWindow: Seconds(s.Rules.RampTimeS),
-		OverloadFactor: s.Rules.OverloadFactor, OverloadWindow: Seconds(s.Rules.OverloadForS),
-		OrderedKeyDelay: Seconds(s.Rules.OrderPauseS), IdleConnTimeout: Seconds(s.Limits.ConnIdleS),
+		SlowStartInitialShare: s.Rules.SlowStartInitialShare, SlowStartWindow: Seconds(s.Rules.SlowStartWindowS),
+		OverloadFactor: s.Rules.OverloadFactor, OverloadWindow: Seconds(s.Rules.OverloadWindowS),
+		OrderedKeyDelay: Seconds(s.Rules.OrderedKeyDelayS), IdleConnTimeout: Seconds(s.Limits.IdleConnTimeoutS),
+		Kinds: s.kinds(),
 	}
 	if s.Limits.RetryAfter {
-		p.MaxRetryAfter = Seconds(s.Limits.MaxRetryAfterS)
+		converted.MaxRetryAfter = Seconds(s.Limits.MaxRetryAfterS)
 	}
 	switch s.Discovery {
 	case "subscribe":
-		p.Subscribe = true
+		converted.Subscribe = true
 	case "automatic":
 	default:
-		return p, fmt.Errorf("settings: discovery: unknown mode %q", s.Discovery)
+		return converted, fmt.Errorf("settings: discovery: unknown mode %q", s.Discovery)
 	}
 	var ok bool
-	if p.Weights, ok = weights[s.Weights]; !ok {
-		return p, fmt.Errorf("settings: weights: unknown meaning %q", s.Weights)
+	if converted.Weights, ok = weights[s.Weights]; !ok {
+		return converted, fmt.Errorf("settings: weights: unknown meaning %q", s.Weights)
 	}
-	for i, c := range s.Categories {
-		effect, ok := effects[c.Idempotency]
+	var err error
+	converted.Classes, err = s.classes()
+	return converted, err
+}
+
+// classes converts the categories.
+func (s *Settings) classes() (classes []policy.Class, err error) {
+	for i, category := range s.Categories {
+		effect, ok := effects[category.Idempotency]
 		if !ok {
-			return p, fmt.Errorf("settings: categories[%d].idempotency: unknown effect %q", i, c.Idempotency)
+			return classes, fmt.Errorf("settings: categories[%d].idempotency: unknown effect %q", i, category.Idempotency)
 		}
-		p.Classes = append(p.Classes, policy.Class{Name: c.Name, LatencyObjective: Seconds(c.AimS),
-			Deadline: Seconds(c.DeadlineS), PriorityWeight: c.Points, LateValueShare: c.LateShare,
-			ExponentialDecay: s.Specifics.LosesWorth == "halving", Effect: effect, KeysPerZone: c.Group != "all",
-			IdempotencyWindow: Seconds(c.MemorySpanS), Ordered: c.FifoByKey})
+		classes = append(classes, policy.Class{
+			Name:              category.Name,
+			LatencyObjective:  Seconds(category.LatencyObjectiveS),
+			Deadline:          Seconds(category.DeadlineS),
+			PriorityWeight:    category.PriorityWeight,
+			LateValueShare:    category.LateValueShare,
+			ExponentialDecay:  s.Specifics.LateDecay == "halving",
+			Effect:            effect,
+			KeysPerZone:       category.Group != "all",
+			IdempotencyWindow: Seconds(category.IdempotencyWindowS),
+			Ordered:           category.Ordered,
+		})
 	}
+	return classes, nil
+}
+
+// kinds returns the settings of each kind of endpoints. One without an entry in Specifics has batches of one message and shared
+// routes.
+func (s *Settings) kinds() (kinds []policy.Kind) {
 	for i := range s.Shapes {
-		k := policy.Kind{MaxBatch: 1}
-		if i < len(s.Specifics.BundleMax) {
-			k.MaxBatch = s.Specifics.BundleMax[i]
+		kind := policy.Kind{MaxBatch: 1}
+		if i < len(s.Specifics.MaxBatch) {
+			kind.MaxBatch = s.Specifics.MaxBatch[i]
 		}
 		if i < len(s.Specifics.SeparateRoutes) {
-			k.SeparateRoutes = s.Specifics.SeparateRoutes[i]
+			kind.SeparateRoutes = s.Specifics.SeparateRoutes[i]
 		}
-		p.Kinds = append(p.Kinds, k)
+		kinds = append(kinds, kind)
 	}
-	return p, nil
+	return kinds
 }
 
-// Seconds gives a number of seconds as a duration.
+// Seconds converts a number of seconds into a duration, rounded to nanoseconds.
 func Seconds(v float64) time.Duration {
 	return time.Duration(math.Round(v * float64(time.Second)))
 }
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -154,7 +154,8 @@
 	now := clock.ReadPair()
 	orders := func(until clock.Wall) []fileOrder { return []fileOrder{{"a", until.Time()}} }
 	end := now.At.Add(time.Minute)
-	stepped := clock.Pair{At: now.At, Wall: now.Wall + clock.Wall(time.Hour)} // when the file was written, the wall clock was an hour ahead
+	// When the file was written, the wall clock was an hour ahead.
+	stepped := clock.Pair{At: now.At, Wall: now.Wall + clock.Wall(time.Hour)}
 	for _, c := range []struct {
 		name string
 		file file
