--- a/internal/wire/wire_golden_test.go
+++ b/internal/wire/wire_golden_test.go
@@ -13,8 +13,8 @@
 // updateWire has the tests of the wire write their golden files instead of comparing with them. CI never sets it.
 var updateWire = flag.Bool("update-wire", false, "write the golden files of the wire")
 
-// TestRepliesOnTheWire pins whole replies to the simulator, byte for byte. A file of testdata/wire holds what the
-// simulator sends, each line behind "> ", and what it got in return, behind "< ".
+// TestRepliesOnTheWire pins replies to the simulator, byte for byte. A file of testdata/wire holds the lines that the
+// simulator sends, after "> ", and the reply to each batch, after "< ".
 func TestRepliesOnTheWire(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join("testdata", "wire", "*.txt"))
 	if err != nil || len(paths) == 0 {
@@ -25,7 +25,7 @@
 	}
 }
 
-// compareSession has one session answered, and compares it with what it was.
+// compareSession compares the replies to one session with the recorded ones.
 func compareSession(t *testing.T, path string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -55,8 +55,8 @@
 	}
 }
 
-// lastReply gives the reply to the last batch of a session. It plays the session from its start: the same input has
-// the same replies.
+// lastReply returns the reply to the last batch of a session, which it serves from the start: the same input has the same
+// replies.
 func lastReply(t *testing.T, session string) string {
 	t.Helper()
 	var out strings.Builder
@@ -66,7 +66,7 @@
 	const end = "[\"ready\"]\n"
 	replies := strings.SplitAfter(out.String(), end)
 	if len(replies) < 2 || replies[len(replies)-1] != "" {
-		t.Fatalf("no whole reply: %q", out.String())
+		t.Fatalf("incomplete reply: %q", out.String())
 	}
 	reply := ""
 	for line := range strings.Lines(replies[len(replies)-2]) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -5,10 +5,12 @@
 	"testing"
 )
 
+// begin starts instance 0.
 const begin = `["begin",0,7,{"categories":[{"aim_s":1,"deadline_s":5,"group":"all","idempotency":"retryable","points":1}],` +
 	`"discovery":"automatic","limits":{"max_attempts":4,"max_open":20},"n_instances":1,"quantum_s":0.005,"news":1,` +
 	`"shapes":["k"],"specifics":{"max_calls":3,"bundle_max":[1]},"weights":"off"}]`
 
+// run serves some lines and returns the replies.
 func run(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
@@ -16,25 +18,27 @@
 	return out.String(), err
 }
 
-func TestNotes(t *testing.T) {
-	fleet := strings.Replace(strings.Replace(begin, `"max_open":20`, `"max_open":20,"peers":true`, 1), `"off"`, `"nominal"`, 1)
+// Gossip messages are sent and received in base64; an empty one is ignored.
+func TestGossip(t *testing.T) {
+	withGossip := strings.Replace(strings.Replace(begin, `"max_open":20`, `"max_open":20,"peers":true`, 1), `"off"`, `"nominal"`, 1)
 	list := `["manifest",0,[[0,5,"h1",4,"in_service",0,null]]]`
 	call := `["call",0,"m",false,0,false,false,null,4.5,null,0,5]`
-	out, err := run(t, `["round",1]`, fleet, list, `["update",0,"SAVED",1,0]`, call, `["your_turn"]`,
+	out, err := run(t, `["round",1]`, withGossip, list, `["update",0,"SAVED",1,0]`, call, `["your_turn"]`,
 		`["round",2]`, `["answer",0,"m","h1",0,"QueueFull",700,0.1,false,null]`, `["your_turn"]`)
 	if err != nil || !strings.Contains(out, `["announce",0,"*","YwW8BegH"]`) {
-		t.Errorf("no note of a refusal in %s, %v", out, err)
+		t.Errorf("no message about the rejection in %s, %v", out, err)
 	}
-	out, err = run(t, `["round",1]`, fleet, list, `["update",0,"SAVED",1,0]`, `["peer_data",0,1,"YwW8BegH"]`, call, `["your_turn"]`)
+	out, err = run(t, `["round",1]`, withGossip, list, `["update",0,"SAVED",1,0]`, `["peer_data",0,1,"YwW8BegH"]`, call, `["your_turn"]`)
 	if err != nil || strings.Contains(out, `["relay"`) {
-		t.Errorf("sent in spite of a note: %s, %v", out, err)
+		t.Errorf("forwarded in spite of a message: %s, %v", out, err)
 	}
-	out, err = run(t, `["round",1]`, fleet, list, `["update",0,"SAVED",1,0]`, `["peer_data",0,1,null]`, call, `["your_turn"]`)
+	out, err = run(t, `["round",1]`, withGossip, list, `["update",0,"SAVED",1,0]`, `["peer_data",0,1,null]`, call, `["your_turn"]`)
 	if err != nil || !strings.Contains(out, `["relay",0,"m","h1"`) {
-		t.Errorf("an empty note: %s, %v", out, err)
+		t.Errorf("with an empty message: %s, %v", out, err)
 	}
 }
 
+// Each batch has a reply; unknown events and instances are ignored.
 func TestServe(t *testing.T) {
 	list := `["manifest",0,[[0,5,"h1",1,"in_service",0,null]]]`
 	other := `["manifest",0,[[0,6,"h2",1,"in_service",0,null]]]`
@@ -42,18 +46,18 @@
 		return `["call",0,"` + id + `",false,0,false,false,null,4.5,null,0,` + dest + `]`
 	}
 	tests := []struct {
-		name  string
-		lines []string
-		want  []string
-		never []string
+		name     string
+		lines    []string
+		want     []string
+		unwanted []string
 	}{
 		{"an empty batch", []string{`["round",1]`, `["your_turn"]`}, []string{`["ready"]`}, nil},
-		{"a message is sent", []string{`["round",1]`, begin, list, `["update",0,"SAVED",1,0]`, call("m", "5"),
+		{"a message is forwarded", []string{`["round",1]`, begin, list, `["update",0,"SAVED",1,0]`, call("m", "5"),
 			`["your_turn"]`}, []string{`["relay",0,"m","h1",1.5]`}, nil},
-		{"a list overwritten in a batch", []string{`["round",1]`, begin, list, `["update",0,"SAVED",1,0]`, other,
+		{"a list replaced in a batch", []string{`["round",1]`, begin, list, `["update",0,"SAVED",1,0]`, other,
 			`["update",0,"INCREMENTAL",2,0]`, call("m", "5"), call("n", "6"), `["your_turn"]`},
 			[]string{`"m","h1"`, `"n","h2"`}, nil},
-		{"killed and begun in one batch", []string{`["round",1]`, begin, list, `["update",0,"SAVED",1,0]`,
+		{"killed and restarted in one batch", []string{`["round",1]`, begin, list, `["update",0,"SAVED",1,0]`,
 			call("m", "5"), `["killed",0]`, begin, `["update",0,"SAVED",1,0]`, call("n", "5"), `["your_turn"]`},
 			[]string{`"n","h1"`}, []string{`"m"`}},
 		{"unknown events and instances", []string{`["round",1]`, begin, `["eclipse",0,4]`, `["left",9,"m"]`,
@@ -71,14 +75,15 @@
 				t.Errorf("%s: no %s in %s", tt.name, want, out)
 			}
 		}
-		for _, never := range tt.never {
-			if strings.Contains(out, never) {
-				t.Errorf("%s: %s in %s", tt.name, never, out)
+		for _, unwanted := range tt.unwanted {
+			if strings.Contains(out, unwanted) {
+				t.Errorf("%s: %s in %s", tt.name, unwanted, out)
 			}
 		}
 	}
 }
 
+// A malformed line is an error on one line, and its batch has no reply.
 func TestMalformedLines(t *testing.T) {
 	for _, bad := range []string{`nonsense`, `["round","x"]`, `["answer",0,"m","h",0,"Odd"]`, `["call",0,5]`,
 		`["update",0,"FULL",1,9]`, `["begin",0,1,[]]`} {
@@ -87,15 +92,16 @@
 			t.Errorf("%s: error %v", bad, err)
 		}
 		if out != "" {
-			t.Errorf("%s: reply half written: %q", bad, out)
+			t.Errorf("%s: incomplete reply: %q", bad, out)
 		}
 	}
 }
 
+// Any line is served without a panic.
 func FuzzServe(f *testing.F) {
 	f.Add(begin)
 	f.Add(`["answer",0,"m","h",0,"Ok",null,0.1,true,{"x0":1}]`)
 	f.Fuzz(func(t *testing.T, line string) {
-		_, _ = run(t, `["round",1]`, line, `["your_turn"]`) // must not panic
+		_, _ = run(t, `["round",1]`, line, `["your_turn"]`)
 	})
 }
