--- a/cmd/milletsail/lab.go
+++ b/cmd/milletsail/lab.go
@@ -204,14 +204,14 @@
 	return func(at time.Duration) {
 		var now []string
 		for _, f := range s.Faults {
-			if at >= f.At.D() && at < f.At.D()+max(f.For.D(), time.Second) {
+			if at >= f.At.AsDuration() && at < f.At.AsDuration()+max(f.For.AsDuration(), time.Second) {
 				now = append(now, f.Kind)
 			}
 		}
 		if terminal {
 			fmt.Fprint(to, "\r\x1b[K")
 		}
-		fmt.Fprintf(to, "%3.0f s of %v  %s%s", at.Seconds(), s.Length.D(), strings.Join(now, ", "), end)
+		fmt.Fprintf(to, "%3.0f s of %v  %s%s", at.Seconds(), s.Length.AsDuration(), strings.Join(now, ", "), end)
 	}
 }
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -4,6 +4,7 @@
 package admin
 
 import (
+	"context"
 	"io"
 	"net"
 	"time"
@@ -12,12 +13,15 @@
 // Call sends one command line to the admin endpoint at address and returns the reply unchanged. timeout bounds
 // connecting, and then sending and receiving together.
 func Call(address, line string, timeout time.Duration) (string, error) {
-	conn, err := net.DialTimeout("tcp", address, timeout)
+	dialer := net.Dialer{Timeout: timeout}
+	conn, err := dialer.DialContext(context.Background(), "tcp", address)
 	if err != nil {
 		return "", err
 	}
-	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(timeout))
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return "", err
+	}
 	if _, err := io.WriteString(conn, line+"\n"); err != nil {
 		return "", err
 	}
--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -2,7 +2,7 @@
 // reads and writes, compared before one version replaces the other.
 //
 // A version that does not report its formats, or whose report can't be parsed, is an error and never counts as
-// compatible. Asking a program is bounded in time, whatever the program does.
+// compatible. A query of a program is bounded in time and in the size of its output.
 package compat
 
 import (
@@ -31,20 +31,24 @@
 // VersionsFlag is the name of the relay's flag that prints its FormatVersions, as JSON on one line, and exits.
 const VersionsFlag = "forms"
 
-// askTimeout bounds the run of a program that is asked for its formats, maxReply the bytes kept of its output.
 const (
-	askTimeout = 5 * time.Second
-	maxReply   = 4096
+	// queryTimeout bounds the run of a program that is queried for its formats.
+	queryTimeout = 5 * time.Second
+	// pipeTimeout is how long to wait for the output to be closed after the program has ended: a child process may keep it
+	// open.
+	pipeTimeout = time.Second
+	// maxOutputSize bounds the output that is kept, in bytes.
+	maxOutputSize = 4096
 )
 
-// QueryProgram runs a relay's program and returns the formats that it reports. The program gets an empty environment, and is
-// killed if it does not exit in time.
+// QueryProgram runs a relay's program and returns the formats that it reports. The program runs in an empty environment, and
+// is killed if it does not exit within queryTimeout.
 func QueryProgram(ctx context.Context, program string) (versions FormatVersions, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, program, "-"+VersionsFlag)
 	command.Env = []string{}
-	command.WaitDelay = time.Second // a child process may keep the pipe open
+	command.WaitDelay = pipeTimeout
 	var out limitedBuffer
 	command.Stdout = &out
 	if err := command.Run(); err != nil {
@@ -61,25 +65,27 @@
 	return versions, nil
 }
 
-// limitedBuffer keeps the first maxReply bytes written to it and discards the rest.
+// limitedBuffer keeps the first maxOutputSize bytes written to it and discards the rest.
 type limitedBuffer struct{ bytes.Buffer }
 
 func (b *limitedBuffer) Write(p []byte) (int, error) {
-	b.Buffer.Write(p[:min(len(p), max(0, maxReply-b.Len()))])
+	b.Buffer.Write(p[:min(len(p), max(0, maxOutputSize-b.Len()))])
 	return len(p), nil
 }
 
 // ErrNoRollback means that the old version can't read the journals that the new one writes.
-var ErrNoRollback = errors.New("there would be no way back")
+var ErrNoRollback = errors.New("rollback would not be possible")
 
 // CheckUpgrade returns nil if the version next can replace old and be rolled back, and otherwise the reason. Gossip
 // formats are no reason: relays work without gossip, and GossipCompatible reports them.
 func CheckUpgrade(old, next FormatVersions) error {
 	if !slices.Contains(next.Journal.Reads, old.Journal.Writes) {
-		return fmt.Errorf("the new version reads journals of the formats %v, and the old one writes %d", next.Journal.Reads, old.Journal.Writes)
+		return fmt.Errorf("the new version reads journals of the formats %v, and the old one writes %d",
+			next.Journal.Reads, old.Journal.Writes)
 	}
 	if !slices.Contains(old.Journal.Reads, next.Journal.Writes) {
-		return fmt.Errorf("%w: the old version reads journals of the formats %v, and the new one writes %d", ErrNoRollback, old.Journal.Reads, next.Journal.Writes)
+		return fmt.Errorf("%w: the old version reads journals of the formats %v, and the new one writes %d",
+			ErrNoRollback, old.Journal.Reads, next.Journal.Writes)
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,22 +17,22 @@
 
 // UnmarshalText parses a duration; one without a unit, or below zero, is an error.
 func (d *Duration) UnmarshalText(text []byte) error {
-	v, err := time.ParseDuration(string(text))
-	if err != nil || v < 0 {
+	parsed, err := time.ParseDuration(string(text))
+	if err != nil || parsed < 0 {
 		return fmt.Errorf("%q is no duration with its unit, such as \"1.5s\" or \"300ms\"", text)
 	}
-	*d = Duration(v)
+	*d = Duration(parsed)
 	return nil
 }
 
 // MarshalText writes the duration in the format that UnmarshalText parses.
-func (d Duration) MarshalText() ([]byte, error) { return []byte(d.D().String()), nil }
+func (d Duration) MarshalText() ([]byte, error) { return []byte(d.AsDuration().String()), nil }
 
-// D returns the duration as a time.Duration.
-func (d Duration) D() time.Duration { return time.Duration(d) }
+// AsDuration returns the duration as a time.Duration.
+func (d Duration) AsDuration() time.Duration { return time.Duration(d) }
 
-// S returns the duration in seconds.
-func (d Duration) S() float64 { return time.Duration(d).Seconds() }
+// Seconds returns the duration as a number of seconds.
+func (d Duration) Seconds() float64 { return time.Duration(d).Seconds() }
 
 // Decode decodes text into the value that into points to. name is the file's name in errors, which also give the line.
 func Decode(name string, text []byte, into any) error {
@@ -40,14 +40,16 @@
 	if err == nil {
 		return nil
 	}
-	if unknown := new(toml.StrictMissingError); errors.As(err, &unknown) && len(unknown.Errors) > 0 {
+	var unknown *toml.StrictMissingError
+	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 		first := unknown.Errors[0]
-		row, _ := first.Position()
-		return fmt.Errorf("%s:%d: unknown key %q", name, row, strings.Join(first.Key(), "."))
+		line, _ := first.Position()
+		return fmt.Errorf("%s:%d: unknown key %q", name, line, strings.Join(first.Key(), "."))
 	}
-	if wrong := new(toml.DecodeError); errors.As(err, &wrong) {
-		row, _ := wrong.Position()
-		return fmt.Errorf("%s:%d: %s: %w", name, row, strings.Join(wrong.Key(), "."), err)
+	var invalid *toml.DecodeError
+	if errors.As(err, &invalid) {
+		line, _ := invalid.Position()
+		return fmt.Errorf("%s:%d: %s: %w", name, line, strings.Join(invalid.Key(), "."), err)
 	}
 	return fmt.Errorf("%s: %w", name, err)
 }
--- a/internal/lab/clients/clients.go
+++ b/internal/lab/clients/clients.go
@@ -91,7 +91,7 @@
 			break
 		}
 		rng := c.s.Draws(fmt.Sprintf("body %d", a.Msg))
-		m := &message{Arrival: a, deadline: time.Now().Add(a.Class.Deadline.D()), body: make([]byte, c.s.Load.Bytes)}
+		m := &message{Arrival: a, deadline: time.Now().Add(a.Class.Deadline.AsDuration()), body: make([]byte, c.s.Load.Bytes)}
 		for i := range m.body {
 			m.body[i] = byte(rng.Uint32())
 		}
@@ -179,7 +179,7 @@
 	if after <= 0 {
 		after = againAfter
 	}
-	after = min(after, c.s.Rules.MaxRetryAfter.D())
+	after = min(after, c.s.Rules.MaxRetryAfter.AsDuration())
 	stays := mayStay && c.s.Draw(fmt.Sprintf("returns %d %d", m.Msg, m.handIns)) >= c.s.Load.Returns
 	if stays || m.handIns >= mostHandIns || time.Until(m.deadline) < after+leastLeft {
 		c.done(m)
@@ -252,7 +252,7 @@
 	m.id, m.relay = id, relay
 	c.owed[id] = m
 	c.mu.Unlock()
-	patience := c.s.Rules.Patience.D()
+	patience := c.s.Rules.Patience.AsDuration()
 	early := leave > 0 && draw("leaves") < leave
 	if early {
 		patience = time.Duration(draw("leaves after") * float64(patience) / 2)
--- a/internal/lab/clients/plan.go
+++ b/internal/lab/clients/plan.go
@@ -37,7 +37,7 @@
 func Plan(s *scenario.Scenario) []Arrival {
 	var bursts, shifts []stretch
 	for i, f := range s.Faults {
-		span := stretch{from: f.At.D(), to: f.At.D() + f.For.D(), factor: f.Size}
+		span := stretch{from: f.At.AsDuration(), to: f.At.AsDuration() + f.For.AsDuration(), factor: f.Size}
 		switch f.Kind {
 		case "burst":
 			bursts = append(bursts, span)
@@ -66,7 +66,7 @@
 	clumps := s.Load.Rate * s.Load.Clumps / float64(s.Load.ClumpSize)
 	for at := time.Duration(0); ; {
 		at += time.Duration(d.rng.ExpFloat64() / ((single + clumps) * most) * float64(time.Second))
-		if at >= s.Length.D() {
+		if at >= s.Length.AsDuration() {
 			break
 		}
 		rate := 1.0
@@ -84,7 +84,7 @@
 		}
 		dest, class := pick(d.rng, d.dests), pick(d.rng, d.classes)
 		for range s.Load.ClumpSize {
-			if then := at + time.Duration(d.rng.Float64()*float64(s.Load.ClumpSpan.D())); then < s.Length.D() {
+			if then := at + time.Duration(d.rng.Float64()*float64(s.Load.ClumpSpan.AsDuration())); then < s.Length.AsDuration() {
 				d.add(then, dest, class)
 			}
 		}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -190,13 +190,13 @@
 // factsOf is what a checker has to know of a scenario.
 func factsOf(s *scenario.Scenario) *history.Facts {
 	r, f := &s.Rules, &s.Fleet
-	facts := &history.Facts{Title: s.Title, Seed: s.Seed, Relays: f.Relays, MaxAttempts: r.MaxAttempts, Patience: history.M(r.Patience.D()),
-		DrainGrace: history.M(r.DrainGrace.D()), ColdShare: r.ColdShare, RampTime: history.M(r.RampTime.D()), OverloadFactor: r.OverloadFactor,
-		OverloadFor: history.M(r.OverloadFor.D()), MemoryMB: f.MemoryMB, DiskMB: f.DiskMB, Sockets: f.Sockets, Length: history.M(s.Length.D()),
+	facts := &history.Facts{Title: s.Title, Seed: s.Seed, Relays: f.Relays, MaxAttempts: r.MaxAttempts, Patience: history.M(r.Patience.AsDuration()),
+		DrainGrace: history.M(r.DrainGrace.AsDuration()), ColdShare: r.ColdShare, RampTime: history.M(r.RampTime.AsDuration()), OverloadFactor: r.OverloadFactor,
+		OverloadFor: history.M(r.OverloadFor.AsDuration()), MemoryMB: f.MemoryMB, DiskMB: f.DiskMB, Sockets: f.Sockets, Length: history.M(s.Length.AsDuration()),
 		Classes: map[string]history.Class{}, Hosts: map[string]history.Host{}}
 	for _, c := range s.Classes {
-		facts.Classes[c.Name] = history.Class{Effect: c.Effect, Group: c.Group, Memory: history.M(c.Memory.D()), Aim: history.M(c.Aim.D()),
-			Deadline: history.M(c.Deadline.D()), Worth: c.Worth, LateShare: c.LateShare}
+		facts.Classes[c.Name] = history.Class{Effect: c.Effect, Group: c.Group, Memory: history.M(c.Memory.AsDuration()), Aim: history.M(c.Aim.AsDuration()),
+			Deadline: history.M(c.Deadline.AsDuration()), Worth: c.Worth, LateShare: c.LateShare}
 	}
 	for r := range f.Relays {
 		facts.Zones = append(facts.Zones, f.Zone(r))
@@ -223,12 +223,12 @@
 // play waits for the time of a fault, and brings it about and to its end.
 func (t *timeline) play(ctx context.Context, i int) {
 	f := &t.s.Faults[i]
-	if !clock.Sleep(ctx, time.Until(t.begun.Add(f.At.D()))) {
+	if !clock.Sleep(ctx, time.Until(t.begun.Add(f.At.AsDuration()))) {
 		return
 	}
 	now := t.h.Now()
-	t.h.Add(history.Event{T: now, Kind: history.Fault, What: f.Kind, Zone: f.Zone, Of: i, Until: now + history.M(f.For.D())})
-	slog.Debug("fault", "kind", f.Kind, "at", f.At.D(), "for", f.For.D())
+	t.h.Add(history.Event{T: now, Kind: history.Fault, What: f.Kind, Zone: f.Zone, Of: i, Until: now + history.M(f.For.AsDuration())})
+	slog.Debug("fault", "kind", f.Kind, "at", f.At.AsDuration(), "for", f.For.AsDuration())
 	if err := t.strike(ctx, i, f); err != nil && ctx.Err() == nil {
 		slog.Error("fault", "kind", f.Kind, "err", err)
 	}
@@ -237,7 +237,7 @@
 func (t *timeline) strike(ctx context.Context, i int, f *scenario.Fault) error {
 	lasting := func(begin, end func()) error {
 		begin()
-		clock.Sleep(ctx, f.For.D())
+		clock.Sleep(ctx, f.For.AsDuration())
 		end()
 		return nil
 	}
@@ -245,7 +245,7 @@
 	switch f.Kind {
 	case "kill", "wipe", "power", "turn":
 		return t.relays(ctx, struck, f, func(r *relays.Relay) error {
-			return r.Kill(ctx, f.For.D(), func(dir string) error {
+			return r.Kill(ctx, f.For.AsDuration(), func(dir string) error {
 				switch f.Kind {
 				case "wipe":
 					err := r.Wipe(dir)
@@ -260,7 +260,7 @@
 			})
 		})
 	case "full":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Fill(ctx, f.For.D()) })
+		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Fill(ctx, f.For.AsDuration()) })
 	case "restart":
 		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Restart(ctx) })
 	case "upgrade":
@@ -270,20 +270,20 @@
 	case "evacuate", "restore":
 		line := "zone " + f.Kind + " " + f.Of
 		if f.Kind == "evacuate" {
-			line += " " + f.For.D().String()
+			line += " " + f.For.AsDuration().String()
 		}
 		return t.relays(ctx, struck, f, func(r *relays.Relay) error {
 			if err := r.Order(line); err != nil {
 				return err
 			}
 			now := t.h.Now()
-			t.h.Add(history.Event{T: now, Kind: history.Order, Relay: history.N(r.No), What: f.Kind, Zone: f.Of, Until: now + history.M(f.For.D())})
+			t.h.Add(history.Event{T: now, Kind: history.Order, Relay: history.N(r.No), What: f.Kind, Zone: f.Of, Until: now + history.M(f.For.AsDuration())})
 			return nil
 		})
 	case "reload":
 		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Reload() })
 	case "freeze":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { r.Freeze(ctx, f.For.D()); return nil })
+		return t.relays(ctx, struck, f, func(r *relays.Relay) error { r.Freeze(ctx, f.For.AsDuration()); return nil })
 	case "drain", "release-errors", "release-slow":
 		return t.drain(ctx, i, f)
 	case "cut":
@@ -312,7 +312,7 @@
 	case "repeat":
 		return lasting(func() { t.c.Change(0, f.Size) }, func() { t.c.Change(0, 0) })
 	case "crowd":
-		ctx, cancel := context.WithTimeout(ctx, f.For.D())
+		ctx, cancel := context.WithTimeout(ctx, f.For.AsDuration())
 		defer cancel()
 		t.c.Crowd(ctx, i, struck, f.Size)
 		return nil
@@ -336,7 +336,7 @@
 	case "down":
 		t.Down = true
 	case "shut":
-		t.Shut, t.Wait = true, f.Wait.D()
+		t.Shut, t.Wait = true, f.Wait.AsDuration()
 	case "silent":
 		t.Silent = true
 	case "errors", "release-errors":
@@ -367,7 +367,7 @@
 			defer mu.Unlock()
 			all = errors.Join(all, err)
 		})
-		if !clock.Sleep(ctx, f.Step.D()) {
+		if !clock.Sleep(ctx, f.Step.AsDuration()) {
 			break
 		}
 	}
@@ -377,7 +377,7 @@
 
 // drain takes endpoints off the list, each with one that takes its place.
 func (t *timeline) drain(ctx context.Context, i int, f *scenario.Fault) error {
-	stays := f.For.D()
+	stays := f.For.AsDuration()
 	if stays == 0 {
 		stays = drainFor
 	}
@@ -396,7 +396,7 @@
 				_ = t.p.List(h.Old, "DELETED")
 			}
 		})
-		if !clock.Sleep(ctx, f.Step.D()) {
+		if !clock.Sleep(ctx, f.Step.AsDuration()) {
 			return nil
 		}
 	}
@@ -424,7 +424,7 @@
 	}
 	t.p.Cut(1, to, from)
 	t.p.CutNotes(1, between)
-	clock.Sleep(ctx, f.For.D())
+	clock.Sleep(ctx, f.For.AsDuration())
 	t.p.Cut(-1, to, from)
 	t.p.CutNotes(-1, between)
 	return nil
--- a/internal/lab/platform/discovery.go
+++ b/internal/lab/platform/discovery.go
@@ -174,7 +174,7 @@
 	h := p.hosts[host]
 	h.mu.Lock()
 	if health == draining {
-		h.refuses = time.Now().Add(p.s.Rules.DrainGrace.D())
+		h.refuses = time.Now().Add(p.s.Rules.DrainGrace.AsDuration())
 	}
 	fresh := !h.listed && health == serving
 	h.listed = h.listed || fresh
--- a/internal/lab/platform/hosts.go
+++ b/internal/lab/platform/hosts.go
@@ -127,22 +127,22 @@
 	if h.back.IsZero() || r.RampTime <= 0 {
 		return 1
 	}
-	return math.Min(1, r.ColdShare+(1-r.ColdShare)*at.Sub(h.back).Seconds()/r.RampTime.S())
+	return math.Min(1, r.ColdShare+(1-r.ColdShare)*at.Sub(h.back).Seconds()/r.RampTime.Seconds())
 }
 
 // chill counts a call at a cold endpoint, and pushes it over where calls are too many; the lock is held. It tells
 // whether it fell.
 func (h *host) chill(now time.Time) bool {
 	r := &h.p.s.Rules
-	if h.back.IsZero() || now.Sub(h.back) > r.RampTime.D() {
+	if h.back.IsZero() || now.Sub(h.back) > r.RampTime.AsDuration() {
 		return false
 	}
-	from := now.Add(-r.OverloadFor.D())
+	from := now.Add(-r.OverloadFor.AsDuration())
 	h.recent = append(h.recent, now)
 	for len(h.recent) > 0 && h.recent[0].Before(from) {
 		h.recent = h.recent[1:]
 	}
-	budget := r.OverloadFactor * Capacity(&h.Host) * h.warmth(now) * r.OverloadFor.S()
+	budget := r.OverloadFactor * Capacity(&h.Host) * h.warmth(now) * r.OverloadFor.Seconds()
 	return float64(len(h.recent)) > budget+coldSlack*math.Sqrt(budget)
 }
 
@@ -203,7 +203,7 @@
 	tooLong := time.AfterFunc(time.Hour, func() { _ = c.Conn.Close() })
 	defer tooLong.Stop()
 	for {
-		tooLong.Reset(h.p.s.Fleet.ConnIdle.D())
+		tooLong.Reset(h.p.s.Fleet.ConnIdle.AsDuration())
 		if err := <-next; err != nil {
 			return
 		}
@@ -460,7 +460,7 @@
 
 // service draws the time of a call in seconds: lognormal, by its first message and which of its calls this is.
 func (h *host) service(c *call) float64 {
-	d, mean := h.Of, h.Of.Service.S()*(1+h.Of.ItemCost*float64(len(c.msgs)-1))
+	d, mean := h.Of, h.Of.Service.Seconds()*(1+h.Of.ItemCost*float64(len(c.msgs)-1))
 	if d.ServiceCV == 0 {
 		return mean
 	}
@@ -567,14 +567,14 @@
 		}
 		return seconds((1 - d.tokens) / of.Rate), false
 	case "window":
-		if now.Sub(d.window) >= of.Window.D() {
+		if now.Sub(d.window) >= of.Window.AsDuration() {
 			d.window, d.count = now, 0
 		}
-		fits := d.count+1 <= math.Max(1, of.Rate*of.Window.S())
+		fits := d.count+1 <= math.Max(1, of.Rate*of.Window.Seconds())
 		if fits || of.RefusedCount {
 			d.count++
 		}
-		return d.window.Add(of.Window.D()).Sub(now), fits
+		return d.window.Add(of.Window.AsDuration()).Sub(now), fits
 	}
 	return 0, true
 }
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -181,7 +181,7 @@
 	if h.Of.Limit != "none" {
 		return h.Of.Rate / float64(h.Of.Endpoints)
 	}
-	return float64(h.Of.Workers) / h.Of.Service.S()
+	return float64(h.Of.Workers) / h.Of.Service.Seconds()
 }
 
 // weight is what the list says of an endpoint's destination: calls a second over all relays.
--- a/internal/lab/relays/config.go
+++ b/internal/lab/relays/config.go
@@ -21,8 +21,8 @@
 func settingsOf(s *scenario.Scenario, p *platform.Platform, relay int) object {
 	var categories []object
 	for _, c := range s.Classes {
-		categories = append(categories, object{"name": c.Name, "aim_s": c.Aim.S(), "deadline_s": c.Deadline.S(),
-			"idempotency": c.Effect, "group": c.Group, "memory_span_s": c.Memory.S(), "points": c.Worth,
+		categories = append(categories, object{"name": c.Name, "aim_s": c.Aim.Seconds(), "deadline_s": c.Deadline.Seconds(),
+			"idempotency": c.Effect, "group": c.Group, "memory_span_s": c.Memory.Seconds(), "points": c.Worth,
 			"late_share": c.LateShare, "stream": false})
 	}
 	var bulks []int
@@ -38,12 +38,12 @@
 	r := &s.Rules
 	return object{"az": slices.Index(s.Fleet.Zones, s.Fleet.Zone(relay)), "categories": categories, "discovery": s.Fleet.Discovery,
 		"family": "deliver", "localities": s.Fleet.Zones, "n_instances": s.Fleet.Relays, "ordinal": relay, "quantum_s": quantum,
-		"limits": object{"cancel": true, "conn_idle_s": s.Fleet.ConnIdle.S(), "connect_timeout_s": s.Fleet.ConnectTime.S(),
-			"max_attempts": r.MaxAttempts, "max_open": s.Fleet.MaxOpen, "max_retry_after_s": r.MaxRetryAfter.S(),
+		"limits": object{"cancel": true, "conn_idle_s": s.Fleet.ConnIdle.Seconds(), "connect_timeout_s": s.Fleet.ConnectTime.Seconds(),
+			"max_attempts": r.MaxAttempts, "max_open": s.Fleet.MaxOpen, "max_retry_after_s": r.MaxRetryAfter.Seconds(),
 			"max_streams": 1, "peers": s.Fleet.Notes, "probing": false, "retry_after": true, "second_copies": false},
 		"report": object{"columns": []string{}, "via": "off"},
-		"rules": object{"answer_slack_s": 0.3, "ask_within_s": 6.0, "cold_share": r.ColdShare, "drain_grace_s": r.DrainGrace.S(),
-			"overload_factor": r.OverloadFactor, "overload_for_s": r.OverloadFor.S(), "ramp_time_s": r.RampTime.S()},
+		"rules": object{"answer_slack_s": 0.3, "ask_within_s": 6.0, "cold_share": r.ColdShare, "drain_grace_s": r.DrainGrace.Seconds(),
+			"overload_factor": r.OverloadFactor, "overload_for_s": r.OverloadFor.Seconds(), "ramp_time_s": r.RampTime.Seconds()},
 		"shapes": shapes,
 		"specifics": object{"bundle_max": bulks, "loses_worth": "linear", "max_calls": s.Fleet.Slots,
 			"route_fee": make([]float64, len(s.Fleet.Zones)), "separate_routes": make([]bool, len(bulks))},
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -112,7 +112,7 @@
 		bad  bool
 		what string
 	}{
-		{"length", s.Length <= 0 || s.Length.D() > span, "is not above 0 and at most 10m"},
+		{"length", s.Length <= 0 || s.Length.AsDuration() > span, "is not above 0 and at most 10m"},
 		{"fleet.relays", f.Relays < 1 || f.Relays > 500, "is not 1 to 500"},
 		{"fleet.zones", len(f.Zones) == 0, "names no zone"},
 		{"fleet.slots", f.Slots < 1, "is not above 0"},
@@ -194,8 +194,8 @@
 		switch {
 		case !ok:
 			return path + "kind", fmt.Errorf("%q is no kind of fault", f.Kind)
-		case f.At.D() > s.Length.D():
-			return path + "at", fmt.Errorf("%v is after the end of the arrivals", f.At.D())
+		case f.At.AsDuration() > s.Length.AsDuration():
+			return path + "at", fmt.Errorf("%v is after the end of the arrivals", f.At.AsDuration())
 		case k.lasting && f.For <= 0:
 			return path + "for", fmt.Errorf("a fault of the kind %q needs a time above 0", f.Kind)
 		case k.sized != "" && !(f.Size > 0):
--- a/internal/lab/shimmed.go
+++ b/internal/lab/shimmed.go
@@ -23,13 +23,13 @@
 		if err := r.Shim.StepWall(by); err != nil || f.For <= 0 {
 			return err
 		}
-		clock.Sleep(ctx, f.For.D())
+		clock.Sleep(ctx, f.For.AsDuration())
 		return r.Shim.StepWall(-by)
 	case "short-io":
 		if err := r.Shim.Short(true); err != nil {
 			return err
 		}
-		clock.Sleep(ctx, f.For.D())
+		clock.Sleep(ctx, f.For.AsDuration())
 		return r.Shim.Short(false)
 	}
 	call, err := shim.ParseCall(f.Call)
@@ -44,6 +44,6 @@
 		return r.Shim.Fail(call, errno, f.Count)
 	}
 	err = r.Shim.FailAll(call, errno)
-	clock.Sleep(ctx, f.For.D())
+	clock.Sleep(ctx, f.For.AsDuration())
 	return errors.Join(err, r.Shim.Clear(call))
 }
--- a/internal/procfs/procfs.go
+++ b/internal/procfs/procfs.go
@@ -1,4 +1,4 @@
-// Package procfs reads what a process uses from the system's own accounts.
+// Package procfs reads the resource usage of processes from the proc file system.
 package procfs
 
 import (
@@ -8,17 +8,27 @@
 	"strings"
 )
 
-// ResidentMB is the memory that a process holds; 0 where the account does not say.
+// kilobytesPerMegabyte converts the unit of /proc/PID/status.
+const kilobytesPerMegabyte = 1024
+
+// ResidentMB returns the resident memory of a process in megabytes. It is 0 for a process that has exited but was not yet
+// waited for, which has no entry in its status.
 func ResidentMB(pid int) (float64, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	path := fmt.Sprintf("/proc/%d/status", pid)
+	status, err := os.ReadFile(path)
 	if err != nil {
 		return 0, err
 	}
-	for line := range strings.Lines(string(text)) {
-		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
-			kb, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
-			return kb / 1024, nil
+	for line := range strings.Lines(string(status)) {
+		value, ok := strings.CutPrefix(line, "VmRSS:")
+		if !ok {
+			continue
+		}
+		kilobytes, err := strconv.ParseFloat(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(value), "kB")), 64)
+		if err != nil {
+			return 0, fmt.Errorf("%s: VmRSS: %w", path, err)
 		}
+		return kilobytes / kilobytesPerMegabyte, nil
 	}
 	return 0, nil
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -161,7 +161,7 @@
 // Run carries the rollout on until it is done, stopped, paused, rolled back, or ctx ends; done says whether there is
 // nothing more to do but by an order.
 func (c *Controller) Run(ctx context.Context) error {
-	timer := time.NewTicker(max(20*time.Millisecond, min(200*time.Millisecond, c.state.Plan.Gate.Every.D()/4)))
+	timer := time.NewTicker(max(20*time.Millisecond, min(200*time.Millisecond, c.state.Plan.Gate.Every.AsDuration()/4)))
 	defer timer.Stop()
 	for {
 		if err := c.step(ctx); err != nil {
@@ -298,7 +298,7 @@
 		return nil, ErrSuperseded
 	}
 	s := &c.state
-	if s.Phase != Running || time.Since(c.looked) < s.Plan.Gate.Every.D() || len(s.Changed) == 0 {
+	if s.Phase != Running || time.Since(c.looked) < s.Plan.Gate.Every.AsDuration() || len(s.Changed) == 0 {
 		return seen, nil
 	}
 	c.looked = time.Now()
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -227,17 +227,17 @@
 	baked := now.Sub(s.BakeFrom)
 	last := s.Stage == len(s.Plan.Stages)-1
 	for _, relay := range s.Changed {
-		if !seen[relay].Known && baked < s.Plan.LongestBake.D() {
+		if !seen[relay].Known && baked < s.Plan.LongestBake.AsDuration() {
 			return nil // unknown: the bake goes on
 		}
 	}
 	switch {
-	case baked < s.Plan.Bake.D():
+	case baked < s.Plan.Bake.AsDuration():
 		return nil
-	case !v.Enough && baked < s.Plan.LongestBake.D() && len(s.Changed) < len(s.Plan.Agents):
+	case !v.Enough && baked < s.Plan.LongestBake.AsDuration() && len(s.Changed) < len(s.Plan.Agents):
 		return nil
 	case !v.Enough && len(s.Changed) < len(s.Plan.Agents):
-		return []Record{{At: now, Kind: pause, Why: fmt.Sprintf("stage %d can't be judged after %v: %s", s.Stage+1, s.Plan.LongestBake.D(), v.Why)}}
+		return []Record{{At: now, Kind: pause, Why: fmt.Sprintf("stage %d can't be judged after %v: %s", s.Stage+1, s.Plan.LongestBake.AsDuration(), v.Why)}}
 	case last:
 		return []Record{{At: now, Kind: finished}}
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -154,7 +154,7 @@
 }
 
 // unitless tells whether a duration was written as a bare number, which TOML gives as nanoseconds.
-func unitless(d Duration) bool { return d > 0 && d.D() < time.Millisecond }
+func unitless(d Duration) bool { return d > 0 && d.AsDuration() < time.Millisecond }
 
 // upTo is how many relays have the new version at the end of a stage.
 func (p *Plan) upTo(stage int) int {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -28,7 +28,8 @@
 	if err != nil || !strings.Contains(out, `["announce",0,"*","YwW8BegH"]`) {
 		t.Errorf("no message about the rejection in %s, %v", out, err)
 	}
-	out, err = run(t, `["round",1]`, withGossip, list, `["update",0,"SAVED",1,0]`, `["peer_data",0,1,"YwW8BegH"]`, call, `["your_turn"]`)
+	out, err = run(t, `["round",1]`, withGossip, list, `["update",0,"SAVED",1,0]`, `["peer_data",0,1,"YwW8BegH"]`, call,
+		`["your_turn"]`)
 	if err != nil || strings.Contains(out, `["relay"`) {
 		t.Errorf("forwarded in spite of a message: %s, %v", out, err)
 	}
