--- a/cmd/milletsail/scenariorun.go
+++ b/cmd/milletsail/scenariorun.go
@@ -96,11 +96,11 @@
 	return func(at time.Duration) {
 		var active []string
 		for _, fault := range s.Faults {
-			if at >= fault.At.D() && at < fault.At.D()+max(fault.For.D(), time.Second) {
+			if at >= fault.At.AsDuration() && at < fault.At.AsDuration()+max(fault.For.AsDuration(), time.Second) {
 				active = append(active, fault.Kind)
 			}
 		}
-		command.PrintErrf("%s%3.0f s of %v  %s%s", prefix, at.Seconds(), s.Length.D(), strings.Join(active, ", "), suffix)
+		command.PrintErrf("%s%3.0f s of %v  %s%s", prefix, at.Seconds(), s.Length.AsDuration(), strings.Join(active, ", "), suffix)
 	}
 }
 
