--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -25,41 +25,41 @@
 
 // Plan is what a rollout is to do.
 type Plan struct {
-	Version      string   `toml:"version"`        // file of the new program
-	Bake         Duration `toml:"bake"`           // how long a stage runs at least before the next
-	LongestBake  Duration `toml:"longest_bake"`   // how long it is extended for want of traffic; then the rollout pauses
-	MostInChange int      `toml:"most_in_change"` // relays at once
-	ByZone       bool     `toml:"by_zone"`        // one zone after the other, within a stage
+	Version      string   `json:"Version" toml:"version"`             // file of the new program
+	Bake         Duration `json:"Bake" toml:"bake"`                   // how long a stage runs at least before the next
+	LongestBake  Duration `json:"LongestBake" toml:"longest_bake"`    // how long it is extended for want of traffic; then the rollout pauses
+	MostInChange int      `json:"MostInChange" toml:"most_in_change"` // relays at once
+	ByZone       bool     `json:"ByZone" toml:"by_zone"`              // one zone after the other, within a stage
 	// OnDeath is what the next start of a controller does with a rollout that was under way: "resume" or "rollback".
-	OnDeath string `toml:"on_death"`
+	OnDeath string `json:"OnDeath" toml:"on_death"`
 	// OneWay allows a version whose journals or notes the one before can't read: there is no rollback from it.
-	OneWay bool    `toml:"one_way"`
-	Gate   Gate    `toml:"gate"`
-	Stages []Stage `toml:"stage"`
-	Agents []Agent `toml:"agent"`
+	OneWay bool    `json:"OneWay" toml:"one_way"`
+	Gate   Gate    `json:"Gate" toml:"gate"`
+	Stages []Stage `json:"Stages" toml:"stage"`
+	Agents []Agent `json:"Agents" toml:"agent"`
 }
 
 // Stage is how many relays have the new version at its end.
 type Stage struct {
-	Relays int     `toml:"relays"` // or
-	Share  float64 `toml:"share"`  // of all, rounded up
+	Relays int     `json:"Relays" toml:"relays"` // or
+	Share  float64 `json:"Share" toml:"share"`   // of all, rounded up
 }
 
 // Agent is where the agent of one relay listens.
 type Agent struct {
-	Relay   int    `toml:"relay"`
-	Zone    string `toml:"zone"`
-	Address string `toml:"address"`
+	Relay   int    `json:"Relay" toml:"relay"`
+	Zone    string `json:"Zone" toml:"zone"`
+	Address string `json:"Address" toml:"address"`
 }
 
 // Gate is when changed relays count as worse than unchanged ones.
 type Gate struct {
-	FalseStop    float64  `toml:"false_stop"`    // chance to stop a version that is as good, over the whole rollout
-	Missed       float64  `toml:"missed"`        // chance, in a stage, to go on with one that is worse by WorseBy
-	WorseBy      float64  `toml:"worse_by"`      // share of a class's messages more that are refused or fail
-	LongerBy     float64  `toml:"longer_by"`     // factor on the time that messages take
-	MemoryFactor float64  `toml:"memory_factor"` // on the memory of an unchanged relay
-	Every        Duration `toml:"every"`         // between looks
+	FalseStop    float64  `json:"FalseStop" toml:"false_stop"`       // chance to stop a version that is as good, over the whole rollout
+	Missed       float64  `json:"Missed" toml:"missed"`              // chance, in a stage, to go on with one that is worse by WorseBy
+	WorseBy      float64  `json:"WorseBy" toml:"worse_by"`           // share of a class's messages more that are refused or fail
+	LongerBy     float64  `json:"LongerBy" toml:"longer_by"`         // factor on the time that messages take
+	MemoryFactor float64  `json:"MemoryFactor" toml:"memory_factor"` // on the memory of an unchanged relay
+	Every        Duration `json:"Every" toml:"every"`                // between looks
 }
 
 // defaults are what a plan holds where it is silent.
