--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// minDeliveryValue is the share of its value that a message must still have at delivery while its queue is
-	// overloaded: one that is admitted later takes the place of one that would be on time.
+	// minDeliveryValue is the share of its value that a message must still have at delivery while its queue
+	// is overloaded: one that is admitted later takes the place of one that would be on time.
 	minDeliveryValue = 0.8
-	// overloadThreshold is the share of Settings.QueueCapacity above which queues that hold much of it shed load, so
-	// that no queue takes all of it.
+	// overloadThreshold is the share of Settings.QueueCapacity above which queues that hold much of it shed
+	// load, so that no queue takes all of it.
 	overloadThreshold = 0.75
 )
 
--- a/policy/api.go
+++ b/policy/api.go
@@ -34,8 +34,8 @@
 
 var outcomeNames = [...]string{"ok", "failed", "full", "timed out", "no connection", "reset", "canceled", "not sent", "not begun"}
 
-// ProvesNotExecuted reports whether an attempt with this outcome certainly never ran at the endpoint, so that a
-// retry cannot execute the message twice.
+// ProvesNotExecuted reports whether an attempt with this outcome certainly never ran at the endpoint, so that
+// a retry cannot execute the message twice.
 func (o Outcome) ProvesNotExecuted() bool {
 	switch o {
 	case Rejected, ConnectError, NotSent, NotStarted:
@@ -133,17 +133,18 @@
 	Directory             Directory     // nil: state is kept for all endpoints of Listed
 }
 
-// Directory looks listed endpoints up. The caller owns it, and changes it only between calls of Handle: before the
-// Listed that reports the change.
+// Directory looks listed endpoints up. The caller owns it, and changes it only between calls of Handle:
+// before the Listed that reports the change.
 //
-// With a Directory, a Dispatcher keeps state only for the destinations in use. State comes with the first message for
-// a destination, or the first fact that binds it: Recalled or Learned, a refusal that another relay reports, Accused,
-// Paced, or an endpoint that is on trial beside an older one. Entries of Listed that concern no state are ignored;
-// removals have to be listed as Gone, Whole is not needed. State goes when its destination has been idle for two
-// minutes and nothing that is known of it binds. Share then names such destinations alone.
+// With a Directory, a Dispatcher keeps state only for the destinations in use. State comes with the first
+// message for a destination, or the first fact that binds it: Recalled or Learned, a refusal that another
+// relay reports, Accused, Paced, or an endpoint that is on trial beside an older one. Entries of Listed that
+// concern no state are ignored; removals have to be listed as Gone, Whole is not needed. State goes when its
+// destination has been idle for two minutes and nothing that is known of it binds. Share then names such
+// destinations alone.
 //
-// With Settings.Zones, which compares the endpoints of all destinations, the Directory is not used: state comes with
-// Listed and stays, as without one.
+// With Settings.Zones, which compares the endpoints of all destinations, the Directory is not used: state
+// comes with Listed and stays, as without one.
 type Directory interface {
 	Endpoints(destination int) []Endpoint    // listed now, in a stable order
 	Destination(endpoint string) (int, bool) // of a listed endpoint
@@ -185,7 +186,8 @@
 	Endpoint    string
 	SentAt      instant.Time
 	NotExecuted bool // proved never to have run
-	// InFlight says that it still is, in the process that hands over: Ended reports its end. Those of one Call share it.
+	// InFlight says that it still is, in the process that hands over: Ended reports its end. Those of one
+	// Call share it.
 	InFlight bool
 	Call     int
 }
@@ -245,7 +247,8 @@
 	}
 	// Withdrawn says that nobody wants a message any more; no answer is owed.
 	Withdrawn struct{ ID string }
-	// EndpointsUpdated changes the list of endpoints, or replaces it when Whole. See Directory for what is ignored.
+	// EndpointsUpdated changes the list of endpoints, or replaces it when Whole. See Directory for what is
+	// ignored.
 	EndpointsUpdated struct {
 		Complete  bool
 		Endpoints []Endpoint
@@ -274,10 +277,11 @@
 	}
 	// GossipReceived brings what another relay told.
 	GossipReceived struct{ Message []byte }
-	// PeerSuspected says what the fleet has found of a destination (a run of refusals) or, where it is named, of an
-	// endpoint (it is out), as observed by relays in this one's place: how many have found it bad that nobody has
-	// found good since, and the ages of the first and the last such finding. Until is how long it may be used.
-	// Rank is this relay's turn to try it, 0 for the first. It replaces what was said of the same before.
+	// PeerSuspected says what the fleet has found of a destination (a run of refusals) or, where it is named,
+	// of an endpoint (it is out), as observed by relays in this one's place: how many have found it bad that
+	// nobody has found good since, and the ages of the first and the last such finding. Until is how long it
+	// may be used. Rank is this relay's turn to try it, 0 for the first. It replaces what was said of the
+	// same before.
 	PeerSuspected struct {
 		Destination          int    // where Endpoint is empty
 		Endpoint             string // or empty
@@ -297,7 +301,8 @@
 		ArrivalRateByZone             []float64 // messages a second that arrive in each zone, over its relays; or nil
 		ValidFor                      time.Duration
 	}
-	// StorageChanged says whether attempts can be recorded for a later process; they can until it says otherwise.
+	// StorageChanged says whether attempts can be recorded for a later process; they can until it says
+	// otherwise.
 	StorageChanged struct{ Writable bool }
 	// ShutdownStarted says that this process is about to end: nothing more is sent.
 	ShutdownStarted struct{}
@@ -325,8 +330,8 @@
 // The actions.
 type (
 	// Send starts the next attempt of a message; Timeout 0 leaves it out until the deadline. Messages sent
-	// with the same Call travel together. Where Within is above 0, the call must be written whole in that time
-	// or not at all (Ignored), however long its connection takes to come up.
+	// with the same Call travel together. Where Within is above 0, the call must be written whole in that
+	// time or not at all (Ignored), however long its connection takes to come up.
 	Send struct {
 		ID           string
 		Endpoint     string
@@ -350,7 +355,8 @@
 		ID      string
 		Attempt int
 	}
-	// CancelUnwritten has calls to an endpoint that are not begun to be written come back unwritten (Ignored).
+	// CancelUnwritten has calls to an endpoint that are not begun to be written come back unwritten
+	// (Ignored).
 	CancelUnwritten struct{ Endpoint string }
 	// CloseIdleConnections closes the idle connections of this relay to an endpoint.
 	CloseIdleConnections struct{ Endpoint string }
@@ -373,15 +379,15 @@
 		Zone  int
 		State ZoneState
 	}
-	// CanaryStageChanged says that an endpoint that is new on the list has a stage begun, or gets nothing until Held, or, with neither,
-	// is through; for logs.
+	// CanaryStageChanged says that an endpoint that is new on the list has a stage begun, or gets nothing
+	// until Held, or, with neither, is through; for logs.
 	CanaryStageChanged struct {
 		Endpoint       string
 		Share          float64
 		SuspendedUntil instant.Time
 	}
-	// PublishRate is for the other relays: this one's pace for a destination, in parts of an even share of the listed
-	// rate, and the messages a second that arrive for it.
+	// PublishRate is for the other relays: this one's pace for a destination, in parts of an even share of
+	// the listed rate, and the messages a second that arrive for it.
 	PublishRate struct {
 		Destination            int
 		RateShare, ArrivalRate float64
--- a/policy/canary.go
+++ b/policy/canary.go
@@ -14,8 +14,8 @@
 	maxCanaryCredit = 2
 )
 
-// canaryStageShares of a destination's calls go to its newcomers, over all relays, until they are through, but to
-// none more than to the others.
+// canaryStageShares of a destination's calls go to its newcomers, over all relays, until they are through,
+// but to none more than to the others.
 var canaryStageShares = [...]float64{0.02, 0.06, 0.2, 0.5}
 
 // canaryState is how an endpoint that is new on the list fares.
@@ -37,7 +37,8 @@
 	f.failed, f.total = failureRateDecay*f.failed+indicator(bad), failureRateDecay*f.total+1
 }
 
-// share is the share that is bad, with one outcome more as a beginning, and a standard error more: few calls tell little.
+// share is the share that is bad, with one outcome more as a beginning, and a standard error more: few calls
+// tell little.
 func (f *failureRate) share() float64 {
 	share := (f.failed + minFailureShare) / (f.total + 1)
 	return math.Min(1-minFailureShare, share+math.Sqrt(share*(1-share)/(f.total+1)))
--- a/policy/canary_analysis.go
+++ b/policy/canary_analysis.go
@@ -13,25 +13,27 @@
 	minStageDuration = 2 * time.Second
 	// maxStageDuration ends a stage that has fewer than minStageOutcomes outcomes.
 	maxStageDuration = 4500 * time.Millisecond
-	// minStageOutcomes is the number of outcomes, of all relays together, that end a stage before maxStageDuration.
+	// minStageOutcomes is the number of outcomes, of all relays together, that end a stage before
+	// maxStageDuration.
 	minStageOutcomes = 8
-	// maxPromotionScore is the regression score, as a share of the one that suspends a canary, above which it stays
-	// in its stage: one failure is enough where failures are rare.
+	// maxPromotionScore is the regression score, as a share of the one that suspends a canary, above which it
+	// stays in its stage: one failure is enough where failures are rare.
 	maxPromotionScore = 1.0 / 3
 	// minFailureShare is the least share of failing calls that the baseline is taken to have.
 	minFailureShare = 0.02
-	// regressionLikelihoodRatio suspends a canary: its outcomes fit the baseline's failure share so many times less
-	// well than one halfway from there to 1 (Wald's sequential probability ratio test, restarted at 0 as in Page's
-	// CUSUM, since a canary may do well at first).
+	// regressionLikelihoodRatio suspends a canary: its outcomes fit the baseline's failure share so many
+	// times less well than one halfway from there to 1 (Wald's sequential probability ratio test, restarted
+	// at 0 as in Page's CUSUM, since a canary may do well at first).
 	regressionLikelihoodRatio = 1000.0
 	// initialSuspension is the duration of a canary's first suspension. It doubles with each further one.
 	initialSuspension = 15 * time.Second
 	// maxSuspension bounds the duration of a suspension.
 	maxSuspension = 4 * time.Minute
-	// maxBaselineFailureShare is the share of failing calls to older endpoints up to which a relay's observations
-	// count against canaries; above it, its own network may be the cause.
+	// maxBaselineFailureShare is the share of failing calls to older endpoints up to which a relay's
+	// observations count against canaries; above it, its own network may be the cause.
 	maxBaselineFailureShare = 0.25
-	// maxSuspensionDoublings bounds the shift that doubles a suspension; maxSuspension is reached long before.
+	// maxSuspensionDoublings bounds the shift that doubles a suspension; maxSuspension is reached long
+	// before.
 	maxSuspensionDoublings = 8
 )
 
@@ -99,8 +101,8 @@
 	}
 }
 
-// analyzeOutcome draws from a call's end what it says of a newcomer, or of what is usual beside one. An endpoint that
-// refuses may just be at its limit. A relay whose own network is bad speaks against nobody.
+// analyzeOutcome draws from a call's end what it says of a newcomer, or of what is usual beside one. An
+// endpoint that refuses may just be at its limit. A relay whose own network is bad speaks against nobody.
 func (d *Dispatcher) analyzeOutcome(ep *endpoint, m *message, e AttemptEnded, late bool) {
 	if !d.settings.CanaryAnalysis || e.Outcome == Rejected || e.Outcome == NotSent || e.Outcome == Canceled && !late {
 		return
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// circuitOpenAfter is the time of nothing but rejections, or the Retry-After, from which on a destination counts
-	// as down rather than at its limit: longer than the windows in which receivers commonly count calls.
+	// circuitOpenAfter is the time of nothing but rejections, or the Retry-After, from which on a destination
+	// counts as down rather than at its limit: longer than the windows in which receivers commonly count
+	// calls.
 	circuitOpenAfter = 2500 * time.Millisecond
 	// initialBackoff is the pause after a first rejection without Retry-After.
 	initialBackoff = 100 * time.Millisecond
-	// maxBackoff is the longest pause of the relay's own: about the longest window in which receivers count calls.
+	// maxBackoff is the longest pause of the relay's own: about the longest window in which receivers count
+	// calls.
 	maxBackoff = 2 * time.Second
-	// secondProbeProbability is the probability with which a relay with a low rate probes once more after a first
-	// failure.
+	// secondProbeProbability is the probability with which a relay with a low rate probes once more after a
+	// first failure.
 	secondProbeProbability = 0.5
 )
 
-// recordRejection notes a refusal by the destination, and tells the other relays what they do not know of it; a run of
-// refusals is a destination that is shut.
+// recordRejection notes a refusal by the destination, and tells the other relays what they do not know of it;
+// a run of refusals is a destination that is shut.
 func (d *Dispatcher) recordRejection(q *queue, l limitMessage) {
 	if q.consecutiveRejections++; q.consecutiveRejections == 1 {
 		q.firstRejectionAt = d.now
@@ -64,8 +66,8 @@
 	return until
 }
 
-// closeCircuit ends a pause, but for a wait that we were told, if a call sent well after the one that was refused
-// was taken: a rate has room again at once, where a count has none until its span is over.
+// closeCircuit ends a pause, but for a wait that we were told, if a call sent well after the one that was
+// refused was taken: a rate has room again at once, where a count has none until its span is over.
 func (d *Dispatcher) closeCircuit(q *queue, l limitMessage) bool {
 	if d.now >= q.backoffUntil || d.now.Add(-l.callAge) < q.rejectedCallAt.Add(initialBackoff/2) {
 		return false
@@ -74,10 +76,10 @@
 	return true
 }
 
-// probeBudgetSpent tells whether n failures or refusals are all that may be seen before the budget is kept to. That
-// costs what the budget holds back where the destination was only at its limit; others, who were not
-// refused, use the room. Half of the relays may knock once more, by chance, but not after a told wait,
-// when all would; and an outage that began after a success just now is not about to end.
+// probeBudgetSpent tells whether n failures or refusals are all that may be seen before the budget is kept
+// to. That costs what the budget holds back where the destination was only at its limit; others, who were not
+// refused, use the room. Half of the relays may knock once more, by chance, but not after a told wait, when
+// all would; and an outage that began after a success just now is not about to end.
 func (d *Dispatcher) probeBudgetSpent(q *queue, n int) bool {
 	if !d.hasLowRate(q) || q.lastSuccessAt > 0 && d.now.Sub(q.lastSuccessAt) <= circuitOpenAfter {
 		return false
--- a/policy/decaying_counter.go
+++ b/policy/decaying_counter.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// counterTimeConstant is the time constant of the arrival and miss rates (λ and r): some arrivals of each queue,
-// but short enough to follow a jump of traffic.
+// counterTimeConstant is the time constant of the arrival and miss rates (λ and r): some arrivals of each
+// queue, but short enough to follow a jump of traffic.
 const counterTimeConstant = 10 * time.Second
 
 // decayingCounter is a counter whose counts fade with time constant counterAge (in policy.go).
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// expireMessages gives final answers to held messages that have no time left for another attempt of mean latency,
-// and to those that cannot be sent again any more.
+// expireMessages gives final answers to held messages that have no time left for another attempt of mean
+// latency, and to those that cannot be sent again any more.
 func (d *Dispatcher) expireMessages() {
 	var ended []*message
 	for _, m := range d.unfinished {
@@ -30,8 +30,8 @@
 	return m.expiresAt.Add(-max(2*d.settings.BatchInterval, x))
 }
 
-// nearDeadline tells whether a message's time may be up before a call with it ends, which ends the call for all its
-// messages: such share calls with their like.
+// nearDeadline tells whether a message's time may be up before a call with it ends, which ends the call for
+// all its messages: such share calls with their like.
 func (d *Dispatcher) nearDeadline(q *queue, m *message) bool {
 	return m.expiresAt.Sub(d.now).Seconds() < stalledFactor*q.byClass[m.Class]
 }
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -18,8 +18,8 @@
 // maxGossipNumber bounds the numbers of a gossip message, so that none overflows.
 const maxGossipNumber = 1 << 31
 
-// limitMessage is what relays tell each other of a destination's limit: it refused a call that was sent an age ago, for a
-// wait, or for none that was told; or it took one, so that it is open.
+// limitMessage is what relays tell each other of a destination's limit: it refused a call that was sent an
+// age ago, for a wait, or for none that was told; or it took one, so that it is open.
 type limitMessage struct {
 	accepted    bool
 	destination int
@@ -27,8 +27,8 @@
 	callAge     time.Duration
 }
 
-// canaryMessage is what relays tell each other of an endpoint on trial: how a message of a class fared there. Its number,
-// drawn, tells it from a copy of itself.
+// canaryMessage is what relays tell each other of an endpoint on trial: how a message of a class fared there.
+// Its number, drawn, tells it from a copy of itself.
 type canaryMessage struct {
 	endpoint string
 	class    int
@@ -60,8 +60,9 @@
 	return canaryMessage{string(note[1+l+k:]), int(class), note[0] == canaryFailureType, no}, true
 }
 
-// Observed is what a note of Tell and Heard says: that a destination has refused a call that was sent an age ago, for a
-// wait or for none that was told, or has taken one; or that an endpoint is back, or has taken no connection.
+// Observed is what a note of Tell and Heard says: that a destination has refused a call that was sent an age
+// ago, for a wait or for none that was told, or has taken one; or that an endpoint is back, or has taken no
+// connection.
 type Observed struct {
 	Closed, Open, Back, NoRoom bool // one of them
 	Destination                int
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// resumeMessage puts a message that an earlier process admitted back into its queue, with the attempts made for it; one
-// with an attempt still out comes back to its queue by that attempt's end.
+// resumeMessage puts a message that an earlier process admitted back into its queue, with the attempts made
+// for it; one with an attempt still out comes back to its queue by that attempt's end.
 func (d *Dispatcher) resumeMessage(m *message) {
 	for _, t := range m.PriorAttempts {
 		ep := d.lookUpEndpoint(t.Endpoint, true)
@@ -85,7 +85,8 @@
 	return l
 }
 
-// restoreInherited takes in what the process before has learned of a queue, but for endpoints that are no longer listed.
+// restoreInherited takes in what the process before has learned of a queue, but for endpoints that are no
+// longer listed.
 func (d *Dispatcher) restoreInherited(l StateInherited) {
 	var q *queue
 	for _, e := range l.Endpoints {
@@ -113,8 +114,8 @@
 	}
 }
 
-// restoreHealth takes over an endpoint's outage or ramp from an earlier process, so that a restart in the middle of
-// either does not send to a cold destination as to a warm one.
+// restoreHealth takes over an endpoint's outage or ramp from an earlier process, so that a restart in the
+// middle of either does not send to a cold destination as to a warm one.
 func (d *Dispatcher) restoreHealth(e StateRestored) {
 	ramping := d.now.Sub(e.At) < d.settings.SlowStartWindow
 	ep := d.lookUpEndpoint(e.Endpoint, e.Ejected || ramping)
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// idempotencyExpiry is when a receiver that may have run a message may no longer know it, never where that is no matter: two
-// ticks early, since the module's times are those of its batches.
+// idempotencyExpiry is when a receiver that may have run a message may no longer know it, never where that is
+// no matter: two ticks early, since the module's times are those of its batches.
 func (d *Dispatcher) idempotencyExpiry(m *message) instant.Time {
 	if first := m.firstPossibleExecution(); first != nil && m.class.Effect == IdempotentWithKey {
 		return first.sentAt.Add(m.class.IdempotencyWindow).Add(-(2 * d.settings.BatchInterval))
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -3,7 +3,8 @@
 import "math"
 
 const (
-	// slowCallFactor is the multiple of the usual latency from which on a call shows that the own zone is overloaded.
+	// slowCallFactor is the multiple of the usual latency from which on a call shows that the own zone is
+	// overloaded.
 	slowCallFactor = 2.0
 	// spilloverIncrease is what a slow or rejected call adds to the share of calls that leave the zone. With
 	// spilloverDecrease, the share settles where one call in ten is slow.
@@ -21,7 +22,8 @@
 	return d.settings.Zones && d.evacuatedByOrder(ep) && !(m.class.KeysPerZone && m.firstPossibleExecution() != nil)
 }
 
-// evacuatedByOrder tells whether operators have an endpoint's zone left, and its destination can be had elsewhere.
+// evacuatedByOrder tells whether operators have an endpoint's zone left, and its destination can be had
+// elsewhere.
 func (d *Dispatcher) evacuatedByOrder(ep *endpoint) bool {
 	z := d.zones[ep.Zone]
 	return z != nil && z.state == EvacuatedByOrder && d.servedElsewhere(ep)
@@ -40,9 +42,9 @@
 	return false
 }
 
-// spilloverShares is how zones share a destination: the part of each zone's messages (rows) that each (columns)
-// serves, by what arrives and what there is room for. Each serves its own first; the rest goes to the others
-// in proportion to the room that they have left, and what nobody has room for stays.
+// spilloverShares is how zones share a destination: the part of each zone's messages (rows) that each
+// (columns) serves, by what arrives and what there is room for. Each serves its own first; the rest goes to
+// the others in proportion to the room that they have left, and what nobody has room for stays.
 func spilloverShares(demand, room []float64) [][]float64 {
 	free, sumFree, sumOver := make([]float64, len(demand)), 0.0, 0.0
 	for z := range demand {
@@ -109,7 +111,8 @@
 	return best
 }
 
-// recordSpillover counts a call against what is owed: each call adds to it the parts of it that other zones should have.
+// recordSpillover counts a call against what is owed: each call adds to it the parts of it that other zones
+// should have.
 func (d *Dispatcher) recordSpillover(q *queue, to *endpoint) {
 	others := map[int]bool{}
 	for _, ep := range q.endpoints {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// closeAttempt notes that an attempt has ended, and gives its message and its call: nil where it is unknown or has ended before. A
-// call gives its slot back with the last of its messages. One that was not begun leaves no trace.
+// closeAttempt notes that an attempt has ended, and gives its message and its call: nil where it is unknown
+// or has ended before. A call gives its slot back with the last of its messages. One that was not begun
+// leaves no trace.
 func (d *Dispatcher) closeAttempt(e AttemptEnded) (*message, *call) {
 	m := d.messages[e.ID]
 	if m == nil || e.Attempt < 0 || e.Attempt >= len(m.attempts) || !m.attempts[e.Attempt].open {
@@ -67,7 +68,8 @@
 	}
 }
 
-// recordOutcome draws from a call's end what it tells, by its own time: a relay without turns hears late of it.
+// recordOutcome draws from a call's end what it tells, by its own time: a relay without turns hears late of
+// it.
 func (d *Dispatcher) recordOutcome(c *call, m *message, e AttemptEnded) {
 	ep, q := c.endpoint, c.endpoint.queue
 	if e.Latency <= 0 {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -3,18 +3,19 @@
 import "math"
 
 const (
-	// ejectionThreshold is the number of consecutive failures that ejects an endpoint: single errors are ordinary.
+	// ejectionThreshold is the number of consecutive failures that ejects an endpoint: single errors are
+	// ordinary.
 	ejectionThreshold = 2
-	// errorResponseWeight is what an error response or a broken connection adds to the consecutive failures: a process
-	// is alive there, so it counts half.
+	// errorResponseWeight is what an error response or a broken connection adds to the consecutive failures:
+	// a process is alive there, so it counts half.
 	errorResponseWeight = 0.5
-	// maxUnhealthyCalls is the number of calls out at once to an ejected or unresponsive endpoint: one that may be
-	// stalled and one that probes.
+	// maxUnhealthyCalls is the number of calls out at once to an ejected or unresponsive endpoint: one that
+	// may be stalled and one that probes.
 	maxUnhealthyCalls = 2
 )
 
-// Avoided is how many listed endpoints get nothing now but trials: out, silent, or on their way out. With a Directory in use,
-// those on their way out are left out: the caller knows of all of them.
+// Avoided is how many listed endpoints get nothing now but trials: out, silent, or on their way out. With a
+// Directory in use, those on their way out are left out: the caller knows of all of them.
 func (d *Dispatcher) Avoided() int {
 	n := d.unavailableCount
 	for _, q := range d.active { // only what has a call out can be silent
--- a/policy/peer_report.go
+++ b/policy/peer_report.go
@@ -2,8 +2,8 @@
 
 import "milletsail/internal/instant"
 
-// handlePeerSuspected takes in what the fleet finds. Own findings that are younger than the first of the others' go
-// before it.
+// handlePeerSuspected takes in what the fleet finds. Own findings that are younger than the first of the
+// others' go before it.
 func (d *Dispatcher) handlePeerSuspected(e PeerSuspected) {
 	w := peerReport{e.Observers, e.Rank, d.now.Add(-e.OldestAge), d.now.Add(-e.NewestAge), d.now.Add(e.ValidFor)}
 	binds := w.valid(d.now)
@@ -38,8 +38,8 @@
 // valid tells whether the fleet says anything, and it is not too old to be used.
 func (w peerReport) valid(now instant.Time) bool { return w.observers > 0 && now < w.validUntil }
 
-// handleGossip takes in a note of another relay: it is evidence of a refusal like one of our own, but for health, or
-// that an endpoint that is sick here has answered there, or has taken no connection.
+// handleGossip takes in a note of another relay: it is evidence of a refusal like one of our own, but for
+// health, or that an endpoint that is sick here has answered there, or has taken no connection.
 func (d *Dispatcher) handleGossip(note []byte) {
 	d.lastGossipAt = d.now
 	if ep := d.endpoints[decodeEndpointMessage(endpointRecoveredType, note)]; ep != nil && ep.ejected && d.mayRecover(ep) {
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	// minObservers is the number of relays that have to report an endpoint as down, or a destination as rejecting,
-	// before that stands for own observations: one relay may have a faulty network of its own, and two may share it.
+	// minObservers is the number of relays that have to report an endpoint as down, or a destination as
+	// rejecting, before that stands for own observations: one relay may have a faulty network of its own, and
+	// two may share it.
 	minObservers = 3
-	// probeInterval is the time between two probes of the whole fleet, and between the turns of two relays: half the
-	// window in which receivers commonly count calls.
+	// probeInterval is the time between two probes of the whole fleet, and between the turns of two relays:
+	// half the window in which receivers commonly count calls.
 	probeInterval = rateWindow / 2
 )
 
@@ -34,8 +35,8 @@
 	return max(w.newestAt, ep.queue.probedAt).Add(time.Duration((1 + math.Log2(1+float64(w.rank))) * float64(each)))
 }
 
-// singleProber tells whether several relays were refused by a destination and none has been served since: not yet
-// shut, but one relay's call at a time finds out as well as all do.
+// singleProber tells whether several relays were refused by a destination and none has been served since: not
+// yet shut, but one relay's call at a time finds out as well as all do.
 func (d *Dispatcher) singleProber(q *queue) bool {
 	return q.peerReport.observers >= minObservers && d.now < q.peerReport.validUntil && q.lastSuccessAt < q.peerReport.oldestAt
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -89,7 +89,8 @@
 	})
 }
 
-// removeUnusedQueue drops a queue without endpoints and work, unless it is the one that stands for its destination.
+// removeUnusedQueue drops a queue without endpoints and work, unless it is the one that stands for its
+// destination.
 func (d *Dispatcher) removeUnusedQueue(q *queue) {
 	if len(q.endpoints) > 0 || q.active || q.destination.queues[0] == q && len(q.destination.queues) == 1 {
 		return
@@ -98,8 +99,8 @@
 	d.removeQueue(q)
 }
 
-// removeQueue takes a queue out of the list of all queues, which keeps its order; on demand, where many come and go and
-// the order says nothing, the last one takes its place.
+// removeQueue takes a queue out of the list of all queues, which keeps its order; on demand, where many come
+// and go and the order says nothing, the last one takes its place.
 func (d *Dispatcher) removeQueue(q *queue) {
 	if d.onDemand() {
 		last := len(d.queues) - 1
--- a/policy/queueing_delay.go
+++ b/policy/queueing_delay.go
@@ -5,7 +5,8 @@
 	"milletsail/internal/instant"
 )
 
-// concurrency is how many calls of a queue are out at once: in a wait or an outage, as many as there were before.
+// concurrency is how many calls of a queue are out at once: in a wait or an outage, as many as there were
+// before.
 func (q *queue) concurrency(now instant.Time) float64 {
 	n := math.Max(1, float64(len(q.calls)))
 	if now < max(q.retryAfterUntil, q.backoffUntil) || q.resourcesExhausted(now) || q.allEjected() {
@@ -23,8 +24,8 @@
 	return pitch
 }
 
-// queueingDelay is u: calls that the messages held ahead travel in × mean latency ÷ calls out, and at least what
-// a wait, a pace or a ramp implies; zero with a slot free and nothing held.
+// queueingDelay is u: calls that the messages held ahead travel in × mean latency ÷ calls out, and at least
+// what a wait, a pace or a ramp implies; zero with a slot free and nothing held.
 func (d *Dispatcher) queueingDelay(q *queue) float64 {
 	u := q.callsFor(len(q.waiting)) * d.currentLatency(q) / q.concurrency(d.now)
 	return math.Max(u, d.timeToNextCall(q, len(q.waiting)))
--- a/policy/rate_sharing.go
+++ b/policy/rate_sharing.go
@@ -6,9 +6,11 @@
 )
 
 const (
-	// publishIntervalPerRelay is the part that each relay of the fleet adds to the time between two published rates.
+	// publishIntervalPerRelay is the part that each relay of the fleet adds to the time between two published
+	// rates.
 	publishIntervalPerRelay = 100 * time.Millisecond
-	// minPublishInterval is the least time between two published rates: the interval of the heartbeats that carry them.
+	// minPublishInterval is the least time between two published rates: the interval of the heartbeats that
+	// carry them.
 	minPublishInterval = 5 * time.Second
 	// minTrafficShare is the least multiple of an even share that a relay takes for having little traffic.
 	minTrafficShare = 0.5
@@ -16,8 +18,8 @@
 	maxTrafficShare = 3
 )
 
-// handlePeerRate takes in what other relays send a destination. One that has just started, and so has learned no
-// pace of its own, begins with the fleet's.
+// handlePeerRate takes in what other relays send a destination. One that has just started, and so has learned
+// no pace of its own, begins with the fleet's.
 func (d *Dispatcher) handlePeerRate(e PeerRateReceived) {
 	q := d.sharedQueue(e.Destination, true)
 	if q == nil {
@@ -41,8 +43,9 @@
 	return float64(d.settings.FleetSize)
 }
 
-// trafficShare is this relay's part of what the fleet may send a destination, by the traffic that it has for it, as
-// a multiple of an even share. What the others get is known from few: it is taken for a standard error more.
+// trafficShare is this relay's part of what the fleet may send a destination, by the traffic that it has for
+// it, as a multiple of an even share. What the others get is known from few: it is taken for a standard error
+// more.
 func (d *Dispatcher) trafficShare(q *queue) float64 {
 	if d.now >= q.peerRateUntil || q.peerRate.Reporters < minObservers {
 		return 1
--- a/policy/resource_backoff.go
+++ b/policy/resource_backoff.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// initialResourceBackoff is the pause of an endpoint after a call that could not be started. It doubles with each
-	// further one until a call starts.
+	// initialResourceBackoff is the pause of an endpoint after a call that could not be started. It doubles
+	// with each further one until a call starts.
 	initialResourceBackoff = 20 * time.Millisecond
 	// maxResourceBackoff bounds that pause: service has to be back within seconds of the shortage's end.
 	maxResourceBackoff = 320 * time.Millisecond
@@ -20,8 +20,8 @@
 	delay time.Duration
 }
 
-// recordNotStarted takes in that a call could not be begun for one of its messages: its endpoint gets nothing for a moment, and what the
-// call took of pace and budget is there again.
+// recordNotStarted takes in that a call could not be begun for one of its messages: its endpoint gets nothing
+// for a moment, and what the call took of pace and budget is there again.
 func (d *Dispatcher) recordNotStarted(c *call) {
 	q, ep := c.endpoint.queue, c.endpoint
 	if c.openAttempts == 0 && q.sendRate > 0 {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -8,7 +8,8 @@
 const (
 	// timeoutShare is the share of the time left after which an attempt of a retryable message times out.
 	timeoutShare = 1.0 / 3
-	// minTimeoutLatencies is the least timeout, in mean latencies, so that slow receivers don't time out for nothing.
+	// minTimeoutLatencies is the least timeout, in mean latencies, so that slow receivers don't time out for
+	// nothing.
 	minTimeoutLatencies = 8
 )
 
--- a/policy/sendrate.go
+++ b/policy/sendrate.go
@@ -9,8 +9,8 @@
 const (
 	// rateDecreaseFactor is the multiplicative decrease of a send rate, at most once in rateWindow.
 	rateDecreaseFactor = 0.85
-	// minRateShare is the least that rejections leave of the even share: limits are lowered too, and rejected calls
-	// use them up.
+	// minRateShare is the least that rejections leave of the even share: limits are lowered too, and rejected
+	// calls use them up.
 	minRateShare = 0.15
 	// rateIncreaseGain is the increase of a send rate a second, for each second without a rejection (per s²).
 	rateIncreaseGain = 0.06
@@ -18,12 +18,14 @@
 	maxQuietTime = 5 * time.Second
 	// probingRateShare is the multiple of the even share beyond which a rate rises only while messages wait.
 	probingRateShare = 1.5
-	// minRemainingAllowance is the share of its allowance that a destination must report, where it sends load reports,
-	// for a send rate to rise.
+	// minRemainingAllowance is the share of its allowance that a destination must report, where it sends load
+	// reports, for a send rate to rise.
 	minRemainingAllowance = 0.5
-	// lowRateCalls is the even share, in calls a rateWindow, below which a relay meets a destination by chance only.
+	// lowRateCalls is the even share, in calls a rateWindow, below which a relay meets a destination by
+	// chance only.
 	lowRateCalls = 0.5
-	// rateWindow is the time whose calls may be sent at once: receivers count calls in windows of about this length.
+	// rateWindow is the time whose calls may be sent at once: receivers count calls in windows of about this
+	// length.
 	rateWindow = time.Second
 )
 
@@ -43,8 +45,8 @@
 	q.tokens, q.updatedAt = math.Max(1, q.sendRate*rateWindow.Seconds()), since
 }
 
-// increaseRate lets a pace rise while no refusal is heard of. One relay of many has a success in some seconds: its
-// own come too seldom to tell.
+// increaseRate lets a pace rise while no refusal is heard of. One relay of many has a success in some
+// seconds: its own come too seldom to tell.
 func (d *Dispatcher) increaseRate(q *queue) {
 	calmFrom := max(q.decreasedAt, q.backoffUntil)
 	from := max(q.increasedAt, calmFrom)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// slowStartSafety is the share of the overload rule's budget that is used while a destination warms up: the rest
-	// is for uneven shares among the relays and for chance.
+	// slowStartSafety is the share of the overload rule's budget that is used while a destination warms up:
+	// the rest is for uneven shares among the relays and for chance.
 	slowStartSafety = 0.8
-	// lowRateSlowStartSafety replaces slowStartSafety where many relays have less than a call each in the rule's
-	// window. With second probes of half of the relays whose first one failed, the total stays under two thirds of
-	// what overloads the destination.
+	// lowRateSlowStartSafety replaces slowStartSafety where many relays have less than a call each in the
+	// rule's window. With second probes of half of the relays whose first one failed, the total stays under
+	// two thirds of what overloads the destination.
 	lowRateSlowStartSafety = 0.42
 	// slowStartBurst is the share of a window's budget that may be sent at once.
 	slowStartBurst = 1.0 / 3
@@ -34,9 +34,9 @@
 	return min(d.now.Sub(ep.recoveredAt), d.settings.SlowStartWindow)
 }
 
-// slowStartBudget is the calls a second that this relay may make to an endpoint that has been back for so long:
-// its part of what the rule on returning destinations allows. Where no weight is told, one call in
-// each span of the rule.
+// slowStartBudget is the calls a second that this relay may make to an endpoint that has been back for so
+// long: its part of what the rule on returning destinations allows. Where no weight is told, one call in each
+// span of the rule.
 func (d *Dispatcher) slowStartBudget(ep *endpoint, back time.Duration) float64 {
 	share := 1.0
 	if d.settings.SlowStartWindow > 0 {
@@ -63,8 +63,8 @@
 	d.emit(PersistHealth{Endpoint: ep.ID, At: d.now, SecondHand: hearsay})
 }
 
-// initialTokens is what a budget of less than a call a span starts with: a chance part of a call, so that of many
-// relays with a call in a minute each some try at any time, and the total is what the rule allows.
+// initialTokens is what a budget of less than a call a span starts with: a chance part of a call, so that of
+// many relays with a call in a minute each some try at any time, and the total is what the rule allows.
 func (d *Dispatcher) initialTokens(ep *endpoint) float64 {
 	return math.Max(0, d.random.Float64()-d.slowStartBudget(ep, d.timeSinceRecovery(ep))*d.settings.OverloadWindow.Seconds())
 }
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -8,15 +8,17 @@
 )
 
 const (
-	// unresponsiveFactor is the number of mean latencies without an outcome that makes an endpoint unresponsive.
+	// unresponsiveFactor is the number of mean latencies without an outcome that makes an endpoint
+	// unresponsive.
 	unresponsiveFactor = 6
-	// stalledFactor is the number of mean latencies after which a call may be canceled where its slot is wanted and
-	// late calls mostly remain unanswered.
+	// stalledFactor is the number of mean latencies after which a call may be canceled where its slot is
+	// wanted and late calls mostly remain unanswered.
 	stalledFactor = 3
-	// finalAttemptFactor multiplies these for a call whose message fails with it: a slot serves a message of the same
-	// value in each mean latency.
+	// finalAttemptFactor multiplies these for a call whose message fails with it: a slot serves a message of
+	// the same value in each mean latency.
 	finalAttemptFactor = 2
-	// unansweredThreshold is the share of late calls without a success above which they count as mostly unanswered.
+	// unansweredThreshold is the share of late calls without a success above which they count as mostly
+	// unanswered.
 	unansweredThreshold = 0.5
 )
 
@@ -30,11 +32,11 @@
 	}
 }
 
-// cancelStalledCalls calls off calls that are out far longer than usual, so that their messages can be sent again. It
-// guards against lost calls and answers, and against hangs that fill the slots, whatever the cause; it
-// costs the work of a call that was merely slow, so calls are taken later with each attempt, and those
-// that no later call has overtaken only for want of a slot. A call that may not be repeated is taken for
-// want of a slot alone, finalFactor times as late: its message fails, but the slot serves others.
+// cancelStalledCalls calls off calls that are out far longer than usual, so that their messages can be sent
+// again. It guards against lost calls and answers, and against hangs that fill the slots, whatever the cause;
+// it costs the work of a call that was merely slow, so calls are taken later with each attempt, and those
+// that no later call has overtaken only for want of a slot. A call that may not be repeated is taken for want
+// of a slot alone, finalFactor times as late: its message fails, but the slot serves others.
 func (d *Dispatcher) cancelStalledCalls() {
 	if !d.settings.CanCancel {
 		return
@@ -61,8 +63,8 @@
 	}
 }
 
-// stalledCallFactor is the number of mean latencies after which a wanted slot is taken back: sooner where late
-// calls have mostly not been answered at all (loss, hangs) than where they have (slowness, heavy work).
+// stalledCallFactor is the number of mean latencies after which a wanted slot is taken back: sooner where
+// late calls have mostly not been answered at all (loss, hangs) than where they have (slowness, heavy work).
 func (d *Dispatcher) stalledCallFactor() float64 {
 	if d.unansweredShare > unansweredThreshold {
 		return stalledFactor
--- a/policy/state_store.go
+++ b/policy/state_store.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// stateIdleTimeout is the idle time after which state that is kept on demand may be dropped: the counters have
-	// decayed, send rates have recovered, and latencies need not be what they were.
+	// stateIdleTimeout is the idle time after which state that is kept on demand may be dropped: the counters
+	// have decayed, send rates have recovered, and latencies need not be what they were.
 	stateIdleTimeout = 2 * time.Minute
 	// maxEvictionsPerBatch bounds the destinations that one batch evicts.
 	maxEvictionsPerBatch = 32
@@ -17,8 +17,8 @@
 // onDemand tells whether state is kept only for destinations in use.
 func (d *Dispatcher) onDemand() bool { return d.settings.Directory != nil && !d.settings.Zones }
 
-// loadDestination fills the state of a destination from the directory. What is listed counts as listed since the first Listed: so
-// its counters and its pace are what they would be had state been kept all the time.
+// loadDestination fills the state of a destination from the directory. What is listed counts as listed since
+// the first Listed: so its counters and its pace are what they would be had state been kept all the time.
 func (d *Dispatcher) loadDestination(dest *destination) {
 	endpoints, since := d.settings.Directory.Endpoints(dest.number), d.now
 	if len(endpoints) > 0 {
@@ -31,7 +31,8 @@
 	}
 }
 
-// lookUpEndpoint gives the state of a listed endpoint, or nil. Where that is kept on demand, it is loaded for a fact that binds.
+// lookUpEndpoint gives the state of a listed endpoint, or nil. Where that is kept on demand, it is loaded for
+// a fact that binds.
 func (d *Dispatcher) lookUpEndpoint(id string, binds bool) *endpoint {
 	if ep := d.endpoints[id]; ep != nil || !binds || !d.onDemand() {
 		return ep
@@ -42,7 +43,8 @@
 	return d.endpoints[id]
 }
 
-// sharedQueue gives the queue of a known destination whose endpoints share one, or nil. State is loaded as by lookUp.
+// sharedQueue gives the queue of a known destination whose endpoints share one, or nil. State is loaded as by
+// lookUp.
 func (d *Dispatcher) sharedQueue(no int, binds bool) *queue {
 	dest := d.destinations[no]
 	if dest == nil && binds && d.onDemand() && len(d.settings.Directory.Endpoints(no)) > 0 {
@@ -83,8 +85,8 @@
 	}
 }
 
-// evictIdle drops the state of destinations that have been idle for long. It looks at the front of the idle ones alone, so that a
-// batch does no work for the others.
+// evictIdle drops the state of destinations that have been idle for long. It looks at the front of the idle
+// ones alone, so that a batch does no work for the others.
 func (d *Dispatcher) evictIdle() {
 	for range maxEvictionsPerBatch {
 		front := d.idleDestinations.Front()
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -13,16 +13,16 @@
 	minFailingDestinations = 2
 	// zoneFailureThreshold is the share of a zone's endpoints of known health that must fail.
 	zoneFailureThreshold = 0.6
-	// maxOtherZonesFailureShare is the share of the other zones' endpoints that may fail: above it, the zone isn't the
-	// cause.
+	// maxOtherZonesFailureShare is the share of the other zones' endpoints that may fail: above it, the zone
+	// isn't the cause.
 	maxOtherZonesFailureShare = 0.25
 	// healthObservationWindow is the age up to which an outcome says something of an endpoint's health.
 	healthObservationWindow = 5 * time.Second
-	// panicThreshold is the share of the listed endpoints that may be evacuated at once: the rest could not carry more,
-	// and the observation is more likely to be wrong (the reason of Envoy's panic threshold).
+	// panicThreshold is the share of the listed endpoints that may be evacuated at once: the rest could not
+	// carry more, and the observation is more likely to be wrong (the reason of Envoy's panic threshold).
 	panicThreshold = 0.5
-	// initialRecoveryBackoff is the time before a zone whose recovery failed may recover again. It doubles with each
-	// further failure, up to the slow start window.
+	// initialRecoveryBackoff is the time before a zone whose recovery failed may recover again. It doubles
+	// with each further failure, up to the slow start window.
 	initialRecoveryBackoff = time.Second
 	// maxRecoveryDoublings bounds the shift that doubles that time.
 	maxRecoveryDoublings = 16
@@ -83,8 +83,8 @@
 	return c.zoneFails() && float64(bad) <= maxOtherZonesFailureShare*float64(known)
 }
 
-// reachesOtherZone tells whether a zone that is neither the own nor the one that fails has answered a call that was
-// sent after that began to: only then it is not this relay that is cut off.
+// reachesOtherZone tells whether a zone that is neither the own nor the one that fails has answered a call
+// that was sent after that began to: only then it is not this relay that is cut off.
 func (d *Dispatcher) reachesOtherZone(no int, seen []zoneSurvey) bool {
 	for o, c := range seen {
 		if o != no && o != d.settings.Zone && c.lastAnsweredAt > d.zoneStatus(no).failingSince {
@@ -94,8 +94,8 @@
 	return false
 }
 
-// detectIsolation tells whether this relay is cut off, and not others out: nothing answers in all zones but its own,
-// of which there are two at least. It accuses nobody then, and goes on with what it reaches.
+// detectIsolation tells whether this relay is cut off, and not others out: nothing answers in all zones but
+// its own, of which there are two at least. It accuses nobody then, and goes on with what it reaches.
 func (d *Dispatcher) detectIsolation(seen []zoneSurvey) bool {
 	others := 0
 	for no, c := range seen {
@@ -108,8 +108,8 @@
 	return others >= 2
 }
 
-// evacuate leaves a zone: what has endpoints elsewhere goes there, and calls that are later than usual and may
-// be made again are called off.
+// evacuate leaves a zone: what has endpoints elsewhere goes there, and calls that are later than usual and
+// may be made again are called off.
 func (d *Dispatcher) evacuate(no int, as ZoneState) {
 	d.setZoneState(no, as)
 	for _, ep := range d.endpointsInZone(no) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// startRecovery lets a zone return, on the ramp of endpoints that were out; those that fail come after trials of
-// their own.
+// startRecovery lets a zone return, on the ramp of endpoints that were out; those that fail come after trials
+// of their own.
 func (d *Dispatcher) startRecovery(no int) {
 	d.setZoneState(no, Recovering)
 	for _, ep := range d.endpointsInZone(no) {
--- a/policy/zone_survey.go
+++ b/policy/zone_survey.go
@@ -8,7 +8,8 @@
 // maxZones bounds the numbers of zones: a wrong number in an endpoint list must not take memory.
 const maxZones = 64
 
-// zoneSurvey counts a zone's endpoints: listed, those that anything is known of, and of these those that fail.
+// zoneSurvey counts a zone's endpoints: listed, those that anything is known of, and of these those that
+// fail.
 type zoneSurvey struct {
 	listed, known, failing int
 	failingDestinations    uint64       // of those that fail, one bit each, by number
