--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"milletsail/internal/instant"
 	"time"
 )
 
@@ -16,29 +17,43 @@
 
 // recordVirtualArrival feeds an arrival to the copy of a queue under the basic rule alone.
 func (d *Dispatcher) recordVirtualArrival(q *queue, τ float64) {
-	q.virtualBacklog = math.Max(0, q.virtualBacklog-d.now.Sub(q.virtualUpdatedAt).Seconds())
-	q.virtualUpdatedAt = d.now
-	if q.virtualBacklog > τ {
-		q.misses.add(d.now, 1)
+	q.admission.virtualBacklog = math.Max(0, q.admission.virtualBacklog-d.now.Sub(q.admission.virtualUpdatedAt).Seconds())
+	q.admission.virtualUpdatedAt = d.now
+	if q.admission.virtualBacklog > τ {
+		q.admission.misses.add(d.now, 1)
 		return
 	}
-	q.virtualBacklog += q.sendInterval(d.now)
+	q.admission.virtualBacklog += q.sendInterval(d.now)
+}
+
+// admissionController estimates what admission control needs to know of one queue.
+type admissionController struct {
+	arrivals decayingCounter // λ: messages that arrive
+	misses   decayingCounter // r: those of them that the basic rule alone would reject
+	// virtualBacklog is the work, in seconds, in a virtual copy of the queue that admits by the basic rule alone.
+	virtualBacklog   float64
+	virtualUpdatedAt instant.Time
+}
+
+// newAdmissionController returns a controller that counts since a moment.
+func newAdmissionController(since instant.Time) admissionController {
+	return admissionController{arrivals: decayingCounter{startedAt: since}, misses: decayingCounter{startedAt: since}}
 }
 
 // admit refuses an arriving message at once or puts it into a queue.
 func (d *Dispatcher) admit(m *message) {
 	q := d.selectQueue(m)
-	q.arrivals.add(d.now, 1)
+	q.admission.arrivals.add(d.now, 1)
 	left := m.expiresAt.Sub(d.now).Seconds()
-	u, x := d.queueingDelay(q), q.byClass[m.Class]
-	λ, r := q.arrivals.rate(d.now), q.misses.rate(d.now)
+	u, x := d.queueingDelay(q), q.latency.byClass[m.Class]
+	λ, r := q.admission.arrivals.rate(d.now), q.admission.misses.rate(d.now)
 	d.recordVirtualArrival(q, left-x)
 	if λ*q.sendInterval(d.now) > 1 {
 		left = math.Min(left, d.overloadAgeLimit(m.class).Seconds()) // little time left need not be age
 	}
 	room := overloadThreshold * float64(d.settings.QueueCapacity)
 	much := float64(len(q.waiting)) > room/2 || q.allEjected() // those that are out leave room for the others
-	crowded := float64(len(d.unfinished)) > room && much || len(d.unfinished) > d.settings.QueueCapacity
+	crowded := float64(len(d.messages.unfinished)) > room && much || len(d.messages.unfinished) > d.settings.QueueCapacity
 	if crowded {
 		d.reject(m, u+2*x-left, ReasonOverloaded)
 		return
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -15,7 +15,7 @@
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	for _, id := range []string{"a", "b", "c"} {
 		d.eject(d.endpoints[id])
-		d.endpoints[id].tokens = -100 // no trial is due
+		d.endpoints[id].slowStart.bucket.tokens = -100 // no trial is due
 	}
 	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "d", Destination: 3}}}})
 	var all []Action
@@ -63,11 +63,11 @@
 	}
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.mean = 2
+	q.latency.mean = 2
 	for i, want := range []float64{0, 0, 1, 1} { // work 0, 2 and 4 against τ = 3; a miss adds none
 		d.recordVirtualArrival(q, 3)
-		if q.misses.value != want {
-			t.Errorf("arrival %d: %v misses of the copy, want %v", i, q.misses.value, want)
+		if q.admission.misses.value != want {
+			t.Errorf("arrival %d: %v misses of the copy, want %v", i, q.admission.misses.value, want)
 		}
 		if i == 2 {
 			d.now = moment(2 * time.Second) // the copy's work drains to 2
@@ -78,7 +78,7 @@
 func TestFreshDispatcherUsesTheBasicRuleAlone(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	expect(t, "first message", d.Handle(0, []Event{arrive("m", 0)}), "m>a")
-	if λ, r := d.queues[0].arrivals.rate(0), d.queues[0].misses.rate(0); λ <= 0 || r != 0 {
+	if λ, r := d.queues[0].admission.arrivals.rate(0), d.queues[0].admission.misses.rate(0); λ <= 0 || r != 0 {
 		t.Errorf("λ = %v, r = %v", λ, r)
 	}
 }
@@ -105,17 +105,17 @@
 	for _, tt := range tests {
 		d := start(t, s, Endpoint{ID: "a"})
 		q := d.queues[0]
-		q.mean = 0.5
+		q.latency.mean = 0.5
 		for range tt.held {
 			q.waiting = append(q.waiting, &message{class: &s.Classes[1], expiresAt: moment(time.Hour), queue: q})
 		}
 		if tt.overload {
-			q.arrivals.add(0, 100)
+			q.admission.arrivals.add(0, 100)
 		}
 		m := &message{Arrived: Arrived{ID: "m", Class: tt.class}, class: &d.settings.Classes[tt.class],
 			expiresAt: moment(d.settings.Classes[tt.class].Deadline)}
-		d.unfinished = append(d.unfinished, m)
-		q.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
+		d.messages.unfinished = append(d.messages.unfinished, m)
+		q.admission.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
 		d.admit(m)
 		if m.done != tt.refused {
 			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.held, m.done)
@@ -145,8 +145,8 @@
 func TestImpatientClients(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.mean = 0.5
-	q.arrivals.add(0, 100)
-	q.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
+	q.latency.mean = 0.5
+	q.admission.arrivals.add(0, 100)
+	q.admission.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
 	expect(t, "2 s of 10 left, nothing held", d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
 }
--- a/policy/canary_analysis.go
+++ b/policy/canary_analysis.go
@@ -53,7 +53,7 @@
 // hasBaseline tells whether an endpoint is on trial: only beside an older one that serves its destination.
 func (d *Dispatcher) hasBaseline(ep *endpoint) bool {
 	return ep.canary != nil && slices.ContainsFunc(ep.queue.endpoints, func(o *endpoint) bool {
-		return o.canary == nil && !o.ejected && !o.Draining && !d.unresponsive(o)
+		return o.canary == nil && !o.outlier.ejected && !o.Draining && !d.unresponsive(o)
 	})
 }
 
--- a/policy/canary_test.go
+++ b/policy/canary_test.go
@@ -54,7 +54,7 @@
 		switch a := a.(type) {
 		case Send:
 			p.sent[a.Endpoint]++
-			m := p.relays[no].messages[a.ID]
+			m := p.relays[no].messages.byID[a.ID]
 			took := p.took(a.Endpoint)
 			p.out[no] = append(p.out[no], due{p.now + took, AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(m.attempts) - 1,
 				Outcome: p.fails(a.Endpoint, m.Class), Latency: took}})
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -19,19 +19,30 @@
 	secondProbeProbability = 0.5
 )
 
+// circuitBreaker pauses the calls of one queue after rejections.
+type circuitBreaker struct {
+	retryAfterUntil       instant.Time  // end of a Retry-After, which always binds
+	backoffUntil          instant.Time  // end of the relay's own pause
+	announcedUntil        instant.Time  // other relays know of a pause up to then
+	rejectedCallAt        instant.Time  // when the last call was sent that a pause is for
+	backoff               time.Duration // last pause after a rejection without Retry-After
+	consecutiveRejections int
+	firstRejectionAt      instant.Time // of the consecutive rejections
+}
+
 // recordRejection notes a refusal by the destination, and tells the other relays what they do not know of it; a run of
 // refusals is a destination that is shut.
 func (d *Dispatcher) recordRejection(q *queue, l limitMessage) {
-	if q.consecutiveRejections++; q.consecutiveRejections == 1 {
-		q.firstRejectionAt = d.now
+	if q.circuit.consecutiveRejections++; q.circuit.consecutiveRejections == 1 {
+		q.circuit.firstRejectionAt = d.now
 	}
 	tried := d.isProber(q) // for all: they have to know
-	if until := d.openCircuit(q, l); d.settings.Gossip && !q.separateRoute && (tried || until > q.announcedUntil.Add(initialBackoff)) {
-		q.announcedUntil = until
+	if until := d.openCircuit(q, l); d.settings.Gossip && !q.separateRoute && (tried || until > q.circuit.announcedUntil.Add(initialBackoff)) {
+		q.circuit.announcedUntil = until
 		d.emit(Broadcast{Message: l.encode()})
 	}
-	shut := l.retryAfter > circuitOpenAfter || q.consecutiveRejections > ejectionThreshold && d.now.Sub(q.firstRejectionAt) > circuitOpenAfter
-	if shut || !d.settings.Gossip && d.probeBudgetSpent(q, q.consecutiveRejections) {
+	shut := l.retryAfter > circuitOpenAfter || q.circuit.consecutiveRejections > ejectionThreshold && d.now.Sub(q.circuit.firstRejectionAt) > circuitOpenAfter
+	if shut || !d.settings.Gossip && d.probeBudgetSpent(q, q.circuit.consecutiveRejections) {
 		for _, ep := range q.endpoints {
 			d.eject(ep)
 		}
@@ -41,25 +52,25 @@
 // openCircuit takes in that a destination refuses calls, for a wait if one is told, and gives the end of the
 // pause. All who learn of it come down at once, and come back apart, each at a chance part of its own pace.
 func (d *Dispatcher) openCircuit(q *queue, l limitMessage) (until instant.Time) {
-	q.rejectedCallAt = max(q.rejectedCallAt, d.now.Add(-l.callAge))
+	q.circuit.rejectedCallAt = max(q.circuit.rejectedCallAt, d.now.Add(-l.callAge))
 	wait := l.retryAfter
 	if wait <= 0 { // a moment: a steady rate has room again at once; twice as long if that was not enough
-		if d.now < q.backoffUntil {
-			return q.backoffUntil
+		if d.now < q.circuit.backoffUntil {
+			return q.circuit.backoffUntil
 		}
-		if q.backoff *= 2; d.now > q.backoffUntil.Add(q.backoff) {
-			q.backoff = initialBackoff
+		if q.circuit.backoff *= 2; d.now > q.circuit.backoffUntil.Add(q.circuit.backoff) {
+			q.circuit.backoff = initialBackoff
 		}
-		wait = time.Duration((0.5 + d.random.Float64()) * float64(q.backoff))
+		wait = time.Duration((0.5 + d.random.Float64()) * float64(q.circuit.backoff))
 	}
 	until = d.now.Add(min(wait, maxBackoff))
-	if d.now >= q.decreasedAt.Add(rateWindow) {
+	if d.now >= q.limiter.decreasedAt.Add(rateWindow) {
 		d.increaseRate(q)
-		q.sendRate = math.Max(minRateShare*d.evenShare(q), math.Min(q.sendRate*rateDecreaseFactor, (q.sendRate+d.evenShare(q))/2))
-		q.decreasedAt = d.now
+		q.limiter.rate = math.Max(minRateShare*d.evenShare(q), math.Min(q.limiter.rate*rateDecreaseFactor, (q.limiter.rate+d.evenShare(q))/2))
+		q.limiter.decreasedAt = d.now
 	}
-	if until > q.backoffUntil {
-		q.backoffUntil, q.tokens, q.updatedAt = until, d.random.Float64(), until
+	if until > q.circuit.backoffUntil {
+		q.circuit.backoffUntil, q.limiter.bucket.tokens, q.limiter.bucket.updatedAt = until, d.random.Float64(), until
 	}
 	return until
 }
@@ -67,10 +78,10 @@
 // closeCircuit ends a pause, but for a wait that we were told, if a call sent well after the one that was refused
 // was taken: a rate has room again at once, where a count has none until its span is over.
 func (d *Dispatcher) closeCircuit(q *queue, l limitMessage) bool {
-	if d.now >= q.backoffUntil || d.now.Add(-l.callAge) < q.rejectedCallAt.Add(initialBackoff/2) {
+	if d.now >= q.circuit.backoffUntil || d.now.Add(-l.callAge) < q.circuit.rejectedCallAt.Add(initialBackoff/2) {
 		return false
 	}
-	q.backoffUntil, q.announcedUntil, q.tokens, q.updatedAt = d.now, d.now, d.random.Float64(), d.now
+	q.circuit.backoffUntil, q.circuit.announcedUntil, q.limiter.bucket.tokens, q.limiter.bucket.updatedAt = d.now, d.now, d.random.Float64(), d.now
 	return true
 }
 
@@ -82,5 +93,5 @@
 	if !d.hasLowRate(q) || q.lastSuccessAt > 0 && d.now.Sub(q.lastSuccessAt) <= circuitOpenAfter {
 		return false
 	}
-	return n >= ejectionThreshold || d.now < q.retryAfterUntil || d.random.Float64() < secondProbeProbability
+	return n >= ejectionThreshold || d.now < q.circuit.retryAfterUntil || d.random.Float64() < secondProbeProbability
 }
--- a/policy/circuit_test.go
+++ b/policy/circuit_test.go
@@ -49,8 +49,8 @@
 func TestWaitOfABundle(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	expect(t, "one call", d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}), "m>a n>a")
-	if d.callsInFlight != 1 {
-		t.Errorf("%d calls out, want one bundle", d.callsInFlight)
+	if d.slots.inUse != 1 {
+		t.Errorf("%d calls out, want one bundle", d.slots.inUse)
 	}
 	got := d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, arrive("o", 0)})
 	expect(t, "in the wait", got, "")
@@ -65,14 +65,14 @@
 	ep := d.endpoints["a"]
 	d.Handle(moment(500*ms), []Event{arrive("n", 0)})
 	d.Handle(moment(600*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 2 * time.Second}})
-	if ep.ejected {
+	if ep.outlier.ejected {
 		t.Error("a wait as long as a span of counting is taken for an outage")
 	}
 	d.Handle(moment(3400*ms), []Event{arrive("m", 0)})
 	d.Handle(moment(3500*ms), []Event{arrive("o", 0)})
 	d.Handle(moment(3600*ms), []Event{AttemptEnded{ID: "o", Endpoint: "a", Outcome: Rejected, RetryAfter: 6 * time.Second}})
 	d.Handle(moment(3700*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
-	if !ep.ejected {
+	if !ep.outlier.ejected {
 		t.Error("a destination that told a wait of 6 s is not taken for shut")
 	}
 	sent := 0
@@ -101,7 +101,7 @@
 		}
 		d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
 		d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected}})
-		seen[d.queues[0].backoffUntil] = true
+		seen[d.queues[0].circuit.backoffUntil] = true
 	}
 	if len(seen) < 4 {
 		t.Errorf("five relays come back at %d moments", len(seen))
@@ -128,11 +128,11 @@
 			}
 			d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
 			d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, RetryAfter: tt.wait}})
-			if d.endpoints["a"].ejected {
+			if d.endpoints["a"].outlier.ejected {
 				sick++
 			}
 			d.recordRejection(d.queues[0], limitMessage{})
-			if d.recordRejection(d.queues[0], limitMessage{}); tt.relays > 2 && !d.endpoints["a"].ejected {
+			if d.recordRejection(d.queues[0], limitMessage{}); tt.relays > 2 && !d.endpoints["a"].outlier.ejected {
 				t.Errorf("%d relays, outcome %d: not sick after more", tt.relays, tt.outcome)
 			}
 		}
--- a/policy/connection_limit_test.go
+++ b/policy/connection_limit_test.go
@@ -13,14 +13,14 @@
 	d.Handle(moment(10*ms), []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: OK, Completed: true}, arrive("m3", 0)})
 	d.Handle(moment(20*ms), []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
 	ep := d.endpoints["a"]
-	if ep.ejected || ep.consecutiveFailures > 0 || ep.connectionLimit != 1 {
-		t.Errorf("sick %v, failures %v, cap %v", ep.ejected, ep.consecutiveFailures, ep.connectionLimit)
+	if ep.outlier.ejected || ep.outlier.consecutiveFailures > 0 || ep.connections.limit != 1 {
+		t.Errorf("sick %v, failures %v, cap %v", ep.outlier.ejected, ep.outlier.consecutiveFailures, ep.connections.limit)
 	}
 	for range 20 {
 		d.recordSuccess(ep, true)
 	}
-	if ep.connectionLimit < 1.9 {
-		t.Errorf("cap %v after twenty successes", ep.connectionLimit)
+	if ep.connections.limit < 1.9 {
+		t.Errorf("cap %v after twenty successes", ep.connections.limit)
 	}
 }
 
@@ -49,7 +49,7 @@
 			d.Handle(moment(tt.at), refused)
 		}
 		d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
-		d.endpoints["a"].connectionLimit = tt.connCap
+		d.endpoints["a"].connections.limit = tt.connCap
 		d.Handle(moment(tt.last-500*ms), []Event{arrive("n", 0)})
 		closes := false
 		for _, a := range d.Handle(moment(tt.last), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true}}) {
@@ -68,7 +68,7 @@
 	told := 0
 	for i := range 4 {
 		at, id := time.Duration(10+3*i)*100*ms, fmt.Sprint("m", i)
-		d.endpoints["a"].ejected, d.endpoints["a"].consecutiveFailures = false, 0
+		d.endpoints["a"].outlier.ejected, d.endpoints["a"].outlier.consecutiveFailures = false, 0
 		d.Handle(moment(at), []Event{arrive(id, 0)})
 		for _, a := range d.Handle(moment(at+10*ms), []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
 			if tell, ok := a.(Broadcast); ok && decodeEndpointMessage(connectErrorType, tell.Message) == "a" {
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -7,40 +7,38 @@
 )
 
 // Dispatcher decides for one relay. It is not safe for concurrent use.
+//
+// What concerns a destination or an endpoint is in the parts of its queue and endpoint; here are the parts that concern
+// the whole relay.
 type Dispatcher struct {
-	settings      Settings
-	now           instant.Time
-	endpoints     map[string]*endpoint
-	destinations  map[int]*destination
-	active        []*queue // those with messages held or calls out
-	queues        []*queue // in the order in which they were first seen
-	messages      map[string]*message
-	unfinished    []*message // unfinished, in the order of arrival
-	blockingKeys  []*message // over, but their keys rest
-	orderedKeys   map[string][]*message
-	callsInFlight int // calls out
-	// unansweredShare is the share of calls out for stuckAfter mean latencies that had no success.
-	unansweredShare  float64
-	lastSequence     int
-	lastCall         int
-	meanPriority     float64
-	subscribeAt      instant.Time // when to subscribe
-	timerDueAt       instant.Time // when the next timer is due; 0 for none
-	lastGossipAt     instant.Time // when the last note came
-	publishAt        instant.Time // when to share a pace next
-	publishNext      int          // among queues
-	liveRelays       int          // that count as there; 0 for unknown
-	zones            map[int]*zone
-	isolated         bool // nothing answers in all zones but the own
-	stopping         bool // send nothing more
-	storageReadOnly  bool // attempts leave no trace for a later process
-	actions          []Action
-	random           *rand.Rand
-	latencyPriors    map[int]*latencyEstimate // by kind of destination
-	canaryCount      int                      // endpoints with a trial
-	unavailableCount int                      // endpoints that countsAsBad
-	firstListedAt    instant.Time             // of the first Listed; never before it
-	idleDestinations list.List                // of *destination: on demand only, by idleSince; those that have become busy may still be in it
+	settings Settings
+	now      instant.Time
+	actions  []Action // of the batch that is handled
+	random   *rand.Rand
+
+	destinations     map[int]*destination
+	endpoints        map[string]*endpoint
+	queues           []*queue // in the order in which they were first seen
+	active           []*queue // those with messages waiting or calls out
+	unavailableCount int      // endpoints for which isUnavailable holds
+
+	messages      messageTable
+	keys          orderedKeys
+	slots         slotScheduler
+	latencyPriors map[int]*latencyEstimate // by kind of destination
+	meanPriority  float64                  // mean priority weight of the classes
+	watch         endpointWatch
+	timer         timerState
+	publisher     ratePublisher
+	liveRelays    int          // that share the traffic now; 0 for unknown
+	lastGossipAt  instant.Time // when the last gossip message was received
+	zones         zoneTable
+	canaryCount   int
+	// idleDestinations holds each *destination whose state may be dropped, by idleSince; some may have become active.
+	idleDestinations list.List
+
+	stopping        bool // send nothing more
+	storageReadOnly bool // attempts leave no record for a later process
 }
 
 // New returns a dispatcher that knows nothing yet. Settings that make no sense give an error.
@@ -48,11 +46,18 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{settings: s, endpoints: map[string]*endpoint{}, destinations: map[int]*destination{},
-		messages: map[string]*message{}, orderedKeys: map[string][]*message{},
-		latencyPriors: map[int]*latencyEstimate{}, random: rand.New(rand.NewPCG(uint64(seed), 0)), subscribeAt: never, firstListedAt: never}
+	d := &Dispatcher{
+		settings:      s,
+		random:        rand.New(rand.NewPCG(uint64(seed), 0)),
+		destinations:  map[int]*destination{},
+		endpoints:     map[string]*endpoint{},
+		messages:      messageTable{byID: map[string]*message{}},
+		keys:          orderedKeys{waiting: map[string][]*message{}},
+		latencyPriors: map[int]*latencyEstimate{},
+		watch:         endpointWatch{subscribeAt: never, firstListedAt: never},
+	}
 	if s.Subscribe {
-		d.subscribeAt = 0 // at once
+		d.watch.subscribeAt = 0 // at once
 	}
 	for _, c := range s.Classes {
 		d.meanPriority += c.PriorityWeight / float64(len(s.Classes))
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -9,9 +9,15 @@
 // resubscribeDelay is the time before a failed watch of the endpoint list is started again.
 const resubscribeDelay = 500 * time.Millisecond
 
+// endpointWatch is the watch of the endpoint list.
+type endpointWatch struct {
+	subscribeAt   instant.Time // when to subscribe next
+	firstListedAt instant.Time // when the first entries came; never before that
+}
+
 // updateEndpoints takes in a change of the list.
 func (d *Dispatcher) updateEndpoints(e EndpointsUpdated) {
-	d.firstListedAt = min(d.firstListedAt, d.now)
+	d.watch.firstListedAt = min(d.watch.firstListedAt, d.now)
 	for _, entry := range e.Endpoints {
 		if d.affectsState(entry) {
 			d.updateEndpoint(entry, d.now)
@@ -64,7 +70,7 @@
 
 // addEndpoint adds an endpoint that is listed since a moment to its destination.
 func (d *Dispatcher) addEndpoint(dest *destination, e Endpoint, since instant.Time) *endpoint {
-	ep := &endpoint{classFailures: make([]float64, len(d.settings.Classes)), queue: dest.queues[0]}
+	ep := &endpoint{outlier: newOutlierState(len(d.settings.Classes)), queue: dest.queues[0]}
 	d.endpoints[e.ID] = ep
 	kind := Kind{MaxBatch: 1}
 	if e.Kind >= 0 && e.Kind < len(d.settings.Kinds) {
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -36,13 +36,13 @@
 			now := time.Duration(i) * time.Second
 			d.Handle(moment(now), []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: fmt.Sprint("a", i), Kind: kind},
 				{ID: fmt.Sprint("b", i), Kind: kind}}}, arrive(fmt.Sprint("m", i), 0)})
-			for id, m := range d.messages {
+			for id, m := range d.messages.byID {
 				d.Handle(moment(now+100*ms), []Event{AttemptEnded{ID: id, Endpoint: m.attempts[0].call.endpoint.ID, Outcome: OK, Completed: true}})
 			}
 		}
-		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.destinations) != 1 || len(d.active)+len(d.messages)+len(d.unfinished) != 0 {
+		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.destinations) != 1 || len(d.active)+len(d.messages.byID)+len(d.messages.unfinished) != 0 {
 			t.Errorf("kind %d: %d endpoints, %d queues, %d active, %d messages", kind, len(d.endpoints), len(d.queues),
-				len(d.active), len(d.messages))
+				len(d.active), len(d.messages.byID))
 		}
 	}
 }
@@ -61,8 +61,8 @@
 			{ID: "a", Kind: kind, Weight: 7, Zone: 1}}}}), "n>a")
 		expect(t, "far ahead", d.Handle(moment(1000*time.Hour), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true},
 			arrive("o", 0)}), "o>a")
-		if d.callsInFlight != 1 || len(d.messages) != 1 {
-			t.Errorf("kind %d: %d calls out, %d messages", kind, d.callsInFlight, len(d.messages))
+		if d.slots.inUse != 1 || len(d.messages.byID) != 1 {
+			t.Errorf("kind %d: %d calls out, %d messages", kind, d.slots.inUse, len(d.messages.byID))
 		}
 	}
 }
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -8,7 +8,7 @@
 	var best *endpoint
 	home := d.targetZone(q)
 	for _, ep := range q.endpoints {
-		second := ep.ejected && len(m.attempts) > 0 && len(q.endpoints) > 1
+		second := ep.outlier.ejected && len(m.attempts) > 0 && len(q.endpoints) > 1
 		if second || d.canaryWithheld(ep) || !d.acceptsCall(ep) || d.avoidsZone(ep, m) || !d.retryAllowed(m, ep) {
 			continue
 		}
@@ -22,8 +22,8 @@
 // preferred tells whether the first of two endpoints that are open is chosen for a message.
 func (d *Dispatcher) preferred(m *message, home int, a, b *endpoint) bool {
 	return cmp.Or(
-		cmp.Compare(indicator(a.ejected), indicator(b.ejected)),               // its trial is due
-		cmp.Compare(indicator(d.hasBaseline(a)), indicator(d.hasBaseline(b))), // its share is
+		cmp.Compare(indicator(a.outlier.ejected), indicator(b.outlier.ejected)), // its trial is due
+		cmp.Compare(indicator(d.hasBaseline(a)), indicator(d.hasBaseline(b))),   // its share is
 		cmp.Compare(indicator(d.unresponsive(b)), indicator(d.unresponsive(a))),
 		cmp.Compare(m.failureScore(b), m.failureScore(a)),
 		cmp.Compare(indicator(d.settings.Zones && a.Zone == home), indicator(d.settings.Zones && b.Zone == home)),
@@ -35,7 +35,7 @@
 // failureScore counts what speaks against an endpoint for a message: failures of its class in a row, and a
 // try of its own, the last, that did not succeed. An endpoint may fail one class and serve the others.
 func (m *message) failureScore(ep *endpoint) float64 {
-	n := ep.classFailures[m.Class]
+	n := ep.outlier.classFailures[m.Class]
 	if i := len(m.attempts); i > 0 && m.attempts[i-1].call.endpoint == ep {
 		n++
 	}
@@ -47,13 +47,13 @@
 	if ep.Draining || ep.Removed || d.now < ep.resourceBackoff.until {
 		return false
 	}
-	if ep.connectionLimit > 0 && float64(len(ep.calls)+1) > ep.connectionLimit {
+	if ep.connections.limit > 0 && float64(len(ep.calls)+1) > ep.connections.limit {
 		return false
 	}
-	if ep.ejected {
+	if ep.outlier.ejected {
 		trials := 0
 		for _, c := range ep.calls {
-			if c.sentAt >= ep.ejectedAt {
+			if c.sentAt >= ep.outlier.ejectedAt {
 				trials++
 			}
 		}
@@ -62,7 +62,7 @@
 		}
 		return trials < maxUnhealthyCalls && d.slowStartTokens(ep) >= 1
 	}
-	if ep.slowStarting && d.slowStartTokens(ep) < 1 {
+	if ep.slowStart.active && d.slowStartTokens(ep) < 1 {
 		return false
 	}
 	return !d.unresponsive(ep) || len(ep.calls) < maxUnhealthyCalls
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -10,7 +10,7 @@
 // and to those that cannot be sent again any more.
 func (d *Dispatcher) expireMessages() {
 	var ended []*message
-	for _, m := range d.unfinished {
+	for _, m := range d.messages.unfinished {
 		if m.queue != nil && (d.now >= d.finalAttemptAt(m) || !d.retryAllowed(m, nil)) {
 			ended = append(ended, m)
 		}
@@ -26,14 +26,14 @@
 
 // finalAttemptAt is when a held message is given up: its time left is then its expected latency.
 func (d *Dispatcher) finalAttemptAt(m *message) instant.Time {
-	x := time.Duration(m.queue.byClass[m.Class] * float64(time.Second))
+	x := time.Duration(m.queue.latency.byClass[m.Class] * float64(time.Second))
 	return m.expiresAt.Add(-max(2*d.settings.BatchInterval, x))
 }
 
 // nearDeadline tells whether a message's time may be up before a call with it ends, which ends the call for all its
 // messages: such share calls with their like.
 func (d *Dispatcher) nearDeadline(q *queue, m *message) bool {
-	return m.expiresAt.Sub(d.now).Seconds() < stalledFactor*q.byClass[m.Class]
+	return m.expiresAt.Sub(d.now).Seconds() < stalledFactor*q.latency.byClass[m.Class]
 }
 
 // abandon ends a message: a refusal where trying again is harmless, which tells when its queue may send next,
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -76,8 +76,8 @@
 	}
 	for _, d := range all[1:] {
 		d.Handle(moment(at+10*ms), []Event{GossipReceived{Message: told[0]}, arrive("m", 0)})
-		if q := d.queues[0]; q.sendRate >= d.evenShare(q)*1.3 || len(q.calls) > 0 {
-			t.Fatalf("pace %v and %d calls out after a note", q.sendRate, len(q.calls))
+		if q := d.queues[0]; q.limiter.rate >= d.evenShare(q)*1.3 || len(q.calls) > 0 {
+			t.Fatalf("pace %v and %d calls out after a note", q.limiter.rate, len(q.calls))
 		}
 	}
 	back := 0
@@ -109,7 +109,7 @@
 	}{{300, true, true}, {300, false, false}, {2, false, true}} {
 		d := fleet(t, tt.relays, 60)[0]
 		q := d.queues[0]
-		q.sendRate = d.evenShare(q) / 2
+		q.limiter.rate = d.evenShare(q) / 2
 		for at := time.Second; at < 20*time.Second; at += 500 * ms {
 			var events []Event
 			if tt.heard {
@@ -118,8 +118,8 @@
 			d.Handle(moment(at), append(events, arrive(fmt.Sprint(at), 0)))
 			d.sendTokens(q)
 		}
-		if above := q.sendRate > d.evenShare(q); above != tt.above || q.sendRate < 0.9*d.evenShare(q) {
-			t.Errorf("%d relays, notes %v: pace %v, even share %v", tt.relays, tt.heard, q.sendRate, d.evenShare(q))
+		if above := q.limiter.rate > d.evenShare(q); above != tt.above || q.limiter.rate < 0.9*d.evenShare(q) {
+			t.Errorf("%d relays, notes %v: pace %v, even share %v", tt.relays, tt.heard, q.limiter.rate, d.evenShare(q))
 		}
 	}
 }
@@ -154,15 +154,15 @@
 	for _, note := range [][]byte{nil, []byte("hello"), limitMessage{destination: 5, retryAfter: time.Second}.encode()} {
 		d.Handle(moment(time.Second), []Event{GossipReceived{Message: note}})
 	}
-	if q.backoffUntil != 0 || len(d.destinations) != 1 || len(d.endpoints) != 1 {
-		t.Errorf("hold until %v, %d destinations, %d endpoints", q.backoffUntil, len(d.destinations), len(d.endpoints))
+	if q.circuit.backoffUntil != 0 || len(d.destinations) != 1 || len(d.endpoints) != 1 {
+		t.Errorf("hold until %v, %d destinations, %d endpoints", q.circuit.backoffUntil, len(d.destinations), len(d.endpoints))
 	}
 	for i := range 1000 {
 		d.Handle(moment(time.Second+time.Duration(i)*ms), []Event{GossipReceived{Message: limitMessage{retryAfter: time.Hour}.encode()}})
 	}
-	if q.sendRate < 0.8*d.evenShare(q) || q.backoffUntil > moment(4*time.Second) || q.retryAfterUntil != 0 || d.endpoints["a"].ejected {
-		t.Errorf("pace %v of %v, hold until %v, wait until %v, sick %v after a second of notes", q.sendRate, d.evenShare(q),
-			q.backoffUntil, q.retryAfterUntil, d.endpoints["a"].ejected)
+	if q.limiter.rate < 0.8*d.evenShare(q) || q.circuit.backoffUntil > moment(4*time.Second) || q.circuit.retryAfterUntil != 0 || d.endpoints["a"].outlier.ejected {
+		t.Errorf("pace %v of %v, hold until %v, wait until %v, sick %v after a second of notes", q.limiter.rate, d.evenShare(q),
+			q.circuit.backoffUntil, q.circuit.retryAfterUntil, d.endpoints["a"].outlier.ejected)
 	}
 	d.Handle(moment(10*time.Second), []Event{arrive("m", 0)})
 	if len(q.calls) != 1 {
@@ -191,8 +191,8 @@
 				told = append(told, tell.Message)
 			}
 		}
-		if len(told) > 0 != tt.ends || all[1].queues[0].backoffUntil > moment(2200*ms) == tt.ends {
-			t.Fatalf("%s: %d notes, pause until %v", tt.name, len(told), all[1].queues[0].backoffUntil)
+		if len(told) > 0 != tt.ends || all[1].queues[0].circuit.backoffUntil > moment(2200*ms) == tt.ends {
+			t.Fatalf("%s: %d notes, pause until %v", tt.name, len(told), all[1].queues[0].circuit.backoffUntil)
 		}
 		if !tt.ends {
 			continue
@@ -200,11 +200,11 @@
 		for _, d := range []*Dispatcher{all[0], all[2]} {
 			d.Handle(moment(2210*ms), []Event{GossipReceived{Message: told[0]}})
 		}
-		if q := all[2].queues[0]; q.backoffUntil > moment(2210*ms) {
-			t.Errorf("the others pause until %v", q.backoffUntil)
+		if q := all[2].queues[0]; q.circuit.backoffUntil > moment(2210*ms) {
+			t.Errorf("the others pause until %v", q.circuit.backoffUntil)
 		}
-		if q := all[0].queues[0]; q.retryAfterUntil < moment(3*time.Second) {
-			t.Errorf("a told wait ends at %v", q.retryAfterUntil)
+		if q := all[0].queues[0]; q.circuit.retryAfterUntil < moment(3*time.Second) {
+			t.Errorf("a told wait ends at %v", q.circuit.retryAfterUntil)
 		}
 	}
 }
@@ -232,8 +232,8 @@
 		d.Handle(moment(back), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}})
 		d.Handle(moment(back+10*ms), []Event{GossipReceived{Message: told[0]}, GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, "unlisted")}, arrive("n", 0)})
 		ep := d.endpoints["a"]
-		if ep.ejected || !ep.slowStarting || ep.recoveredAt != moment(back+10*ms) || len(d.endpoints) != 1 {
-			t.Fatalf("sick %v, ramping %v, back since %v, %d endpoints", ep.ejected, ep.slowStarting, ep.recoveredAt, len(d.endpoints))
+		if ep.outlier.ejected || !ep.slowStart.active || ep.slowStart.recoveredAt != moment(back+10*ms) || len(d.endpoints) != 1 {
+			t.Fatalf("sick %v, ramping %v, back since %v, %d endpoints", ep.outlier.ejected, ep.slowStart.active, ep.slowStart.recoveredAt, len(d.endpoints))
 		}
 		d.Handle(moment(back+d.settings.OverloadWindow), []Event{TimerFired{}})
 		sent += len(d.queues[0].calls)
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -14,7 +14,7 @@
 		if ep == nil {
 			// Its zone is not known any more: no other is known to share its memory.
 			ep = &endpoint{Endpoint: Endpoint{ID: t.Endpoint, Destination: m.Destination, Zone: -1, Removed: true},
-				queue: d.destination(m.Destination).queues[0], classFailures: make([]float64, len(d.settings.Classes))}
+				queue: d.destination(m.Destination).queues[0], outlier: newOutlierState(len(d.settings.Classes))}
 		}
 		c := &call{endpoint: ep, sentAt: t.SentAt}
 		if t.InFlight {
@@ -45,8 +45,8 @@
 		}
 	}
 	c := &call{endpoint: ep, number: t.Call, sentAt: t.SentAt}
-	d.lastCall = max(d.lastCall, t.Call)
-	d.callsInFlight++
+	d.slots.lastCall = max(d.slots.lastCall, t.Call)
+	d.slots.inUse++
 	d.activate(ep.queue)
 	older := func(a, b *call) int { return cmp.Compare(a.sentAt, b.sentAt) }
 	ep.queue.calls, ep.calls = append(ep.queue.calls, c), append(ep.calls, c)
@@ -58,12 +58,12 @@
 // ExportState is what this dispatcher has learned, for the process that takes over from it.
 func (d *Dispatcher) ExportState() (all []StateInherited) {
 	for _, q := range d.queues {
-		l := StateInherited{RetryAfterUntil: q.retryAfterUntil, BackoffUntil: q.backoffUntil, Outcomes: q.outcomes, MeanLatency: q.mean, ClassLatency: slices.Clone(q.byClass), Concurrency: q.typicalConcurrency,
-			SendRate: q.sendRate, Tokens: q.tokens, TokensAt: q.updatedAt, ConsecutiveRejections: q.consecutiveRejections, FirstRejectionAt: q.firstRejectionAt, LastSuccessAt: q.lastSuccessAt,
-			Arrivals: DecayingCount{q.arrivals.value, q.arrivals.updatedAt, q.arrivals.startedAt}, Misses: DecayingCount{q.misses.value, q.misses.updatedAt, q.misses.startedAt}}
+		l := StateInherited{RetryAfterUntil: q.circuit.retryAfterUntil, BackoffUntil: q.circuit.backoffUntil, Outcomes: q.latency.outcomes, MeanLatency: q.latency.mean, ClassLatency: slices.Clone(q.latency.byClass), Concurrency: q.typicalConcurrency,
+			SendRate: q.limiter.rate, Tokens: q.limiter.bucket.tokens, TokensAt: q.limiter.bucket.updatedAt, ConsecutiveRejections: q.circuit.consecutiveRejections, FirstRejectionAt: q.circuit.firstRejectionAt, LastSuccessAt: q.lastSuccessAt,
+			Arrivals: DecayingCount{q.admission.arrivals.value, q.admission.arrivals.updatedAt, q.admission.arrivals.startedAt}, Misses: DecayingCount{q.admission.misses.value, q.admission.misses.updatedAt, q.admission.misses.startedAt}}
 		for _, ep := range q.endpoints {
-			l.Endpoints = append(l.Endpoints, InheritedEndpoint{ID: ep.ID, Ejected: ep.ejected, SlowStarting: ep.slowStarting, EjectedAt: ep.ejectedAt,
-				RecoveredAt: ep.recoveredAt, LastSuccessAt: ep.lastSuccessAt, ConsecutiveFailures: ep.consecutiveFailures, ConnectionLimit: ep.connectionLimit, Tokens: ep.tokens, TokensAt: ep.updatedAt})
+			l.Endpoints = append(l.Endpoints, InheritedEndpoint{ID: ep.ID, Ejected: ep.outlier.ejected, SlowStarting: ep.slowStart.active, EjectedAt: ep.outlier.ejectedAt,
+				RecoveredAt: ep.slowStart.recoveredAt, LastSuccessAt: ep.outlier.lastSuccessAt, ConsecutiveFailures: ep.outlier.consecutiveFailures, ConnectionLimit: ep.connections.limit, Tokens: ep.slowStart.bucket.tokens, TokensAt: ep.slowStart.bucket.updatedAt})
 		}
 		if len(l.Endpoints) > 0 {
 			all = append(all, l)
@@ -95,18 +95,18 @@
 		}
 		q = ep.queue
 		d.setEjected(ep, e.Ejected)
-		ep.slowStarting, ep.ejectedAt, ep.recoveredAt, ep.lastSuccessAt = e.SlowStarting, e.EjectedAt, e.RecoveredAt, e.LastSuccessAt
-		ep.consecutiveFailures, ep.connectionLimit, ep.tokenBucket = e.ConsecutiveFailures, e.ConnectionLimit, tokenBucket{e.Tokens, e.TokensAt}
+		ep.slowStart.active, ep.outlier.ejectedAt, ep.slowStart.recoveredAt, ep.outlier.lastSuccessAt = e.SlowStarting, e.EjectedAt, e.RecoveredAt, e.LastSuccessAt
+		ep.outlier.consecutiveFailures, ep.connections.limit, ep.slowStart.bucket = e.ConsecutiveFailures, e.ConnectionLimit, tokenBucket{e.Tokens, e.TokensAt}
 		q.outageSuspected = q.outageSuspected || e.Ejected
 	}
 	if q == nil {
 		return
 	}
-	q.retryAfterUntil, q.backoffUntil, q.typicalConcurrency, q.consecutiveRejections, q.firstRejectionAt, q.lastSuccessAt = l.RetryAfterUntil, l.BackoffUntil, l.Concurrency, l.ConsecutiveRejections, l.FirstRejectionAt, l.LastSuccessAt
-	q.sendRate, q.tokenBucket = l.SendRate, tokenBucket{l.Tokens, l.TokensAt}
-	q.arrivals, q.misses = decayingCounter{l.Arrivals.Count, l.Arrivals.UpdatedAt, l.Arrivals.StartedAt}, decayingCounter{l.Misses.Count, l.Misses.UpdatedAt, l.Misses.StartedAt}
-	if len(l.ClassLatency) == len(q.byClass) {
-		q.latencyEstimate = latencyEstimate{outcomes: l.Outcomes, mean: l.MeanLatency, byClass: slices.Clone(l.ClassLatency)}
+	q.circuit.retryAfterUntil, q.circuit.backoffUntil, q.typicalConcurrency, q.circuit.consecutiveRejections, q.circuit.firstRejectionAt, q.lastSuccessAt = l.RetryAfterUntil, l.BackoffUntil, l.Concurrency, l.ConsecutiveRejections, l.FirstRejectionAt, l.LastSuccessAt
+	q.limiter.rate, q.limiter.bucket = l.SendRate, tokenBucket{l.Tokens, l.TokensAt}
+	q.admission.arrivals, q.admission.misses = decayingCounter{l.Arrivals.Count, l.Arrivals.UpdatedAt, l.Arrivals.StartedAt}, decayingCounter{l.Misses.Count, l.Misses.UpdatedAt, l.Misses.StartedAt}
+	if len(l.ClassLatency) == len(q.latency.byClass) {
+		q.latency = latencyEstimate{outcomes: l.Outcomes, mean: l.MeanLatency, byClass: slices.Clone(l.ClassLatency)}
 		if pool := d.latencyPrior(q.kind); pool.outcomes < l.Outcomes { // what others of the kind borrow
 			*pool = latencyEstimate{outcomes: l.Outcomes, mean: l.MeanLatency, byClass: slices.Clone(l.ClassLatency)}
 		}
@@ -123,6 +123,6 @@
 	case e.Ejected:
 		d.eject(ep)
 	case ramping:
-		ep.slowStarting, ep.recoveredAt = true, e.At
+		ep.slowStart.active, ep.slowStart.recoveredAt = true, e.At
 	}
 }
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -19,7 +19,7 @@
 		Arrived{ID: "held", Destination: 2, TimeLeft: 9 * time.Second, Resumed: true}}), "")
 	expect(t, "the message that is over gives its slot back",
 		d.Handle(moment(10*ms), []Event{AttemptEnded{ID: "m2", Endpoint: "b", Outcome: OK, Latency: 11 * ms}}), "held>c")
-	if d.messages["m2"] != nil {
+	if d.messages.byID["m2"] != nil {
 		t.Error("the message that is over is still held")
 	}
 	expect(t, "a call that broke is made again",
@@ -40,7 +40,7 @@
 	old.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 9 * time.Second}})
 	old.Handle(moment(100*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: 100 * ms}})
 	old.eject(old.endpoints["b"])
-	old.endpoints["b"].queue.record(0, 0.7)
+	old.endpoints["b"].queue.latency.record(0, 0.7)
 	d := start(t, s, list[:2]...)
 	events := []Event{Arrived{ID: "m", TimeLeft: 9 * time.Second, Resumed: true}}
 	for _, l := range old.ExportState() {
@@ -49,10 +49,10 @@
 	expect(t, "in the told wait", d.Handle(moment(200*ms), events), "")
 	expect(t, "and still", d.Handle(moment(2*time.Second), nil), "")
 	expect(t, "after it", d.Handle(moment(2200*ms), nil), "m>a")
-	if !d.endpoints["b"].ejected || d.endpoints["b"].queue.mean != 0.7 {
-		t.Errorf("b: sick %v, mean %v", d.endpoints["b"].ejected, d.endpoints["b"].queue.mean)
+	if !d.endpoints["b"].outlier.ejected || d.endpoints["b"].queue.latency.mean != 0.7 {
+		t.Errorf("b: sick %v, mean %v", d.endpoints["b"].outlier.ejected, d.endpoints["b"].queue.latency.mean)
 	}
-	if got, want := d.endpoints["a"].queue.sendRate, old.endpoints["a"].queue.sendRate; got != want {
+	if got, want := d.endpoints["a"].queue.limiter.rate, old.endpoints["a"].queue.limiter.rate; got != want {
 		t.Errorf("pace %v, want %v", got, want)
 	}
 }
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -5,6 +5,12 @@
 	"slices"
 )
 
+// orderedKeys lets the messages of ordered classes with the same key be sent one at a time.
+type orderedKeys struct {
+	waiting map[string][]*message // by key, in the order of arrival
+	blocked []*message            // done, but their keys stay blocked for a while
+}
+
 // idempotencyExpiry is when a receiver that may have run a message may no longer know it, never where that is no matter: two
 // ticks early, since the module's times are those of its batches.
 func (d *Dispatcher) idempotencyExpiry(m *message) instant.Time {
@@ -20,16 +26,16 @@
 		return
 	}
 	if d.now < m.keyBlockedUntil {
-		if !slices.Contains(d.blockingKeys, m) {
-			d.blockingKeys = append(d.blockingKeys, m)
+		if !slices.Contains(d.keys.blocked, m) {
+			d.keys.blocked = append(d.keys.blocked, m)
 		}
 		return
 	}
-	d.blockingKeys = remove(d.blockingKeys, m)
-	delete(d.messages, m.ID)
-	if line := remove(d.orderedKeys[m.Key], m); len(line) > 0 {
-		d.orderedKeys[m.Key] = line
+	d.keys.blocked = remove(d.keys.blocked, m)
+	delete(d.messages.byID, m.ID)
+	if line := remove(d.keys.waiting[m.Key], m); len(line) > 0 {
+		d.keys.waiting[m.Key] = line
 	} else {
-		delete(d.orderedKeys, m.Key)
+		delete(d.keys.waiting, m.Key)
 	}
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -30,12 +30,12 @@
 	if pool.outcomes == 0 {
 		return
 	}
-	if q.outcomes == 0 {
-		q.mean = pool.mean
+	if q.latency.outcomes == 0 {
+		q.latency.mean = pool.mean
 	}
-	for i, mean := range q.byClass {
-		if mean == 0 || q.outcomes == 0 {
-			q.byClass[i] = pool.byClass[i]
+	for i, mean := range q.latency.byClass {
+		if mean == 0 || q.latency.outcomes == 0 {
+			q.latency.byClass[i] = pool.byClass[i]
 		}
 	}
 }
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -16,6 +16,13 @@
 	maxZoneCredit = 2
 )
 
+// localityBalancer shares the calls of one queue between the relay's own zone and the others.
+type localityBalancer struct {
+	zoneShares  []float64       // share of the own zone's messages that each zone serves; nil for all at home
+	spillover   float64         // share of the calls that the own zone has no capacity for, as observed
+	zoneCredits map[int]float64 // calls that are to go to another zone
+}
+
 // avoidsZone tells whether a message keeps out of an endpoint's zone: but not one that only that zone knows.
 func (d *Dispatcher) avoidsZone(ep *endpoint, m *message) bool {
 	return d.settings.Zones && d.evacuatedByOrder(ep) && !(m.class.KeysPerZone && m.firstPossibleExecution() != nil)
@@ -23,7 +30,7 @@
 
 // evacuatedByOrder tells whether operators have an endpoint's zone left, and its destination can be had elsewhere.
 func (d *Dispatcher) evacuatedByOrder(ep *endpoint) bool {
-	z := d.zones[ep.Zone]
+	z := d.zones.byNumber[ep.Zone]
 	return z != nil && z.state == EvacuatedByOrder && d.servedElsewhere(ep)
 }
 
@@ -31,8 +38,8 @@
 func (d *Dispatcher) servedElsewhere(ep *endpoint) bool {
 	for _, q := range ep.queue.destination.queues {
 		for _, o := range q.endpoints {
-			z := d.zones[o.Zone]
-			if o.Zone != ep.Zone && !o.ejected && !o.Draining && (z == nil || z.state != EvacuatedByOrder) {
+			z := d.zones.byNumber[o.Zone]
+			if o.Zone != ep.Zone && !o.outlier.ejected && !o.Draining && (z == nil || z.state != EvacuatedByOrder) {
 				return true
 			}
 		}
@@ -67,7 +74,7 @@
 // recordLocalLoad learns from an outcome in the own zone whether that has room.
 func (d *Dispatcher) recordLocalLoad(ep *endpoint, e AttemptEnded) {
 	took := e.Latency.Seconds()
-	if !d.settings.Zones || ep.Zone != d.settings.Zone || ep.slowStarting || e.Outcome != OK && e.Outcome != Rejected {
+	if !d.settings.Zones || ep.Zone != d.settings.Zone || ep.slowStart.active || e.Outcome != OK && e.Outcome != Rejected {
 		return // one that comes back is slow for a while, whatever room it has
 	}
 	if ep.normalLatency == 0 {
@@ -75,34 +82,34 @@
 	}
 	if e.Outcome == OK && took <= slowCallFactor*ep.normalLatency {
 		ep.normalLatency += latencyWeight * (took - ep.normalLatency)
-		ep.queue.spillover = math.Max(0, ep.queue.spillover-spilloverDecrease)
+		ep.queue.locality.spillover = math.Max(0, ep.queue.locality.spillover-spilloverDecrease)
 	} else if e.RetryAfter == 0 {
-		ep.queue.spillover = math.Min(maxSpillover, ep.queue.spillover+spilloverIncrease)
+		ep.queue.locality.spillover = math.Min(maxSpillover, ep.queue.locality.spillover+spilloverIncrease)
 	}
 }
 
 // updateZoneShares takes in what arrives for a destination in each zone.
 func (d *Dispatcher) updateZoneShares(q *queue, traffic []float64) {
-	if q.zoneShares = nil; d.settings.Zone < 0 || d.settings.Zone >= len(traffic) || q.listedRate == 0 {
+	if q.locality.zoneShares = nil; d.settings.Zone < 0 || d.settings.Zone >= len(traffic) || q.limiter.listedRate == 0 {
 		return
 	}
 	room := make([]float64, len(traffic))
 	for _, ep := range q.endpoints {
-		if ep.Zone >= 0 && ep.Zone < len(room) && !ep.ejected && !ep.Draining && !d.evacuatedByOrder(ep) {
-			room[ep.Zone] += q.listedRate / float64(len(q.endpoints))
+		if ep.Zone >= 0 && ep.Zone < len(room) && !ep.outlier.ejected && !ep.Draining && !d.evacuatedByOrder(ep) {
+			room[ep.Zone] += q.limiter.listedRate / float64(len(q.endpoints))
 		}
 	}
-	q.zoneShares = spilloverShares(traffic, room)[d.settings.Zone]
+	q.locality.zoneShares = spilloverShares(traffic, room)[d.settings.Zone]
 }
 
 // targetZone is the zone that the next call of a queue should go to: the own, or one that is owed a call.
 func (d *Dispatcher) targetZone(q *queue) int {
 	best := d.settings.Zone
-	if !d.settings.Zones || len(q.zoneCredits) == 0 {
+	if !d.settings.Zones || len(q.locality.zoneCredits) == 0 {
 		return best
 	}
 	for no := range maxZones {
-		if owed := q.zoneCredits[no]; owed >= 1 && (best == d.settings.Zone || owed > q.zoneCredits[best]) {
+		if owed := q.locality.zoneCredits[no]; owed >= 1 && (best == d.settings.Zone || owed > q.locality.zoneCredits[best]) {
 			best = no
 		}
 	}
@@ -113,21 +120,21 @@
 func (d *Dispatcher) recordSpillover(q *queue, to *endpoint) {
 	others := map[int]bool{}
 	for _, ep := range q.endpoints {
-		if ep.Zone != d.settings.Zone && ep.Zone >= 0 && ep.Zone < maxZones && !ep.ejected && !ep.Draining {
+		if ep.Zone != d.settings.Zone && ep.Zone >= 0 && ep.Zone < maxZones && !ep.outlier.ejected && !ep.Draining {
 			others[ep.Zone] = true
 		}
 	}
-	if q.zoneCredits == nil {
-		q.zoneCredits = map[int]float64{}
+	if q.locality.zoneCredits == nil {
+		q.locality.zoneCredits = map[int]float64{}
 	}
 	for no := range others {
-		part := q.spillover / float64(len(others))
-		if no < len(q.zoneShares) {
-			part += (1 - q.spillover) * q.zoneShares[no]
+		part := q.locality.spillover / float64(len(others))
+		if no < len(q.locality.zoneShares) {
+			part += (1 - q.locality.spillover) * q.locality.zoneShares[no]
 		}
-		q.zoneCredits[no] = math.Min(2, q.zoneCredits[no]+part)
+		q.locality.zoneCredits[no] = math.Min(2, q.locality.zoneCredits[no]+part)
 	}
 	if to.Zone != d.settings.Zone {
-		q.zoneCredits[to.Zone] = math.Max(0, q.zoneCredits[to.Zone]-1)
+		q.locality.zoneCredits[to.Zone] = math.Max(0, q.locality.zoneCredits[to.Zone]-1)
 	}
 }
--- a/policy/message.go
+++ b/policy/message.go
@@ -22,18 +22,25 @@
 	notExecuted bool // proved never to have run
 }
 
+// messageTable holds the messages that this dispatcher has accepted and not yet forgotten.
+type messageTable struct {
+	byID         map[string]*message
+	unfinished   []*message // in the order of arrival
+	lastSequence int
+}
+
 // accept notes a new message, or gives nil where it makes no sense.
 func (d *Dispatcher) accept(e Arrived) *message {
-	if e.Class < 0 || e.Class >= len(d.settings.Classes) || d.messages[e.ID] != nil {
+	if e.Class < 0 || e.Class >= len(d.settings.Classes) || d.messages.byID[e.ID] != nil {
 		return nil
 	}
-	d.lastSequence++
-	m := &message{Arrived: e, class: &d.settings.Classes[e.Class], sequence: d.lastSequence,
+	d.messages.lastSequence++
+	m := &message{Arrived: e, class: &d.settings.Classes[e.Class], sequence: d.messages.lastSequence,
 		expiresAt: d.now.Add(e.TimeLeft)}
-	d.messages[e.ID] = m
-	d.unfinished = append(d.unfinished, m)
+	d.messages.byID[e.ID] = m
+	d.messages.unfinished = append(d.messages.unfinished, m)
 	if m.class.Ordered && m.Key != "" {
-		d.orderedKeys[m.Key] = append(d.orderedKeys[m.Key], m)
+		d.keys.waiting[m.Key] = append(d.keys.waiting[m.Key], m)
 	}
 	if e.Resumed {
 		d.resumeMessage(m)
@@ -44,7 +51,7 @@
 
 // withdraw drops a message that nobody wants any more.
 func (d *Dispatcher) withdraw(id string) {
-	m := d.messages[id]
+	m := d.messages.byID[id]
 	if m == nil || m.done {
 		return
 	}
@@ -69,7 +76,7 @@
 	if !m.done {
 		m.done = true
 		m.dequeue()
-		d.unfinished = remove(d.unfinished, m)
+		d.messages.unfinished = remove(d.messages.unfinished, m)
 	}
 	d.releaseKey(m)
 }
--- a/policy/messages_capacity_bench_test.go
+++ b/policy/messages_capacity_bench_test.go
@@ -38,8 +38,8 @@
 		events = append(events, Arrived{ID: id, Destination: i % destinations, TimeLeft: day, Size: 200, Resumed: true})
 	}
 	d.Handle(0, events)
-	if len(d.unfinished) != messages || d.callsInFlight > 0 {
-		b.Fatalf("%d messages, %d calls out", len(d.unfinished), d.callsInFlight)
+	if len(d.messages.unfinished) != messages || d.slots.inUse > 0 {
+		b.Fatalf("%d messages, %d calls out", len(d.messages.unfinished), d.slots.inUse)
 	}
 	return d
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -5,7 +5,7 @@
 // closeAttempt notes that an attempt has ended, and gives its message and its call: nil where it is unknown or has ended before. A
 // call gives its slot back with the last of its messages. One that was not begun leaves no trace.
 func (d *Dispatcher) closeAttempt(e AttemptEnded) (*message, *call) {
-	m := d.messages[e.ID]
+	m := d.messages.byID[e.ID]
 	if m == nil || e.Attempt < 0 || e.Attempt >= len(m.attempts) || !m.attempts[e.Attempt].open {
 		return nil, nil
 	}
@@ -19,7 +19,7 @@
 	}
 	c.openAttempts--
 	if c.openAttempts == 0 {
-		d.callsInFlight--
+		d.slots.inUse--
 		c.endpoint.calls, c.endpoint.queue.calls = remove(c.endpoint.calls, c), remove(c.endpoint.queue.calls, c)
 	}
 	return m, c
@@ -32,7 +32,7 @@
 		return
 	}
 	if e.RetryAfter > 0 { // it binds whatever became of the message, and calls that are not written yet
-		c.endpoint.queue.retryAfterUntil = max(c.endpoint.queue.retryAfterUntil, d.now.Add(min(e.RetryAfter, never.Sub(d.now))))
+		c.endpoint.queue.circuit.retryAfterUntil = max(c.endpoint.queue.circuit.retryAfterUntil, d.now.Add(min(e.RetryAfter, never.Sub(d.now))))
 		for _, ep := range c.endpoint.queue.endpoints {
 			d.emit(CancelUnwritten{Endpoint: ep.ID})
 		}
@@ -75,24 +75,24 @@
 	}
 	took := min(e.Latency, m.class.Deadline).Seconds()
 	if c.sentAt.Add(e.Latency) >= d.overdueAt(c, stalledFactor) {
-		d.unansweredShare *= 1 - latencyWeight
+		d.slots.unansweredShare *= 1 - latencyWeight
 		if e.Outcome != OK {
-			d.unansweredShare += latencyWeight
+			d.slots.unansweredShare += latencyWeight
 		}
 	}
 	d.recordLocalLoad(ep, e)
-	d.analyzeOutcome(ep, m, e, q.byClass[m.Class] > 0 && took > stalledFactor*q.byClass[m.Class])
+	d.analyzeOutcome(ep, m, e, q.latency.byClass[m.Class] > 0 && took > stalledFactor*q.latency.byClass[m.Class])
 	switch e.Outcome {
 	case OK:
-		if c.sentAt < ep.connectErrorAt { // the endpoint served us while it turned another's connection away
-			ep.connectionsFullAt = d.now
+		if c.sentAt < ep.connections.errorAt { // the endpoint served us while it turned another's connection away
+			ep.connections.fullAt = d.now
 		}
 		ep.succeededCallAt, ep.lastLatency = max(ep.succeededCallAt, c.sentAt), took
-		q.record(m.Class, took)
+		q.latency.record(m.Class, took)
 		q.typicalConcurrency += latencyWeight * (float64(len(q.calls)+1) - q.typicalConcurrency)
 		d.latencyPrior(q.kind).record(m.Class, took)
-		ep.classFailures[m.Class] = 0
-		if ep.ejected && c.sentAt < ep.ejectedAt && d.now < q.retryAfterUntil {
+		ep.outlier.classFailures[m.Class] = 0
+		if ep.outlier.ejected && c.sentAt < ep.outlier.ejectedAt && d.now < q.circuit.retryAfterUntil {
 			break // begun before the destination shut: it says nothing of its return
 		}
 		d.recordSuccess(ep, e.LoadReport == nil || e.LoadReport.Remaining >= minRemainingAllowance)
@@ -104,22 +104,22 @@
 	case Rejected:
 		d.recordRejection(q, limitMessage{destination: q.destination.number, retryAfter: e.RetryAfter, callAge: d.now.Sub(c.sentAt)})
 	case ConnectError:
-		if d.settings.Gossip && d.now >= ep.connectErrorAt.Add(rateWindow) {
-			ep.connectErrorAt = d.now
+		if d.settings.Gossip && d.now >= ep.connections.errorAt.Add(rateWindow) {
+			ep.connections.errorAt = d.now
 			if d.random.Float64()*float64(d.settings.FleetSize) < connectErrorReporters {
 				d.emit(Broadcast{Message: encodeEndpointMessage(connectErrorType, ep.ID)})
 			}
 		}
-		if ep.lastSuccessAt > c.sentAt {
+		if ep.outlier.lastSuccessAt > c.sentAt {
 			// Others get through: the endpoint takes no more connections, it is not down.
-			ep.connectionLimit = math.Max(1, float64(len(ep.calls)))
+			ep.connections.limit = math.Max(1, float64(len(ep.calls)))
 			return
 		}
 		d.recordFailure(ep, c, 1)
 	case Failed, Reset:
 		d.recordFailure(ep, c, errorResponseWeight)
 	case TimedOut, Canceled:
-		if took > stalledFactor*q.mean && (e.Outcome == TimedOut || c.canceled) {
+		if took > stalledFactor*q.latency.mean && (e.Outcome == TimedOut || c.canceled) {
 			d.recordFailure(ep, c, 1)
 		}
 	}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -20,7 +20,7 @@
 		for i := range tt.n {
 			d.Handle(moment(time.Duration(i+1)*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
 		}
-		if got := d.endpoints["a"].ejected; got != tt.sick {
+		if got := d.endpoints["a"].outlier.ejected; got != tt.sick {
 			t.Errorf("%d of outcome %d: sick %v", tt.n, tt.outcome, got)
 		}
 	}
@@ -85,10 +85,10 @@
 	}
 	call(0, ConnectError)
 	call(1, ConnectError)
-	if !a.ejected {
+	if !a.outlier.ejected {
 		t.Fatal("an endpoint that takes no connection is not out")
 	}
-	for n := 0; n < 200 && (a.ejected || a.slowStarting); n++ {
+	for n := 0; n < 200 && (a.outlier.ejected || a.slowStart.active); n++ {
 		call(1, OK) // what of the other class is tried there brings it back
 	}
 	for range 20 {
--- a/policy/peer_report.go
+++ b/policy/peer_report.go
@@ -10,7 +10,7 @@
 	if ep := d.lookUpEndpoint(e.Endpoint, binds); ep != nil {
 		// For zones and turns alone: among many relays single errors soon make three witnesses.
 		if ep.peerReport = w; e.RecentObservers >= minObservers {
-			ep.lastFailureAt = max(ep.lastFailureAt, w.newestAt)
+			ep.outlier.lastFailureAt = max(ep.outlier.lastFailureAt, w.newestAt)
 		}
 		return
 	}
@@ -23,7 +23,7 @@
 		return
 	}
 	for _, ep := range q.endpoints {
-		if ep.recoveredAt < w.oldestAt {
+		if ep.slowStart.recoveredAt < w.oldestAt {
 			d.ejectEndpoint(ep, true)
 		}
 	}
@@ -42,11 +42,11 @@
 // that an endpoint that is sick here has answered there, or has taken no connection.
 func (d *Dispatcher) handleGossip(note []byte) {
 	d.lastGossipAt = d.now
-	if ep := d.endpoints[decodeEndpointMessage(endpointRecoveredType, note)]; ep != nil && ep.ejected && d.mayRecover(ep) {
+	if ep := d.endpoints[decodeEndpointMessage(endpointRecoveredType, note)]; ep != nil && ep.outlier.ejected && d.mayRecover(ep) {
 		d.startSlowStart(ep, d.random.Float64(), true) // all hear at once, and saved tokens are a call of each
 	}
 	if ep := d.endpoints[decodeEndpointMessage(connectErrorType, note)]; ep != nil {
-		ep.connectErrorAt = d.now
+		ep.connections.errorAt = d.now
 	}
 	d.handleCanaryMessage(note)
 	l, ok := decodeLimitMessage(note)
@@ -58,6 +58,6 @@
 	case l.accepted:
 		d.closeCircuit(q, l)
 	default:
-		q.announcedUntil = max(q.announcedUntil, d.openCircuit(q, l))
+		q.circuit.announcedUntil = max(q.circuit.announcedUntil, d.openCircuit(q, l))
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -24,7 +24,7 @@
 	case EndpointsUpdated: // taken in ahead of the others
 	case WatchFailed:
 		if d.settings.Subscribe {
-			d.subscribeAt = d.now.Add(resubscribeDelay)
+			d.watch.subscribeAt = d.now.Add(resubscribeDelay)
 		}
 	case StateRestored:
 		d.restoreHealth(e)
@@ -47,7 +47,7 @@
 // Handle takes in the events of one batch and returns what is to be done, in order.
 func (d *Dispatcher) Handle(now instant.Time, events []Event) []Action {
 	d.now, d.actions = max(now, d.now), nil
-	for _, m := range slices.Clone(d.blockingKeys) {
+	for _, m := range slices.Clone(d.keys.blocked) {
 		d.releaseKey(m)
 	}
 	// Changes of the list go first: a Directory has them already, and what else a batch brings is to meet the
@@ -63,8 +63,8 @@
 			fresh = append(fresh, m)
 		}
 	}
-	if d.now >= d.subscribeAt {
-		d.subscribeAt = never
+	if d.now >= d.watch.subscribeAt {
+		d.watch.subscribeAt = never
 		d.emit(Subscribe{})
 	}
 	for _, m := range fresh {
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -28,7 +28,7 @@
 		return 0
 	}
 	each := probeInterval
-	if ep.ejected {
+	if ep.outlier.ejected {
 		each = max(each, tokenDelay(1, d.relayCount()*d.slowStartBudget(ep, 0)))
 	}
 	return max(w.newestAt, ep.queue.probedAt).Add(time.Duration((1 + math.Log2(1+float64(w.rank))) * float64(each)))
@@ -54,7 +54,7 @@
 // tries for all.
 func (d *Dispatcher) blockedUntil(q *queue) instant.Time {
 	if d.isProber(q) {
-		return q.retryAfterUntil
+		return q.circuit.retryAfterUntil
 	}
-	return max(q.retryAfterUntil, q.backoffUntil)
+	return max(q.circuit.retryAfterUntil, q.circuit.backoffUntil)
 }
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -58,7 +58,7 @@
 					}
 				}
 				d.endpoints["a"].lastUsedAt = 0
-				d.endpoints["a"].lastSuccessAt = moment(9100 * ms)
+				d.endpoints["a"].outlier.lastSuccessAt = moment(9100 * ms)
 			}
 		}
 		if got := hearsay(d.Handle(moment(10*time.Second), []Event{c.e})); got != c.want {
@@ -131,7 +131,7 @@
 	for _, c := range []struct{ told, want float64 }{{0.4, 0.4}, {0.01, minRateShare}, {50, probingRateShare}} {
 		d := large(t, 10, 100, "a")
 		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: c.told, ArrivalRate: 1, ValidFor: time.Minute}})
-		if got := d.queues[0].sendRate; math.Abs(got-10*c.want) > 1e-9 {
+		if got := d.queues[0].limiter.rate; math.Abs(got-10*c.want) > 1e-9 {
 			t.Errorf("told %v, it begins with %v a second, want %v", c.told, got, 10*c.want)
 		}
 	}
@@ -139,7 +139,7 @@
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
 	d.Handle(moment(2*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 	d.Handle(moment(3*ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: 0.4, ArrivalRate: 1, ValidFor: time.Minute}})
-	if got := d.queues[0].sendRate; got < 9.9 {
+	if got := d.queues[0].limiter.rate; got < 9.9 {
 		t.Errorf("a relay at work comes to %v a second by the word of others", got)
 	}
 }
@@ -155,7 +155,7 @@
 	for _, v := range traffic {
 		d := large(t, len(traffic), 100, "a")
 		q := d.queues[0]
-		q.arrivals = decayingCounter{value: v * counterTimeConstant.Seconds(), updatedAt: 0, startedAt: moment(-time.Hour)}
+		q.admission.arrivals = decayingCounter{value: v * counterTimeConstant.Seconds(), updatedAt: 0, startedAt: moment(-time.Hour)}
 		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 8, RateShare: 1, ArrivalRate: mean, ArrivalRateError: 0.5, ValidFor: time.Second}})
 		sum += d.trafficShare(q)
 		if d.now = moment(2 * time.Second); d.trafficShare(q) != 1 {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -5,7 +5,6 @@
 	"milletsail/internal/instant"
 	"slices"
 	"sort"
-	"time"
 )
 
 // destination is where messages go: one queue, or one for each route.
@@ -17,46 +16,33 @@
 	idleSince   instant.Time
 }
 
-// queue is one first-come queue of the paper.
+// queue is one first-come queue of the paper: the messages that wait for a destination, or for one of its routes, and
+// what each mechanism knows of it.
 type queue struct {
-	destination        *destination
-	endpoints          []*endpoint
-	waiting            []*message
-	calls              []*call
+	destination *destination
+	endpoints   []*endpoint
+	waiting     []*message // in the order of arrival
+	calls       []*call    // out, in the order of sending
+
+	kind          int
+	maxBatch      int  // messages in one call
+	separateRoute bool // its one endpoint is a route with a limit of its own
+	active        bool // among Dispatcher.active
+	index         int  // in Dispatcher.queues
+
+	admission          admissionController
+	latency            latencyEstimate
 	typicalConcurrency float64 // mean number of calls out at a success
-	lastCall           int     // the turn in which it was last served
-	latencyEstimate
-	kind                  int
-	retryAfterUntil       instant.Time
-	backoffUntil          instant.Time // our own pause after a refusal without a wait
-	announcedUntil        instant.Time // other relays know of a refusal up to then
-	rejectedCallAt        instant.Time // when the last call was sent that a pause is for
-	decreasedAt           instant.Time // of the pace
-	increasedAt           instant.Time
-	backoff               time.Duration    // the last after a refusal that told no wait
-	consecutiveRejections int              // refusals in a row
-	firstRejectionAt      instant.Time     // of the refusals in a row
-	lastSuccessAt         instant.Time     // 0 for never
-	listedRate            float64          // calls a second that all relays may make; 0 for unknown
-	sendRate              float64          // calls a second of this relay; 0 for unknown
-	tokenBucket                            // of the pace
-	peerReport            peerReport       // of the fleet, on the destination
-	probedAt              instant.Time     // when what is out or fenced last got a call
-	zoneShares            []float64        // part of the own zone's messages that each zone serves; nil for all at home
-	spillover             float64          // part of the calls for which the own zone has no room, as learned
-	zoneCredits           map[int]float64  // calls that are to go to another zone
-	peerRate              PeerRateReceived // by other relays; used until pacedTo
-	peerRateUntil         instant.Time
-	baseline              []failureRate // at older endpoints, by class
-	arrivals              decayingCounter
-	misses                decayingCounter // of the virtual copy under the basic rule
-	virtualBacklog        float64
-	virtualUpdatedAt      instant.Time
-	maxBatch              int
-	separateRoute         bool
-	active                bool // among Dispatcher.active
-	index                 int  // in Dispatcher.queues
-	outageSuspected       bool // the last that was heard of an endpoint's health was bad
+	limiter            sendRateLimiter
+	circuit            circuitBreaker
+	peerReport         peerReport   // on the destination
+	probedAt           instant.Time // when the ejected or rejecting destination last got a call
+	peers              peerTraffic
+	locality           localityBalancer
+	baseline           []failureRate // of endpoints that are no canaries, by class
+
+	lastSuccessAt   instant.Time // 0 for never
+	outageSuspected bool         // the last that is known of an endpoint's health is bad
 }
 
 // enqueue puts a message into a queue, by its order of arrival.
@@ -133,15 +119,14 @@
 // addQueue adds a queue to a destination that counts since a moment.
 func (d *Dispatcher) addQueue(dest *destination, bundle int, apart bool, since instant.Time) *queue {
 	q := &queue{
-		destination:     dest,
-		maxBatch:        max(1, bundle),
-		separateRoute:   apart,
-		baseline:        make([]failureRate, len(d.settings.Classes)),
-		latencyEstimate: latencyEstimate{byClass: make([]float64, len(d.settings.Classes))},
-		tokenBucket:     tokenBucket{updatedAt: since},
-		arrivals:        decayingCounter{startedAt: since},
-		misses:          decayingCounter{startedAt: since},
-		index:           len(d.queues),
+		destination:   dest,
+		maxBatch:      max(1, bundle),
+		separateRoute: apart,
+		baseline:      make([]failureRate, len(d.settings.Classes)),
+		latency:       latencyEstimate{byClass: make([]float64, len(d.settings.Classes))},
+		limiter:       sendRateLimiter{bucket: tokenBucket{updatedAt: since}},
+		admission:     newAdmissionController(since),
+		index:         len(d.queues),
 	}
 	dest.queues = append(dest.queues, q)
 	d.queues = append(d.queues, q)
@@ -160,5 +145,5 @@
 
 // allEjected tells whether all endpoints of a queue are out.
 func (q *queue) allEjected() bool {
-	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, func(ep *endpoint) bool { return !ep.ejected })
+	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, func(ep *endpoint) bool { return !ep.outlier.ejected })
 }
--- a/policy/queueing_delay.go
+++ b/policy/queueing_delay.go
@@ -8,7 +8,7 @@
 // concurrency is how many calls of a queue are out at once: in a wait or an outage, as many as there were before.
 func (q *queue) concurrency(now instant.Time) float64 {
 	n := math.Max(1, float64(len(q.calls)))
-	if now < max(q.retryAfterUntil, q.backoffUntil) || q.resourcesExhausted(now) || q.allEjected() {
+	if now < max(q.circuit.retryAfterUntil, q.circuit.backoffUntil) || q.resourcesExhausted(now) || q.allEjected() {
 		return math.Max(n, q.typicalConcurrency)
 	}
 	return n
@@ -16,9 +16,9 @@
 
 // sendInterval is the time between messages that a queue sends one after another.
 func (q *queue) sendInterval(now instant.Time) float64 {
-	pitch := q.callsFor(1) * q.mean / q.concurrency(now)
-	if q.sendRate > 0 {
-		pitch = math.Max(pitch, 1/(q.sendRate*float64(q.maxBatch)))
+	pitch := q.callsFor(1) * q.latency.mean / q.concurrency(now)
+	if q.limiter.rate > 0 {
+		pitch = math.Max(pitch, 1/(q.limiter.rate*float64(q.maxBatch)))
 	}
 	return pitch
 }
@@ -33,7 +33,7 @@
 // currentLatency is the mean latency of a queue with the ages of calls out counted in, so that a hang shows
 // before any outcome.
 func (d *Dispatcher) currentLatency(q *queue) float64 {
-	mean := q.mean
+	mean := q.latency.mean
 	for _, c := range q.calls {
 		if age := d.now.Sub(c.sentAt).Seconds(); age > mean {
 			mean += latencyWeight * (age - mean)
@@ -47,12 +47,12 @@
 func (d *Dispatcher) timeToNextCall(q *queue, n int) float64 {
 	wait := math.Max(0, (d.blockedUntil(q).Sub(d.now)).Seconds())
 	calls := q.callsFor(n)
-	if q.sendRate > 0 && !d.isProber(q) {
-		wait = math.Max(wait, (calls+1-d.sendTokens(q))/q.sendRate)
+	if q.limiter.rate > 0 && !d.isProber(q) {
+		wait = math.Max(wait, (calls+1-d.sendTokens(q))/q.limiter.rate)
 	}
 	ramp := math.Inf(1)
 	for _, ep := range q.endpoints {
-		if !ep.ejected && !ep.slowStarting {
+		if !ep.outlier.ejected && !ep.slowStart.active {
 			return wait
 		}
 		// The next trial, and if it succeeds the others at the budget of a half-warm endpoint.
--- a/policy/queueing_delay_test.go
+++ b/policy/queueing_delay_test.go
@@ -61,7 +61,7 @@
 	if u := d.queueingDelay(q); u != 0 {
 		t.Errorf("idle: u = %v, want 0", u)
 	}
-	q.mean = 0.5
+	q.latency.mean = 0.5
 	q.waiting = make([]*message, 6)
 	if u := d.queueingDelay(q); u != 3 {
 		t.Errorf("six held, none out: u = %v, want 6 × 0.5", u)
@@ -74,7 +74,7 @@
 	if got := d.currentLatency(q); math.Abs(got-1.45) > 1e-9 {
 		t.Errorf("calls out count with their age: %v, want 1.45", got)
 	}
-	q.retryAfterUntil = d.now.Add(8 * time.Second)
+	q.circuit.retryAfterUntil = d.now.Add(8 * time.Second)
 	if u := d.queueingDelay(q); u != 8 {
 		t.Errorf("in a wait: u = %v, want the 8 s that remain", u)
 	}
@@ -87,11 +87,11 @@
 	d.Handle(moment(400*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 400 * ms, Completed: true},
 		Arrived{ID: "n", Destination: 1, TimeLeft: 10 * time.Second}})
 	q := d.queues[1]
-	if q.byClass[0] != 0.4 || q.mean != 0.4 {
-		t.Errorf("b borrows %v, %v, want what a took", q.byClass[0], q.mean)
+	if q.latency.byClass[0] != 0.4 || q.latency.mean != 0.4 {
+		t.Errorf("b borrows %v, %v, want what a took", q.latency.byClass[0], q.latency.mean)
 	}
-	q.record(0, 0.2)
-	if got := q.byClass[0]; math.Abs(got-0.3) > 1e-9 {
+	q.latency.record(0, 0.2)
+	if got := q.latency.byClass[0]; math.Abs(got-0.3) > 1e-9 {
 		t.Errorf("own first outcome counts half: %v, want 0.3", got)
 	}
 }
--- a/policy/rate_sharing.go
+++ b/policy/rate_sharing.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"milletsail/internal/instant"
 	"time"
 )
 
@@ -16,6 +17,18 @@
 	maxTrafficShare = 3
 )
 
+// peerTraffic is what the other relays send a destination.
+type peerTraffic struct {
+	rate      PeerRateReceived
+	rateUntil instant.Time // until when it may be used
+}
+
+// ratePublisher publishes this relay's rates, one destination after the other.
+type ratePublisher struct {
+	nextAt    instant.Time
+	nextQueue int // in Dispatcher.queues
+}
+
 // handlePeerRate takes in what other relays send a destination. One that has just started, and so has learned no
 // pace of its own, begins with the fleet's.
 func (d *Dispatcher) handlePeerRate(e PeerRateReceived) {
@@ -23,13 +36,13 @@
 	if q == nil {
 		return
 	}
-	d.liveRelays, q.peerRate, q.peerRateUntil = e.LiveRelays, e, d.now.Add(e.ValidFor)
+	d.liveRelays, q.peers.rate, q.peers.rateUntil = e.LiveRelays, e, d.now.Add(e.ValidFor)
 	if d.settings.Zones {
 		d.updateZoneShares(q, e.ArrivalRateByZone)
 	}
-	if q.outcomes == 0 && q.rejectedCallAt == 0 && q.listedRate > 0 {
-		q.sendRate = d.evenShare(q) * math.Min(probingRateShare, math.Max(minRateShare, e.RateShare))
-		q.tokens = math.Min(q.tokens, math.Max(1, q.sendRate*rateWindow.Seconds()))
+	if q.latency.outcomes == 0 && q.circuit.rejectedCallAt == 0 && q.limiter.listedRate > 0 {
+		q.limiter.rate = d.evenShare(q) * math.Min(probingRateShare, math.Max(minRateShare, e.RateShare))
+		q.limiter.bucket.tokens = math.Min(q.limiter.bucket.tokens, math.Max(1, q.limiter.rate*rateWindow.Seconds()))
 	}
 }
 
@@ -44,21 +57,21 @@
 // trafficShare is this relay's part of what the fleet may send a destination, by the traffic that it has for it, as
 // a multiple of an even share. What the others get is known from few: it is taken for a standard error more.
 func (d *Dispatcher) trafficShare(q *queue) float64 {
-	if d.now >= q.peerRateUntil || q.peerRate.Reporters < minObservers {
+	if d.now >= q.peers.rateUntil || q.peers.rate.Reporters < minObservers {
 		return 1
 	}
-	usual := q.peerRate.ArrivalRate + q.peerRate.ArrivalRateError
-	return math.Min(maxTrafficShare, math.Max(minTrafficShare, q.arrivals.rate(d.now)/math.Max(1e-9, usual)))
+	usual := q.peers.rate.ArrivalRate + q.peers.rate.ArrivalRateError
+	return math.Min(maxTrafficShare, math.Max(minTrafficShare, q.admission.arrivals.rate(d.now)/math.Max(1e-9, usual)))
 }
 
 // publishRate tells the others this relay's pace for one destination after the other.
 func (d *Dispatcher) publishRate() {
-	if !d.settings.PublishRates || d.now < d.publishAt || len(d.queues) == 0 {
+	if !d.settings.PublishRates || d.now < d.publisher.nextAt || len(d.queues) == 0 {
 		return
 	}
-	d.publishAt = d.now.Add(max(minPublishInterval, time.Duration(d.settings.FleetSize)*publishIntervalPerRelay))
-	d.publishNext++
-	if q := d.queues[d.publishNext%len(d.queues)]; !q.separateRoute && q.listedRate > 0 {
-		d.emit(PublishRate{Destination: q.destination.number, RateShare: q.sendRate / d.evenShare(q), ArrivalRate: q.arrivals.rate(d.now)})
+	d.publisher.nextAt = d.now.Add(max(minPublishInterval, time.Duration(d.settings.FleetSize)*publishIntervalPerRelay))
+	d.publisher.nextQueue++
+	if q := d.queues[d.publisher.nextQueue%len(d.queues)]; !q.separateRoute && q.limiter.listedRate > 0 {
+		d.emit(PublishRate{Destination: q.destination.number, RateShare: q.limiter.rate / d.evenShare(q), ArrivalRate: q.admission.arrivals.rate(d.now)})
 	}
 }
--- a/policy/resource_backoff.go
+++ b/policy/resource_backoff.go
@@ -24,11 +24,11 @@
 // call took of pace and budget is there again.
 func (d *Dispatcher) recordNotStarted(c *call) {
 	q, ep := c.endpoint.queue, c.endpoint
-	if c.openAttempts == 0 && q.sendRate > 0 {
-		q.tokens++
+	if c.openAttempts == 0 && q.limiter.rate > 0 {
+		q.limiter.bucket.tokens++
 	}
-	if c.openAttempts == 0 && (ep.ejected || ep.slowStarting) {
-		ep.tokens++
+	if c.openAttempts == 0 && (ep.outlier.ejected || ep.slowStart.active) {
+		ep.slowStart.bucket.tokens++
 	}
 	if d.now < ep.resourceBackoff.until { // one of several that were out
 		return
--- a/policy/resource_backoff_test.go
+++ b/policy/resource_backoff_test.go
@@ -27,11 +27,11 @@
 			expect(t, "behind it", d.Handle(moment(now), []Event{TimerFired{}}), "m>a")
 		}
 		ep := d.endpoints["a"]
-		if m := d.messages["m"]; len(m.attempts) != 1 || m.firstPossibleExecution() == nil || ep.consecutiveFailures != 0 || ep.ejected || ep.classFailures[class] != 0 {
-			t.Errorf("class %d: %d attempts, %v failures", class, len(m.attempts), ep.consecutiveFailures)
+		if m := d.messages.byID["m"]; len(m.attempts) != 1 || m.firstPossibleExecution() == nil || ep.outlier.consecutiveFailures != 0 || ep.outlier.ejected || ep.outlier.classFailures[class] != 0 {
+			t.Errorf("class %d: %d attempts, %v failures", class, len(m.attempts), ep.outlier.consecutiveFailures)
 		}
-		if q := d.queues[0]; q.sendRate > 0 && d.sendTokens(q) < 0 {
-			t.Errorf("class %d: %v tokens", class, q.tokens)
+		if q := d.queues[0]; q.limiter.rate > 0 && d.sendTokens(q) < 0 {
+			t.Errorf("class %d: %v tokens", class, q.limiter.bucket.tokens)
 		}
 		expect(t, "delivered", d.Handle(moment(now+ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: OK, Completed: true}}), "")
 		if ep.resourceBackoff != (resourceBackoff{}) {
@@ -52,9 +52,9 @@
 	expect(t, "to a cold endpoint", d.Handle(now, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 50}}},
 		StateRestored{Endpoint: "a", At: now.Add(-ms)}, arrive("m", 0)}), "m>a")
 	ep := d.endpoints["a"]
-	spent := ep.tokens
+	spent := ep.slowStart.bucket.tokens
 	d.Handle(now, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotStarted}})
-	if got := ep.tokens - spent; got != 1 {
+	if got := ep.slowStart.bucket.tokens - spent; got != 1 {
 		t.Errorf("%v of a call came back", got)
 	}
 }
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -46,7 +46,7 @@
 // A message that was taken on before is not up for admission again.
 func TestResumedIsNotRefusedForBacklog(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	d.destination(0).queues[0].mean, d.destination(0).queues[0].retryAfterUntil = 1, moment(60*time.Second)
+	d.destination(0).queues[0].latency.mean, d.destination(0).queues[0].circuit.retryAfterUntil = 1, moment(60*time.Second)
 	expect(t, "a fresh one", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "refuse n")
 	expect(t, "a resumed one", d.Handle(moment(time.Second), []Event{resumed("m", 0)}), "")
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -51,6 +51,6 @@
 	if m.class.Effect == NotIdempotent || len(m.attempts) >= d.settings.MaxAttempts {
 		return 0
 	}
-	wait := math.Max(timeoutShare*left.Seconds(), minTimeoutLatencies*c.endpoint.queue.mean)
+	wait := math.Max(timeoutShare*left.Seconds(), minTimeoutLatencies*c.endpoint.queue.latency.mean)
 	return min(left, time.Duration(wait*float64(time.Second)))
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -68,7 +68,7 @@
 func TestNoAttemptWithoutTime(t *testing.T) {
 	d := start(t, plain())
 	d.Handle(0, []Event{arrive("m", 0)})
-	d.queues[0].record(0, 0.5)
+	d.queues[0].latency.record(0, 0.5)
 	expect(t, "0.6 s left, 0.5 s needed", d.Handle(moment(9400*ms), []Event{TimerFired{}}), "")
 	expect(t, "0.4 s left, 0.5 s needed", d.Handle(moment(9600*ms), []Event{TimerFired{}}), "refuse m")
 }
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -16,7 +16,7 @@
 		if !q.separateRoute || !q.acceptsCalls() {
 			continue
 		}
-		done := d.queueingDelay(q) + math.Max(q.byClass[m.Class], d.currentLatency(q))
+		done := d.queueingDelay(q) + math.Max(q.latency.byClass[m.Class], d.currentLatency(q))
 		late := m.expiresAt.Sub(d.now) - time.Duration(math.Min(done, 1e6)*float64(time.Second))
 		cost := m.class.PriorityWeight*(1-m.class.valueAt(m.class.Deadline-late)) +
 			d.meanPriority*done/m.class.Deadline.Seconds()
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -9,6 +9,14 @@
 // maxQueueSlotShare is the share of the slots that one queue may have, so that no queue takes all of them.
 const maxQueueSlotShare = 0.5
 
+// slotScheduler counts the slots, each of which one call out takes.
+type slotScheduler struct {
+	inUse    int
+	lastCall int // number of the last call
+	// unansweredShare is the share of the calls that were late by stalledFactor which had no success.
+	unansweredShare float64
+}
+
 // startAttempt adds one message to a call.
 func (d *Dispatcher) startAttempt(m *message, c *call) {
 	m.dequeue()
@@ -26,15 +34,14 @@
 
 // startCall starts a call with a message and, where the kind allows it, others of the queue.
 func (d *Dispatcher) startCall(q *queue, ep *endpoint, first *message) {
-	d.lastCall++
-	q.lastCall = d.lastCall
-	c := &call{endpoint: ep, number: d.lastCall, sentAt: d.now}
-	d.callsInFlight++
+	d.slots.lastCall++
+	c := &call{endpoint: ep, number: d.slots.lastCall, sentAt: d.now}
+	d.slots.inUse++
 	d.activate(q)
 	q.calls, ep.calls = append(q.calls, c), append(ep.calls, c)
 	ep.lastUsedAt = d.now
-	if q.sendRate > 0 {
-		q.tokens = math.Max(0, d.sendTokens(q)-1)
+	if q.limiter.rate > 0 {
+		q.limiter.bucket.tokens = math.Max(0, d.sendTokens(q)-1)
 	}
 	if d.settings.Zones {
 		d.recordSpillover(q, ep)
@@ -42,14 +49,14 @@
 	if d.settings.CanaryAnalysis {
 		d.addCanaryCredit(q, ep)
 	}
-	if ep.ejected || ep.slowStarting {
-		ep.tokens = math.Max(0, d.slowStartTokens(ep)-1)
+	if ep.outlier.ejected || ep.slowStart.active {
+		ep.slowStart.bucket.tokens = math.Max(0, d.slowStartTokens(ep)-1)
 	}
-	if ep.ejected || d.singleProber(q) {
+	if ep.outlier.ejected || d.singleProber(q) {
 		q.probedAt = d.now
 	}
 	d.startAttempt(first, c)
-	for i := 0; i < len(q.waiting) && c.openAttempts < q.maxBatch && !ep.ejected; {
+	for i := 0; i < len(q.waiting) && c.openAttempts < q.maxBatch && !ep.outlier.ejected; {
 		m := q.waiting[i]
 		if d.attemptAllowed(m) && d.nearDeadline(q, m) == d.nearDeadline(q, first) && d.retryAllowed(m, ep) && (d.settings.MaxBatchBytes == 0 || c.size+m.Size <= d.settings.MaxBatchBytes) {
 			d.startAttempt(m, c)
@@ -62,7 +69,7 @@
 // dispatch gives free slots in turns to the queues that can send: fewest calls out first, and among these
 // the message whose worth falls first.
 func (d *Dispatcher) dispatch() {
-	for d.callsInFlight < d.settings.Slots && !d.stopping {
+	for d.slots.inUse < d.settings.Slots && !d.stopping {
 		var best *queue
 		var ep *endpoint
 		var first *message
@@ -94,11 +101,11 @@
 // nextSendable tells which message a queue would send now and where, if any.
 func (d *Dispatcher) nextSendable(q *queue) (*endpoint, *message) {
 	most := max(1, int(math.Ceil(maxQueueSlotShare*float64(d.settings.Slots))))
-	if len(q.waiting) == 0 || d.now < q.retryAfterUntil || len(q.calls) >= most {
+	if len(q.waiting) == 0 || d.now < q.circuit.retryAfterUntil || len(q.calls) >= most {
 		return nil, nil
 	}
 	tries := d.isProber(q)
-	if (d.now < q.backoffUntil || q.sendRate > 0 && d.sendTokens(q) < 1) && !tries {
+	if (d.now < q.circuit.backoffUntil || q.limiter.rate > 0 && d.sendTokens(q) < 1) && !tries {
 		return nil, nil
 	}
 	if d.singleProber(q) && (!tries || d.now < d.probeTurn(q.endpoints[0])) {
@@ -123,7 +130,7 @@
 		return false
 	}
 	if m.class.Ordered && m.Key != "" {
-		if line := d.orderedKeys[m.Key]; line[0] != m {
+		if line := d.keys.waiting[m.Key]; line[0] != m {
 			return false
 		}
 	}
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -67,7 +67,7 @@
 	s.ZoneCost = []float64{0.06, 0}
 	d := start(t, s, Endpoint{ID: "a", Kind: 2}, Endpoint{ID: "b", Kind: 2, Zone: 1})
 	expect(t, "the cheaper of two idle routes", d.Handle(0, []Event{arrive("m", 0)}), "m>b")
-	d.queues[1].mean, d.queues[1].byClass[0] = 5, 5
+	d.queues[1].latency.mean, d.queues[1].latency.byClass[0] = 5, 5
 	expect(t, "the faster at a fee", d.Handle(0, []Event{arrive("n", 0)}), "n>a")
 }
 
--- a/policy/sendrate.go
+++ b/policy/sendrate.go
@@ -30,39 +30,48 @@
 // sendTokens is what the pace of a queue allows to be sent now.
 func (d *Dispatcher) sendTokens(q *queue) float64 {
 	d.increaseRate(q)
-	return q.refill(d.now, q.sendRate, math.Max(1, q.sendRate*rateWindow.Seconds()))
+	return q.limiter.bucket.refill(d.now, q.limiter.rate, math.Max(1, q.limiter.rate*rateWindow.Seconds()))
 }
 
 // setListedRate takes in the rate that a queue's destination is listed with since a moment.
 func (d *Dispatcher) setListedRate(q *queue, weight float64, since instant.Time) {
-	if d.settings.Weights == WeightsOff || !(weight > 0) || math.IsInf(weight, 0) || weight == q.listedRate {
+	if d.settings.Weights == WeightsOff || !(weight > 0) || math.IsInf(weight, 0) || weight == q.limiter.listedRate {
 		return
 	}
-	q.listedRate = weight
-	q.sendRate, q.decreasedAt = d.evenShare(q), since
-	q.tokens, q.updatedAt = math.Max(1, q.sendRate*rateWindow.Seconds()), since
+	q.limiter.listedRate = weight
+	q.limiter.rate, q.limiter.decreasedAt = d.evenShare(q), since
+	q.limiter.bucket.tokens, q.limiter.bucket.updatedAt = math.Max(1, q.limiter.rate*rateWindow.Seconds()), since
+}
+
+// sendRateLimiter limits the calls of one queue by additive increase and multiplicative decrease (AIMD).
+type sendRateLimiter struct {
+	listedRate  float64 // calls a second that all relays may make; 0 for unknown
+	rate        float64 // calls a second of this relay; 0 for unlimited
+	bucket      tokenBucket
+	decreasedAt instant.Time
+	increasedAt instant.Time
 }
 
 // increaseRate lets a pace rise while no refusal is heard of. One relay of many has a success in some seconds: its
 // own come too seldom to tell.
 func (d *Dispatcher) increaseRate(q *queue) {
-	calmFrom := max(q.decreasedAt, q.backoffUntil)
-	from := max(q.increasedAt, calmFrom)
-	q.increasedAt = d.now
-	most := q.listedRate
+	calmFrom := max(q.limiter.decreasedAt, q.circuit.backoffUntil)
+	from := max(q.limiter.increasedAt, calmFrom)
+	q.limiter.increasedAt = d.now
+	most := q.limiter.listedRate
 	if d.hasLowRate(q) && d.now > d.lastGossipAt.Add(rateWindow) {
 		most = d.evenShare(q) // cut off, nobody hears of the others' refusals
 	}
-	if d.now > from && q.sendRate < most && (q.sendRate < probingRateShare*d.evenShare(q) || len(q.waiting) > 0) && !q.allEjected() {
+	if d.now > from && q.limiter.rate < most && (q.limiter.rate < probingRateShare*d.evenShare(q) || len(q.waiting) > 0) && !q.allEjected() {
 		rise := rateIncreaseGain * min(d.now.Sub(calmFrom), maxQuietTime).Seconds() * d.now.Sub(from).Seconds()
-		q.sendRate = math.Min(q.sendRate*math.Exp(rise), most)
+		q.limiter.rate = math.Min(q.limiter.rate*math.Exp(rise), most)
 	}
 }
 
 // hasLowRate tells whether a second knock is more than this relay's part of what a cold destination takes.
 func (d *Dispatcher) hasLowRate(q *queue) bool {
-	return q.listedRate > 0 && d.evenShare(q)*rateWindow.Seconds() < lowRateCalls
+	return q.limiter.listedRate > 0 && d.evenShare(q)*rateWindow.Seconds() < lowRateCalls
 }
 
 // evenShare is this relay's even share of a queue's limit, in calls a second.
-func (d *Dispatcher) evenShare(q *queue) float64 { return q.listedRate / d.relayCount() }
+func (d *Dispatcher) evenShare(q *queue) float64 { return q.limiter.listedRate / d.relayCount() }
--- a/policy/sendrate_test.go
+++ b/policy/sendrate_test.go
@@ -12,38 +12,38 @@
 	s.Weights, s.FleetSize = WeightsNominal, 4
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
 	q := d.queues[0]
-	if q.sendRate != 2 {
-		t.Fatalf("pace %v, want 8 / 4", q.sendRate)
+	if q.limiter.rate != 2 {
+		t.Fatalf("pace %v, want 8 / 4", q.limiter.rate)
 	}
 	refused := func(at time.Duration) {
 		d.now = moment(at)
 		d.recordRejection(q, limitMessage{})
 	}
 	refused(time.Second)
-	cut := q.sendRate
-	if refused(1100 * ms); !(cut < 2) || q.sendRate != cut {
-		t.Errorf("pace %v after a refusal, %v after another of the same moment", cut, q.sendRate)
+	cut := q.limiter.rate
+	if refused(1100 * ms); !(cut < 2) || q.limiter.rate != cut {
+		t.Errorf("pace %v after a refusal, %v after another of the same moment", cut, q.limiter.rate)
 	}
 	q.waiting = []*message{{}}
 	d.now = moment(4 * time.Second)
 	d.recordSuccess(d.endpoints["a"], false)
 	slow := d.now
 	d.sendTokens(q)
-	if d.now = d.now.Add(500 * ms); d.now.Sub(q.decreasedAt) > 1500*ms || q.decreasedAt >= slow {
-		t.Errorf("calm since %v, without room at %v", q.decreasedAt, slow)
+	if d.now = d.now.Add(500 * ms); d.now.Sub(q.limiter.decreasedAt) > 1500*ms || q.limiter.decreasedAt >= slow {
+		t.Errorf("calm since %v, without room at %v", q.limiter.decreasedAt, slow)
 	}
 	for range 40 {
 		d.now = d.now.Add(500 * ms)
 		d.sendTokens(q)
 	}
-	if q.sendRate < 2 {
-		t.Errorf("pace %v after 20 s in calm, want the even share back", q.sendRate)
+	if q.limiter.rate < 2 {
+		t.Errorf("pace %v after 20 s in calm, want the even share back", q.limiter.rate)
 	}
 	for i := range 30 {
 		refused(time.Duration(d.now.Add(time.Duration(1+i%2) * time.Second)))
 	}
-	if q.sendRate > 0.5 {
-		t.Errorf("pace %v after refusals for 45 s: a quarter of the listed rate is not reached", q.sendRate)
+	if q.limiter.rate > 0.5 {
+		t.Errorf("pace %v after refusals for 45 s: a quarter of the listed rate is not reached", q.limiter.rate)
 	}
 }
 
@@ -56,7 +56,7 @@
 		s := plain()
 		s.FleetSize, s.Weights = tt.relays, WeightsNominal
 		d := start(t, s, Endpoint{ID: "a", Weight: 4})
-		if got := d.queues[0].sendRate; got != tt.want {
+		if got := d.queues[0].limiter.rate; got != tt.want {
 			t.Errorf("%d relays: pace %v, want %v", tt.relays, got, tt.want)
 		}
 	}
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -49,8 +49,8 @@
 	for _, weight := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0} {
 		d := start(t, s, Endpoint{ID: "a", Weight: weight})
 		d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrive("m", 0)})
-		if q := d.queues[0]; q.sendRate != 5 || len(q.calls) != 1 {
-			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.sendRate, len(q.calls))
+		if q := d.queues[0]; q.limiter.rate != 5 || len(q.calls) != 1 {
+			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.limiter.rate, len(q.calls))
 		}
 	}
 	d := start(t, s, Endpoint{ID: "a"})
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"milletsail/internal/instant"
 	"time"
 )
 
@@ -19,19 +20,19 @@
 
 // slowStartTokens is what the budget of a sick or ramping endpoint allows to be sent now.
 func (d *Dispatcher) slowStartTokens(ep *endpoint) float64 {
-	if ep.slowStarting && d.timeSinceRecovery(ep) >= d.settings.SlowStartWindow {
-		ep.slowStarting = false
+	if ep.slowStart.active && d.timeSinceRecovery(ep) >= d.settings.SlowStartWindow {
+		ep.slowStart.active = false
 	}
 	rate := d.slowStartBudget(ep, d.timeSinceRecovery(ep))
-	return ep.refill(d.now, rate, math.Max(1, slowStartBurst*rate*d.settings.OverloadWindow.Seconds()))
+	return ep.slowStart.bucket.refill(d.now, rate, math.Max(1, slowStartBurst*rate*d.settings.OverloadWindow.Seconds()))
 }
 
 // timeSinceRecovery is how long an endpoint has been back.
 func (d *Dispatcher) timeSinceRecovery(ep *endpoint) time.Duration {
-	if ep.ejected {
+	if ep.outlier.ejected {
 		return 0
 	}
-	return min(d.now.Sub(ep.recoveredAt), d.settings.SlowStartWindow)
+	return min(d.now.Sub(ep.slowStart.recoveredAt), d.settings.SlowStartWindow)
 }
 
 // slowStartBudget is the calls a second that this relay may make to an endpoint that has been back for so long:
@@ -42,7 +43,7 @@
 	if d.settings.SlowStartWindow > 0 {
 		share = d.settings.SlowStartInitialShare + (1-d.settings.SlowStartInitialShare)*float64(back)/float64(d.settings.SlowStartWindow)
 	}
-	weight := ep.queue.listedRate
+	weight := ep.queue.limiter.listedRate
 	if weight == 0 {
 		weight = float64(d.settings.FleetSize)
 	}
@@ -54,12 +55,19 @@
 	return all * d.trafficShare(ep.queue) / d.relayCount() / float64(max(1, len(ep.queue.endpoints)))
 }
 
+// slowStartState limits the calls to one endpoint while it is ejected or warms up.
+type slowStartState struct {
+	active      bool
+	recoveredAt instant.Time // first success after an outage; 0 for never
+	bucket      tokenBucket
+}
+
 // startSlowStart starts the ramp of an endpoint that was sick, with what of a call may go at once.
 func (d *Dispatcher) startSlowStart(ep *endpoint, tokens float64, hearsay bool) {
 	d.setEjected(ep, false)
-	ep.slowStarting, ep.recoveredAt, ep.consecutiveFailures, ep.queue.outageSuspected = true, d.now, 0, false
-	ep.tokens, ep.updatedAt = tokens, d.now
-	clear(ep.classFailures) // the outage's: else none that failed there would ever try it again
+	ep.slowStart.active, ep.slowStart.recoveredAt, ep.outlier.consecutiveFailures, ep.queue.outageSuspected = true, d.now, 0, false
+	ep.slowStart.bucket.tokens, ep.slowStart.bucket.updatedAt = tokens, d.now
+	clear(ep.outlier.classFailures) // the outage's: else none that failed there would ever try it again
 	d.emit(PersistHealth{Endpoint: ep.ID, At: d.now, SecondHand: hearsay})
 }
 
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -25,7 +25,7 @@
 			}
 			for _, a := range d.Handle(moment(now), events) {
 				if a, ok := a.(Send); ok {
-					out[a.ID] = len(d.messages[a.ID].attempts) - 1
+					out[a.ID] = len(d.messages.byID[a.ID].attempts) - 1
 					if now >= 20*time.Second {
 						sends++
 					}
@@ -54,7 +54,7 @@
 		t.Errorf("budget when warm: %v, want %v", got, want)
 	}
 	d.now = moment(12 * time.Second)
-	if d.slowStartTokens(ep); ep.slowStarting {
+	if d.slowStartTokens(ep); ep.slowStart.active {
 		t.Error("still ramping after the ramp time")
 	}
 }
@@ -65,12 +65,12 @@
 		d := start(t, plain(), Endpoint{ID: "a"})
 		d.eject(d.endpoints["a"])
 		d.Handle(moment(ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Removed: gone}, {ID: "b"}}}})
-		if !d.endpoints["b"].ejected {
+		if !d.endpoints["b"].outlier.ejected {
 			t.Errorf("old one gone %v: the new one is not on its budget", gone)
 		}
 		d.recordSuccess(d.endpoints["b"], true)
 		d.Handle(moment(2*ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "c"}}}})
-		if d.endpoints["c"].ejected {
+		if d.endpoints["c"].outlier.ejected {
 			t.Error("a new one after the return is on a budget")
 		}
 	}
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -39,7 +39,7 @@
 	if !d.settings.CanCancel {
 		return
 	}
-	want := d.callsInFlight >= d.settings.Slots && slices.ContainsFunc(d.active, func(q *queue) bool {
+	want := d.slots.inUse >= d.settings.Slots && slices.ContainsFunc(d.active, func(q *queue) bool {
 		_, m := d.nextSendable(q)
 		return m != nil
 	})
@@ -64,7 +64,7 @@
 // stalledCallFactor is the number of mean latencies after which a wanted slot is taken back: sooner where late
 // calls have mostly not been answered at all (loss, hangs) than where they have (slowness, heavy work).
 func (d *Dispatcher) stalledCallFactor() float64 {
-	if d.unansweredShare > unansweredThreshold {
+	if d.slots.unansweredShare > unansweredThreshold {
 		return stalledFactor
 	}
 	return unresponsiveFactor
@@ -72,9 +72,9 @@
 
 // overdueAt is when a call has been out for far longer than usual.
 func (d *Dispatcher) overdueAt(c *call, factor float64) instant.Time {
-	usual := math.Max(c.endpoint.queue.mean, c.endpoint.lastLatency)
+	usual := math.Max(c.endpoint.queue.latency.mean, c.endpoint.lastLatency)
 	for _, m := range c.messages {
-		usual = math.Max(usual, c.endpoint.queue.byClass[m.Class])
+		usual = math.Max(usual, c.endpoint.queue.latency.byClass[m.Class])
 	}
 	if usual == 0 {
 		return never
@@ -85,8 +85,8 @@
 
 // unresponsive tells whether an endpoint has a call out for far longer than usual and no success since it.
 func (d *Dispatcher) unresponsive(ep *endpoint) bool {
-	if len(ep.calls) == 0 || ep.queue.mean == 0 {
+	if len(ep.calls) == 0 || ep.queue.latency.mean == 0 {
 		return false
 	}
-	return ep.lastSuccessAt <= ep.calls[0].sentAt && d.now >= d.overdueAt(ep.calls[0], unresponsiveFactor)
+	return ep.outlier.lastSuccessAt <= ep.calls[0].sentAt && d.now >= d.overdueAt(ep.calls[0], unresponsiveFactor)
 }
--- a/policy/stalled_calls_test.go
+++ b/policy/stalled_calls_test.go
@@ -11,7 +11,7 @@
 func TestLostCallIsSentAgain(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.record(0, 0.1)
+	q.latency.record(0, 0.1)
 	d.Handle(0, []Event{arrive("lost", 0)})
 	d.Handle(moment(50*ms), []Event{arrive("m", 0)})
 	expect(t, "nothing overtook it", d.Handle(moment(140*ms), []Event{TimerFired{}}), "")
@@ -25,8 +25,8 @@
 	s := plain()
 	s.Slots = 2
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
-	d.queues[0].record(0, 0.1)
-	d.queues[1].record(0, 0.1)
+	d.queues[0].latency.record(0, 0.1)
+	d.queues[1].latency.record(0, 0.1)
 	at := func(id string, dest int) Event { return Arrived{ID: id, Destination: dest, TimeLeft: 10 * time.Second} }
 	d.Handle(0, []Event{at("m", 0)})
 	d.Handle(moment(100*ms), []Event{at("n", 1)})
@@ -40,7 +40,7 @@
 	if got := d.stalledCallFactor(); got != unresponsiveFactor {
 		t.Errorf("at the start: %v", got)
 	}
-	d.unansweredShare = 0.9
+	d.slots.unansweredShare = 0.9
 	if got := d.stalledCallFactor(); got != stalledFactor {
 		t.Errorf("with late calls unanswered: %v", got)
 	}
@@ -51,8 +51,8 @@
 	s := plain()
 	s.Slots = 1
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
-	d.queues[0].record(2, 0.1)
-	d.unansweredShare = 0.9
+	d.queues[0].latency.record(2, 0.1)
+	d.slots.unansweredShare = 0.9
 	d.Handle(0, []Event{Arrived{ID: "m", Class: 2, TimeLeft: 20 * time.Second}})
 	expect(t, "no slot is wanted", d.Handle(moment(3*time.Second), []Event{TimerFired{}}), "")
 	expect(t, "one is wanted", d.Handle(moment(3100*ms), []Event{Arrived{ID: "n", Destination: 1, TimeLeft: 9 * time.Second}}), "cancel m/0")
@@ -63,10 +63,10 @@
 func TestOwnStall(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.record(0, 0.1)
+	q.latency.record(0, 0.1)
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 100 * ms, Completed: true}})
-	if math.Abs(q.mean-0.1) > 1e-9 || d.unansweredShare != 0 {
-		t.Errorf("mean %v, unanswered %v after a pause of our own", q.mean, d.unansweredShare)
+	if math.Abs(q.latency.mean-0.1) > 1e-9 || d.slots.unansweredShare != 0 {
+		t.Errorf("mean %v, unanswered %v after a pause of our own", q.latency.mean, d.slots.unansweredShare)
 	}
 }
--- a/policy/state_store.go
+++ b/policy/state_store.go
@@ -22,7 +22,7 @@
 func (d *Dispatcher) loadDestination(dest *destination) {
 	endpoints, since := d.settings.Directory.Endpoints(dest.number), d.now
 	if len(endpoints) > 0 {
-		since = min(d.now, d.firstListedAt)
+		since = min(d.now, d.watch.firstListedAt)
 	}
 	d.addQueue(dest, 1, false, since)
 	d.markIdle(dest)
@@ -123,10 +123,10 @@
 // fleet in force, no refusals or failures in a row, no outage or return from one, no connection limit, no
 // trial, and no part of its pace that is used up. What is forgotten then are estimates.
 func (d *Dispatcher) evictable(q *queue) bool {
-	allowance, depth := q.tokenBucket, math.Max(1, q.sendRate*rateWindow.Seconds())
-	used := q.sendRate > 0 && allowance.refill(d.now, q.sendRate, depth) < depth
-	paused := d.now < max(q.retryAfterUntil, q.backoffUntil, q.announcedUntil, q.peerRateUntil)
-	if used || paused || q.peerReport.valid(d.now) || q.consecutiveRejections > 0 || q.outageSuspected {
+	allowance, depth := q.limiter.bucket, math.Max(1, q.limiter.rate*rateWindow.Seconds())
+	used := q.limiter.rate > 0 && allowance.refill(d.now, q.limiter.rate, depth) < depth
+	paused := d.now < max(q.circuit.retryAfterUntil, q.circuit.backoffUntil, q.circuit.announcedUntil, q.peers.rateUntil)
+	if used || paused || q.peerReport.valid(d.now) || q.circuit.consecutiveRejections > 0 || q.outageSuspected {
 		return false
 	}
 	return !slices.ContainsFunc(q.endpoints, d.endpointInUse)
@@ -134,8 +134,8 @@
 
 // endpointInUse tells whether something that is known of an endpoint without a call out binds.
 func (d *Dispatcher) endpointInUse(ep *endpoint) bool {
-	cold := ep.ejected || ep.slowStarting && d.timeSinceRecovery(ep) < d.settings.SlowStartWindow
-	capped := d.connectionsFull(ep) && d.now.Sub(max(ep.lastUsedAt, ep.connectionsFullAt)) < d.settings.IdleConnTimeout
+	cold := ep.outlier.ejected || ep.slowStart.active && d.timeSinceRecovery(ep) < d.settings.SlowStartWindow
+	capped := d.connectionsFull(ep) && d.now.Sub(max(ep.lastUsedAt, ep.connections.fullAt)) < d.settings.IdleConnTimeout
 	paused := d.now < ep.resourceBackoff.until
-	return cold || capped || paused || ep.consecutiveFailures > 0 || ep.canary != nil || ep.peerReport.valid(d.now)
+	return cold || capped || paused || ep.outlier.consecutiveFailures > 0 || ep.canary != nil || ep.peerReport.valid(d.now)
 }
--- a/policy/state_store_pair_test.go
+++ b/policy/state_store_pair_test.go
@@ -83,7 +83,7 @@
 	}
 	avoided := 0
 	for _, ep := range p.eager.endpoints {
-		avoided += int(indicator(ep.ejected || ep.Draining || p.eager.unresponsive(ep)))
+		avoided += int(indicator(ep.outlier.ejected || ep.Draining || p.eager.unresponsive(ep)))
 	}
 	if got, otherwise := p.lazy.Avoided()+draining, p.eager.Avoided(); got != avoided || otherwise != avoided {
 		p.t.Fatalf("at %v: %d avoided on demand, %d otherwise, want %d", p.now, got, otherwise, avoided)
--- a/policy/state_store_test.go
+++ b/policy/state_store_test.go
@@ -162,7 +162,7 @@
 		"slow start":        {event(StateRestored{Endpoint: "e7", At: 0}), long},
 		"few connections": {func(d *Dispatcher) {
 			serve(t, d, 0, 7)
-			d.endpoints["e7"].connectionLimit = 1
+			d.endpoints["e7"].connections.limit = 1
 		}, long},
 		"finding on the destination": {event(PeerSuspected{Destination: 7, Observers: 1, ValidFor: long}), long},
 		"finding on the endpoint":    {event(PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: long}), long},
@@ -170,7 +170,7 @@
 		"used allowance": {func(d *Dispatcher) {
 			serve(t, d, 0, 7)
 			q := d.destinations[7].queues[0]
-			q.sendRate, q.tokens = 1/long.Seconds(), 0
+			q.limiter.rate, q.limiter.bucket.tokens = 1/long.Seconds(), 0
 		}, long},
 	}
 	for name, tt := range tests {
@@ -318,11 +318,11 @@
 		d.Handle(moment(time.Minute), []Event{Arrived{ID: "m", TimeLeft: time.Second}})
 	}
 	want, got := eager.destinations[0].queues[0], lazy.destinations[0].queues[0]
-	if got.arrivals != want.arrivals || got.sendRate != want.sendRate || got.tokenBucket != want.tokenBucket || got.decreasedAt != want.decreasedAt {
-		t.Errorf("arrivals %+v, pace %v, bucket %+v, cut at %v, want %+v, %v, %+v, %v", got.arrivals, got.sendRate, got.tokenBucket, got.decreasedAt,
-			want.arrivals, want.sendRate, want.tokenBucket, want.decreasedAt)
+	if got.admission.arrivals != want.admission.arrivals || got.limiter.rate != want.limiter.rate || got.limiter.bucket != want.limiter.bucket || got.limiter.decreasedAt != want.limiter.decreasedAt {
+		t.Errorf("arrivals %+v, pace %v, bucket %+v, cut at %v, want %+v, %v, %+v, %v", got.admission.arrivals, got.limiter.rate, got.limiter.bucket, got.limiter.decreasedAt,
+			want.admission.arrivals, want.limiter.rate, want.limiter.bucket, want.limiter.decreasedAt)
 	}
-	if rate := got.arrivals.rate(moment(time.Minute)); rate > 0.11 {
+	if rate := got.admission.arrivals.rate(moment(time.Minute)); rate > 0.11 {
 		t.Errorf("%v arrivals a second, from one in a minute", rate)
 	}
 }
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -34,7 +34,7 @@
 		return
 	}
 	seen, all := d.surveyZones()
-	d.isolated = d.detectIsolation(seen)
+	d.zones.isolated = d.detectIsolation(seen)
 	away := 0
 	for no, c := range seen {
 		if d.zoneStatus(no).state != Serving {
@@ -132,7 +132,7 @@
 func (d *Dispatcher) startRecovery(no int) {
 	d.setZoneState(no, Recovering)
 	for _, ep := range d.endpointsInZone(no) {
-		if d.servedElsewhere(ep) && ep.lastFailureAt <= ep.lastSuccessAt {
+		if d.servedElsewhere(ep) && ep.outlier.lastFailureAt <= ep.outlier.lastSuccessAt {
 			d.startSlowStart(ep, d.initialTokens(ep), true)
 		}
 	}
@@ -141,14 +141,14 @@
 // mayRecover tells whether an endpoint that answers gets more than trials: not before its zone may return,
 // one at a time.
 func (d *Dispatcher) mayRecover(ep *endpoint) bool {
-	z := d.zones[ep.Zone]
+	z := d.zones.byNumber[ep.Zone]
 	if z == nil || z.state != Evacuated {
 		return true
 	}
 	if d.now < z.deadline {
 		return false
 	}
-	for _, o := range d.zones {
+	for _, o := range d.zones.byNumber {
 		if o.state == Recovering {
 			return false
 		}
@@ -157,6 +157,12 @@
 	return true
 }
 
+// zoneTable holds the zones that endpoints are listed in.
+type zoneTable struct {
+	byNumber map[int]*zone
+	isolated bool // nothing answers in all zones but the own
+}
+
 // zone is what is known of a zone.
 type zone struct {
 	state                   ZoneState
@@ -169,13 +175,13 @@
 
 // zoneStatus gives what is known of a zone.
 func (d *Dispatcher) zoneStatus(no int) *zone {
-	if d.zones[no] == nil {
-		if d.zones == nil {
-			d.zones = map[int]*zone{}
+	if d.zones.byNumber[no] == nil {
+		if d.zones.byNumber == nil {
+			d.zones.byNumber = map[int]*zone{}
 		}
-		d.zones[no] = &zone{}
+		d.zones.byNumber[no] = &zone{}
 	}
-	return d.zones[no]
+	return d.zones.byNumber[no]
 }
 
 // setZoneState notes a zone's state.
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -123,7 +123,7 @@
 				fmt.Sscanf(a.Endpoint, "%d-%d", &dest, &zone)
 				z.sent[fmt.Sprint(zone)]++
 				z.sent["all"]++
-				e := AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(z.d.messages[a.ID].attempts) - 1, Outcome: z.fails(a.Endpoint, dest, zone)}
+				e := AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(z.d.messages.byID[a.ID].attempts) - 1, Outcome: z.fails(a.Endpoint, dest, zone)}
 				e.Completed = e.Outcome == OK
 				z.out = append(z.out, due{z.now + 30*ms + time.Duration(z.rng.IntN(10))*ms, e})
 				slices.SortStableFunc(z.out, func(a, b due) int { return int(a.at - b.at) })
@@ -185,7 +185,7 @@
 		return OK
 	}
 	for _, ep := range z.d.endpoints { // what is served from everywhere
-		ep.queue.spillover = maxSpillover
+		ep.queue.locality.spillover = maxSpillover
 	}
 	z.run(2 * time.Second)
 	down = true
@@ -219,11 +219,11 @@
 		return OK
 	}
 	for _, ep := range z.d.endpoints {
-		ep.queue.spillover = 0.5
+		ep.queue.locality.spillover = 0.5
 	}
 	for z.now < 35*time.Second {
 		for _, q := range z.d.queues { // as if the own zone had no room for half of them, all the time
-			q.spillover = 0.5
+			q.locality.spillover = 0.5
 		}
 		z.run(z.now + 100*ms)
 	}
@@ -255,7 +255,7 @@
 		ever := false
 		for z.now < 12*time.Second {
 			for _, q := range z.d.queues {
-				q.spillover = 0.7
+				q.locality.spillover = 0.7
 			}
 			z.run(z.now + 100*ms)
 			_, cutOff := z.d.Zones()
@@ -286,8 +286,8 @@
 	}
 	d := start(t, s, eps...)
 	for _, ep := range d.endpoints {
-		if ep.lastSuccessAt = moment(900 * ms); ep.Zone == 1 {
-			ep.lastFailureAt = moment(time.Second)
+		if ep.outlier.lastSuccessAt = moment(900 * ms); ep.Zone == 1 {
+			ep.outlier.lastFailureAt = moment(time.Second)
 		}
 	}
 	d.Handle(moment(time.Second), []Event{TimerFired{}})
--- a/policy/zone_survey.go
+++ b/policy/zone_survey.go
@@ -31,12 +31,12 @@
 			all++
 			c.listed++
 			c.lastAnsweredAt = max(c.lastAnsweredAt, ep.succeededCallAt)
-			old := z.state == Recovering && ep.lastFailureAt <= z.enteredAt // it failed before its zone began to return
-			if ep.lastFailureAt > ep.lastSuccessAt && (ep.ejected || d.now.Sub(ep.lastFailureAt) < healthObservationWindow) && !old || d.unresponsive(ep) {
+			old := z.state == Recovering && ep.outlier.lastFailureAt <= z.enteredAt // it failed before its zone began to return
+			if ep.outlier.lastFailureAt > ep.outlier.lastSuccessAt && (ep.outlier.ejected || d.now.Sub(ep.outlier.lastFailureAt) < healthObservationWindow) && !old || d.unresponsive(ep) {
 				c.failing++
 				c.known++
 				c.failingDestinations |= 1 << (q.destination.number % 64)
-			} else if ep.lastSuccessAt > 0 && d.now.Sub(ep.lastSuccessAt) < healthObservationWindow {
+			} else if ep.outlier.lastSuccessAt > 0 && d.now.Sub(ep.outlier.lastSuccessAt) < healthObservationWindow {
 				c.known++
 			}
 		}
@@ -58,5 +58,5 @@
 		z := d.zoneStatus(no)
 		all = append(all, ZoneStatus{no, z.state, z.enteredAt, z.deadline, c.listed, z.evacuations, z.recoveries})
 	}
-	return all, d.isolated
+	return all, d.zones.isolated
 }
