--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"milletsail/internal/instant"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 const (
@@ -15,21 +16,16 @@
 	overloadThreshold = 0.75
 )
 
-// recordVirtualArrival feeds an arrival to the copy of a queue under the basic rule alone.
-func (d *Dispatcher) recordVirtualArrival(q *queue, τ float64) {
-	q.admission.virtualBacklog = math.Max(0, q.admission.virtualBacklog-d.now.Sub(q.admission.virtualUpdatedAt).Seconds())
-	q.admission.virtualUpdatedAt = d.now
-	if q.admission.virtualBacklog > τ {
-		q.admission.misses.add(d.now, 1)
-		return
-	}
-	q.admission.virtualBacklog += q.sendInterval(d.now)
-}
-
-// admissionController estimates what admission control needs to know of one queue.
+// admissionController estimates what admission control needs to know of one queue: λ, the rate of the messages that
+// arrive, and r, the rate of those that the basic rule alone would reject. It belongs to one queue and is not safe for
+// concurrent use.
+//
+// The rule is the value-function bound of Hyytiä's admission control for parallel first-come queues, with the paper's
+// symbols: u is the time until a new message would be sent, x its expected latency, and τ the time that it may
+// wait: its time left less x. All are in seconds.
 type admissionController struct {
-	arrivals decayingCounter // λ: messages that arrive
-	misses   decayingCounter // r: those of them that the basic rule alone would reject
+	arrivals decayingCounter // λ
+	misses   decayingCounter // r
 	// virtualBacklog is the work, in seconds, in a virtual copy of the queue that admits by the basic rule alone.
 	virtualBacklog   float64
 	virtualUpdatedAt instant.Time
@@ -40,48 +36,71 @@
 	return admissionController{arrivals: decayingCounter{startedAt: since}, misses: decayingCounter{startedAt: since}}
 }
 
-// admit refuses an arriving message at once or puts it into a queue.
-func (d *Dispatcher) admit(m *message) {
-	q := d.selectQueue(m)
-	q.admission.arrivals.add(d.now, 1)
-	left := m.expiresAt.Sub(d.now).Seconds()
-	u, x := d.queueingDelay(q), q.latency.byClass[m.Class]
-	λ, r := q.admission.arrivals.rate(d.now), q.admission.misses.rate(d.now)
-	d.recordVirtualArrival(q, left-x)
-	if λ*q.sendInterval(d.now) > 1 {
-		left = math.Min(left, d.overloadAgeLimit(m.class).Seconds()) // little time left need not be age
-	}
-	room := overloadThreshold * float64(d.settings.QueueCapacity)
-	much := float64(len(q.waiting)) > room/2 || q.allEjected() // those that are out leave room for the others
-	crowded := float64(len(d.messages.unfinished)) > room && much || len(d.messages.unfinished) > d.settings.QueueCapacity
-	if crowded {
-		d.reject(m, u+2*x-left, ReasonOverloaded)
+// rates returns λ and r, in messages a second.
+func (a *admissionController) rates(now instant.Time) (λ, r float64) {
+	return a.arrivals.rate(now), a.misses.rate(now)
+}
+
+// recordVirtualArrival feeds an arrival that may wait for τ to the virtual queue, where it takes serviceTime.
+func (a *admissionController) recordVirtualArrival(now instant.Time, τ, serviceTime float64) {
+	a.virtualBacklog = math.Max(0, a.virtualBacklog-now.Sub(a.virtualUpdatedAt).Seconds())
+	a.virtualUpdatedAt = now
+	if a.virtualBacklog > τ {
+		a.misses.add(now, 1)
 		return
 	}
-	if exceedsDelayBound(u, x, left-x, λ-r, len(q.waiting) > 0) {
-		d.reject(m, u+2*x-left, ReasonBacklog)
-		return
+	a.virtualBacklog += serviceTime
+}
+
+// exceedsDelayBound reports whether a message has to be rejected: by the basic rule u > τ, and where others wait by the
+// value-function bound (λ−r)(u+x−τ) ≥ 1, which holds for every u once x ≥ τ + 1/(λ−r). netRate is λ−r.
+func exceedsDelayBound(u, x, τ, netRate float64, othersWait bool) bool {
+	if u > τ {
+		return true
 	}
-	d.enqueue(q, m)
+	return netRate > 0 && othersWait && u > 0 && (netRate*(u+x-τ) >= 1 || x >= τ+1/netRate)
 }
 
-// overloadAgeLimit is the age at which a class, or one worth as much or more that would wait behind it, falls
-// under keepWorth: messages worth little and patient must not fill a queue against urgent ones.
-func (d *Dispatcher) overloadAgeLimit(c *Class) time.Duration {
-	age := c.ageAt(minDeliveryValue)
-	for i := range d.settings.Classes {
-		if k := &d.settings.Classes[i]; k.PriorityWeight >= c.PriorityWeight {
-			age = min(age, k.ageAt(minDeliveryValue))
-		}
+// admit rejects an arriving message at once or puts it into a queue.
+func (d *Dispatcher) admit(arrived *message) {
+	queue := d.selectQueue(arrived)
+	queue.admission.arrivals.add(d.now, 1)
+	timeLeft := arrived.expiresAt.Sub(d.now).Seconds()
+	delay, latency := d.queueingDelay(queue), queue.latency.byClass[arrived.Class]
+	interval := queue.sendInterval(d.now)
+	λ, r := queue.admission.rates(d.now)
+	queue.admission.recordVirtualArrival(d.now, timeLeft-latency, interval)
+	if λ*interval > 1 {
+		timeLeft = math.Min(timeLeft, d.overloadAgeLimit(arrived.class).Seconds()) // little time left need not be age
+	}
+	excess := delay + 2*latency - timeLeft
+	switch {
+	case d.overloaded(queue):
+		d.reject(arrived, excess, ReasonOverloaded)
+	case exceedsDelayBound(delay, latency, timeLeft-latency, λ-r, len(queue.waiting) > 0):
+		d.reject(arrived, excess, ReasonBacklog)
+	default:
+		d.enqueue(queue, arrived)
 	}
-	return age
 }
 
-// exceedsDelayBound is the rule of the paper: the basic rule u > τ, and where messages are held the
-// value-function bound (λ−r)(u+x−τ) ≥ 1 (which holds for every u once x ≥ τ + 1/(λ−r)).
-func exceedsDelayBound(u, x, τ, net float64, held bool) bool {
-	if u > τ {
-		return true
+// overloaded reports whether a queue may not have another message: the capacity is used up, or nearly so with much of
+// it by this queue. A queue whose endpoints are all ejected leaves the rest to the others.
+func (d *Dispatcher) overloaded(q *queue) bool {
+	threshold := overloadThreshold * float64(d.settings.QueueCapacity)
+	unfinished := len(d.messages.unfinished)
+	holdsMuch := float64(len(q.waiting)) > threshold/2 || q.allEjected()
+	return float64(unfinished) > threshold && holdsMuch || unfinished > d.settings.QueueCapacity
+}
+
+// overloadAgeLimit is the age at which a class, or one of the same or a higher priority weight that would wait behind
+// it, falls below minDeliveryValue: patient messages of low value must not fill a queue against urgent ones.
+func (d *Dispatcher) overloadAgeLimit(class *Class) time.Duration {
+	age := class.ageAt(minDeliveryValue)
+	for i := range d.settings.Classes {
+		if other := &d.settings.Classes[i]; other.PriorityWeight >= class.PriorityWeight {
+			age = min(age, other.ageAt(minDeliveryValue))
+		}
 	}
-	return net > 0 && held && u > 0 && (net*(u+x-τ) >= 1 || x >= τ+1/net)
+	return age
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -65,7 +65,7 @@
 	q := d.queues[0]
 	q.latency.mean = 2
 	for i, want := range []float64{0, 0, 1, 1} { // work 0, 2 and 4 against τ = 3; a miss adds none
-		d.recordVirtualArrival(q, 3)
+		q.admission.recordVirtualArrival(d.now, 3, q.sendInterval(d.now))
 		if q.admission.misses.value != want {
 			t.Errorf("arrival %d: %v misses of the copy, want %v", i, q.admission.misses.value, want)
 		}
--- a/policy/canary.go
+++ b/policy/canary.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+
 	"milletsail/internal/instant"
 )
 
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -1,9 +1,10 @@
 package policy
 
 import (
-	"math"
-	"milletsail/internal/instant"
+	"math/rand/v2"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 const (
@@ -19,7 +20,8 @@
 	secondProbeProbability = 0.5
 )
 
-// circuitBreaker pauses the calls of one queue after rejections.
+// circuitBreaker pauses the calls of one queue after rejections. It belongs to one queue and is not safe for concurrent
+// use.
 type circuitBreaker struct {
 	retryAfterUntil       instant.Time  // end of a Retry-After, which always binds
 	backoffUntil          instant.Time  // end of the relay's own pause
@@ -30,65 +32,96 @@
 	firstRejectionAt      instant.Time // of the consecutive rejections
 }
 
-// recordRejection notes a refusal by the destination, and tells the other relays what they do not know of it; a run of
-// refusals is a destination that is shut.
-func (d *Dispatcher) recordRejection(q *queue, l limitMessage) {
-	if q.circuit.consecutiveRejections++; q.circuit.consecutiveRejections == 1 {
-		q.circuit.firstRejectionAt = d.now
+// paused reports whether the queue is in a pause.
+func (c *circuitBreaker) paused(now instant.Time) bool { return now < c.pausedUntil() }
+
+// pausedUntil is the end of all pauses.
+func (c *circuitBreaker) pausedUntil() instant.Time { return max(c.retryAfterUntil, c.backoffUntil) }
+
+// extendRetryAfter keeps to a Retry-After.
+func (c *circuitBreaker) extendRetryAfter(now instant.Time, retryAfter time.Duration) {
+	c.retryAfterUntil = max(c.retryAfterUntil, now.Add(min(retryAfter, never.Sub(now))))
+}
+
+// countRejection counts a rejection and reports whether the destination counts as down: it has rejected everything for
+// circuitOpenAfter, or asks for a longer pause than that.
+func (c *circuitBreaker) countRejection(now instant.Time, retryAfter time.Duration) (down bool) {
+	if c.consecutiveRejections++; c.consecutiveRejections == 1 {
+		c.firstRejectionAt = now
 	}
-	tried := d.isProber(q) // for all: they have to know
-	if until := d.openCircuit(q, l); d.settings.Gossip && !q.separateRoute && (tried || until > q.circuit.announcedUntil.Add(initialBackoff)) {
+	lasting := now.Sub(c.firstRejectionAt) > circuitOpenAfter
+	return retryAfter > circuitOpenAfter || c.consecutiveRejections > ejectionThreshold && lasting
+}
+
+// nextBackoff is the pause after a rejection without Retry-After, with jitter: short, since a destination that limits a
+// steady rate has capacity again at once; twice as long if the last one was not enough.
+func (c *circuitBreaker) nextBackoff(now instant.Time, random *rand.Rand) time.Duration {
+	if c.backoff *= 2; now > c.backoffUntil.Add(c.backoff) {
+		c.backoff = initialBackoff
+	}
+	return time.Duration((0.5 + random.Float64()) * float64(c.backoff))
+}
+
+// recordRejection takes in a rejection by the destination, and broadcasts what the other relays don't know of it. A run
+// of rejections ejects its endpoints.
+func (d *Dispatcher) recordRejection(q *queue, rejection limitMessage) {
+	down := q.circuit.countRejection(d.now, rejection.retryAfter)
+	probedForAll := d.isProber(q)
+	until := d.openCircuit(q, rejection)
+	unknownToOthers := probedForAll || until > q.circuit.announcedUntil.Add(initialBackoff)
+	if d.settings.Gossip && !q.separateRoute && unknownToOthers {
 		q.circuit.announcedUntil = until
-		d.emit(Broadcast{Message: l.encode()})
+		d.emit(Broadcast{Message: rejection.encode()})
 	}
-	shut := l.retryAfter > circuitOpenAfter || q.circuit.consecutiveRejections > ejectionThreshold && d.now.Sub(q.circuit.firstRejectionAt) > circuitOpenAfter
-	if shut || !d.settings.Gossip && d.probeBudgetSpent(q, q.circuit.consecutiveRejections) {
+	if down || !d.settings.Gossip && d.probeBudgetSpent(q, q.circuit.consecutiveRejections) {
 		for _, ep := range q.endpoints {
 			d.eject(ep)
 		}
 	}
 }
 
-// openCircuit takes in that a destination refuses calls, for a wait if one is told, and gives the end of the
-// pause. All who learn of it come down at once, and come back apart, each at a chance part of its own pace.
-func (d *Dispatcher) openCircuit(q *queue, l limitMessage) (until instant.Time) {
-	q.circuit.rejectedCallAt = max(q.circuit.rejectedCallAt, d.now.Add(-l.callAge))
-	wait := l.retryAfter
-	if wait <= 0 { // a moment: a steady rate has room again at once; twice as long if that was not enough
-		if d.now < q.circuit.backoffUntil {
-			return q.circuit.backoffUntil
-		}
-		if q.circuit.backoff *= 2; d.now > q.circuit.backoffUntil.Add(q.circuit.backoff) {
-			q.circuit.backoff = initialBackoff
+// openCircuit pauses a queue after a rejection here or at another relay, and returns the end of the pause. All relays
+// that learn of it stop together; they start again apart, each with a random part of a call saved up.
+func (d *Dispatcher) openCircuit(q *queue, rejection limitMessage) (until instant.Time) {
+	circuit := &q.circuit
+	circuit.rejectedCallAt = max(circuit.rejectedCallAt, d.now.Add(-rejection.callAge))
+	pause := rejection.retryAfter
+	if pause <= 0 {
+		if d.now < circuit.backoffUntil {
+			return circuit.backoffUntil
 		}
-		wait = time.Duration((0.5 + d.random.Float64()) * float64(q.circuit.backoff))
+		pause = circuit.nextBackoff(d.now, d.random)
 	}
-	until = d.now.Add(min(wait, maxBackoff))
-	if d.now >= q.limiter.decreasedAt.Add(rateWindow) {
+	until = d.now.Add(min(pause, maxBackoff))
+	if q.limiter.mayDecrease(d.now) {
 		d.increaseRate(q)
-		q.limiter.rate = math.Max(minRateShare*d.evenShare(q), math.Min(q.limiter.rate*rateDecreaseFactor, (q.limiter.rate+d.evenShare(q))/2))
-		q.limiter.decreasedAt = d.now
+		q.limiter.decrease(d.now, d.evenShare(q))
 	}
-	if until > q.circuit.backoffUntil {
-		q.circuit.backoffUntil, q.limiter.bucket.tokens, q.limiter.bucket.updatedAt = until, d.random.Float64(), until
+	if until > circuit.backoffUntil {
+		circuit.backoffUntil = until
+		q.limiter.bucket.reset(d.random.Float64(), until)
 	}
 	return until
 }
 
-// closeCircuit ends a pause, but for a wait that we were told, if a call sent well after the one that was refused
-// was taken: a rate has room again at once, where a count has none until its span is over.
-func (d *Dispatcher) closeCircuit(q *queue, l limitMessage) bool {
-	if d.now >= q.circuit.backoffUntil || d.now.Add(-l.callAge) < q.circuit.rejectedCallAt.Add(initialBackoff/2) {
+// closeCircuit ends a backoff, but no Retry-After, if a call was accepted that was sent well after the rejected one: a
+// destination that limits a rate has capacity again at once, one that counts calls has none until its window ends. It
+// reports whether there was a backoff to end.
+func (d *Dispatcher) closeCircuit(q *queue, accepted limitMessage) bool {
+	circuit := &q.circuit
+	sentAt := d.now.Add(-accepted.callAge)
+	if d.now >= circuit.backoffUntil || sentAt < circuit.rejectedCallAt.Add(initialBackoff/2) {
 		return false
 	}
-	q.circuit.backoffUntil, q.circuit.announcedUntil, q.limiter.bucket.tokens, q.limiter.bucket.updatedAt = d.now, d.now, d.random.Float64(), d.now
+	circuit.backoffUntil, circuit.announcedUntil = d.now, d.now
+	q.limiter.bucket.reset(d.random.Float64(), d.now)
 	return true
 }
 
-// probeBudgetSpent tells whether n failures or refusals are all that may be seen before the budget is kept to. That
-// costs what the budget holds back where the destination was only at its limit; others, who were not
-// refused, use the room. Half of the relays may knock once more, by chance, but not after a told wait,
-// when all would; and an outage that began after a success just now is not about to end.
+// probeBudgetSpent reports whether n failures or rejections in a row are all that a relay with a low rate may see before
+// it keeps to the slow start budget. Where the destination was only at its limit, this leaves capacity to relays that
+// were not rejected. Half of the relays, by chance, may probe once more; but not after a Retry-After, when all
+// would, and not in an outage that began just after a success, which won't end yet.
 func (d *Dispatcher) probeBudgetSpent(q *queue, n int) bool {
 	if !d.hasLowRate(q) || q.lastSuccessAt > 0 && d.now.Sub(q.lastSuccessAt) <= circuitOpenAfter {
 		return false
--- a/policy/circuit_test.go
+++ b/policy/circuit_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"milletsail/internal/instant"
 	"slices"
 	"testing"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 // A wait that comes with a delivery binds as one that comes with a refusal.
--- a/policy/decisions_cases_test.go
+++ b/policy/decisions_cases_test.go
@@ -1,9 +1,10 @@
 package policy_test
 
 import (
-	"milletsail/policy"
 	"slices"
 	"time"
+
+	"milletsail/policy"
 )
 
 // ordinaryScenario is what every case changes.
--- a/policy/decisions_record_test.go
+++ b/policy/decisions_record_test.go
@@ -6,10 +6,11 @@
 	"encoding/hex"
 	"hash"
 	"math"
-	"milletsail/internal/instant"
-	"milletsail/policy"
 	"testing"
 	"time"
+
+	"milletsail/internal/instant"
+	"milletsail/policy"
 )
 
 // decisionRecord digests decisions. Each value is written with a fixed tag and in a fixed order, never by
--- a/policy/decisions_scene_actions_test.go
+++ b/policy/decisions_scene_actions_test.go
@@ -3,8 +3,9 @@
 import (
 	"fmt"
 	"math"
-	"milletsail/policy"
 	"time"
+
+	"milletsail/policy"
 )
 
 // take does what a relay wants done.
--- a/policy/decisions_scene_events_test.go
+++ b/policy/decisions_scene_events_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"milletsail/internal/instant"
-	"milletsail/policy"
 	"testing"
 	"time"
+
+	"milletsail/internal/instant"
+	"milletsail/policy"
 )
 
 // replaceProcess kills a relay's process, or has it hand over.
--- a/policy/decisions_scene_test.go
+++ b/policy/decisions_scene_test.go
@@ -7,10 +7,11 @@
 	"fmt"
 	"math"
 	"math/rand"
-	"milletsail/internal/instant"
-	"milletsail/policy"
 	"testing"
 	"time"
+
+	"milletsail/internal/instant"
+	"milletsail/policy"
 )
 
 // condition is how a simulated server does for the time being.
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -3,6 +3,7 @@
 import (
 	"container/list"
 	"math/rand/v2"
+
 	"milletsail/internal/instant"
 )
 
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -1,9 +1,10 @@
 package policy
 
 import (
-	"milletsail/internal/instant"
 	"slices"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 // resubscribeDelay is the time before a failed watch of the endpoint list is started again.
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"milletsail/internal/instant"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 // expireMessages gives final answers to held messages that have no time left for another attempt of mean latency,
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"milletsail/internal/instant"
 	"slices"
+
+	"milletsail/internal/instant"
 )
 
 // resumeMessage puts a message that an earlier process admitted back into its queue, with the attempts made for it; one
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -1,8 +1,9 @@
 package policy
 
 import (
-	"milletsail/internal/instant"
 	"slices"
+
+	"milletsail/internal/instant"
 )
 
 // orderedKeys lets the messages of ordered classes with the same key be sent one at a time.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+
 	"milletsail/internal/instant"
 )
 
@@ -61,7 +62,9 @@
 }
 
 // newOutlierState returns the state of an endpoint that nothing is known of.
-func newOutlierState(classes int) outlierState { return outlierState{classFailures: make([]float64, classes)} }
+func newOutlierState(classes int) outlierState {
+	return outlierState{classFailures: make([]float64, classes)}
+}
 
 // recordSuccess notes a success: an endpoint that was sick starts its ramp.
 func (d *Dispatcher) recordSuccess(ep *endpoint, room bool) {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -8,8 +8,9 @@
 package policy
 
 import (
-	"milletsail/internal/instant"
 	"slices"
+
+	"milletsail/internal/instant"
 )
 
 // handleEvent takes in one event, and gives the message that is up for admission by it, if any.
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"milletsail/internal/instant"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 const (
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -2,9 +2,10 @@
 
 import (
 	"container/list"
-	"milletsail/internal/instant"
 	"slices"
 	"sort"
+
+	"milletsail/internal/instant"
 )
 
 // destination is where messages go: one queue, or one for each route.
--- a/policy/queueing_delay.go
+++ b/policy/queueing_delay.go
@@ -2,36 +2,44 @@
 
 import (
 	"math"
+
 	"milletsail/internal/instant"
 )
 
-// concurrency is how many calls of a queue are out at once: in a wait or an outage, as many as there were before.
+// minRate bounds rates from below where something is divided by them, in calls a second.
+const minRate = 1e-9
+
+// concurrency is the number of calls of a queue that are out at once: in a pause or an outage, as many as there were
+// before.
 func (q *queue) concurrency(now instant.Time) float64 {
-	n := math.Max(1, float64(len(q.calls)))
-	if now < max(q.circuit.retryAfterUntil, q.circuit.backoffUntil) || q.resourcesExhausted(now) || q.allEjected() {
-		return math.Max(n, q.typicalConcurrency)
+	out := math.Max(1, float64(len(q.calls)))
+	if q.circuit.paused(now) || q.resourcesExhausted(now) || q.allEjected() {
+		return math.Max(out, q.typicalConcurrency)
 	}
-	return n
+	return out
 }
 
-// sendInterval is the time between messages that a queue sends one after another.
+// sendInterval is the time, in seconds, between messages that a queue sends one after another.
 func (q *queue) sendInterval(now instant.Time) float64 {
-	pitch := q.callsFor(1) * q.latency.mean / q.concurrency(now)
+	interval := q.callsFor(1) * q.latency.mean / q.concurrency(now)
 	if q.limiter.rate > 0 {
-		pitch = math.Max(pitch, 1/(q.limiter.rate*float64(q.maxBatch)))
+		interval = math.Max(interval, 1/(q.limiter.rate*float64(q.maxBatch)))
 	}
-	return pitch
+	return interval
 }
 
-// queueingDelay is u: calls that the messages held ahead travel in × mean latency ÷ calls out, and at least what
-// a wait, a pace or a ramp implies; zero with a slot free and nothing held.
+// callsFor is the number of calls that carry n messages of a queue.
+func (q *queue) callsFor(n int) float64 { return float64(n) / float64(q.maxBatch) }
+
+// queueingDelay is u, in seconds: the calls that carry the waiting messages × mean latency ÷ concurrency, and at least
+// what pauses, the send rate and slow start imply. It is zero while a slot is free and nothing waits.
 func (d *Dispatcher) queueingDelay(q *queue) float64 {
-	u := q.callsFor(len(q.waiting)) * d.currentLatency(q) / q.concurrency(d.now)
-	return math.Max(u, d.timeToNextCall(q, len(q.waiting)))
+	byLatency := q.callsFor(len(q.waiting)) * d.currentLatency(q) / q.concurrency(d.now)
+	return math.Max(byLatency, d.timeToNextCall(q, len(q.waiting)))
 }
 
-// currentLatency is the mean latency of a queue with the ages of calls out counted in, so that a hang shows
-// before any outcome.
+// currentLatency is the mean latency of a queue, in seconds, with the ages of the calls out counted in, so that a hang
+// shows before any outcome.
 func (d *Dispatcher) currentLatency(q *queue) float64 {
 	mean := q.latency.mean
 	for _, c := range q.calls {
@@ -42,32 +50,36 @@
 	return mean
 }
 
-// timeToNextCall is the time until the next call of a queue may leave with n messages ahead of it, as far as
-// waits, pace and health tell.
+// timeToNextCall is the time, in seconds, until a queue may send its next call with n messages ahead of it, as far as
+// pauses, send rate and health tell.
 func (d *Dispatcher) timeToNextCall(q *queue, n int) float64 {
-	wait := math.Max(0, (d.blockedUntil(q).Sub(d.now)).Seconds())
+	delay := math.Max(0, (d.blockedUntil(q).Sub(d.now)).Seconds())
 	calls := q.callsFor(n)
 	if q.limiter.rate > 0 && !d.isProber(q) {
-		wait = math.Max(wait, (calls+1-d.sendTokens(q))/q.limiter.rate)
+		delay = math.Max(delay, (calls+1-d.sendTokens(q))/q.limiter.rate)
 	}
-	ramp := math.Inf(1)
+	warmUp := math.Inf(1)
 	for _, ep := range q.endpoints {
-		if !ep.outlier.ejected && !ep.slowStart.active {
-			return wait
+		if !ep.limitedBySlowStart() {
+			return delay
 		}
-		// The next trial, and if it succeeds the others at the budget of a half-warm endpoint.
-		first := math.Max(0, 1-d.slowStartTokens(ep)) / math.Max(1e-9, d.slowStartBudget(ep, d.timeSinceRecovery(ep)))
-		if d.isProber(q) {
-			first = math.Min(first, math.Max(0, (d.probeTurn(ep).Sub(d.now)).Seconds()))
-		}
-		half := d.slowStartBudget(ep, max(d.timeSinceRecovery(ep), d.settings.SlowStartWindow/2)) * float64(len(q.endpoints))
-		ramp = math.Min(ramp, first+calls/math.Max(1e-9, half))
+		warmUp = math.Min(warmUp, d.timeThroughSlowStart(ep, calls))
 	}
 	if len(q.endpoints) == 0 {
-		return wait
+		return delay
 	}
-	return math.Max(wait, ramp)
+	return math.Max(delay, warmUp)
 }
 
-// callsFor is how many calls n messages of a queue travel in.
-func (q *queue) callsFor(n int) float64 { return float64(n) / float64(q.maxBatch) }
+// timeThroughSlowStart is the time, in seconds, in which an endpoint that is ejected or warms up could get a number of
+// calls: until its next probe, and if that succeeds the others at the budget of an endpoint halfway through slow start.
+func (d *Dispatcher) timeThroughSlowStart(ep *endpoint, calls float64) float64 {
+	recovered := d.timeSinceRecovery(ep)
+	firstCall := math.Max(0, 1-d.slowStartTokens(ep)) / math.Max(minRate, d.slowStartBudget(ep, recovered))
+	if d.isProber(ep.queue) {
+		firstCall = math.Min(firstCall, math.Max(0, (d.probeTurn(ep).Sub(d.now)).Seconds()))
+	}
+	halfway := max(recovered, d.settings.SlowStartWindow/2)
+	budget := d.slowStartBudget(ep, halfway) * float64(len(ep.queue.endpoints))
+	return firstCall + calls/math.Max(minRate, budget)
+}
--- a/policy/resource_backoff.go
+++ b/policy/resource_backoff.go
@@ -1,9 +1,10 @@
 package policy
 
 import (
-	"milletsail/internal/instant"
 	"slices"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 const (
--- a/policy/rule_checker_test.go
+++ b/policy/rule_checker_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"milletsail/policy"
 	"time"
+
+	"milletsail/policy"
 )
 
 const answerSlack = 20 * time.Millisecond
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -3,12 +3,13 @@
 import (
 	"fmt"
 	"math/rand"
-	"milletsail/internal/instant"
-	"milletsail/policy"
 	"reflect"
 	"sort"
 	"testing"
 	"time"
+
+	"milletsail/internal/instant"
+	"milletsail/policy"
 )
 
 func TestRulesUnderSeededEvents(t *testing.T) {
--- a/policy/rules_world_test.go
+++ b/policy/rules_world_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"math/rand"
+	"time"
+
 	"milletsail/internal/instant"
 	"milletsail/policy"
-	"time"
 )
 
 // variant draws settings from a seed.
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"milletsail/internal/instant"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 // maxQueueSlotShare is the share of the slots that one queue may have, so that no queue takes all of them.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"milletsail/internal/instant"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 const (
@@ -62,6 +63,9 @@
 	bucket      tokenBucket
 }
 
+// limitedBySlowStart reports whether an endpoint gets only what the slow start budget allows.
+func (ep *endpoint) limitedBySlowStart() bool { return ep.outlier.ejected || ep.slowStart.active }
+
 // startSlowStart starts the ramp of an endpoint that was sick, with what of a call may go at once.
 func (d *Dispatcher) startSlowStart(ep *endpoint, tokens float64, hearsay bool) {
 	d.setEjected(ep, false)
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -2,9 +2,10 @@
 
 import (
 	"math"
-	"milletsail/internal/instant"
 	"slices"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 const (
--- a/policy/token_bucket.go
+++ b/policy/token_bucket.go
@@ -2,24 +2,32 @@
 
 import (
 	"math"
-	"milletsail/internal/instant"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
-// tokenBucket is a token bucket.
+// maxTokenDelay bounds, in seconds, the time that tokenDelay returns.
+const maxTokenDelay = 3600
+
+// tokenBucket is a token bucket; its rate and depth are arguments, as they change.
 type tokenBucket struct {
 	tokens    float64
-	updatedAt instant.Time
+	updatedAt instant.Time // in the future while a pause lasts
 }
 
-// refill adds the tokens that came since the last time, up to depth, and gives how many there are.
+// refill adds the tokens that came since the last time, up to depth, and returns how many there are.
 func (b *tokenBucket) refill(now instant.Time, rate, depth float64) float64 {
 	b.tokens = math.Min(depth, b.tokens+rate*math.Max(0, now.Sub(b.updatedAt).Seconds()))
 	b.updatedAt = max(b.updatedAt, now)
 	return b.tokens
 }
 
-// tokenDelay is the time in which tokens come at a rate, a little more than less.
+// reset leaves a number of tokens, to which more are added from a moment on.
+func (b *tokenBucket) reset(tokens float64, from instant.Time) { b.tokens, b.updatedAt = tokens, from }
+
+// tokenDelay is the time in which a number of tokens come at a rate, rounded up.
 func tokenDelay(tokens, rate float64) time.Duration {
-	return time.Duration(math.Min(3600, math.Max(0, tokens)/rate)*float64(time.Second)) + time.Microsecond
+	seconds := math.Min(maxTokenDelay, math.Max(0, tokens)/rate)
+	return time.Duration(seconds*float64(time.Second)) + time.Microsecond
 }
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -2,8 +2,9 @@
 
 import (
 	"errors"
-	"milletsail/internal/instant"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 const (
--- a/policy/zone_survey.go
+++ b/policy/zone_survey.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/bits"
+
 	"milletsail/internal/instant"
 )
 
