--- a/policy/resource_backoff.go
+++ b/policy/resource_backoff.go
@@ -1,9 +1,10 @@
 package policy
 
 import (
-	"milletsail/internal/instant"
 	"slices"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 const (
@@ -24,11 +25,11 @@
 // for a moment, and what the call took of pace and budget is there again.
 func (d *Dispatcher) recordNotStarted(c *call) {
 	q, ep := c.endpoint.queue, c.endpoint
-	if c.openAttempts == 0 && q.sendRate > 0 {
-		q.tokens++
+	if c.openAttempts == 0 && q.limiter.rate > 0 {
+		q.limiter.bucket.tokens++
 	}
-	if c.openAttempts == 0 && (ep.ejected || ep.slowStarting) {
-		ep.tokens++
+	if c.openAttempts == 0 && (ep.outlier.ejected || ep.slowStart.active) {
+		ep.slowStart.bucket.tokens++
 	}
 	if d.now < ep.resourceBackoff.until { // one of several that were out
 		return
