--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -9,6 +9,8 @@
 	"milletsail/internal/fleet/live"
 	"milletsail/internal/instant"
 	"milletsail/internal/journal"
+	"milletsail/internal/relay/discovery"
+	"milletsail/internal/relay/gossip"
 	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/upstream"
@@ -43,9 +45,9 @@
 	journal  *journal.Journal
 	inbox    chan event
 	pool     *upstream.Pool
-	watch    *watcher
+	watch    *discovery.Watcher
 	notifier notificationQueue
-	peers    *peers
+	gossip   *gossip.Transport
 	shared   *live.Service // nil where nothing is shared
 	zoning   *zoning       // nil where zones are off
 	metrics  *metrics.Metrics
