--- a/cmd/milletsail/lab.go
+++ b/cmd/milletsail/lab.go
@@ -176,7 +176,7 @@
 	var rolled lab.Rolled
 	if p.roll != "" {
 		plan := rollout.DefaultPlan()
-		plan.Bake, plan.LongestBake, plan.Gate.Every = rollout.Duration(p.bake), rollout.Duration(20*p.bake), rollout.Duration(250*time.Millisecond)
+		plan.BakeTime, plan.MaxBakeTime, plan.Gate.Interval = rollout.Duration(p.bake), rollout.Duration(20*p.bake), rollout.Duration(250*time.Millisecond)
 		o.Beside = lab.Roll(p.roll, plan, 2*time.Second, p.back, &rolled)
 	}
 	result, err := lab.Play(c.Context(), s, o)
--- a/cmd/milletsail/rollout.go
+++ b/cmd/milletsail/rollout.go
@@ -82,7 +82,7 @@
 		cmd := &cobra.Command{Use: o.what, Short: o.short, Args: cobra.NoArgs,
 			Long: o.short + ".\nThe controller at work takes the order; where there is none, this command takes over.",
 			RunE: func(c *cobra.Command, _ []string) error {
-				order := rollout.Order{What: o.what}
+				order := rollout.Order{Action: o.what}
 				if changed != "" {
 					plan, err := rollout.ReadPlan(changed)
 					if err != nil {
@@ -91,8 +91,8 @@
 					order.Plan = plan
 				}
 				r, err := rollout.Open(state, false)
-				if errors.Is(err, rollout.ErrHeld) {
-					if err = rollout.GiveOrder(state, order); err == nil {
+				if errors.Is(err, rollout.ErrLeaseHeld) {
+					if err = rollout.SubmitOrder(state, order); err == nil {
 						fmt.Fprintln(c.OutOrStdout(), "left for the controller at work")
 					}
 					return err
@@ -100,7 +100,7 @@
 				if err != nil {
 					return err
 				}
-				if err := r.Obey(order); err != nil {
+				if err := r.HandleOrder(order); err != nil {
 					return errors.Join(err, r.Close())
 				}
 				return work(c, r)
@@ -117,13 +117,13 @@
 func showRollout(to io.Writer, s rollout.State) {
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
 	why := ""
-	if s.Why != "" {
-		why = ": " + s.Why
+	if s.Reason != "" {
+		why = ": " + s.Reason
 	}
 	fmt.Fprintf(w, "%s%s\n", s.Phase, why)
-	fmt.Fprintf(w, "version\t%.12s\n", s.New)
+	fmt.Fprintf(w, "version\t%.12s\n", s.NewVersion)
 	fmt.Fprintf(w, "stage\t%d of %d\n", min(s.Stage+1, len(s.Plan.Stages)), len(s.Plan.Stages))
-	fmt.Fprintf(w, "relays\t%d of %d changed, %d in change\n", len(s.Changed), len(s.Plan.Agents), len(s.Changing))
+	fmt.Fprintf(w, "relays\t%d of %d changed, %d in change\n", len(s.Updated), len(s.Plan.Agents), len(s.Updating))
 	for relay, what := range s.Failed {
 		fmt.Fprintf(w, "relay %d\t%s\n", relay, what)
 	}
@@ -140,16 +140,16 @@
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			program, err := rollout.Serving(config.Folder, config.Program)
+			program, err := rollout.CurrentProgram(config.Dir, config.Program)
 			if err != nil {
 				return err
 			}
-			p, err := rollout.NewProcesses(ctx, *config, program)
+			p, err := rollout.NewProcessRunner(ctx, *config, program)
 			if err != nil {
 				return fmt.Errorf("relay %d: %w", config.Relay, err)
 			}
 			defer p.Stop()
-			s, err := rollout.NewServer(config.Relay, config.Folder, config.Program, p)
+			s, err := rollout.NewServer(config.Relay, config.Dir, config.Program, p)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/relays/versions.go
+++ b/internal/lab/relays/versions.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// Change brings a program into service beside the one that serves, by the handover; where the new one does not take
+// Update brings a program into service beside the one that serves, by the handover; where the new one does not take
 // clients, the old one goes on, or is started again.
-func (v *Versioned) Change(ctx context.Context, program string) error {
+func (v *Versioned) Update(ctx context.Context, program string) error {
 	r := v.r
 	r.mu.Lock()
 	was, old := r.program, r.now
--- a/internal/lab/rolling.go
+++ b/internal/lab/rolling.go
@@ -14,14 +14,14 @@
 // runner runs a relay of the lab for its agent.
 type runner struct{ *relays.Versioned }
 
-// Figures gives what the admin endpoint and the system's accounts say.
-func (r runner) Figures() (rollout.Figures, error) {
+// Metrics gives what the admin endpoint and the system's accounts say.
+func (r runner) Metrics() (rollout.Metrics, error) {
 	text, memory, crashes, err := r.Counters()
 	if err != nil {
-		return rollout.Figures{}, err
+		return rollout.Metrics{}, err
 	}
 	f, err := rollout.ParseCounters(text)
-	f.MemoryMB, f.Crashes, f.Left = memory, crashes, rollout.ParseZones(r.ZoneStatus())
+	f.MemoryMB, f.Crashes, f.EvacuatedZones = memory, crashes, rollout.ParseZones(r.ZoneStatus())
 	return f, err
 }
 
@@ -80,12 +80,12 @@
 		}
 		defer c.Close()
 		err = c.Run(ctx)
-		to.State, to.Took, to.Most = c.State(), time.Since(begun), len(c.State().Changed)
+		to.State, to.Took, to.Most = c.State(), time.Since(begun), len(c.State().Updated)
 		if err != nil || !back || ctx.Err() != nil {
 			return ignoreEnd(ctx, err)
 		}
 		begun = time.Now()
-		if err = c.Obey(rollout.Order{What: rollout.OrderRollback}); err == nil {
+		if err = c.HandleOrder(rollout.Order{Action: rollout.OrderRollback}); err == nil {
 			err = c.Run(ctx)
 		}
 		to.State, to.Back = c.State(), time.Since(begun)
--- a/internal/lab/rolling_test.go
+++ b/internal/lab/rolling_test.go
@@ -26,8 +26,8 @@
 
 // Stages is a plan for a play: one relay, a third, all.
 func stages() rollout.Plan {
-	return rollout.Plan{Bake: rollout.Duration(2 * time.Second), LongestBake: rollout.Duration(20 * time.Second), MostInChange: 3, ByZone: true, OnDeath: "resume",
-		Gate:   rollout.Gate{FalseStop: 0.01, Missed: 0.05, WorseBy: 0.15, LongerBy: 2, MemoryFactor: 2.5, Every: rollout.Duration(250 * time.Millisecond)},
+	return rollout.Plan{BakeTime: rollout.Duration(2 * time.Second), MaxBakeTime: rollout.Duration(20 * time.Second), MaxParallel: 3, ByZone: true, OnControllerFailure: "resume",
+		Gate:   rollout.Gate{FalsePositiveRate: 0.01, FalseNegativeRate: 0.05, ErrorRateIncrease: 0.15, LatencyFactor: 2, MemoryFactor: 2.5, Interval: rollout.Duration(250 * time.Millisecond)},
 		Stages: []rollout.Stage{{Relays: 1}, {Relays: 3}, {Share: 1}}}
 }
 
@@ -57,13 +57,13 @@
 			}
 			s := r.State
 			if fault == "equal" {
-				if s.Phase != rollout.Done || len(s.Changed) != 9 {
-					t.Errorf("%s: %s, %d relays changed, in stage %d", s.Phase, s.Why, len(s.Changed), s.Stage+1)
+				if s.Phase != rollout.Done || len(s.Updated) != 9 {
+					t.Errorf("%s: %s, %d relays changed, in stage %d", s.Phase, s.Reason, len(s.Updated), s.Stage+1)
 				}
 				return
 			}
-			if s.Phase != rollout.RolledBack || r.Most > 1 || len(s.Changed) > 0 {
-				t.Errorf("%s: %s, %d relays had it, %d still have", s.Phase, s.Why, r.Most, len(s.Changed))
+			if s.Phase != rollout.RolledBack || r.Most > 1 || len(s.Updated) > 0 {
+				t.Errorf("%s: %s, %d relays had it, %d still have", s.Phase, s.Reason, r.Most, len(s.Updated))
 			}
 		})
 	}
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -25,8 +25,8 @@
 // has been given back what ran before, as far as that can be had. A Runner's methods are called one at a time, but
 // Figures at any time.
 type Runner interface {
-	Change(ctx context.Context, program string) error
-	Figures() (Figures, error)
+	Update(ctx context.Context, program string) error
+	Metrics() (Metrics, error)
 }
 
 // Server is the agent of one relay: it keeps versions' programs by their checksums, and obeys the latest controller.
@@ -36,50 +36,50 @@
 	runner  Runner
 	formats func(context.Context, string) (compat.FormatVersions, error) // compat.Ask, except in tests
 
-	mu       sync.Mutex
-	state    agentState
-	changing bool
-	lastErr  string
-	work     sync.WaitGroup
-	ctx      context.Context
-	stop     context.CancelFunc
-	listener net.Listener
+	mu        sync.Mutex
+	state     agentState
+	updating  bool
+	lastError string
+	work      sync.WaitGroup
+	ctx       context.Context
+	stop      context.CancelFunc
+	listener  net.Listener
 }
 
 // agentState is what outlasts an agent's process.
 type agentState struct {
-	Fence   uint64 `json:"fence"`
-	Version string `json:"version"` // that runs, by its checksum
-	Going   string `json:"going"`   // that a change was under way to
+	FencingToken uint64 `json:"fence"`
+	Version      string `json:"version"` // that runs, by its checksum
+	UpdatingTo   string `json:"going"`   // that a change was under way to
 }
 
 const (
 	agentStateName = "agent.json"
 	versionsName   = "versions"
-	// agentTime bounds one request; maxRequest its length.
-	agentTime  = 5 * time.Second
-	maxRequest = 1 << 16
+	// requestTimeout bounds one request; maxRequest its length.
+	requestTimeout = 5 * time.Second
+	maxRequestSize = 1 << 16
 )
 
 // request is one line to an agent, reply its answer.
 type request struct {
-	Op    string `json:"op"` // "status", "keep", "forms" or "change"
-	Fence uint64 `json:"fence"`
-	Sum   string `json:"sum,omitempty"`
-	Path  string `json:"path,omitempty"`
+	Operation    string `json:"op"` // "status", "keep", "forms" or "change"
+	FencingToken uint64 `json:"fence"`
+	Checksum     string `json:"sum,omitempty"`
+	Path         string `json:"path,omitempty"`
 }
 
 type reply struct {
-	Error   string   `json:"error,omitempty"`
-	Relay   int      `json:"relay"`
-	Version string   `json:"version"`
-	Settled bool     `json:"settled"`
-	Last    string   `json:"last,omitempty"` // what went wrong in the last change
-	Figures *Figures `json:"figures,omitempty"`
+	Error     string   `json:"error,omitempty"`
+	Relay     int      `json:"relay"`
+	Version   string   `json:"version"`
+	Settled   bool     `json:"settled"`
+	LastError string   `json:"last,omitempty"` // what went wrong in the last change
+	Metrics   *Metrics `json:"figures,omitempty"`
 	// Of "forms": of the version that runs, and of the one that was asked for; Unsaid is why one could not be had.
-	Now    *compat.FormatVersions `json:"now,omitempty"`
-	Next   *compat.FormatVersions `json:"next,omitempty"`
-	Unsaid string                 `json:"unsaid,omitempty"`
+	CurrentFormats *compat.FormatVersions `json:"now,omitempty"`
+	NextFormats    *compat.FormatVersions `json:"next,omitempty"`
+	FormatsError   string                 `json:"unsaid,omitempty"`
 }
 
 // NewServer gives the agent of a relay whose folder for programs and state is dir. version is the program that runs,
@@ -93,7 +93,7 @@
 	if err == nil {
 		err = json.Unmarshal(text, &s.state)
 	} else if errors.Is(err, fs.ErrNotExist) {
-		sum, kept := s.keep(version, "")
+		sum, kept := s.storeProgram(version, "")
 		if kept != nil {
 			return nil, kept
 		}
@@ -104,8 +104,8 @@
 		return nil, fmt.Errorf("agent of relay %d: %w", relay, err)
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
-	if s.state.Going != "" { // the agent ended within a change: it is made again
-		s.begin(s.state.Going)
+	if s.state.UpdatingTo != "" { // the agent ended within a change: it is made again
+		s.startUpdate(s.state.UpdatingTo)
 	}
 	return s, nil
 }
@@ -125,7 +125,7 @@
 			if err != nil {
 				return
 			}
-			s.work.Go(func() { s.answer(c) })
+			s.work.Go(func() { s.serveConn(c) })
 		}
 	})
 	return s.listener.Addr().String(), nil
@@ -140,10 +140,10 @@
 	s.work.Wait()
 }
 
-func (s *Server) answer(c net.Conn) {
+func (s *Server) serveConn(c net.Conn) {
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(agentTime))
-	line, err := bufio.NewReader(io.LimitReader(c, maxRequest)).ReadBytes('\n')
+	_ = c.SetDeadline(time.Now().Add(requestTimeout))
+	line, err := bufio.NewReader(io.LimitReader(c, maxRequestSize)).ReadBytes('\n')
 	var q request
 	if err == nil {
 		err = json.Unmarshal(line, &q)
@@ -159,84 +159,84 @@
 	_, _ = c.Write(append(text, '\n'))
 }
 
-// ErrFenced says that an agent has heard of a later controller.
-var ErrFenced = errors.New("fenced: a later controller is known")
+// ErrStaleToken says that an agent has heard of a later controller.
+var ErrStaleToken = errors.New("fenced: a later controller is known")
 
 // handle does what a request asks for. All of it may be asked for again.
 func (s *Server) handle(q request, r *reply) error {
-	if q.Op == "status" {
-		if f, err := s.runner.Figures(); err == nil {
-			r.Figures = &f
+	if q.Operation == "status" {
+		if f, err := s.runner.Metrics(); err == nil {
+			r.Metrics = &f
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer func() { r.Version, r.Settled, r.Last = s.state.Version, !s.changing, s.lastErr }()
-	if q.Fence < s.state.Fence {
-		return ErrFenced
+	defer func() { r.Version, r.Settled, r.LastError = s.state.Version, !s.updating, s.lastError }()
+	if q.FencingToken < s.state.FencingToken {
+		return ErrStaleToken
 	}
-	if q.Fence > s.state.Fence {
-		s.state.Fence = q.Fence
+	if q.FencingToken > s.state.FencingToken {
+		s.state.FencingToken = q.FencingToken
 		if err := s.save(); err != nil {
 			return err
 		}
 	}
-	switch q.Op {
+	switch q.Operation {
 	case "status":
 		return nil
 	case "keep":
-		_, err := s.keep(q.Path, q.Sum)
+		_, err := s.storeProgram(q.Path, q.Checksum)
 		return err
 	case "forms":
 		for _, of := range []struct {
 			sum string
 			to  **compat.FormatVersions
-		}{{s.state.Version, &r.Now}, {q.Sum, &r.Next}} {
+		}{{s.state.Version, &r.CurrentFormats}, {q.Checksum, &r.NextFormats}} {
 			f, err := s.formats(s.ctx, s.program(of.sum))
 			if err != nil {
-				r.Unsaid = fmt.Sprintf("version %.12s: %v", of.sum, err)
+				r.FormatsError = fmt.Sprintf("version %.12s: %v", of.sum, err)
 				return nil
 			}
 			*of.to = &f
 		}
 		return nil
 	case "change":
-		if s.changing || s.state.Version == q.Sum && s.lastErr == "" {
+		if s.updating || s.state.Version == q.Checksum && s.lastError == "" {
 			return nil // under way, or done
 		}
-		if _, err := os.Stat(s.program(q.Sum)); err != nil {
-			return fmt.Errorf("version %.12s is not kept here", q.Sum)
+		if _, err := os.Stat(s.program(q.Checksum)); err != nil {
+			return fmt.Errorf("version %.12s is not kept here", q.Checksum)
 		}
-		s.state.Going = q.Sum
+		s.state.UpdatingTo = q.Checksum
 		if err := s.save(); err != nil {
-			s.state.Going = ""
+			s.state.UpdatingTo = ""
 			return err
 		}
-		s.begin(q.Sum)
+		s.startUpdate(q.Checksum)
 		return nil
 	}
-	return fmt.Errorf("%q is asked for by no controller", q.Op)
+	return fmt.Errorf("%q is asked for by no controller", q.Operation)
 }
 
-// begin makes a change beside the requests; the caller holds mu, or is alone.
-func (s *Server) begin(to string) {
-	s.changing, s.lastErr = true, ""
+// startUpdate makes a change beside the requests; the caller holds mu, or is alone.
+func (s *Server) startUpdate(to string) {
+	s.updating, s.lastError = true, ""
 	s.work.Go(func() {
-		err := s.runner.Change(s.ctx, s.program(to))
+		err := s.runner.Update(s.ctx, s.program(to))
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.changing = false
+		s.updating = false
 		if s.ctx.Err() != nil {
 			return // this agent's next process goes on
 		}
 		if err == nil {
 			s.state.Version = to
 		} else {
-			s.lastErr = err.Error()
+			s.lastError = err.Error()
 		}
-		s.state.Going = ""
+		s.state.UpdatingTo = ""
 		if err := s.save(); err != nil {
-			s.lastErr = err.Error()
+			s.lastError = err.Error()
 		}
 	})
 }
@@ -245,8 +245,8 @@
 	return filepath.Join(s.dir, versionsName, filepath.Base(sum))
 }
 
-// keep takes a program in by its checksum, whole or not at all.
-func (s *Server) keep(path, want string) (string, error) {
+// storeProgram takes a program in by its checksum, whole or not at all.
+func (s *Server) storeProgram(path, want string) (string, error) {
 	sum, err := Checksum(path)
 	if err != nil {
 		return "", err
@@ -285,7 +285,7 @@
 
 // call puts one request to an agent.
 func call(ctx context.Context, address string, q request) (r reply, err error) {
-	ctx, cancel := context.WithTimeout(ctx, agentTime)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var dial net.Dialer
 	c, err := dial.DialContext(ctx, "tcp", address)
@@ -304,21 +304,21 @@
 	if _, err := c.Write(append(text, '\n')); err != nil {
 		return r, err
 	}
-	if err := json.NewDecoder(io.LimitReader(c, maxRequest)).Decode(&r); err != nil {
+	if err := json.NewDecoder(io.LimitReader(c, maxRequestSize)).Decode(&r); err != nil {
 		return r, err
 	}
 	switch r.Error {
 	case "":
 		return r, nil
-	case ErrFenced.Error():
-		return r, ErrFenced
+	case ErrStaleToken.Error():
+		return r, ErrStaleToken
 	}
 	return r, errors.New(r.Error)
 }
 
 // ParseCounters reads a relay's admin endpoint's reply to "counters".
-func ParseCounters(text string) (f Figures, err error) {
-	f.Ends = map[string][3]int64{}
+func ParseCounters(text string) (f Metrics, err error) {
+	f.Outcomes = map[string][3]int64{}
 	results := map[string]int{"completed": 0, "rejected": 1, "failed": 2}
 	for line := range strings.Lines(text) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), " ")
@@ -328,15 +328,15 @@
 			if _, err := fmt.Sscanf(rest, "%q,result=%q}", &class, &result); err != nil {
 				return f, fmt.Errorf("%q: %w", line, err)
 			}
-			ends := f.Ends[class]
+			ends := f.Outcomes[class]
 			ends[results[result]] = n
-			f.Ends[class] = ends
+			f.Outcomes[class] = ends
 		}
 		if name == "relay_pending" && err == nil {
 			f.Pending = n
 		}
 	}
-	if len(f.Ends) == 0 {
+	if len(f.Outcomes) == 0 {
 		return f, fmt.Errorf("no counters in %q", text)
 	}
 	return f, nil
@@ -359,8 +359,8 @@
 	return left
 }
 
-// Serving is the program that the relay of an agent's folder runs: the one given, until a rollout has changed it.
-func Serving(dir, first string) (string, error) {
+// CurrentProgram is the program that the relay of an agent's folder runs: the one given, until a rollout has changed it.
+func CurrentProgram(dir, first string) (string, error) {
 	text, err := os.ReadFile(filepath.Join(dir, agentStateName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return first, nil
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -12,18 +12,18 @@
 	"milletsail/internal/compat"
 )
 
-// settling is how long a relay that was changed is not compared: it works off what the old process left.
-const settling = 2 * time.Second
+// settlingTime is how long a relay that was changed is not compared: it works off what the old process left.
+const settlingTime = 2 * time.Second
 
 // Controller carries a rollout out. One goroutine runs it.
 type Controller struct {
-	store   *Store
-	state   State
-	compare *Comparison
-	stage   int          // that compare is of
-	kept    map[int]bool // agents that keep the new program
-	looked  time.Time
-	since   map[int]time.Time // when a relay was first seen with its version
+	store         *Store
+	state         State
+	analysis      *CanaryAnalysis
+	analysisStage int          // that compare is of
+	uploaded      map[int]bool // agents that keep the new program
+	sampledAt     time.Time
+	versionSince  map[int]time.Time // when a relay was first seen with its version
 }
 
 // Start begins a rollout in an empty folder, or one whose last rollout has ended. Nothing is changed yet: Run does that.
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := takeOver(dir, false)
+	c, err := acquire(dir, false)
 	if err != nil {
 		return nil, err
 	}
@@ -41,7 +41,7 @@
 	}
 	old := map[int]string{}
 	for _, a := range plan.Agents {
-		r, err := call(ctx, a.Address, request{Op: "status", Fence: c.store.Fence()})
+		r, err := call(ctx, a.Address, request{Operation: "status", FencingToken: c.store.FencingToken()})
 		switch {
 		case err != nil:
 			err = fmt.Errorf("agent of relay %d at %s: %w", a.Relay, a.Address, err)
@@ -55,46 +55,46 @@
 		}
 		old[a.Relay] = r.Version
 	}
-	if err := c.fits(ctx, plan, sum, old); err != nil {
+	if err := c.checkCompatibility(ctx, plan, sum, old); err != nil {
 		return nil, errors.Join(err, c.store.Close())
 	}
-	return c, c.write(Record{At: time.Now(), Kind: began, Plan: plan, To: sum, Old: old})
+	return c, c.record(Record{At: time.Now(), Kind: recordStarted, Plan: plan, Version: sum, OldVersions: old})
 }
 
-// fits tells why the new program can't take the place of what runs, by relay: one agent for each version that runs keeps
+// checkCompatibility tells why the new program can't take the place of what runs, by relay: one agent for each version that runs keeps
 // it and asks both, since what a program says follows from its checksum. One from which there is no way back, or of which
 // that is not known, is refused unless the plan says that it goes one way.
-func (c *Controller) fits(ctx context.Context, plan *Plan, sum string, old map[int]string) error {
+func (c *Controller) checkCompatibility(ctx context.Context, plan *Plan, sum string, old map[int]string) error {
 	var mu sync.Mutex
 	var all error
 	asked := map[string]bool{}
-	eachOf(slices.DeleteFunc(slices.Clone(plan.Agents), func(a Agent) bool {
+	forEachAgent(slices.DeleteFunc(slices.Clone(plan.Agents), func(a Agent) bool {
 		before := asked[old[a.Relay]]
 		asked[old[a.Relay]] = true
 		return before
 	}), func(a Agent) {
-		_, err := call(ctx, a.Address, request{Op: "keep", Fence: c.store.Fence(), Sum: sum, Path: plan.Version})
+		_, err := call(ctx, a.Address, request{Operation: "keep", FencingToken: c.store.FencingToken(), Checksum: sum, Path: plan.Version})
 		var r reply
 		if err == nil {
-			r, err = call(ctx, a.Address, request{Op: "forms", Fence: c.store.Fence(), Sum: sum})
+			r, err = call(ctx, a.Address, request{Operation: "forms", FencingToken: c.store.FencingToken(), Checksum: sum})
 		}
 		switch {
 		case err != nil:
-		case r.Now == nil || r.Next == nil:
-			if err = fmt.Errorf("%w, as far as is known: %s", compat.ErrNoRollback, r.Unsaid); plan.OneWay {
+		case r.CurrentFormats == nil || r.NextFormats == nil:
+			if err = fmt.Errorf("%w, as far as is known: %s", compat.ErrNoRollback, r.FormatsError); plan.AllowNoRollback {
 				err = nil
 			}
 		default:
-			if err = compat.CheckUpgrade(*r.Now, *r.Next); plan.OneWay && errors.Is(err, compat.ErrNoRollback) {
+			if err = compat.CheckUpgrade(*r.CurrentFormats, *r.NextFormats); plan.AllowNoRollback && errors.Is(err, compat.ErrNoRollback) {
 				err = nil
 			}
-			if err == nil && !compat.GossipCompatible(*r.Now, *r.Next) {
+			if err == nil && !compat.GossipCompatible(*r.CurrentFormats, *r.NextFormats) {
 				slog.Warn("rollout: relays of the two versions do not read each other's notes", "relay", a.Relay)
 			}
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		c.kept[a.Relay] = err == nil
+		c.uploaded[a.Relay] = err == nil
 		if err != nil && all == nil { // one says enough
 			all = fmt.Errorf("relay %d: %w", a.Relay, err)
 		}
@@ -105,18 +105,18 @@
 // Open takes over the rollout of a folder; force does so though another controller seems to be at work. One that was
 // under way goes on or is rolled back, as its plan says.
 func Open(dir string, force bool) (*Controller, error) {
-	c, err := takeOver(dir, force)
+	c, err := acquire(dir, force)
 	if err != nil {
 		return nil, err
 	}
 	if c.state.Plan == nil {
 		return nil, errors.Join(fmt.Errorf("there is no rollout in %s", dir), c.store.Close())
 	}
-	if c.state.Phase == Running && c.state.Plan.OnDeath == "rollback" {
-		return c, c.write(Record{At: time.Now(), Kind: rollback, Why: "the controller had ended, and the plan says so"})
+	if c.state.Phase == Running && c.state.Plan.OnControllerFailure == "rollback" {
+		return c, c.record(Record{At: time.Now(), Kind: recordRollback, Reason: "the controller had ended, and the plan says so"})
 	}
-	if c.state.Phase == Running && !c.state.BakeFrom.IsZero() {
-		return c, c.write(Record{At: time.Now(), Kind: baking}) // what nobody has looked at is no bake
+	if c.state.Phase == Running && !c.state.BakingSince.IsZero() {
+		return c, c.record(Record{At: time.Now(), Kind: recordBaking}) // what nobody has looked at is no bake
 	}
 	return c, nil
 }
@@ -130,13 +130,13 @@
 	return s, err
 }
 
-// takeOver takes a folder's records over and reads them.
-func takeOver(dir string, force bool) (*Controller, error) {
+// acquire takes a folder's records over and reads them.
+func acquire(dir string, force bool) (*Controller, error) {
 	store, err := OpenStore(dir, time.Now(), force)
 	if err != nil {
 		return nil, err
 	}
-	c := &Controller{store: store, kept: map[int]bool{}, since: map[int]time.Time{}}
+	c := &Controller{store: store, uploaded: map[int]bool{}, versionSince: map[int]time.Time{}}
 	for _, r := range store.Records() {
 		c.state.Apply(r)
 	}
@@ -149,25 +149,25 @@
 // Close gives the folder up; the relays stay as they are.
 func (c *Controller) Close() error { return c.store.Close() }
 
-func (c *Controller) write(r Record) error {
+func (c *Controller) record(r Record) error {
 	if err := c.store.Append(r); err != nil {
 		return err
 	}
 	c.state.Apply(r)
-	slog.Info("rollout", "step", r.Kind, "relay", r.Relay, "why", r.Why)
+	slog.Info("rollout", "step", r.Kind, "relay", r.Relay, "why", r.Reason)
 	return nil
 }
 
 // Run carries the rollout on until it is done, stopped, paused, rolled back, or ctx ends; done says whether there is
 // nothing more to do but by an order.
 func (c *Controller) Run(ctx context.Context) error {
-	timer := time.NewTicker(max(20*time.Millisecond, min(200*time.Millisecond, c.state.Plan.Gate.Every.AsDuration()/4)))
+	timer := time.NewTicker(max(20*time.Millisecond, min(200*time.Millisecond, c.state.Plan.Gate.Interval.AsDuration()/4)))
 	defer timer.Stop()
 	for {
 		if err := c.step(ctx); err != nil {
 			return err
 		}
-		if p := c.state.Phase; p == Done || p == RolledBack || (p == Stopped || p == Paused) && len(c.state.Changing) == 0 {
+		if p := c.state.Phase; p == Done || p == RolledBack || (p == Stopped || p == Paused) && len(c.state.Updating) == 0 {
 			return nil
 		}
 		select {
@@ -180,169 +180,169 @@
 
 // step looks at all agents and takes the next steps.
 func (c *Controller) step(ctx context.Context) error {
-	if err := c.order(); err != nil {
+	if err := c.pollOrder(); err != nil {
 		return err
 	}
-	seen, err := c.look(ctx)
+	seen, err := c.pollAgents(ctx)
 	if err != nil {
 		return err
 	}
-	verdict := Verdict{}
-	if c.compare != nil {
-		verdict = c.compare.Verdict()
+	verdict := Evaluation{}
+	if c.analysis != nil {
+		verdict = c.analysis.Evaluate()
 	}
 	for _, r := range c.state.Next(time.Now(), seen, verdict) {
-		if err := c.write(r); err != nil {
+		if err := c.record(r); err != nil {
 			return err
 		}
-		if r.Kind == baking || r.Kind == nextStage {
-			c.compare = nil
+		if r.Kind == recordBaking || r.Kind == recordPromoted {
+			c.analysis = nil
 		}
 	}
-	return c.carryOut(ctx)
+	return c.sendUpdates(ctx)
 }
 
-// order takes in what operators ask for.
-func (c *Controller) order() error {
-	o, err := takeOrder(c.store.dir)
+// pollOrder takes in what operators ask for.
+func (c *Controller) pollOrder() error {
+	o, err := receiveOrder(c.store.dir)
 	if err != nil {
 		slog.Error("rollout: order", "err", err)
 	}
 	if o == nil {
 		return nil
 	}
-	return c.Obey(*o)
+	return c.HandleOrder(*o)
 }
 
-// Obey takes in an order of operators. One that makes no sense where the rollout stands is refused with the reason.
-func (c *Controller) Obey(o Order) error {
+// HandleOrder takes in an order of operators. One that makes no sense where the rollout stands is refused with the reason.
+func (c *Controller) HandleOrder(o Order) error {
 	p, at := c.state.Phase, time.Now()
 	switch {
-	case o.What == OrderPause && p == Running:
-		return c.write(Record{At: at, Kind: pause, Why: "ordered"})
-	case o.What == OrderResume && p == Paused:
+	case o.Action == OrderPause && p == Running:
+		return c.record(Record{At: at, Kind: recordPaused, Reason: "ordered"})
+	case o.Action == OrderResume && p == Paused:
 		if o.Plan != nil {
-			if err := c.state.mayBecome(o.Plan); err != nil {
+			if err := c.state.checkPlanChange(o.Plan); err != nil {
 				slog.Error("rollout: order", "err", err)
 				return nil
 			}
 		}
-		return c.write(Record{At: at, Kind: resume, Plan: o.Plan})
-	case o.What == OrderAbort && (p == Running || p == Paused || p == RollingBack):
-		return c.write(Record{At: at, Kind: stop, Why: "ordered"})
-	case o.What == OrderRollback && p != RollingBack && p != RolledBack:
-		if c.state.Plan.OneWay {
+		return c.record(Record{At: at, Kind: recordResumed, Plan: o.Plan})
+	case o.Action == OrderAbort && (p == Running || p == Paused || p == RollingBack):
+		return c.record(Record{At: at, Kind: recordStopped, Reason: "ordered"})
+	case o.Action == OrderRollback && p != RollingBack && p != RolledBack:
+		if c.state.Plan.AllowNoRollback {
 			slog.Error("rollout: order", "err", "the plan says that there is no way back from this version")
 			return nil
 		}
-		return c.write(Record{At: at, Kind: rollback, Why: "ordered"})
+		return c.record(Record{At: at, Kind: recordRollback, Reason: "ordered"})
 	}
-	slog.Error("rollout: order", "order", o.What, "err", "it makes no sense now", "phase", p)
+	slog.Error("rollout: order", "order", o.Action, "err", "it makes no sense now", "phase", p)
 	return nil
 }
 
-// mayBecome tells why a rollout can't go on by another plan: what was done by the old one has to be a part of it.
-func (s *State) mayBecome(p *Plan) error {
-	if err := p.check(); err != nil {
+// checkPlanChange tells why a rollout can't go on by another plan: what was done by the old one has to be a part of it.
+func (s *State) checkPlanChange(p *Plan) error {
+	if err := p.validate(); err != nil {
 		return err
 	}
 	sum, err := Checksum(p.Version)
 	if err != nil {
 		return err
 	}
-	if sum != s.New {
+	if sum != s.NewVersion {
 		return errors.New("version: another program is another rollout")
 	}
 	if len(p.Agents) != len(s.Plan.Agents) {
 		return errors.New("agent: the relays are not the same")
 	}
 	for _, a := range p.Agents {
-		if s.Old[a.Relay] == "" {
+		if s.OldVersions[a.Relay] == "" {
 			return fmt.Errorf("agent: relay %d was not there", a.Relay)
 		}
 	}
-	if s.Stage >= len(p.Stages) || p.upTo(s.Stage) < len(s.Changed) {
-		return fmt.Errorf("stage: %d relays are changed already, in stage %d", len(s.Changed), s.Stage+1)
+	if s.Stage >= len(p.Stages) || p.relaysAfter(s.Stage) < len(s.Updated) {
+		return fmt.Errorf("stage: %d relays are changed already, in stage %d", len(s.Updated), s.Stage+1)
 	}
 	return nil
 }
 
-// look asks all agents, and compares where it is time to.
-func (c *Controller) look(ctx context.Context) (map[int]Seen, error) {
+// pollAgents asks all agents, and compares where it is time to.
+func (c *Controller) pollAgents(ctx context.Context) (map[int]AgentStatus, error) {
 	var mu sync.Mutex
-	seen, figures := map[int]Seen{}, map[int]Figures{}
+	seen, figures := map[int]AgentStatus{}, map[int]Metrics{}
 	var fenced bool
 	c.each(func(a Agent) {
-		r, err := call(ctx, a.Address, request{Op: "status", Fence: c.store.Fence()})
+		r, err := call(ctx, a.Address, request{Operation: "status", FencingToken: c.store.FencingToken()})
 		mu.Lock()
 		defer mu.Unlock()
-		if errors.Is(err, ErrFenced) {
+		if errors.Is(err, ErrStaleToken) {
 			fenced = true
 		}
 		if err != nil || r.Relay != a.Relay {
 			return
 		}
-		at := Seen{Known: true, Version: r.Version, Settled: r.Settled, Error: r.Last}
-		if r.Figures != nil {
-			at.Left = r.Figures.Left
+		at := AgentStatus{Reachable: true, Version: r.Version, Settled: r.Settled, Error: r.LastError}
+		if r.Metrics != nil {
+			at.EvacuatedZones = r.Metrics.EvacuatedZones
 		}
 		seen[a.Relay] = at
-		if c.since[a.Relay].IsZero() || !r.Settled {
-			c.since[a.Relay] = time.Now()
+		if c.versionSince[a.Relay].IsZero() || !r.Settled {
+			c.versionSince[a.Relay] = time.Now()
 		}
-		if r.Figures != nil && r.Settled && time.Since(c.since[a.Relay]) >= settling {
-			figures[a.Relay] = *r.Figures
+		if r.Metrics != nil && r.Settled && time.Since(c.versionSince[a.Relay]) >= settlingTime {
+			figures[a.Relay] = *r.Metrics
 		}
 	})
 	if fenced {
 		return nil, ErrSuperseded
 	}
 	s := &c.state
-	if s.Phase != Running || time.Since(c.looked) < s.Plan.Gate.Every.AsDuration() || len(s.Changed) == 0 {
+	if s.Phase != Running || time.Since(c.sampledAt) < s.Plan.Gate.Interval.AsDuration() || len(s.Updated) == 0 {
 		return seen, nil
 	}
-	c.looked = time.Now()
-	if c.compare == nil || c.stage != s.Stage {
+	c.sampledAt = time.Now()
+	if c.analysis == nil || c.analysisStage != s.Stage {
 		classes := map[string]bool{}
 		for _, f := range figures {
-			for class := range f.Ends {
+			for class := range f.Outcomes {
 				classes[class] = true
 			}
 		}
-		c.compare, c.stage = NewComparison(s.Plan.Gate, len(s.Plan.Stages), len(classes)), s.Stage
+		c.analysis, c.analysisStage = NewCanaryAnalysis(s.Plan.Gate, len(s.Plan.Stages), len(classes)), s.Stage
 	}
-	c.compare.Look(figures, func(relay int) bool { return slices.Contains(s.Changed, relay) })
+	c.analysis.AddSample(figures, func(relay int) bool { return slices.Contains(s.Updated, relay) })
 	return seen, nil
 }
 
-// carryOut has agents do what is written down. It is asked for again until it is seen to be done.
-func (c *Controller) carryOut(ctx context.Context) error {
+// sendUpdates has agents do what is written down. It is asked for again until it is seen to be done.
+func (c *Controller) sendUpdates(ctx context.Context) error {
 	if c.state.Phase == Stopped {
 		return nil
 	}
 	var mu sync.Mutex
 	var fenced bool
 	c.each(func(a Agent) {
-		to := c.state.Changing[a.Relay]
+		to := c.state.Updating[a.Relay]
 		if to == "" {
 			return
 		}
 		mu.Lock()
-		kept := c.kept[a.Relay] || to != c.state.New
+		kept := c.uploaded[a.Relay] || to != c.state.NewVersion
 		mu.Unlock()
 		var err error
 		if !kept {
-			_, err = call(ctx, a.Address, request{Op: "keep", Fence: c.store.Fence(), Sum: to, Path: c.state.Plan.Version})
+			_, err = call(ctx, a.Address, request{Operation: "keep", FencingToken: c.store.FencingToken(), Checksum: to, Path: c.state.Plan.Version})
 		}
 		if err == nil {
-			_, err = call(ctx, a.Address, request{Op: "change", Fence: c.store.Fence(), Sum: to})
+			_, err = call(ctx, a.Address, request{Operation: "change", FencingToken: c.store.FencingToken(), Checksum: to})
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		c.kept[a.Relay] = c.kept[a.Relay] || err == nil && to == c.state.New
+		c.uploaded[a.Relay] = c.uploaded[a.Relay] || err == nil && to == c.state.NewVersion
 		if err != nil {
 			slog.Warn("rollout: agent", "relay", a.Relay, "err", err)
-			fenced = fenced || errors.Is(err, ErrFenced)
+			fenced = fenced || errors.Is(err, ErrStaleToken)
 		}
 	})
 	if fenced {
@@ -351,14 +351,14 @@
 	return nil
 }
 
-// atOnce agents are asked side by side.
-const atOnce = 32
+// maxConcurrentCalls agents are asked side by side.
+const maxConcurrentCalls = 32
 
-func (c *Controller) each(do func(Agent)) { eachOf(c.state.Plan.Agents, do) }
+func (c *Controller) each(do func(Agent)) { forEachAgent(c.state.Plan.Agents, do) }
 
-func eachOf(agents []Agent, do func(Agent)) {
+func forEachAgent(agents []Agent, do func(Agent)) {
 	var work sync.WaitGroup
-	limit := make(chan bool, atOnce)
+	limit := make(chan bool, maxConcurrentCalls)
 	for _, a := range agents {
 		limit <- true
 		work.Go(func() {
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Figures are what an agent says of its relay at a look: sums since the relay's process started.
-type Figures struct {
-	Ends     map[string][3]int64 `json:"ends"` // by class: delivered, refused, failed
-	Pending  int64               `json:"pending"`
-	MemoryMB float64             `json:"memory_mb"`
-	Crashes  int                 `json:"crashes"`        // ends that nobody asked for, since the version was changed
-	Left     []string            `json:"left,omitempty"` // zones that it has left, where it decides by zones
+// Metrics are what an agent says of its relay at a look: sums since the relay's process started.
+type Metrics struct {
+	Outcomes       map[string][3]int64 `json:"ends"` // by class: delivered, refused, failed
+	Pending        int64               `json:"pending"`
+	MemoryMB       float64             `json:"memory_mb"`
+	Crashes        int                 `json:"crashes"`        // ends that nobody asked for, since the version was changed
+	EvacuatedZones []string            `json:"left,omitempty"` // zones that it has left, where it decides by zones
 }
 
 // group is relays of one version, over one step between two looks.
@@ -27,14 +27,14 @@
 // sojourn is what was pending, and what was delivered meanwhile.
 type sojourn struct{ pending, delivered float64 }
 
-// Comparison compares changed relays with unchanged ones, look by look, by differences over the same time, so that what
+// CanaryAnalysis compares changed relays with unchanged ones, look by look, by differences over the same time, so that what
 // strikes all alike cancels out. The test is sequential: it may be looked at as often as wanted, and still stops an equal
 // version with no more than the chance that was stated (mixture sequential probability ratio test: Robbins, "Statistical
 // methods related to the law of the iterated logarithm", 1970; Johari and others, "Always valid inference", 2017).
-type Comparison struct {
+type CanaryAnalysis struct {
 	gate   Gate
 	tests  int // that the chance of a false stop is shared out to
-	last   map[int]Figures
+	last   map[int]Metrics
 	series map[string]*series
 	block  [2]group   // looks that are not compared yet: unchanged and changed
 	times  [2]sojourn // the same for what is pending
@@ -67,13 +67,13 @@
 // mostCrashes of changed relays are ordinary; one more is a version that does not live.
 const mostCrashes = 1
 
-// NewComparison begins a comparison for one stage of some, over some classes.
-func NewComparison(g Gate, stages, classes int) *Comparison {
-	return &Comparison{gate: g, tests: max(1, stages) * (2*max(1, classes) + 1), last: map[int]Figures{}, series: map[string]*series{}}
+// NewCanaryAnalysis begins a comparison for one stage of some, over some classes.
+func NewCanaryAnalysis(g Gate, stages, classes int) *CanaryAnalysis {
+	return &CanaryAnalysis{gate: g, tests: max(1, stages) * (2*max(1, classes) + 1), last: map[int]Metrics{}, series: map[string]*series{}}
 }
 
-// Look takes in what all relays say at one look: changed tells which have the new version.
-func (c *Comparison) Look(seen map[int]Figures, isChanged func(relay int) bool) {
+// AddSample takes in what all relays say at one look: changed tells which have the new version.
+func (c *CanaryAnalysis) AddSample(seen map[int]Metrics, isChanged func(relay int) bool) {
 	groups := &c.block
 	for i := range groups {
 		if groups[i].ends == nil {
@@ -93,11 +93,11 @@
 		if !had {
 			continue
 		}
-		for class, now := range f.Ends {
+		for class, now := range f.Outcomes {
 			sum := g.ends[class]
-			g.delivered += float64(max(0, now[0]-before.Ends[class][0]))
+			g.delivered += float64(max(0, now[0]-before.Outcomes[class][0]))
 			for k := range now {
-				sum[k] += float64(max(0, now[k]-before.Ends[class][k])) // a restart begins at 0 again
+				sum[k] += float64(max(0, now[k]-before.Outcomes[class][k])) // a restart begins at 0 again
 			}
 			g.ends[class] = sum
 		}
@@ -129,7 +129,7 @@
 		}
 		for k, what := range map[int]string{1: "refused", 2: "failed"} {
 			p := (a[k] + b[k]) / (na + nb)
-			c.add(class+" "+what, a[k]/na-b[k]/nb, p*(1-p)*(1/na+1/nb), c.gate.WorseBy)
+			c.add(class+" "+what, a[k]/na-b[k]/nb, p*(1-p)*(1/na+1/nb), c.gate.ErrorRateIncrease)
 		}
 	}
 	c.block = [2]group{}
@@ -137,7 +137,7 @@
 
 // sojourns compares how long messages take. By Little's law that is what is pending over what is delivered, so the
 // difference of the logarithms is that of the times.
-func (c *Comparison) sojourns(old, new *group) {
+func (c *CanaryAnalysis) sojourns(old, new *group) {
 	for i, g := range []*group{old, new} {
 		c.times[i].pending += g.pending
 		c.times[i].delivered += g.delivered
@@ -147,7 +147,7 @@
 		return
 	}
 	x := math.Log(a.pending/a.delivered) - math.Log(b.pending/b.delivered)
-	c.add(timeFigure, x, 1/a.pending+1/a.delivered+1/b.pending+1/b.delivered, math.Log(c.gate.LongerBy))
+	c.add(timeFigure, x, 1/a.pending+1/a.delivered+1/b.pending+1/b.delivered, math.Log(c.gate.LatencyFactor))
 	c.times = [2]sojourn{}
 }
 
@@ -160,7 +160,7 @@
 }
 
 // add takes in one difference.
-func (c *Comparison) add(name string, x, chance, scale float64) {
+func (c *CanaryAnalysis) add(name string, x, chance, scale float64) {
 	s := c.series[name]
 	if s == nil {
 		s = &series{scale: scale}
@@ -171,7 +171,7 @@
 	s.mean += d / s.n
 	s.m2 += d * (x - s.mean)
 	s.least += (chance - s.least) / s.n
-	if s.n >= leastLooks && s.mean > 0 && s.evidence() >= float64(c.tests)/c.gate.FalseStop {
+	if s.n >= leastLooks && s.mean > 0 && s.evidence() >= float64(c.tests)/c.gate.FalsePositiveRate {
 		c.found(fmt.Sprintf("%s: %+.3f on changed relays, after %.0f looks", name, s.mean, s.n))
 	}
 }
@@ -198,31 +198,31 @@
 	return s.n >= leastLooks && s.mean+z*math.Sqrt(s.variance()/s.n) < s.scale
 }
 
-func (c *Comparison) found(why string) {
+func (c *CanaryAnalysis) found(why string) {
 	if !c.worse {
 		c.worse, c.why = true, why
 	}
 }
 
-// Verdict is what can be said so far.
-func (c *Comparison) Verdict() Verdict {
+// Evaluate is what can be said so far.
+func (c *CanaryAnalysis) Evaluate() Evaluation {
 	if c.worse {
-		return Verdict{Worse: true, Why: c.why}
+		return Evaluation{Regressed: true, Reason: c.why}
 	}
 	if len(c.series) == 0 || c.looks < leastLooks {
-		return Verdict{Why: fmt.Sprintf("too little traffic: %d looks with messages on both sides, %d are needed", c.looks, leastLooks)}
+		return Evaluation{Reason: fmt.Sprintf("too little traffic: %d looks with messages on both sides, %d are needed", c.looks, leastLooks)}
 	}
 	var unclear []string
 	for name, s := range c.series {
 		// Where messages take well under a look's time, few are pending at one: times can stop a version, but what little
 		// can be told of them does not hold a good one up.
-		if name != timeFigure && !s.tells(c.gate.Missed) {
+		if name != timeFigure && !s.tells(c.gate.FalseNegativeRate) {
 			unclear = append(unclear, name)
 		}
 	}
 	if len(unclear) > 0 {
 		slices.Sort(unclear)
-		return Verdict{Why: fmt.Sprintf("too little traffic to tell of: %v", unclear)}
+		return Evaluation{Reason: fmt.Sprintf("too little traffic to tell of: %v", unclear)}
 	}
-	return Verdict{Enough: true}
+	return Evaluation{Conclusive: true}
 }
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -21,19 +21,19 @@
 	overload int // the look from which all fare badly
 }
 
-func (c trial) play(seed uint64) (v Verdict, looks int) {
+func (c trial) play(seed uint64) (v Evaluation, looks int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	g := defaults().Gate
-	cmp := NewComparison(g, 4, 2)
-	sums := map[int]*Figures{}
+	cmp := NewCanaryAnalysis(g, 4, 2)
+	sums := map[int]*Metrics{}
 	weight := make([]float64, 60) // relays are uneven
 	for i := range weight {
 		weight[i] = math.Exp(0.5 * rng.NormFloat64())
-		sums[i] = &Figures{Ends: map[string][3]int64{}, MemoryMB: 10 + rng.Float64()}
+		sums[i] = &Metrics{Outcomes: map[string][3]int64{}, MemoryMB: 10 + rng.Float64()}
 	}
 	for look := range c.looks {
 		clump := math.Exp(0.3 * rng.NormFloat64()) // seconds are uneven, for all alike
-		seen := map[int]Figures{}
+		seen := map[int]Metrics{}
 		for i := range weight {
 			f := sums[i]
 			isChanged := i < c.changed
@@ -46,7 +46,7 @@
 				if c.overload > 0 && look >= c.overload {
 					refused += 0.4
 				}
-				ends := f.Ends[class]
+				ends := f.Outcomes[class]
 				for range n {
 					if rng.Float64() < refused {
 						ends[1]++
@@ -54,7 +54,7 @@
 						ends[0]++
 					}
 				}
-				f.Ends[class] = ends
+				f.Outcomes[class] = ends
 			}
 			took := 0.3
 			if isChanged {
@@ -66,11 +66,11 @@
 			if isChanged && c.memory > 0 {
 				said.MemoryMB *= c.memory
 			}
-			said.Ends = map[string][3]int64{"a": f.Ends["a"], "b": f.Ends["b"]}
+			said.Outcomes = map[string][3]int64{"a": f.Outcomes["a"], "b": f.Outcomes["b"]}
 			seen[i] = said
 		}
-		cmp.Look(seen, func(relay int) bool { return relay < c.changed })
-		if v = cmp.Verdict(); v.Worse {
+		cmp.AddSample(seen, func(relay int) bool { return relay < c.changed })
+		if v = cmp.Evaluate(); v.Regressed {
 			return v, look + 1
 		}
 	}
@@ -115,7 +115,7 @@
 		trials := trialsOf()
 		stopped, looks := 0, 0
 		for seed := range uint64(trials) {
-			if v, n := c.trial.play(seed); v.Worse {
+			if v, n := c.trial.play(seed); v.Regressed {
 				stopped++
 				looks += n
 			}
@@ -130,15 +130,15 @@
 
 // A stage with too little traffic is not found good.
 func TestTooLittle(t *testing.T) {
-	if v, _ := (trial{changed: 3, looks: 30, rate: 5, refused: 0.1}).play(1); v.Worse {
+	if v, _ := (trial{changed: 3, looks: 30, rate: 5, refused: 0.1}).play(1); v.Regressed {
 		t.Errorf("%+v", v)
 	}
 	for _, c := range []trial{{changed: 3, looks: 5, rate: 5}, {changed: 1, looks: 10, rate: 0.2, refused: 0.3}} {
-		if v, _ := c.play(1); v.Enough || v.Worse || v.Why == "" {
+		if v, _ := c.play(1); v.Conclusive || v.Regressed || v.Reason == "" {
 			t.Errorf("%+v: %+v", c, v)
 		}
 	}
-	if v, _ := (trial{changed: 3, looks: 120, rate: 10, refused: 0.1}).play(1); !v.Enough {
+	if v, _ := (trial{changed: 3, looks: 120, rate: 10, refused: 0.1}).play(1); !v.Conclusive {
 		t.Errorf("with traffic: %+v", v)
 	}
 }
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -23,84 +23,84 @@
 
 // State is all that a controller knows of a rollout. It is a function of its records: see Apply.
 type State struct {
-	Plan     *Plan          `json:"plan"`
-	New      string         `json:"new"` // checksum
-	Old      map[int]string `json:"old"` // each relay's before the rollout
-	Phase    Phase          `json:"phase"`
-	Why      string         `json:"why,omitempty"` // of the phase
-	Stage    int            `json:"stage"`
-	BakeFrom time.Time      `json:"bake_from,omitzero"` // when the stage had all its relays; zero before
-	Changing map[int]string `json:"changing"`           // relays in change, and to what
-	Changed  []int          `json:"changed"`            // relays that have the new version, in the order of their change
-	Failed   map[int]string `json:"failed,omitempty"`   // relays whose change failed, and why
+	Plan        *Plan          `json:"plan"`
+	NewVersion  string         `json:"new"` // checksum
+	OldVersions map[int]string `json:"old"` // each relay's before the rollout
+	Phase       Phase          `json:"phase"`
+	Reason      string         `json:"why,omitempty"` // of the phase
+	Stage       int            `json:"stage"`
+	BakingSince time.Time      `json:"bake_from,omitzero"` // when the stage had all its relays; zero before
+	Updating    map[int]string `json:"changing"`           // relays in change, and to what
+	Updated     []int          `json:"changed"`            // relays that have the new version, in the order of their change
+	Failed      map[int]string `json:"failed,omitempty"`   // relays whose change failed, and why
 }
 
 // Record is one step of a rollout. It is on disk before what it says is done.
 type Record struct {
-	At    time.Time      `json:"at"`
-	Kind  string         `json:"kind"`
-	Relay int            `json:"relay,omitempty"`
-	To    string         `json:"to,omitempty"`
-	Why   string         `json:"why,omitempty"`
-	Plan  *Plan          `json:"plan,omitempty"`
-	Old   map[int]string `json:"old,omitempty"`
+	At          time.Time      `json:"at"`
+	Kind        string         `json:"kind"`
+	Relay       int            `json:"relay,omitempty"`
+	Version     string         `json:"to,omitempty"`
+	Reason      string         `json:"why,omitempty"`
+	Plan        *Plan          `json:"plan,omitempty"`
+	OldVersions map[int]string `json:"old,omitempty"`
 }
 
 // The kinds of record.
 const (
-	began     = "began"    // Plan, To: the new version, Old
-	change    = "change"   // Relay, To: it is to be changed
-	changed   = "changed"  // Relay, To: it has been
-	failed    = "failed"   // Relay, Why: it could not be
-	baking    = "baking"   // a stage has all its relays
-	nextStage = "stage"    // a stage was found good
-	pause     = "pause"    // Why
-	resume    = "resume"   // Plan, if it changed
-	stop      = "stop"     // Why
-	rollback  = "rollback" // Why
-	finished  = "finished" // all is done, or taken back
+	recordStarted      = "began"    // Plan, To: the new version, Old
+	recordUpdating     = "change"   // Relay, To: it is to be changed
+	recordUpdated      = "changed"  // Relay, To: it has been
+	recordUpdateFailed = "failed"   // Relay, Why: it could not be
+	recordBaking       = "baking"   // a stage has all its relays
+	recordPromoted     = "stage"    // a stage was found good
+	recordPaused       = "pause"    // Why
+	recordResumed      = "resume"   // Plan, if it changed
+	recordStopped      = "stop"     // Why
+	recordRollback     = "rollback" // Why
+	recordFinished     = "finished" // all is done, or taken back
 )
 
 // Apply takes in a record. The same records give the same state, whenever they are read.
 func (s *State) Apply(r Record) {
 	switch r.Kind {
-	case began:
-		*s = State{Plan: r.Plan, New: r.To, Old: r.Old, Phase: Running, Changing: map[int]string{}, Failed: map[int]string{}}
-	case change:
-		s.Changing[r.Relay] = r.To
+	case recordStarted:
+		*s = State{Plan: r.Plan, NewVersion: r.Version, OldVersions: r.OldVersions, Phase: Running, Updating: map[int]string{}, Failed: map[int]string{}}
+	case recordUpdating:
+		s.Updating[r.Relay] = r.Version
 		delete(s.Failed, r.Relay)
-	case changed:
-		delete(s.Changing, r.Relay)
-		s.Changed = slices.DeleteFunc(s.Changed, func(n int) bool { return n == r.Relay })
-		if r.To == s.New {
-			s.Changed = append(s.Changed, r.Relay)
+	case recordUpdated:
+		delete(s.Updating, r.Relay)
+		s.Updated = slices.DeleteFunc(s.Updated, func(n int) bool { return n == r.Relay })
+		if r.Version == s.NewVersion {
+			s.Updated = append(s.Updated, r.Relay)
 		}
-	case failed:
+	case recordUpdateFailed:
 		// Whatever it runs now, it was to be changed: a rollback takes it back.
-		if s.Changing[r.Relay] == s.New && !slices.Contains(s.Changed, r.Relay) {
-			s.Changed = append(s.Changed, r.Relay)
+		if s.Updating[r.Relay] == s.NewVersion && !slices.Contains(s.Updated, r.Relay) {
+			s.Updated = append(s.Updated, r.Relay)
 		}
-		delete(s.Changing, r.Relay)
-		s.Failed[r.Relay] = r.Why
-	case baking:
-		s.BakeFrom = r.At
-	case nextStage:
+		delete(s.Updating, r.Relay)
+		s.Failed[r.Relay] = r.Reason
+	case recordBaking:
+		s.BakingSince = r.At
+	case recordPromoted:
 		s.Stage++
-		s.BakeFrom = time.Time{}
-	case pause:
-		s.Phase, s.Why = Paused, r.Why
-	case resume:
-		s.Phase, s.Why = Running, ""
-		s.BakeFrom = time.Time{} // what was measured meanwhile does not count
+		s.BakingSince = time.Time{}
+	case recordPaused:
+		s.Phase, s.Reason = Paused, r.Reason
+	case recordResumed:
+		s.Phase, s.Reason = Running, ""
+		s.BakingSince = time.Time{} // what was measured meanwhile does not count
 		if r.Plan != nil {
 			s.Plan = r.Plan
 		}
-	case stop:
-		s.Phase, s.Why = Stopped, r.Why
-	case rollback:
-		s.Phase, s.Why = RollingBack, r.Why
+	case recordStopped:
+		s.Phase, s.Reason = Stopped, r.Reason
+	case recordRollback:
+		s.Phase, s.Reason = RollingBack, r.Reason
 		clear(s.Failed)
-	case finished:
+	case recordFinished:
 		if s.Phase == RollingBack {
 			s.Phase = RolledBack
 		} else {
@@ -109,26 +109,26 @@
 	}
 }
 
-// Seen is what an agent says of its relay, as far as the steps need it.
-type Seen struct {
-	Known   bool // it answers
-	Version string
-	Settled bool     // no change is under way there
-	Error   string   // of the last change
-	Left    []string // zones that it has left
+// AgentStatus is what an agent says of its relay, as far as the steps need it.
+type AgentStatus struct {
+	Reachable      bool // it answers
+	Version        string
+	Settled        bool     // no change is under way there
+	Error          string   // of the last change
+	EvacuatedZones []string // zones that it has left
 }
 
 // leftBy of the relays that answer, and one at least, have to have left a zone for a rollout to pause: one alone may err.
 const leftBy = 0.1
 
 // evacuated names a zone that the fleet has left, if there is one.
-func evacuated(seen map[int]Seen) (zone string, relays int) {
+func evacuated(seen map[int]AgentStatus) (zone string, relays int) {
 	count, known := map[string]int{}, 0
 	for _, at := range seen {
-		if at.Known {
+		if at.Reachable {
 			known++
 		}
-		for _, z := range at.Left {
+		for _, z := range at.EvacuatedZones {
 			count[z]++
 		}
 	}
@@ -140,31 +140,31 @@
 	return zone, relays
 }
 
-// Verdict is what the gates say of a stage.
-type Verdict struct {
-	Worse  bool   // stop
-	Enough bool   // it has been compared for long enough to tell
-	Why    string // of either, or what is missing
+// Evaluation is what the gates say of a stage.
+type Evaluation struct {
+	Regressed  bool   // stop
+	Conclusive bool   // it has been compared for long enough to tell
+	Reason     string // of either, or what is missing
 }
 
 // Next gives the records to take in next, by what the agents say and the gates find: none where there is nothing to do
 // but wait. Whoever calls it writes each record down, applies it, and then does what it says. It has no state and no
 // clock of its own, so that a model can take every path through it.
-func (s *State) Next(now time.Time, seen map[int]Seen, v Verdict) (next []Record) {
+func (s *State) Next(now time.Time, seen map[int]AgentStatus, v Evaluation) (next []Record) {
 	add := func(r Record) {
 		r.At = now
 		next = append(next, r)
 	}
-	for _, relay := range s.inChange() {
-		at, to := seen[relay], s.Changing[relay]
+	for _, relay := range s.updatingRelays() {
+		at, to := seen[relay], s.Updating[relay]
 		switch {
-		case !at.Known || !at.Settled: // unknown, never good
+		case !at.Reachable || !at.Settled: // unknown, never good
 		case s.Phase == Stopped: // what had not begun by then does not
-			add(Record{Kind: changed, Relay: relay, To: at.Version})
+			add(Record{Kind: recordUpdated, Relay: relay, Version: at.Version})
 		case at.Version == to && at.Error == "":
-			add(Record{Kind: changed, Relay: relay, To: to})
+			add(Record{Kind: recordUpdated, Relay: relay, Version: to})
 		case at.Error != "":
-			add(Record{Kind: failed, Relay: relay, Why: at.Error})
+			add(Record{Kind: recordUpdateFailed, Relay: relay, Reason: at.Error})
 		}
 	}
 	if len(next) > 0 {
@@ -174,78 +174,78 @@
 	case Running:
 		if len(s.Failed) > 0 {
 			for relay, why := range s.Failed {
-				add(Record{Kind: stop, Why: fmt.Sprintf("relay %d could not be changed: %s", relay, why)})
+				add(Record{Kind: recordStopped, Reason: fmt.Sprintf("relay %d could not be changed: %s", relay, why)})
 				return next
 			}
 		}
-		if v.Worse {
-			add(Record{Kind: stop, Why: v.Why})
+		if v.Regressed {
+			add(Record{Kind: recordStopped, Reason: v.Reason})
 			return next
 		}
 		if zone, n := evacuated(seen); n > 0 {
-			add(Record{Kind: pause, Why: fmt.Sprintf("zone %s is left by %d relays: resume when it is served again", zone, n)})
+			add(Record{Kind: recordPaused, Reason: fmt.Sprintf("zone %s is left by %d relays: resume when it is served again", zone, n)})
 			return next
 		}
-		return s.forward(now, seen, v)
+		return s.advance(now, seen, v)
 	case RollingBack:
-		return s.backward(now, seen)
+		return s.rollBack(now, seen)
 	}
 	return nil
 }
 
-// inChange lists the relays in change in their order.
-func (s *State) inChange() (all []int) {
-	for relay := range s.Changing {
+// updatingRelays lists the relays in change in their order.
+func (s *State) updatingRelays() (all []int) {
+	for relay := range s.Updating {
 		all = append(all, relay)
 	}
 	slices.Sort(all)
 	return all
 }
 
-// forward takes the next relays of a stage into change, or ends it.
-func (s *State) forward(now time.Time, seen map[int]Seen, v Verdict) (next []Record) {
-	left := s.Plan.upTo(s.Stage) - len(s.Changed) - len(s.Changing)
+// advance takes the next relays of a stage into change, or ends it.
+func (s *State) advance(now time.Time, seen map[int]AgentStatus, v Evaluation) (next []Record) {
+	left := s.Plan.relaysAfter(s.Stage) - len(s.Updated) - len(s.Updating)
 	if left > 0 {
-		for _, a := range s.order() {
-			if left == 0 || len(s.Changing)+len(next) >= s.Plan.MostInChange {
+		for _, a := range s.updateOrder() {
+			if left == 0 || len(s.Updating)+len(next) >= s.Plan.MaxParallel {
 				break
 			}
-			if slices.Contains(s.Changed, a.Relay) || s.Changing[a.Relay] != "" || !seen[a.Relay].Known || !seen[a.Relay].Settled || !s.sameZone(a, next) {
+			if slices.Contains(s.Updated, a.Relay) || s.Updating[a.Relay] != "" || !seen[a.Relay].Reachable || !seen[a.Relay].Settled || !s.sharesZone(a, next) {
 				continue
 			}
-			next = append(next, Record{At: now, Kind: change, Relay: a.Relay, To: s.New})
+			next = append(next, Record{At: now, Kind: recordUpdating, Relay: a.Relay, Version: s.NewVersion})
 			left--
 		}
 		return next
 	}
 	switch {
-	case len(s.Changing) > 0:
+	case len(s.Updating) > 0:
 		return nil
-	case s.BakeFrom.IsZero():
-		return []Record{{At: now, Kind: baking}}
+	case s.BakingSince.IsZero():
+		return []Record{{At: now, Kind: recordBaking}}
 	}
-	baked := now.Sub(s.BakeFrom)
+	baked := now.Sub(s.BakingSince)
 	last := s.Stage == len(s.Plan.Stages)-1
-	for _, relay := range s.Changed {
-		if !seen[relay].Known && baked < s.Plan.LongestBake.AsDuration() {
+	for _, relay := range s.Updated {
+		if !seen[relay].Reachable && baked < s.Plan.MaxBakeTime.AsDuration() {
 			return nil // unknown: the bake goes on
 		}
 	}
 	switch {
-	case baked < s.Plan.Bake.AsDuration():
+	case baked < s.Plan.BakeTime.AsDuration():
 		return nil
-	case !v.Enough && baked < s.Plan.LongestBake.AsDuration() && len(s.Changed) < len(s.Plan.Agents):
+	case !v.Conclusive && baked < s.Plan.MaxBakeTime.AsDuration() && len(s.Updated) < len(s.Plan.Agents):
 		return nil
-	case !v.Enough && len(s.Changed) < len(s.Plan.Agents):
-		return []Record{{At: now, Kind: pause, Why: fmt.Sprintf("stage %d can't be judged after %v: %s", s.Stage+1, s.Plan.LongestBake.AsDuration(), v.Why)}}
+	case !v.Conclusive && len(s.Updated) < len(s.Plan.Agents):
+		return []Record{{At: now, Kind: recordPaused, Reason: fmt.Sprintf("stage %d can't be judged after %v: %s", s.Stage+1, s.Plan.MaxBakeTime.AsDuration(), v.Reason)}}
 	case last:
-		return []Record{{At: now, Kind: finished}}
+		return []Record{{At: now, Kind: recordFinished}}
 	}
-	return []Record{{At: now, Kind: nextStage}}
+	return []Record{{At: now, Kind: recordPromoted}}
 }
 
-// order is the plan's relays in the order of their change: with ByZone one zone after the other.
-func (s *State) order() []Agent {
+// updateOrder is the plan's relays in the order of their change: with ByZone one zone after the other.
+func (s *State) updateOrder() []Agent {
 	all := slices.Clone(s.Plan.Agents)
 	if s.Plan.ByZone {
 		slices.SortStableFunc(all, func(a, b Agent) int { return cmp.Compare(a.Zone, b.Zone) })
@@ -253,10 +253,10 @@
 	return all
 }
 
-// sameZone tells whether a relay may be in change beside those that are, and those that are about to be.
-func (s *State) sameZone(a Agent, about []Record) bool {
+// sharesZone tells whether a relay may be in change beside those that are, and those that are about to be.
+func (s *State) sharesZone(a Agent, about []Record) bool {
 	for _, o := range s.Plan.Agents {
-		inChange := s.Changing[o.Relay] != "" || slices.ContainsFunc(about, func(r Record) bool { return r.Relay == o.Relay })
+		inChange := s.Updating[o.Relay] != "" || slices.ContainsFunc(about, func(r Record) bool { return r.Relay == o.Relay })
 		if inChange && o.Zone != a.Zone {
 			return false
 		}
@@ -264,32 +264,32 @@
 	return true
 }
 
-// backward takes changed relays back, the last one first. One that does not answer is waited for: unknown is not done.
-func (s *State) backward(now time.Time, seen map[int]Seen) (next []Record) {
+// rollBack takes changed relays back, the last one first. One that does not answer is waited for: unknown is not done.
+func (s *State) rollBack(now time.Time, seen map[int]AgentStatus) (next []Record) {
 	zones := map[int]Agent{}
 	for _, a := range s.Plan.Agents {
 		zones[a.Relay] = a
 	}
 	waiting := false
-	for i := len(s.Changed) - 1; i >= 0; i-- {
-		relay := s.Changed[i]
+	for i := len(s.Updated) - 1; i >= 0; i-- {
+		relay := s.Updated[i]
 		switch {
-		case s.Changing[relay] != "":
-		case !seen[relay].Known || !seen[relay].Settled || s.Failed[relay] != "":
+		case s.Updating[relay] != "":
+		case !seen[relay].Reachable || !seen[relay].Settled || s.Failed[relay] != "":
 			waiting = true
-		case len(s.Changing)+len(next) >= s.Plan.MostInChange || !s.sameZone(zones[relay], next):
+		case len(s.Updating)+len(next) >= s.Plan.MaxParallel || !s.sharesZone(zones[relay], next):
 			waiting = true
 		default:
-			next = append(next, Record{At: now, Kind: change, Relay: relay, To: s.Old[relay]})
+			next = append(next, Record{At: now, Kind: recordUpdating, Relay: relay, Version: s.OldVersions[relay]})
 		}
 	}
-	if len(next) == 0 && len(s.Changing) == 0 && !waiting {
-		return []Record{{At: now, Kind: finished}}
+	if len(next) == 0 && len(s.Updating) == 0 && !waiting {
+		return []Record{{At: now, Kind: recordFinished}}
 	}
-	if len(next) == 0 && len(s.Changing) == 0 { // what could not be taken back is tried again
-		for _, relay := range s.Changed {
-			if s.Failed[relay] != "" && seen[relay].Known && seen[relay].Settled {
-				return []Record{{At: now, Kind: change, Relay: relay, To: s.Old[relay]}}
+	if len(next) == 0 && len(s.Updating) == 0 { // what could not be taken back is tried again
+		for _, relay := range s.Updated {
+			if s.Failed[relay] != "" && seen[relay].Reachable && seen[relay].Settled {
+				return []Record{{At: now, Kind: recordUpdating, Relay: relay, Version: s.OldVersions[relay]}}
 			}
 		}
 	}
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -39,8 +39,8 @@
 	text, _ := json.Marshal(w)
 	var c world
 	_ = json.Unmarshal(text, &c)
-	if c.S.Changing == nil {
-		c.S.Changing = map[int]string{}
+	if c.S.Updating == nil {
+		c.S.Updating = map[int]string{}
 	}
 	if c.S.Failed == nil {
 		c.S.Failed = map[int]string{}
@@ -54,24 +54,24 @@
 }
 
 // seen is what agents say, but for those in unknown.
-func (w *world) seen(unknown int) map[int]Seen {
-	all := map[int]Seen{}
+func (w *world) seen(unknown int) map[int]AgentStatus {
+	all := map[int]AgentStatus{}
 	for relay, at := range w.At {
-		all[relay] = Seen{Known: relay != unknown, Version: at.Version, Settled: at.Going == "", Error: at.Err}
+		all[relay] = AgentStatus{Reachable: relay != unknown, Version: at.Version, Settled: at.Going == "", Error: at.Err}
 	}
 	return all
 }
 
 // step has the controller take its next steps: write records and then ask. It dies after some records where dies is
 // above 0, and its questions get lost where lost is set.
-func (w *world) step(unknown int, v Verdict, dies int, lost bool, how planted) {
+func (w *world) step(unknown int, v Evaluation, dies int, lost bool, how planted) {
 	now := time.Unix(1000, 0)
 	s := &w.S
 	was := s.Plan
 	plan := *was
 	s.Plan = &plan
 	if how == tooMany {
-		s.Plan.MostInChange++
+		s.Plan.MaxParallel++
 	}
 	if how == twoZones {
 		s.Plan.ByZone, s.Plan.Agents = false, slices.Clone(s.Plan.Agents)
@@ -81,7 +81,7 @@
 	}
 	if how == goesOn && s.Phase == Stopped {
 		s.Phase = Running
-		v.Worse = false
+		v.Regressed = false
 	}
 	next := s.Next(now, w.seen(unknown), v)
 	if how == goesOn && w.Stop {
@@ -89,24 +89,24 @@
 	}
 	s.Plan = was
 	for i, r := range next {
-		if how == forgetsOne && r.Kind == change && s.Phase == RollingBack && len(s.Changed) == 1 {
-			r = Record{Kind: finished}
+		if how == forgetsOne && r.Kind == recordUpdating && s.Phase == RollingBack && len(s.Updated) == 1 {
+			r = Record{Kind: recordFinished}
 		}
 		if dies > 0 && i >= dies {
 			return
 		}
 		s.Apply(r)
 		w.Stop = s.Phase == Stopped
-		if how == sendsTooSoon && r.Kind == change && dies > 0 {
-			w.Asked[r.Relay] = r.To
-			delete(s.Changing, r.Relay)
+		if how == sendsTooSoon && r.Kind == recordUpdating && dies > 0 {
+			w.Asked[r.Relay] = r.Version
+			delete(s.Updating, r.Relay)
 		}
 	}
 	if dies > 0 {
 		return
 	}
 	if s.Phase != Stopped {
-		for relay, to := range s.Changing {
+		for relay, to := range s.Updating {
 			if !lost && relay != unknown {
 				w.Asked[relay] = to
 			}
@@ -132,16 +132,16 @@
 		}
 	}
 	switch {
-	case n > w.S.Plan.MostInChange:
+	case n > w.S.Plan.MaxParallel:
 		return fmt.Sprintf("%d relays in change", n)
 	case len(zones) > 1:
 		return "two zones in change"
 	}
 	for relay, at := range w.At {
-		if w.S.Phase == RolledBack && (at.Version != w.S.Old[relay] || at.Going != "") {
+		if w.S.Phase == RolledBack && (at.Version != w.S.OldVersions[relay] || at.Going != "") {
 			return fmt.Sprintf("rolled back, and relay %d has %+v", relay, at)
 		}
-		if at.Going != "" && w.S.Changing[relay] == "" {
+		if at.Going != "" && w.S.Updating[relay] == "" {
 			return fmt.Sprintf("relay %d is in change, and nothing on disk says so", relay)
 		}
 	}
@@ -150,7 +150,7 @@
 
 func modelPlan() *Plan {
 	p := defaults()
-	p.Version, p.MostInChange, p.Bake, p.LongestBake = "new", 2, 0, Duration(time.Hour)
+	p.Version, p.MaxParallel, p.BakeTime, p.MaxBakeTime = "new", 2, 0, Duration(time.Hour)
 	p.Stages = []Stage{{Relays: 1}, {Relays: 3}, {Share: 1}}
 	for i, zone := range []string{"a", "b", "a", "a"} {
 		p.Agents = append(p.Agents, Agent{Relay: i, Zone: zone, Address: fmt.Sprint(i)})
@@ -165,7 +165,7 @@
 		w.At[i] = relayAt{Version: "old"}
 		old[i] = "old"
 	}
-	w.S.Apply(Record{Kind: began, Plan: modelPlan(), To: "new", Old: old})
+	w.S.Apply(Record{Kind: recordStarted, Plan: modelPlan(), Version: "new", OldVersions: old})
 	return w
 }
 
@@ -187,12 +187,12 @@
 			f(c)
 			after = append(after, c)
 		}
-		for _, v := range []Verdict{{}, {Enough: true}, {Worse: true, Why: "worse"}} {
+		for _, v := range []Evaluation{{}, {Conclusive: true}, {Regressed: true, Reason: "worse"}} {
 			do(func(c *world) { c.step(-1, v, 0, false, how) })
 		}
-		do(func(c *world) { c.step(-1, Verdict{}, 0, true, how) })
-		do(func(c *world) { c.step(-1, Verdict{}, 1, false, how) })
-		do(func(c *world) { c.step(1, Verdict{Enough: true}, 0, false, how) })
+		do(func(c *world) { c.step(-1, Evaluation{}, 0, true, how) })
+		do(func(c *world) { c.step(-1, Evaluation{}, 1, false, how) })
+		do(func(c *world) { c.step(1, Evaluation{Conclusive: true}, 0, false, how) })
 		for relay, at := range w.At {
 			if at.Going != "" {
 				do(func(c *world) { c.At[relay] = relayAt{Version: at.Going} })
@@ -201,22 +201,22 @@
 		}
 		s := &w.S
 		if s.Phase == Running {
-			do(func(c *world) { c.S.Apply(Record{Kind: pause, Why: "ordered"}) })
+			do(func(c *world) { c.S.Apply(Record{Kind: recordPaused, Reason: "ordered"}) })
 		}
 		if s.Phase == Paused {
-			do(func(c *world) { c.S.Apply(Record{Kind: resume}) })
+			do(func(c *world) { c.S.Apply(Record{Kind: recordResumed}) })
 		}
 		if s.Phase == Running || s.Phase == Paused || s.Phase == RollingBack {
-			do(func(c *world) { c.S.Apply(Record{Kind: stop, Why: "ordered"}); c.Stop = true })
+			do(func(c *world) { c.S.Apply(Record{Kind: recordStopped, Reason: "ordered"}); c.Stop = true })
 		}
 		if s.Phase != RollingBack && s.Phase != RolledBack {
-			do(func(c *world) { c.S.Apply(Record{Kind: rollback, Why: "ordered"}); c.Stop = false })
+			do(func(c *world) { c.S.Apply(Record{Kind: recordRollback, Reason: "ordered"}); c.Stop = false })
 		}
 		for _, c := range after {
 			if what := c.check(); what != "" {
 				return what + " in " + c.key(), len(seen), nil
 			}
-			if c.Stop && w.Stop && len(c.S.Changing) > len(w.S.Changing) {
+			if c.Stop && w.Stop && len(c.S.Updating) > len(w.S.Updating) {
 				return "a relay is taken into change after a stop: " + c.key(), len(seen), nil
 			}
 			if k := c.key(); !seen[k] {
@@ -251,7 +251,7 @@
 		w := all[i].clone()
 		began := w.S.Phase
 		for range 60 {
-			w.step(-1, Verdict{Enough: true}, 0, false, sound)
+			w.step(-1, Evaluation{Conclusive: true}, 0, false, sound)
 			for relay, at := range w.At {
 				if at.Going != "" {
 					w.At[relay] = relayAt{Version: at.Going}
@@ -281,25 +281,25 @@
 // A relay that does not answer counts as unknown: its stage is not passed before the longest bake, and then pauses.
 func TestUnknownIsNotGood(t *testing.T) {
 	w := begin()
-	w.S.Plan.Bake, w.S.Plan.LongestBake = Duration(10*time.Second), Duration(time.Minute)
+	w.S.Plan.BakeTime, w.S.Plan.MaxBakeTime = Duration(10*time.Second), Duration(time.Minute)
 	now := time.Unix(1000, 0)
-	for _, r := range []Record{{Kind: change, Relay: 0, To: "new"}, {Kind: changed, Relay: 0, To: "new"}, {Kind: baking, At: now}} {
+	for _, r := range []Record{{Kind: recordUpdating, Relay: 0, Version: "new"}, {Kind: recordUpdated, Relay: 0, Version: "new"}, {Kind: recordBaking, At: now}} {
 		w.S.Apply(r)
 	}
 	w.At[0] = relayAt{Version: "new"}
-	if next := w.S.Next(now.Add(20*time.Second), w.seen(0), Verdict{Enough: true}); len(next) > 0 {
+	if next := w.S.Next(now.Add(20*time.Second), w.seen(0), Evaluation{Conclusive: true}); len(next) > 0 {
 		t.Errorf("with its relay unknown the stage goes on: %+v", next)
 	}
-	if next := w.S.Next(now.Add(9*time.Second), w.seen(-1), Verdict{Enough: true}); len(next) > 0 {
+	if next := w.S.Next(now.Add(9*time.Second), w.seen(-1), Evaluation{Conclusive: true}); len(next) > 0 {
 		t.Errorf("before its bake the stage goes on: %+v", next)
 	}
-	if next := w.S.Next(now.Add(20*time.Second), w.seen(-1), Verdict{}); len(next) > 0 {
+	if next := w.S.Next(now.Add(20*time.Second), w.seen(-1), Evaluation{}); len(next) > 0 {
 		t.Errorf("with too little traffic the stage goes on: %+v", next)
 	}
-	if next := w.S.Next(now.Add(2*time.Minute), w.seen(-1), Verdict{Why: "too little traffic"}); len(next) != 1 || next[0].Kind != pause {
+	if next := w.S.Next(now.Add(2*time.Minute), w.seen(-1), Evaluation{Reason: "too little traffic"}); len(next) != 1 || next[0].Kind != recordPaused {
 		t.Errorf("after the longest bake: %+v", next)
 	}
-	if next := w.S.Next(now.Add(20*time.Second), w.seen(-1), Verdict{Enough: true}); len(next) != 1 || next[0].Kind != nextStage {
+	if next := w.S.Next(now.Add(20*time.Second), w.seen(-1), Evaluation{Conclusive: true}); len(next) != 1 || next[0].Kind != recordPromoted {
 		t.Errorf("found good: %+v", next)
 	}
 }
@@ -307,7 +307,7 @@
 func TestPlan(t *testing.T) {
 	const good = "version = \"v\"\n[[stage]]\nrelays = 1\n[[stage]]\nshare = 1.0\n[[agent]]\nrelay = 0\nzone = \"a\"\naddress = \"127.0.0.1:1\"\n[[agent]]\nrelay = 1\nzone = \"a\"\naddress = \"127.0.0.1:2\"\n"
 	p, err := ParsePlan("plan", []byte(good))
-	if err != nil || p.upTo(0) != 1 || p.upTo(1) != 2 || p.Gate.FalseStop != 0.01 {
+	if err != nil || p.relaysAfter(0) != 1 || p.relaysAfter(1) != 2 || p.Gate.FalsePositiveRate != 0.01 {
 		t.Fatalf("%+v, %v", p, err)
 	}
 	for _, bad := range []string{"", "bake = 10\n" + good, "bake = \"-1s\"\n" + good, "speed = 1\n" + good, "on_death = \"x\"\n" + good, "longest_bake = \"1s\"\n" + good,
@@ -324,7 +324,7 @@
 }
 
 func (s *State) zonesInOrder() (all []string) {
-	for _, a := range s.order() {
+	for _, a := range s.updateOrder() {
 		all = append(all, a.Zone)
 	}
 	return all
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -25,18 +25,18 @@
 
 // Plan is what a rollout is to do.
 type Plan struct {
-	Version      string   `json:"Version" toml:"version"`             // file of the new program
-	Bake         Duration `json:"Bake" toml:"bake"`                   // how long a stage runs at least before the next
-	LongestBake  Duration `json:"LongestBake" toml:"longest_bake"`    // how long it is extended for want of traffic; then the rollout pauses
-	MostInChange int      `json:"MostInChange" toml:"most_in_change"` // relays at once
-	ByZone       bool     `json:"ByZone" toml:"by_zone"`              // one zone after the other, within a stage
-	// OnDeath is what the next start of a controller does with a rollout that was under way: "resume" or "rollback".
-	OnDeath string `json:"OnDeath" toml:"on_death"`
-	// OneWay allows a version whose journals or notes the one before can't read: there is no rollback from it.
-	OneWay bool    `json:"OneWay" toml:"one_way"`
-	Gate   Gate    `json:"Gate" toml:"gate"`
-	Stages []Stage `json:"Stages" toml:"stage"`
-	Agents []Agent `json:"Agents" toml:"agent"`
+	Version     string   `json:"Version" toml:"version"`             // file of the new program
+	BakeTime    Duration `json:"Bake" toml:"bake"`                   // how long a stage runs at least before the next
+	MaxBakeTime Duration `json:"LongestBake" toml:"longest_bake"`    // how long it is extended for want of traffic; then the rollout pauses
+	MaxParallel int      `json:"MostInChange" toml:"most_in_change"` // relays at once
+	ByZone      bool     `json:"ByZone" toml:"by_zone"`              // one zone after the other, within a stage
+	// OnControllerFailure is what the next start of a controller does with a rollout that was under way: "resume" or "rollback".
+	OnControllerFailure string `json:"OnDeath" toml:"on_death"`
+	// AllowNoRollback allows a version whose journals or notes the one before can't read: there is no rollback from it.
+	AllowNoRollback bool    `json:"OneWay" toml:"one_way"`
+	Gate            Gate    `json:"Gate" toml:"gate"`
+	Stages          []Stage `json:"Stages" toml:"stage"`
+	Agents          []Agent `json:"Agents" toml:"agent"`
 }
 
 // Stage is how many relays have the new version at its end.
@@ -54,18 +54,18 @@
 
 // Gate is when changed relays count as worse than unchanged ones.
 type Gate struct {
-	FalseStop    float64  `json:"FalseStop" toml:"false_stop"`       // chance to stop a version that is as good, over the whole rollout
-	Missed       float64  `json:"Missed" toml:"missed"`              // chance, in a stage, to go on with one that is worse by WorseBy
-	WorseBy      float64  `json:"WorseBy" toml:"worse_by"`           // share of a class's messages more that are refused or fail
-	LongerBy     float64  `json:"LongerBy" toml:"longer_by"`         // factor on the time that messages take
-	MemoryFactor float64  `json:"MemoryFactor" toml:"memory_factor"` // on the memory of an unchanged relay
-	Every        Duration `json:"Every" toml:"every"`                // between looks
+	FalsePositiveRate float64  `json:"FalseStop" toml:"false_stop"`       // chance to stop a version that is as good, over the whole rollout
+	FalseNegativeRate float64  `json:"Missed" toml:"missed"`              // chance, in a stage, to go on with one that is worse by WorseBy
+	ErrorRateIncrease float64  `json:"WorseBy" toml:"worse_by"`           // share of a class's messages more that are refused or fail
+	LatencyFactor     float64  `json:"LongerBy" toml:"longer_by"`         // factor on the time that messages take
+	MemoryFactor      float64  `json:"MemoryFactor" toml:"memory_factor"` // on the memory of an unchanged relay
+	Interval          Duration `json:"Every" toml:"every"`                // between looks
 }
 
 // defaults are what a plan holds where it is silent.
 func defaults() Plan {
-	return Plan{Bake: Duration(30 * time.Second), LongestBake: Duration(5 * time.Minute), MostInChange: 4, ByZone: true, OnDeath: "resume",
-		Gate: Gate{FalseStop: 0.01, Missed: 0.05, WorseBy: 0.1, LongerBy: 1.5, MemoryFactor: 2, Every: Duration(time.Second)}}
+	return Plan{BakeTime: Duration(30 * time.Second), MaxBakeTime: Duration(5 * time.Minute), MaxParallel: 4, ByZone: true, OnControllerFailure: "resume",
+		Gate: Gate{FalsePositiveRate: 0.01, FalseNegativeRate: 0.05, ErrorRateIncrease: 0.1, LatencyFactor: 1.5, MemoryFactor: 2, Interval: Duration(time.Second)}}
 }
 
 // DefaultPlan is what a plan holds where it is silent, with stages of one relay, a twentieth, a quarter and all.
@@ -90,14 +90,14 @@
 	if err := config.Decode(name, text, &p); err != nil {
 		return nil, err
 	}
-	if err := p.check(); err != nil {
+	if err := p.validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	return &p, nil
 }
 
-// check names the first value that makes no sense.
-func (p *Plan) check() error {
+// validate names the first value that makes no sense.
+func (p *Plan) validate() error {
 	g := &p.Gate
 	share := func(v float64) bool { return v > 0 && v < 1 }
 	for _, c := range []struct {
@@ -105,16 +105,16 @@
 		what string
 	}{
 		{p.Version == "", "version: names no file"},
-		{unitless(p.Bake) || unitless(p.LongestBake) || unitless(g.Every), "bake, longest_bake or gate.every: has no unit, such as \"10s\""},
-		{p.LongestBake < p.Bake, "longest_bake: is under bake"},
-		{p.MostInChange < 1, "most_in_change: is not above 0"},
-		{p.OnDeath != "resume" && p.OnDeath != "rollback", fmt.Sprintf("on_death: %q is not \"resume\" or \"rollback\"", p.OnDeath)},
-		{!share(g.FalseStop), "gate.false_stop: is not above 0 and under 1"},
-		{!share(g.Missed), "gate.missed: is not above 0 and under 1"},
-		{!share(g.WorseBy), "gate.worse_by: is not above 0 and under 1"},
-		{!(g.LongerBy > 1), "gate.longer_by: is not above 1"},
+		{unitless(p.BakeTime) || unitless(p.MaxBakeTime) || unitless(g.Interval), "bake, longest_bake or gate.every: has no unit, such as \"10s\""},
+		{p.MaxBakeTime < p.BakeTime, "longest_bake: is under bake"},
+		{p.MaxParallel < 1, "most_in_change: is not above 0"},
+		{p.OnControllerFailure != "resume" && p.OnControllerFailure != "rollback", fmt.Sprintf("on_death: %q is not \"resume\" or \"rollback\"", p.OnControllerFailure)},
+		{!share(g.FalsePositiveRate), "gate.false_stop: is not above 0 and under 1"},
+		{!share(g.FalseNegativeRate), "gate.missed: is not above 0 and under 1"},
+		{!share(g.ErrorRateIncrease), "gate.worse_by: is not above 0 and under 1"},
+		{!(g.LatencyFactor > 1), "gate.longer_by: is not above 1"},
 		{!(g.MemoryFactor > 1), "gate.memory_factor: is not above 1"},
-		{g.Every <= 0, "gate.every: is not above 0"},
+		{g.Interval <= 0, "gate.every: is not above 0"},
 		{len(p.Stages) == 0, "stage: there is none"},
 		{len(p.Agents) == 0, "agent: there is none"},
 	} {
@@ -127,7 +127,7 @@
 		if (s.Relays > 0) == (s.Share > 0) || s.Share > 1 || s.Relays < 0 || s.Share < 0 {
 			return fmt.Errorf("stage[%d]: needs either relays, above 0, or share, above 0 and at most 1", i)
 		}
-		n := p.upTo(i)
+		n := p.relaysAfter(i)
 		if n > len(p.Agents) {
 			return fmt.Errorf("stage[%d]: has %d relays, there are %d", i, n, len(p.Agents))
 		}
@@ -156,8 +156,8 @@
 // unitless tells whether a duration was written as a bare number, which TOML gives as nanoseconds.
 func unitless(d Duration) bool { return d > 0 && d.AsDuration() < time.Millisecond }
 
-// upTo is how many relays have the new version at the end of a stage.
-func (p *Plan) upTo(stage int) int {
+// relaysAfter is how many relays have the new version at the end of a stage.
+func (p *Plan) relaysAfter(stage int) int {
 	if s := p.Stages[stage]; s.Relays > 0 {
 		return s.Relays
 	} else {
--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -21,7 +21,7 @@
 type AgentConfig struct {
 	Relay   int      `toml:"relay"`
 	Address string   `toml:"address"` // of the agent, on loopback
-	Folder  string   `toml:"folder"`  // for programs and the agent's state
+	Dir     string   `toml:"folder"`  // for programs and the agent's state
 	Program string   `toml:"program"` // that the relay runs where the agent starts for the first time
 	Listen  string   `toml:"listen"`  // of the relay's clients: the agent holds the socket over changes of the program
 	Admin   []string `toml:"admin"`   // two addresses for the admin endpoint: a process and the one after it have one each
@@ -39,7 +39,7 @@
 	if err := config.Decode(path, text, &c); err != nil {
 		return nil, err
 	}
-	for name, bad := range map[string]bool{"address": c.Address == "", "folder": c.Folder == "", "program": c.Program == "", "listen": c.Listen == "",
+	for name, bad := range map[string]bool{"address": c.Address == "", "folder": c.Dir == "", "program": c.Program == "", "listen": c.Listen == "",
 		"admin: two addresses": len(c.Admin) != 2, "log": c.Log == "", "env: NODE_CONFIG": !hasEnv(c.Env, "NODE_CONFIG"), "env: NODE_STATE": !hasEnv(c.Env, "NODE_STATE")} {
 		if bad {
 			return nil, fmt.Errorf("%s: %s is missing", path, name)
@@ -66,8 +66,8 @@
 	busyTries               = 40
 )
 
-// Processes runs the processes of one relay, by their ids.
-type Processes struct {
+// ProcessRunner runs the processes of one relay, by their ids.
+type ProcessRunner struct {
 	c      AgentConfig
 	socket *os.File
 	change sync.Mutex // held over a change and over a revival
@@ -86,14 +86,14 @@
 	exited     chan struct{}
 }
 
-// NewProcesses opens the relay's socket and starts program.
-func NewProcesses(ctx context.Context, c AgentConfig, program string) (*Processes, error) {
+// NewProcessRunner opens the relay's socket and starts program.
+func NewProcessRunner(ctx context.Context, c AgentConfig, program string) (*ProcessRunner, error) {
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return nil, err
 	}
 	defer l.Close()
-	p := &Processes{c: c}
+	p := &ProcessRunner{c: c}
 	if p.socket, err = l.(*net.TCPListener).File(); err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 }
 
 // launch starts a process of a program.
-func (p *Processes) launch(program string, adminIndex int) (*running, error) {
+func (p *ProcessRunner) launch(program string, adminIndex int) (*running, error) {
 	log, err := os.OpenFile(p.c.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -131,7 +131,7 @@
 }
 
 // await waits until a process takes clients.
-func (p *Processes) await(ctx context.Context, r *running) error {
+func (p *ProcessRunner) await(ctx context.Context, r *running) error {
 	timer := time.NewTimer(readyWithin)
 	defer timer.Stop()
 	for {
@@ -151,7 +151,7 @@
 }
 
 // end ends a process, and waits for that.
-func (p *Processes) end(r *running) {
+func (p *ProcessRunner) end(r *running) {
 	p.mu.Lock()
 	r.meant = true
 	p.mu.Unlock()
@@ -165,8 +165,8 @@
 	<-r.exited
 }
 
-// Change implements Runner: the new process starts beside the old one, which hands over to it.
-func (p *Processes) Change(ctx context.Context, program string) error {
+// Update implements Runner: the new process starts beside the old one, which hands over to it.
+func (p *ProcessRunner) Update(ctx context.Context, program string) error {
 	p.change.Lock()
 	defer p.change.Unlock()
 	p.mu.Lock()
@@ -211,7 +211,7 @@
 }
 
 // revive starts a process again that ended by itself.
-func (p *Processes) revive(ctx context.Context) {
+func (p *ProcessRunner) revive(ctx context.Context) {
 	wait := reviveAfter
 	for {
 		p.mu.Lock()
@@ -258,7 +258,7 @@
 }
 
 // Stop ends the relay's process.
-func (p *Processes) Stop() {
+func (p *ProcessRunner) Stop() {
 	p.change.Lock()
 	defer p.change.Unlock()
 	p.mu.Lock()
@@ -268,19 +268,19 @@
 	_ = p.socket.Close()
 }
 
-// Figures implements Runner.
-func (p *Processes) Figures() (Figures, error) {
+// Metrics implements Runner.
+func (p *ProcessRunner) Metrics() (Metrics, error) {
 	p.mu.Lock()
 	r, crashes := p.now, p.crashes
 	p.mu.Unlock()
 	text, err := ask(p.c.Admin[r.adminIndex], "counters")
 	if err != nil {
-		return Figures{}, err
+		return Metrics{}, err
 	}
 	f, err := ParseCounters(text)
 	f.Crashes = crashes
 	if zones, err := ask(p.c.Admin[r.adminIndex], "zone status"); err == nil {
-		f.Left = ParseZones(zones)
+		f.EvacuatedZones = ParseZones(zones)
 	}
 	f.MemoryMB, _ = procfs.ResidentMB(r.cmd.Process.Pid) // it may have ended just now
 	return f, err
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -24,7 +24,7 @@
 	left    []string // zones
 }
 
-func (f *fake) Change(ctx context.Context, program string) error {
+func (f *fake) Update(ctx context.Context, program string) error {
 	if f.hangs != nil {
 		select {
 		case <-f.hangs:
@@ -48,11 +48,11 @@
 	f.left = zones
 }
 
-func (f *fake) Figures() (Figures, error) {
+func (f *fake) Metrics() (Metrics, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := int64(time.Since(f.begun) / time.Millisecond)
-	return Figures{Ends: map[string][3]int64{"a": {n, 0, 0}}, Pending: 30, MemoryMB: 10, Left: f.left}, nil
+	return Metrics{Outcomes: map[string][3]int64{"a": {n, 0, 0}}, Pending: 30, MemoryMB: 10, EvacuatedZones: f.left}, nil
 }
 
 // park is agents of relays with a fake each, and a plan over them.
@@ -92,8 +92,8 @@
 		}
 	}
 	p.old, p.new = filepath.Join(p.dir, "old"), filepath.Join(p.dir, "new")
-	p.plan.Version, p.plan.Bake, p.plan.LongestBake = p.new, Duration(100*time.Millisecond), Duration(20*time.Second)
-	p.plan.Gate.Every = Duration(20 * time.Millisecond)
+	p.plan.Version, p.plan.BakeTime, p.plan.MaxBakeTime = p.new, Duration(100*time.Millisecond), Duration(20*time.Second)
+	p.plan.Gate.Interval = Duration(20 * time.Millisecond)
 	p.plan.Stages = []Stage{{Relays: 1}, {Share: 1}}
 	for i := range relays {
 		f := &fake{begun: time.Now(), program: p.old}
@@ -149,7 +149,7 @@
 	if err := run(t, c); err != nil || c.State().Phase != Done || p.running(t, p.new) != 6 {
 		t.Fatalf("%v, %+v, %d on the new version", err, c.State(), p.running(t, p.new))
 	}
-	if err := c.Obey(Order{What: OrderRollback}); err != nil {
+	if err := c.HandleOrder(Order{Action: OrderRollback}); err != nil {
 		t.Fatal(err)
 	}
 	if err := run(t, c); err != nil || c.State().Phase != RolledBack || p.running(t, p.old) != 6 {
@@ -181,7 +181,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := newPark(t, 3)
 			p.formats = map[string]compat.FormatVersions{"program new": c.says}
-			p.plan.OneWay = c.oneWay
+			p.plan.AllowNoRollback = c.oneWay
 			ctl, err := Start(context.Background(), filepath.Join(p.dir, "state"), p.plan)
 			if c.may != (err == nil) {
 				t.Fatalf("begun: %v", err)
@@ -212,7 +212,7 @@
 		t.Fatalf("%v, %+v", err, c.State())
 	}
 	p.fakes[10].leaves() // one alone may err
-	if err := c.Obey(Order{What: OrderResume}); err != nil {
+	if err := c.HandleOrder(Order{Action: OrderResume}); err != nil {
 		t.Fatal(err)
 	}
 	if err := run(t, c); err != nil || c.State().Phase != Done {
@@ -248,7 +248,7 @@
 	for steps := 1; steps < 12; steps += 2 {
 		p := newPark(t, 4)
 		p.plan.Stages = []Stage{{Share: 1}}
-		p.plan.Bake = 0
+		p.plan.BakeTime = 0
 		dir := filepath.Join(p.dir, "state")
 		first, err := Start(context.Background(), dir, p.plan)
 		if err != nil {
@@ -259,7 +259,7 @@
 				t.Fatal(err)
 			}
 		}
-		if _, err := Open(dir, false); !errors.Is(err, ErrHeld) {
+		if _, err := Open(dir, false); !errors.Is(err, ErrLeaseHeld) {
 			t.Fatalf("a second controller beside the first: %v", err)
 		}
 		begun := time.Now()
@@ -292,7 +292,7 @@
 	p.fakes[0].hangs = make(chan bool)
 	sum, _ := Checksum(p.new)
 	address := p.plan.Agents[0].Address
-	for _, q := range []request{{Op: "keep", Fence: 1, Sum: sum, Path: p.new}, {Op: "change", Fence: 1, Sum: sum}} {
+	for _, q := range []request{{Operation: "keep", FencingToken: 1, Checksum: sum, Path: p.new}, {Operation: "change", FencingToken: 1, Checksum: sum}} {
 		if _, err := call(context.Background(), address, q); err != nil {
 			t.Fatal(err)
 		}
@@ -305,7 +305,7 @@
 	}
 	s.work.Wait()
 	s.Close()
-	if p.running(t, p.new) != 1 || s.state.Version != sum || s.state.Fence != 1 {
+	if p.running(t, p.new) != 1 || s.state.Version != sum || s.state.FencingToken != 1 {
 		t.Errorf("%+v", s.state)
 	}
 }
@@ -316,14 +316,14 @@
 	address := p.plan.Agents[0].Address
 	sum, _ := Checksum(p.new)
 	ctx := context.Background()
-	if _, err := call(ctx, address, request{Op: "status", Fence: 7}); err != nil {
+	if _, err := call(ctx, address, request{Operation: "status", FencingToken: 7}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := call(ctx, address, request{Op: "change", Fence: 6, Sum: sum}); !errors.Is(err, ErrFenced) {
+	if _, err := call(ctx, address, request{Operation: "change", FencingToken: 6, Checksum: sum}); !errors.Is(err, ErrStaleToken) {
 		t.Errorf("an earlier controller: %v", err)
 	}
-	for _, q := range []request{{Op: "erase", Fence: 7}, {Op: "change", Fence: 7, Sum: sum}, {Op: "change", Fence: 7, Sum: "../../old"},
-		{Op: "keep", Fence: 7, Sum: sum, Path: p.old}, {Op: "keep", Fence: 7, Sum: sum, Path: "nothing"}} {
+	for _, q := range []request{{Operation: "erase", FencingToken: 7}, {Operation: "change", FencingToken: 7, Checksum: sum}, {Operation: "change", FencingToken: 7, Checksum: "../../old"},
+		{Operation: "keep", FencingToken: 7, Checksum: sum, Path: p.old}, {Operation: "keep", FencingToken: 7, Checksum: sum, Path: "nothing"}} {
 		if _, err := call(ctx, address, q); err == nil {
 			t.Errorf("%+v is done", q)
 		}
@@ -332,7 +332,7 @@
 	if err := errors.Join(os.RemoveAll(versions), os.WriteFile(versions, nil, 0o600)); err != nil { // nothing can be written there, as on a full disk
 		t.Fatal(err)
 	}
-	if _, err := call(ctx, address, request{Op: "keep", Fence: 7, Sum: sum, Path: p.new}); err == nil {
+	if _, err := call(ctx, address, request{Operation: "keep", FencingToken: 7, Checksum: sum, Path: p.new}); err == nil {
 		t.Error("kept on a full disk")
 	}
 	if _, err := (&Server{}).Listen("0.0.0.0:0"); err == nil {
@@ -350,7 +350,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, kind := range []string{began, change, changed} {
+	for _, kind := range []string{recordStarted, recordUpdating, recordUpdated} {
 		if err := s.Append(Record{Kind: kind, Relay: 3}); err != nil {
 			t.Fatal(err)
 		}
@@ -387,10 +387,10 @@
 // An order that changes the plan is taken where what was done fits it; a program of another checksum does not.
 func TestMayBecome(t *testing.T) {
 	p := newPark(t, 4)
-	s := State{Plan: p.plan, Old: map[int]string{0: "x", 1: "x", 2: "x", 3: "x"}, Changed: []int{0, 1}, Stage: 1}
-	s.New, _ = Checksum(p.new)
+	s := State{Plan: p.plan, OldVersions: map[int]string{0: "x", 1: "x", 2: "x", 3: "x"}, Updated: []int{0, 1}, Stage: 1}
+	s.NewVersion, _ = Checksum(p.new)
 	for name, change := range map[string]func(*Plan){
-		"":                  func(q *Plan) { q.Bake = Duration(time.Second) },
+		"":                  func(q *Plan) { q.BakeTime = Duration(time.Second) },
 		"another program":   func(q *Plan) { q.Version = p.old },
 		"a relay less":      func(q *Plan) { q.Agents = q.Agents[1:]; q.Stages = []Stage{{Relays: 1}, {Relays: 3}} },
 		"fewer than so far": func(q *Plan) { q.Stages = []Stage{{Relays: 1}, {Relays: 1}, {Share: 1}} },
@@ -398,7 +398,7 @@
 	} {
 		q := *p.plan
 		change(&q)
-		if err := s.mayBecome(&q); (err == nil) != (name == "") {
+		if err := s.checkPlanChange(&q); (err == nil) != (name == "") {
 			t.Errorf("%q: %v", name, err)
 		}
 	}
@@ -406,7 +406,7 @@
 
 func TestParseCounters(t *testing.T) {
 	f, err := ParseCounters("relay_downstream_requests{lane=\"a\",result=\"completed\"} 7\nrelay_downstream_requests{lane=\"a\",result=\"failed\"} 2\nrelay_pending 3\nEND\n")
-	if err != nil || f.Ends["a"] != [3]int64{7, 0, 2} || f.Pending != 3 {
+	if err != nil || f.Outcomes["a"] != [3]int64{7, 0, 2} || f.Pending != 3 {
 		t.Errorf("%+v, %v", f, err)
 	}
 	if _, err := ParseCounters("ERR unknown call\n"); err == nil {
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -23,7 +23,7 @@
 // can't spoil what came after it, and agents no longer obey its number.
 type Store struct {
 	dir     string
-	fence   uint64
+	token   uint64
 	file    *os.File
 	records []Record
 }
@@ -31,14 +31,14 @@
 // ErrSuperseded says that a later controller has taken over.
 var ErrSuperseded = errors.New("a later controller has taken over")
 
-// ErrHeld says that another controller is at work.
-var ErrHeld = errors.New("another controller is at work")
+// ErrLeaseHeld says that another controller is at work.
+var ErrLeaseHeld = errors.New("another controller is at work")
 
 const (
 	logPrefix = "rollout."
-	// lease is how long a controller counts as at work since it last said so.
-	lease    = 5 * time.Second
-	leaseKey = "lease"
+	// leaseDuration is how long a controller counts as at work since it last said so.
+	leaseDuration = 5 * time.Second
+	leaseName     = "lease"
 )
 
 // OpenStore takes over a folder's records. While another controller's lease runs that is refused, unless force is set:
@@ -47,22 +47,22 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	if at, err := os.Stat(filepath.Join(dir, leaseKey)); err == nil && now.Sub(at.ModTime()) < lease && !force {
-		return nil, ErrHeld
+	if at, err := os.Stat(filepath.Join(dir, leaseName)); err == nil && now.Sub(at.ModTime()) < leaseDuration && !force {
+		return nil, ErrLeaseHeld
 	}
 	s := &Store{dir: dir}
-	last, err := s.lastFence()
+	last, err := s.lastToken()
 	if err != nil {
 		return nil, err
 	}
 	if last > 0 {
-		if s.records, err = readLog(s.path(last)); err != nil {
+		if s.records, err = readRecords(s.path(last)); err != nil {
 			return nil, err
 		}
 	}
-	s.fence = last + 1
+	s.token = last + 1
 	// Whoever makes the file has the number: of two that try at once, one fails.
-	next := s.path(s.fence) + ".new"
+	next := s.path(s.token) + ".new"
 	if s.file, err = os.OpenFile(next, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
 		if errors.Is(err, fs.ErrExist) { // of one that died here
 			_ = os.Remove(next)
@@ -77,14 +77,14 @@
 			return nil, errors.Join(err, s.file.Close())
 		}
 	}
-	if err := errors.Join(s.file.Sync(), os.Link(next, s.path(s.fence)), os.Remove(next)); err != nil {
+	if err := errors.Join(s.file.Sync(), os.Link(next, s.path(s.token)), os.Remove(next)); err != nil {
 		_ = s.file.Close()
 		if errors.Is(err, fs.ErrExist) {
-			return nil, ErrHeld
+			return nil, ErrLeaseHeld
 		}
 		return nil, err
 	}
-	if err := errors.Join(atomicfile.SyncDir(dir), s.Alive()); err != nil {
+	if err := errors.Join(atomicfile.SyncDir(dir), s.RenewLease()); err != nil {
 		return nil, errors.Join(err, s.file.Close())
 	}
 	return s, nil
@@ -94,8 +94,8 @@
 	return filepath.Join(s.dir, logPrefix+strconv.FormatUint(fence, 10))
 }
 
-// lastFence is the highest fencing number that was given.
-func (s *Store) lastFence() (last uint64, err error) {
+// lastToken is the highest fencing number that was given.
+func (s *Store) lastToken() (last uint64, err error) {
 	entries, err := os.ReadDir(s.dir)
 	for _, e := range entries {
 		if n, ok := strings.CutPrefix(e.Name(), logPrefix); ok {
@@ -107,27 +107,27 @@
 	return last, err
 }
 
-// Fence is the number by which agents know the latest controller.
-func (s *Store) Fence() uint64 { return s.fence }
+// FencingToken is the number by which agents know the latest controller.
+func (s *Store) FencingToken() uint64 { return s.token }
 
 // Records are all records, the oldest first.
 func (s *Store) Records() []Record { return s.records }
 
-// Alive says that the controller is at work, and fails where a later one is.
-func (s *Store) Alive() error {
-	last, err := s.lastFence()
+// RenewLease says that the controller is at work, and fails where a later one is.
+func (s *Store) RenewLease() error {
+	last, err := s.lastToken()
 	if err != nil {
 		return err
 	}
-	if last > s.fence {
+	if last > s.token {
 		return ErrSuperseded
 	}
-	return os.WriteFile(filepath.Join(s.dir, leaseKey), []byte(strconv.FormatUint(s.fence, 10)+"\n"), 0o600)
+	return os.WriteFile(filepath.Join(s.dir, leaseName), []byte(strconv.FormatUint(s.token, 10)+"\n"), 0o600)
 }
 
 // Append writes a record, and returns once it is on disk.
 func (s *Store) Append(r Record) error {
-	if err := s.Alive(); err != nil {
+	if err := s.RenewLease(); err != nil {
 		return err
 	}
 	if err := s.write(r); err != nil {
@@ -153,9 +153,9 @@
 
 // Close gives the records up: the next controller need not wait for the lease.
 func (s *Store) Close() error {
-	last, err := s.lastFence()
-	if err == nil && last == s.fence {
-		err = os.Remove(filepath.Join(s.dir, leaseKey))
+	last, err := s.lastToken()
+	if err == nil && last == s.token {
+		err = os.Remove(filepath.Join(s.dir, leaseName))
 	}
 	return errors.Join(err, s.file.Close())
 }
@@ -163,15 +163,15 @@
 // ReadStore reads a folder's records without taking over.
 func ReadStore(dir string) ([]Record, error) {
 	s := &Store{dir: dir}
-	last, err := s.lastFence()
+	last, err := s.lastToken()
 	if err != nil || last == 0 {
 		return nil, err
 	}
-	return readLog(s.path(last))
+	return readRecords(s.path(last))
 }
 
-// readLog reads the records of one file.
-func readLog(path string) (all []Record, err error) {
+// readRecords reads the records of one file.
+func readRecords(path string) (all []Record, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -202,7 +202,7 @@
 }
 
 // orders are written beside the records by commands, and taken in by the controller at work.
-const ordersName = "order"
+const orderName = "order"
 
 // Orders that operators may give.
 const (
@@ -214,25 +214,25 @@
 
 // Order is one of them; a resume may bring a changed plan.
 type Order struct {
-	What string `json:"what"`
-	Plan *Plan  `json:"plan,omitempty"`
+	Action string `json:"what"`
+	Plan   *Plan  `json:"plan,omitempty"`
 }
 
-// GiveOrder leaves an order for the controller at work, or for the next one.
-func GiveOrder(dir string, o Order) error {
-	if !slices.Contains([]string{OrderPause, OrderResume, OrderAbort, OrderRollback}, o.What) {
-		return fmt.Errorf("%q is no order", o.What)
+// SubmitOrder leaves an order for the controller at work, or for the next one.
+func SubmitOrder(dir string, o Order) error {
+	if !slices.Contains([]string{OrderPause, OrderResume, OrderAbort, OrderRollback}, o.Action) {
+		return fmt.Errorf("%q is no order", o.Action)
 	}
 	text, err := json.Marshal(o)
 	if err != nil {
 		return err
 	}
-	return atomicfile.Replace(filepath.Join(dir, ordersName), text)
+	return atomicfile.Replace(filepath.Join(dir, orderName), text)
 }
 
-// takeOrder takes the order that was left, if there is one.
-func takeOrder(dir string) (*Order, error) {
-	path := filepath.Join(dir, ordersName)
+// receiveOrder takes the order that was left, if there is one.
+func receiveOrder(dir string) (*Order, error) {
+	path := filepath.Join(dir, orderName)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
--- a/internal/rollout/stored_test.go
+++ b/internal/rollout/stored_test.go
@@ -43,15 +43,15 @@
 // storedPlan sets every value of a plan to one that it does not have where the plan is silent.
 func storedPlan() *Plan {
 	return &Plan{
-		Version:      "build/new",
-		Bake:         Duration(20 * time.Second),
-		LongestBake:  Duration(90 * time.Second),
-		MostInChange: 2,
-		ByZone:       true,
-		OnDeath:      "rollback",
-		OneWay:       true,
-		Gate: Gate{FalseStop: 0.02, Missed: 0.03, WorseBy: 0.15, LongerBy: 1.25, MemoryFactor: 1.75,
-			Every: Duration(250 * time.Millisecond)},
+		Version:             "build/new",
+		BakeTime:            Duration(20 * time.Second),
+		MaxBakeTime:         Duration(90 * time.Second),
+		MaxParallel:         2,
+		ByZone:              true,
+		OnControllerFailure: "rollback",
+		AllowNoRollback:     true,
+		Gate: Gate{FalsePositiveRate: 0.02, FalseNegativeRate: 0.03, ErrorRateIncrease: 0.15, LatencyFactor: 1.25, MemoryFactor: 1.75,
+			Interval: Duration(250 * time.Millisecond)},
 		Stages: []Stage{{Relays: 1}, {Share: 0.5}, {Share: 1}},
 		Agents: []Agent{{Relay: 1, Zone: "a", Address: "127.0.0.1:9001"},
 			{Relay: 2, Zone: "b", Address: "127.0.0.1:9002"}},
@@ -63,19 +63,19 @@
 	changedPlan := storedPlan()
 	changedPlan.Stages = []Stage{{Relays: 2}}
 	records := []Record{
-		{Kind: "began", To: newVersion, Plan: storedPlan(), Old: map[int]string{1: oldVersion, 2: oldVersion}},
-		{Kind: "change", Relay: 1, To: newVersion},
-		{Kind: "changed", Relay: 1, To: newVersion},
+		{Kind: "began", Version: newVersion, Plan: storedPlan(), OldVersions: map[int]string{1: oldVersion, 2: oldVersion}},
+		{Kind: "change", Relay: 1, Version: newVersion},
+		{Kind: "changed", Relay: 1, Version: newVersion},
 		{Kind: "baking"},
 		{Kind: "stage"},
-		{Kind: "pause", Why: "zone <b> is left & \"bad\""},
+		{Kind: "pause", Reason: "zone <b> is left & \"bad\""},
 		{Kind: "resume", Plan: changedPlan},
-		{Kind: "change", Relay: 2, To: newVersion},
-		{Kind: "failed", Relay: 2, Why: "it does not start"},
-		{Kind: "stop", Why: "relay 2 could not be changed"},
-		{Kind: "rollback", Why: "an order"},
-		{Kind: "change", Relay: 2, To: oldVersion},
-		{Kind: "changed", Relay: 2, To: oldVersion},
+		{Kind: "change", Relay: 2, Version: newVersion},
+		{Kind: "failed", Relay: 2, Reason: "it does not start"},
+		{Kind: "stop", Reason: "relay 2 could not be changed"},
+		{Kind: "rollback", Reason: "an order"},
+		{Kind: "change", Relay: 2, Version: oldVersion},
+		{Kind: "changed", Relay: 2, Version: oldVersion},
 		{Kind: "finished"},
 	}
 	for i := range records {
@@ -120,7 +120,7 @@
 // writeStoredOrder leaves an order with a changed plan.
 func writeStoredOrder(t *testing.T, dir string) {
 	t.Helper()
-	if err := GiveOrder(dir, Order{What: OrderResume, Plan: storedPlan()}); err != nil {
+	if err := SubmitOrder(dir, Order{Action: OrderResume, Plan: storedPlan()}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -128,7 +128,7 @@
 // writeStoredAgent keeps the state of an agent within a change.
 func writeStoredAgent(t *testing.T, dir string) {
 	t.Helper()
-	server := &Server{dir: dir, state: agentState{Fence: 7, Version: oldVersion, Going: newVersion}}
+	server := &Server{dir: dir, state: agentState{FencingToken: 7, Version: oldVersion, UpdatingTo: newVersion}}
 	if err := server.save(); err != nil {
 		t.Fatal(err)
 	}
@@ -179,16 +179,16 @@
 	if err := os.Chtimes(filepath.Join(dir, "lease"), alive, alive); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenStore(dir, alive, false); !errors.Is(err, ErrHeld) {
-		t.Errorf("the folder of a controller that lives: %v, want %v", err, ErrHeld)
+	if _, err := OpenStore(dir, alive, false); !errors.Is(err, ErrLeaseHeld) {
+		t.Errorf("the folder of a controller that lives: %v, want %v", err, ErrLeaseHeld)
 	}
 	store, err := OpenStore(dir, alive.Add(time.Hour), false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
-	if store.Fence() != 3 {
-		t.Errorf("fencing number %d, want 3", store.Fence())
+	if store.FencingToken() != 3 {
+		t.Errorf("fencing number %d, want 3", store.FencingToken())
 	}
 	sameRecords(t, store.Records(), storedRecords())
 	carried := fileBytes(t, filepath.Join(dir, "rollout.3"))
@@ -217,18 +217,18 @@
 // sameState fails unless a state is as the stored records give it.
 func sameState(t *testing.T, state *State, phase string, changed []int, failures map[int]string) {
 	t.Helper()
-	if string(state.Phase) != phase || state.New != newVersion || state.Stage != 1 || !state.BakeFrom.IsZero() {
-		t.Errorf("phase %q, want %q; new version %s, stage %d, baking from %v", state.Phase, phase, state.New,
-			state.Stage, state.BakeFrom)
+	if string(state.Phase) != phase || state.NewVersion != newVersion || state.Stage != 1 || !state.BakingSince.IsZero() {
+		t.Errorf("phase %q, want %q; new version %s, stage %d, baking from %v", state.Phase, phase, state.NewVersion,
+			state.Stage, state.BakingSince)
 	}
-	if !slices.Equal(state.Changed, changed) || len(state.Changing) > 0 {
-		t.Errorf("changed %v, want %v; in change %v", state.Changed, changed, state.Changing)
+	if !slices.Equal(state.Updated, changed) || len(state.Updating) > 0 {
+		t.Errorf("changed %v, want %v; in change %v", state.Updated, changed, state.Updating)
 	}
 	if len(state.Failed) != len(failures) || state.Failed[2] != failures[2] {
 		t.Errorf("failed %v, want %v", state.Failed, failures)
 	}
-	if len(state.Old) != 2 || state.Old[1] != oldVersion || state.Old[2] != oldVersion || len(state.Plan.Stages) != 1 {
-		t.Errorf("old versions %v, %d stages", state.Old, len(state.Plan.Stages))
+	if len(state.OldVersions) != 2 || state.OldVersions[1] != oldVersion || state.OldVersions[2] != oldVersion || len(state.Plan.Stages) != 1 {
+		t.Errorf("old versions %v, %d stages", state.OldVersions, len(state.Plan.Stages))
 	}
 }
 
@@ -249,12 +249,12 @@
 func TestReadsStoredOrder(t *testing.T) {
 	dir := t.TempDir()
 	copyStored(t, filepath.Join(storedDir, storedOrder), dir)
-	order, err := takeOrder(dir)
+	order, err := receiveOrder(dir)
 	if err != nil || order == nil || order.Plan == nil {
 		t.Fatalf("%v, %v", order, err)
 	}
-	if order.What != "resume" {
-		t.Errorf("order %q, want resume", order.What)
+	if order.Action != "resume" {
+		t.Errorf("order %q, want resume", order.Action)
 	}
 	samePlan(t, order.Plan, storedPlan())
 	if left := fileNames(t, dir); len(left) > 0 {
@@ -267,7 +267,7 @@
 func TestReadsStoredAgent(t *testing.T) {
 	dir := t.TempDir()
 	copyStored(t, filepath.Join(storedDir, storedAgent), dir)
-	path, err := Serving(dir, "first")
+	path, err := CurrentProgram(dir, "first")
 	if want := filepath.Join(dir, "versions", oldVersion); err != nil || path != want {
 		t.Errorf("%s serves, %v; want %s", path, err, want)
 	}
@@ -287,10 +287,10 @@
 		t.Errorf("the change goes on to %q, want %q", program, want)
 	}
 	var answer reply
-	if err := server.handle(request{Op: "status", Fence: 6}, &answer); !errors.Is(err, ErrFenced) {
-		t.Errorf("an earlier controller: %v, want %v", err, ErrFenced)
+	if err := server.handle(request{Operation: "status", FencingToken: 6}, &answer); !errors.Is(err, ErrStaleToken) {
+		t.Errorf("an earlier controller: %v, want %v", err, ErrStaleToken)
 	}
-	if err := server.handle(request{Op: "status", Fence: 7}, &answer); err != nil || answer.Version != newVersion {
+	if err := server.handle(request{Operation: "status", FencingToken: 7}, &answer); err != nil || answer.Version != newVersion {
 		t.Errorf("version %s, %v, want %s", answer.Version, err, newVersion)
 	}
 	want := `{"fence":7,"version":"` + newVersion + `","going":""}`
@@ -302,9 +302,9 @@
 // storedRunner makes every change at once, and tells to what.
 type storedRunner struct{ programs chan string }
 
-func (r *storedRunner) Figures() (Figures, error) { return Figures{}, nil }
+func (r *storedRunner) Metrics() (Metrics, error) { return Metrics{}, nil }
 
-func (r *storedRunner) Change(_ context.Context, program string) error {
+func (r *storedRunner) Update(_ context.Context, program string) error {
 	r.programs <- program
 	return nil
 }
@@ -318,9 +318,9 @@
 	for i, record := range got {
 		right := want[i]
 		if !record.At.Equal(right.At) || record.Kind != right.Kind || record.Relay != right.Relay ||
-			record.To != right.To || record.Why != right.Why || !maps.Equal(record.Old, right.Old) {
+			record.Version != right.Version || record.Reason != right.Reason || !maps.Equal(record.OldVersions, right.OldVersions) {
 			t.Errorf("record %d: kind %q at %v, relay %d to %q, why %q, old versions %v", i, record.Kind, record.At,
-				record.Relay, record.To, record.Why, record.Old)
+				record.Relay, record.Version, record.Reason, record.OldVersions)
 		}
 		samePlan(t, record.Plan, right.Plan)
 	}
@@ -335,9 +335,9 @@
 		}
 		return
 	}
-	if got.Version != want.Version || got.Bake != want.Bake || got.LongestBake != want.LongestBake ||
-		got.MostInChange != want.MostInChange || got.ByZone != want.ByZone || got.OnDeath != want.OnDeath ||
-		got.OneWay != want.OneWay || got.Gate != want.Gate ||
+	if got.Version != want.Version || got.BakeTime != want.BakeTime || got.MaxBakeTime != want.MaxBakeTime ||
+		got.MaxParallel != want.MaxParallel || got.ByZone != want.ByZone || got.OnControllerFailure != want.OnControllerFailure ||
+		got.AllowNoRollback != want.AllowNoRollback || got.Gate != want.Gate ||
 		!slices.Equal(got.Stages, want.Stages) || !slices.Equal(got.Agents, want.Agents) {
 		t.Errorf("plan\n%+v, want\n%+v", *got, *want)
 	}
