--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -6,6 +6,13 @@
 	"slices"
 )
 
+// Evaluation is the result of the canary analysis of a stage.
+type Evaluation struct {
+	Regressed  bool   // the new version is worse: stop
+	Conclusive bool   // enough samples to exclude a regression: promote
+	Reason     string // why it regressed, or why the evaluation is not conclusive
+}
+
 // Metrics are what an agent says of its relay at a look: sums since the relay's process started.
 type Metrics struct {
 	Outcomes       map[string][3]int64 `json:"ends"` // by class: delivered, refused, failed
--- /dev/null
+++ b/internal/rollout/steps.go
@@ -0,0 +1,212 @@
+package rollout
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// AgentStatus is what a relay's agent reports, as far as the next steps depend on it.
+type AgentStatus struct {
+	Reachable      bool
+	Version        string
+	Settled        bool     // no update is running
+	Error          string   // of the last update
+	EvacuatedZones []string // by the relay's own decision or by order
+}
+
+// evacuationQuorum is the share of the reachable relays above which a zone that they have evacuated pauses a rollout. A single
+// relay of many may be wrong.
+const evacuationQuorum = 0.1
+
+// evacuatedZone returns the zone that most relays have evacuated, and their number; 0 if they are no quorum.
+func evacuatedZone(agents map[int]AgentStatus) (zone string, relays int) {
+	evacuations, reachable := map[string]int{}, 0
+	for _, status := range agents {
+		if status.Reachable {
+			reachable++
+		}
+		for _, evacuated := range status.EvacuatedZones {
+			evacuations[evacuated]++
+		}
+	}
+	for candidate, count := range evacuations {
+		if float64(count) > evacuationQuorum*float64(reachable) && (count > relays || count == relays && candidate < zone) {
+			zone, relays = candidate, count
+		}
+	}
+	return zone, relays
+}
+
+// Next returns the records to append next, given the status of the agents and the evaluation of the stage; none if there is
+// nothing to do but wait. The caller appends each record, applies it, and then carries it out. Next is a pure function, so that
+// a model checker can explore all paths through it.
+func (s *State) Next(now time.Time, agents map[int]AgentStatus, evaluation Evaluation) []Record {
+	if confirmed := s.confirmUpdates(now, agents); len(confirmed) > 0 {
+		return confirmed
+	}
+	switch s.Phase {
+	case Running:
+		if halt, ok := s.halt(now, agents, evaluation); ok {
+			return []Record{halt}
+		}
+		return s.advance(now, agents, evaluation)
+	case RollingBack:
+		return s.rollBack(now, agents)
+	}
+	return nil
+}
+
+// confirmUpdates returns a record for each running update that an agent reports as ended.
+func (s *State) confirmUpdates(now time.Time, agents map[int]AgentStatus) (next []Record) {
+	for _, relay := range s.updatingRelays() {
+		status, version := agents[relay], s.Updating[relay]
+		switch {
+		case !status.Reachable || !status.Settled:
+		case s.Phase == Stopped: // an update that had not reached the agent by then is not sent any more
+			next = append(next, Record{At: now, Kind: recordUpdated, Relay: relay, Version: status.Version})
+		case status.Version == version && status.Error == "":
+			next = append(next, Record{At: now, Kind: recordUpdated, Relay: relay, Version: version})
+		case status.Error != "":
+			next = append(next, Record{At: now, Kind: recordUpdateFailed, Relay: relay, Reason: status.Error})
+		}
+	}
+	return next
+}
+
+// halt returns the record that stops or pauses a running rollout, if there is a reason to.
+func (s *State) halt(now time.Time, agents map[int]AgentStatus, evaluation Evaluation) (halt Record, ok bool) {
+	for relay, reason := range s.Failed {
+		return Record{At: now, Kind: recordStopped, Reason: fmt.Sprintf("update of relay %d failed: %s", relay, reason)}, true
+	}
+	if evaluation.Regressed {
+		return Record{At: now, Kind: recordStopped, Reason: evaluation.Reason}, true
+	}
+	if zone, relays := evacuatedZone(agents); relays > 0 {
+		reason := fmt.Sprintf("zone %s is evacuated by %d relays: resume once it is restored", zone, relays)
+		return Record{At: now, Kind: recordPaused, Reason: reason}, true
+	}
+	return Record{}, false
+}
+
+// advance starts the next updates of the stage, or ends it.
+func (s *State) advance(now time.Time, agents map[int]AgentStatus, evaluation Evaluation) []Record {
+	if remaining := s.Plan.relaysAfter(s.Stage) - len(s.Updated) - len(s.Updating); remaining > 0 {
+		return s.startUpdates(now, agents, remaining)
+	}
+	if len(s.Updating) > 0 {
+		return nil
+	}
+	if s.BakingSince.IsZero() {
+		return []Record{{At: now, Kind: recordBaking}}
+	}
+	return s.endStage(now, agents, evaluation)
+}
+
+// startUpdates returns records for updates of at most so many further relays, as far as the plan allows them at once.
+func (s *State) startUpdates(now time.Time, agents map[int]AgentStatus, remaining int) (next []Record) {
+	for _, agent := range s.updateOrder() {
+		if remaining == 0 || len(s.Updating)+len(next) >= s.Plan.MaxParallel {
+			break
+		}
+		status := agents[agent.Relay]
+		isTaken := slices.Contains(s.Updated, agent.Relay) || s.Updating[agent.Relay] != ""
+		if isTaken || !status.Reachable || !status.Settled || !s.sharesZone(agent, next) {
+			continue
+		}
+		next = append(next, Record{At: now, Kind: recordUpdating, Relay: agent.Relay, Version: s.NewVersion})
+		remaining--
+	}
+	return next
+}
+
+// endStage promotes a stage that has baked with a conclusive evaluation, or pauses if there is none after the maximum bake time.
+// Where all relays are updated there is nothing to compare with, so the minimum bake time is enough.
+func (s *State) endStage(now time.Time, agents map[int]AgentStatus, evaluation Evaluation) []Record {
+	baked := now.Sub(s.BakingSince)
+	expired := baked >= s.Plan.MaxBakeTime.AsDuration()
+	for _, relay := range s.Updated {
+		if !agents[relay].Reachable && !expired {
+			return nil
+		}
+	}
+	needsEvaluation := !evaluation.Conclusive && len(s.Updated) < len(s.Plan.Agents)
+	switch {
+	case baked < s.Plan.BakeTime.AsDuration():
+		return nil
+	case needsEvaluation && !expired:
+		return nil
+	case needsEvaluation:
+		reason := fmt.Sprintf("the evaluation of stage %d is inconclusive after %v: %s",
+			s.Stage+1, s.Plan.MaxBakeTime.AsDuration(), evaluation.Reason)
+		return []Record{{At: now, Kind: recordPaused, Reason: reason}}
+	case s.Stage == len(s.Plan.Stages)-1:
+		return []Record{{At: now, Kind: recordFinished}}
+	}
+	return []Record{{At: now, Kind: recordPromoted}}
+}
+
+// updateOrder returns the agents in the order of their updates: with ByZone one zone after another.
+func (s *State) updateOrder() []Agent {
+	agents := slices.Clone(s.Plan.Agents)
+	if s.Plan.ByZone {
+		slices.SortStableFunc(agents, func(a, b Agent) int { return cmp.Compare(a.Zone, b.Zone) })
+	}
+	return agents
+}
+
+// sharesZone reports whether a relay is in the zone of all relays that are being updated or that the records start to update.
+func (s *State) sharesZone(agent Agent, next []Record) bool {
+	for _, other := range s.Plan.Agents {
+		isNext := slices.ContainsFunc(next, func(r Record) bool { return r.Relay == other.Relay })
+		if (isNext || s.Updating[other.Relay] != "") && other.Zone != agent.Zone {
+			return false
+		}
+	}
+	return true
+}
+
+// rollBack starts to restore the old versions of updated relays, the last one first. It is finished when all have theirs: a
+// relay that does not answer is waited for.
+func (s *State) rollBack(now time.Time, agents map[int]AgentStatus) (next []Record) {
+	plans := map[int]Agent{}
+	for _, agent := range s.Plan.Agents {
+		plans[agent.Relay] = agent
+	}
+	isWaiting := false
+	for _, relay := range slices.Backward(s.Updated) {
+		if s.Updating[relay] != "" {
+			continue
+		}
+		status := agents[relay]
+		isBlocked := !status.Reachable || !status.Settled || s.Failed[relay] != ""
+		if isBlocked || len(s.Updating)+len(next) >= s.Plan.MaxParallel || !s.sharesZone(plans[relay], next) {
+			isWaiting = true
+			continue
+		}
+		next = append(next, s.restore(now, relay))
+	}
+	if len(next) > 0 || len(s.Updating) > 0 {
+		return next
+	}
+	if !isWaiting {
+		return []Record{{At: now, Kind: recordFinished}}
+	}
+	return s.retryRestore(now, agents)
+}
+
+// retryRestore returns a record for one relay whose rollback failed, if any is ready.
+func (s *State) retryRestore(now time.Time, agents map[int]AgentStatus) []Record {
+	for _, relay := range s.Updated {
+		if s.Failed[relay] != "" && agents[relay].Reachable && agents[relay].Settled {
+			return []Record{s.restore(now, relay)}
+		}
+	}
+	return nil
+}
+
+// restore returns the record of an update of a relay to its old version.
+func (s *State) restore(now time.Time, relay int) Record {
+	return Record{At: now, Kind: recordUpdating, Relay: relay, Version: s.OldVersions[relay]}
+}
