--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -11,8 +11,6 @@
 	"net"
 	"os"
 	"path/filepath"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -316,49 +314,6 @@
 	return r, errors.New(r.Error)
 }
 
-// ParseCounters reads a relay's admin endpoint's reply to "counters".
-func ParseCounters(text string) (f Metrics, err error) {
-	f.Outcomes = map[string][3]int64{}
-	results := map[string]int{"completed": 0, "rejected": 1, "failed": 2}
-	for line := range strings.Lines(text) {
-		name, value, _ := strings.Cut(strings.TrimSpace(line), " ")
-		n, err := strconv.ParseInt(value, 10, 64)
-		if rest, ok := strings.CutPrefix(name, "relay_downstream_requests{lane="); ok && err == nil {
-			var class, result string
-			if _, err := fmt.Sscanf(rest, "%q,result=%q}", &class, &result); err != nil {
-				return f, fmt.Errorf("%q: %w", line, err)
-			}
-			ends := f.Outcomes[class]
-			ends[results[result]] = n
-			f.Outcomes[class] = ends
-		}
-		if name == "relay_pending" && err == nil {
-			f.Pending = n
-		}
-	}
-	if len(f.Outcomes) == 0 {
-		return f, fmt.Errorf("no counters in %q", text)
-	}
-	return f, nil
-}
-
-// ParseZones reads a relay's admin endpoint's reply to "zone status": the zones that the relay has left. A relay that does not
-// know the command has none.
-func ParseZones(text string) (left []string) {
-	var s struct {
-		Zones []struct{ Zone, State string }
-	}
-	if json.Unmarshal([]byte(text), &s) != nil {
-		return nil
-	}
-	for _, z := range s.Zones {
-		if strings.HasPrefix(z.State, "evacuated") {
-			left = append(left, z.Zone)
-		}
-	}
-	return left
-}
-
 // CurrentProgram is the program that the relay of an agent's folder runs: the one given, until a rollout has changed it.
 func CurrentProgram(dir, first string) (string, error) {
 	text, err := os.ReadFile(filepath.Join(dir, agentStateName))
--- /dev/null
+++ b/internal/rollout/canary.go
@@ -0,0 +1,238 @@
+package rollout
+
+import (
+	"fmt"
+	"math"
+	"slices"
+)
+
+const (
+	// minMessages is the number of messages of each cohort below which shares and latencies are too skewed to compare.
+	minMessages = 15
+	// maxMemoryViolations is the number of samples in a row above the memory factor that make a regression: memory does not come
+	// and go within a second.
+	maxMemoryViolations = 5
+	// toleratedCrashes is the number of crashes of updated relays that are no regression.
+	toleratedCrashes = 1
+	// testsPerClass is the number of tests for each class: rejected and failed messages.
+	testsPerClass = 2
+	// latencyTest is the name of the test of the latency.
+	latencyTest = "latency"
+)
+
+// Evaluation is the result of the canary analysis of a stage.
+type Evaluation struct {
+	Regressed  bool   // the new version is worse: stop
+	Conclusive bool   // enough samples to exclude a regression: promote
+	Reason     string // why it regressed, or why the evaluation is not conclusive
+}
+
+// cohort is the relays with the old version, or those with the new one.
+type cohort struct {
+	outcomes  map[string][outcomeCount]float64 // by class, since outcomes were last compared
+	pending   float64                          // messages, in the last sample
+	completed float64                          // messages, between the last two samples
+	memoryMB  float64                          // in the last sample, of all relays
+	relays    float64                          // in the last sample
+	crashes   int                              // in the last sample
+}
+
+// latencySums holds what Little's law gives the latency of a cohort from: the messages pending and completed since latencies
+// were last compared.
+type latencySums struct{ pending, completed float64 }
+
+// CanaryAnalysis compares the relays with the new version to the others. It compares differences over the same time, so that
+// what affects all relays alike cancels out, by sequential tests, which may be evaluated after each sample.
+type CanaryAnalysis struct {
+	gate               Gate
+	minLikelihoodRatio float64
+	last               map[int]Metrics // of the last sample, by relay
+	tests              map[string]*sequentialTest
+	control, canary    cohort
+	controlLatency     latencySums
+	canaryLatency      latencySums
+	memoryViolations   int // samples in a row above the memory factor
+	samples            int // with relays in both cohorts
+	regression         string
+}
+
+// NewCanaryAnalysis returns the analysis of one of some stages, over a number of classes. The false positive rate of the gate is
+// divided among all tests of all stages (Bonferroni).
+func NewCanaryAnalysis(gate Gate, stages, classes int) *CanaryAnalysis {
+	tests := max(1, stages) * (testsPerClass*max(1, classes) + 1)
+	return &CanaryAnalysis{
+		gate:               gate,
+		minLikelihoodRatio: float64(tests) / gate.FalsePositiveRate,
+		last:               map[int]Metrics{},
+		tests:              map[string]*sequentialTest{},
+	}
+}
+
+// AddSample adds the metrics of all relays at one time; isUpdated reports which have the new version.
+func (c *CanaryAnalysis) AddSample(metrics map[int]Metrics, isUpdated func(relay int) bool) {
+	c.control.startSample()
+	c.canary.startSample()
+	for relay, sample := range metrics {
+		before, hasBefore := c.last[relay]
+		c.last[relay] = sample
+		group := &c.control
+		if isUpdated(relay) {
+			group = &c.canary
+			group.crashes += sample.Crashes
+		}
+		group.add(sample)
+		if hasBefore {
+			group.addOutcomes(sample, before)
+		}
+	}
+	if c.canary.crashes > toleratedCrashes {
+		c.regressed(fmt.Sprintf("updated relays crashed %d times", c.canary.crashes))
+	}
+	if c.control.relays == 0 || c.canary.relays == 0 {
+		return
+	}
+	c.samples++
+	c.compareMemory()
+	c.compareLatency()
+	c.compareOutcomes()
+}
+
+// startSample resets what is of the last sample.
+func (g *cohort) startSample() {
+	outcomes := g.outcomes
+	if outcomes == nil {
+		outcomes = map[string][outcomeCount]float64{}
+	}
+	*g = cohort{outcomes: outcomes}
+}
+
+// add adds a relay's metrics to the sample.
+func (g *cohort) add(sample Metrics) {
+	g.memoryMB += sample.MemoryMB
+	g.pending += float64(sample.Pending)
+	g.relays++
+}
+
+// addOutcomes adds the outcomes of a relay's messages between two samples. Counts that have decreased are of a new process: they
+// are skipped once.
+func (g *cohort) addOutcomes(sample, before Metrics) {
+	for class, counts := range sample.Outcomes {
+		sum, countsBefore := g.outcomes[class], before.Outcomes[class]
+		for outcome, count := range counts {
+			increase := float64(max(0, count-countsBefore[outcome]))
+			sum[outcome] += increase
+			if outcome == outcomeCompleted {
+				g.completed += increase
+			}
+		}
+		g.outcomes[class] = sum
+	}
+}
+
+// messages returns the number of messages in outcomes.
+func (g *cohort) messages() (count float64) {
+	for _, outcomes := range g.outcomes {
+		count += total(outcomes)
+	}
+	return count
+}
+
+func total(outcomes [outcomeCount]float64) float64 {
+	return outcomes[outcomeCompleted] + outcomes[outcomeRejected] + outcomes[outcomeFailed]
+}
+
+// compareMemory compares the mean memory of the last samples.
+func (c *CanaryAnalysis) compareMemory() {
+	canary, control := c.canary.memoryMB/c.canary.relays, c.control.memoryMB/c.control.relays
+	if canary <= c.gate.MemoryFactor*c.control.memoryMB/c.control.relays {
+		c.memoryViolations = 0
+		return
+	}
+	c.memoryViolations++
+	if c.memoryViolations >= maxMemoryViolations {
+		c.regressed(fmt.Sprintf("updated relays use %.0f MB of memory, the others %.0f MB", canary, control))
+	}
+}
+
+// compareLatency compares latencies, which by Little's law are the pending messages over the completed ones. The difference of
+// logarithms is that of a factor.
+func (c *CanaryAnalysis) compareLatency() {
+	c.controlLatency.add(&c.control)
+	c.canaryLatency.add(&c.canary)
+	control, canary := c.controlLatency, c.canaryLatency
+	if min(canary.pending, canary.completed, control.pending, control.completed) < minMessages {
+		return
+	}
+	difference := math.Log(canary.pending/canary.completed) - math.Log(control.pending/control.completed)
+	chanceVariance := 1/canary.pending + 1/canary.completed + 1/control.pending + 1/control.completed
+	c.addDifference(latencyTest, difference, chanceVariance, math.Log(c.gate.LatencyFactor))
+	c.controlLatency, c.canaryLatency = latencySums{}, latencySums{}
+}
+
+func (l *latencySums) add(group *cohort) {
+	l.pending += group.pending
+	l.completed += group.completed
+}
+
+// compareOutcomes compares the shares of rejected and failed messages of each class, once both cohorts have enough messages.
+func (c *CanaryAnalysis) compareOutcomes() {
+	if c.control.messages() < minMessages || c.canary.messages() < minMessages {
+		return
+	}
+	for class, canary := range c.canary.outcomes {
+		control := c.control.outcomes[class]
+		canaryTotal, controlTotal := total(canary), total(control)
+		if canaryTotal == 0 || controlTotal == 0 {
+			continue
+		}
+		for outcome, name := range map[int]string{outcomeRejected: "rejected", outcomeFailed: "failed"} {
+			share := (canary[outcome] + control[outcome]) / (canaryTotal + controlTotal)
+			difference := canary[outcome]/canaryTotal - control[outcome]/controlTotal
+			chanceVariance := share * (1 - share) * (1/canaryTotal + 1/controlTotal)
+			c.addDifference(class+" "+name, difference, chanceVariance, c.gate.ErrorRateIncrease)
+		}
+	}
+	c.control, c.canary = cohort{}, cohort{}
+}
+
+// addDifference adds a difference, of updated relays less the others, to a test.
+func (c *CanaryAnalysis) addDifference(name string, difference, chanceVariance, effect float64) {
+	test := c.tests[name]
+	if test == nil {
+		test = &sequentialTest{effect: effect}
+		c.tests[name] = test
+	}
+	test.add(difference, chanceVariance)
+	if test.detects(c.minLikelihoodRatio) {
+		c.regressed(fmt.Sprintf("%s: %+.3f on updated relays, after %.0f samples", name, test.mean, test.samples))
+	}
+}
+
+// regressed keeps the first reason.
+func (c *CanaryAnalysis) regressed(reason string) {
+	if c.regression == "" {
+		c.regression = reason
+	}
+}
+
+// Evaluate returns the result of all samples so far. The test of the latency may detect a regression but need not exclude one:
+// where latencies are well below the sampling interval, few messages are pending in a sample.
+func (c *CanaryAnalysis) Evaluate() Evaluation {
+	if c.regression != "" {
+		return Evaluation{Regressed: true, Reason: c.regression}
+	}
+	if len(c.tests) == 0 || c.samples < minSamples {
+		return Evaluation{Reason: fmt.Sprintf("too little traffic: %d samples of both versions, %d are needed", c.samples, minSamples)}
+	}
+	var inconclusive []string
+	for name, test := range c.tests {
+		if name != latencyTest && !test.excludes(c.gate.FalseNegativeRate) {
+			inconclusive = append(inconclusive, name)
+		}
+	}
+	if len(inconclusive) > 0 {
+		slices.Sort(inconclusive)
+		return Evaluation{Reason: fmt.Sprintf("too little traffic to evaluate: %v", inconclusive)}
+	}
+	return Evaluation{Conclusive: true}
+}
