--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -101,7 +101,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.formats = p.askFormats
+		s.queryFormats = p.askFormats
 		address, err := s.Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
