--- a/cmd/milletsail/agent.go
+++ b/cmd/milletsail/agent.go
@@ -28,16 +28,16 @@
 func runAgent(command *cobra.Command, config *rollout.AgentConfig) error {
 	ctx, stop := signal.NotifyContext(command.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	program, err := rollout.Serving(config.Folder, config.Program)
+	program, err := rollout.CurrentProgram(config.Dir, config.Program)
 	if err != nil {
 		return err
 	}
-	processes, err := rollout.NewProcesses(ctx, *config, program)
+	processes, err := rollout.NewProcessRunner(ctx, *config, program)
 	if err != nil {
 		return fmt.Errorf("relay %d: %w", config.Relay, err)
 	}
 	defer processes.Stop()
-	server, err := rollout.NewServer(config.Relay, config.Folder, config.Program, processes)
+	server, err := rollout.NewServer(config.Relay, config.Dir, config.Program, processes)
 	if err != nil {
 		return err
 	}
--- a/cmd/milletsail/rollout.go
+++ b/cmd/milletsail/rollout.go
@@ -81,12 +81,12 @@
 }
 
 // orderCommand gives an order to the controller at work, or carries it out where there is none.
-func (t *rolloutTool) orderCommand(what, short string) *cobra.Command {
+func (t *rolloutTool) orderCommand(action, short string) *cobra.Command {
 	var planFile string
-	command := &cobra.Command{Use: what, Short: short, Args: cobra.NoArgs,
+	command := &cobra.Command{Use: action, Short: short, Args: cobra.NoArgs,
 		Long: short + ".\nThe controller at work takes the order; where there is none, this command takes over.",
 		RunE: func(command *cobra.Command, _ []string) error {
-			order := rollout.Order{What: what}
+			order := rollout.Order{Action: action}
 			if planFile != "" {
 				plan, err := rollout.ReadPlan(planFile)
 				if err != nil {
@@ -96,7 +96,7 @@
 			}
 			return t.carryOut(command, order)
 		}}
-	if what == rollout.OrderResume {
+	if action == rollout.OrderResume {
 		command.Flags().StringVar(&planFile, "plan", "", "`file` with a changed plan")
 	}
 	return command
@@ -104,8 +104,8 @@
 
 func (t *rolloutTool) carryOut(command *cobra.Command, order rollout.Order) error {
 	controller, err := rollout.Open(t.state, false)
-	if errors.Is(err, rollout.ErrHeld) {
-		if err := rollout.GiveOrder(t.state, order); err != nil {
+	if errors.Is(err, rollout.ErrLeaseHeld) {
+		if err := rollout.SubmitOrder(t.state, order); err != nil {
 			return err
 		}
 		command.Println("left for the controller at work")
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	if err := controller.Obey(order); err != nil {
+	if err := controller.HandleOrder(order); err != nil {
 		return errors.Join(err, controller.Close())
 	}
 	return runController(command, controller)
@@ -142,14 +142,14 @@
 // showRollout prints how a rollout stands.
 func showRollout(out io.Writer, state rollout.State) error {
 	reason := ""
-	if state.Why != "" {
-		reason = ": " + state.Why
+	if state.Reason != "" {
+		reason = ": " + state.Reason
 	}
 	rows := newTable(out, 0)
 	rows.printf("%s%s\n", state.Phase, reason)
-	rows.printf("version\t%.*s\n", checksumDigits, state.New)
+	rows.printf("version\t%.*s\n", checksumDigits, state.NewVersion)
 	rows.printf("stage\t%d of %d\n", min(state.Stage+1, len(state.Plan.Stages)), len(state.Plan.Stages))
-	rows.printf("relays\t%d of %d changed, %d in change\n", len(state.Changed), len(state.Plan.Agents), len(state.Changing))
+	rows.printf("relays\t%d of %d changed, %d in change\n", len(state.Updated), len(state.Plan.Agents), len(state.Updating))
 	for relay, failure := range state.Failed {
 		rows.printf("relay %d\t%s\n", relay, failure)
 	}
--- a/cmd/milletsail/scenariorun.go
+++ b/cmd/milletsail/scenariorun.go
@@ -71,9 +71,9 @@
 
 func (r *scenarioRun) rolloutPlan() rollout.Plan {
 	plan := rollout.DefaultPlan()
-	plan.Bake = rollout.Duration(r.bake)
-	plan.LongestBake = rollout.Duration(maxBakeFactor * r.bake)
-	plan.Gate.Every = rollout.Duration(rolloutCheckInterval)
+	plan.BakeTime = rollout.Duration(r.bake)
+	plan.MaxBakeTime = rollout.Duration(maxBakeFactor * r.bake)
+	plan.Gate.Interval = rollout.Duration(rolloutCheckInterval)
 	return plan
 }
 
