--- a/policy/connection_limit.go
+++ b/policy/connection_limit.go
@@ -1,6 +1,11 @@
 package policy
 
-import "milletsail/internal/instant"
+import (
+	"math"
+	"time"
+
+	"milletsail/internal/instant"
+)
 
 const (
 	// connectionLimitIncrease is what a success adds to a learned connection limit, in connections.
@@ -10,15 +15,47 @@
 	connectErrorReporters = 8
 )
 
-// connectionLimiter knows how many connections one endpoint accepts from this relay.
+// connectionLimiter learns how many connections one endpoint accepts from this relay.
 type connectionLimiter struct {
-	limit   float64      // learned; 0 for none
+	limit   float64      // learned, in connections; 0 for none
 	errorAt instant.Time // when the endpoint last did not accept a connection, here or elsewhere
 	fullAt  instant.Time // when it last served this relay in spite of that; 0 for never
 }
 
-// connectionsFull tells whether an endpoint took no connection lately, of this relay or of another while it served
-// this one: idle ones take the room of others there. Elsewhere closing them only costs a handshake again.
-func (d *Dispatcher) connectionsFull(ep *endpoint) bool {
-	return ep.connections.limit > 0 || ep.connections.fullAt > 0 && d.now.Sub(ep.connections.fullAt) < d.settings.IdleConnTimeout
+// allows reports whether the limit allows one call more than there are out.
+func (c *connectionLimiter) allows(callsOut int) bool {
+	return c.limit <= 0 || float64(callsOut+1) <= c.limit
+}
+
+// raiseLimit raises a learned limit after a success: other relays close idle connections.
+func (c *connectionLimiter) raiseLimit() {
+	if c.limit > 0 {
+		c.limit += connectionLimitIncrease
+	}
+}
+
+// lowerLimit limits the connections to those that are in use.
+func (c *connectionLimiter) lowerLimit(callsOut int) { c.limit = math.Max(1, float64(callsOut)) }
+
+// recordSuccess takes in a successful call: if it was sent before another one's connection was not accepted, the endpoint
+// has no more connections to give.
+func (c *connectionLimiter) recordSuccess(now, sentAt instant.Time) {
+	if sentAt < c.errorAt {
+		c.fullAt = now
+	}
+}
+
+// recordError takes in a connection error, and reports whether it is the first in a rateWindow.
+func (c *connectionLimiter) recordError(now instant.Time) (first bool) {
+	if now < c.errorAt.Add(rateWindow) {
+		return false
+	}
+	c.errorAt = now
+	return true
+}
+
+// full reports whether the endpoint did not accept a connection lately, from this relay or from another while it served
+// this one. Idle connections then take the capacity of others; elsewhere, closing them only costs a new handshake.
+func (c *connectionLimiter) full(now instant.Time, idleTimeout time.Duration) bool {
+	return c.limit > 0 || c.fullAt > 0 && now.Sub(c.fullAt) < idleTimeout
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -8,7 +8,7 @@
 	queue *queue
 	calls []*call // out, in the order of sending
 
-	outlier         outlierState
+	outlier         outlierDetector
 	slowStart       slowStartState
 	connections     connectionLimiter
 	resourceBackoff resourceBackoff // after a call that could not be started
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -71,7 +71,7 @@
 
 // addEndpoint adds an endpoint that is listed since a moment to its destination.
 func (d *Dispatcher) addEndpoint(dest *destination, e Endpoint, since instant.Time) *endpoint {
-	ep := &endpoint{outlier: newOutlierState(len(d.settings.Classes)), queue: dest.queues[0]}
+	ep := &endpoint{outlier: newOutlierDetector(len(d.settings.Classes)), queue: dest.queues[0]}
 	d.endpoints[e.ID] = ep
 	kind := Kind{MaxBatch: 1}
 	if e.Kind >= 0 && e.Kind < len(d.settings.Kinds) {
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -47,23 +47,24 @@
 	if ep.Draining || ep.Removed || d.now < ep.resourceBackoff.until {
 		return false
 	}
-	if ep.connections.limit > 0 && float64(len(ep.calls)+1) > ep.connections.limit {
+	if !ep.connections.allows(len(ep.calls)) {
 		return false
 	}
 	if ep.outlier.ejected {
-		trials := 0
-		for _, c := range ep.calls {
-			if c.sentAt >= ep.outlier.ejectedAt {
-				trials++
-			}
-		}
-		if turn := d.probeTurn(ep); turn > 0 {
-			return trials == 0 && d.now >= turn
-		}
-		return trials < maxUnhealthyCalls && d.slowStartTokens(ep) >= 1
+		return d.mayProbe(ep)
 	}
 	if ep.slowStart.active && d.slowStartTokens(ep) < 1 {
 		return false
 	}
 	return !d.unresponsive(ep) || len(ep.calls) < maxUnhealthyCalls
 }
+
+// mayProbe reports whether an ejected endpoint may get a probe now: in this relay's turn, where the fleet takes turns, else
+// as the slow start budget allows.
+func (d *Dispatcher) mayProbe(ep *endpoint) bool {
+	probes := ep.probesOut()
+	if turn := d.probeTurn(ep); turn > 0 {
+		return probes == 0 && d.now >= turn
+	}
+	return probes < maxUnhealthyCalls && d.slowStartTokens(ep) >= 1
+}
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -15,7 +15,7 @@
 		if ep == nil {
 			// Its zone is not known any more: no other is known to share its memory.
 			ep = &endpoint{Endpoint: Endpoint{ID: t.Endpoint, Destination: m.Destination, Zone: -1, Removed: true},
-				queue: d.destination(m.Destination).queues[0], outlier: newOutlierState(len(d.settings.Classes))}
+				queue: d.destination(m.Destination).queues[0], outlier: newOutlierDetector(len(d.settings.Classes))}
 		}
 		c := &call{endpoint: ep, sentAt: t.SentAt}
 		if t.InFlight {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -1,21 +1,53 @@
 package policy
 
-import "math"
+import (
+	"time"
+)
 
-// closeAttempt notes that an attempt has ended, and gives its message and its call: nil where it is unknown or has ended before. A
-// call gives its slot back with the last of its messages. One that was not begun leaves no trace.
-func (d *Dispatcher) closeAttempt(e AttemptEnded) (*message, *call) {
-	m := d.messages.byID[e.ID]
-	if m == nil || e.Attempt < 0 || e.Attempt >= len(m.attempts) || !m.attempts[e.Attempt].open {
+// callOutcome is the end of a call, as reported with the last of its attempts.
+type callOutcome struct {
+	AttemptEnded
+	call    *call
+	message *message // of the last attempt
+	seconds float64  // latency, as far as it matters for the message's class
+}
+
+// handleAttemptEnded takes in the end of an attempt: first what it says of the endpoint, then what becomes of the
+// message.
+func (d *Dispatcher) handleAttemptEnded(ended AttemptEnded) {
+	m, c := d.closeAttempt(ended)
+	if c == nil {
+		return
+	}
+	if ended.RetryAfter > 0 {
+		d.handleRetryAfter(c.endpoint.queue, ended.RetryAfter)
+	}
+	switch {
+	case ended.Outcome == NotStarted:
+		d.recordNotStarted(c)
+	case c.openAttempts == 0:
+		d.handleCallEnded(c, m, ended)
+	}
+	if ended.Outcome == TimedOut || ended.Outcome == Reset || ended.Outcome == Canceled {
+		m.keyBlockedUntil = d.now.Add(d.settings.OrderedKeyDelay)
+	}
+	d.continueMessage(m, ended)
+}
+
+// closeAttempt marks an attempt as ended, and returns its message and its call, or nil if it is unknown or has ended
+// before. A call frees its slot with the last of its messages. One that was not started leaves no trace.
+func (d *Dispatcher) closeAttempt(ended AttemptEnded) (*message, *call) {
+	m := d.messages.byID[ended.ID]
+	if m == nil || ended.Attempt < 0 || ended.Attempt >= len(m.attempts) || !m.attempts[ended.Attempt].open {
 		return nil, nil
 	}
-	a := &m.attempts[e.Attempt]
-	c := a.call
-	a.open = false
-	a.notExecuted = e.Outcome.ProvesNotExecuted()
+	closed := &m.attempts[ended.Attempt]
+	c := closed.call
+	closed.open = false
+	closed.notExecuted = ended.Outcome.ProvesNotExecuted()
 	m.openAttempts--
-	if e.Outcome == NotStarted && e.Attempt == len(m.attempts)-1 { // its number goes to the next one
-		m.attempts = m.attempts[:e.Attempt]
+	if ended.Outcome == NotStarted && ended.Attempt == len(m.attempts)-1 { // its number goes to the next one
+		m.attempts = m.attempts[:ended.Attempt]
 	}
 	c.openAttempts--
 	if c.openAttempts == 0 {
@@ -25,38 +57,38 @@
 	return m, c
 }
 
-// handleAttemptEnded takes in the outcome of an attempt.
-func (d *Dispatcher) handleAttemptEnded(e AttemptEnded) {
-	m, c := d.closeAttempt(e)
-	if c == nil {
-		return
+// handleRetryAfter keeps to a Retry-After, whatever became of the message, also with calls that are not written yet.
+func (d *Dispatcher) handleRetryAfter(q *queue, retryAfter time.Duration) {
+	q.circuit.extendRetryAfter(d.now, retryAfter)
+	for _, ep := range q.endpoints {
+		d.emit(CancelUnwritten{Endpoint: ep.ID})
 	}
-	if e.RetryAfter > 0 { // it binds whatever became of the message, and calls that are not written yet
-		c.endpoint.queue.circuit.retryAfterUntil = max(c.endpoint.queue.circuit.retryAfterUntil, d.now.Add(min(e.RetryAfter, never.Sub(d.now))))
-		for _, ep := range c.endpoint.queue.endpoints {
-			d.emit(CancelUnwritten{Endpoint: ep.ID})
-		}
-	}
-	switch {
-	case e.Outcome == NotStarted:
-		d.recordNotStarted(c)
-	case c.openAttempts == 0:
-		c.endpoint.recordStarted()
-		d.recordOutcome(c, m, e)
-		if len(c.endpoint.calls) == 0 && d.connectionsFull(c.endpoint) {
-			d.emit(CloseIdleConnections{Endpoint: c.endpoint.ID})
-		}
+}
+
+// handleCallEnded takes in the end of a whole call.
+func (d *Dispatcher) handleCallEnded(c *call, m *message, ended AttemptEnded) {
+	ep := c.endpoint
+	ep.resourceBackoff = resourceBackoff{}
+	if ended.Latency <= 0 {
+		ended.Latency = d.now.Sub(c.sentAt)
 	}
-	if e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Canceled {
-		m.keyBlockedUntil = d.now.Add(d.settings.OrderedKeyDelay)
+	seconds := min(ended.Latency, m.class.Deadline).Seconds()
+	d.recordOutcome(callOutcome{AttemptEnded: ended, call: c, message: m, seconds: seconds})
+	if len(ep.calls) == 0 && ep.connections.full(d.now, d.settings.IdleConnTimeout) {
+		d.emit(CloseIdleConnections{Endpoint: ep.ID})
 	}
+}
+
+// continueMessage decides what becomes of a message after an attempt: it is complete, waits for another attempt, or ends
+// undelivered.
+func (d *Dispatcher) continueMessage(m *message, ended AttemptEnded) {
 	switch {
-	case e.Completed || e.Outcome == OK:
+	case ended.Completed || ended.Outcome == OK:
 		d.complete(m)
 	case m.done:
 		d.releaseKey(m)
 	case m.openAttempts > 0:
-	case e.AttemptsExhausted || len(m.attempts) >= d.settings.MaxAttempts:
+	case ended.AttemptsExhausted || len(m.attempts) >= d.settings.MaxAttempts:
 		d.abandon(m, ReasonAttemptsExhausted)
 	case d.now >= m.expiresAt.Add(-d.settings.BatchInterval):
 		d.abandon(m, ReasonNoTimeLeft)
@@ -67,60 +99,63 @@
 	}
 }
 
-// recordOutcome draws from a call's end what it tells, by its own time: a relay without turns hears late of it.
-func (d *Dispatcher) recordOutcome(c *call, m *message, e AttemptEnded) {
-	ep, q := c.endpoint, c.endpoint.queue
-	if e.Latency <= 0 {
-		e.Latency = d.now.Sub(c.sentAt)
-	}
-	took := min(e.Latency, m.class.Deadline).Seconds()
-	if c.sentAt.Add(e.Latency) >= d.overdueAt(c, stalledFactor) {
-		d.slots.unansweredShare *= 1 - latencyWeight
-		if e.Outcome != OK {
-			d.slots.unansweredShare += latencyWeight
-		}
-	}
-	d.recordLocalLoad(ep, e)
-	d.analyzeOutcome(ep, m, e, q.latency.byClass[m.Class] > 0 && took > stalledFactor*q.latency.byClass[m.Class])
-	switch e.Outcome {
+// recordOutcome updates what is known of an endpoint and its queue. It goes by the call's own latency, since a relay that
+// was suspended learns late of the end.
+func (d *Dispatcher) recordOutcome(o callOutcome) {
+	ep, queue := o.call.endpoint, o.call.endpoint.queue
+	d.slots.recordLateness(o.Outcome, o.call.sentAt.Add(o.Latency) >= d.overdueAt(o.call, stalledFactor))
+	d.recordLocalLoad(ep, o.AttemptEnded)
+	usual := queue.latency.byClass[o.message.Class]
+	d.analyzeOutcome(ep, o.message, o.AttemptEnded, usual > 0 && o.seconds > stalledFactor*usual)
+	switch o.Outcome {
 	case OK:
-		if c.sentAt < ep.connections.errorAt { // the endpoint served us while it turned another's connection away
-			ep.connections.fullAt = d.now
-		}
-		ep.succeededCallAt, ep.lastLatency = max(ep.succeededCallAt, c.sentAt), took
-		q.latency.record(m.Class, took)
-		q.typicalConcurrency += latencyWeight * (float64(len(q.calls)+1) - q.typicalConcurrency)
-		d.latencyPrior(q.kind).record(m.Class, took)
-		ep.outlier.classFailures[m.Class] = 0
-		if ep.outlier.ejected && c.sentAt < ep.outlier.ejectedAt && d.now < q.circuit.retryAfterUntil {
-			break // begun before the destination shut: it says nothing of its return
-		}
-		d.recordSuccess(ep, e.LoadReport == nil || e.LoadReport.Remaining >= minRemainingAllowance)
-		open := limitMessage{accepted: true, destination: q.destination.number, callAge: d.now.Sub(c.sentAt)}
-		if (d.closeCircuit(q, open) || q.peerReport.observers > 0) && d.settings.Gossip {
-			q.peerReport = peerReport{}
-			d.emit(Broadcast{Message: open.encode()})
-		}
+		d.recordDelivery(o)
 	case Rejected:
-		d.recordRejection(q, limitMessage{destination: q.destination.number, retryAfter: e.RetryAfter, callAge: d.now.Sub(c.sentAt)})
+		d.recordRejection(queue, limitMessage{destination: queue.destination.number, retryAfter: o.RetryAfter,
+			callAge: d.now.Sub(o.call.sentAt)})
 	case ConnectError:
-		if d.settings.Gossip && d.now >= ep.connections.errorAt.Add(rateWindow) {
-			ep.connections.errorAt = d.now
-			if d.random.Float64()*float64(d.settings.FleetSize) < connectErrorReporters {
-				d.emit(Broadcast{Message: encodeEndpointMessage(connectErrorType, ep.ID)})
-			}
-		}
-		if ep.outlier.lastSuccessAt > c.sentAt {
-			// Others get through: the endpoint takes no more connections, it is not down.
-			ep.connections.limit = math.Max(1, float64(len(ep.calls)))
-			return
-		}
-		d.recordFailure(ep, c, 1)
+		d.recordConnectError(ep, o.call)
 	case Failed, Reset:
-		d.recordFailure(ep, c, errorResponseWeight)
+		d.recordFailure(ep, o.call, errorResponseWeight)
 	case TimedOut, Canceled:
-		if took > stalledFactor*q.latency.mean && (e.Outcome == TimedOut || c.canceled) {
-			d.recordFailure(ep, c, 1)
+		late := o.seconds > stalledFactor*queue.latency.mean
+		if late && (o.Outcome == TimedOut || o.call.canceled) {
+			d.recordFailure(ep, o.call, 1)
 		}
+	case NotSent, NotStarted:
+	}
+}
+
+// recordDelivery takes in a delivered call.
+func (d *Dispatcher) recordDelivery(o callOutcome) {
+	ep, queue, class, sentAt := o.call.endpoint, o.call.endpoint.queue, o.message.Class, o.call.sentAt
+	ep.connections.recordSuccess(d.now, sentAt)
+	ep.succeededCallAt, ep.lastLatency = max(ep.succeededCallAt, sentAt), o.seconds
+	queue.latency.record(class, o.seconds)
+	queue.typicalConcurrency += latencyWeight * (float64(len(queue.calls)+1) - queue.typicalConcurrency)
+	d.latencyPrior(queue.kind).record(class, o.seconds)
+	ep.outlier.classFailures[class] = 0
+	if ep.outlier.ejected && sentAt < ep.outlier.ejectedAt && d.now < queue.circuit.retryAfterUntil {
+		return // sent before the destination asked for a pause: it says nothing of its recovery
+	}
+	d.recordSuccess(ep, o.LoadReport == nil || o.LoadReport.Remaining >= minRemainingAllowance)
+	accepted := limitMessage{accepted: true, destination: queue.destination.number, callAge: d.now.Sub(sentAt)}
+	if (d.closeCircuit(queue, accepted) || queue.peerReport.observers > 0) && d.settings.Gossip {
+		queue.peerReport = peerReport{}
+		d.emit(Broadcast{Message: accepted.encode()})
+	}
+}
+
+// recordConnectError takes in that an endpoint did not accept a connection. If calls that were sent later succeed there,
+// it has no more connections to give; else it is down.
+func (d *Dispatcher) recordConnectError(ep *endpoint, c *call) {
+	if d.settings.Gossip && ep.connections.recordError(d.now) &&
+		d.random.Float64()*float64(d.settings.FleetSize) < connectErrorReporters {
+		d.emit(Broadcast{Message: encodeEndpointMessage(connectErrorType, ep.ID)})
+	}
+	if ep.outlier.lastSuccessAt > c.sentAt {
+		ep.connections.lowerLimit(len(ep.calls))
+		return
 	}
+	d.recordFailure(ep, c, 1)
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -17,105 +17,111 @@
 	maxUnhealthyCalls = 2
 )
 
-// Avoided is how many listed endpoints get nothing now but trials: out, silent, or on their way out. With a Directory in use,
-// those on their way out are left out: the caller knows of all of them.
-func (d *Dispatcher) Avoided() int {
-	n := d.unavailableCount
-	for _, q := range d.active { // only what has a call out can be silent
-		for _, ep := range q.endpoints {
-			if !ep.outlier.ejected && !ep.Draining && d.unresponsive(ep) {
-				n++
-			}
-		}
-	}
-	return n
+// outlierDetector follows the health of one endpoint: consecutive failures eject it, as in Envoy's outlier detection, and
+// a success ends that. It belongs to one endpoint and is not safe for concurrent use.
+type outlierDetector struct {
+	consecutiveFailures float64   // error responses count errorResponseWeight
+	classFailures       []float64 // consecutive failures by class, for the choice of endpoints
+	ejected             bool
+	ejectedAt           instant.Time
+	lastFailureAt       instant.Time // of a call here, or as several relays report; 0 for never
+	lastSuccessAt       instant.Time // 0 for never
 }
 
-// isUnavailable tells whether Avoided counts an endpoint whatever the time is.
-func (d *Dispatcher) isUnavailable(ep *endpoint) bool {
-	if d.onDemand() {
-		return !ep.Removed && ep.outlier.ejected && !ep.Draining
-	}
-	return !ep.Removed && (ep.outlier.ejected || ep.Draining)
-}
+// healthSource says who observed the health of an endpoint.
+type healthSource int
 
-// updateAvailability makes a change to an endpoint that may bear on what Avoided counts.
-func (d *Dispatcher) updateAvailability(ep *endpoint, change func()) {
-	d.unavailableCount -= int(indicator(d.isUnavailable(ep)))
-	change()
-	d.unavailableCount += int(indicator(d.isUnavailable(ep)))
-}
+const (
+	firstHand  healthSource = iota // this relay
+	secondHand                     // other relays, or what is known of the whole zone
+)
 
-// setEjected marks an endpoint as out or not.
-func (d *Dispatcher) setEjected(ep *endpoint, sick bool) {
-	d.updateAvailability(ep, func() { ep.outlier.ejected = sick })
+// newOutlierDetector returns the detector of an endpoint that nothing is known of.
+func newOutlierDetector(classes int) outlierDetector {
+	return outlierDetector{classFailures: make([]float64, classes)}
 }
 
-// outlierState is what outlier detection knows of one endpoint.
-type outlierState struct {
-	consecutiveFailures float64
-	classFailures       []float64 // consecutive failures by class
-	ejected             bool
-	ejectedAt           instant.Time
-	lastFailureAt       instant.Time // of a call here, or as several relays report; 0 for never
-	lastSuccessAt       instant.Time // 0 for never
+// countFailure counts a failed call with a weight, and reports whether it says anything new of the endpoint: not if
+// it was sent before the last success.
+func (o *outlierDetector) countFailure(now instant.Time, failed *call, weight float64) (counts bool) {
+	for _, m := range failed.messages {
+		o.classFailures[m.Class] += weight / float64(len(failed.messages))
+	}
+	if o.lastSuccessAt > failed.sentAt {
+		return false
+	}
+	o.consecutiveFailures += weight
+	o.lastFailureAt = now
+	return true
 }
 
-// newOutlierState returns the state of an endpoint that nothing is known of.
-func newOutlierState(classes int) outlierState {
-	return outlierState{classFailures: make([]float64, classes)}
+// probesOut is the number of calls out that were sent after the ejection.
+func (ep *endpoint) probesOut() int {
+	probes := 0
+	for _, c := range ep.calls {
+		if c.sentAt >= ep.outlier.ejectedAt {
+			probes++
+		}
+	}
+	return probes
 }
 
-// recordSuccess notes a success: an endpoint that was sick starts its ramp.
-func (d *Dispatcher) recordSuccess(ep *endpoint, room bool) {
-	q := ep.queue
-	ep.outlier.consecutiveFailures, ep.outlier.lastSuccessAt, q.lastSuccessAt = 0, d.now, d.now
-	if ep.connections.limit > 0 {
-		ep.connections.limit += connectionLimitIncrease // other relays close idle connections
-	}
+// recordSuccess takes in a successful call: an ejected endpoint starts its slow start. Where the destination reports
+// little remaining capacity, the send rate's quiet time starts anew.
+func (d *Dispatcher) recordSuccess(ep *endpoint, capacityRemains bool) {
+	queue := ep.queue
+	ep.outlier.consecutiveFailures, ep.outlier.lastSuccessAt, queue.lastSuccessAt = 0, d.now, d.now
+	ep.connections.raiseLimit()
 	if ep.outlier.ejected && d.mayRecover(ep) {
-		d.startSlowStart(ep, math.Max(d.slowStartTokens(ep), d.initialTokens(ep)), false)
+		d.startSlowStart(ep, math.Max(d.slowStartTokens(ep), d.initialTokens(ep)), firstHand)
 		if d.settings.Gossip {
 			d.emit(Broadcast{Message: encodeEndpointMessage(endpointRecoveredType, ep.ID)})
 		}
-		q.peerReport = peerReport{}
-		for _, other := range q.endpoints {
+		queue.peerReport = peerReport{}
+		for _, other := range queue.endpoints {
 			other.peerReport = peerReport{}
-			other.slowStart.bucket.tokens = math.Max(other.slowStart.bucket.tokens, 1) // outages mostly end for a whole destination
+			bucket := &other.slowStart.bucket
+			bucket.tokens = math.Max(bucket.tokens, 1) // outages mostly end for a whole destination
 		}
 	}
-	q.circuit.consecutiveRejections, q.outageSuspected = 0, false
-	if !room { // calm starts anew
-		q.limiter.decreasedAt = max(q.limiter.decreasedAt, d.now.Add(-rateWindow))
+	queue.circuit.consecutiveRejections, queue.outageSuspected = 0, false
+	if !capacityRemains {
+		queue.limiter.decreasedAt = max(queue.limiter.decreasedAt, d.now.Add(-rateWindow))
 	}
 }
 
-// recordFailure notes a failure of an endpoint; one of a call sent before its last success tells nothing new.
-func (d *Dispatcher) recordFailure(ep *endpoint, c *call, n float64) {
-	for _, m := range c.messages {
-		ep.outlier.classFailures[m.Class] += n / float64(len(c.messages))
-	}
-	if ep.outlier.lastSuccessAt > c.sentAt {
+// recordFailure takes in a failed call, and ejects its endpoint after ejectionThreshold of them. A relay with a low rate
+// may not wait for that many.
+func (d *Dispatcher) recordFailure(ep *endpoint, failed *call, weight float64) {
+	if !ep.outlier.countFailure(d.now, failed, weight) {
 		return
 	}
-	ep.outlier.consecutiveFailures, ep.outlier.lastFailureAt = ep.outlier.consecutiveFailures+n, d.now
-	if ep.outlier.consecutiveFailures >= ejectionThreshold || d.probeBudgetSpent(ep.queue, 1) && 2*ep.outlier.consecutiveFailures >= ejectionThreshold {
+	failures := ep.outlier.consecutiveFailures
+	if failures >= ejectionThreshold || d.probeBudgetSpent(ep.queue, 1) && 2*failures >= ejectionThreshold {
 		d.eject(ep)
 	}
 }
 
-// eject marks an endpoint sick and lets the messages of its route choose again.
-func (d *Dispatcher) eject(ep *endpoint) { d.ejectEndpoint(ep, false) }
+// eject ejects an endpoint that this relay observed to fail.
+func (d *Dispatcher) eject(ep *endpoint) { d.ejectEndpoint(ep, firstHand) }
 
-func (d *Dispatcher) ejectEndpoint(ep *endpoint, hearsay bool) {
+// ejectEndpoint ejects an endpoint, and lets the messages of its route choose again.
+func (d *Dispatcher) ejectEndpoint(ep *endpoint, source healthSource) {
 	if ep.outlier.ejected {
 		return
 	}
 	d.setEjected(ep, true)
-	ep.slowStart.active, ep.outlier.ejectedAt, ep.queue.outageSuspected = false, d.now, true
-	ep.slowStart.bucket.tokens, ep.slowStart.bucket.updatedAt = d.initialTokens(ep), max(d.now, ep.queue.circuit.retryAfterUntil)
-	d.emit(PersistHealth{Endpoint: ep.ID, Ejected: true, At: d.now, SecondHand: hearsay || d.zones.isolated})
+	ep.outlier.ejectedAt, ep.queue.outageSuspected = d.now, true
+	ep.slowStart.active = false
+	ep.slowStart.bucket.reset(d.initialTokens(ep), max(d.now, ep.queue.circuit.retryAfterUntil))
+	isSecondHand := source == secondHand || d.zones.isolated
+	d.emit(PersistHealth{Endpoint: ep.ID, Ejected: true, At: d.now, SecondHand: isSecondHand})
 	if ep.queue.separateRoute {
 		d.reroute(ep.queue)
 	}
 }
+
+// setEjected marks an endpoint as ejected or not.
+func (d *Dispatcher) setEjected(ep *endpoint, ejected bool) {
+	d.updateAvailability(ep, func() { ep.outlier.ejected = ejected })
+}
--- a/policy/peer_report.go
+++ b/policy/peer_report.go
@@ -2,62 +2,84 @@
 
 import "milletsail/internal/instant"
 
-// handlePeerSuspected takes in what the fleet finds. Own findings that are younger than the first of the others' go
-// before it.
-func (d *Dispatcher) handlePeerSuspected(e PeerSuspected) {
-	w := peerReport{e.Observers, e.Rank, d.now.Add(-e.OldestAge), d.now.Add(-e.NewestAge), d.now.Add(e.ValidFor)}
-	binds := w.valid(d.now)
-	if ep := d.lookUpEndpoint(e.Endpoint, binds); ep != nil {
-		// For zones and turns alone: among many relays single errors soon make three witnesses.
-		if ep.peerReport = w; e.RecentObservers >= minObservers {
-			ep.outlier.lastFailureAt = max(ep.outlier.lastFailureAt, w.newestAt)
+// peerReport is what other relays report of an endpoint or a destination, with the times by this relay's clock.
+type peerReport struct {
+	observers  int
+	rank       int          // this relay's turn to probe, from 0
+	oldestAt   instant.Time // first observation
+	newestAt   instant.Time // last observation
+	validUntil instant.Time
+}
+
+// valid reports whether there is a report that may still be used.
+func (r peerReport) valid(now instant.Time) bool { return r.observers > 0 && now < r.validUntil }
+
+// handlePeerSuspected takes in what other relays report. This relay's own observations take precedence if they are younger
+// than the first of the others.
+func (d *Dispatcher) handlePeerSuspected(suspected PeerSuspected) {
+	report := peerReport{
+		observers:  suspected.Observers,
+		rank:       suspected.Rank,
+		oldestAt:   d.now.Add(-suspected.OldestAge),
+		newestAt:   d.now.Add(-suspected.NewestAge),
+		validUntil: d.now.Add(suspected.ValidFor),
+	}
+	valid := report.valid(d.now)
+	if ep := d.lookUpEndpoint(suspected.Endpoint, valid); ep != nil {
+		// Used for zones and probe turns alone: among many relays, single errors soon make minObservers.
+		ep.peerReport = report
+		if suspected.RecentObservers >= minObservers {
+			ep.outlier.lastFailureAt = max(ep.outlier.lastFailureAt, report.newestAt)
 		}
 		return
 	}
-	q := d.sharedQueue(e.Destination, binds && e.Endpoint == "")
-	if e.Endpoint != "" || q == nil {
-		return
+	queue := d.sharedQueue(suspected.Destination, valid && suspected.Endpoint == "")
+	if suspected.Endpoint == "" && queue != nil {
+		d.applyDestinationReport(queue, report)
 	}
-	q.peerReport = w
-	if w.observers < minObservers || d.now.Sub(w.oldestAt) <= circuitOpenAfter || q.lastSuccessAt >= w.oldestAt {
+}
+
+// applyDestinationReport ejects the endpoints of a destination that enough relays have found to reject everything for
+// circuitOpenAfter.
+func (d *Dispatcher) applyDestinationReport(q *queue, report peerReport) {
+	q.peerReport = report
+	lasting := d.now.Sub(report.oldestAt) > circuitOpenAfter
+	if report.observers < minObservers || !lasting || q.lastSuccessAt >= report.oldestAt {
 		return
 	}
 	for _, ep := range q.endpoints {
-		if ep.slowStart.recoveredAt < w.oldestAt {
-			d.ejectEndpoint(ep, true)
+		if ep.slowStart.recoveredAt < report.oldestAt {
+			d.ejectEndpoint(ep, secondHand)
 		}
 	}
 }
 
-// peerReport is what the fleet says, with the times by this relay's clock.
-type peerReport struct {
-	observers, rank                int
-	oldestAt, newestAt, validUntil instant.Time
-}
-
-// valid tells whether the fleet says anything, and it is not too old to be used.
-func (w peerReport) valid(now instant.Time) bool { return w.observers > 0 && now < w.validUntil }
-
-// handleGossip takes in a note of another relay: it is evidence of a refusal like one of our own, but for health, or
-// that an endpoint that is sick here has answered there, or has taken no connection.
-func (d *Dispatcher) handleGossip(note []byte) {
+// handleGossip takes in a message of another relay: a rejection counts like an own one, but not for health; an ejected
+// endpoint may have recovered, or one may not have accepted a connection; or a canary has had an outcome.
+func (d *Dispatcher) handleGossip(message []byte) {
 	d.lastGossipAt = d.now
-	if ep := d.endpoints[decodeEndpointMessage(endpointRecoveredType, note)]; ep != nil && ep.outlier.ejected && d.mayRecover(ep) {
-		d.startSlowStart(ep, d.random.Float64(), true) // all hear at once, and saved tokens are a call of each
+	recovered := d.endpoints[decodeEndpointMessage(endpointRecoveredType, message)]
+	if recovered != nil && recovered.outlier.ejected && d.mayRecover(recovered) {
+		// All relays receive it at once, so saved tokens would be a call of each.
+		d.startSlowStart(recovered, d.random.Float64(), secondHand)
 	}
-	if ep := d.endpoints[decodeEndpointMessage(connectErrorType, note)]; ep != nil {
+	if ep := d.endpoints[decodeEndpointMessage(connectErrorType, message)]; ep != nil {
 		ep.connections.errorAt = d.now
 	}
-	d.handleCanaryMessage(note)
-	l, ok := decodeLimitMessage(note)
-	if !ok {
-		return
+	d.handleCanaryMessage(message)
+	if limit, ok := decodeLimitMessage(message); ok {
+		d.handleLimitMessage(limit)
 	}
-	switch q := d.sharedQueue(l.destination, !l.accepted); {
-	case q == nil:
-	case l.accepted:
-		d.closeCircuit(q, l)
+}
+
+// handleLimitMessage takes in that a destination has rejected or accepted a call of another relay.
+func (d *Dispatcher) handleLimitMessage(limit limitMessage) {
+	queue := d.sharedQueue(limit.destination, !limit.accepted)
+	switch {
+	case queue == nil:
+	case limit.accepted:
+		d.closeCircuit(queue, limit)
 	default:
-		q.circuit.announcedUntil = max(q.circuit.announcedUntil, d.openCircuit(q, l))
+		queue.circuit.announcedUntil = max(queue.circuit.announcedUntil, d.openCircuit(queue, limit))
 	}
 }
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -16,46 +16,48 @@
 	probeInterval = rateWindow / 2
 )
 
-// probeTurn is this relay's turn to try what the fleet finds bad, 0 where it says nothing: the first by rank
-// some time after the last try of anyone, and where that one has nothing to send, after each further such
-// time twice as many.
-func (d *Dispatcher) probeTurn(ep *endpoint) instant.Time {
-	w := ep.peerReport
-	q := ep.queue.peerReport
-	if !w.valid(d.now) || q.observers > 0 && d.now < q.validUntil && q.newestAt > w.newestAt {
-		w = q
-	}
-	if !w.valid(d.now) {
-		return 0
-	}
-	each := probeInterval
-	if ep.outlier.ejected {
-		each = max(each, tokenDelay(1, d.relayCount()*d.slowStartBudget(ep, 0)))
-	}
-	return max(w.newestAt, ep.queue.probedAt).Add(time.Duration((1 + math.Log2(1+float64(w.rank))) * float64(each)))
-}
-
-// singleProber tells whether several relays were refused by a destination and none has been served since: not yet
-// shut, but one relay's call at a time finds out as well as all do.
+// singleProber reports whether several relays were rejected by a destination and this one has not been served since. It
+// isn't known to be down yet, but the calls of one relay at a time find out as well as those of all.
 func (d *Dispatcher) singleProber(q *queue) bool {
-	return q.peerReport.observers >= minObservers && d.now < q.peerReport.validUntil && q.lastSuccessAt < q.peerReport.oldestAt
+	report := q.peerReport
+	return report.observers >= minObservers && d.now < report.validUntil && q.lastSuccessAt < report.oldestAt
 }
 
-// isProber tells whether a destination is out, and this relay the next of the fleet to try it: it does so
-// whatever its own pace and pauses are, since it does it for all.
+// isProber reports whether a destination is down, or nearly known to be, and this relay is the next of the fleet to probe
+// it: regardless of its own send rate and pauses, since it probes for all.
 func (d *Dispatcher) isProber(q *queue) bool {
 	if !q.allEjected() && !d.singleProber(q) || len(q.endpoints) == 0 {
 		return false
 	}
-	at := d.probeTurn(q.endpoints[0])
-	return at > 0 && at <= d.now.Add(probeInterval)
+	turn := d.probeTurn(q.endpoints[0])
+	return turn > 0 && turn <= d.now.Add(probeInterval)
+}
+
+// probeTurn is when this relay may probe what the fleet reports as down, or 0 where it reports nothing: the first by rank
+// an interval after anyone's last probe; and if that relay has nothing to send, after each further interval twice as many
+// relays.
+func (d *Dispatcher) probeTurn(ep *endpoint) instant.Time {
+	report := ep.peerReport
+	ofQueue := ep.queue.peerReport
+	if !report.valid(d.now) || ofQueue.valid(d.now) && ofQueue.newestAt > report.newestAt {
+		report = ofQueue
+	}
+	if !report.valid(d.now) {
+		return 0
+	}
+	interval := probeInterval
+	if ep.outlier.ejected {
+		interval = max(interval, tokenDelay(1, d.relayCount()*d.slowStartBudget(ep, 0)))
+	}
+	intervals := 1 + math.Log2(1+float64(report.rank))
+	return max(report.newestAt, ep.queue.probedAt).Add(time.Duration(intervals * float64(interval)))
 }
 
-// blockedUntil is until when nothing is sent: a told wait binds always, a pause of our own not the one that
-// tries for all.
+// blockedUntil is until when a queue sends nothing. A Retry-After always binds, the relay's own pause not while it probes
+// for the fleet.
 func (d *Dispatcher) blockedUntil(q *queue) instant.Time {
 	if d.isProber(q) {
 		return q.circuit.retryAfterUntil
 	}
-	return max(q.circuit.retryAfterUntil, q.circuit.backoffUntil)
+	return q.circuit.pausedUntil()
 }
--- a/policy/rate_sharing.go
+++ b/policy/rate_sharing.go
@@ -24,30 +24,41 @@
 	rateUntil instant.Time // until when it may be used
 }
 
+// arrivalRate is the rate of messages at another relay, in messages a second, and whether it is known. As it is known
+// from few relays, a standard error is added.
+func (p *peerTraffic) arrivalRate(now instant.Time) (rate float64, known bool) {
+	if now >= p.rateUntil || p.rate.Reporters < minObservers {
+		return 0, false
+	}
+	return p.rate.ArrivalRate + p.rate.ArrivalRateError, true
+}
+
 // ratePublisher publishes this relay's rates, one destination after the other.
 type ratePublisher struct {
 	nextAt    instant.Time
 	nextQueue int // in Dispatcher.queues
 }
 
-// handlePeerRate takes in what other relays send a destination. One that has just started, and so has learned no
-// pace of its own, begins with the fleet's.
-func (d *Dispatcher) handlePeerRate(e PeerRateReceived) {
-	q := d.sharedQueue(e.Destination, true)
-	if q == nil {
+// handlePeerRate takes in what other relays send a destination. A relay that has no experience with it starts with the
+// fleet's rate.
+func (d *Dispatcher) handlePeerRate(received PeerRateReceived) {
+	queue := d.sharedQueue(received.Destination, true)
+	if queue == nil {
 		return
 	}
-	d.liveRelays, q.peers.rate, q.peers.rateUntil = e.LiveRelays, e, d.now.Add(e.ValidFor)
+	d.liveRelays = received.LiveRelays
+	queue.peers = peerTraffic{rate: received, rateUntil: d.now.Add(received.ValidFor)}
 	if d.settings.Zones {
-		d.updateZoneShares(q, e.ArrivalRateByZone)
+		d.updateZoneShares(queue, received.ArrivalRateByZone)
 	}
-	if q.latency.outcomes == 0 && q.circuit.rejectedCallAt == 0 && q.limiter.listedRate > 0 {
-		q.limiter.rate = d.evenShare(q) * math.Min(probingRateShare, math.Max(minRateShare, e.RateShare))
-		q.limiter.bucket.tokens = math.Min(q.limiter.bucket.tokens, math.Max(1, q.limiter.rate*rateWindow.Seconds()))
+	limiter := &queue.limiter
+	if queue.latency.outcomes == 0 && queue.circuit.rejectedCallAt == 0 && limiter.listedRate > 0 {
+		limiter.rate = d.evenShare(queue) * math.Min(probingRateShare, math.Max(minRateShare, received.RateShare))
+		limiter.bucket.tokens = math.Min(limiter.bucket.tokens, limiter.burst())
 	}
 }
 
-// relayCount is how many relays share the traffic.
+// relayCount is the number of relays that share the traffic.
 func (d *Dispatcher) relayCount() float64 {
 	if d.liveRelays > 0 {
 		return float64(min(d.liveRelays, d.settings.FleetSize))
@@ -55,24 +66,32 @@
 	return float64(d.settings.FleetSize)
 }
 
-// trafficShare is this relay's part of what the fleet may send a destination, by the traffic that it has for it, as
-// a multiple of an even share. What the others get is known from few: it is taken for a standard error more.
+// trafficShare is this relay's part of what the fleet may send a destination, by the traffic that it has for it, as a
+// multiple of an even share.
 func (d *Dispatcher) trafficShare(q *queue) float64 {
-	if d.now >= q.peers.rateUntil || q.peers.rate.Reporters < minObservers {
+	usual, known := q.peers.arrivalRate(d.now)
+	if !known {
 		return 1
 	}
-	usual := q.peers.rate.ArrivalRate + q.peers.rate.ArrivalRateError
-	return math.Min(maxTrafficShare, math.Max(minTrafficShare, q.admission.arrivals.rate(d.now)/math.Max(1e-9, usual)))
+	own := q.admission.arrivals.rate(d.now)
+	return math.Min(maxTrafficShare, math.Max(minTrafficShare, own/math.Max(minRate, usual)))
 }
 
-// publishRate tells the others this relay's pace for one destination after the other.
+// publishRate publishes this relay's send rate for one destination after the other.
 func (d *Dispatcher) publishRate() {
 	if !d.settings.PublishRates || d.now < d.publisher.nextAt || len(d.queues) == 0 {
 		return
 	}
-	d.publisher.nextAt = d.now.Add(max(minPublishInterval, time.Duration(d.settings.FleetSize)*publishIntervalPerRelay))
+	interval := max(minPublishInterval, time.Duration(d.settings.FleetSize)*publishIntervalPerRelay)
+	d.publisher.nextAt = d.now.Add(interval)
 	d.publisher.nextQueue++
-	if q := d.queues[d.publisher.nextQueue%len(d.queues)]; !q.separateRoute && q.limiter.listedRate > 0 {
-		d.emit(PublishRate{Destination: q.destination.number, RateShare: q.limiter.rate / d.evenShare(q), ArrivalRate: q.admission.arrivals.rate(d.now)})
+	queue := d.queues[d.publisher.nextQueue%len(d.queues)]
+	if queue.separateRoute || queue.limiter.listedRate <= 0 {
+		return
 	}
+	d.emit(PublishRate{
+		Destination: queue.destination.number,
+		RateShare:   queue.limiter.rate / d.evenShare(queue),
+		ArrivalRate: queue.admission.arrivals.rate(d.now),
+	})
 }
--- a/policy/resource_backoff.go
+++ b/policy/resource_backoff.go
@@ -15,33 +15,37 @@
 	maxResourceBackoff = 320 * time.Millisecond
 )
 
-// resourceBackoff is the pause of an endpoint to which no call could be begun.
+// resourceBackoff pauses one endpoint after a call that could not be started for want of a local resource: file
+// descriptors, ports, kernel memory, a route. That says nothing of the endpoint, and uses up no attempt.
 type resourceBackoff struct {
 	until instant.Time
 	delay time.Duration
 }
 
-// recordNotStarted takes in that a call could not be begun for one of its messages: its endpoint gets nothing for a moment, and what the
-// call took of pace and budget is there again.
-func (d *Dispatcher) recordNotStarted(c *call) {
-	q, ep := c.endpoint.queue, c.endpoint
-	if c.openAttempts == 0 && q.limiter.rate > 0 {
-		q.limiter.bucket.tokens++
-	}
-	if c.openAttempts == 0 && (ep.outlier.ejected || ep.slowStart.active) {
-		ep.slowStart.bucket.tokens++
-	}
-	if d.now < ep.resourceBackoff.until { // one of several that were out
+// extend starts the next pause, unless one lasts: several calls that were out may fail together.
+func (b *resourceBackoff) extend(now instant.Time) {
+	if now < b.until {
 		return
 	}
-	ep.resourceBackoff.delay = min(max(initialResourceBackoff, 2*ep.resourceBackoff.delay), maxResourceBackoff)
-	ep.resourceBackoff.until = d.now.Add(ep.resourceBackoff.delay)
+	b.delay = min(max(initialResourceBackoff, 2*b.delay), maxResourceBackoff)
+	b.until = now.Add(b.delay)
 }
 
-// recordStarted notes that a call to an endpoint has begun.
-func (ep *endpoint) recordStarted() { ep.resourceBackoff = resourceBackoff{} }
-
-// resourcesExhausted tells whether no call can be begun to any endpoint of a queue.
+// resourcesExhausted reports whether no call can be started to any endpoint of a queue.
 func (q *queue) resourcesExhausted(now instant.Time) bool {
-	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, func(ep *endpoint) bool { return now >= ep.resourceBackoff.until })
+	startable := func(ep *endpoint) bool { return now >= ep.resourceBackoff.until }
+	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, startable)
+}
+
+// recordNotStarted takes in that a call could not be started for one of its messages: its endpoint gets nothing for a
+// moment, and what the call took of the send rate and the slow start budget is returned.
+func (d *Dispatcher) recordNotStarted(c *call) {
+	ep := c.endpoint
+	if c.openAttempts == 0 && ep.queue.limiter.rate > 0 {
+		ep.queue.limiter.bucket.tokens++
+	}
+	if c.openAttempts == 0 && ep.limitedBySlowStart() {
+		ep.slowStart.bucket.tokens++
+	}
+	ep.resourceBackoff.extend(d.now)
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -19,16 +19,39 @@
 	slowStartBurst = 1.0 / 3
 )
 
-// slowStartTokens is what the budget of a sick or ramping endpoint allows to be sent now.
+// slowStartState limits the calls to one endpoint while it is ejected or warms up.
+type slowStartState struct {
+	active      bool
+	recoveredAt instant.Time // first success after an outage; 0 for never
+	bucket      tokenBucket
+}
+
+// limitedBySlowStart reports whether an endpoint gets only what the slow start budget allows.
+func (ep *endpoint) limitedBySlowStart() bool { return ep.outlier.ejected || ep.slowStart.active }
+
+// startSlowStart ends the ejection of an endpoint and starts its slow start with a number of calls, or part of one, saved
+// up.
+func (d *Dispatcher) startSlowStart(ep *endpoint, tokens float64, source healthSource) {
+	d.setEjected(ep, false)
+	ep.slowStart = slowStartState{active: true, recoveredAt: d.now, bucket: tokenBucket{tokens, d.now}}
+	ep.outlier.consecutiveFailures, ep.queue.outageSuspected = 0, false
+	clear(ep.outlier.classFailures) // they were the outage's: no message that failed there would be sent there again
+	d.emit(PersistHealth{Endpoint: ep.ID, At: d.now, SecondHand: source == secondHand})
+}
+
+// slowStartTokens is the number of calls that the budget of an ejected or warming endpoint allows now. It ends a slow
+// start whose time is over.
 func (d *Dispatcher) slowStartTokens(ep *endpoint) float64 {
-	if ep.slowStart.active && d.timeSinceRecovery(ep) >= d.settings.SlowStartWindow {
+	recovered := d.timeSinceRecovery(ep)
+	if ep.slowStart.active && recovered >= d.settings.SlowStartWindow {
 		ep.slowStart.active = false
 	}
-	rate := d.slowStartBudget(ep, d.timeSinceRecovery(ep))
-	return ep.slowStart.bucket.refill(d.now, rate, math.Max(1, slowStartBurst*rate*d.settings.OverloadWindow.Seconds()))
+	rate := d.slowStartBudget(ep, recovered)
+	burst := math.Max(1, slowStartBurst*rate*d.settings.OverloadWindow.Seconds())
+	return ep.slowStart.bucket.refill(d.now, rate, burst)
 }
 
-// timeSinceRecovery is how long an endpoint has been back.
+// timeSinceRecovery is the time since an endpoint recovered: 0 while it is ejected, the slow start window at most.
 func (d *Dispatcher) timeSinceRecovery(ep *endpoint) time.Duration {
 	if ep.outlier.ejected {
 		return 0
@@ -36,47 +59,35 @@
 	return min(d.now.Sub(ep.slowStart.recoveredAt), d.settings.SlowStartWindow)
 }
 
-// slowStartBudget is the calls a second that this relay may make to an endpoint that has been back for so long:
-// its part of what the rule on returning destinations allows. Where no weight is told, one call in
-// each span of the rule.
-func (d *Dispatcher) slowStartBudget(ep *endpoint, back time.Duration) float64 {
-	share := 1.0
-	if d.settings.SlowStartWindow > 0 {
-		share = d.settings.SlowStartInitialShare + (1-d.settings.SlowStartInitialShare)*float64(back)/float64(d.settings.SlowStartWindow)
-	}
-	weight := ep.queue.limiter.listedRate
-	if weight == 0 {
-		weight = float64(d.settings.FleetSize)
+// slowStartBudget is the number of calls a second that this relay may make to an endpoint some time after it recovered:
+// its part of what the overload rule allows all relays. Where no rate is listed, it is one call a relay in each window
+// of the rule.
+func (d *Dispatcher) slowStartBudget(ep *endpoint, sinceRecovery time.Duration) float64 {
+	share := d.settings.slowStartShare(sinceRecovery)
+	rate := ep.queue.limiter.listedRate
+	if rate == 0 {
+		rate = float64(d.settings.FleetSize)
 	}
 	safety := slowStartSafety
 	if d.hasLowRate(ep.queue) {
 		safety = lowRateSlowStartSafety
 	}
-	all := safety * d.settings.OverloadFactor * share * weight
-	return all * d.trafficShare(ep.queue) / d.relayCount() / float64(max(1, len(ep.queue.endpoints)))
+	allRelays := safety * d.settings.OverloadFactor * share * rate
+	return allRelays * d.trafficShare(ep.queue) / d.relayCount() / float64(max(1, len(ep.queue.endpoints)))
 }
 
-// slowStartState limits the calls to one endpoint while it is ejected or warms up.
-type slowStartState struct {
-	active      bool
-	recoveredAt instant.Time // first success after an outage; 0 for never
-	bucket      tokenBucket
-}
-
-// limitedBySlowStart reports whether an endpoint gets only what the slow start budget allows.
-func (ep *endpoint) limitedBySlowStart() bool { return ep.outlier.ejected || ep.slowStart.active }
-
-// startSlowStart starts the ramp of an endpoint that was sick, with what of a call may go at once.
-func (d *Dispatcher) startSlowStart(ep *endpoint, tokens float64, hearsay bool) {
-	d.setEjected(ep, false)
-	ep.slowStart.active, ep.slowStart.recoveredAt, ep.outlier.consecutiveFailures, ep.queue.outageSuspected = true, d.now, 0, false
-	ep.slowStart.bucket.tokens, ep.slowStart.bucket.updatedAt = tokens, d.now
-	clear(ep.outlier.classFailures) // the outage's: else none that failed there would ever try it again
-	d.emit(PersistHealth{Endpoint: ep.ID, At: d.now, SecondHand: hearsay})
+// slowStartShare is the share of its capacity that a destination has some time after it recovered.
+func (s *Settings) slowStartShare(sinceRecovery time.Duration) float64 {
+	if s.SlowStartWindow <= 0 {
+		return 1.0
+	}
+	return s.SlowStartInitialShare + (1-s.SlowStartInitialShare)*float64(sinceRecovery)/float64(s.SlowStartWindow)
 }
 
-// initialTokens is what a budget of less than a call a span starts with: a chance part of a call, so that of many
-// relays with a call in a minute each some try at any time, and the total is what the rule allows.
+// initialTokens is the part of a call that is saved up at the begin of a budget of less than a call a window. It is
+// random, so that of many relays with a call in a minute each some probe at any time, and the total is what the rule
+// allows.
 func (d *Dispatcher) initialTokens(ep *endpoint) float64 {
-	return math.Max(0, d.random.Float64()-d.slowStartBudget(ep, d.timeSinceRecovery(ep))*d.settings.OverloadWindow.Seconds())
+	perWindow := d.slowStartBudget(ep, d.timeSinceRecovery(ep)) * d.settings.OverloadWindow.Seconds()
+	return math.Max(0, d.random.Float64()-perWindow)
 }
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -21,6 +21,17 @@
 	unansweredThreshold = 0.5
 )
 
+// recordLateness takes in the outcome of a call that was late by stalledFactor.
+func (s *slotScheduler) recordLateness(outcome Outcome, late bool) {
+	if !late {
+		return
+	}
+	s.unansweredShare *= 1 - latencyWeight
+	if outcome != OK {
+		s.unansweredShare += latencyWeight
+	}
+}
+
 // cancelCall ends the wait for a call.
 func (d *Dispatcher) cancelCall(c *call) {
 	c.canceled = true
--- a/policy/state_store.go
+++ b/policy/state_store.go
@@ -135,7 +135,7 @@
 // endpointInUse tells whether something that is known of an endpoint without a call out binds.
 func (d *Dispatcher) endpointInUse(ep *endpoint) bool {
 	cold := ep.outlier.ejected || ep.slowStart.active && d.timeSinceRecovery(ep) < d.settings.SlowStartWindow
-	capped := d.connectionsFull(ep) && d.now.Sub(max(ep.lastUsedAt, ep.connections.fullAt)) < d.settings.IdleConnTimeout
+	capped := ep.connections.full(d.now, d.settings.IdleConnTimeout) && d.now.Sub(max(ep.lastUsedAt, ep.connections.fullAt)) < d.settings.IdleConnTimeout
 	paused := d.now < ep.resourceBackoff.until
 	return cold || capped || paused || ep.outlier.consecutiveFailures > 0 || ep.canary != nil || ep.peerReport.valid(d.now)
 }
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		if as == Evacuated {
-			d.ejectEndpoint(ep, true)
+			d.ejectEndpoint(ep, secondHand)
 		}
 		for _, c := range ep.calls {
 			if !c.canceled && d.settings.CanCancel && d.callRetryable(c) && d.now >= d.overdueAt(c, 1) {
@@ -134,7 +134,7 @@
 	d.setZoneState(no, Recovering)
 	for _, ep := range d.endpointsInZone(no) {
 		if d.servedElsewhere(ep) && ep.outlier.lastFailureAt <= ep.outlier.lastSuccessAt {
-			d.startSlowStart(ep, d.initialTokens(ep), true)
+			d.startSlowStart(ep, d.initialTokens(ep), secondHand)
 		}
 	}
 }
