--- a/policy/canary.go
+++ b/policy/canary.go
@@ -90,7 +90,7 @@
 	}
 	for _, ep := range q.endpoints {
 		if t := ep.canary; t != nil && d.now >= t.suspendedUntil {
-			t.credit = math.Min(2, t.credit+math.Min(canaryStageShares[t.stage]/trials, 1/float64(len(q.endpoints))))
+			t.credit = math.Min(maxCanaryCredit, t.credit+math.Min(canaryStageShares[t.stage]/trials, 1/float64(len(q.endpoints))))
 		}
 	}
 	if to.canary != nil {
--- a/policy/canary_analysis.go
+++ b/policy/canary_analysis.go
@@ -75,7 +75,7 @@
 		return
 	}
 	if t.scores[class] += math.Log(worse / usual); t.scores[class] >= math.Log(regressionLikelihoodRatio) && d.now >= t.suspendedUntil {
-		t.suspendedUntil = d.now.Add(min(maxSuspension, initialSuspension<<min(t.suspensions, 8)))
+		t.suspendedUntil = d.now.Add(min(maxSuspension, initialSuspension<<min(t.suspensions, maxSuspensionDoublings)))
 		t.suspensions++
 		d.startCanaryStage(ep, 0, t.suspendedUntil)
 	}
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -135,7 +135,7 @@
 		if no < len(q.locality.zoneShares) {
 			part += (1 - q.locality.spillover) * q.locality.zoneShares[no]
 		}
-		q.locality.zoneCredits[no] = math.Min(2, q.locality.zoneCredits[no]+part)
+		q.locality.zoneCredits[no] = math.Min(maxZoneCredit, q.locality.zoneCredits[no]+part)
 	}
 	if to.Zone != d.settings.Zone {
 		q.locality.zoneCredits[to.Zone] = math.Max(0, q.locality.zoneCredits[to.Zone]-1)
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -61,7 +61,7 @@
 			d.evacuate(no, Evacuated)
 		case ill && z.state == Recovering:
 			z.failedRecoveries++
-			z.deadline = d.now.Add(min(d.settings.SlowStartWindow, initialRecoveryBackoff<<min(z.failedRecoveries, 16)))
+			z.deadline = d.now.Add(min(d.settings.SlowStartWindow, initialRecoveryBackoff<<min(z.failedRecoveries, maxRecoveryDoublings)))
 			d.evacuate(no, Evacuated)
 		case z.state == Recovering && d.now >= z.enteredAt.Add(d.settings.SlowStartWindow):
 			z.recoveries, z.failedRecoveries = z.recoveries+1, 0
