--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -16,26 +16,24 @@
 	firstListedAt instant.Time // when the first entries came; never before that
 }
 
-// updateEndpoints takes in a change of the list.
-func (d *Dispatcher) updateEndpoints(e EndpointsUpdated) {
+// renewWatch subscribes to the endpoint list when that is due.
+func (d *Dispatcher) renewWatch() {
+	if d.now >= d.watch.subscribeAt {
+		d.watch.subscribeAt = never
+		d.emit(Subscribe{})
+	}
+}
+
+// updateEndpoints takes in a change of the endpoint list.
+func (d *Dispatcher) updateEndpoints(updated EndpointsUpdated) {
 	d.watch.firstListedAt = min(d.watch.firstListedAt, d.now)
-	for _, entry := range e.Endpoints {
-		if d.affectsState(entry) {
-			d.updateEndpoint(entry, d.now)
+	for _, listed := range updated.Endpoints {
+		if d.affectsState(listed) {
+			d.updateEndpoint(listed, d.now)
 		}
 	}
-	if e.Complete {
-		named := map[string]bool{}
-		for _, entry := range e.Endpoints {
-			named[entry.ID] = true
-		}
-		for _, q := range slices.Clone(d.queues) {
-			for _, ep := range append([]*endpoint(nil), q.endpoints...) {
-				if !named[ep.ID] {
-					d.removeEndpoint(ep)
-				}
-			}
-		}
+	if updated.Complete {
+		d.removeUnlisted(updated.Endpoints)
 	}
 	for _, q := range slices.Clone(d.active) {
 		if len(q.waiting) > 0 && !q.acceptsCalls() {
@@ -44,48 +42,64 @@
 	}
 }
 
-// updateEndpoint takes in one entry of the list, as told at a moment.
-func (d *Dispatcher) updateEndpoint(e Endpoint, at instant.Time) {
-	ep := d.endpoints[e.ID]
-	if e.Removed {
+// removeUnlisted removes the endpoints that a complete list does not name.
+func (d *Dispatcher) removeUnlisted(complete []Endpoint) {
+	listed := map[string]bool{}
+	for _, entry := range complete {
+		listed[entry.ID] = true
+	}
+	for _, q := range slices.Clone(d.queues) {
+		for _, ep := range slices.Clone(q.endpoints) {
+			if !listed[ep.ID] {
+				d.removeEndpoint(ep)
+			}
+		}
+	}
+}
+
+// updateEndpoint takes in one entry of the list, which is listed since a moment.
+func (d *Dispatcher) updateEndpoint(listed Endpoint, since instant.Time) {
+	ep := d.endpoints[listed.ID]
+	if listed.Removed {
 		if ep != nil {
 			d.removeEndpoint(ep)
 		}
 		return
 	}
-	cold := false
+	joinsOutage := false
 	if ep == nil {
-		dest := d.destination(e.Destination)
-		if ep = d.endpoints[e.ID]; ep == nil { // loading the destination may have brought it
-			ep = d.addEndpoint(dest, e, at)
-			cold = ep.queue.outageSuspected
+		dest := d.destination(listed.Destination)
+		if ep = d.endpoints[listed.ID]; ep == nil { // loading the destination may have brought it
+			ep = d.addEndpoint(dest, listed, since)
+			joinsOutage = ep.queue.outageSuspected
 		}
 	}
-	d.startCanary(ep, e)
-	d.updateAvailability(ep, func() { ep.Endpoint = e })
-	d.setListedRate(ep.queue, e.Weight, at)
-	if cold { // at a destination that is out it is as cold as the others
+	d.startCanary(ep, listed)
+	d.updateAvailability(ep, func() { ep.Endpoint = listed })
+	d.setListedRate(ep.queue, listed.Weight, since)
+	if joinsOutage { // at a destination that is down, it needs a slow start like the others
 		d.eject(ep)
 	}
 }
 
 // addEndpoint adds an endpoint that is listed since a moment to its destination.
-func (d *Dispatcher) addEndpoint(dest *destination, e Endpoint, since instant.Time) *endpoint {
+func (d *Dispatcher) addEndpoint(dest *destination, listed Endpoint, since instant.Time) *endpoint {
 	ep := &endpoint{outlier: newOutlierDetector(len(d.settings.Classes)), queue: dest.queues[0]}
-	d.endpoints[e.ID] = ep
+	d.endpoints[listed.ID] = ep
 	kind := Kind{MaxBatch: 1}
-	if e.Kind >= 0 && e.Kind < len(d.settings.Kinds) {
-		kind = d.settings.Kinds[e.Kind]
+	if listed.Kind >= 0 && listed.Kind < len(d.settings.Kinds) {
+		kind = d.settings.Kinds[listed.Kind]
 	}
 	if kind.SeparateRoutes && (len(ep.queue.endpoints) > 0 || len(dest.queues) > 1) {
-		ep.queue = d.addQueue(dest, 1, true, since)
+		ep.queue = d.addQueue(dest, since)
 	}
-	ep.queue.maxBatch, ep.queue.separateRoute, ep.queue.kind = max(1, kind.MaxBatch), kind.SeparateRoutes, e.Kind
-	ep.queue.endpoints = append(ep.queue.endpoints, ep)
+	queue := ep.queue
+	queue.maxBatch, queue.separateRoute, queue.kind = max(1, kind.MaxBatch), kind.SeparateRoutes, listed.Kind
+	queue.endpoints = append(queue.endpoints, ep)
 	return ep
 }
 
-// removeEndpoint forgets an endpoint that left the list; calls out there still end.
+// removeEndpoint removes an endpoint that is no longer listed. Calls that are out there still end.
 func (d *Dispatcher) removeEndpoint(ep *endpoint) {
 	d.updateAvailability(ep, func() { ep.Removed = true })
 	if ep.canary != nil {
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -2,47 +2,59 @@
 
 import "cmp"
 
-// selectEndpoint chooses where in a queue a message goes: a sick endpoint whose trial is due, else a healthy
-// one with the fewest calls out, in the relay's own zone, with an idle connection, used last.
+// selectEndpoint chooses the endpoint of a queue that gets a message, or nil: an ejected one whose probe is due; else a
+// healthy one in the zone that is due, with the fewest calls out, used last (so that its connection is idle).
 func (d *Dispatcher) selectEndpoint(q *queue, m *message) *endpoint {
 	var best *endpoint
-	home := d.targetZone(q)
+	zone := d.targetZone(q)
 	for _, ep := range q.endpoints {
-		second := ep.outlier.ejected && len(m.attempts) > 0 && len(q.endpoints) > 1
-		if second || d.canaryWithheld(ep) || !d.acceptsCall(ep) || d.avoidsZone(ep, m) || !d.retryAllowed(m, ep) {
+		// An ejected endpoint is probed with a message's first attempt, unless it is the only one.
+		retryAtEjected := ep.outlier.ejected && len(m.attempts) > 0 && len(q.endpoints) > 1
+		if retryAtEjected || d.canaryWithheld(ep) || !d.acceptsCall(ep) || d.avoidsZone(ep, m) || !d.retryAllowed(m, ep) {
 			continue
 		}
-		if best == nil || d.preferred(m, home, ep, best) {
+		if best == nil || d.preferred(m, zone, ep, best) {
 			best = ep
 		}
 	}
 	return best
 }
 
-// preferred tells whether the first of two endpoints that are open is chosen for a message.
-func (d *Dispatcher) preferred(m *message, home int, a, b *endpoint) bool {
+// preferred reports whether a is to be chosen before b for a message.
+func (d *Dispatcher) preferred(m *message, zone int, a, b *endpoint) bool {
 	return cmp.Or(
-		cmp.Compare(indicator(a.outlier.ejected), indicator(b.outlier.ejected)), // its trial is due
-		cmp.Compare(indicator(d.hasBaseline(a)), indicator(d.hasBaseline(b))),   // its share is
-		cmp.Compare(indicator(d.unresponsive(b)), indicator(d.unresponsive(a))),
+		compareBools(a.outlier.ejected, b.outlier.ejected), // its probe is due
+		compareBools(d.hasBaseline(a), d.hasBaseline(b)),   // a canary's share is due
+		compareBools(d.unresponsive(b), d.unresponsive(a)),
 		cmp.Compare(m.failureScore(b), m.failureScore(a)),
-		cmp.Compare(indicator(d.settings.Zones && a.Zone == home), indicator(d.settings.Zones && b.Zone == home)),
+		compareBools(d.settings.Zones && a.Zone == zone, d.settings.Zones && b.Zone == zone),
 		cmp.Compare(len(b.calls), len(a.calls)),
-		cmp.Compare(indicator(a.Zone == d.settings.Zone), indicator(b.Zone == d.settings.Zone)),
+		compareBools(a.Zone == d.settings.Zone, b.Zone == d.settings.Zone),
 		cmp.Compare(a.lastUsedAt, b.lastUsedAt)) > 0
 }
 
-// failureScore counts what speaks against an endpoint for a message: failures of its class in a row, and a
-// try of its own, the last, that did not succeed. An endpoint may fail one class and serve the others.
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return 1
+	}
+	return -1
+}
+
+// failureScore counts what speaks against an endpoint for a message: consecutive failures of its class there, and that the
+// message's last attempt was made there. An endpoint may fail one class and serve the others.
 func (m *message) failureScore(ep *endpoint) float64 {
-	n := ep.outlier.classFailures[m.Class]
-	if i := len(m.attempts); i > 0 && m.attempts[i-1].call.endpoint == ep {
-		n++
+	score := ep.outlier.classFailures[m.Class]
+	if last := len(m.attempts) - 1; last >= 0 && m.attempts[last].call.endpoint == ep {
+		score++
 	}
-	return n
+	return score
 }
 
-// acceptsCall tells whether an endpoint may get a call now.
+// acceptsCall reports whether an endpoint may get a call now.
 func (d *Dispatcher) acceptsCall(ep *endpoint) bool {
 	if ep.Draining || ep.Removed || d.now < ep.resourceBackoff.until {
 		return false
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -7,16 +7,16 @@
 	"milletsail/internal/instant"
 )
 
-// expireMessages gives final answers to held messages that have no time left for another attempt of mean latency,
-// and to those that cannot be sent again any more.
+// expireMessages ends waiting messages that have no time left for another attempt of expected latency, and those that can't
+// be retried any more.
 func (d *Dispatcher) expireMessages() {
-	var ended []*message
+	var expired []*message
 	for _, m := range d.messages.unfinished {
 		if m.queue != nil && (d.now >= d.finalAttemptAt(m) || !d.retryAllowed(m, nil)) {
-			ended = append(ended, m)
+			expired = append(expired, m)
 		}
 	}
-	for _, m := range ended {
+	for _, m := range expired {
 		reason := ReasonNoTimeLeft
 		if !d.retryAllowed(m, nil) {
 			reason = ReasonNotRetryable
@@ -25,33 +25,34 @@
 	}
 }
 
-// finalAttemptAt is when a held message is given up: its time left is then its expected latency.
+// finalAttemptAt is when a waiting message expires: its time left is then its expected latency.
 func (d *Dispatcher) finalAttemptAt(m *message) instant.Time {
-	x := time.Duration(m.queue.latency.byClass[m.Class] * float64(time.Second))
-	return m.expiresAt.Add(-max(2*d.settings.BatchInterval, x))
+	latency := time.Duration(m.queue.latency.byClass[m.Class] * float64(time.Second))
+	return m.expiresAt.Add(-max(2*d.settings.BatchInterval, latency))
 }
 
-// nearDeadline tells whether a message's time may be up before a call with it ends, which ends the call for all its
-// messages: such share calls with their like.
+// nearDeadline reports whether a message may expire before a call with it ends, which would end the call for all its
+// messages. Such messages share calls with each other only.
 func (d *Dispatcher) nearDeadline(q *queue, m *message) bool {
 	return m.expiresAt.Sub(d.now).Seconds() < stalledFactor*q.latency.byClass[m.Class]
 }
 
-// abandon ends a message: a refusal where trying again is harmless, which tells when its queue may send next,
-// else a failure.
-func (d *Dispatcher) abandon(m *message, why Reason) {
-	keyedEverywhere := m.class.Effect == IdempotentWithKey && !m.class.KeysPerZone
-	if m.firstPossibleExecution() == nil || m.class.Effect == Idempotent || keyedEverywhere {
-		q := d.selectQueue(m)
-		d.reject(m, d.timeToNextCall(q, len(q.waiting)), why)
+// abandon ends a message undelivered: it is rejected, with the time until its queue may send next, if the client may safely
+// send it again, and fails otherwise.
+func (d *Dispatcher) abandon(m *message, reason Reason) {
+	keyValidEverywhere := m.class.Effect == IdempotentWithKey && !m.class.KeysPerZone
+	if m.firstPossibleExecution() == nil || m.class.Effect == Idempotent || keyValidEverywhere {
+		queue := d.selectQueue(m)
+		d.reject(m, d.timeToNextCall(queue, len(queue.waiting)), reason)
 		return
 	}
-	d.emit(Fail{ID: m.ID, Reason: why})
+	d.emit(Fail{ID: m.ID, Reason: reason})
 	d.complete(m)
 }
 
-func (d *Dispatcher) reject(m *message, after float64, why Reason) {
-	stay := time.Duration(math.Min(math.Max(0, after), d.settings.MaxRetryAfter.Seconds()) * float64(time.Second))
-	d.emit(Reject{ID: m.ID, RetryAfter: stay, Reason: why})
+// reject ends a message, and asks the client to come back after a number of seconds.
+func (d *Dispatcher) reject(m *message, seconds float64, reason Reason) {
+	seconds = math.Min(math.Max(0, seconds), d.settings.MaxRetryAfter.Seconds())
+	d.emit(Reject{ID: m.ID, RetryAfter: time.Duration(seconds * float64(time.Second)), Reason: reason})
 	d.complete(m)
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -5,42 +5,41 @@
 // latencyWeight is the weight of a new outcome in a moving average: about the last ten calls count.
 const latencyWeight = 0.1
 
-// latencyEstimate are mean latencies in seconds; 0 for unknown.
+// latencyEstimate holds moving averages of latencies in seconds; 0 for unknown.
 type latencyEstimate struct {
-	outcomes int     // outcomes counted
+	outcomes int     // counted
 	mean     float64 // of all classes
 	byClass  []float64
 }
 
-// record adds a latency to the means; the first ones weigh more, as what was there is borrowed.
-func (l *latencyEstimate) record(class int, took float64) {
+// record adds a latency to the averages. The first ones weigh more, as what was there is a prior.
+func (l *latencyEstimate) record(class int, latency float64) {
 	l.outcomes++
-	gain := math.Max(latencyWeight, 1/float64(l.outcomes+1))
+	weight := math.Max(latencyWeight, 1/float64(l.outcomes+1))
 	for _, mean := range []*float64{&l.mean, &l.byClass[class]} {
 		if *mean == 0 {
-			*mean = took
+			*mean = latency
 		}
-		*mean += gain * (took - *mean)
+		*mean += weight * (latency - *mean)
 	}
 }
 
-// applyLatencyPrior fills what a queue does not know of its latencies from all destinations of its kind.
-func (d *Dispatcher) applyLatencyPrior(q *queue) {
-	pool := d.latencyPrior(q.kind)
-	if pool.outcomes == 0 {
+// applyPrior fills in what is unknown from a prior.
+func (l *latencyEstimate) applyPrior(prior *latencyEstimate) {
+	if prior.outcomes == 0 {
 		return
 	}
-	if q.latency.outcomes == 0 {
-		q.latency.mean = pool.mean
+	if l.outcomes == 0 {
+		l.mean = prior.mean
 	}
-	for i, mean := range q.latency.byClass {
-		if mean == 0 || q.latency.outcomes == 0 {
-			q.latency.byClass[i] = pool.byClass[i]
+	for class, mean := range l.byClass {
+		if mean == 0 || l.outcomes == 0 {
+			l.byClass[class] = prior.byClass[class]
 		}
 	}
 }
 
-// latencyPrior gives what is known of a kind.
+// latencyPrior returns the estimate over all destinations of a kind.
 func (d *Dispatcher) latencyPrior(kind int) *latencyEstimate {
 	if d.latencyPriors[kind] == nil {
 		d.latencyPriors[kind] = &latencyEstimate{byClass: make([]float64, len(d.settings.Classes))}
--- a/policy/message.go
+++ b/policy/message.go
@@ -1,55 +1,75 @@
 package policy
 
-import "milletsail/internal/instant"
+import (
+	"slices"
 
-// message is a message taken and not yet retired.
+	"milletsail/internal/instant"
+)
+
+// message is a message from its arrival until its key is released.
 type message struct {
 	Arrived
 	class           *Class
-	sequence        int
+	sequence        int // order of arrival
 	expiresAt       instant.Time
-	queue           *queue // where it is held; nil while it is not
+	queue           *queue // in which it waits, or nil
 	attempts        []attempt
-	openAttempts    int // attempts without an outcome
-	done            bool
-	keyBlockedUntil instant.Time // until when its key rests after it
+	openAttempts    int          // attempts without an outcome
+	done            bool         // it has its final answer
+	keyBlockedUntil instant.Time // until when no other message of its key may be sent
 }
 
+// attempt is one attempt of a message.
 type attempt struct {
 	call        *call
 	sentAt      instant.Time
-	open        bool
+	open        bool // without an outcome
 	notExecuted bool // proved never to have run
 }
 
-// messageTable holds the messages that this dispatcher has accepted and not yet forgotten.
+// dequeue takes a message out of its queue.
+func (m *message) dequeue() {
+	if m.queue != nil {
+		m.queue.waiting = remove(m.queue.waiting, m)
+		m.queue = nil
+	}
+}
+
+// messageTable holds the messages whose keys are not released.
 type messageTable struct {
 	byID         map[string]*message
 	unfinished   []*message // in the order of arrival
 	lastSequence int
 }
 
-// accept notes a new message, or gives nil where it makes no sense.
-func (d *Dispatcher) accept(e Arrived) *message {
-	if e.Class < 0 || e.Class >= len(d.settings.Classes) || d.messages.byID[e.ID] != nil {
+// add adds a message.
+func (t *messageTable) add(m *message) {
+	t.lastSequence++
+	m.sequence = t.lastSequence
+	t.byID[m.ID] = m
+	t.unfinished = append(t.unfinished, m)
+}
+
+// accept adds an arriving message, and returns it if it is up for admission. One that makes no sense is ignored.
+func (d *Dispatcher) accept(arrived Arrived) *message {
+	if arrived.Class < 0 || arrived.Class >= len(d.settings.Classes) || d.messages.byID[arrived.ID] != nil {
 		return nil
 	}
-	d.messages.lastSequence++
-	m := &message{Arrived: e, class: &d.settings.Classes[e.Class], sequence: d.messages.lastSequence,
-		expiresAt: d.now.Add(e.TimeLeft)}
-	d.messages.byID[e.ID] = m
-	d.messages.unfinished = append(d.messages.unfinished, m)
-	if m.class.Ordered && m.Key != "" {
-		d.keys.waiting[m.Key] = append(d.keys.waiting[m.Key], m)
+	m := &message{
+		Arrived:   arrived,
+		class:     &d.settings.Classes[arrived.Class],
+		expiresAt: d.now.Add(arrived.TimeLeft),
 	}
-	if e.Resumed {
+	d.messages.add(m)
+	d.keys.add(m)
+	if arrived.Resumed {
 		d.resumeMessage(m)
 		return nil
 	}
 	return m
 }
 
-// withdraw drops a message that nobody wants any more.
+// withdraw completes a message that nobody wants any more, and cancels its attempts.
 func (d *Dispatcher) withdraw(id string) {
 	m := d.messages.byID[id]
 	if m == nil || m.done {
@@ -63,14 +83,6 @@
 	}
 }
 
-// dequeue takes a message out of its queue.
-func (m *message) dequeue() {
-	if m.queue != nil {
-		m.queue.waiting = remove(m.queue.waiting, m)
-		m.queue = nil
-	}
-}
-
 // complete notes that a message has its final answer.
 func (d *Dispatcher) complete(m *message) {
 	if !m.done {
@@ -80,3 +92,24 @@
 	}
 	d.releaseKey(m)
 }
+
+// releaseKey removes a message that is done and has no attempt out, once its key is no longer blocked, and so lets the
+// next message of its key be sent.
+func (d *Dispatcher) releaseKey(m *message) {
+	if !m.done || m.openAttempts > 0 {
+		return
+	}
+	if d.now < m.keyBlockedUntil {
+		d.keys.block(m)
+		return
+	}
+	d.keys.release(m)
+	delete(d.messages.byID, m.ID)
+}
+
+// releaseBlockedKeys releases the keys that need no longer be blocked.
+func (d *Dispatcher) releaseBlockedKeys() {
+	for _, m := range slices.Clone(d.keys.blocked) {
+		d.releaseKey(m)
+	}
+}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -8,79 +8,87 @@
 package policy
 
 import (
-	"slices"
-
 	"milletsail/internal/instant"
 )
 
-// handleEvent takes in one event, and gives the message that is up for admission by it, if any.
-func (d *Dispatcher) handleEvent(e Event) *message {
-	switch e := e.(type) {
+// Handle takes in the events of one batch and returns what is to be done, in order.
+func (d *Dispatcher) Handle(now instant.Time, events []Event) []Action {
+	d.now, d.actions = max(now, d.now), nil
+	d.releaseBlockedKeys()
+	d.handleListChanges(events)
+	arrived := d.handleEvents(events)
+	d.renewWatch()
+	d.admitAll(arrived)
+	d.evaluateZones()
+	d.evaluateCanaries()
+	d.expireMessages()
+	d.dispatch()
+	d.cancelStalledCalls()
+	d.publishRate()
+	d.deactivateIdle()
+	d.evictIdle()
+	d.armTimer()
+	return d.actions
+}
+
+// handleListChanges takes in the changes of the endpoint list ahead of the other events: a Directory has them already, and
+// the rest of the batch has to meet the same list with one as without.
+func (d *Dispatcher) handleListChanges(events []Event) {
+	for _, event := range events {
+		if updated, ok := event.(EndpointsUpdated); ok {
+			d.updateEndpoints(updated)
+		}
+	}
+}
+
+// handleEvents takes in the other events, and returns the messages that are up for admission.
+func (d *Dispatcher) handleEvents(events []Event) (arrived []*message) {
+	for _, event := range events {
+		if m := d.handleEvent(event); m != nil {
+			arrived = append(arrived, m)
+		}
+	}
+	return arrived
+}
+
+// handleEvent takes in one event, and returns the message that it brings up for admission, or nil.
+func (d *Dispatcher) handleEvent(event Event) *message {
+	switch event := event.(type) {
 	case Arrived:
-		return d.accept(e)
+		return d.accept(event)
 	case AttemptEnded:
-		d.handleAttemptEnded(e)
+		d.handleAttemptEnded(event)
 	case Withdrawn:
-		d.withdraw(e.ID)
-	case EndpointsUpdated: // taken in ahead of the others
+		d.withdraw(event.ID)
+	case EndpointsUpdated: // see handleListChanges
+	case TimerFired:
 	case WatchFailed:
 		if d.settings.Subscribe {
 			d.watch.subscribeAt = d.now.Add(resubscribeDelay)
 		}
 	case StateRestored:
-		d.restoreHealth(e)
+		d.restoreHealth(event)
 	case StateInherited:
-		d.restoreInherited(e)
+		d.restoreInherited(event)
 	case GossipReceived:
-		d.handleGossip(e.Message)
+		d.handleGossip(event.Message)
 	case PeerSuspected:
-		d.handlePeerSuspected(e)
+		d.handlePeerSuspected(event)
 	case PeerRateReceived:
-		d.handlePeerRate(e)
+		d.handlePeerRate(event)
 	case StorageChanged:
-		d.storageReadOnly = !e.Writable
+		d.storageReadOnly = !event.Writable
 	case ShutdownStarted:
 		d.stopping = true
 	}
 	return nil
 }
 
-// Handle takes in the events of one batch and returns what is to be done, in order.
-func (d *Dispatcher) Handle(now instant.Time, events []Event) []Action {
-	d.now, d.actions = max(now, d.now), nil
-	for _, m := range slices.Clone(d.keys.blocked) {
-		d.releaseKey(m)
-	}
-	// Changes of the list go first: a Directory has them already, and what else a batch brings is to meet the
-	// same list with one as without.
-	for _, e := range events {
-		if listed, ok := e.(EndpointsUpdated); ok {
-			d.updateEndpoints(listed)
-		}
-	}
-	var fresh []*message
-	for _, e := range events {
-		if m := d.handleEvent(e); m != nil {
-			fresh = append(fresh, m)
-		}
-	}
-	if d.now >= d.watch.subscribeAt {
-		d.watch.subscribeAt = never
-		d.emit(Subscribe{})
-	}
-	for _, m := range fresh {
+// admitAll admits or rejects the messages that arrived, unless the same batch has withdrawn them.
+func (d *Dispatcher) admitAll(arrived []*message) {
+	for _, m := range arrived {
 		if !m.done {
 			d.admit(m)
 		}
 	}
-	d.evaluateZones()
-	d.evaluateCanaries()
-	d.expireMessages()
-	d.dispatch()
-	d.cancelStalledCalls()
-	d.publishRate()
-	d.deactivateIdle()
-	d.evictIdle()
-	d.armTimer()
-	return d.actions
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -12,9 +12,9 @@
 type destination struct {
 	number int
 	queues []*queue // routes, or the one shared queue; queues[0] also serves while nothing is listed
-	// idleElement is the destination's place in Dispatcher.idle, or nil; idleSince is when it was put there.
+	// idleElement is the destination's place in Dispatcher.idleDestinations, or nil.
 	idleElement *list.Element
-	idleSince   instant.Time
+	idleSince   instant.Time // when it was put there
 }
 
 // queue is one first-come queue of the paper: the messages that wait for a destination, or for one of its routes, and
@@ -56,7 +56,7 @@
 	d.activate(q)
 }
 
-// activate notes that a queue has something to do.
+// activate adds a queue with messages waiting or calls out to the active ones.
 func (d *Dispatcher) activate(q *queue) {
 	if !q.active {
 		q.active = true
@@ -64,7 +64,7 @@
 	}
 }
 
-// deactivateIdle drops the queues that have nothing to do from the active ones, and forgets routes that left.
+// deactivateIdle removes the queues without messages and calls from the active ones, and those of removed routes altogether.
 func (d *Dispatcher) deactivateIdle() {
 	d.active = slices.DeleteFunc(d.active, func(q *queue) bool {
 		q.active = len(q.waiting) > 0 || len(q.calls) > 0
@@ -76,7 +76,7 @@
 	})
 }
 
-// removeUnusedQueue drops a queue without endpoints and work, unless it is the one that stands for its destination.
+// removeUnusedQueue removes a queue without endpoints, messages and calls, unless it is its destination's only one.
 func (d *Dispatcher) removeUnusedQueue(q *queue) {
 	if len(q.endpoints) > 0 || q.active || q.destination.queues[0] == q && len(q.destination.queues) == 1 {
 		return
@@ -85,8 +85,8 @@
 	d.removeQueue(q)
 }
 
-// removeQueue takes a queue out of the list of all queues, which keeps its order; on demand, where many come and go and
-// the order says nothing, the last one takes its place.
+// removeQueue takes a queue out of the list of all queues, which keeps its order. Where state is kept on demand, many come
+// and go and the order has no meaning: there the last one takes its place.
 func (d *Dispatcher) removeQueue(q *queue) {
 	if d.onDemand() {
 		last := len(d.queues) - 1
@@ -102,7 +102,7 @@
 	}
 }
 
-// destination gives a destination, with one queue at least.
+// destination returns a destination, which has one queue at least.
 func (d *Dispatcher) destination(no int) *destination {
 	if dest := d.destinations[no]; dest != nil {
 		return dest
@@ -112,29 +112,29 @@
 	if d.onDemand() {
 		d.loadDestination(dest)
 	} else {
-		d.addQueue(dest, 1, false, d.now)
+		d.addQueue(dest, d.now)
 	}
 	return dest
 }
 
-// addQueue adds a queue to a destination that counts since a moment.
-func (d *Dispatcher) addQueue(dest *destination, bundle int, apart bool, since instant.Time) *queue {
+// addQueue adds a queue to a destination, whose counters start at a moment.
+func (d *Dispatcher) addQueue(dest *destination, since instant.Time) *queue {
+	classes := len(d.settings.Classes)
 	q := &queue{
-		destination:   dest,
-		maxBatch:      max(1, bundle),
-		separateRoute: apart,
-		baseline:      make([]failureRate, len(d.settings.Classes)),
-		latency:       latencyEstimate{byClass: make([]float64, len(d.settings.Classes))},
-		limiter:       sendRateLimiter{bucket: tokenBucket{updatedAt: since}},
-		admission:     newAdmissionController(since),
-		index:         len(d.queues),
+		destination: dest,
+		maxBatch:    1,
+		index:       len(d.queues),
+		admission:   newAdmissionController(since),
+		latency:     latencyEstimate{byClass: make([]float64, classes)},
+		limiter:     sendRateLimiter{bucket: tokenBucket{updatedAt: since}},
+		baseline:    make([]failureRate, classes),
 	}
 	dest.queues = append(dest.queues, q)
 	d.queues = append(d.queues, q)
 	return q
 }
 
-// acceptsCalls tells whether a queue has an endpoint that takes new work.
+// acceptsCalls reports whether a queue has an endpoint that gets new calls.
 func (q *queue) acceptsCalls() bool {
 	for _, ep := range q.endpoints {
 		if !ep.Draining && !ep.Removed {
@@ -144,7 +144,7 @@
 	return false
 }
 
-// allEjected tells whether all endpoints of a queue are out.
+// allEjected reports whether a queue has endpoints and all of them are ejected.
 func (q *queue) allEjected() bool {
 	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, func(ep *endpoint) bool { return !ep.outlier.ejected })
 }
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -14,7 +14,7 @@
 	destination := d.destination(m.Destination)
 	best, lowest := destination.queues[0], math.Inf(1)
 	for _, candidate := range destination.queues {
-		d.applyLatencyPrior(candidate)
+		candidate.latency.applyPrior(d.latencyPrior(candidate.kind))
 		if !candidate.separateRoute || !candidate.acceptsCalls() {
 			continue
 		}
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -10,87 +10,46 @@
 // maxQueueSlotShare is the share of the slots that one queue may have, so that no queue takes all of them.
 const maxQueueSlotShare = 0.5
 
-// slotScheduler counts the slots, each of which one call out takes.
+// slotScheduler counts the slots, of which each call takes one.
 type slotScheduler struct {
 	inUse    int
 	lastCall int // number of the last call
-	// unansweredShare is the share of the calls that were late by stalledFactor which had no success.
+	// unansweredShare is the moving average of the share of late calls (by stalledFactor) that had no success.
 	unansweredShare float64
 }
 
-// startAttempt adds one message to a call.
-func (d *Dispatcher) startAttempt(m *message, c *call) {
-	m.dequeue()
-	within := time.Duration(0)
-	if by := d.idempotencyExpiry(m); by < never {
-		within = by.Sub(d.now)
-	}
-	m.attempts = append(m.attempts, attempt{call: c, sentAt: d.now, open: true})
-	m.openAttempts++
-	c.openAttempts++
-	c.size += m.Size
-	c.messages = append(c.messages, m)
-	d.emit(Send{ID: m.ID, Endpoint: c.endpoint.ID, Timeout: d.attemptTimeout(m, c), Call: c.number, WriteTimeout: within})
-}
-
-// startCall starts a call with a message and, where the kind allows it, others of the queue.
-func (d *Dispatcher) startCall(q *queue, ep *endpoint, first *message) {
-	d.slots.lastCall++
-	c := &call{endpoint: ep, number: d.slots.lastCall, sentAt: d.now}
-	d.slots.inUse++
-	d.activate(q)
-	q.calls, ep.calls = append(q.calls, c), append(ep.calls, c)
-	ep.lastUsedAt = d.now
-	if q.limiter.rate > 0 {
-		q.limiter.bucket.tokens = math.Max(0, d.sendTokens(q)-1)
-	}
-	if d.settings.Zones {
-		d.recordSpillover(q, ep)
-	}
-	if d.settings.CanaryAnalysis {
-		d.addCanaryCredit(q, ep)
-	}
-	if ep.outlier.ejected || ep.slowStart.active {
-		ep.slowStart.bucket.tokens = math.Max(0, d.slowStartTokens(ep)-1)
-	}
-	if ep.outlier.ejected || d.singleProber(q) {
-		q.probedAt = d.now
-	}
-	d.startAttempt(first, c)
-	for i := 0; i < len(q.waiting) && c.openAttempts < q.maxBatch && !ep.outlier.ejected; {
-		m := q.waiting[i]
-		if d.attemptAllowed(m) && d.nearDeadline(q, m) == d.nearDeadline(q, first) && d.retryAllowed(m, ep) && (d.settings.MaxBatchBytes == 0 || c.size+m.Size <= d.settings.MaxBatchBytes) {
-			d.startAttempt(m, c)
-			continue
-		}
-		i++
-	}
+// take takes a slot for the next call, and returns the call's number.
+func (s *slotScheduler) take() int {
+	s.inUse++
+	s.lastCall++
+	return s.lastCall
 }
 
-// dispatch gives free slots in turns to the queues that can send: fewest calls out first, and among these
-// the message whose worth falls first.
+// dispatch gives free slots in turn to the queues that can send: first those with the fewest calls out, and among these the
+// one whose message loses its value first.
 func (d *Dispatcher) dispatch() {
 	for d.slots.inUse < d.settings.Slots && !d.stopping {
 		var best *queue
-		var ep *endpoint
+		var target *endpoint
 		var first *message
-		for _, q := range d.active {
-			if best != nil && len(q.calls) > len(best.calls) {
+		for _, candidate := range d.active {
+			if best != nil && len(candidate.calls) > len(best.calls) {
 				continue
 			}
-			e, m := d.nextSendable(q)
-			if m != nil && (best == nil || len(q.calls) < len(best.calls) || d.valueDeadline(m) < d.valueDeadline(first)) {
-				best, ep, first = q, e, m
+			ep, m := d.nextSendable(candidate)
+			if m != nil && (best == nil || len(candidate.calls) < len(best.calls) ||
+				d.valueDeadline(m) < d.valueDeadline(first)) {
+				best, target, first = candidate, ep, m
 			}
 		}
 		if best == nil {
 			return
 		}
-		d.startCall(best, ep, first)
+		d.startCall(best, target, first)
 	}
 }
 
-// valueDeadline is when a message falls under keepWorth; what is under it already comes after all others.
+// valueDeadline is when the value of a message falls below minDeliveryValue. A message below that comes after all others.
 func (d *Dispatcher) valueDeadline(m *message) instant.Time {
 	at := m.expiresAt.Add(-m.class.Deadline).Add(m.class.ageAt(minDeliveryValue))
 	if at < d.now {
@@ -99,17 +58,9 @@
 	return at
 }
 
-// nextSendable tells which message a queue would send now and where, if any.
+// nextSendable returns the message that a queue would send now and its endpoint, or nil.
 func (d *Dispatcher) nextSendable(q *queue) (*endpoint, *message) {
-	most := max(1, int(math.Ceil(maxQueueSlotShare*float64(d.settings.Slots))))
-	if len(q.waiting) == 0 || d.now < q.circuit.retryAfterUntil || len(q.calls) >= most {
-		return nil, nil
-	}
-	tries := d.isProber(q)
-	if (d.now < q.circuit.backoffUntil || q.limiter.rate > 0 && d.sendTokens(q) < 1) && !tries {
-		return nil, nil
-	}
-	if d.singleProber(q) && (!tries || d.now < d.probeTurn(q.endpoints[0])) {
+	if len(q.waiting) == 0 || !d.maySend(q) {
 		return nil, nil
 	}
 	for _, m := range q.waiting {
@@ -122,18 +73,75 @@
 	return nil, nil
 }
 
-// attemptAllowed tells whether the rules allow another attempt of a held message now.
-func (d *Dispatcher) attemptAllowed(m *message) bool {
-	if len(m.attempts) >= d.settings.MaxAttempts || d.now >= m.expiresAt {
+// maySend reports whether slots, pauses, the send rate and probe turns let a queue send a call now.
+func (d *Dispatcher) maySend(q *queue) bool {
+	maxCalls := max(1, int(math.Ceil(maxQueueSlotShare*float64(d.settings.Slots))))
+	if d.now < q.circuit.retryAfterUntil || len(q.calls) >= maxCalls {
 		return false
 	}
-	if d.storageReadOnly && m.class.Effect != Idempotent { // a later process might send it again
+	isProber := d.isProber(q)
+	if (d.now < q.circuit.backoffUntil || q.limiter.rate > 0 && d.sendTokens(q) < 1) && !isProber {
 		return false
 	}
-	if m.class.Ordered && m.Key != "" {
-		if line := d.keys.waiting[m.Key]; line[0] != m {
-			return false
+	return !d.singleProber(q) || isProber && d.now >= d.probeTurn(q.endpoints[0])
+}
+
+// startCall starts a call with a message and, where the kind of destination allows it, others of the queue.
+func (d *Dispatcher) startCall(q *queue, ep *endpoint, first *message) {
+	started := &call{endpoint: ep, number: d.slots.take(), sentAt: d.now}
+	d.activate(q)
+	q.calls, ep.calls = append(q.calls, started), append(ep.calls, started)
+	ep.lastUsedAt = d.now
+	if q.limiter.rate > 0 {
+		q.limiter.bucket.tokens = math.Max(0, d.sendTokens(q)-1)
+	}
+	if d.settings.Zones {
+		d.recordSpillover(q, ep)
+	}
+	if d.settings.CanaryAnalysis {
+		d.addCanaryCredit(q, ep)
+	}
+	if ep.limitedBySlowStart() {
+		ep.slowStart.bucket.tokens = math.Max(0, d.slowStartTokens(ep)-1)
+	}
+	if ep.outlier.ejected || d.singleProber(q) {
+		q.probedAt = d.now
+	}
+	d.startAttempt(first, started)
+	if !ep.outlier.ejected { // a probe carries one message
+		d.fillBatch(started, first)
+	}
+}
+
+// fillBatch adds waiting messages to a call, as many as may travel with its first one.
+func (d *Dispatcher) fillBatch(batch *call, first *message) {
+	queue := batch.endpoint.queue
+	for i := 0; i < len(queue.waiting) && batch.openAttempts < queue.maxBatch; {
+		m := queue.waiting[i]
+		fits := d.settings.MaxBatchBytes == 0 || batch.size+m.Size <= d.settings.MaxBatchBytes
+		if fits && d.attemptAllowed(m) && d.retryAllowed(m, batch.endpoint) &&
+			d.nearDeadline(queue, m) == d.nearDeadline(queue, first) {
+			d.startAttempt(m, batch) // which dequeues it
+			continue
 		}
+		i++
 	}
-	return true
+}
+
+// startAttempt adds a message to a call.
+func (d *Dispatcher) startAttempt(m *message, c *call) {
+	m.dequeue()
+	writeTimeout := d.writeTimeout(m)
+	m.attempts = append(m.attempts, attempt{call: c, sentAt: d.now, open: true})
+	m.openAttempts++
+	c.openAttempts++
+	c.size += m.Size
+	c.messages = append(c.messages, m)
+	d.emit(Send{
+		ID:           m.ID,
+		Endpoint:     c.endpoint.ID,
+		Timeout:      d.attemptTimeout(m, c),
+		WriteTimeout: writeTimeout,
+		Call:         c.number,
+	})
 }
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -42,39 +42,46 @@
 	}
 }
 
-// cancelStalledCalls calls off calls that are out far longer than usual, so that their messages can be sent again. It
-// guards against lost calls and answers, and against hangs that fill the slots, whatever the cause; it
-// costs the work of a call that was merely slow, so calls are taken later with each attempt, and those
-// that no later call has overtaken only for want of a slot. A call that may not be repeated is taken for
-// want of a slot alone, finalFactor times as late: its message fails, but the slot serves others.
+// cancelStalledCalls cancels calls that are out far longer than usual, so that their messages can be sent again. It guards
+// against lost calls and answers, and against hangs that take all slots, whatever the cause. The price is the work of
+// a call that was merely slow: so it waits longer with each attempt, and cancels a call that no later one has overtaken
+// only where a slot is wanted. A call that may not be retried is canceled for a wanted slot alone, finalAttemptFactor
+// times as late: its message fails, but the slot serves others.
 func (d *Dispatcher) cancelStalledCalls() {
 	if !d.settings.CanCancel {
 		return
 	}
-	want := d.slots.inUse >= d.settings.Slots && slices.ContainsFunc(d.active, func(q *queue) bool {
+	slotWanted := d.slots.inUse >= d.settings.Slots && slices.ContainsFunc(d.active, func(q *queue) bool {
 		_, m := d.nextSendable(q)
 		return m != nil
 	})
 	for _, q := range d.active {
 		for _, c := range q.calls {
-			again := d.callRetryable(c)
-			lost := again && c.endpoint.succeededCallAt > c.sentAt // a call that began later has succeeded
-			factor := d.stalledCallFactor()
-			if !again {
-				factor *= finalAttemptFactor
-			}
-			due := lost && d.now >= d.overdueAt(c, unresponsiveFactor) || want && d.now >= d.overdueAt(c, factor)
-			if c.canceled || !due {
+			stalled, overtaken := d.callStalled(c, slotWanted)
+			if c.canceled || !stalled {
 				continue
 			}
-			want = want && lost
+			slotWanted = slotWanted && overtaken
 			d.cancelCall(c)
 		}
 	}
 }
 
-// stalledCallFactor is the number of mean latencies after which a wanted slot is taken back: sooner where late
-// calls have mostly not been answered at all (loss, hangs) than where they have (slowness, heavy work).
+// callStalled reports whether a call is to be canceled, and whether it may be retried and one that was sent later to the same
+// endpoint has succeeded.
+func (d *Dispatcher) callStalled(c *call, slotWanted bool) (stalled, overtaken bool) {
+	retryable := d.callRetryable(c)
+	overtaken = retryable && c.endpoint.succeededCallAt > c.sentAt
+	factor := d.stalledCallFactor()
+	if !retryable {
+		factor *= finalAttemptFactor
+	}
+	stalled = overtaken && d.now >= d.overdueAt(c, unresponsiveFactor) || slotWanted && d.now >= d.overdueAt(c, factor)
+	return stalled, overtaken
+}
+
+// stalledCallFactor is the number of mean latencies after which a wanted slot is taken back: sooner where late calls mostly
+// had no success at all (loss, hangs) than where they had (slowness, heavy work).
 func (d *Dispatcher) stalledCallFactor() float64 {
 	if d.slots.unansweredShare > unansweredThreshold {
 		return stalledFactor
@@ -82,23 +89,26 @@
 	return unresponsiveFactor
 }
 
-// overdueAt is when a call has been out for far longer than usual.
+// overdueAt is when a call has been out for a multiple of its usual latency, which doubles with each attempt of its first
+// message, or never where the latency is unknown.
 func (d *Dispatcher) overdueAt(c *call, factor float64) instant.Time {
-	usual := math.Max(c.endpoint.queue.latency.mean, c.endpoint.lastLatency)
+	latency := &c.endpoint.queue.latency
+	usual := math.Max(latency.mean, c.endpoint.lastLatency)
 	for _, m := range c.messages {
-		usual = math.Max(usual, c.endpoint.queue.latency.byClass[m.Class])
+		usual = math.Max(usual, latency.byClass[m.Class])
 	}
 	if usual == 0 {
 		return never
 	}
-	tries := math.Pow(2, float64(len(c.messages[0].attempts)-1))
-	return c.sentAt.Add(time.Duration(factor * tries * usual * float64(time.Second)))
+	doubled := math.Pow(2, float64(len(c.messages[0].attempts)-1))
+	return c.sentAt.Add(time.Duration(factor * doubled * usual * float64(time.Second)))
 }
 
-// unresponsive tells whether an endpoint has a call out for far longer than usual and no success since it.
+// unresponsive reports whether an endpoint has a call out for far longer than usual and no success since it was sent.
 func (d *Dispatcher) unresponsive(ep *endpoint) bool {
 	if len(ep.calls) == 0 || ep.queue.latency.mean == 0 {
 		return false
 	}
-	return ep.outlier.lastSuccessAt <= ep.calls[0].sentAt && d.now >= d.overdueAt(ep.calls[0], unresponsiveFactor)
+	oldest := ep.calls[0]
+	return ep.outlier.lastSuccessAt <= oldest.sentAt && d.now >= d.overdueAt(oldest, unresponsiveFactor)
 }
--- a/policy/state_store.go
+++ b/policy/state_store.go
@@ -24,7 +24,7 @@
 	if len(endpoints) > 0 {
 		since = min(d.now, d.watch.firstListedAt)
 	}
-	d.addQueue(dest, 1, false, since)
+	d.addQueue(dest, since)
 	d.markIdle(dest)
 	for _, e := range endpoints {
 		d.updateEndpoint(e, since)
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -2,61 +2,89 @@
 
 import "milletsail/internal/instant"
 
+// stallFactors are the multiples of the usual latency at which calls may be found stalled.
+var stallFactors = [...]float64{stalledFactor, unresponsiveFactor, unresponsiveFactor * finalAttemptFactor}
+
 // timerState is the timer that the caller was last asked for.
 type timerState struct {
 	dueAt instant.Time // 0 for none
 }
 
-// armTimer asks for a timer when something is next due by time alone.
+// earliestTime is the earliest of several times, but no earlier than a bound.
+type earliestTime struct {
+	at        instant.Time
+	noEarlier instant.Time
+}
+
+// add takes a time into account.
+func (e *earliestTime) add(at instant.Time) { e.at = min(e.at, max(at, e.noEarlier)) }
+
+// armTimer asks for a timer for when something is next due by time alone.
 func (d *Dispatcher) armTimer() {
-	next := never
-	soon := func(t instant.Time) { next = min(next, max(t, d.now.Add(d.settings.BatchInterval))) }
-	soon(d.watch.subscribeAt)
+	soonest := d.now.Add(d.settings.BatchInterval)
+	next := earliestTime{at: never, noEarlier: soonest}
+	next.add(d.watch.subscribeAt)
 	for _, m := range d.messages.unfinished {
 		if m.queue != nil {
-			soon(d.finalAttemptAt(m))
-			soon(d.idempotencyExpiry(m))
+			next.add(d.finalAttemptAt(m))
+			next.add(d.idempotencyExpiry(m))
 		}
 	}
 	for _, q := range d.active {
-		for _, c := range q.calls {
-			for _, factor := range []float64{stalledFactor, unresponsiveFactor, unresponsiveFactor * finalAttemptFactor} {
-				if at := d.overdueAt(c, factor); at > d.now && !c.canceled {
-					soon(at)
-				}
-			}
-		}
-		if len(q.waiting) == 0 {
-			continue
+		d.addStallTimes(&next, q)
+		if len(q.waiting) > 0 {
+			d.addSendTimes(&next, q)
 		}
-		at := max(d.blockedUntil(q), d.now)
-		if q.limiter.rate > 0 && d.sendTokens(q) < 1 && !d.isProber(q) {
-			at = max(at, d.now.Add(tokenDelay(1-q.limiter.bucket.tokens, q.limiter.rate)))
+	}
+	for _, m := range d.keys.blocked {
+		next.add(m.keyBlockedUntil)
+	}
+	// A clock with coarser steps than ours may fire a little before the time: that timer is used up.
+	if next.at < never && (d.timer.dueAt < soonest || next.at < d.timer.dueAt) {
+		d.timer.dueAt = next.at
+		d.emit(SetTimer{After: next.at.Sub(d.now)})
+	}
+}
+
+// addStallTimes adds the times at which the calls of a queue may be found stalled.
+func (d *Dispatcher) addStallTimes(next *earliestTime, q *queue) {
+	for _, c := range q.calls {
+		for _, factor := range stallFactors {
+			if at := d.overdueAt(c, factor); at > d.now && !c.canceled {
+				next.add(at)
+			}
 		}
-		if d.singleProber(q) && len(q.endpoints) > 0 {
-			at = max(at, d.probeTurn(q.endpoints[0]))
+	}
+}
+
+// addSendTimes adds the times at which a queue, or an endpoint of it, may send again.
+func (d *Dispatcher) addSendTimes(next *earliestTime, q *queue) {
+	sendAt := d.nextSendTime(q)
+	if sendAt > d.now {
+		next.add(sendAt)
+	}
+	for _, ep := range q.endpoints {
+		if ep.resourceBackoff.until > d.now {
+			next.add(max(sendAt, ep.resourceBackoff.until))
 		}
-		if at > d.now {
-			soon(at)
+		if ep.limitedBySlowStart() && d.slowStartTokens(ep) < 1 {
+			budget := d.slowStartBudget(ep, d.timeSinceRecovery(ep))
+			next.add(max(sendAt, d.now.Add(tokenDelay(1-ep.slowStart.bucket.tokens, budget))))
 		}
-		for _, ep := range q.endpoints {
-			if ep.resourceBackoff.until > d.now {
-				soon(max(at, ep.resourceBackoff.until))
-			}
-			if (ep.outlier.ejected || ep.slowStart.active) && d.slowStartTokens(ep) < 1 {
-				soon(max(at, d.now.Add(tokenDelay(1-ep.slowStart.bucket.tokens, d.slowStartBudget(ep, d.timeSinceRecovery(ep))))))
-			}
-			if turn := d.probeTurn(ep); ep.outlier.ejected && turn > d.now {
-				soon(max(at, turn))
-			}
+		if turn := d.probeTurn(ep); ep.outlier.ejected && turn > d.now {
+			next.add(max(sendAt, turn))
 		}
 	}
-	for _, m := range d.keys.blocked {
-		soon(m.keyBlockedUntil)
+}
+
+// nextSendTime is when pauses, the send rate and probe turns let a queue send again.
+func (d *Dispatcher) nextSendTime(q *queue) instant.Time {
+	at := max(d.blockedUntil(q), d.now)
+	if q.limiter.rate > 0 && d.sendTokens(q) < 1 && !d.isProber(q) {
+		at = max(at, d.now.Add(tokenDelay(1-q.limiter.bucket.tokens, q.limiter.rate)))
 	}
-	// A clock with coarser steps than ours may wake us a little before the time: that timer is used up.
-	if next < never && (d.timer.dueAt < d.now.Add(d.settings.BatchInterval) || next < d.timer.dueAt) {
-		d.timer.dueAt = next
-		d.emit(SetTimer{After: next.Sub(d.now)})
+	if d.singleProber(q) && len(q.endpoints) > 0 {
+		at = max(at, d.probeTurn(q.endpoints[0]))
 	}
+	return at
 }
