--- a/policy/canary_analysis.go
+++ b/policy/canary_analysis.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"slices"
 	"time"
+
+	"milletsail/internal/instant"
 )
 
 const (
@@ -35,62 +36,38 @@
 	maxSuspensionDoublings = 8
 )
 
-// startCanary takes in an endpoint that was not listed before, or has started anew since.
-func (d *Dispatcher) startCanary(ep *endpoint, e Endpoint) {
-	if d.youngEnoughForCanary(e) && e.StartedAt > ep.StartedAt && !e.Draining {
-		if ep.canary == nil {
-			d.canaryCount++
-		}
-		ep.canary = &canaryState{stageStartedAt: d.now, credit: d.random.Float64(), scores: make([]float64, len(d.settings.Classes))}
+// recordOutcome updates the score of a class by an outcome, with the baseline's share of failing calls, and reports whether
+// the canary is found to be worse than the baseline.
+func (c *canaryState) recordOutcome(class int, failed bool, baselineShare float64) (regressed bool) {
+	c.outcomes++
+	usual := math.Max(minFailureShare, baselineShare)
+	worse := usual + (1-usual)/2
+	if !failed {
+		c.scores[class] = math.Max(0, c.scores[class]+math.Log((1-worse)/(1-usual)))
+		return false
 	}
+	c.scores[class] += math.Log(worse / usual)
+	return c.scores[class] >= math.Log(regressionLikelihoodRatio)
 }
 
-// youngEnoughForCanary tells whether a listed endpoint may be on trial by its age.
-func (d *Dispatcher) youngEnoughForCanary(e Endpoint) bool {
-	return d.settings.CanaryAnalysis && e.StartedAt > 0 && d.now.Sub(e.StartedAt) < canaryMaxAge
-}
-
-// hasBaseline tells whether an endpoint is on trial: only beside an older one that serves its destination.
-func (d *Dispatcher) hasBaseline(ep *endpoint) bool {
-	return ep.canary != nil && slices.ContainsFunc(ep.queue.endpoints, func(o *endpoint) bool {
-		return o.canary == nil && !o.outlier.ejected && !o.Draining && !d.unresponsive(o)
-	})
-}
-
-// canaryWithheld tells whether an endpoint on trial gets nothing now.
-func (d *Dispatcher) canaryWithheld(ep *endpoint) bool {
-	return ep.canary != nil && (d.now < ep.canary.suspendedUntil || ep.canary.credit < 1) && d.hasBaseline(ep)
-}
-
-// recordCanaryOutcome takes in an outcome of an endpoint on trial, here or at another relay.
-func (d *Dispatcher) recordCanaryOutcome(ep *endpoint, class int, bad bool) {
-	t := ep.canary
-	t.outcomes++
-	usual := math.Max(minFailureShare, ep.queue.baseline[class].share())
-	worse := usual + (1-usual)/2
-	if !bad {
-		t.scores[class] = math.Max(0, t.scores[class]+math.Log((1-worse)/(1-usual)))
-		return
-	}
-	if t.scores[class] += math.Log(worse / usual); t.scores[class] >= math.Log(regressionLikelihoodRatio) && d.now >= t.suspendedUntil {
-		t.suspendedUntil = d.now.Add(min(maxSuspension, initialSuspension<<min(t.suspensions, 8)))
-		t.suspensions++
-		d.startCanaryStage(ep, 0, t.suspendedUntil)
+// stageComplete reports whether the canary may go on to the next stage.
+func (c *canaryState) stageComplete(now instant.Time) bool {
+	age := now.Sub(c.stageStartedAt)
+	if c.maxScore() > maxPromotionScore*math.Log(regressionLikelihoodRatio) || age < minStageDuration {
+		return false
 	}
+	return c.outcomes >= minStageOutcomes || age >= maxStageDuration
 }
 
-// evaluateCanaries moves the endpoints on trial on, with each batch.
+// evaluateCanaries promotes the canaries whose stages are complete: to the next stage, and after the last one to an ordinary
+// endpoint.
 func (d *Dispatcher) evaluateCanaries() {
 	for _, ep := range d.canaries() {
-		t, doubt := ep.canary, 0.0
-		for _, score := range t.scores {
-			doubt = math.Max(doubt, score)
-		}
-		age := d.now.Sub(t.stageStartedAt)
+		canary := ep.canary
 		switch {
-		case doubt > maxPromotionScore*math.Log(regressionLikelihoodRatio) || age < minStageDuration || t.outcomes < minStageOutcomes && age < maxStageDuration:
-		case t.stage+1 < len(canaryStageShares):
-			d.startCanaryStage(ep, t.stage+1, d.now)
+		case !canary.stageComplete(d.now):
+		case canary.stage+1 < len(canaryStageShares):
+			d.startCanaryStage(ep, canary.stage+1, d.now)
 		default:
 			ep.canary = nil
 			d.canaryCount--
@@ -99,20 +76,58 @@
 	}
 }
 
-// analyzeOutcome draws from a call's end what it says of a newcomer, or of what is usual beside one. An endpoint that
-// refuses may just be at its limit. A relay whose own network is bad speaks against nobody.
-func (d *Dispatcher) analyzeOutcome(ep *endpoint, m *message, e AttemptEnded, late bool) {
-	if !d.settings.CanaryAnalysis || e.Outcome == Rejected || e.Outcome == NotSent || e.Outcome == Canceled && !late {
+// analyzeOutcome takes in what the end of a call says of a canary, or of the baseline beside one. An endpoint that rejects may
+// just be at its limit. A relay whose own network may be at fault observes nothing bad.
+func (d *Dispatcher) analyzeOutcome(ep *endpoint, m *message, ended AttemptEnded, late bool) {
+	if !d.settings.CanaryAnalysis || ended.Outcome == Rejected || ended.Outcome == NotSent {
+		return
+	}
+	if ended.Outcome == Canceled && !late {
 		return
 	}
-	q, bad := ep.queue, e.Outcome != OK || late
+	failed := ended.Outcome != OK || late
+	baseline := &ep.queue.baseline[m.Class]
 	if ep.canary == nil {
-		q.baseline[m.Class].add(bad)
-	} else if !bad || q.baseline[m.Class].share() < maxBaselineFailureShare {
-		d.recordCanaryOutcome(ep, m.Class, bad)
-		// Later outcomes come faster: a part of them says as much, if it is the same of good and bad ones.
-		if d.settings.Gossip && d.random.Float64() < canaryStageShares[1]/canaryStageShares[ep.canary.stage] {
-			d.emit(Broadcast{Message: canaryMessage{ep.ID, m.Class, bad, d.random.Uint64() % maxGossipNumber}.encode()})
-		}
+		baseline.add(failed)
+		return
+	}
+	if failed && baseline.share() >= maxBaselineFailureShare {
+		return
+	}
+	d.recordCanaryOutcome(ep, m.Class, failed)
+	d.reportCanaryOutcome(ep, m.Class, failed)
+}
+
+// recordCanaryOutcome takes in an outcome of a canary, here or at another relay, and suspends it if it is found to be worse
+// than its baseline.
+func (d *Dispatcher) recordCanaryOutcome(ep *endpoint, class int, failed bool) {
+	canary := ep.canary
+	regressed := canary.recordOutcome(class, failed, ep.queue.baseline[class].share())
+	if regressed && !canary.suspended(d.now) {
+		canary.suspend(d.now)
+		d.startCanaryStage(ep, 0, canary.suspendedUntil)
+	}
+}
+
+// reportCanaryOutcome broadcasts an outcome of a canary. In later stages outcomes come faster, and a random part of them says
+// as much, if it is the same of successes and failures.
+func (d *Dispatcher) reportCanaryOutcome(ep *endpoint, class int, failed bool) {
+	reportedShare := canaryStageShares[1] / canaryStageShares[ep.canary.stage]
+	if !d.settings.Gossip || d.random.Float64() >= reportedShare {
+		return
+	}
+	message := canaryMessage{endpoint: ep.ID, class: class, failed: failed, id: d.random.Uint64() % maxGossipNumber}
+	d.emit(Broadcast{Message: message.encode()})
+}
+
+// handleCanaryMessage takes in a gossip message, if it reports an outcome of a canary.
+func (d *Dispatcher) handleCanaryMessage(message []byte) {
+	report, ok := decodeCanaryMessage(message)
+	ep := d.endpoints[report.endpoint]
+	if !ok || ep == nil || ep.canary == nil || report.class >= len(d.settings.Classes) {
+		return
+	}
+	if ep.canary.addReport(report.id) {
+		d.recordCanaryOutcome(ep, report.class, report.failed)
 	}
 }
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -71,14 +71,6 @@
 
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// indicator is 1 for what is so.
-func indicator(so bool) float64 {
-	if so {
-		return 1
-	}
-	return 0
-}
-
 // remove takes v out of a slice and keeps the order.
 func remove[T comparable](list []T, v T) []T {
 	for i := range list {
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -18,71 +18,54 @@
 // maxGossipNumber bounds the numbers of a gossip message, so that none overflows.
 const maxGossipNumber = 1 << 31
 
-// limitMessage is what relays tell each other of a destination's limit: it refused a call that was sent an age ago, for a
-// wait, or for none that was told; or it took one, so that it is open.
+// limitMessage reports that a destination has rejected or accepted a call.
 type limitMessage struct {
 	accepted    bool
 	destination int
-	retryAfter  time.Duration
-	callAge     time.Duration
+	retryAfter  time.Duration // of a rejection, or 0
+	callAge     time.Duration // since the call was sent
 }
 
-// canaryMessage is what relays tell each other of an endpoint on trial: how a message of a class fared there. Its number,
-// drawn, tells it from a copy of itself.
+// canaryMessage reports the outcome of a message of a class at a canary. Its random ID tells it from copies of itself.
 type canaryMessage struct {
 	endpoint string
 	class    int
 	failed   bool
-	number   uint64
+	id       uint64
 }
 
-func (n canaryMessage) encode() []byte {
-	b := []byte{canarySuccessType}
-	if n.failed {
-		b[0] = canaryFailureType
-	}
-	return append(binary.AppendUvarint(binary.AppendUvarint(b, uint64(n.class)), n.number), n.endpoint...)
-}
-
-// decodeCanaryMessage reads a trialNote; one that is not whole says nothing.
-func decodeCanaryMessage(note []byte) (n canaryMessage, ok bool) {
-	if len(note) == 0 || note[0] != canarySuccessType && note[0] != canaryFailureType {
-		return n, false
-	}
-	class, l := binary.Uvarint(note[1:])
-	if l <= 0 || class > maxGossipNumber {
-		return n, false
-	}
-	no, k := binary.Uvarint(note[1+l:])
-	if k <= 0 || no > maxGossipNumber {
-		return n, false
-	}
-	return canaryMessage{string(note[1+l+k:]), int(class), note[0] == canaryFailureType, no}, true
-}
-
-// Observed is what a note of Tell and Heard says: that a destination has refused a call that was sent an age ago, for a
-// wait or for none that was told, or has taken one; or that an endpoint is back, or has taken no connection.
+// Observed is what the message of a Broadcast reports, for callers that combine the reports of several relays: one of
+// Closed (a destination has rejected a call), Open (it has accepted one), Back (an endpoint has recovered) and NoRoom (it
+// has not accepted a connection).
 type Observed struct {
-	Closed, Open, Back, NoRoom bool // one of them
-	Destination                int
-	Endpoint                   string
-	Wait, Age                  time.Duration
+	Closed, Open, Back, NoRoom bool
+	Destination                int           // of Closed and Open
+	Endpoint                   string        // of Back and NoRoom
+	Wait                       time.Duration // Retry-After of a rejection, or 0
+	Age                        time.Duration // since the call was sent
 }
 
-// ReadNote reads a note; one that is not whole says nothing.
-func ReadNote(note []byte) (o Observed, ok bool) {
-	if l, ok := decodeLimitMessage(note); ok {
-		return Observed{Closed: !l.accepted, Open: l.accepted, Destination: l.destination, Wait: l.retryAfter, Age: l.callAge}, true
+// ReadNote decodes the message of a Broadcast. It returns false for one that is malformed or of another type.
+func ReadNote(message []byte) (observed Observed, ok bool) {
+	if limit, ok := decodeLimitMessage(message); ok {
+		return Observed{
+			Closed:      !limit.accepted,
+			Open:        limit.accepted,
+			Destination: limit.destination,
+			Wait:        limit.retryAfter,
+			Age:         limit.callAge,
+		}, true
+	}
+	if recovered := decodeEndpointMessage(endpointRecoveredType, message); recovered != "" {
+		return Observed{Back: true, Endpoint: recovered}, true
 	}
-	if o.Endpoint = decodeEndpointMessage(endpointRecoveredType, note); o.Endpoint != "" {
-		o.Back = true
-	} else if o.Endpoint = decodeEndpointMessage(connectErrorType, note); o.Endpoint != "" {
-		o.NoRoom = true
+	if full := decodeEndpointMessage(connectErrorType, message); full != "" {
+		return Observed{NoRoom: true, Endpoint: full}, true
 	}
-	return o, o.Back || o.NoRoom
+	return Observed{}, false
 }
 
-// Note writes it.
+// Note encodes an observation as the message of a Broadcast.
 func (o Observed) Note() []byte {
 	switch {
 	case o.Back:
@@ -90,46 +73,86 @@
 	case o.NoRoom:
 		return encodeEndpointMessage(connectErrorType, o.Endpoint)
 	}
-	return limitMessage{o.Open, o.Destination, o.Wait, o.Age}.encode()
+	return limitMessage{accepted: o.Open, destination: o.Destination, retryAfter: o.Wait, callAge: o.Age}.encode()
 }
 
-func (n limitMessage) encode() []byte {
-	b := []byte{circuitOpenType}
-	if n.accepted {
-		b[0] = circuitClosedType
+// encode returns the type, and the numbers as varints with durations in milliseconds.
+func (m limitMessage) encode() []byte {
+	encoded := []byte{circuitOpenType}
+	if m.accepted {
+		encoded[0] = circuitClosedType
 	}
-	for _, v := range []uint64{uint64(n.destination), uint64(n.retryAfter.Milliseconds()), uint64(n.callAge.Milliseconds())} {
-		b = binary.AppendUvarint(b, v)
-	}
-	return b
+	encoded = binary.AppendUvarint(encoded, uint64(m.destination))
+	encoded = binary.AppendUvarint(encoded, uint64(m.retryAfter.Milliseconds()))
+	return binary.AppendUvarint(encoded, uint64(m.callAge.Milliseconds()))
 }
 
-// decodeLimitMessage reads a limitNote; one that is not whole, or has more than it should, says nothing.
-func decodeLimitMessage(note []byte) (l limitMessage, ok bool) {
-	if len(note) == 0 || note[0] != circuitOpenType && note[0] != circuitClosedType {
-		return l, false
+// decodeLimitMessage decodes a limitMessage. It returns false for one that is malformed, longer, or of another type.
+func decodeLimitMessage(message []byte) (m limitMessage, ok bool) {
+	if len(message) == 0 || message[0] != circuitOpenType && message[0] != circuitClosedType {
+		return m, false
 	}
-	var v [3]uint64
-	rest := note[1:]
-	for i := range v {
-		n := 0
-		if v[i], n = binary.Uvarint(rest); n <= 0 || v[i] > maxGossipNumber {
-			return l, false
+	var numbers [3]uint64
+	remaining := message[1:]
+	for i := range numbers {
+		if numbers[i], remaining, ok = decodeNumber(remaining); !ok {
+			return m, false
 		}
-		rest = rest[n:]
 	}
-	return limitMessage{note[0] == circuitClosedType, int(v[0]), time.Duration(v[1]) * time.Millisecond,
-		time.Duration(v[2]) * time.Millisecond}, len(rest) == 0
+	return limitMessage{
+		accepted:    message[0] == circuitClosedType,
+		destination: int(numbers[0]),
+		retryAfter:  time.Duration(numbers[1]) * time.Millisecond,
+		callAge:     time.Duration(numbers[2]) * time.Millisecond,
+	}, len(remaining) == 0
+}
+
+// encode returns the type, the class and the ID as varints, and the endpoint.
+func (m canaryMessage) encode() []byte {
+	encoded := []byte{canarySuccessType}
+	if m.failed {
+		encoded[0] = canaryFailureType
+	}
+	encoded = binary.AppendUvarint(encoded, uint64(m.class))
+	encoded = binary.AppendUvarint(encoded, m.id)
+	return append(encoded, m.endpoint...)
+}
+
+// decodeCanaryMessage decodes a canaryMessage. It returns false for one that is malformed or of another type.
+func decodeCanaryMessage(message []byte) (m canaryMessage, ok bool) {
+	if len(message) == 0 || message[0] != canarySuccessType && message[0] != canaryFailureType {
+		return m, false
+	}
+	class, remaining, ok := decodeNumber(message[1:])
+	if !ok {
+		return m, false
+	}
+	id, remaining, ok := decodeNumber(remaining)
+	if !ok {
+		return m, false
+	}
+	failed := message[0] == canaryFailureType
+	return canaryMessage{endpoint: string(remaining), class: int(class), failed: failed, id: id}, true
+}
+
+// decodeNumber decodes a varint up to maxGossipNumber, and returns what follows it.
+func decodeNumber(message []byte) (number uint64, remaining []byte, ok bool) {
+	number, length := binary.Uvarint(message)
+	if length <= 0 || number > maxGossipNumber {
+		return 0, nil, false
+	}
+	return number, message[length:], true
 }
 
-func encodeEndpointMessage(mark byte, endpoint string) []byte {
-	return append([]byte{mark}, endpoint...)
+// encodeEndpointMessage returns a message of a type that names an endpoint.
+func encodeEndpointMessage(messageType byte, endpoint string) []byte {
+	return append([]byte{messageType}, endpoint...)
 }
 
-// decodeEndpointMessage gives the endpoint that a note of a form names, or nothing.
-func decodeEndpointMessage(mark byte, note []byte) string {
-	if len(note) == 0 || note[0] != mark {
+// decodeEndpointMessage returns the endpoint that a message of a type names, or "" for another type.
+func decodeEndpointMessage(messageType byte, message []byte) string {
+	if len(message) == 0 || message[0] != messageType {
 		return ""
 	}
-	return string(note[1:])
+	return string(message[1:])
 }
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -16,30 +16,103 @@
 	maxZoneCredit = 2
 )
 
-// localityBalancer shares the calls of one queue between the relay's own zone and the others.
+// localityBalancer shares the calls of one queue between the relay's own zone and the others: calls stay in the own zone
+// while it has capacity. It belongs to one queue and is not safe for concurrent use.
 type localityBalancer struct {
 	zoneShares  []float64       // share of the own zone's messages that each zone serves; nil for all at home
 	spillover   float64         // share of the calls that the own zone has no capacity for, as observed
 	zoneCredits map[int]float64 // calls that are to go to another zone
 }
 
-// avoidsZone tells whether a message keeps out of an endpoint's zone: but not one that only that zone knows.
+// recordQuickCall lowers the spillover.
+func (l *localityBalancer) recordQuickCall() {
+	l.spillover = math.Max(0, l.spillover-spilloverDecrease)
+}
+
+// recordSlowCall raises the spillover.
+func (l *localityBalancer) recordSlowCall() {
+	l.spillover = math.Min(maxSpillover, l.spillover+spilloverIncrease)
+}
+
+// share is the share of the calls that another zone should get, of a number of them that serve.
+func (l *localityBalancer) share(zone, otherZones int) float64 {
+	share := l.spillover / float64(otherZones)
+	if zone < len(l.zoneShares) {
+		share += (1 - l.spillover) * l.zoneShares[zone]
+	}
+	return share
+}
+
+// recordCall counts a call to a zone: it gives all other zones that serve their shares of it, and takes it from the one that
+// gets it.
+func (l *localityBalancer) recordCall(to, ownZone int, otherZones map[int]bool) {
+	if l.zoneCredits == nil {
+		l.zoneCredits = map[int]float64{}
+	}
+	for zone := range otherZones {
+		l.zoneCredits[zone] = math.Min(maxZoneCredit, l.zoneCredits[zone]+l.share(zone, len(otherZones)))
+	}
+	if to != ownZone {
+		l.zoneCredits[to] = math.Max(0, l.zoneCredits[to]-1)
+	}
+}
+
+// target is the zone that the next call should go to: the one with the most credit, of a call at least, or the own one.
+func (l *localityBalancer) target(ownZone int) int {
+	best := ownZone
+	if len(l.zoneCredits) == 0 {
+		return best
+	}
+	for zone := range maxZones {
+		if credit := l.zoneCredits[zone]; credit >= 1 && (best == ownZone || credit > l.zoneCredits[best]) {
+			best = zone
+		}
+	}
+	return best
+}
+
+// spilloverShares is how zones share a destination: the share of each zone's messages (rows) that each zone (columns)
+// serves, by what arrives and the capacities. Each zone serves its own messages first; the rest goes to the others in
+// proportion to the capacity that they have left, and what nobody has capacity for stays.
+func spilloverShares(demand, capacity []float64) [][]float64 {
+	free, totalFree, totalExcess := make([]float64, len(demand)), 0.0, 0.0
+	for zone := range demand {
+		free[zone] = math.Max(0, capacity[zone]-demand[zone])
+		totalFree += free[zone]
+		totalExcess += math.Max(0, demand[zone]-capacity[zone])
+	}
+	shares := make([][]float64, len(demand))
+	for zone := range demand {
+		shares[zone] = make([]float64, len(demand))
+		leaving := 0.0
+		if excess := demand[zone] - capacity[zone]; excess > 0 && totalFree > 0 {
+			leaving = excess / demand[zone] * math.Min(1, totalFree/totalExcess)
+			for other := range demand { // a zone without capacity left has a share of 0
+				shares[zone][other] = leaving * free[other] / totalFree
+			}
+		}
+		shares[zone][zone] = 1 - leaving
+	}
+	return shares
+}
+
+// avoidsZone reports whether a message keeps out of an endpoint's zone since operators have evacuated it; but not one whose
+// idempotency key only that zone may have.
 func (d *Dispatcher) avoidsZone(ep *endpoint, m *message) bool {
 	return d.settings.Zones && d.evacuatedByOrder(ep) && !(m.class.KeysPerZone && m.firstPossibleExecution() != nil)
 }
 
-// evacuatedByOrder tells whether operators have an endpoint's zone left, and its destination can be had elsewhere.
+// evacuatedByOrder reports whether operators have evacuated an endpoint's zone and its destination is served elsewhere.
 func (d *Dispatcher) evacuatedByOrder(ep *endpoint) bool {
-	z := d.zones.byNumber[ep.Zone]
-	return z != nil && z.state == EvacuatedByOrder && d.servedElsewhere(ep)
+	return d.zones.state(ep.Zone) == EvacuatedByOrder && d.servedElsewhere(ep)
 }
 
-// servedElsewhere tells whether a destination has an endpoint that serves in another zone that is not left.
+// servedElsewhere reports whether a destination has an endpoint that serves in another zone that isn't evacuated by order.
 func (d *Dispatcher) servedElsewhere(ep *endpoint) bool {
 	for _, q := range ep.queue.destination.queues {
-		for _, o := range q.endpoints {
-			z := d.zones.byNumber[o.Zone]
-			if o.Zone != ep.Zone && !o.outlier.ejected && !o.Draining && (z == nil || z.state != EvacuatedByOrder) {
+		for _, other := range q.endpoints {
+			serves := !other.outlier.ejected && !other.Draining
+			if other.Zone != ep.Zone && serves && d.zones.state(other.Zone) != EvacuatedByOrder {
 				return true
 			}
 		}
@@ -47,94 +120,59 @@
 	return false
 }
 
-// spilloverShares is how zones share a destination: the part of each zone's messages (rows) that each (columns)
-// serves, by what arrives and what there is room for. Each serves its own first; the rest goes to the others
-// in proportion to the room that they have left, and what nobody has room for stays.
-func spilloverShares(demand, room []float64) [][]float64 {
-	free, sumFree, sumOver := make([]float64, len(demand)), 0.0, 0.0
-	for z := range demand {
-		free[z] = math.Max(0, room[z]-demand[z])
-		sumFree, sumOver = sumFree+free[z], sumOver+math.Max(0, demand[z]-room[z])
-	}
-	shares := make([][]float64, len(demand))
-	for z := range demand {
-		shares[z] = make([]float64, len(demand))
-		goes := 0.0
-		if over := demand[z] - room[z]; over > 0 && sumFree > 0 {
-			goes = over / demand[z] * math.Min(1, sumFree/sumOver)
-			for y := range demand { // what is full has nothing free
-				shares[z][y] = goes * free[y] / sumFree
-			}
-		}
-		shares[z][z] = 1 - goes
+// recordLocalLoad takes in what an outcome in the own zone says of its capacity. An endpoint in slow start says nothing: it is
+// slow for a while, whatever its capacity.
+func (d *Dispatcher) recordLocalLoad(ep *endpoint, ended AttemptEnded) {
+	if !d.settings.Zones || ep.Zone != d.settings.Zone || ep.slowStart.active {
+		return
 	}
-	return shares
-}
-
-// recordLocalLoad learns from an outcome in the own zone whether that has room.
-func (d *Dispatcher) recordLocalLoad(ep *endpoint, e AttemptEnded) {
-	took := e.Latency.Seconds()
-	if !d.settings.Zones || ep.Zone != d.settings.Zone || ep.slowStart.active || e.Outcome != OK && e.Outcome != Rejected {
-		return // one that comes back is slow for a while, whatever room it has
+	if ended.Outcome != OK && ended.Outcome != Rejected {
+		return
 	}
+	latency := ended.Latency.Seconds()
 	if ep.normalLatency == 0 {
-		ep.normalLatency = took
+		ep.normalLatency = latency
 	}
-	if e.Outcome == OK && took <= slowCallFactor*ep.normalLatency {
-		ep.normalLatency += latencyWeight * (took - ep.normalLatency)
-		ep.queue.locality.spillover = math.Max(0, ep.queue.locality.spillover-spilloverDecrease)
-	} else if e.RetryAfter == 0 {
-		ep.queue.locality.spillover = math.Min(maxSpillover, ep.queue.locality.spillover+spilloverIncrease)
+	if ended.Outcome == OK && latency <= slowCallFactor*ep.normalLatency {
+		ep.normalLatency += latencyWeight * (latency - ep.normalLatency)
+		ep.queue.locality.recordQuickCall()
+	} else if ended.RetryAfter == 0 {
+		ep.queue.locality.recordSlowCall()
 	}
 }
 
-// updateZoneShares takes in what arrives for a destination in each zone.
-func (d *Dispatcher) updateZoneShares(q *queue, traffic []float64) {
-	if q.locality.zoneShares = nil; d.settings.Zone < 0 || d.settings.Zone >= len(traffic) || q.limiter.listedRate == 0 {
+// updateZoneShares takes in the messages a second that arrive for a destination in each zone.
+func (d *Dispatcher) updateZoneShares(q *queue, demand []float64) {
+	q.locality.zoneShares = nil
+	if d.settings.Zone < 0 || d.settings.Zone >= len(demand) || q.limiter.listedRate == 0 {
 		return
 	}
-	room := make([]float64, len(traffic))
+	capacity := make([]float64, len(demand))
 	for _, ep := range q.endpoints {
-		if ep.Zone >= 0 && ep.Zone < len(room) && !ep.outlier.ejected && !ep.Draining && !d.evacuatedByOrder(ep) {
-			room[ep.Zone] += q.limiter.listedRate / float64(len(q.endpoints))
+		serves := !ep.outlier.ejected && !ep.Draining && !d.evacuatedByOrder(ep)
+		if ep.Zone >= 0 && ep.Zone < len(capacity) && serves {
+			capacity[ep.Zone] += q.limiter.listedRate / float64(len(q.endpoints))
 		}
 	}
-	q.locality.zoneShares = spilloverShares(traffic, room)[d.settings.Zone]
+	q.locality.zoneShares = spilloverShares(demand, capacity)[d.settings.Zone]
 }
 
-// targetZone is the zone that the next call of a queue should go to: the own, or one that is owed a call.
+// targetZone is the zone that the next call of a queue should go to.
 func (d *Dispatcher) targetZone(q *queue) int {
-	best := d.settings.Zone
-	if !d.settings.Zones || len(q.locality.zoneCredits) == 0 {
-		return best
-	}
-	for no := range maxZones {
-		if owed := q.locality.zoneCredits[no]; owed >= 1 && (best == d.settings.Zone || owed > q.locality.zoneCredits[best]) {
-			best = no
-		}
+	if !d.settings.Zones {
+		return d.settings.Zone
 	}
-	return best
+	return q.locality.target(d.settings.Zone)
 }
 
-// recordSpillover counts a call against what is owed: each call adds to it the parts of it that other zones should have.
+// recordSpillover counts a call of a queue in its localityBalancer.
 func (d *Dispatcher) recordSpillover(q *queue, to *endpoint) {
-	others := map[int]bool{}
+	otherZones := map[int]bool{}
 	for _, ep := range q.endpoints {
-		if ep.Zone != d.settings.Zone && ep.Zone >= 0 && ep.Zone < maxZones && !ep.outlier.ejected && !ep.Draining {
-			others[ep.Zone] = true
+		serves := !ep.outlier.ejected && !ep.Draining
+		if ep.Zone != d.settings.Zone && ep.Zone >= 0 && ep.Zone < maxZones && serves {
+			otherZones[ep.Zone] = true
 		}
 	}
-	if q.locality.zoneCredits == nil {
-		q.locality.zoneCredits = map[int]float64{}
-	}
-	for no := range others {
-		part := q.locality.spillover / float64(len(others))
-		if no < len(q.locality.zoneShares) {
-			part += (1 - q.locality.spillover) * q.locality.zoneShares[no]
-		}
-		q.locality.zoneCredits[no] = math.Min(2, q.locality.zoneCredits[no]+part)
-	}
-	if to.Zone != d.settings.Zone {
-		q.locality.zoneCredits[to.Zone] = math.Max(0, q.locality.zoneCredits[to.Zone]-1)
-	}
+	q.locality.recordCall(to.Zone, d.settings.Zone, otherZones)
 }
--- a/policy/state_store_pair_test.go
+++ b/policy/state_store_pair_test.go
@@ -78,12 +78,16 @@
 	draining := 0
 	for _, eps := range p.list.lists {
 		for _, e := range eps {
-			draining += int(indicator(e.Draining))
+			if e.Draining {
+				draining++
+			}
 		}
 	}
 	avoided := 0
 	for _, ep := range p.eager.endpoints {
-		avoided += int(indicator(ep.outlier.ejected || ep.Draining || p.eager.unresponsive(ep)))
+		if ep.outlier.ejected || ep.Draining || p.eager.unresponsive(ep) {
+			avoided++
+		}
 	}
 	if got, otherwise := p.lazy.Avoided()+draining, p.eager.Avoided(); got != avoided || otherwise != avoided {
 		p.t.Fatalf("at %v: %d avoided on demand, %d otherwise, want %d", p.now, got, otherwise, avoided)
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-func (z *zoned) state(no int) ZoneState { return z.d.zoneStatus(no).state }
+func (z *zoned) state(no int) ZoneState { return z.d.zones.get(no).state }
 
 // Calls stay in the own zone while it answers as it is used to, and leave it as far as it slows down.
 func TestLocalFirst(t *testing.T) {
@@ -291,7 +291,7 @@
 		}
 	}
 	d.Handle(moment(time.Second), []Event{TimerFired{}})
-	if d.zoneStatus(1).state != Serving {
+	if d.zones.get(1).state != Serving {
 		t.Error("three fifths of the endpoints are left at once")
 	}
 }
--- a/policy/zone_survey.go
+++ b/policy/zone_survey.go
@@ -6,58 +6,96 @@
 	"milletsail/internal/instant"
 )
 
+// destinationBits is the number of bits of zoneSurvey.failingDestinations.
+const destinationBits = 64
+
 // maxZones bounds the numbers of zones: a wrong number in an endpoint list must not take memory.
 const maxZones = 64
 
-// zoneSurvey counts a zone's endpoints: listed, those that anything is known of, and of these those that fail.
+// zoneSurvey counts the endpoints of a zone.
 type zoneSurvey struct {
-	listed, known, failing int
-	failingDestinations    uint64       // of those that fail, one bit each, by number
-	lastAnsweredAt         instant.Time // when the latest call that was answered was sent
+	listed              int
+	known               int          // of known health
+	failing             int          // of these
+	failingDestinations uint64       // a bit for each, by number
+	lastAnsweredAt      instant.Time // when the latest call that was answered was sent
+}
+
+// add counts an endpoint.
+func (s *zoneSurvey) add(ep *endpoint, health endpointHealth) {
+	s.listed++
+	s.lastAnsweredAt = max(s.lastAnsweredAt, ep.succeededCallAt)
+	if health != healthUnknown {
+		s.known++
+	}
+	if health == healthFailing {
+		s.failing++
+		s.failingDestinations |= 1 << (ep.queue.destination.number % destinationBits)
+	}
+}
+
+// fails reports whether the zone fails as a whole.
+func (s *zoneSurvey) fails() bool {
+	return s.failing >= minFailingEndpoints &&
+		bits.OnesCount64(s.failingDestinations) >= minFailingDestinations &&
+		float64(s.failing) >= zoneFailureThreshold*float64(s.known)
+}
+
+// failsAlone reports whether the zone fails as a whole, and the others, taken together, don't.
+func (s *zoneSurvey) failsAlone(all []zoneSurvey) bool {
+	known, failing := -s.known, -s.failing
+	for _, survey := range all {
+		known, failing = known+survey.known, failing+survey.failing
+	}
+	return s.fails() && float64(failing) <= maxOtherZonesFailureShare*float64(known)
 }
 
-func (c zoneSurvey) destinationCount() int { return bits.OnesCount64(c.failingDestinations) }
+// endpointHealth is the health of an endpoint as a survey counts it.
+type endpointHealth int
 
-// surveyZones counts all zones.
-func (d *Dispatcher) surveyZones() (seen []zoneSurvey, all int) {
+const (
+	healthUnknown endpointHealth = iota
+	healthServing
+	healthFailing
+)
+
+// health returns the health of an endpoint for the survey of its zone.
+func (d *Dispatcher) health(ep *endpoint) endpointHealth {
+	outlier, zone := &ep.outlier, d.zones.get(ep.Zone)
+	failedLast := outlier.lastFailureAt > outlier.lastSuccessAt
+	current := outlier.ejected || d.now.Sub(outlier.lastFailureAt) < healthObservationWindow
+	beforeRecovery := zone.state == Recovering && outlier.lastFailureAt <= zone.enteredAt
+	switch {
+	case failedLast && current && !beforeRecovery || d.unresponsive(ep):
+		return healthFailing
+	case outlier.lastSuccessAt > 0 && d.now.Sub(outlier.lastSuccessAt) < healthObservationWindow:
+		return healthServing
+	}
+	return healthUnknown
+}
+
+// surveyZones counts the endpoints by zone, and the listed ones of all zones.
+func (d *Dispatcher) surveyZones() (surveys []zoneSurvey, listed int) {
 	for _, q := range d.queues {
 		for _, ep := range q.endpoints {
 			if ep.Zone < 0 || ep.Zone >= maxZones || ep.Draining {
 				continue
 			}
-			for len(seen) <= ep.Zone {
-				seen = append(seen, zoneSurvey{})
-			}
-			c, z := &seen[ep.Zone], d.zoneStatus(ep.Zone)
-			all++
-			c.listed++
-			c.lastAnsweredAt = max(c.lastAnsweredAt, ep.succeededCallAt)
-			old := z.state == Recovering && ep.outlier.lastFailureAt <= z.enteredAt // it failed before its zone began to return
-			if ep.outlier.lastFailureAt > ep.outlier.lastSuccessAt && (ep.outlier.ejected || d.now.Sub(ep.outlier.lastFailureAt) < healthObservationWindow) && !old || d.unresponsive(ep) {
-				c.failing++
-				c.known++
-				c.failingDestinations |= 1 << (q.destination.number % 64)
-			} else if ep.outlier.lastSuccessAt > 0 && d.now.Sub(ep.outlier.lastSuccessAt) < healthObservationWindow {
-				c.known++
+			for len(surveys) <= ep.Zone {
+				surveys = append(surveys, zoneSurvey{})
 			}
+			listed++
+			surveys[ep.Zone].add(ep, d.health(ep))
 		}
 	}
-	for no, c := range seen {
-		if z := d.zoneStatus(no); c.failing == 0 {
-			z.failingSince = 0
-		} else if z.failingSince == 0 {
-			z.failingSince = d.now
+	for number, survey := range surveys {
+		record := d.zones.get(number)
+		switch {
+		case survey.failing == 0:
+			record.failingSince = 0
+		case record.failingSince == 0:
+			record.failingSince = d.now
 		}
 	}
-	return seen, all
-}
-
-// Zones says how all zones fare, and whether this relay takes itself for cut off.
-func (d *Dispatcher) Zones() (all []ZoneStatus, cutOff bool) {
-	seen, _ := d.surveyZones()
-	for no, c := range seen {
-		z := d.zoneStatus(no)
-		all = append(all, ZoneStatus{no, z.state, z.enteredAt, z.deadline, c.listed, z.evacuations, z.recoveries})
-	}
-	return all, d.zones.isolated
+	return surveys, listed
 }
--- /dev/null
+++ b/policy/zone_table.go
@@ -0,0 +1,125 @@
+package policy
+
+import (
+	"errors"
+
+	"milletsail/internal/instant"
+)
+
+// zoneTable holds the zones that endpoints are listed in. It belongs to one dispatcher and is not safe for concurrent use.
+type zoneTable struct {
+	byNumber map[int]*zoneRecord
+	isolated bool // this relay gets no answer from any zone but its own
+}
+
+// zoneRecord is the state of a zone.
+type zoneRecord struct {
+	state            ZoneState
+	enteredAt        instant.Time // the state
+	deadline         instant.Time // the end of an order, or of the backoff after a failed recovery
+	failingSince     instant.Time // when endpoints there started to fail; 0 while none do
+	failedRecoveries int          // in a row
+	evacuations      int
+	recoveries       int
+}
+
+// get returns the record of a zone.
+func (t *zoneTable) get(number int) *zoneRecord {
+	if t.byNumber[number] == nil {
+		if t.byNumber == nil {
+			t.byNumber = map[int]*zoneRecord{}
+		}
+		t.byNumber[number] = &zoneRecord{}
+	}
+	return t.byNumber[number]
+}
+
+// state returns the state of a zone; Serving for one that is unknown.
+func (t *zoneTable) state(number int) ZoneState {
+	if record := t.byNumber[number]; record != nil {
+		return record.state
+	}
+	return Serving
+}
+
+// anyRecovering reports whether a zone is recovering.
+func (t *zoneTable) anyRecovering() bool {
+	for _, record := range t.byNumber {
+		if record.state == Recovering {
+			return true
+		}
+	}
+	return false
+}
+
+// setZoneState sets the state of a zone.
+func (d *Dispatcher) setZoneState(number int, state ZoneState) {
+	record := d.zones.get(number)
+	record.state, record.enteredAt = state, d.now
+	d.emit(ZoneStateChanged{Zone: number, State: state})
+}
+
+// endpointsInZone returns the endpoints of a zone, in the order of the queues.
+func (d *Dispatcher) endpointsInZone(number int) (all []*endpoint) {
+	for _, q := range d.queues {
+		for _, ep := range q.endpoints {
+			if ep.Zone == number {
+				all = append(all, ep)
+			}
+		}
+	}
+	return all
+}
+
+// Zones returns the status of all zones, and whether this relay takes itself for isolated.
+func (d *Dispatcher) Zones() (all []ZoneStatus, isolated bool) {
+	surveys, _ := d.surveyZones()
+	for number, survey := range surveys {
+		record := d.zones.get(number)
+		all = append(all, ZoneStatus{
+			Zone:           number,
+			State:          record.state,
+			EnteredAt:      record.enteredAt,
+			OrderExpiresAt: record.deadline,
+			Endpoints:      survey.listed,
+			Evacuations:    record.evacuations,
+			Recoveries:     record.recoveries,
+		})
+	}
+	return all, d.zones.isolated
+}
+
+// Order evacuates a zone by an operator's order until a moment, or ends the order if until is 0. It returns an error for an
+// order that makes no sense. Handle has to be called after it.
+func (d *Dispatcher) Order(number int, until instant.Time) error {
+	surveys, _ := d.surveyZones()
+	if !d.settings.Zones || number < 0 || number >= len(surveys) || surveys[number].listed == 0 {
+		return errors.New("zones are off, or no endpoint is listed in this one")
+	}
+	record := d.zones.get(number)
+	switch {
+	case until == 0 && record.state != EvacuatedByOrder:
+		return errors.New("it is not evacuated by order")
+	case until == 0:
+		d.startRecovery(number)
+	case record.state == EvacuatedByOrder:
+		return errors.New("it is evacuated by order already")
+	case !d.otherZoneRemains(number, surveys):
+		return errors.New("it is the last zone that is left")
+	default:
+		record.deadline = until
+		record.evacuations++
+		d.evacuate(number, EvacuatedByOrder)
+	}
+	return nil
+}
+
+// otherZoneRemains reports whether endpoints are listed in another zone that is not evacuated by order.
+func (d *Dispatcher) otherZoneRemains(number int, surveys []zoneSurvey) bool {
+	for other, survey := range surveys {
+		if other != number && survey.listed > 0 && d.zones.get(other).state != EvacuatedByOrder {
+			return true
+		}
+	}
+	return false
+}
