--- /dev/null
+++ b/internal/rollout/order.go
@@ -0,0 +1,157 @@
+package rollout
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"milletsail/internal/atomicfile"
+)
+
+// The actions of orders.
+const (
+	OrderPause    = "pause"
+	OrderResume   = "resume"
+	OrderAbort    = "abort"
+	OrderRollback = "rollback"
+)
+
+// orderedReason is the reason in the record of an order.
+const orderedReason = "ordered"
+
+// Order is an operator's order. OrderResume may replace the plan.
+type Order struct {
+	Action string `json:"what"`
+	Plan   *Plan  `json:"plan,omitempty"`
+}
+
+// orderName is the file of the order in a controller's directory.
+const orderName = "order"
+
+// SubmitOrder leaves an order for the controller that holds the lease, or for the next one. It replaces an order that was not
+// received yet.
+func SubmitOrder(dir string, order Order) error {
+	if !slices.Contains([]string{OrderPause, OrderResume, OrderAbort, OrderRollback}, order.Action) {
+		return fmt.Errorf("unknown order %q", order.Action)
+	}
+	text, err := json.Marshal(order)
+	if err != nil {
+		return err
+	}
+	return atomicfile.Replace(filepath.Join(dir, orderName), text)
+}
+
+// errNoOrder says that no order was submitted.
+var errNoOrder = errors.New("no order")
+
+// receiveOrder removes the submitted order and returns it, or errNoOrder.
+func receiveOrder(dir string) (*Order, error) {
+	path := filepath.Join(dir, orderName)
+	text, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, errNoOrder
+	}
+	if err != nil {
+		return nil, err
+	}
+	var order Order
+	if err := json.Unmarshal(text, &order); err != nil {
+		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), os.Remove(path))
+	}
+	return &order, os.Remove(path)
+}
+
+// pollOrder handles the submitted order, if there is one.
+func (c *Controller) pollOrder() error {
+	order, err := receiveOrder(c.store.dir)
+	if errors.Is(err, errNoOrder) {
+		return nil
+	}
+	if err != nil {
+		slog.Error("rollout order not received", "error", err)
+	}
+	if order == nil {
+		return nil
+	}
+	return c.HandleOrder(*order)
+}
+
+// HandleOrder carries out an order. One that is rejected is logged with the reason and is no error.
+func (c *Controller) HandleOrder(order Order) error {
+	record, err := c.state.orderRecord(order)
+	var rejected *OrderRejectedError
+	if errors.As(err, &rejected) {
+		slog.Error("rollout order rejected", "order", order.Action, "phase", c.state.Phase, "reason", rejected.Reason)
+		return nil
+	}
+	return c.record(record)
+}
+
+// OrderRejectedError says why an order can't be carried out.
+type OrderRejectedError struct {
+	Action string
+	Reason string
+}
+
+func (e *OrderRejectedError) Error() string {
+	return fmt.Sprintf("order %s rejected: %s", e.Action, e.Reason)
+}
+
+// orderRecord returns the record of an order, or an *OrderRejectedError if the order can't be carried out in this state.
+func (s *State) orderRecord(order Order) (Record, error) {
+	record := Record{At: time.Now(), Reason: orderedReason}
+	switch {
+	case order.Action == OrderPause && s.Phase == Running:
+		record.Kind = recordPaused
+	case order.Action == OrderResume && s.Phase == Paused:
+		if order.Plan != nil {
+			if err := s.checkPlanChange(order.Plan); err != nil {
+				return Record{}, &OrderRejectedError{order.Action, err.Error()}
+			}
+		}
+		record.Kind, record.Plan, record.Reason = recordResumed, order.Plan, ""
+	case order.Action == OrderAbort && (s.Phase == Running || s.Phase == Paused || s.Phase == RollingBack):
+		record.Kind = recordStopped
+	case order.Action == OrderRollback && s.Phase != RollingBack && s.Phase != RolledBack:
+		if s.Plan.AllowNoRollback {
+			return Record{}, &OrderRejectedError{order.Action, "the plan has one_way set: this version can't be rolled back"}
+		}
+		record.Kind = recordRollback
+	default:
+		return Record{}, &OrderRejectedError{order.Action, "not possible in this phase"}
+	}
+	return record, nil
+}
+
+// checkPlanChange returns an error if a rollout can't be resumed by another plan: it has to have the same version and relays, and
+// include what was done so far.
+func (s *State) checkPlanChange(plan *Plan) error {
+	if err := plan.validate(); err != nil {
+		return err
+	}
+	version, err := Checksum(plan.Version)
+	if err != nil {
+		return err
+	}
+	if version != s.NewVersion {
+		return &InvalidPlanError{"version", "is another program than that of the rollout"}
+	}
+	if len(plan.Agents) != len(s.Plan.Agents) {
+		return &InvalidPlanError{"agent", "the relays are not those of the rollout"}
+	}
+	for _, agent := range plan.Agents {
+		if s.OldVersions[agent.Relay] == "" {
+			return &InvalidPlanError{"agent", fmt.Sprintf("relay %d is not in the rollout", agent.Relay)}
+		}
+	}
+	if s.Stage >= len(plan.Stages) || plan.relaysAfter(s.Stage) < len(s.Updated) {
+		return &InvalidPlanError{"stage", fmt.Sprintf("%d relays are updated already, in stage %d", len(s.Updated), s.Stage+1)}
+	}
+	return nil
+}
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -1,16 +1,10 @@
 package rollout
 
 import (
-	"bufio"
-	"bytes"
-	"encoding/json"
 	"errors"
-	"fmt"
-	"hash/crc32"
 	"io/fs"
 	"os"
 	"path/filepath"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -18,9 +12,9 @@
 	"milletsail/internal/atomicfile"
 )
 
-// Store is a rollout's records on disk, and the right to add to them. Each controller that takes over writes a file of
-// its own, named by its fencing number, which begins with all records before it: one that was stopped and wakes again
-// can't spoil what came after it, and agents no longer obey its number.
+// Store holds the records of a rollout on disk. Each controller that takes over a directory gets the next fencing token and
+// writes a file of its own, which starts with all records before: a controller that was superseded and goes on can't change
+// the records of the later one, and agents reject its token.
 type Store struct {
 	dir     string
 	token   uint64
@@ -31,23 +25,26 @@
 // ErrSuperseded says that a later controller has taken over.
 var ErrSuperseded = errors.New("a later controller has taken over")
 
-// ErrLeaseHeld says that another controller is at work.
-var ErrLeaseHeld = errors.New("another controller is at work")
+// ErrLeaseHeld says that another controller holds the lease.
+var ErrLeaseHeld = errors.New("another controller holds the lease")
 
 const (
-	logPrefix = "rollout."
-	// leaseDuration is how long a controller counts as at work since it last said so.
+	// recordsPrefix and a fencing token are the name of a file of records.
+	recordsPrefix = "rollout."
+	// leaseName is the file of the lease. The lease counts from the time of its last modification.
+	leaseName = "lease"
+	// leaseDuration is how long a controller holds the lease after each renewal, which comes with each record.
 	leaseDuration = 5 * time.Second
-	leaseName     = "lease"
 )
 
-// OpenStore takes over a folder's records. While another controller's lease runs that is refused, unless force is set:
-// then it is obeyed no more. A torn last record is dropped; one that is damaged anywhere else is an error with its place.
+// OpenStore takes over the records in a directory. It returns ErrLeaseHeld while another controller holds the lease, unless
+// force is set, and a *CorruptRecordError if a record other than a torn last one can't be decoded.
 func OpenStore(dir string, now time.Time, force bool) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	if at, err := os.Stat(filepath.Join(dir, leaseName)); err == nil && now.Sub(at.ModTime()) < leaseDuration && !force {
+	lease, err := os.Stat(filepath.Join(dir, leaseName))
+	if err == nil && now.Sub(lease.ModTime()) < leaseDuration && !force {
 		return nil, ErrLeaseHeld
 	}
 	s := &Store{dir: dir}
@@ -61,27 +58,7 @@
 		}
 	}
 	s.token = last + 1
-	// Whoever makes the file has the number: of two that try at once, one fails.
-	next := s.path(s.token) + ".new"
-	if s.file, err = os.OpenFile(next, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
-		if errors.Is(err, fs.ErrExist) { // of one that died here
-			_ = os.Remove(next)
-			s.file, err = os.OpenFile(next, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
-		}
-		if err != nil {
-			return nil, err
-		}
-	}
-	for _, r := range s.records {
-		if err := s.write(r); err != nil {
-			return nil, errors.Join(err, s.file.Close())
-		}
-	}
-	if err := errors.Join(s.file.Sync(), os.Link(next, s.path(s.token)), os.Remove(next)); err != nil {
-		_ = s.file.Close()
-		if errors.Is(err, fs.ErrExist) {
-			return nil, ErrLeaseHeld
-		}
+	if err := s.createFile(); err != nil {
 		return nil, err
 	}
 	if err := errors.Join(atomicfile.SyncDir(dir), s.RenewLease()); err != nil {
@@ -90,30 +67,67 @@
 	return s, nil
 }
 
-func (s *Store) path(fence uint64) string {
-	return filepath.Join(s.dir, logPrefix+strconv.FormatUint(fence, 10))
+// createFile creates the file of the store's token with the records before. Link fails if the file exists, so that of two
+// controllers which take over at once one gets ErrLeaseHeld.
+func (s *Store) createFile() (err error) {
+	temporary := s.path(s.token) + ".new"
+	if s.file, err = createExclusive(temporary); err != nil {
+		return err
+	}
+	for _, record := range s.records {
+		if err := writeRecord(s.file, record); err != nil {
+			return errors.Join(err, s.file.Close())
+		}
+	}
+	err = errors.Join(s.file.Sync(), os.Link(temporary, s.path(s.token)), os.Remove(temporary))
+	if err == nil {
+		return nil
+	}
+	_ = s.file.Close()
+	if errors.Is(err, fs.ErrExist) {
+		return ErrLeaseHeld
+	}
+	return err
+}
+
+// createExclusive creates a file. One that exists is of a controller that crashed while it took over, and is replaced.
+func createExclusive(path string) (*os.File, error) {
+	const flags = os.O_WRONLY | os.O_CREATE | os.O_EXCL
+	file, err := os.OpenFile(path, flags, 0o600)
+	if errors.Is(err, fs.ErrExist) {
+		_ = os.Remove(path) // if it fails, so does the next line
+		file, err = os.OpenFile(path, flags, 0o600)
+	}
+	return file, err
 }
 
-// lastToken is the highest fencing number that was given.
+// path returns the file of a fencing token.
+func (s *Store) path(token uint64) string {
+	return filepath.Join(s.dir, recordsPrefix+strconv.FormatUint(token, 10))
+}
+
+// lastToken returns the latest fencing token, or 0 if there is none.
 func (s *Store) lastToken() (last uint64, err error) {
 	entries, err := os.ReadDir(s.dir)
-	for _, e := range entries {
-		if n, ok := strings.CutPrefix(e.Name(), logPrefix); ok {
-			if fence, err := strconv.ParseUint(n, 10, 64); err == nil {
-				last = max(last, fence)
-			}
+	for _, entry := range entries {
+		suffix, ok := strings.CutPrefix(entry.Name(), recordsPrefix)
+		if !ok {
+			continue
+		}
+		if token, err := strconv.ParseUint(suffix, 10, 64); err == nil {
+			last = max(last, token)
 		}
 	}
 	return last, err
 }
 
-// FencingToken is the number by which agents know the latest controller.
+// FencingToken returns the token of this store, which agents compare with that of the latest controller.
 func (s *Store) FencingToken() uint64 { return s.token }
 
-// Records are all records, the oldest first.
+// Records returns all records, the oldest first.
 func (s *Store) Records() []Record { return s.records }
 
-// RenewLease says that the controller is at work, and fails where a later one is.
+// RenewLease renews the lease, or returns ErrSuperseded if a later controller has taken over.
 func (s *Store) RenewLease() error {
 	last, err := s.lastToken()
 	if err != nil {
@@ -122,36 +136,26 @@
 	if last > s.token {
 		return ErrSuperseded
 	}
-	return os.WriteFile(filepath.Join(s.dir, leaseName), []byte(strconv.FormatUint(s.token, 10)+"\n"), 0o600)
+	text := strconv.FormatUint(s.token, 10) + "\n"
+	return os.WriteFile(filepath.Join(s.dir, leaseName), []byte(text), 0o600)
 }
 
-// Append writes a record, and returns once it is on disk.
-func (s *Store) Append(r Record) error {
+// Append writes a record and returns when it is on disk. It returns ErrSuperseded if a later controller has taken over.
+func (s *Store) Append(record Record) error {
 	if err := s.RenewLease(); err != nil {
 		return err
 	}
-	if err := s.write(r); err != nil {
+	if err := writeRecord(s.file, record); err != nil {
 		return err
 	}
 	if err := s.file.Sync(); err != nil {
 		return err
 	}
-	s.records = append(s.records, r)
+	s.records = append(s.records, record)
 	return nil
 }
 
-func (s *Store) write(r Record) error {
-	text, err := json.Marshal(r)
-	if err != nil {
-		return err
-	}
-	_, err = fmt.Fprintf(s.file, "%08x %s\n", crc32.Checksum(text, castagnoli), text)
-	return err
-}
-
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
-// Close gives the records up: the next controller need not wait for the lease.
+// Close releases the lease, so that the next controller need not wait for its end.
 func (s *Store) Close() error {
 	last, err := s.lastToken()
 	if err == nil && last == s.token {
@@ -160,7 +164,7 @@
 	return errors.Join(err, s.file.Close())
 }
 
-// ReadStore reads a folder's records without taking over.
+// ReadStore returns the records in a directory without taking over; none if there is no rollout.
 func ReadStore(dir string) ([]Record, error) {
 	s := &Store{dir: dir}
 	last, err := s.lastToken()
@@ -169,80 +173,3 @@
 	}
 	return readRecords(s.path(last))
 }
-
-// readRecords reads the records of one file.
-func readRecords(path string) (all []Record, err error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, err
-	}
-	in := bufio.NewScanner(bytes.NewReader(text))
-	in.Buffer(nil, max(1<<20, len(text)+1))
-	whole := len(text) == 0 || text[len(text)-1] == '\n'
-	lines := bytes.Count(text, []byte("\n"))
-	for n := 1; in.Scan(); n++ {
-		sum, line, _ := strings.Cut(in.Text(), " ")
-		var r Record
-		want, err := strconv.ParseUint(sum, 16, 32)
-		if err == nil && uint32(want) != crc32.Checksum([]byte(line), castagnoli) {
-			err = errors.New("the checksum does not match")
-		}
-		if err == nil {
-			err = json.Unmarshal([]byte(line), &r)
-		}
-		if err != nil {
-			if n > lines && !whole {
-				break // the record that was being written
-			}
-			return nil, fmt.Errorf("%s:%d: %w", path, n, err)
-		}
-		all = append(all, r)
-	}
-	return all, in.Err()
-}
-
-// orders are written beside the records by commands, and taken in by the controller at work.
-const orderName = "order"
-
-// Orders that operators may give.
-const (
-	OrderPause    = "pause"
-	OrderResume   = "resume"
-	OrderAbort    = "abort"
-	OrderRollback = "rollback"
-)
-
-// Order is one of them; a resume may bring a changed plan.
-type Order struct {
-	Action string `json:"what"`
-	Plan   *Plan  `json:"plan,omitempty"`
-}
-
-// SubmitOrder leaves an order for the controller at work, or for the next one.
-func SubmitOrder(dir string, o Order) error {
-	if !slices.Contains([]string{OrderPause, OrderResume, OrderAbort, OrderRollback}, o.Action) {
-		return fmt.Errorf("%q is no order", o.Action)
-	}
-	text, err := json.Marshal(o)
-	if err != nil {
-		return err
-	}
-	return atomicfile.Replace(filepath.Join(dir, orderName), text)
-}
-
-// receiveOrder takes the order that was left, if there is one.
-func receiveOrder(dir string) (*Order, error) {
-	path := filepath.Join(dir, orderName)
-	text, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) {
-		return nil, nil
-	}
-	if err != nil {
-		return nil, err
-	}
-	var o Order
-	if err := json.Unmarshal(text, &o); err != nil {
-		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), os.Remove(path))
-	}
-	return &o, os.Remove(path)
-}
