--- /dev/null
+++ b/internal/rollout/processes.go
@@ -0,0 +1,240 @@
+package rollout
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+	"syscall"
+	"time"
+
+	"milletsail/internal/procfs"
+)
+
+const (
+	// minRestartDelay is the backoff before a crashed process is restarted. It doubles with each further crash.
+	minRestartDelay = time.Second
+	// maxRestartDelay bounds the backoff. A process that runs for so long resets it.
+	maxRestartDelay = 30 * time.Second
+	// maxBusyRetries bounds the retries while a program's file is busy.
+	maxBusyRetries = 40
+)
+
+// ProcessRunner is the Runner of an agent. It runs one process of the relay, restarts it after a crash, and replaces it with an
+// update. All processes have the same socket for clients.
+type ProcessRunner struct {
+	config AgentConfig
+	socket *os.File
+	update sync.Mutex // held during an update and during a restart
+
+	mu      sync.Mutex
+	current *process
+	crashes int // since the last update
+}
+
+// NewProcessRunner opens the socket for the relay's clients, starts the program and waits until it serves clients. Restarts end
+// with ctx; Stop ends the process.
+func NewProcessRunner(ctx context.Context, config AgentConfig, program string) (*ProcessRunner, error) {
+	socket, err := listenFile(ctx, config.Listen)
+	if err != nil {
+		return nil, err
+	}
+	r := &ProcessRunner{config: config, socket: socket}
+	if r.current, err = r.start(program, 0); err != nil {
+		return nil, err
+	}
+	if err := r.current.awaitReady(ctx); err != nil {
+		r.stop(r.current)
+		return nil, err
+	}
+	go r.restartCrashed(ctx)
+	return r, nil
+}
+
+// listenFile returns a listening socket as a file, which processes inherit.
+func listenFile(ctx context.Context, address string) (*os.File, error) {
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = listener.Close() }() // the file is a duplicate
+	tcp, ok := listener.(*net.TCPListener)
+	if !ok {
+		return nil, fmt.Errorf("%s: a %T can't be inherited", address, listener)
+	}
+	return tcp.File()
+}
+
+// start starts a process of a program.
+func (r *ProcessRunner) start(program string, adminIndex int) (*process, error) {
+	return startProcess(&r.config, r.socket, program, adminIndex)
+}
+
+// startNew starts a process of a program that was just written. Its file is busy as long as another process that was forked
+// meanwhile has the descriptor, until its own exec (golang.org/issue/22315).
+func (r *ProcessRunner) startNew(program string, adminIndex int) (*process, error) {
+	started, err := r.start(program, adminIndex)
+	for retry := 0; errors.Is(err, syscall.ETXTBSY) && retry < maxBusyRetries; retry++ {
+		time.Sleep(pollInterval)
+		started, err = r.start(program, adminIndex)
+	}
+	return started, err
+}
+
+// stop stops a process, whose exit is no crash.
+func (r *ProcessRunner) stop(p *process) {
+	r.allowExit(p, true)
+	p.stop()
+}
+
+// allowExit sets whether the exit of a process is no crash.
+func (r *ProcessRunner) allowExit(p *process, allowed bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	p.mayExit = allowed
+}
+
+func (r *ProcessRunner) currentProcess() *process {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.current
+}
+
+func (r *ProcessRunner) setCurrent(p *process) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.current = p
+}
+
+// Update implements Runner: the new process starts beside the old one, which hands over to it and exits.
+func (r *ProcessRunner) Update(ctx context.Context, program string) error {
+	r.update.Lock()
+	defer r.update.Unlock()
+	old := r.currentProcess()
+	r.allowExit(old, true)
+	started, err := r.startNew(program, 1-old.adminIndex)
+	if err == nil {
+		err = started.awaitReady(ctx)
+	}
+	if err != nil {
+		if started != nil {
+			r.stop(started)
+		}
+		return errors.Join(err, r.restore(ctx, old))
+	}
+	r.stop(old)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.current, r.crashes = started, 0
+	return nil
+}
+
+// restore keeps the old process after a failed update, or restarts its program if it has handed over already.
+func (r *ProcessRunner) restore(ctx context.Context, old *process) error {
+	if old.serves() {
+		r.allowExit(old, false)
+		return nil
+	}
+	r.stop(old)
+	restarted, err := r.start(old.program, old.adminIndex)
+	if err != nil {
+		return err
+	}
+	r.setCurrent(restarted)
+	return restarted.awaitReady(context.WithoutCancel(ctx)) // a cancelled update must still restore the relay
+}
+
+// restartCrashed restarts the current process after each crash, with backoff, until ctx is cancelled.
+func (r *ProcessRunner) restartCrashed(ctx context.Context) {
+	delay := minRestartDelay
+	for {
+		current := r.currentProcess()
+		select {
+		case <-ctx.Done():
+			return
+		case <-current.exited:
+		case <-time.After(maxRestartDelay):
+			delay = minRestartDelay
+			continue
+		}
+		crashed, err := r.restart(ctx, current, delay)
+		if err != nil {
+			return
+		}
+		if crashed {
+			delay = min(2*delay, maxRestartDelay)
+			continue
+		}
+		// An update or Stop ended it: the current process is about to change.
+		if sleep(ctx, pollInterval) != nil {
+			return
+		}
+	}
+}
+
+// restart restarts a process that has exited after a delay, and reports whether its exit was a crash. The error is that of ctx.
+// A program that can't be started is tried again with the next call.
+func (r *ProcessRunner) restart(ctx context.Context, exited *process, delay time.Duration) (crashed bool, err error) {
+	r.update.Lock()
+	defer r.update.Unlock()
+	if !r.countCrash(exited) {
+		return false, nil
+	}
+	if err := sleep(ctx, delay); err != nil {
+		return true, err
+	}
+	if restarted, err := r.start(exited.program, exited.adminIndex); err == nil {
+		r.setCurrent(restarted)
+	}
+	return true, nil
+}
+
+// countCrash counts the exit of a process, if it was a crash.
+func (r *ProcessRunner) countCrash(exited *process) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.current != exited || exited.mayExit {
+		return false
+	}
+	r.crashes++
+	return true
+}
+
+// sleep waits for a duration, or returns the error of ctx if that is cancelled first.
+func sleep(ctx context.Context, duration time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(duration):
+		return nil
+	}
+}
+
+// Stop stops the relay's process and closes the socket for clients.
+func (r *ProcessRunner) Stop() {
+	r.update.Lock()
+	defer r.update.Unlock()
+	r.stop(r.currentProcess())
+	_ = r.socket.Close() // nothing was written to it
+}
+
+// Metrics implements Runner.
+func (r *ProcessRunner) Metrics() (Metrics, error) {
+	r.mu.Lock()
+	current, crashes := r.current, r.crashes
+	r.mu.Unlock()
+	text, err := current.command("counters")
+	if err != nil {
+		return Metrics{}, err
+	}
+	metrics, err := ParseCounters(text)
+	metrics.Crashes = crashes
+	if zones, err := current.command("zone status"); err == nil {
+		metrics.EvacuatedZones = ParseZones(zones)
+	}
+	metrics.MemoryMB, _ = procfs.ResidentMB(current.cmd.Process.Pid) // 0 if it has just exited
+	return metrics, err
+}
