--- a/cmd/milletsail/admin.go
+++ b/cmd/milletsail/admin.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -25,7 +26,7 @@
 	}
 	silent := 0
 	for _, address := range addresses {
-		reply, err := askRelay(address, line)
+		reply, err := askRelay(c.Context(), address, line)
 		var said T
 		if err == nil {
 			err = json.Unmarshal([]byte(reply), &said)
@@ -50,8 +51,8 @@
 }
 
 // askRelay sends one command line to the admin endpoint at address, and returns its reply. A refusal by the relay is an error.
-func askRelay(address, line string) (string, error) {
-	reply, err := admin.Call(address, line, adminTimeout)
+func askRelay(ctx context.Context, address, line string) (string, error) {
+	reply, err := admin.Call(ctx, address, line, adminTimeout)
 	if err != nil {
 		return "", err
 	}
--- a/cmd/milletsail/fleet.go
+++ b/cmd/milletsail/fleet.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -24,7 +25,7 @@
 			var silent int
 			var views []live.View
 			for _, address := range addresses {
-				v, err := askView(address)
+				v, err := askView(c.Context(), address)
 				if err != nil {
 					fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", address, err)
 					silent++
@@ -46,8 +47,8 @@
 }
 
 // askView asks one relay.
-func askView(address string) (v live.View, err error) {
-	reply, err := admin.Call(address, "fleet", adminTimeout)
+func askView(ctx context.Context, address string) (v live.View, err error) {
+	reply, err := admin.Call(ctx, address, "fleet", adminTimeout)
 	if err != nil {
 		return v, err
 	}
--- a/cmd/milletsail/zone.go
+++ b/cmd/milletsail/zone.go
@@ -46,7 +46,7 @@
 func order(c *cobra.Command, line string, addresses []string) error {
 	refused := 0
 	for _, address := range addresses {
-		reply, err := askRelay(address, line)
+		reply, err := askRelay(c.Context(), address, line)
 		if err != nil {
 			reply = err.Error()
 			refused++
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -11,10 +11,10 @@
 )
 
 // Call sends one command line to the admin endpoint at address and returns the reply unchanged. timeout bounds
-// connecting, and then sending and receiving together.
-func Call(address, line string, timeout time.Duration) (string, error) {
+// connecting, and then sending and receiving together; ctx ends connecting earlier.
+func Call(ctx context.Context, address, line string, timeout time.Duration) (string, error) {
 	dialer := net.Dialer{Timeout: timeout}
-	conn, err := dialer.DialContext(context.Background(), "tcp", address)
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/relays/relays.go
+++ b/internal/lab/relays/relays.go
@@ -300,7 +300,9 @@
 }
 
 // ask sends one command line to the admin endpoint at address, and returns the reply.
-func ask(address, line string) (string, error) { return admin.Call(address, line, time.Second) }
+func ask(address, line string) (string, error) {
+	return admin.Call(context.Background(), address, line, time.Second)
+}
 
 // Admin is the address of the admin endpoint of the process that serves.
 func (r *Relay) Admin() string {
--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -36,15 +36,17 @@
 }
 
 // startProcess starts a process of a program in a process group of its own. A goroutine waits for it and closes exited.
-func startProcess(config *AgentConfig, socket *os.File, program string, adminIndex int) (*process, error) {
+func startProcess(
+	ctx context.Context, config *AgentConfig, socket *os.File, program string, adminIndex int,
+) (*process, error) {
 	log, err := os.OpenFile(config.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = log.Close() }() // the process has a descriptor of its own
 	p := &process{
-		// The process outlives the request that starts it: stop ends it, not a context.
-		cmd:        exec.CommandContext(context.Background(), program),
+		// The process outlives the update that starts it: stop ends it, not ctx.
+		cmd:        exec.CommandContext(context.WithoutCancel(ctx), program),
 		program:    program,
 		admin:      config.Admin[adminIndex],
 		adminIndex: adminIndex,
@@ -67,14 +69,14 @@
 }
 
 // serves reports whether the process serves clients.
-func (p *process) serves() bool {
-	text, err := p.command("health")
+func (p *process) serves(ctx context.Context) bool {
+	text, err := p.command(ctx, "health")
 	return err == nil && strings.HasPrefix(text, "OK")
 }
 
 // command sends one command to the process's admin endpoint and returns the reply.
-func (p *process) command(line string) (string, error) {
-	return admin.Call(p.admin, line, adminTimeout)
+func (p *process) command(ctx context.Context, line string) (string, error) {
+	return admin.Call(ctx, p.admin, line, adminTimeout)
 }
 
 // awaitReady waits until the process serves clients.
@@ -82,7 +84,7 @@
 	timeout := time.NewTimer(readyTimeout)
 	defer timeout.Stop()
 	for {
-		if p.serves() {
+		if p.serves(ctx) {
 			return nil
 		}
 		select {
--- a/internal/rollout/processes.go
+++ b/internal/rollout/processes.go
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	r := &ProcessRunner{config: config, socket: socket}
-	if r.current, err = r.start(program, 0); err != nil {
+	if r.current, err = r.start(ctx, program, 0); err != nil {
 		return nil, err
 	}
 	if err := r.current.awaitReady(ctx); err != nil {
@@ -69,17 +69,17 @@
 }
 
 // start starts a process of a program.
-func (r *ProcessRunner) start(program string, adminIndex int) (*process, error) {
-	return startProcess(&r.config, r.socket, program, adminIndex)
+func (r *ProcessRunner) start(ctx context.Context, program string, adminIndex int) (*process, error) {
+	return startProcess(ctx, &r.config, r.socket, program, adminIndex)
 }
 
 // startNew starts a process of a program that was just written. Its file is busy as long as another process that was forked
 // meanwhile has the descriptor, until its own exec (golang.org/issue/22315).
-func (r *ProcessRunner) startNew(program string, adminIndex int) (*process, error) {
-	started, err := r.start(program, adminIndex)
+func (r *ProcessRunner) startNew(ctx context.Context, program string, adminIndex int) (*process, error) {
+	started, err := r.start(ctx, program, adminIndex)
 	for retry := 0; errors.Is(err, syscall.ETXTBSY) && retry < maxBusyRetries; retry++ {
 		time.Sleep(pollInterval)
-		started, err = r.start(program, adminIndex)
+		started, err = r.start(ctx, program, adminIndex)
 	}
 	return started, err
 }
@@ -115,7 +115,7 @@
 	defer r.update.Unlock()
 	old := r.currentProcess()
 	r.allowExit(old, true)
-	started, err := r.startNew(program, 1-old.adminIndex)
+	started, err := r.startNew(ctx, program, 1-old.adminIndex)
 	if err == nil {
 		err = started.awaitReady(ctx)
 	}
@@ -123,7 +123,7 @@
 		if started != nil {
 			r.stop(started)
 		}
-		return errors.Join(err, r.restore(ctx, old))
+		return errors.Join(err, r.restore(context.WithoutCancel(ctx), old))
 	}
 	r.stop(old)
 	r.mu.Lock()
@@ -132,19 +132,20 @@
 	return nil
 }
 
-// restore keeps the old process after a failed update, or restarts its program if it has handed over already.
+// restore keeps the old process after a failed update, or restarts its program if it has handed over already. ctx must not be
+// cancelled with the update: the relay is restored nevertheless.
 func (r *ProcessRunner) restore(ctx context.Context, old *process) error {
-	if old.serves() {
+	if old.serves(ctx) {
 		r.allowExit(old, false)
 		return nil
 	}
 	r.stop(old)
-	restarted, err := r.start(old.program, old.adminIndex)
+	restarted, err := r.start(ctx, old.program, old.adminIndex)
 	if err != nil {
 		return err
 	}
 	r.setCurrent(restarted)
-	return restarted.awaitReady(context.WithoutCancel(ctx)) // a cancelled update must still restore the relay
+	return restarted.awaitReady(ctx)
 }
 
 // restartCrashed restarts the current process after each crash, with backoff, until ctx is cancelled.
@@ -186,7 +187,7 @@
 	if err := sleep(ctx, delay); err != nil {
 		return true, err
 	}
-	if restarted, err := r.start(exited.program, exited.adminIndex); err == nil {
+	if restarted, err := r.start(ctx, exited.program, exited.adminIndex); err == nil {
 		r.setCurrent(restarted)
 	}
 	return true, nil
@@ -226,13 +227,14 @@
 	r.mu.Lock()
 	current, crashes := r.current, r.crashes
 	r.mu.Unlock()
-	text, err := current.command("counters")
+	ctx := context.Background() // bounded by adminTimeout
+	text, err := current.command(ctx, "counters")
 	if err != nil {
 		return Metrics{}, err
 	}
 	metrics, err := ParseCounters(text)
 	metrics.Crashes = crashes
-	if zones, err := current.command("zone status"); err == nil {
+	if zones, err := current.command(ctx, "zone status"); err == nil {
 		metrics.EvacuatedZones = ParseZones(zones)
 	}
 	metrics.MemoryMB, _ = procfs.ResidentMB(current.cmd.Process.Pid) // 0 if it has just exited
--- a/internal/rollout/processes_test.go
+++ b/internal/rollout/processes_test.go
@@ -146,12 +146,12 @@
 	dir := t.TempDir()
 	runner := startTestRunner(t, dir, linkProgram(t, dir, "old"))
 	first := runner.currentProcess()
-	if _, err := first.command("crash"); err != nil {
+	if _, err := first.command(t.Context(), "crash"); err != nil {
 		t.Logf("the crash ended the connection: %v", err)
 	}
 	<-first.exited
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(pollInterval) {
-		if current := runner.currentProcess(); current != first && current.serves() {
+		if current := runner.currentProcess(); current != first && current.serves(t.Context()) {
 			break
 		}
 		if time.Now().After(deadline) {
--- a/internal/rollout/sequentialtest.go
+++ b/internal/rollout/sequentialtest.go
@@ -7,8 +7,8 @@
 	minSamples = 6
 	// minVariance keeps the likelihood ratio finite when all samples are equal.
 	minVariance = 1e-9
-	// varianceDoubt inflates a variance that was estimated from few samples, by this over their number.
-	varianceDoubt = 4
+	// varianceInflation inflates a variance that was estimated from few samples, by this over their number.
+	varianceInflation = 4
 )
 
 // sequentialTest is a mixture sequential probability ratio test of whether a difference has a mean above 0 (Robbins,
@@ -37,7 +37,7 @@
 	if t.samples > 1 {
 		variance = math.Max(variance, t.squares/(t.samples-1))
 	}
-	return math.Max(minVariance, variance*(1+varianceDoubt/t.samples))
+	return math.Max(minVariance, variance*(1+varianceInflation/t.samples))
 }
 
 // likelihoodRatio returns the likelihood of the samples over a mixture of differences about the effect, against none.
--- a/internal/rollout/steps.go
+++ b/internal/rollout/steps.go
@@ -111,8 +111,8 @@
 			break
 		}
 		status := agents[agent.Relay]
-		isTaken := slices.Contains(s.Updated, agent.Relay) || s.Updating[agent.Relay] != ""
-		if isTaken || !status.Reachable || !status.Settled || !s.sharesZone(agent, next) {
+		isUpdated := slices.Contains(s.Updated, agent.Relay) || s.Updating[agent.Relay] != ""
+		if isUpdated || !status.Reachable || !status.Settled || !s.sharesZone(agent, next) {
 			continue
 		}
 		next = append(next, Record{At: now, Kind: recordUpdating, Relay: agent.Relay, Version: s.NewVersion})
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -25,7 +25,7 @@
 // ErrSuperseded says that a later controller has taken over.
 var ErrSuperseded = errors.New("a later controller has taken over")
 
-// ErrLeaseHeld says that another controller holds the lease.
+// ErrLeaseHeld says that another controller holds the lease, as lease services (Chubby, Kubernetes) call it.
 var ErrLeaseHeld = errors.New("another controller holds the lease")
 
 const (
--- a/internal/scale/bed.go
+++ b/internal/scale/bed.go
@@ -268,7 +268,7 @@
 
 // healthy tells whether the relay takes clients.
 func (b *bed) healthy() bool {
-	reply, err := admin.Call(b.subnet.Admin(0, 0), "health", adminWait)
+	reply, err := admin.Call(context.Background(), b.subnet.Admin(0, 0), "health", adminWait)
 	return err == nil && strings.HasPrefix(reply, "OK")
 }
 
@@ -286,7 +286,7 @@
 
 // counter asks the relay for one of its counters.
 func (b *bed) counter(name string) (float64, error) {
-	reply, err := admin.Call(b.subnet.Admin(0, 0), "counters", adminWait)
+	reply, err := admin.Call(context.Background(), b.subnet.Admin(0, 0), "counters", adminWait)
 	if err != nil {
 		return 0, err
 	}
