--- /dev/null
+++ b/internal/rollout/model_test.go
@@ -0,0 +1,344 @@
+package rollout
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+)
+
+// model is a state of the model checker: the controller's state, and that of the relays. An update takes until the checker
+// decides that it has ended.
+type model struct {
+	State     State
+	Relays    map[int]modelRelay
+	Requested map[int]string // updates that were sent; each may arrive later, or be lost
+	IsStopped bool           // a stop was recorded, and no rollback since
+}
+
+// modelRelay is a relay and its agent.
+type modelRelay struct {
+	Version, UpdatingTo, Error string
+}
+
+// mistake is a fault that is planted in the controller, to show that the checker finds it.
+type mistake int
+
+const (
+	noMistake mistake = iota
+	exceedsParallel
+	updatesTwoZones
+	ignoresStop      // starts further updates after a stop
+	forgetsRelay     // ends a rollback with a relay on the new version
+	sendsBeforeWrite // sends an update before it is recorded
+	mistakeEnd
+)
+
+// none is the number of no relay.
+const none = -1
+
+// modelTime is the time of all steps: the model's bake time is 0.
+var modelTime = time.Unix(1000, 0)
+
+func (m *model) clone() *model {
+	text, _ := json.Marshal(m) // maps with strings always have an encoding
+	var c model
+	_ = json.Unmarshal(text, &c)
+	if c.State.Updating == nil {
+		c.State.Updating = map[int]string{}
+	}
+	if c.State.Failed == nil {
+		c.State.Failed = map[int]string{}
+	}
+	return &c
+}
+
+// key identifies a state.
+func (m *model) key() string {
+	text, _ := json.Marshal(m)
+	return string(text)
+}
+
+// agents returns the status of all agents, one of which may not answer.
+func (m *model) agents(unreachable int) map[int]AgentStatus {
+	all := map[int]AgentStatus{}
+	for number, relay := range m.Relays {
+		all[number] = AgentStatus{
+			Reachable: number != unreachable,
+			Version:   relay.Version,
+			Settled:   relay.UpdatingTo == "",
+			Error:     relay.Error,
+		}
+	}
+	return all
+}
+
+// modelStep is one step of the controller.
+type modelStep struct {
+	unreachable int // relay, or none
+	evaluation  Evaluation
+	crashAfter  int  // the number of records after which the controller crashes, or 0
+	isLost      bool // whether the updates that it sends are lost
+	mistake     mistake
+}
+
+// apply has the controller take a step: append records and then send updates.
+func (m *model) apply(step modelStep) {
+	s := &m.State
+	records := m.next(step)
+	for i, record := range records {
+		if step.mistake == forgetsRelay && record.Kind == recordUpdating && s.Phase == RollingBack && len(s.Updated) == 1 {
+			record = Record{Kind: recordFinished}
+		}
+		if step.crashAfter > 0 && i >= step.crashAfter {
+			return
+		}
+		s.Apply(record)
+		m.IsStopped = s.Phase == Stopped
+		if step.mistake == sendsBeforeWrite && record.Kind == recordUpdating && step.crashAfter > 0 {
+			m.Requested[record.Relay] = record.Version
+			delete(s.Updating, record.Relay)
+		}
+	}
+	if step.crashAfter > 0 {
+		return
+	}
+	if s.Phase != Stopped && !step.isLost {
+		for relay, version := range s.Updating {
+			if relay != step.unreachable {
+				m.Requested[relay] = version
+			}
+		}
+	}
+	m.deliver()
+}
+
+// next returns the records of a step, with the step's mistake.
+func (m *model) next(step modelStep) []Record {
+	s := &m.State
+	plan, changed := s.Plan, *s.Plan
+	s.Plan = &changed
+	defer func() { s.Plan = plan }()
+	evaluation := step.evaluation
+	switch step.mistake {
+	case exceedsParallel:
+		changed.MaxParallel++
+	case updatesTwoZones:
+		changed.ByZone, changed.Agents = false, slices.Clone(changed.Agents)
+		for i := range changed.Agents {
+			changed.Agents[i].Zone = "one"
+		}
+	case ignoresStop:
+		if s.Phase == Stopped {
+			s.Phase = Running
+			evaluation.Regressed = false
+		}
+		defer func() {
+			if m.IsStopped {
+				s.Phase = Stopped
+			}
+		}()
+	default:
+	}
+	return s.Next(modelTime, m.agents(step.unreachable), evaluation)
+}
+
+// deliver has the agents start the updates that were sent.
+func (m *model) deliver() {
+	for number, version := range m.Requested {
+		relay := m.Relays[number]
+		if relay.UpdatingTo == "" && (relay.Version != version || relay.Error != "") {
+			relay.UpdatingTo, relay.Error = version, ""
+			m.Relays[number] = relay
+		}
+	}
+	clear(m.Requested)
+}
+
+// completeUpdates has all running updates succeed.
+func (m *model) completeUpdates() {
+	for number, relay := range m.Relays {
+		if relay.UpdatingTo != "" {
+			m.Relays[number] = modelRelay{Version: relay.UpdatingTo}
+		}
+	}
+}
+
+// violation returns the invariant that a state violates, or "".
+func (m *model) violation() string {
+	zones, updating := map[string]bool{}, 0
+	for _, agent := range m.State.Plan.Agents {
+		if m.Relays[agent.Relay].UpdatingTo != "" {
+			updating++
+			zones[agent.Zone] = true
+		}
+	}
+	if updating > m.State.Plan.MaxParallel {
+		return fmt.Sprintf("%d relays are being updated", updating)
+	}
+	if len(zones) > 1 {
+		return "relays of two zones are being updated"
+	}
+	for number, relay := range m.Relays {
+		if m.State.Phase == RolledBack && (relay.Version != m.State.OldVersions[number] || relay.UpdatingTo != "") {
+			return fmt.Sprintf("rolled back, and relay %d has %+v", number, relay)
+		}
+		if relay.UpdatingTo != "" && m.State.Updating[number] == "" {
+			return fmt.Sprintf("relay %d is being updated, and no record says so", number)
+		}
+	}
+	return ""
+}
+
+// violationAfter returns the invariant that the transition to a state violates, or "".
+func (m *model) violationAfter(before *model) string {
+	if violation := m.violation(); violation != "" {
+		return violation
+	}
+	if m.IsStopped && before.IsStopped && len(m.State.Updating) > len(before.State.Updating) {
+		return "an update is started after a stop"
+	}
+	return ""
+}
+
+func modelPlan() *Plan {
+	p := defaults()
+	p.Version, p.MaxParallel, p.BakeTime, p.MaxBakeTime = "new", 2, 0, Duration(time.Hour)
+	p.Stages = []Stage{{Relays: 1}, {Relays: 3}, {Share: 1}}
+	for i, zone := range []string{"a", "b", "a", "a"} {
+		p.Agents = append(p.Agents, Agent{Relay: i, Zone: zone, Address: fmt.Sprint(i)})
+	}
+	return &p
+}
+
+// newModel returns the state after the start of a rollout.
+func newModel() *model {
+	m := &model{Relays: map[int]modelRelay{}, Requested: map[int]string{}}
+	oldVersions := map[int]string{}
+	for i := range 4 {
+		m.Relays[i] = modelRelay{Version: "old"}
+		oldVersions[i] = "old"
+	}
+	m.State.Apply(Record{Kind: recordStarted, Plan: modelPlan(), Version: "new", OldVersions: oldVersions})
+	return m
+}
+
+// successors returns the states after each possible step of the controller, end of an update, and order.
+func (m *model) successors(planted mistake) (after []*model) {
+	add := func(change func(*model)) {
+		next := m.clone()
+		change(next)
+		after = append(after, next)
+	}
+	conclusive := Evaluation{Conclusive: true}
+	for _, step := range []modelStep{
+		{unreachable: none, mistake: planted},
+		{unreachable: none, evaluation: conclusive, mistake: planted},
+		{unreachable: none, evaluation: Evaluation{Regressed: true, Reason: "worse"}, mistake: planted},
+		{unreachable: none, isLost: true, mistake: planted},
+		{unreachable: none, crashAfter: 1, mistake: planted},
+		{unreachable: 1, evaluation: conclusive, mistake: planted},
+	} {
+		add(func(next *model) { next.apply(step) })
+	}
+	for number, relay := range m.Relays {
+		if relay.UpdatingTo != "" {
+			add(func(next *model) { next.Relays[number] = modelRelay{Version: relay.UpdatingTo} })
+			add(func(next *model) {
+				next.Relays[number] = modelRelay{Version: relay.Version, Error: "it does not start"}
+			})
+		}
+	}
+	for _, action := range []string{OrderPause, OrderResume, OrderAbort, OrderRollback} {
+		record, err := m.State.orderRecord(Order{Action: action})
+		if err != nil {
+			continue
+		}
+		record.At = time.Time{} // not part of the state
+		add(func(next *model) {
+			next.State.Apply(record)
+			if action == OrderAbort || action == OrderRollback {
+				next.IsStopped = action == OrderAbort
+			}
+		})
+	}
+	return after
+}
+
+// explore visits states, breadth first, up to a number. It returns the first violation of an invariant, the number of states,
+// and those in which a controller has work to do.
+func explore(planted mistake, maxStates int) (violation string, states int, active []*model) {
+	first := newModel()
+	if planted != noMistake { // mistakes with several relays show early
+		first.State.Plan.Stages = first.State.Plan.Stages[2:]
+	}
+	visited := map[string]bool{first.key(): true}
+	queue := []*model{first}
+	for len(queue) > 0 && len(visited) < maxStates {
+		current := queue[0]
+		queue = queue[1:]
+		for _, next := range current.successors(planted) {
+			key := next.key()
+			if violation := next.violationAfter(current); violation != "" {
+				return violation + " in " + key, len(visited), nil
+			}
+			if visited[key] {
+				continue
+			}
+			visited[key] = true
+			queue = append(queue, next)
+			if next.State.Phase == RollingBack || next.State.Phase == Running {
+				active = append(active, next)
+			}
+		}
+	}
+	return "", len(visited), active
+}
+
+// maxModelStates is the number of states to visit: $ROLLOUT_WORLDS, or few enough for a test beside others.
+func maxModelStates() int {
+	if n, err := strconv.Atoi(os.Getenv("ROLLOUT_WORLDS")); err == nil {
+		return n
+	}
+	return 2500
+}
+
+// No sequence of steps, crashes, lost requests, failed updates and orders violates an invariant; and from each state a controller
+// without further disturbances ends the rollout: on the old version everywhere if it rolls back, on the new one if nothing is
+// wrong.
+func TestModel(t *testing.T) {
+	violation, states, active := explore(noMistake, maxModelStates())
+	if violation != "" {
+		t.Fatal(violation)
+	}
+	t.Logf("%d states", states)
+	for i := 0; i < len(active); i += 1 + len(active)/300 {
+		m := active[i].clone()
+		phase := m.State.Phase
+		for range 60 {
+			m.apply(modelStep{unreachable: none, evaluation: Evaluation{Conclusive: true}})
+			m.completeUpdates()
+		}
+		ended := m.State.Phase
+		if phase == RollingBack && ended != RolledBack || phase == Running && ended != Done && ended != Stopped {
+			t.Fatalf("%s ends as %s: %s", phase, ended, active[i].key())
+		}
+		for number, relay := range m.Relays {
+			if ended == Done && relay.Version != "new" {
+				t.Fatalf("done, and relay %d has %+v", number, relay)
+			}
+		}
+	}
+}
+
+// The model checker finds planted mistakes.
+func TestModelFindsMistakes(t *testing.T) {
+	for planted := noMistake + 1; planted < mistakeEnd; planted++ {
+		if violation, states, _ := explore(planted, maxModelStates()); violation == "" {
+			t.Errorf("mistake %d is not found in %d states", planted, states)
+		}
+	}
+}
--- /dev/null
+++ b/internal/rollout/steps_test.go
@@ -0,0 +1,52 @@
+package rollout
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// A stage with a relay that does not answer, or with an inconclusive evaluation, is not promoted; after the maximum bake time the
+// rollout pauses.
+func TestUnreachableIsNotHealthy(t *testing.T) {
+	m := newModel()
+	m.State.Plan.BakeTime, m.State.Plan.MaxBakeTime = Duration(10*time.Second), Duration(time.Minute)
+	now := modelTime
+	for _, record := range []Record{
+		{Kind: recordUpdating, Relay: 0, Version: "new"},
+		{Kind: recordUpdated, Relay: 0, Version: "new"},
+		{Kind: recordBaking, At: now},
+	} {
+		m.State.Apply(record)
+	}
+	m.Relays[0] = modelRelay{Version: "new"}
+	for _, c := range []struct {
+		name        string
+		baked       time.Duration
+		unreachable int
+		evaluation  Evaluation
+		want        string // kind of the only record, or "" for none
+	}{
+		{"its relay unreachable", 20 * time.Second, 0, Evaluation{Conclusive: true}, ""},
+		{"before the bake time", 9 * time.Second, none, Evaluation{Conclusive: true}, ""},
+		{"inconclusive", 20 * time.Second, none, Evaluation{}, ""},
+		{"inconclusive after the maximum bake time", 2 * time.Minute, none, Evaluation{Reason: "too little traffic"}, recordPaused},
+		{"conclusive", 20 * time.Second, none, Evaluation{Conclusive: true}, recordPromoted},
+	} {
+		next := m.State.Next(now.Add(c.baked), m.agents(c.unreachable), c.evaluation)
+		if c.want == "" && len(next) > 0 || c.want != "" && (len(next) != 1 || next[0].Kind != c.want) {
+			t.Errorf("%s: %+v, want %q", c.name, next, c.want)
+		}
+	}
+}
+
+// With by_zone the relays are updated one zone after another.
+func TestUpdateOrder(t *testing.T) {
+	var zones []string
+	for _, agent := range (&State{Plan: modelPlan()}).updateOrder() {
+		zones = append(zones, agent.Zone)
+	}
+	if !slices.Equal(zones, []string{"a", "a", "a", "b"}) {
+		t.Errorf("zones in the order %v", zones)
+	}
+}
--- a/internal/rollout/stored_test.go
+++ b/internal/rollout/stored_test.go
@@ -186,7 +186,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer store.Close()
+	defer func() { _ = store.Close() }() // the folder ends with the test
 	if store.FencingToken() != 3 {
 		t.Errorf("fencing number %d, want 3", store.FencingToken())
 	}
