--- a/cmd/milletsail/admin.go
+++ b/cmd/milletsail/admin.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"strings"
 	"time"
@@ -30,7 +31,7 @@
 	}
 	failed := 0
 	for _, address := range addresses {
-		text, reply, err := q.query(address)
+		text, reply, err := q.query(command.Context(), address)
 		switch {
 		case err != nil:
 			command.PrintErrf("%s: %v\n", address, err)
@@ -51,8 +52,8 @@
 }
 
 // query returns the reply of one relay, as it came and decoded.
-func (q adminQuery[T]) query(address string) (text string, reply T, err error) {
-	text, err = callRelay(address, q.line)
+func (q adminQuery[T]) query(ctx context.Context, address string) (text string, reply T, err error) {
+	text, err = callRelay(ctx, address, q.line)
 	if err != nil {
 		return "", reply, err
 	}
@@ -66,8 +67,8 @@
 
 // callRelay sends one command line to the admin endpoint at address, and returns its reply. It returns a *rejectedError where
 // the relay rejects the command.
-func callRelay(address, line string) (string, error) {
-	reply, err := admin.Call(address, line, adminTimeout)
+func callRelay(ctx context.Context, address, line string) (string, error) {
+	reply, err := admin.Call(ctx, address, line, adminTimeout)
 	if err != nil {
 		return "", err
 	}
--- a/cmd/milletsail/fleet.go
+++ b/cmd/milletsail/fleet.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -41,7 +42,7 @@
 // fetchViews fetches the views of relays, and counts those that give none; these are named on standard error.
 func fetchViews(command *cobra.Command, addresses []string) (views []live.View, failed int) {
 	for _, address := range addresses {
-		view, err := fetchView(address)
+		view, err := fetchView(command.Context(), address)
 		if err != nil {
 			command.PrintErrf("%s: %v\n", address, err)
 			failed++
@@ -53,8 +54,8 @@
 }
 
 // fetchView fetches the view of one relay.
-func fetchView(address string) (view live.View, err error) {
-	reply, err := admin.Call(address, "fleet", adminTimeout)
+func fetchView(ctx context.Context, address string) (view live.View, err error) {
+	reply, err := admin.Call(ctx, address, "fleet", adminTimeout)
 	if err != nil {
 		return view, err
 	}
--- a/cmd/milletsail/zone.go
+++ b/cmd/milletsail/zone.go
@@ -64,7 +64,7 @@
 func orderRelays(command *cobra.Command, line string, addresses []string) error {
 	failed := 0
 	for _, address := range addresses {
-		reply, err := callRelay(address, line)
+		reply, err := callRelay(command.Context(), address, line)
 		if err != nil {
 			reply = err.Error()
 			failed++
