--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -34,11 +34,15 @@
 
 // Plan describes a rollout. It is read from TOML and stored in records as JSON.
 type Plan struct {
-	Version     string   `json:"Version" toml:"version"`          // path of the new program
-	BakeTime    Duration `json:"Bake" toml:"bake"`                // minimum time between the update of a stage's last relay and the next stage
-	MaxBakeTime Duration `json:"LongestBake" toml:"longest_bake"` // the time after which a rollout pauses if the analysis is inconclusive
-	MaxParallel int      `json:"MostInChange" toml:"most_in_change"`
-	ByZone      bool     `json:"ByZone" toml:"by_zone"` // update the zones one after another, within a stage
+	Version string `json:"Version" toml:"version"` // path of the new program
+	// BakeTime is the minimum time between the update of a stage's last relay and the next stage.
+	BakeTime Duration `json:"Bake" toml:"bake"`
+	// MaxBakeTime is the time after which a rollout pauses if the evaluation is inconclusive.
+	MaxBakeTime Duration `json:"LongestBake" toml:"longest_bake"`
+	// MaxParallel is the number of relays that are updated at once.
+	MaxParallel int `json:"MostInChange" toml:"most_in_change"`
+	// ByZone has the relays of a stage updated one zone after another.
+	ByZone bool `json:"ByZone" toml:"by_zone"`
 	// OnControllerFailure is what a controller does that takes over a running rollout: "resume" or "rollback".
 	OnControllerFailure string `json:"OnDeath" toml:"on_death"`
 	// AllowNoRollback allows a version whose journals the old version can't read, so that it can't be rolled back.
--- /dev/null
+++ b/internal/rollout/store_test.go
@@ -0,0 +1,50 @@
+package rollout
+
+import (
+	"errors"
+	"os"
+	"testing"
+	"time"
+)
+
+// A torn last record is ignored; one that is damaged anywhere else is a CorruptRecordError.
+func TestDamagedRecords(t *testing.T) {
+	dir := t.TempDir()
+	store, err := OpenStore(dir, time.Now(), false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, kind := range []string{recordStarted, recordUpdating, recordUpdated} {
+		if err := store.Append(Record{Kind: kind, Relay: 3}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := store.Close(); err != nil {
+		t.Fatal(err)
+	}
+	path := store.path(1)
+	complete, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for size := range complete {
+		if err := os.WriteFile(path, complete[:size], 0o600); err != nil {
+			t.Fatal(err)
+		}
+		records, err := ReadStore(dir)
+		if err != nil || len(records) > 2 && size < len(complete)-1 { // the last byte ends a line that is complete without it
+			t.Fatalf("of %d bytes: %d records, %v", size, len(records), err)
+		}
+	}
+	for _, position := range []int{3, 12, len(complete) / 2} {
+		damaged := append([]byte(nil), complete...)
+		damaged[position] ^= 4
+		if err := os.WriteFile(path, damaged, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		var corrupt *CorruptRecordError
+		if _, err := OpenStore(dir, time.Now(), false); !errors.As(err, &corrupt) || corrupt.Path != path {
+			t.Errorf("damaged at byte %d: %v", position, err)
+		}
+	}
+}
--- a/internal/rollout/stored_test.go
+++ b/internal/rollout/stored_test.go
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// These tests pin what a rollout keeps on disk: a controller's records and lease, an operator's order, an agent's
+// These tests pin what a rollout stores on disk: a controller's records and lease, an operator's order, an agent's
 // state. The files of storedDir were written by the code of commit 569f7cf and are never written anew by later
-// code: what it has left has to stay readable (upgrade), and later code has to write the very same bytes
-// (rollback). Times in records are given by the caller, so nothing is masked. That the keys of a plan within a
-// record begin with capitals is part of it.
+// code: they have to stay readable (upgrade), and later code has to write the very same bytes (rollback). Times in
+// records are given by the caller, so nothing is masked. That the keys of a plan within a record begin with capitals
+// is part of it.
 
 var updateStored = flag.Bool("update-stored", false, "write the stored files anew: at commit 569f7cf alone")
 
 const (
 	// storedDir holds the files of commit 569f7cf.
 	storedDir = "testdata/569f7cf"
-	// storedController is the folder of a controller that died: its records and its lease.
+	// storedController is the directory of a controller that crashed: its records and its lease.
 	storedController = "controller"
-	// storedOrder is the folder of a controller for which an order was left.
+	// storedOrder is the directory of a controller for which an order was submitted.
 	storedOrder = "order"
-	// storedAgent is the folder of an agent within a change.
+	// storedAgent is the directory of an agent during an update.
 	storedAgent = "agent"
 	// newVersion and oldVersion are the checksums of the two versions.
 	newVersion = "1111111111111111111111111111111111111111111111111111111111111111"
@@ -40,7 +40,7 @@
 // storedTime is the time of the first record.
 var storedTime = time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
 
-// storedPlan sets every value of a plan to one that it does not have where the plan is silent.
+// storedPlan sets every value of a plan to one that is not the default.
 func storedPlan() *Plan {
 	return &Plan{
 		Version:             "build/new",
@@ -58,7 +58,7 @@
 	}
 }
 
-// storedRecords has a record of each kind.
+// storedRecords returns records of each kind.
 func storedRecords() []Record {
 	changedPlan := storedPlan()
 	changedPlan.Stages = []Stage{{Relays: 2}}
@@ -84,7 +84,7 @@
 	return records
 }
 
-// writeStoredController writes the folder of a second controller, which took over from a first one and died.
+// writeStoredController writes the directory of a second controller, which took over from a first one and crashed.
 func writeStoredController(t *testing.T, dir string) {
 	t.Helper()
 	first := openStore(t, dir)
@@ -102,12 +102,12 @@
 			t.Fatal(err)
 		}
 	}
-	if err := second.file.Close(); err != nil { // as a death does: the lease stays
+	if err := second.file.Close(); err != nil { // as in a crash: the lease stays
 		t.Fatal(err)
 	}
 }
 
-// openStore takes over a folder whatever lease runs there.
+// openStore takes over a directory, even if another controller holds the lease.
 func openStore(t *testing.T, dir string) *Store {
 	t.Helper()
 	store, err := OpenStore(dir, time.Now(), true)
@@ -117,7 +117,7 @@
 	return store
 }
 
-// writeStoredOrder leaves an order with a changed plan.
+// writeStoredOrder submits an order with a changed plan.
 func writeStoredOrder(t *testing.T, dir string) {
 	t.Helper()
 	if err := SubmitOrder(dir, Order{Action: OrderResume, Plan: storedPlan()}); err != nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-// writeStoredAgent keeps the state of an agent within a change.
+// writeStoredAgent stores the state of an agent during an update.
 func writeStoredAgent(t *testing.T, dir string) {
 	t.Helper()
 	server := &Server{dir: dir, state: agentState{FencingToken: 7, Version: oldVersion, UpdatingTo: newVersion}}
@@ -134,8 +134,8 @@
 	}
 }
 
-// storedFolders are the folders of storedDir, and what writes each.
-var storedFolders = []struct {
+// storedDirs are the directories in storedDir, and what writes each.
+var storedDirs = []struct {
 	name  string
 	write func(t *testing.T, dir string)
 }{
@@ -144,24 +144,24 @@
 	{storedAgent, writeStoredAgent},
 }
 
-// The same steps give the same files, byte by byte, as at commit 569f7cf, which can so read what later code writes.
+// The same steps write the same files, byte by byte, as at commit 569f7cf, which can therefore read what later code writes.
 func TestWritesStoredBytes(t *testing.T) {
-	for _, folder := range storedFolders {
-		t.Run(folder.name, func(t *testing.T) {
-			stored, written := filepath.Join(storedDir, folder.name), t.TempDir()
-			folder.write(t, written)
+	for _, stored := range storedDirs {
+		t.Run(stored.name, func(t *testing.T) {
+			dir, written := filepath.Join(storedDir, stored.name), t.TempDir()
+			stored.write(t, written)
 			if *updateStored {
-				if err := os.MkdirAll(stored, 0o755); err != nil {
+				if err := os.MkdirAll(dir, 0o755); err != nil {
 					t.Fatal(err)
 				}
-				copyStored(t, written, stored)
+				copyStored(t, written, dir)
 			}
-			want, got := fileNames(t, stored), fileNames(t, written)
+			want, got := fileNames(t, dir), fileNames(t, written)
 			if !slices.Equal(got, want) {
 				t.Fatalf("files %q, want %q", got, want)
 			}
 			for _, name := range want {
-				got, want := fileBytes(t, filepath.Join(written, name)), fileBytes(t, filepath.Join(stored, name))
+				got, want := fileBytes(t, filepath.Join(written, name)), fileBytes(t, filepath.Join(dir, name))
 				if !bytes.Equal(got, want) {
 					t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
 				}
@@ -170,8 +170,8 @@
 	}
 }
 
-// A later controller finds every record, with all its fields and its plan, and gives itself the next fencing
-// number. A lease counts by the time of its file, so that of a controller that still lives holds the folder.
+// A later controller reads every record, with all its fields and its plan, and gets the next fencing token. A lease counts
+// from the modification time of its file, so that a controller that still runs holds it.
 func TestReadsStoredRecords(t *testing.T) {
 	dir := t.TempDir()
 	copyStored(t, filepath.Join(storedDir, storedController), dir)
@@ -180,24 +180,24 @@
 		t.Fatal(err)
 	}
 	if _, err := OpenStore(dir, alive, false); !errors.Is(err, ErrLeaseHeld) {
-		t.Errorf("the folder of a controller that lives: %v, want %v", err, ErrLeaseHeld)
+		t.Errorf("the directory of a controller that runs: %v, want %v", err, ErrLeaseHeld)
 	}
 	store, err := OpenStore(dir, alive.Add(time.Hour), false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = store.Close() }() // the folder ends with the test
+	defer func() { _ = store.Close() }() // the directory is removed with the test
 	if store.FencingToken() != 3 {
-		t.Errorf("fencing number %d, want 3", store.FencingToken())
+		t.Errorf("fencing token %d, want 3", store.FencingToken())
 	}
 	sameRecords(t, store.Records(), storedRecords())
 	carried := fileBytes(t, filepath.Join(dir, "rollout.3"))
 	if !bytes.Equal(carried, fileBytes(t, filepath.Join(storedDir, storedController, "rollout.2"))) {
-		t.Errorf("the records are not carried over as they were: %s", carried)
+		t.Errorf("the records are not copied as they were: %s", carried)
 	}
 }
 
-// The state that the stored records give, at the end and where the rollout was stopped, is the same.
+// The stored records give the same state, at the end and when the rollout was stopped.
 func TestStateOfStoredRecords(t *testing.T) {
 	records, err := ReadStore(filepath.Join(storedDir, storedController))
 	if err != nil {
@@ -214,7 +214,7 @@
 	sameState(t, &state, "rolled back", []int{1}, nil)
 }
 
-// sameState fails unless a state is as the stored records give it.
+// sameState fails unless a state is that of the stored records.
 func sameState(t *testing.T, state *State, phase string, changed []int, failures map[int]string) {
 	t.Helper()
 	if string(state.Phase) != phase || state.NewVersion != newVersion || state.Stage != 1 || !state.BakingSince.IsZero() {
@@ -232,7 +232,7 @@
 	}
 }
 
-// A record that was cut short at the end is dropped, and those before it are there.
+// A torn last record is ignored, and those before it are read.
 func TestReadsStoredTornRecords(t *testing.T) {
 	dir := t.TempDir()
 	text := fileBytes(t, filepath.Join(storedDir, storedController, "rollout.2"))
@@ -245,7 +245,7 @@
 	sameRecords(t, records, all[:len(all)-1])
 }
 
-// A controller takes in the stored order with its plan, once.
+// A controller receives the stored order with its plan, once.
 func TestReadsStoredOrder(t *testing.T) {
 	dir := t.TempDir()
 	copyStored(t, filepath.Join(storedDir, storedOrder), dir)
@@ -262,14 +262,14 @@
 	}
 }
 
-// An agent that starts anew knows its fence, what runs, and what it was changing to; so does whoever starts the
-// relay.
+// An agent that restarts knows its fencing token, the current version, and the one that it was being updated to; so does the
+// runner of the relay.
 func TestReadsStoredAgent(t *testing.T) {
 	dir := t.TempDir()
 	copyStored(t, filepath.Join(storedDir, storedAgent), dir)
 	path, err := CurrentProgram(dir, "first")
 	if want := filepath.Join(dir, "versions", oldVersion); err != nil || path != want {
-		t.Errorf("%s serves, %v; want %s", path, err, want)
+		t.Errorf("the current program is %s, %v; want %s", path, err, want)
 	}
 	runner := &storedRunner{programs: make(chan string, 1)}
 	server, err := NewServer(1, dir, "first", runner)
@@ -277,29 +277,29 @@
 		t.Fatal(err)
 	}
 	defer server.Close()
-	server.work.Wait() // for the change that goes on
+	server.work.Wait() // for the repeated update
 	var program string
 	select {
 	case program = <-runner.programs:
 	default:
 	}
 	if want := filepath.Join(dir, "versions", newVersion); program != want {
-		t.Errorf("the change goes on to %q, want %q", program, want)
+		t.Errorf("the update is repeated to %q, want %q", program, want)
 	}
 	var answer reply
 	if err := server.handle(request{Operation: "status", FencingToken: 6}, &answer); !errors.Is(err, ErrStaleToken) {
-		t.Errorf("an earlier controller: %v, want %v", err, ErrStaleToken)
+		t.Errorf("a stale token: %v, want %v", err, ErrStaleToken)
 	}
 	if err := server.handle(request{Operation: "status", FencingToken: 7}, &answer); err != nil || answer.Version != newVersion {
 		t.Errorf("version %s, %v, want %s", answer.Version, err, newVersion)
 	}
 	want := `{"fence":7,"version":"` + newVersion + `","going":""}`
 	if text := fileBytes(t, filepath.Join(dir, "agent.json")); string(text) != want {
-		t.Errorf("%s is kept, want %s", text, want)
+		t.Errorf("%s is stored, want %s", text, want)
 	}
 }
 
-// storedRunner makes every change at once, and tells to what.
+// storedRunner completes each update at once, and sends its program to a channel.
 type storedRunner struct{ programs chan string }
 
 func (r *storedRunner) Metrics() (Metrics, error) { return Metrics{}, nil }
@@ -309,7 +309,7 @@
 	return nil
 }
 
-// sameRecords fails unless records are as they should be, field by field.
+// sameRecords fails unless records are equal, field by field.
 func sameRecords(t *testing.T, got, want []Record) {
 	t.Helper()
 	if len(got) != len(want) {
@@ -326,7 +326,7 @@
 	}
 }
 
-// samePlan fails unless a plan is as it should be, field by field.
+// samePlan fails unless plans are equal, field by field.
 func samePlan(t *testing.T, got, want *Plan) {
 	t.Helper()
 	if got == nil || want == nil {
@@ -343,7 +343,7 @@
 	}
 }
 
-// fileNames lists a folder.
+// fileNames lists a directory.
 func fileNames(t *testing.T, dir string) (names []string) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
@@ -356,7 +356,7 @@
 	return names
 }
 
-// copyStored copies the files of a folder into another.
+// copyStored copies the files of a directory into another.
 func copyStored(t *testing.T, from, to string) {
 	t.Helper()
 	for _, name := range fileNames(t, from) {
--- a/internal/rollout/validate.go
+++ b/internal/rollout/validate.go
@@ -38,7 +38,8 @@
 	case p.MaxParallel < 1:
 		return &InvalidPlanError{"most_in_change", "is not above 0"}
 	case p.OnControllerFailure != resumeOnFailure && p.OnControllerFailure != rollbackOnFailure:
-		return &InvalidPlanError{"on_death", fmt.Sprintf("%q is not %q or %q", p.OnControllerFailure, resumeOnFailure, rollbackOnFailure)}
+		reason := fmt.Sprintf("%q is not %q or %q", p.OnControllerFailure, resumeOnFailure, rollbackOnFailure)
+		return &InvalidPlanError{"on_death", reason}
 	}
 	return nil
 }
