--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -38,7 +38,7 @@
 
 // NewNode returns a node without facts. incarnation must grow with each process of a relay.
 func NewNode(self, size int, incarnation uint32, version string, zone int, seed uint64, now time.Duration) *Node {
-	n := &Node{
+	node := &Node{
 		Store:          NewStore(),
 		self:           uint16(self),
 		size:           size,
@@ -51,9 +51,9 @@
 		lastReceivedAt: map[int]time.Duration{},
 		pendingRates:   map[string]uint64{},
 	}
-	n.nextHeartbeatAt = now + time.Duration(n.rng.Float64()*float64(n.HeartbeatInterval()))
-	n.nextDigestAt = now + time.Duration(n.rng.Float64()*float64(digestInterval))
-	return n
+	node.nextHeartbeatAt = now + time.Duration(node.rng.Float64()*float64(node.HeartbeatInterval()))
+	node.nextDigestAt = now + time.Duration(node.rng.Float64()*float64(digestInterval))
+	return node
 }
 
 // Observe records an observation of this relay, made at observedAt, and enqueues it for broadcast. Many relays make a
--- a/internal/rollout/agents.go
+++ b/internal/rollout/agents.go
@@ -156,21 +156,21 @@
 
 // sample adds the metrics to the analysis of the stage once in a sampling interval.
 func (c *Controller) sample(metrics map[int]Metrics) {
-	s := &c.state
-	if s.Phase != Running || time.Since(c.sampledAt) < s.Plan.Gate.Interval.AsDuration() || len(s.Updated) == 0 {
+	state := &c.state
+	if state.Phase != Running || time.Since(c.sampledAt) < state.Plan.Gate.Interval.AsDuration() || len(state.Updated) == 0 {
 		return
 	}
 	c.sampledAt = time.Now()
-	if c.analysis == nil || c.analysisStage != s.Stage {
+	if c.analysis == nil || c.analysisStage != state.Stage {
 		classes := map[string]bool{}
 		for _, sample := range metrics {
 			for class := range sample.Outcomes {
 				classes[class] = true
 			}
 		}
-		c.analysis, c.analysisStage = NewCanaryAnalysis(s.Plan.Gate, len(s.Plan.Stages), len(classes)), s.Stage
+		c.analysis, c.analysisStage = NewCanaryAnalysis(state.Plan.Gate, len(state.Plan.Stages), len(classes)), state.Stage
 	}
-	c.analysis.AddSample(metrics, func(relay int) bool { return slices.Contains(s.Updated, relay) })
+	c.analysis.AddSample(metrics, func(relay int) bool { return slices.Contains(state.Updated, relay) })
 }
 
 // sendUpdates sends the updates that are recorded as running, again with each step until the agents confirm them. It returns
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -36,45 +36,45 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := acquire(dir, false)
+	controller, err := acquire(dir, false)
 	if err != nil {
 		return nil, err
 	}
-	if phase := c.state.Phase; phase == Running || phase == Paused || phase == RollingBack {
+	if phase := controller.state.Phase; phase == Running || phase == Paused || phase == RollingBack {
 		err := fmt.Errorf("the rollout in %s is %s: resume or abort it first", dir, phase)
-		return nil, errors.Join(err, c.store.Close())
+		return nil, errors.Join(err, controller.store.Close())
 	}
-	oldVersions, err := c.queryVersions(ctx, plan)
+	oldVersions, err := controller.queryVersions(ctx, plan)
 	if err == nil {
-		err = c.checkCompatibility(ctx, plan, version, oldVersions)
+		err = controller.checkCompatibility(ctx, plan, version, oldVersions)
 	}
 	if err != nil {
-		return nil, errors.Join(err, c.store.Close())
+		return nil, errors.Join(err, controller.store.Close())
 	}
 	started := Record{At: time.Now(), Kind: recordStarted, Plan: plan, Version: version, OldVersions: oldVersions}
-	return c, c.record(started)
+	return controller, controller.record(started)
 }
 
 // Open takes over the rollout in a directory, with force even if another controller holds the lease. A running one is resumed or
 // rolled back, as its plan says.
 func Open(dir string, force bool) (*Controller, error) {
-	c, err := acquire(dir, force)
+	controller, err := acquire(dir, force)
 	if err != nil {
 		return nil, err
 	}
-	if c.state.Plan == nil {
-		return nil, errors.Join(fmt.Errorf("there is no rollout in %s", dir), c.store.Close())
+	if controller.state.Plan == nil {
+		return nil, errors.Join(fmt.Errorf("there is no rollout in %s", dir), controller.store.Close())
 	}
-	if c.state.Phase != Running {
-		return c, nil
+	if controller.state.Phase != Running {
+		return controller, nil
 	}
-	if c.state.Plan.OnControllerFailure == rollbackOnFailure {
-		return c, c.record(Record{At: time.Now(), Kind: recordRollback, Reason: "the controller failed, and on_death is rollback"})
+	if controller.state.Plan.OnControllerFailure == rollbackOnFailure {
+		return controller, controller.record(Record{At: time.Now(), Kind: recordRollback, Reason: "the controller failed, and on_death is rollback"})
 	}
-	if !c.state.BakingSince.IsZero() { // time without samples does not count
-		return c, c.record(Record{At: time.Now(), Kind: recordBaking})
+	if !controller.state.BakingSince.IsZero() { // time without samples does not count
+		return controller, controller.record(Record{At: time.Now(), Kind: recordBaking})
 	}
-	return c, nil
+	return controller, nil
 }
 
 // ReadState returns the state of the rollout in a directory without taking over. Its Plan is nil if there is none.
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -31,7 +31,7 @@
 
 // An invalid plan is an error that starts with its name; an invalid value is an *InvalidPlanError with its key.
 func TestInvalidPlan(t *testing.T) {
-	agent := func(relay, rest string) string { return validPlan + "[[agent]]\nrelay = " + relay + "\n" + rest }
+	agent := func(relay, keys string) string { return validPlan + "[[agent]]\nrelay = " + relay + "\n" + keys }
 	for _, c := range []struct{ text, key string }{
 		{"", "version"},
 		{"bake = 10\n" + validPlan, ""},
--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	defer func() { _ = log.Close() }() // the process has a descriptor of its own
-	p := &process{
+	started := &process{
 		// The process outlives the update that starts it: stop ends it, not ctx.
 		cmd:        exec.CommandContext(context.WithoutCancel(ctx), program),
 		program:    program,
@@ -52,20 +52,20 @@
 		adminIndex: adminIndex,
 		exited:     make(chan struct{}),
 	}
-	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.ExtraFiles = []*os.File{socket}
-	p.cmd.Env = append([]string{"PATH=" + os.Getenv("PATH")}, config.Env...)
-	p.cmd.Env = append(p.cmd.Env,
-		fmt.Sprintf("NODE_FD=%d", socketDescriptor), "NODE_LISTEN="+config.Listen, "NODE_ADMIN="+p.admin)
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if err := p.cmd.Start(); err != nil {
+	started.cmd.Stdout, started.cmd.Stderr = log, log
+	started.cmd.ExtraFiles = []*os.File{socket}
+	started.cmd.Env = append([]string{"PATH=" + os.Getenv("PATH")}, config.Env...)
+	started.cmd.Env = append(started.cmd.Env,
+		fmt.Sprintf("NODE_FD=%d", socketDescriptor), "NODE_LISTEN="+config.Listen, "NODE_ADMIN="+started.admin)
+	started.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	if err := started.cmd.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
-		_ = p.cmd.Wait() // the exit status is in cmd.ProcessState
-		close(p.exited)
+		_ = started.cmd.Wait() // the exit status is in cmd.ProcessState
+		close(started.exited)
 	}()
-	return p, nil
+	return started, nil
 }
 
 // serves reports whether the process serves clients.
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -59,35 +59,35 @@
 )
 
 // Apply updates the state by a record. The same records always give the same state.
-func (s *State) Apply(r Record) {
-	switch r.Kind {
+func (s *State) Apply(record Record) {
+	switch record.Kind {
 	case recordStarted:
-		*s = State{Plan: r.Plan, NewVersion: r.Version, OldVersions: r.OldVersions, Phase: Running,
+		*s = State{Plan: record.Plan, NewVersion: record.Version, OldVersions: record.OldVersions, Phase: Running,
 			Updating: map[int]string{}, Failed: map[int]string{}}
 	case recordUpdating:
-		s.Updating[r.Relay] = r.Version
-		delete(s.Failed, r.Relay)
+		s.Updating[record.Relay] = record.Version
+		delete(s.Failed, record.Relay)
 	case recordUpdated:
-		s.applyUpdated(r)
+		s.applyUpdated(record)
 	case recordUpdateFailed:
-		s.applyUpdateFailed(r)
+		s.applyUpdateFailed(record)
 	case recordBaking:
-		s.BakingSince = r.At
+		s.BakingSince = record.At
 	case recordPromoted:
 		s.Stage++
 		s.BakingSince = time.Time{}
 	case recordPaused:
-		s.Phase, s.Reason = Paused, r.Reason
+		s.Phase, s.Reason = Paused, record.Reason
 	case recordResumed:
 		s.Phase, s.Reason = Running, ""
 		s.BakingSince = time.Time{} // samples from before the pause don't count
-		if r.Plan != nil {
-			s.Plan = r.Plan
+		if record.Plan != nil {
+			s.Plan = record.Plan
 		}
 	case recordStopped:
-		s.Phase, s.Reason = Stopped, r.Reason
+		s.Phase, s.Reason = Stopped, record.Reason
 	case recordRollback:
-		s.Phase, s.Reason = RollingBack, r.Reason
+		s.Phase, s.Reason = RollingBack, record.Reason
 		clear(s.Failed)
 	case recordFinished:
 		if s.Phase == RollingBack {
@@ -98,22 +98,22 @@
 	}
 }
 
-func (s *State) applyUpdated(r Record) {
-	delete(s.Updating, r.Relay)
-	s.Updated = slices.DeleteFunc(s.Updated, func(relay int) bool { return relay == r.Relay })
-	if r.Version == s.NewVersion {
-		s.Updated = append(s.Updated, r.Relay)
+func (s *State) applyUpdated(record Record) {
+	delete(s.Updating, record.Relay)
+	s.Updated = slices.DeleteFunc(s.Updated, func(relay int) bool { return relay == record.Relay })
+	if record.Version == s.NewVersion {
+		s.Updated = append(s.Updated, record.Relay)
 	}
 }
 
 // applyUpdateFailed counts a relay whose update to the new version failed as updated: whichever version it runs, a rollback has
 // to restore the old one.
-func (s *State) applyUpdateFailed(r Record) {
-	if s.Updating[r.Relay] == s.NewVersion && !slices.Contains(s.Updated, r.Relay) {
-		s.Updated = append(s.Updated, r.Relay)
+func (s *State) applyUpdateFailed(record Record) {
+	if s.Updating[record.Relay] == s.NewVersion && !slices.Contains(s.Updated, record.Relay) {
+		s.Updated = append(s.Updated, record.Relay)
 	}
-	delete(s.Updating, r.Relay)
-	s.Failed[r.Relay] = r.Reason
+	delete(s.Updating, record.Relay)
+	s.Failed[record.Relay] = record.Reason
 }
 
 // updatingRelays returns the relays in Updating in ascending order.
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -47,24 +47,24 @@
 	if err == nil && now.Sub(lease.ModTime()) < leaseDuration && !force {
 		return nil, ErrLeaseHeld
 	}
-	s := &Store{dir: dir}
-	last, err := s.lastToken()
+	store := &Store{dir: dir}
+	last, err := store.lastToken()
 	if err != nil {
 		return nil, err
 	}
 	if last > 0 {
-		if s.records, err = readRecords(s.path(last)); err != nil {
+		if store.records, err = readRecords(store.path(last)); err != nil {
 			return nil, err
 		}
 	}
-	s.token = last + 1
-	if err := s.createFile(); err != nil {
+	store.token = last + 1
+	if err := store.createFile(); err != nil {
 		return nil, err
 	}
-	if err := errors.Join(atomicfile.SyncDir(dir), s.RenewLease()); err != nil {
-		return nil, errors.Join(err, s.file.Close())
+	if err := errors.Join(atomicfile.SyncDir(dir), store.RenewLease()); err != nil {
+		return nil, errors.Join(err, store.file.Close())
 	}
-	return s, nil
+	return store, nil
 }
 
 // createFile creates the file of the store's token with the records before. Link fails if the file exists, so that of two
--- a/internal/rollout/stored_test.go
+++ b/internal/rollout/stored_test.go
@@ -227,7 +227,8 @@
 	if len(state.Failed) != len(failures) || state.Failed[2] != failures[2] {
 		t.Errorf("failed %v, want %v", state.Failed, failures)
 	}
-	if len(state.OldVersions) != 2 || state.OldVersions[1] != oldVersion || state.OldVersions[2] != oldVersion || len(state.Plan.Stages) != 1 {
+	if len(state.OldVersions) != 2 || state.OldVersions[1] != oldVersion || state.OldVersions[2] != oldVersion ||
+		len(state.Plan.Stages) != 1 {
 		t.Errorf("old versions %v, %d stages", state.OldVersions, len(state.Plan.Stages))
 	}
 }
--- a/internal/zones/stored_test.go
+++ b/internal/zones/stored_test.go
@@ -99,8 +99,8 @@
 
 // masks are what differs from run to run in a file that is written.
 var masks = []struct {
-	pattern *regexp.Regexp
-	word    string
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`"boot":"[0-9a-f-]{36}"`), `"boot":"BOOT"`},
 	{regexp.MustCompile(`"At":\d+`), `"At":MONOTONIC`},
@@ -132,7 +132,7 @@
 	}
 	masked := text
 	for _, mask := range masks {
-		masked = mask.pattern.ReplaceAll(masked, []byte(mask.word))
+		masked = mask.pattern.ReplaceAll(masked, []byte(mask.replacement))
 	}
 	if !bytes.Equal(masked, want) {
 		t.Errorf("written:\n%swant:\n%s", masked, want)
