--- a/internal/rollout/agents.go
+++ b/internal/rollout/agents.go
@@ -73,13 +73,7 @@
 // not allow that. One agent for each old version stores the new program and reports the formats of both, since formats are
 // determined by the checksum.
 func (c *Controller) checkCompatibility(ctx context.Context, plan *Plan, version string, oldVersions map[int]string) error {
-	included := map[string]bool{}
-	agents := slices.DeleteFunc(slices.Clone(plan.Agents), func(agent Agent) bool {
-		old := oldVersions[agent.Relay]
-		defer func() { included[old] = true }()
-		return included[old]
-	})
-	results := callAgents(agents, func(agent Agent) (reply, error) {
+	results := callAgents(oneAgentPerVersion(plan.Agents, oldVersions), func(agent Agent) (reply, error) {
 		_, err := c.call(ctx, agent, request{Operation: operationStore, Checksum: version, Path: plan.Version})
 		if err != nil {
 			return reply{}, err
@@ -100,6 +94,19 @@
 	return first
 }
 
+// oneAgentPerVersion returns the first agent with each version.
+func oneAgentPerVersion(agents []Agent, versions map[int]string) (first []Agent) {
+	included := map[string]bool{}
+	for _, agent := range agents {
+		version := versions[agent.Relay]
+		if !included[version] {
+			included[version] = true
+			first = append(first, agent)
+		}
+	}
+	return first
+}
+
 // checkFormats compares the formats that an agent reports.
 func checkFormats(answer *reply, relay int, allowNoRollback bool) error {
 	var err error
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -69,7 +69,8 @@
 		return controller, nil
 	}
 	if controller.state.Plan.OnControllerFailure == rollbackOnFailure {
-		return controller, controller.record(Record{At: time.Now(), Kind: recordRollback, Reason: "the controller failed, and on_death is rollback"})
+		const reason = "the controller failed, and on_death is rollback"
+		return controller, controller.record(Record{At: time.Now(), Kind: recordRollback, Reason: reason})
 	}
 	if !controller.state.BakingSince.IsZero() { // time without samples does not count
 		return controller, controller.record(Record{At: time.Now(), Kind: recordBaking})
