--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// minDeliveryValue is the share of its value that a message must still have at delivery while its queue is
-	// overloaded: one that is admitted later takes the place of one that would be on time.
+	// minDeliveryValue is the share of its value that a message must still have at delivery while its queue
+	// is overloaded: one that is admitted later takes the place of one that would be on time.
 	minDeliveryValue = 0.8
-	// overloadThreshold is the share of Settings.QueueCapacity above which queues that hold much of it shed load, so
-	// that no queue takes all of it.
+	// overloadThreshold is the share of Settings.QueueCapacity above which queues that hold much of it shed
+	// load, so that no queue takes all of it.
 	overloadThreshold = 0.75
 )
 
-// admissionController estimates what admission control needs to know of one queue: λ, the rate of the messages that
-// arrive, and r, the rate of those that the basic rule alone would reject. It belongs to one queue and is not safe for
-// concurrent use.
+// admissionController estimates what admission control needs to know of one queue: λ, the rate of the
+// messages that arrive, and r, the rate of those that the basic rule alone would reject. It belongs to one
+// queue and is not safe for concurrent use.
 //
-// The rule is the value-function bound of Hyytiä's admission control for parallel first-come queues, with the paper's
-// symbols: u is the time until a new message would be sent, x its expected latency, and τ the time that it may
-// wait: its time left less x. All are in seconds.
+// The rule is the value-function bound of Hyytiä's admission control for parallel first-come queues, with the
+// paper's symbols: u is the time until a new message would be sent, x its expected latency, and τ the time
+// that it may wait: its time left less x. All are in seconds.
 type admissionController struct {
 	arrivals decayingCounter // λ
 	misses   decayingCounter // r
-	// virtualBacklog is the work, in seconds, in a virtual copy of the queue that admits by the basic rule alone.
+	// virtualBacklog is the work, in seconds, in a virtual copy of the queue that admits by the basic rule
+	// alone.
 	virtualBacklog   float64
 	virtualUpdatedAt instant.Time
 }
@@ -52,8 +53,9 @@
 	a.virtualBacklog += serviceTime
 }
 
-// exceedsDelayBound reports whether a message has to be rejected: by the basic rule u > τ, and where others wait by the
-// value-function bound (λ−r)(u+x−τ) ≥ 1, which holds for every u once x ≥ τ + 1/(λ−r). netRate is λ−r.
+// exceedsDelayBound reports whether a message has to be rejected: by the basic rule u > τ, and where others
+// wait by the value-function bound (λ−r)(u+x−τ) ≥ 1, which holds for every u once x ≥ τ + 1/(λ−r). netRate is
+// λ−r.
 func exceedsDelayBound(u, x, τ, netRate float64, othersWait bool) bool {
 	if u > τ {
 		return true
@@ -84,17 +86,18 @@
 	}
 }
 
-// overloaded reports whether a queue may not have another message: the capacity is used up, or nearly so with much of
-// it by this queue. A queue whose endpoints are all ejected leaves the rest to the others.
+// overloaded reports whether a queue may not have another message: the capacity is used up, or nearly so with
+// much of it by this queue. A queue whose endpoints are all ejected leaves the rest to the others.
 func (d *Dispatcher) overloaded(q *queue) bool {
 	threshold := overloadThreshold * float64(d.settings.QueueCapacity)
 	unfinished := len(d.messages.unfinished)
-	holdsMuch := float64(len(q.waiting)) > threshold/2 || q.allEjected()
-	return float64(unfinished) > threshold && holdsMuch || unfinished > d.settings.QueueCapacity
+	fillsThreshold := float64(len(q.waiting)) > threshold/2 || q.allEjected()
+	return float64(unfinished) > threshold && fillsThreshold || unfinished > d.settings.QueueCapacity
 }
 
-// overloadAgeLimit is the age at which a class, or one of the same or a higher priority weight that would wait behind
-// it, falls below minDeliveryValue: patient messages of low value must not fill a queue against urgent ones.
+// overloadAgeLimit is the age at which a class, or one of the same or a higher priority weight that would
+// wait behind it, falls below minDeliveryValue: patient messages of low value must not fill a queue against
+// urgent ones.
 func (d *Dispatcher) overloadAgeLimit(class *Class) time.Duration {
 	age := class.ageAt(minDeliveryValue)
 	for i := range d.settings.Classes {
--- a/policy/api.go
+++ b/policy/api.go
@@ -11,9 +11,13 @@
 
 // The effects of a class.
 const (
-	Idempotent        Effect = iota // may be repeated at will
-	IdempotentWithKey               // the destination drops a repeat while it remembers the key
-	NotIdempotent                   // must never run twice
+	// Idempotent messages may be repeated at will.
+	Idempotent Effect = iota
+	// IdempotentWithKey messages carry an idempotency key: the destination drops a repeat while it remembers
+	// the key.
+	IdempotentWithKey
+	// NotIdempotent messages must never run twice.
+	NotIdempotent
 )
 
 // Outcome says how one attempt ended.
@@ -21,21 +25,42 @@
 
 // The outcomes of an attempt; see [Outcome.ProvesNotExecuted].
 const (
-	OK           Outcome = iota // delivered
-	Failed                      // answered with an error
-	Rejected                    // turned away: above the limit, queue full, shut or draining
-	TimedOut                    // no answer in time
-	ConnectError                // no connection
-	Reset                       // the connection broke while the attempt was out
-	Canceled                    // called off by this dispatcher
-	NotSent                     // never sent: no slot, no time or no attempts left
-	NotStarted                  // never begun, for a lack here that says nothing of the endpoint: it counts as no attempt
+	// OK is a delivery.
+	OK Outcome = iota
+	// Failed is an error response.
+	Failed
+	// Rejected is a response that says that the endpoint is above its limit, has a full queue, or drains.
+	Rejected
+	// TimedOut is the lack of a response in time.
+	TimedOut
+	// ConnectError is a connection that was not established.
+	ConnectError
+	// Reset is a connection that broke while the attempt was out.
+	Reset
+	// Canceled is an attempt that this dispatcher canceled.
+	Canceled
+	// NotSent is an attempt that was not written, or that its endpoint did not start: no time, slot or
+	// attempt was left.
+	NotSent
+	// NotStarted is an attempt that a shortage of local resources prevented, which says nothing of the
+	// endpoint. It doesn't count as an attempt.
+	NotStarted
 )
 
-var outcomeNames = [...]string{"ok", "failed", "full", "timed out", "no connection", "reset", "canceled", "not sent", "not begun"}
+var outcomeNames = [...]string{
+	OK:           "ok",
+	Failed:       "failed",
+	Rejected:     "full",
+	TimedOut:     "timed out",
+	ConnectError: "no connection",
+	Reset:        "reset",
+	Canceled:     "canceled",
+	NotSent:      "not sent",
+	NotStarted:   "not begun",
+}
 
-// ProvesNotExecuted reports whether an attempt with this outcome certainly never ran at the endpoint, so that a
-// retry cannot execute the message twice.
+// ProvesNotExecuted reports whether an attempt with this outcome certainly never ran at the endpoint, so that
+// a retry cannot execute the message twice.
 func (o Outcome) ProvesNotExecuted() bool {
 	switch o {
 	case Rejected, ConnectError, NotSent, NotStarted:
@@ -45,136 +70,154 @@
 	return false
 }
 
-// String names an outcome for logs.
+// String returns the name of an outcome for logs and diagnostics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Weights says what an endpoint's weight holds.
+// Weights says what the weight of an endpoint means.
 type Weights int
 
 // The meanings of a weight.
 const (
-	WeightsOff     Weights = iota // nothing
-	WeightsNominal                // calls a second the destination (or route) takes from all relays
-	WeightsRough                  // the same, up to half too high or too low
+	// WeightsOff means that weights say nothing.
+	WeightsOff Weights = iota
+	// WeightsNominal means that a weight is the calls a second that the destination (or route) takes from all
+	// relays.
+	WeightsNominal
+	// WeightsRough means the same, but up to half too high or too low.
+	WeightsRough
 )
 
-// ZoneState is how a zone fares with one relay.
+// ZoneState is the state of a zone at one relay.
 type ZoneState int
 
-// The states of a zone: left by the relay's own verdict or by order, and returned to by steps.
+// The states of a zone.
 const (
+	// Serving zones get calls as their endpoints allow.
 	Serving ZoneState = iota
+	// Evacuated zones failed as a whole, as this relay observed.
 	Evacuated
+	// EvacuatedByOrder zones get no calls, by an operator's order.
 	EvacuatedByOrder
+	// Recovering zones are in slow start.
 	Recovering
 )
 
-var zoneNames = [...]string{"serving", "evacuated", "evacuated by order", "returning"}
+var zoneNames = [...]string{
+	Serving:          "serving",
+	Evacuated:        "evacuated",
+	EvacuatedByOrder: "evacuated by order",
+	Recovering:       "returning",
+}
 
-// String names a state for logs and operators.
+// String returns the name of a state for logs and operators.
 func (s ZoneState) String() string { return zoneNames[s] }
 
-// ZoneStatus is what a dispatcher says of a zone.
+// ZoneStatus is the status of a zone.
 type ZoneStatus struct {
-	Zone                      int
-	State                     ZoneState
-	EnteredAt, OrderExpiresAt instant.Time // Until: of an order
-	Endpoints                 int
-	Evacuations, Recoveries   int
+	Zone           int
+	State          ZoneState
+	EnteredAt      instant.Time // the state
+	OrderExpiresAt instant.Time // of a zone that is EvacuatedByOrder
+	Endpoints      int          // listed there
+	Evacuations    int          // so far
+	Recoveries     int          // so far
 }
 
-// Class is one class of message.
+// Class is one class of messages.
 type Class struct {
 	Name              string
-	LatencyObjective  time.Duration // full worth up to here
-	Deadline          time.Duration // given up after this
-	PriorityWeight    float64
-	LateValueShare    float64 // share of the worth left at the deadline
-	ExponentialDecay  bool    // the worth halves with each further Aim instead of falling evenly
+	LatencyObjective  time.Duration // a message has its full value up to here
+	Deadline          time.Duration // a message expires after this
+	PriorityWeight    float64       // full value of a message
+	LateValueShare    float64       // share of the value that is left at the deadline
+	ExponentialDecay  bool          // the value halves with each further LatencyObjective; else it falls linearly
 	Effect            Effect
-	KeysPerZone       bool          // Keyed: only endpoints of one zone share the memory of a key
-	IdempotencyWindow time.Duration // Keyed: how long a key is remembered
-	Ordered           bool          // messages with one key go one at a time, in order
+	KeysPerZone       bool          // IdempotentWithKey: only endpoints of one zone share the idempotency keys
+	IdempotencyWindow time.Duration // IdempotentWithKey: how long a destination remembers a key
+	Ordered           bool          // messages with the same key are sent one at a time, in order
 }
 
 // Kind is one kind of destination.
 type Kind struct {
-	SeparateRoutes bool // its endpoints are routes apart, each with its own limit, pace and outages
+	SeparateRoutes bool // each endpoint is a route of its own, with its own limit, send rate and health
 	MaxBatch       int  // messages in one call at most
 }
 
-// Settings is all that a dispatcher is told at its start.
+// Settings is the configuration of a dispatcher.
 type Settings struct {
 	FleetSize             int // relays that share the traffic, this one included
 	Zone                  int // of this relay, as in Endpoint
 	Classes               []Class
 	Kinds                 []Kind
-	ZoneCost              []float64 // by zone: points of the result for all messages sent by such routes
+	ZoneCost              []float64 // by zone: the cost of sending all messages by routes there, in mean priority weights
 	Slots                 int       // calls out at once
-	QueueCapacity         int       // messages held, sent or not
-	MaxBatchBytes         int       // bytes that a call with several messages holds at most; 0 for any number
-	MaxAttempts           int
-	Gossip                bool // notes to other relays are allowed
-	Zones                 bool // decide by zones: see zones.go
-	CanaryAnalysis        bool // let endpoints that are new on the list prove themselves: see newcomers.go
-	PublishRates          bool // Share is of use: what relays observe is shared
-	HedgedRequests        bool // two attempts of a message may be out at once
-	CanCancel             bool
-	Subscribe             bool // list changes come only after Subscribe
+	QueueCapacity         int       // unfinished messages, sent or not
+	MaxBatchBytes         int       // bytes in a call with several messages at most; 0 for any number
+	MaxAttempts           int       // of a message
+	Gossip                bool      // broadcasts to other relays are allowed
+	Zones                 bool      // evacuate failing zones, and balance by locality
+	CanaryAnalysis        bool      // put endpoints that are new on the list on trial
+	PublishRates          bool      // PublishRate has a use: relays share what they observe
+	HedgedRequests        bool      // two attempts of a message may be out at once
+	CanCancel             bool      // Cancel is supported
+	Subscribe             bool      // list changes come only after Subscribe
 	Weights               Weights
 	BatchInterval         time.Duration // least time between batches
-	MaxRetryAfter         time.Duration // longest hold-off that a client honours
+	MaxRetryAfter         time.Duration // longest Retry-After that a client honours
 	SlowStartInitialShare float64       // share of its capacity that a destination has after an outage
 	SlowStartWindow       time.Duration // and all of it after this
-	OverloadFactor        float64       // sent more than this multiple of its present capacity
-	OverloadWindow        time.Duration // for this long, a cold destination falls over
+	OverloadFactor        float64       // calls at more than this multiple of the present capacity
+	OverloadWindow        time.Duration // for this long overload a destination in slow start
 	IdleConnTimeout       time.Duration // idle connections close by themselves after this; 0 for never
-	OrderedKeyDelay       time.Duration // rest of a key after an attempt that may still run
-	Directory             Directory     // nil: state is kept for all endpoints of Listed
+	OrderedKeyDelay       time.Duration // how long a key stays blocked after an attempt that may still run
+	Directory             Directory     // nil: state is kept for all endpoints of EndpointsUpdated
 }
 
-// Directory looks listed endpoints up. The caller owns it, and changes it only between calls of Handle: before the
-// Listed that reports the change.
+// Directory looks listed endpoints up. The caller owns it, and changes it only between calls of Handle:
+// before the EndpointsUpdated that reports the change.
 //
-// With a Directory, a Dispatcher keeps state only for the destinations in use. State comes with the first message for
-// a destination, or the first fact that binds it: Recalled or Learned, a refusal that another relay reports, Accused,
-// Paced, or an endpoint that is on trial beside an older one. Entries of Listed that concern no state are ignored;
-// removals have to be listed as Gone, Whole is not needed. State goes when its destination has been idle for two
-// minutes and nothing that is known of it binds. Share then names such destinations alone.
+// With a Directory, a Dispatcher keeps state only for the destinations in use. State is loaded with the first
+// message for a destination, or the first event that limits it: StateRestored or StateInherited, a rejection
+// that another relay reports, PeerSuspected, PeerRateReceived, or an endpoint that is on trial beside an
+// older one. Entries of EndpointsUpdated that concern no state are ignored; removals have to be listed as
+// Removed, Complete is not needed. State is dropped when its destination has been idle for two minutes and
+// nothing that is known of it limits it. PublishRate then names such destinations alone.
 //
-// With Settings.Zones, which compares the endpoints of all destinations, the Directory is not used: state comes with
-// Listed and stays, as without one.
+// With Settings.Zones, which compares the endpoints of all destinations, the Directory is not used: state is
+// kept as without one.
 type Directory interface {
-	Endpoints(destination int) []Endpoint    // listed now, in a stable order
-	Destination(endpoint string) (int, bool) // of a listed endpoint
+	// Endpoints returns the endpoints of a destination that are listed now, in a stable order.
+	Endpoints(destination int) []Endpoint
+	// Destination returns the destination of a listed endpoint.
+	Destination(endpoint string) (destination int, listed bool)
 }
 
-// Endpoint is one entry of the list of endpoints.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID          string
 	Destination int
-	Kind        int
+	Kind        int // in Settings.Kinds
 	Zone        int
-	Weight      float64
+	Weight      float64      // see Settings.Weights
 	StartedAt   instant.Time // when it last started; 0 for long ago
-	Draining    bool         // send nothing new
-	Removed     bool         // removed
+	Draining    bool         // it gets no new calls
+	Removed     bool         // it is no longer listed
 }
 
-// Canary is an endpoint on trial.
+// Canary is the status of an endpoint on trial.
 type Canary struct {
 	Endpoint        string
 	Destination     int
 	Stage           int          // from 0
-	Share           float64      // of its destination's calls, with all that are on trial there
-	StageStartedAt  instant.Time // of the stage, or the end of the time in which it gets nothing
-	SuspendedUntil  instant.Time // until when it gets nothing; past or 0 for not now
+	Share           float64      // of its destination's calls, together with the other canaries there
+	StageStartedAt  instant.Time // may lie ahead, at the end of a suspension
+	SuspendedUntil  instant.Time // until when it gets nothing; past or 0 if it isn't suspended
 	Suspensions     int
-	RegressionScore float64 // the most that its outcomes in a class speak for its being worse; 1 has it held
-	HasBaseline     bool    // an older endpoint serves beside it, so that it is kept to its share
+	RegressionScore float64 // of the class that speaks most for a regression; 1 suspends it
+	HasBaseline     bool    // a healthy older endpoint serves beside it, so that it is limited to its share
 }
 
-// LoadReport is a load report of a destination.
+// LoadReport is the load report of a destination.
 type LoadReport struct {
 	Remaining float64 `json:"Left"`  // share of the allowance that is left
 	Limit     float64 `json:"Limit"` // calls a second; 0 where there is no limit
@@ -185,12 +228,12 @@
 	Endpoint    string
 	SentAt      instant.Time
 	NotExecuted bool // proved never to have run
-	// InFlight says that it still is, in the process that hands over: Ended reports its end. Those of one Call share it.
+	// InFlight says that it is still out, in the process that hands over: AttemptEnded reports its end.
 	InFlight bool
-	Call     int
+	Call     int // of an attempt in flight; attempts of one call share it
 }
 
-// InheritedEndpoint is the part of Learned that concerns one endpoint.
+// InheritedEndpoint is the part of StateInherited that concerns one endpoint.
 type InheritedEndpoint struct {
 	ID                  string       `json:"ID"`
 	Ejected             bool         `json:"Sick"`
@@ -204,200 +247,9 @@
 	TokensAt            instant.Time `json:"TokensAt"`
 }
 
-// DecayingCount is the state of a counter that fades.
+// DecayingCount is the state of a decaying counter.
 type DecayingCount struct {
 	Count     float64      `json:"N"`
 	UpdatedAt instant.Time `json:"At"`
 	StartedAt instant.Time `json:"Since"`
 }
-
-// Event is something that happened to a dispatcher.
-type Event interface{ event() }
-
-// The events.
-type (
-	// Arrived hands in a message. It has to end exactly once.
-	Arrived struct {
-		ID          string
-		Class       int
-		Destination int
-		TimeLeft    time.Duration // until it is given up
-		Size        int           // bytes that it takes up in a call with others
-		Key         string        // of ordered classes, or empty
-		// Resumed says that an earlier process of this relay took the message on: it is not up for
-		// admission again. Tried are that process's attempts, which count as this one's.
-		Resumed       bool
-		PriorAttempts []PriorAttempt
-		// Completed says that the message has its end, and is named for its attempt that is out alone.
-		Completed bool
-	}
-	// AttemptEnded reports how an attempt ended.
-	AttemptEnded struct {
-		ID                string
-		Endpoint          string
-		Attempt           int
-		Outcome           Outcome
-		RetryAfter        time.Duration // told to wait
-		Latency           time.Duration
-		Completed         bool        // the message has its final answer
-		AttemptsExhausted bool        // the message has had all its attempts
-		LoadReport        *LoadReport // or nil
-	}
-	// Withdrawn says that nobody wants a message any more; no answer is owed.
-	Withdrawn struct{ ID string }
-	// EndpointsUpdated changes the list of endpoints, or replaces it when Whole. See Directory for what is ignored.
-	EndpointsUpdated struct {
-		Complete  bool
-		Endpoints []Endpoint
-	}
-	// WatchFailed says that a subscription failed or was dropped.
-	WatchFailed struct{}
-	// StateRestored tells what an earlier process of this relay remembered of a listed endpoint.
-	StateRestored PersistHealth
-	// StateInherited tells what the process that hands over has learned of a queue.
-	StateInherited struct {
-		Endpoints             []InheritedEndpoint `json:"Endpoints"`
-		RetryAfterUntil       instant.Time        `json:"Wait"` // nothing is sent until then: told, and by its own choice
-		BackoffUntil          instant.Time        `json:"Hold"`
-		Outcomes              int                 `json:"Outcomes"`
-		MeanLatency           float64             `json:"Mean"` // latency, in seconds
-		ClassLatency          []float64           `json:"Class"`
-		Concurrency           float64             `json:"Width"`
-		SendRate              float64             `json:"Pace"`
-		Tokens                float64             `json:"Tokens"`
-		TokensAt              instant.Time        `json:"TokensAt"`
-		ConsecutiveRejections int                 `json:"Fulls"`
-		FirstRejectionAt      instant.Time        `json:"FirstFull"`
-		LastSuccessAt         instant.Time        `json:"LastOK"`
-		Arrivals              DecayingCount       `json:"Arrivals"`
-		Misses                DecayingCount       `json:"Misses"`
-	}
-	// GossipReceived brings what another relay told.
-	GossipReceived struct{ Message []byte }
-	// PeerSuspected says what the fleet has found of a destination (a run of refusals) or, where it is named, of an
-	// endpoint (it is out), as observed by relays in this one's place: how many have found it bad that nobody has
-	// found good since, and the ages of the first and the last such finding. Until is how long it may be used.
-	// Rank is this relay's turn to try it, 0 for the first. It replaces what was said of the same before.
-	PeerSuspected struct {
-		Destination          int    // where Endpoint is empty
-		Endpoint             string // or empty
-		Observers            int
-		RecentObservers      int // of these, those that found so just now
-		OldestAge, NewestAge time.Duration
-		ValidFor             time.Duration
-		Rank                 int
-	}
-	// PeerRateReceived says what other relays, Tellers of them, send a destination and get for it.
-	PeerRateReceived struct {
-		Destination                   int
-		LiveRelays                    int // that count as there, this one included
-		Reporters                     int
-		RateShare                     float64   // the median, in parts of an even share of the listed rate
-		ArrivalRate, ArrivalRateError float64   // messages a second at one relay, and the standard error of that
-		ArrivalRateByZone             []float64 // messages a second that arrive in each zone, over its relays; or nil
-		ValidFor                      time.Duration
-	}
-	// StorageChanged says whether attempts can be recorded for a later process; they can until it says otherwise.
-	StorageChanged struct{ Writable bool }
-	// ShutdownStarted says that this process is about to end: nothing more is sent.
-	ShutdownStarted struct{}
-	// TimerFired says that a timer fell due.
-	TimerFired struct{}
-)
-
-func (Arrived) event()          {}
-func (AttemptEnded) event()     {}
-func (Withdrawn) event()        {}
-func (EndpointsUpdated) event() {}
-func (WatchFailed) event()      {}
-func (StateRestored) event()    {}
-func (StateInherited) event()   {}
-func (GossipReceived) event()   {}
-func (PeerSuspected) event()    {}
-func (PeerRateReceived) event() {}
-func (StorageChanged) event()   {}
-func (ShutdownStarted) event()  {}
-func (TimerFired) event()       {}
-
-// Action is something that a dispatcher wants done.
-type Action interface{ action() }
-
-// The actions.
-type (
-	// Send starts the next attempt of a message; Timeout 0 leaves it out until the deadline. Messages sent
-	// with the same Call travel together. Where Within is above 0, the call must be written whole in that time
-	// or not at all (Ignored), however long its connection takes to come up.
-	Send struct {
-		ID           string
-		Endpoint     string
-		Timeout      time.Duration
-		WriteTimeout time.Duration
-		Call         int
-	}
-	// Reject ends a message undelivered; the client may safely come again.
-	Reject struct {
-		ID         string
-		RetryAfter time.Duration
-		Reason     Reason
-	}
-	// Fail ends a message; the client is told nothing of its effect.
-	Fail struct {
-		ID     string
-		Reason Reason
-	}
-	// Cancel ends the wait on an attempt.
-	Cancel struct {
-		ID      string
-		Attempt int
-	}
-	// CancelUnwritten has calls to an endpoint that are not begun to be written come back unwritten (Ignored).
-	CancelUnwritten struct{ Endpoint string }
-	// CloseIdleConnections closes the idle connections of this relay to an endpoint.
-	CloseIdleConnections struct{ Endpoint string }
-	// SetTimer asks for Woken.
-	SetTimer struct{ After time.Duration }
-	// Subscribe asks for changes of the list.
-	Subscribe struct{}
-	// Broadcast sends all other relays a note. It may come late or not at all.
-	Broadcast struct{ Message []byte }
-	// PersistHealth is what a later process of this relay has to know of an endpoint: that it is out, or when
-	// it came back.
-	PersistHealth struct {
-		Endpoint   string
-		Ejected    bool
-		At         instant.Time
-		SecondHand bool // this relay has not seen it itself
-	}
-	// ZoneStateChanged says that a zone is served now, or left, or returned to; for logs.
-	ZoneStateChanged struct {
-		Zone  int
-		State ZoneState
-	}
-	// CanaryStageChanged says that an endpoint that is new on the list has a stage begun, or gets nothing until Held, or, with neither,
-	// is through; for logs.
-	CanaryStageChanged struct {
-		Endpoint       string
-		Share          float64
-		SuspendedUntil instant.Time
-	}
-	// PublishRate is for the other relays: this one's pace for a destination, in parts of an even share of the listed
-	// rate, and the messages a second that arrive for it.
-	PublishRate struct {
-		Destination            int
-		RateShare, ArrivalRate float64
-	}
-)
-
-func (Send) action()                 {}
-func (Reject) action()               {}
-func (Fail) action()                 {}
-func (Cancel) action()               {}
-func (CancelUnwritten) action()      {}
-func (CloseIdleConnections) action() {}
-func (SetTimer) action()             {}
-func (Subscribe) action()            {}
-func (Broadcast) action()            {}
-func (PersistHealth) action()        {}
-func (PublishRate) action()          {}
-func (ZoneStateChanged) action()     {}
-func (CanaryStageChanged) action()   {}
--- a/policy/availability.go
+++ b/policy/availability.go
@@ -1,7 +1,7 @@
 package policy
 
-// Avoided returns the number of listed endpoints that get nothing now but probes: ejected, unresponsive or draining. With
-// a Directory in use, draining ones are left out, since the caller knows of all of them.
+// Avoided returns the number of listed endpoints that get nothing now but probes: ejected, unresponsive or
+// draining. With a Directory in use, draining ones are left out, since the caller knows of all of them.
 func (d *Dispatcher) Avoided() int {
 	avoided := d.unavailableCount
 	for _, q := range d.active { // only an endpoint with a call out can be unresponsive
--- a/policy/call.go
+++ b/policy/call.go
@@ -2,7 +2,7 @@
 
 import "milletsail/internal/instant"
 
-// call is one call out: one message, or a bundle.
+// call is one call that is out, with one message or a batch.
 type call struct {
 	endpoint     *endpoint
 	number       int
@@ -10,5 +10,5 @@
 	openAttempts int // messages without an outcome
 	size         int // of its messages
 	messages     []*message
-	canceled     bool // to take its slot back
+	canceled     bool // by cancelCall
 }
--- a/policy/canary.go
+++ b/policy/canary.go
@@ -16,11 +16,12 @@
 	maxCanaryCredit = 2
 )
 
-// canaryStageShares are the shares of a destination's calls that its canaries get together, over all relays, in each stage;
-// none gets more than an endpoint that is no canary.
+// canaryStageShares are the shares of a destination's calls that its canaries get together, over all relays,
+// in each stage; none gets more than an endpoint that is no canary.
 var canaryStageShares = [...]float64{0.02, 0.06, 0.2, 0.5}
 
-// canaryState is the state of an endpoint on trial. It belongs to one endpoint and is not safe for concurrent use.
+// canaryState is the state of an endpoint on trial. It belongs to one endpoint and is not safe for concurrent
+// use.
 type canaryState struct {
 	stage          int          // of canaryStageShares
 	stageStartedAt instant.Time // may lie ahead, at the end of a suspension
@@ -57,7 +58,8 @@
 	return highest
 }
 
-// addReport notes the gossip message with a random ID, and reports whether it is to be counted: not if it is a copy.
+// addReport notes the gossip message with a random ID, and reports whether it is to be counted: not if it is
+// a copy.
 func (c *canaryState) addReport(id uint64) bool {
 	if len(c.reportIDs) >= maxReportsPerStage || c.reportIDs[id] {
 		return false
@@ -80,7 +82,8 @@
 	}
 }
 
-// share is the failing share, with a prior of one outcome, and a standard error more, as few calls tell little.
+// share is the failing share, with a prior of one outcome, and a standard error more, as few calls tell
+// little.
 func (f *failureRate) share() float64 {
 	share := (f.failed + minFailureShare) / (f.total + 1)
 	return math.Min(1-minFailureShare, share+math.Sqrt(share*(1-share)/(f.total+1)))
@@ -150,8 +153,8 @@
 	return d.settings.CanaryAnalysis && listed.StartedAt > 0 && d.now.Sub(listed.StartedAt) < canaryMaxAge
 }
 
-// hasBaseline reports whether an endpoint on trial has a baseline: a healthy endpoint of its queue that is no canary. Without
-// one it serves as any other.
+// hasBaseline reports whether an endpoint on trial has a baseline: a healthy endpoint of its queue that is no
+// canary. Without one it serves as any other.
 func (d *Dispatcher) hasBaseline(ep *endpoint) bool {
 	return ep.canary != nil && slices.ContainsFunc(ep.queue.endpoints, func(other *endpoint) bool {
 		return other.canary == nil && !other.outlier.ejected && !other.Draining && !d.unresponsive(other)
--- a/policy/canary_analysis.go
+++ b/policy/canary_analysis.go
@@ -14,30 +14,32 @@
 	minStageDuration = 2 * time.Second
 	// maxStageDuration ends a stage that has fewer than minStageOutcomes outcomes.
 	maxStageDuration = 4500 * time.Millisecond
-	// minStageOutcomes is the number of outcomes, of all relays together, that end a stage before maxStageDuration.
+	// minStageOutcomes is the number of outcomes, of all relays together, that end a stage before
+	// maxStageDuration.
 	minStageOutcomes = 8
-	// maxPromotionScore is the regression score, as a share of the one that suspends a canary, above which it stays
-	// in its stage: one failure is enough where failures are rare.
+	// maxPromotionScore is the regression score, as a share of the one that suspends a canary, above which it
+	// stays in its stage: one failure is enough where failures are rare.
 	maxPromotionScore = 1.0 / 3
 	// minFailureShare is the least share of failing calls that the baseline is taken to have.
 	minFailureShare = 0.02
-	// regressionLikelihoodRatio suspends a canary: its outcomes fit the baseline's failure share so many times less
-	// well than one halfway from there to 1 (Wald's sequential probability ratio test, restarted at 0 as in Page's
-	// CUSUM, since a canary may do well at first).
+	// regressionLikelihoodRatio suspends a canary: its outcomes fit the baseline's failure share so many
+	// times less well than one halfway from there to 1 (Wald's sequential probability ratio test, restarted
+	// at 0 as in Page's CUSUM, since a canary may do well at first).
 	regressionLikelihoodRatio = 1000.0
 	// initialSuspension is the duration of a canary's first suspension. It doubles with each further one.
 	initialSuspension = 15 * time.Second
 	// maxSuspension bounds the duration of a suspension.
 	maxSuspension = 4 * time.Minute
-	// maxBaselineFailureShare is the share of failing calls to older endpoints up to which a relay's observations
-	// count against canaries; above it, its own network may be the cause.
+	// maxBaselineFailureShare is the share of failing calls to older endpoints up to which a relay's
+	// observations count against canaries; above it, its own network may be the cause.
 	maxBaselineFailureShare = 0.25
-	// maxSuspensionDoublings bounds the shift that doubles a suspension; maxSuspension is reached long before.
+	// maxSuspensionDoublings bounds the shift that doubles a suspension; maxSuspension is reached long
+	// before.
 	maxSuspensionDoublings = 8
 )
 
-// recordOutcome updates the score of a class by an outcome, with the baseline's share of failing calls, and reports whether
-// the canary is found to be worse than the baseline.
+// recordOutcome updates the score of a class by an outcome, with the baseline's share of failing calls, and
+// reports whether the canary is found to be worse than the baseline.
 func (c *canaryState) recordOutcome(class int, failed bool, baselineShare float64) (regressed bool) {
 	c.outcomes++
 	usual := math.Max(minFailureShare, baselineShare)
@@ -59,8 +61,8 @@
 	return c.outcomes >= minStageOutcomes || age >= maxStageDuration
 }
 
-// evaluateCanaries promotes the canaries whose stages are complete: to the next stage, and after the last one to an ordinary
-// endpoint.
+// evaluateCanaries promotes the canaries whose stages are complete: to the next stage, and after the last one
+// to an ordinary endpoint.
 func (d *Dispatcher) evaluateCanaries() {
 	for _, ep := range d.canaries() {
 		canary := ep.canary
@@ -76,8 +78,8 @@
 	}
 }
 
-// analyzeOutcome takes in what the end of a call says of a canary, or of the baseline beside one. An endpoint that rejects may
-// just be at its limit. A relay whose own network may be at fault observes nothing bad.
+// analyzeOutcome takes in what the end of a call says of a canary, or of the baseline beside one. An endpoint
+// that rejects may just be at its limit. A relay whose own network may be at fault observes nothing bad.
 func (d *Dispatcher) analyzeOutcome(ep *endpoint, m *message, ended AttemptEnded, late bool) {
 	if !d.settings.CanaryAnalysis || ended.Outcome == Rejected || ended.Outcome == NotSent {
 		return
@@ -98,8 +100,8 @@
 	d.reportCanaryOutcome(ep, m.Class, failed)
 }
 
-// recordCanaryOutcome takes in an outcome of a canary, here or at another relay, and suspends it if it is found to be worse
-// than its baseline.
+// recordCanaryOutcome takes in an outcome of a canary, here or at another relay, and suspends it if it is
+// found to be worse than its baseline.
 func (d *Dispatcher) recordCanaryOutcome(ep *endpoint, class int, failed bool) {
 	canary := ep.canary
 	regressed := canary.recordOutcome(class, failed, ep.queue.baseline[class].share())
@@ -109,8 +111,8 @@
 	}
 }
 
-// reportCanaryOutcome broadcasts an outcome of a canary. In later stages outcomes come faster, and a random part of them says
-// as much, if it is the same of successes and failures.
+// reportCanaryOutcome broadcasts an outcome of a canary. In later stages outcomes come faster, and a random
+// part of them says as much, if it is the same of successes and failures.
 func (d *Dispatcher) reportCanaryOutcome(ep *endpoint, class int, failed bool) {
 	reportedShare := canaryStageShares[1] / canaryStageShares[ep.canary.stage]
 	if !d.settings.Gossip || d.random.Float64() >= reportedShare {
--- a/policy/canary_test.go
+++ b/policy/canary_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// proving is a fleet of relays in virtual time whose destination has two older endpoints and new ones. Notes are carried
-// to all others, but those that lose drops.
+// proving is a fleet of relays in virtual time whose destination has two older endpoints and new ones. Notes
+// are carried to all others, but those that lose drops.
 type proving struct {
 	*testing.T
 	relays []*Dispatcher
@@ -113,7 +113,8 @@
 	return float64(p.sent[ep]) / float64(max(1, all))
 }
 
-// A version that fails is held back by nearly all relays with few of the calls; one that is as good comes to its share.
+// A version that fails is held back by nearly all relays with few of the calls; one that is as good comes to
+// its share.
 func TestNewcomers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -220,8 +221,9 @@
 	}
 }
 
-// A hold ends by itself, and what follows begins small again; a copy of a note counts once; a relay whose own calls fail
-// everywhere speaks against nobody; notes that are cut off or name what is not there change nothing.
+// A hold ends by itself, and what follows begins small again; a copy of a note counts once; a relay whose own
+// calls fail everywhere speaks against nobody; notes that are cut off or name what is not there change
+// nothing.
 func TestNewcomersEvidence(t *testing.T) {
 	p := newProving(t, 1, nil)
 	p.run(3*time.Second, 5)
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -8,20 +8,22 @@
 )
 
 const (
-	// circuitOpenAfter is the time of nothing but rejections, or the Retry-After, from which on a destination counts
-	// as down rather than at its limit: longer than the windows in which receivers commonly count calls.
+	// circuitOpenAfter is the time of nothing but rejections, or the Retry-After, from which on a destination
+	// counts as down rather than at its limit: longer than the windows in which receivers commonly count
+	// calls.
 	circuitOpenAfter = 2500 * time.Millisecond
 	// initialBackoff is the pause after a first rejection without Retry-After.
 	initialBackoff = 100 * time.Millisecond
-	// maxBackoff is the longest pause of the relay's own: about the longest window in which receivers count calls.
+	// maxBackoff is the longest pause of the relay's own: about the longest window in which receivers count
+	// calls.
 	maxBackoff = 2 * time.Second
-	// secondProbeProbability is the probability with which a relay with a low rate probes once more after a first
-	// failure.
+	// secondProbeProbability is the probability with which a relay with a low rate probes once more after a
+	// first failure.
 	secondProbeProbability = 0.5
 )
 
-// circuitBreaker pauses the calls of one queue after rejections. It belongs to one queue and is not safe for concurrent
-// use.
+// circuitBreaker pauses the calls of one queue after rejections. It belongs to one queue and is not safe for
+// concurrent use.
 type circuitBreaker struct {
 	retryAfterUntil       instant.Time  // end of a Retry-After, which always binds
 	backoffUntil          instant.Time  // end of the relay's own pause
@@ -43,8 +45,8 @@
 	c.retryAfterUntil = max(c.retryAfterUntil, now.Add(min(retryAfter, never.Sub(now))))
 }
 
-// countRejection counts a rejection and reports whether the destination counts as down: it has rejected everything for
-// circuitOpenAfter, or asks for a longer pause than that.
+// countRejection counts a rejection and reports whether the destination counts as down: it has rejected
+// everything for circuitOpenAfter, or asks for a longer pause than that.
 func (c *circuitBreaker) countRejection(now instant.Time, retryAfter time.Duration) (down bool) {
 	if c.consecutiveRejections++; c.consecutiveRejections == 1 {
 		c.firstRejectionAt = now
@@ -53,8 +55,8 @@
 	return retryAfter > circuitOpenAfter || c.consecutiveRejections > ejectionThreshold && lasting
 }
 
-// nextBackoff is the pause after a rejection without Retry-After, with jitter: short, since a destination that limits a
-// steady rate has capacity again at once; twice as long if the last one was not enough.
+// nextBackoff is the pause after a rejection without Retry-After, with jitter: short, since a destination
+// that limits a steady rate has capacity again at once; twice as long if the last one was not enough.
 func (c *circuitBreaker) nextBackoff(now instant.Time, random *rand.Rand) time.Duration {
 	if c.backoff *= 2; now > c.backoffUntil.Add(c.backoff) {
 		c.backoff = initialBackoff
@@ -62,8 +64,8 @@
 	return time.Duration((0.5 + random.Float64()) * float64(c.backoff))
 }
 
-// recordRejection takes in a rejection by the destination, and broadcasts what the other relays don't know of it. A run
-// of rejections ejects its endpoints.
+// recordRejection takes in a rejection by the destination, and broadcasts what the other relays don't know of
+// it. A run of rejections ejects its endpoints.
 func (d *Dispatcher) recordRejection(q *queue, rejection limitMessage) {
 	down := q.circuit.countRejection(d.now, rejection.retryAfter)
 	probedForAll := d.isProber(q)
@@ -80,8 +82,9 @@
 	}
 }
 
-// openCircuit pauses a queue after a rejection here or at another relay, and returns the end of the pause. All relays
-// that learn of it stop together; they start again apart, each with a random part of a call saved up.
+// openCircuit pauses a queue after a rejection here or at another relay, and returns the end of the pause.
+// All relays that learn of it stop together; they start again apart, each with a random part of a call saved
+// up.
 func (d *Dispatcher) openCircuit(q *queue, rejection limitMessage) (until instant.Time) {
 	circuit := &q.circuit
 	circuit.rejectedCallAt = max(circuit.rejectedCallAt, d.now.Add(-rejection.callAge))
@@ -104,9 +107,9 @@
 	return until
 }
 
-// closeCircuit ends a backoff, but no Retry-After, if a call was accepted that was sent well after the rejected one: a
-// destination that limits a rate has capacity again at once, one that counts calls has none until its window ends. It
-// reports whether there was a backoff to end.
+// closeCircuit ends a backoff, but no Retry-After, if a call was accepted that was sent well after the
+// rejected one: a destination that limits a rate has capacity again at once, one that counts calls has none
+// until its window ends. It reports whether there was a backoff to end.
 func (d *Dispatcher) closeCircuit(q *queue, accepted limitMessage) bool {
 	circuit := &q.circuit
 	sentAt := d.now.Add(-accepted.callAge)
@@ -118,10 +121,11 @@
 	return true
 }
 
-// probeBudgetSpent reports whether n failures or rejections in a row are all that a relay with a low rate may see before
-// it keeps to the slow start budget. Where the destination was only at its limit, this leaves capacity to relays that
-// were not rejected. Half of the relays, by chance, may probe once more; but not after a Retry-After, when all
-// would, and not in an outage that began just after a success, which won't end yet.
+// probeBudgetSpent reports whether n failures or rejections in a row are all that a relay with a low rate may
+// see before it keeps to the slow start budget. Where the destination was only at its limit, this leaves
+// capacity to relays that were not rejected. Half of the relays, by chance, may probe once more; but not
+// after a Retry-After, when all would, and not in an outage that began just after a success, which won't end
+// yet.
 func (d *Dispatcher) probeBudgetSpent(q *queue, n int) bool {
 	if !d.hasLowRate(q) || q.lastSuccessAt > 0 && d.now.Sub(q.lastSuccessAt) <= circuitOpenAfter {
 		return false
--- a/policy/circuit_test.go
+++ b/policy/circuit_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestWaitOfABundle guards against a wait that is told with the first of several outcomes of one call.
-// A wait binds calls that were decided before it and are not written yet, at all endpoints of the destination.
+// TestWaitOfABundle guards against a wait that is told with the first of several outcomes of one call. A wait
+// binds calls that were decided before it and are not written yet, at all endpoints of the destination.
 func TestWaitWithholdsCalls(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
 	other := Arrived{ID: "m3", Destination: 1, TimeLeft: 10 * time.Second}
@@ -57,8 +57,8 @@
 	expect(t, "in the wait", got, "")
 }
 
-// TestShutIsCold guards against relays that wait as told while a destination is shut, and come back all at once as to
-// a warm one; and against an answer to a call from before that ends the outage.
+// TestShutIsCold guards against relays that wait as told while a destination is shut, and come back all at
+// once as to a warm one; and against an answer to a call from before that ends the outage.
 func TestShutIsCold(t *testing.T) {
 	s := plain()
 	s.Weights, s.Slots = WeightsNominal, 8
--- a/policy/connection_limit.go
+++ b/policy/connection_limit.go
@@ -10,8 +10,8 @@
 const (
 	// connectionLimitIncrease is what a success adds to a learned connection limit, in connections.
 	connectionLimitIncrease = 0.05
-	// connectErrorReporters is the mean number of relays that report a connection error which many meet at once: gossip
-	// goes from each relay to all, so a few reports are enough.
+	// connectErrorReporters is the mean number of relays that report a connection error which many meet at
+	// once: gossip goes from each relay to all, so a few reports are enough.
 	connectErrorReporters = 8
 )
 
@@ -37,8 +37,8 @@
 // lowerLimit limits the connections to those that are in use.
 func (c *connectionLimiter) lowerLimit(callsOut int) { c.limit = math.Max(1, float64(callsOut)) }
 
-// recordSuccess takes in a successful call: if it was sent before another one's connection was not accepted, the endpoint
-// has no more connections to give.
+// recordSuccess takes in a successful call: if it was sent before another one's connection was not accepted,
+// the endpoint has no more connections to give.
 func (c *connectionLimiter) recordSuccess(now, sentAt instant.Time) {
 	if sentAt < c.errorAt {
 		c.fullAt = now
@@ -54,8 +54,9 @@
 	return true
 }
 
-// full reports whether the endpoint did not accept a connection lately, from this relay or from another while it served
-// this one. Idle connections then take the capacity of others; elsewhere, closing them only costs a new handshake.
+// full reports whether the endpoint did not accept a connection lately, from this relay or from another while
+// it served this one. Idle connections then take the capacity of others; elsewhere, closing them only costs a
+// new handshake.
 func (c *connectionLimiter) full(now instant.Time, idleTimeout time.Duration) bool {
 	return c.limit > 0 || c.fullAt > 0 && now.Sub(c.fullAt) < idleTimeout
 }
--- a/policy/connection_limit_test.go
+++ b/policy/connection_limit_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestConnectionRefusedIsTold guards against a relay that alone knows of an endpoint without room, and against a note
-// for each of its connections.
+// TestConnectionRefusedIsTold guards against a relay that alone knows of an endpoint without room, and
+// against a note for each of its connections.
 func TestConnectionRefusedIsTold(t *testing.T) {
 	d := fleet(t, connectErrorReporters, 400)[0]
 	told := 0
--- a/policy/decaying_counter.go
+++ b/policy/decaying_counter.go
@@ -7,8 +7,8 @@
 	"milletsail/internal/instant"
 )
 
-// counterTimeConstant is the time constant of the arrival and miss rates (λ and r): some arrivals of each queue,
-// but short enough to follow a jump of traffic.
+// counterTimeConstant is the time constant of the arrival and miss rates (λ and r): some arrivals of each
+// queue, but short enough to follow a jump of traffic.
 const counterTimeConstant = 10 * time.Second
 
 // decayingCounter is a counter whose counts decay with the time constant counterTimeConstant.
--- a/policy/decisions_cases_test.go
+++ b/policy/decisions_cases_test.go
@@ -28,8 +28,8 @@
 type decisionCase struct {
 	name   string
 	change func(*scenario)
-	// shows are tags of what the case has to bring about, so that it is not empty. (Zoned with Ordered is none:
-	// Handle drops the actions of Order, so that state is seen by the query alone.)
+	// shows are tags of what the case has to bring about, so that it is not empty. (Zoned with Ordered is
+	// none: Handle drops the actions of Order, so that state is seen by the query alone.)
 	shows []string
 	// sameAs names the case whose digests it has to have, or is empty for digests of its own.
 	sameAs string
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -1,16 +1,16 @@
 package policy
 
 import (
-	"container/list"
 	"math/rand/v2"
+	"slices"
 
 	"milletsail/internal/instant"
 )
 
 // Dispatcher decides for one relay. It is not safe for concurrent use.
 //
-// What concerns a destination or an endpoint is in the parts of its queue and endpoint; here are the parts that concern
-// the whole relay.
+// What concerns a destination or an endpoint is in the parts of its queue and endpoint; here are the parts
+// that concern the whole relay.
 type Dispatcher struct {
 	settings Settings
 	now      instant.Time
@@ -35,20 +35,20 @@
 	lastGossipAt  instant.Time // when the last gossip message was received
 	zones         zoneTable
 	canaryCount   int
-	// idleDestinations holds each *destination whose state may be dropped, by idleSince; some may have become active.
-	idleDestinations list.List
+	store         stateStore
 
 	stopping        bool // send nothing more
 	storageReadOnly bool // attempts leave no record for a later process
 }
 
-// New returns a dispatcher that knows nothing yet. Settings that make no sense give an error.
-func New(s Settings, seed int64) (*Dispatcher, error) {
-	if err := s.check(); err != nil {
+// New returns a dispatcher that knows nothing yet, or an error for settings that make no sense. The seed is
+// that of its random decisions.
+func New(settings Settings, seed int64) (*Dispatcher, error) {
+	if err := settings.check(); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{
-		settings:      s,
+	dispatcher := &Dispatcher{
+		settings:      settings,
 		random:        rand.New(rand.NewPCG(uint64(seed), 0)),
 		destinations:  map[int]*destination{},
 		endpoints:     map[string]*endpoint{},
@@ -57,26 +57,25 @@
 		latencyPriors: map[int]*latencyEstimate{},
 		watch:         endpointWatch{subscribeAt: never, firstListedAt: never},
 	}
-	if s.Subscribe {
-		d.watch.subscribeAt = 0 // at once
+	if settings.Subscribe {
+		dispatcher.watch.subscribeAt = 0 // at once
 	}
-	for _, c := range s.Classes {
-		d.meanPriority += c.PriorityWeight / float64(len(s.Classes))
+	for _, class := range settings.Classes {
+		dispatcher.meanPriority += class.PriorityWeight / float64(len(settings.Classes))
 	}
-	return d, nil
+	return dispatcher, nil
 }
 
-// never is later than every moment.
+// never is later than every other time.
 const never = instant.Never
 
+// emit adds an action to those of the batch.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// remove takes v out of a slice and keeps the order.
-func remove[T comparable](list []T, v T) []T {
-	for i := range list {
-		if list[i] == v {
-			return append(list[:i], list[i+1:]...)
-		}
+// remove takes an element out of a slice and keeps the order.
+func remove[T comparable](list []T, element T) []T {
+	if i := slices.Index(list, element); i >= 0 {
+		return append(list[:i], list[i+1:]...)
 	}
 	return list
 }
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestListThatEmptiesAndComesBack guards against state that stays spoilt: calls are out while the list empties, the
-// weight and the zone change, and the clock jumps back and far ahead.
+// TestListThatEmptiesAndComesBack guards against state that stays spoilt: calls are out while the list
+// empties, the weight and the zone change, and the clock jumps back and far ahead.
 func TestListThatEmptiesAndComesBack(t *testing.T) {
 	for kind := range 3 {
 		s := plain()
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -2,8 +2,9 @@
 
 import "cmp"
 
-// selectEndpoint chooses the endpoint of a queue that gets a message, or nil: an ejected one whose probe is due; else a
-// healthy one in the zone that is due, with the fewest calls out, used last (so that its connection is idle).
+// selectEndpoint chooses the endpoint of a queue that gets a message, or nil: an ejected one whose probe is
+// due; else a healthy one in the zone that is due, with the fewest calls out, used last (so that its
+// connection is idle).
 func (d *Dispatcher) selectEndpoint(q *queue, m *message) *endpoint {
 	var best *endpoint
 	zone := d.targetZone(q)
@@ -44,8 +45,8 @@
 	return -1
 }
 
-// failureScore counts what speaks against an endpoint for a message: consecutive failures of its class there, and that the
-// message's last attempt was made there. An endpoint may fail one class and serve the others.
+// failureScore counts what speaks against an endpoint for a message: consecutive failures of its class there,
+// and that the message's last attempt was made there. An endpoint may fail one class and serve the others.
 func (m *message) failureScore(ep *endpoint) float64 {
 	score := ep.outlier.classFailures[m.Class]
 	if last := len(m.attempts) - 1; last >= 0 && m.attempts[last].call.endpoint == ep {
@@ -71,8 +72,8 @@
 	return !d.unresponsive(ep) || len(ep.calls) < maxUnhealthyCalls
 }
 
-// mayProbe reports whether an ejected endpoint may get a probe now: in this relay's turn, where the fleet takes turns, else
-// as the slow start budget allows.
+// mayProbe reports whether an ejected endpoint may get a probe now: in this relay's turn, where the fleet
+// takes turns, else as the slow start budget allows.
 func (d *Dispatcher) mayProbe(ep *endpoint) bool {
 	probes := ep.probesOut()
 	if turn := d.probeTurn(ep); turn > 0 {
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -7,8 +7,8 @@
 	"milletsail/internal/instant"
 )
 
-// expireMessages ends waiting messages that have no time left for another attempt of expected latency, and those that can't
-// be retried any more.
+// expireMessages ends waiting messages that have no time left for another attempt of expected latency, and
+// those that can't be retried any more.
 func (d *Dispatcher) expireMessages() {
 	var expired []*message
 	for _, m := range d.messages.unfinished {
@@ -31,14 +31,14 @@
 	return m.expiresAt.Add(-max(2*d.settings.BatchInterval, latency))
 }
 
-// nearDeadline reports whether a message may expire before a call with it ends, which would end the call for all its
-// messages. Such messages share calls with each other only.
+// nearDeadline reports whether a message may expire before a call with it ends, which would end the call for
+// all its messages. Such messages share calls with each other only.
 func (d *Dispatcher) nearDeadline(q *queue, m *message) bool {
 	return m.expiresAt.Sub(d.now).Seconds() < stalledFactor*q.latency.byClass[m.Class]
 }
 
-// abandon ends a message undelivered: it is rejected, with the time until its queue may send next, if the client may safely
-// send it again, and fails otherwise.
+// abandon ends a message undelivered: it is rejected, with the time until its queue may send next, if the
+// client may safely send it again, and fails otherwise.
 func (d *Dispatcher) abandon(m *message, reason Reason) {
 	keyValidEverywhere := m.class.Effect == IdempotentWithKey && !m.class.KeysPerZone
 	if m.firstPossibleExecution() == nil || m.class.Effect == Idempotent || keyValidEverywhere {
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -26,7 +26,8 @@
 	callAge     time.Duration // since the call was sent
 }
 
-// canaryMessage reports the outcome of a message of a class at a canary. Its random ID tells it from copies of itself.
+// canaryMessage reports the outcome of a message of a class at a canary. Its random ID tells it from copies
+// of itself.
 type canaryMessage struct {
 	endpoint string
 	class    int
@@ -34,9 +35,9 @@
 	id       uint64
 }
 
-// Observed is what the message of a Broadcast reports, for callers that combine the reports of several relays: one of
-// Closed (a destination has rejected a call), Open (it has accepted one), Back (an endpoint has recovered) and NoRoom (it
-// has not accepted a connection).
+// Observed is what the message of a Broadcast reports, for callers that combine the reports of several
+// relays: one of Closed (a destination has rejected a call), Open (it has accepted one), Back (an endpoint
+// has recovered) and NoRoom (it has not accepted a connection).
 type Observed struct {
 	Closed, Open, Back, NoRoom bool
 	Destination                int           // of Closed and Open
@@ -87,7 +88,8 @@
 	return binary.AppendUvarint(encoded, uint64(m.callAge.Milliseconds()))
 }
 
-// decodeLimitMessage decodes a limitMessage. It returns false for one that is malformed, longer, or of another type.
+// decodeLimitMessage decodes a limitMessage. It returns false for one that is malformed, longer, or of
+// another type.
 func decodeLimitMessage(message []byte) (m limitMessage, ok bool) {
 	if len(message) == 0 || message[0] != circuitOpenType && message[0] != circuitClosedType {
 		return m, false
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -65,8 +65,8 @@
 	return all
 }
 
-// TestFleetComesDownTogether guards against a fleet of which each relay has to meet a refusal itself, and against one
-// that comes back in step once the wait is over.
+// TestFleetComesDownTogether guards against a fleet of which each relay has to meet a refusal itself, and
+// against one that comes back in step once the wait is over.
 func TestFleetComesDownTogether(t *testing.T) {
 	all := fleet(t, 80, 40)
 	at, wait := 2*time.Second, time.Second
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestPacesRiseOnWhatIsHeard guards against a large fleet that no refusal reaches any more and whose paces all climb as if
-// there were none.
+// TestPacesRiseOnWhatIsHeard guards against a large fleet that no refusal reaches any more and whose paces
+// all climb as if there were none.
 func TestPacesRiseOnWhatIsHeard(t *testing.T) {
 	for _, tt := range []struct {
 		relays int
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestNotesAreEvidenceOnly guards against notes that decide alone: garbled ones, of places that nobody listed, and
-// a flood of them.
+// TestNotesAreEvidenceOnly guards against notes that decide alone: garbled ones, of places that nobody
+// listed, and a flood of them.
 func TestNotesAreEvidenceOnly(t *testing.T) {
 	d := fleet(t, 80, 40)[0]
 	q := d.queues[0]
@@ -170,8 +170,8 @@
 	}
 }
 
-// TestPauseEndsWithAnAnswer guards against a fleet that sits out a told wait although the destination goes on taking
-// calls, and against one that takes an answer to an earlier call for that.
+// TestPauseEndsWithAnAnswer guards against a fleet that sits out a told wait although the destination goes on
+// taking calls, and against one that takes an answer to an earlier call for that.
 func TestPauseEndsWithAnAnswer(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -209,8 +209,8 @@
 	}
 }
 
-// TestFleetLearnsOfAReturn guards against relays that each wait for a success of their own while an endpoint is back,
-// and against all of them knocking at once when they hear of one.
+// TestFleetLearnsOfAReturn guards against relays that each wait for a success of their own while an endpoint
+// is back, and against all of them knocking at once when they hear of one.
 func TestFleetLearnsOfAReturn(t *testing.T) {
 	all := fleet(t, 80, 40)
 	for _, d := range all {
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -7,123 +7,223 @@
 	"milletsail/internal/instant"
 )
 
-// resumeMessage puts a message that an earlier process admitted back into its queue, with the attempts made for it; one
-// with an attempt still out comes back to its queue by that attempt's end.
-func (d *Dispatcher) resumeMessage(m *message) {
-	for _, t := range m.PriorAttempts {
-		ep := d.lookUpEndpoint(t.Endpoint, true)
-		if ep == nil {
-			// Its zone is not known any more: no other is known to share its memory.
-			ep = &endpoint{Endpoint: Endpoint{ID: t.Endpoint, Destination: m.Destination, Zone: -1, Removed: true},
-				queue: d.destination(m.Destination).queues[0], outlier: newOutlierDetector(len(d.settings.Classes))}
-		}
-		c := &call{endpoint: ep, sentAt: t.SentAt}
-		if t.InFlight {
-			c = d.adoptCall(ep, t)
-			c.openAttempts++
-			c.size += m.Size
-			c.messages = append(c.messages, m)
-			m.openAttempts++
-		}
-		m.attempts = append(m.attempts, attempt{call: c, sentAt: t.SentAt, notExecuted: t.NotExecuted, open: t.InFlight})
-		if !t.NotExecuted {
-			m.keyBlockedUntil = max(m.keyBlockedUntil, d.now.Add(d.settings.OrderedKeyDelay))
-		}
+// unknownZone is the zone of an endpoint that is no longer listed.
+const unknownZone = -1
+
+// resumeMessage puts a message that an earlier process admitted back into its queue, with the attempts that
+// were made. One with an attempt in flight comes back to its queue with the end of that attempt.
+func (d *Dispatcher) resumeMessage(resumed *message) {
+	for _, prior := range resumed.PriorAttempts {
+		d.resumeAttempt(resumed, prior)
 	}
 	switch {
-	case m.Completed:
-		d.complete(m)
-	case m.openAttempts == 0:
-		d.enqueue(d.selectQueue(m), m)
+	case resumed.Completed:
+		d.complete(resumed)
+	case resumed.openAttempts == 0:
+		d.enqueue(d.selectQueue(resumed), resumed)
+	}
+}
+
+// resumeAttempt adds an attempt of an earlier process to a message.
+func (d *Dispatcher) resumeAttempt(m *message, prior PriorAttempt) {
+	ep := d.lookUpEndpoint(prior.Endpoint, true)
+	if ep == nil {
+		ep = d.unlistedEndpoint(prior.Endpoint, m.Destination)
+	}
+	resumed := &call{endpoint: ep, sentAt: prior.SentAt}
+	if prior.InFlight {
+		resumed = d.adoptCall(ep, prior)
+		resumed.openAttempts++
+		resumed.size += m.Size
+		resumed.messages = append(resumed.messages, m)
+		m.openAttempts++
+	}
+	m.attempts = append(m.attempts, attempt{
+		call:        resumed,
+		sentAt:      prior.SentAt,
+		open:        prior.InFlight,
+		notExecuted: prior.NotExecuted,
+	})
+	if !prior.NotExecuted {
+		m.keyBlockedUntil = max(m.keyBlockedUntil, d.now.Add(d.settings.OrderedKeyDelay))
 	}
 }
 
-// adoptCall gives the call of an attempt that an earlier process still has out: it holds a slot here as well.
-func (d *Dispatcher) adoptCall(ep *endpoint, t PriorAttempt) *call {
-	for _, c := range ep.queue.calls {
-		if c.number == t.Call {
-			return c
+// unlistedEndpoint stands for an endpoint that is no longer listed. Its zone is unknown, so no other endpoint
+// is known to share its idempotency keys.
+func (d *Dispatcher) unlistedEndpoint(id string, destination int) *endpoint {
+	return &endpoint{
+		Endpoint: Endpoint{ID: id, Destination: destination, Zone: unknownZone, Removed: true},
+		queue:    d.destination(destination).queues[0],
+		outlier:  newOutlierDetector(len(d.settings.Classes)),
+	}
+}
+
+// adoptCall returns the call of an attempt that an earlier process has in flight. It takes a slot here as
+// well.
+func (d *Dispatcher) adoptCall(ep *endpoint, prior PriorAttempt) *call {
+	queue := ep.queue
+	for _, adopted := range queue.calls {
+		if adopted.number == prior.Call {
+			return adopted
 		}
 	}
-	c := &call{endpoint: ep, number: t.Call, sentAt: t.SentAt}
-	d.slots.lastCall = max(d.slots.lastCall, t.Call)
+	adopted := &call{endpoint: ep, number: prior.Call, sentAt: prior.SentAt}
+	d.slots.lastCall = max(d.slots.lastCall, prior.Call)
 	d.slots.inUse++
-	d.activate(ep.queue)
-	older := func(a, b *call) int { return cmp.Compare(a.sentAt, b.sentAt) }
-	ep.queue.calls, ep.calls = append(ep.queue.calls, c), append(ep.calls, c)
-	slices.SortStableFunc(ep.queue.calls, older)
-	slices.SortStableFunc(ep.calls, older)
-	return c
+	d.activate(queue)
+	bySentAt := func(a, b *call) int { return cmp.Compare(a.sentAt, b.sentAt) }
+	queue.calls, ep.calls = append(queue.calls, adopted), append(ep.calls, adopted)
+	slices.SortStableFunc(queue.calls, bySentAt)
+	slices.SortStableFunc(ep.calls, bySentAt)
+	return adopted
 }
 
-// ExportState is what this dispatcher has learned, for the process that takes over from it.
+// ExportState returns what this dispatcher knows of its queues, for the process that takes over from it.
 func (d *Dispatcher) ExportState() (all []StateInherited) {
 	for _, q := range d.queues {
-		l := StateInherited{RetryAfterUntil: q.circuit.retryAfterUntil, BackoffUntil: q.circuit.backoffUntil, Outcomes: q.latency.outcomes, MeanLatency: q.latency.mean, ClassLatency: slices.Clone(q.latency.byClass), Concurrency: q.typicalConcurrency,
-			SendRate: q.limiter.rate, Tokens: q.limiter.bucket.tokens, TokensAt: q.limiter.bucket.updatedAt, ConsecutiveRejections: q.circuit.consecutiveRejections, FirstRejectionAt: q.circuit.firstRejectionAt, LastSuccessAt: q.lastSuccessAt,
-			Arrivals: DecayingCount{q.admission.arrivals.value, q.admission.arrivals.updatedAt, q.admission.arrivals.startedAt}, Misses: DecayingCount{q.admission.misses.value, q.admission.misses.updatedAt, q.admission.misses.startedAt}}
-		for _, ep := range q.endpoints {
-			l.Endpoints = append(l.Endpoints, InheritedEndpoint{ID: ep.ID, Ejected: ep.outlier.ejected, SlowStarting: ep.slowStart.active, EjectedAt: ep.outlier.ejectedAt,
-				RecoveredAt: ep.slowStart.recoveredAt, LastSuccessAt: ep.outlier.lastSuccessAt, ConsecutiveFailures: ep.outlier.consecutiveFailures, ConnectionLimit: ep.connections.limit, Tokens: ep.slowStart.bucket.tokens, TokensAt: ep.slowStart.bucket.updatedAt})
-		}
-		if len(l.Endpoints) > 0 {
-			all = append(all, l)
+		if len(q.endpoints) > 0 {
+			all = append(all, q.exportState())
 		}
 	}
 	return all
 }
 
-// Translate gives what was learned with its moments as another clock has them; the zero Time stays.
-func (l StateInherited) Translate(to func(instant.Time) instant.Time) StateInherited {
-	l.RetryAfterUntil, l.BackoffUntil, l.TokensAt, l.FirstRejectionAt, l.LastSuccessAt = to(l.RetryAfterUntil), to(l.BackoffUntil), to(l.TokensAt), to(l.FirstRejectionAt), to(l.LastSuccessAt)
-	l.Arrivals.UpdatedAt, l.Arrivals.StartedAt = to(l.Arrivals.UpdatedAt), to(l.Arrivals.StartedAt)
-	l.Misses.UpdatedAt, l.Misses.StartedAt = to(l.Misses.UpdatedAt), to(l.Misses.StartedAt)
-	l.Endpoints = slices.Clone(l.Endpoints)
-	for i := range l.Endpoints {
-		e := &l.Endpoints[i]
-		e.EjectedAt, e.RecoveredAt, e.LastSuccessAt, e.TokensAt = to(e.EjectedAt), to(e.RecoveredAt), to(e.LastSuccessAt), to(e.TokensAt)
-	}
-	return l
+// exportState returns the state of a queue.
+func (q *queue) exportState() StateInherited {
+	state := StateInherited{
+		RetryAfterUntil:       q.circuit.retryAfterUntil,
+		BackoffUntil:          q.circuit.backoffUntil,
+		Outcomes:              q.latency.outcomes,
+		MeanLatency:           q.latency.mean,
+		ClassLatency:          slices.Clone(q.latency.byClass),
+		Concurrency:           q.typicalConcurrency,
+		SendRate:              q.limiter.rate,
+		Tokens:                q.limiter.bucket.tokens,
+		TokensAt:              q.limiter.bucket.updatedAt,
+		ConsecutiveRejections: q.circuit.consecutiveRejections,
+		FirstRejectionAt:      q.circuit.firstRejectionAt,
+		LastSuccessAt:         q.lastSuccessAt,
+		Arrivals:              q.admission.arrivals.exportState(),
+		Misses:                q.admission.misses.exportState(),
+	}
+	for _, ep := range q.endpoints {
+		state.Endpoints = append(state.Endpoints, ep.exportState())
+	}
+	return state
+}
+
+// exportState returns the state of an endpoint.
+func (ep *endpoint) exportState() InheritedEndpoint {
+	return InheritedEndpoint{
+		ID:                  ep.ID,
+		Ejected:             ep.outlier.ejected,
+		SlowStarting:        ep.slowStart.active,
+		EjectedAt:           ep.outlier.ejectedAt,
+		RecoveredAt:         ep.slowStart.recoveredAt,
+		LastSuccessAt:       ep.outlier.lastSuccessAt,
+		ConsecutiveFailures: ep.outlier.consecutiveFailures,
+		ConnectionLimit:     ep.connections.limit,
+		Tokens:              ep.slowStart.bucket.tokens,
+		TokensAt:            ep.slowStart.bucket.updatedAt,
+	}
+}
+
+// exportState returns the state of a counter.
+func (c *decayingCounter) exportState() DecayingCount {
+	return DecayingCount{Count: c.value, UpdatedAt: c.updatedAt, StartedAt: c.startedAt}
+}
+
+// restoreCounter returns the counter of an exported state.
+func restoreCounter(state DecayingCount) decayingCounter {
+	return decayingCounter{value: state.Count, updatedAt: state.UpdatedAt, startedAt: state.StartedAt}
+}
+
+// Translate returns the state with its times converted to another clock.
+func (state StateInherited) Translate(to func(instant.Time) instant.Time) StateInherited {
+	state.Endpoints = slices.Clone(state.Endpoints)
+	times := []*instant.Time{
+		&state.RetryAfterUntil, &state.BackoffUntil, &state.TokensAt, &state.FirstRejectionAt, &state.LastSuccessAt,
+		&state.Arrivals.UpdatedAt, &state.Arrivals.StartedAt, &state.Misses.UpdatedAt, &state.Misses.StartedAt,
+	}
+	for i := range state.Endpoints {
+		ep := &state.Endpoints[i]
+		times = append(times, &ep.EjectedAt, &ep.RecoveredAt, &ep.LastSuccessAt, &ep.TokensAt)
+	}
+	for _, at := range times {
+		*at = to(*at)
+	}
+	return state
 }
 
-// restoreInherited takes in what the process before has learned of a queue, but for endpoints that are no longer listed.
-func (d *Dispatcher) restoreInherited(l StateInherited) {
-	var q *queue
-	for _, e := range l.Endpoints {
-		ep := d.lookUpEndpoint(e.ID, true)
-		if ep == nil {
-			continue
+// restoreInherited takes over the state of a queue from the process that hands over, but for endpoints that
+// are no longer listed.
+func (d *Dispatcher) restoreInherited(state StateInherited) {
+	var restored *queue
+	for _, inherited := range state.Endpoints {
+		if ep := d.lookUpEndpoint(inherited.ID, true); ep != nil {
+			d.restoreEndpoint(ep, inherited)
+			restored = ep.queue
 		}
-		q = ep.queue
-		d.setEjected(ep, e.Ejected)
-		ep.slowStart.active, ep.outlier.ejectedAt, ep.slowStart.recoveredAt, ep.outlier.lastSuccessAt = e.SlowStarting, e.EjectedAt, e.RecoveredAt, e.LastSuccessAt
-		ep.outlier.consecutiveFailures, ep.connections.limit, ep.slowStart.bucket = e.ConsecutiveFailures, e.ConnectionLimit, tokenBucket{e.Tokens, e.TokensAt}
-		q.outageSuspected = q.outageSuspected || e.Ejected
 	}
-	if q == nil {
+	if restored != nil {
+		d.restoreQueue(restored, state)
+	}
+}
+
+// restoreEndpoint takes over the state of an endpoint.
+func (d *Dispatcher) restoreEndpoint(ep *endpoint, state InheritedEndpoint) {
+	d.setEjected(ep, state.Ejected)
+	ep.outlier.ejectedAt = state.EjectedAt
+	ep.outlier.lastSuccessAt = state.LastSuccessAt
+	ep.outlier.consecutiveFailures = state.ConsecutiveFailures
+	ep.slowStart.active = state.SlowStarting
+	ep.slowStart.recoveredAt = state.RecoveredAt
+	ep.slowStart.bucket.reset(state.Tokens, state.TokensAt)
+	ep.connections.limit = state.ConnectionLimit
+	ep.queue.outageSuspected = ep.queue.outageSuspected || state.Ejected
+}
+
+// restoreQueue takes over the state of a queue.
+func (d *Dispatcher) restoreQueue(q *queue, state StateInherited) {
+	q.circuit.retryAfterUntil = state.RetryAfterUntil
+	q.circuit.backoffUntil = state.BackoffUntil
+	q.circuit.consecutiveRejections = state.ConsecutiveRejections
+	q.circuit.firstRejectionAt = state.FirstRejectionAt
+	q.lastSuccessAt = state.LastSuccessAt
+	q.typicalConcurrency = state.Concurrency
+	q.limiter.rate = state.SendRate
+	q.limiter.bucket.reset(state.Tokens, state.TokensAt)
+	q.admission.arrivals = restoreCounter(state.Arrivals)
+	q.admission.misses = restoreCounter(state.Misses)
+	if len(state.ClassLatency) != len(q.latency.byClass) {
 		return
 	}
-	q.circuit.retryAfterUntil, q.circuit.backoffUntil, q.typicalConcurrency, q.circuit.consecutiveRejections, q.circuit.firstRejectionAt, q.lastSuccessAt = l.RetryAfterUntil, l.BackoffUntil, l.Concurrency, l.ConsecutiveRejections, l.FirstRejectionAt, l.LastSuccessAt
-	q.limiter.rate, q.limiter.bucket = l.SendRate, tokenBucket{l.Tokens, l.TokensAt}
-	q.admission.arrivals, q.admission.misses = decayingCounter{l.Arrivals.Count, l.Arrivals.UpdatedAt, l.Arrivals.StartedAt}, decayingCounter{l.Misses.Count, l.Misses.UpdatedAt, l.Misses.StartedAt}
-	if len(l.ClassLatency) == len(q.latency.byClass) {
-		q.latency = latencyEstimate{outcomes: l.Outcomes, mean: l.MeanLatency, byClass: slices.Clone(l.ClassLatency)}
-		if pool := d.latencyPrior(q.kind); pool.outcomes < l.Outcomes { // what others of the kind borrow
-			*pool = latencyEstimate{outcomes: l.Outcomes, mean: l.MeanLatency, byClass: slices.Clone(l.ClassLatency)}
-		}
+	q.latency = state.latencyEstimate()
+	if prior := d.latencyPrior(q.kind); prior.outcomes < state.Outcomes {
+		*prior = state.latencyEstimate()
+	}
+}
+
+// latencyEstimate returns the latencies of a state.
+func (state *StateInherited) latencyEstimate() latencyEstimate {
+	return latencyEstimate{
+		outcomes: state.Outcomes,
+		mean:     state.MeanLatency,
+		byClass:  slices.Clone(state.ClassLatency),
 	}
 }
 
-// restoreHealth takes over an endpoint's outage or ramp from an earlier process, so that a restart in the middle of
-// either does not send to a cold destination as to a warm one.
-func (d *Dispatcher) restoreHealth(e StateRestored) {
-	ramping := d.now.Sub(e.At) < d.settings.SlowStartWindow
-	ep := d.lookUpEndpoint(e.Endpoint, e.Ejected || ramping)
+// restoreHealth takes over an endpoint's ejection or slow start from an earlier process, so that a restart
+// during either doesn't overload the endpoint.
+func (d *Dispatcher) restoreHealth(restored StateRestored) {
+	slowStarting := d.now.Sub(restored.At) < d.settings.SlowStartWindow
+	ep := d.lookUpEndpoint(restored.Endpoint, restored.Ejected || slowStarting)
 	switch {
 	case ep == nil:
-	case e.Ejected:
+	case restored.Ejected:
 		d.eject(ep)
-	case ramping:
-		ep.slowStart.active, ep.slowStart.recoveredAt = true, e.At
+	case slowStarting:
+		ep.slowStart.active, ep.slowStart.recoveredAt = true, restored.At
 	}
 }
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// What the process before has out holds slots here too, and its end counts as that of an own call: one that failed
-// is sent again, one whose message is over only gives its slot back.
+// What the process before has out holds slots here too, and its end counts as that of an own call: one that
+// failed is sent again, one whose message is over only gives its slot back.
 func TestCallsOutAtAHandover(t *testing.T) {
 	s := plain()
 	s.Slots = 2
@@ -31,7 +31,8 @@
 	}
 }
 
-// What a dispatcher has learned is the next one's from the start, but for endpoints that are no longer listed.
+// What a dispatcher has learned is the next one's from the start, but for endpoints that are no longer
+// listed.
 func TestLearned(t *testing.T) {
 	s := plain()
 	s.Weights = WeightsNominal
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -3,7 +3,8 @@
 import "math"
 
 const (
-	// slowCallFactor is the multiple of the usual latency from which on a call shows that the own zone is overloaded.
+	// slowCallFactor is the multiple of the usual latency from which on a call shows that the own zone is
+	// overloaded.
 	slowCallFactor = 2.0
 	// spilloverIncrease is what a slow or rejected call adds to the share of calls that leave the zone. With
 	// spilloverDecrease, the share settles where one call in ten is slow.
@@ -16,8 +17,8 @@
 	maxZoneCredit = 2
 )
 
-// localityBalancer shares the calls of one queue between the relay's own zone and the others: calls stay in the own zone
-// while it has capacity. It belongs to one queue and is not safe for concurrent use.
+// localityBalancer shares the calls of one queue between the relay's own zone and the others: calls stay in
+// the own zone while it has capacity. It belongs to one queue and is not safe for concurrent use.
 type localityBalancer struct {
 	zoneShares  []float64       // share of the own zone's messages that each zone serves; nil for all at home
 	spillover   float64         // share of the calls that the own zone has no capacity for, as observed
@@ -43,8 +44,8 @@
 	return share
 }
 
-// recordCall counts a call to a zone: it gives all other zones that serve their shares of it, and takes it from the one that
-// gets it.
+// recordCall counts a call to a zone: it gives all other zones that serve their shares of it, and takes it
+// from the one that gets it.
 func (l *localityBalancer) recordCall(to, ownZone int, otherZones map[int]bool) {
 	if l.zoneCredits == nil {
 		l.zoneCredits = map[int]float64{}
@@ -57,7 +58,8 @@
 	}
 }
 
-// target is the zone that the next call should go to: the one with the most credit, of a call at least, or the own one.
+// target is the zone that the next call should go to: the one with the most credit, of a call at least, or
+// the own one.
 func (l *localityBalancer) target(ownZone int) int {
 	best := ownZone
 	if len(l.zoneCredits) == 0 {
@@ -71,9 +73,10 @@
 	return best
 }
 
-// spilloverShares is how zones share a destination: the share of each zone's messages (rows) that each zone (columns)
-// serves, by what arrives and the capacities. Each zone serves its own messages first; the rest goes to the others in
-// proportion to the capacity that they have left, and what nobody has capacity for stays.
+// spilloverShares is how zones share a destination: the share of each zone's messages (rows) that each zone
+// (columns) serves, by what arrives and the capacities. Each zone serves its own messages first; the rest
+// goes to the others in proportion to the capacity that they have left, and what nobody has capacity for
+// stays.
 func spilloverShares(demand, capacity []float64) [][]float64 {
 	free, totalFree, totalExcess := make([]float64, len(demand)), 0.0, 0.0
 	for zone := range demand {
@@ -96,18 +99,23 @@
 	return shares
 }
 
-// avoidsZone reports whether a message keeps out of an endpoint's zone since operators have evacuated it; but not one whose
-// idempotency key only that zone may have.
+// avoidsZone reports whether a message keeps out of an endpoint's zone since operators have evacuated it; but
+// not one whose idempotency key only that zone may have.
 func (d *Dispatcher) avoidsZone(ep *endpoint, m *message) bool {
-	return d.settings.Zones && d.evacuatedByOrder(ep) && !(m.class.KeysPerZone && m.firstPossibleExecution() != nil)
+	if !d.settings.Zones || m.class.KeysPerZone && m.firstPossibleExecution() != nil {
+		return false
+	}
+	return d.evacuatedByOrder(ep)
 }
 
-// evacuatedByOrder reports whether operators have evacuated an endpoint's zone and its destination is served elsewhere.
+// evacuatedByOrder reports whether operators have evacuated an endpoint's zone and its destination is served
+// elsewhere.
 func (d *Dispatcher) evacuatedByOrder(ep *endpoint) bool {
 	return d.zones.state(ep.Zone) == EvacuatedByOrder && d.servedElsewhere(ep)
 }
 
-// servedElsewhere reports whether a destination has an endpoint that serves in another zone that isn't evacuated by order.
+// servedElsewhere reports whether a destination has an endpoint that serves in another zone that isn't
+// evacuated by order.
 func (d *Dispatcher) servedElsewhere(ep *endpoint) bool {
 	for _, q := range ep.queue.destination.queues {
 		for _, other := range q.endpoints {
@@ -120,8 +128,8 @@
 	return false
 }
 
-// recordLocalLoad takes in what an outcome in the own zone says of its capacity. An endpoint in slow start says nothing: it is
-// slow for a while, whatever its capacity.
+// recordLocalLoad takes in what an outcome in the own zone says of its capacity. An endpoint in slow start
+// says nothing: it is slow for a while, whatever its capacity.
 func (d *Dispatcher) recordLocalLoad(ep *endpoint, ended AttemptEnded) {
 	if !d.settings.Zones || ep.Zone != d.settings.Zone || ep.slowStart.active {
 		return
--- a/policy/message.go
+++ b/policy/message.go
@@ -50,7 +50,8 @@
 	t.unfinished = append(t.unfinished, m)
 }
 
-// accept adds an arriving message, and returns it if it is up for admission. One that makes no sense is ignored.
+// accept adds an arriving message, and returns it if it is up for admission. One that makes no sense is
+// ignored.
 func (d *Dispatcher) accept(arrived Arrived) *message {
 	if arrived.Class < 0 || arrived.Class >= len(d.settings.Classes) || d.messages.byID[arrived.ID] != nil {
 		return nil
@@ -93,8 +94,8 @@
 	d.releaseKey(m)
 }
 
-// releaseKey removes a message that is done and has no attempt out, once its key is no longer blocked, and so lets the
-// next message of its key be sent.
+// releaseKey removes a message that is done and has no attempt out, once its key is no longer blocked, and so
+// lets the next message of its key be sent.
 func (d *Dispatcher) releaseKey(m *message) {
 	if !m.done || m.openAttempts > 0 {
 		return
--- a/policy/messages_capacity_bench_test.go
+++ b/policy/messages_capacity_bench_test.go
@@ -11,7 +11,8 @@
 // queuedMessages is how many messages the destinations have in the mean that queuedDispatcher gives.
 const queuedMessages = 10
 
-// queuedDispatcher is a dispatcher that has queued messages for destinations that told all callers to wait for a day.
+// queuedDispatcher is a dispatcher that has queued messages for destinations that told all callers to wait
+// for a day.
 func queuedDispatcher(b *testing.B, messages int) *Dispatcher {
 	b.Helper()
 	const day = 24 * time.Hour
@@ -44,8 +45,8 @@
 	return d
 }
 
-// BenchmarkQueuedMessages measures an empty batch with many messages queued, ten a destination: its time and its memory by
-// the message.
+// BenchmarkQueuedMessages measures an empty batch with many messages queued, ten a destination: its time and
+// its memory by the message.
 func BenchmarkQueuedMessages(b *testing.B) {
 	for _, messages := range []int{1_000, 10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(messages), func(b *testing.B) {
@@ -83,8 +84,8 @@
 	}
 }
 
-// BenchmarkListedState measures the state that is kept for all listed destinations where it is not kept on demand, as with
-// zones: its memory, and the time of the whole list.
+// BenchmarkListedState measures the state that is kept for all listed destinations where it is not kept on
+// demand, as with zones: its memory, and the time of the whole list.
 func BenchmarkListedState(b *testing.B) {
 	for _, destinations := range []int{10_000, 100_000, 490_000} {
 		b.Run(fmt.Sprint(destinations), func(b *testing.B) {
@@ -110,8 +111,8 @@
 	}
 }
 
-// BenchmarkUnevenArrivals measures the state in use at a relay with a multiple of the mean of 208 messages a second, for 490,000
-// destinations in turn or with sizes that follow Zipf's law, after six minutes of them.
+// BenchmarkUnevenArrivals measures the state in use at a relay with a multiple of the mean of 208 messages a
+// second, for 490,000 destinations in turn or with sizes that follow Zipf's law, after six minutes of them.
 func BenchmarkUnevenArrivals(b *testing.B) {
 	const destinations, mean, span = 490_000, 208, 6 * time.Minute
 	for _, factor := range []int{1, 3, 9} {
--- a/policy/ordered_keys.go
+++ b/policy/ordered_keys.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// orderedKeys lets the messages of ordered classes with the same key be sent one at a time, in the order of arrival. It
-// belongs to one dispatcher and is not safe for concurrent use.
+// orderedKeys lets the messages of ordered classes with the same key be sent one at a time, in the order of
+// arrival. It belongs to one dispatcher and is not safe for concurrent use.
 type orderedKeys struct {
 	waiting map[string][]*message // by key, the one that may be sent first
 	blocked []*message            // done, but an attempt of theirs may still run
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -12,8 +12,8 @@
 	seconds float64  // latency, as far as it matters for the message's class
 }
 
-// handleAttemptEnded takes in the end of an attempt: first what it says of the endpoint, then what becomes of the
-// message.
+// handleAttemptEnded takes in the end of an attempt: first what it says of the endpoint, then what becomes of
+// the message.
 func (d *Dispatcher) handleAttemptEnded(ended AttemptEnded) {
 	m, c := d.closeAttempt(ended)
 	if c == nil {
@@ -34,8 +34,9 @@
 	d.continueMessage(m, ended)
 }
 
-// closeAttempt marks an attempt as ended, and returns its message and its call, or nil if it is unknown or has ended
-// before. A call frees its slot with the last of its messages. One that was not started leaves no trace.
+// closeAttempt marks an attempt as ended, and returns its message and its call, or nil if it is unknown or
+// has ended before. A call frees its slot with the last of its messages. One that was not started leaves no
+// trace.
 func (d *Dispatcher) closeAttempt(ended AttemptEnded) (*message, *call) {
 	m := d.messages.byID[ended.ID]
 	if m == nil || ended.Attempt < 0 || ended.Attempt >= len(m.attempts) || !m.attempts[ended.Attempt].open {
@@ -57,7 +58,8 @@
 	return m, c
 }
 
-// handleRetryAfter keeps to a Retry-After, whatever became of the message, also with calls that are not written yet.
+// handleRetryAfter keeps to a Retry-After, whatever became of the message, also with calls that are not
+// written yet.
 func (d *Dispatcher) handleRetryAfter(q *queue, retryAfter time.Duration) {
 	q.circuit.extendRetryAfter(d.now, retryAfter)
 	for _, ep := range q.endpoints {
@@ -79,8 +81,8 @@
 	}
 }
 
-// continueMessage decides what becomes of a message after an attempt: it is complete, waits for another attempt, or ends
-// undelivered.
+// continueMessage decides what becomes of a message after an attempt: it is complete, waits for another
+// attempt, or ends undelivered.
 func (d *Dispatcher) continueMessage(m *message, ended AttemptEnded) {
 	switch {
 	case ended.Completed || ended.Outcome == OK:
@@ -99,8 +101,8 @@
 	}
 }
 
-// recordOutcome updates what is known of an endpoint and its queue. It goes by the call's own latency, since a relay that
-// was suspended learns late of the end.
+// recordOutcome updates what is known of an endpoint and its queue. It goes by the call's own latency, since
+// a relay that was suspended learns late of the end.
 func (d *Dispatcher) recordOutcome(o callOutcome) {
 	ep, queue := o.call.endpoint, o.call.endpoint.queue
 	d.slots.recordLateness(o.Outcome, o.call.sentAt.Add(o.Latency) >= d.overdueAt(o.call, stalledFactor))
@@ -146,8 +148,8 @@
 	}
 }
 
-// recordConnectError takes in that an endpoint did not accept a connection. If calls that were sent later succeed there,
-// it has no more connections to give; else it is down.
+// recordConnectError takes in that an endpoint did not accept a connection. If calls that were sent later
+// succeed there, it has no more connections to give; else it is down.
 func (d *Dispatcher) recordConnectError(ep *endpoint, c *call) {
 	if d.settings.Gossip && ep.connections.recordError(d.now) &&
 		d.random.Float64()*float64(d.settings.FleetSize) < connectErrorReporters {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// ejectionThreshold is the number of consecutive failures that ejects an endpoint: single errors are ordinary.
+	// ejectionThreshold is the number of consecutive failures that ejects an endpoint: single errors are
+	// ordinary.
 	ejectionThreshold = 2
-	// errorResponseWeight is what an error response or a broken connection adds to the consecutive failures: a process
-	// is alive there, so it counts half.
+	// errorResponseWeight is what an error response or a broken connection adds to the consecutive failures:
+	// a process is alive there, so it counts half.
 	errorResponseWeight = 0.5
-	// maxUnhealthyCalls is the number of calls out at once to an ejected or unresponsive endpoint: one that may be
-	// stalled and one that probes.
+	// maxUnhealthyCalls is the number of calls out at once to an ejected or unresponsive endpoint: one that
+	// may be stalled and one that probes.
 	maxUnhealthyCalls = 2
 )
 
-// outlierDetector follows the health of one endpoint: consecutive failures eject it, as in Envoy's outlier detection, and
-// a success ends that. It belongs to one endpoint and is not safe for concurrent use.
+// outlierDetector follows the health of one endpoint: consecutive failures eject it, as in Envoy's outlier
+// detection, and a success ends that. It belongs to one endpoint and is not safe for concurrent use.
 type outlierDetector struct {
 	consecutiveFailures float64   // error responses count errorResponseWeight
 	classFailures       []float64 // consecutive failures by class, for the choice of endpoints
@@ -41,8 +42,8 @@
 	return outlierDetector{classFailures: make([]float64, classes)}
 }
 
-// countFailure counts a failed call with a weight, and reports whether it says anything new of the endpoint: not if
-// it was sent before the last success.
+// countFailure counts a failed call with a weight, and reports whether it says anything new of the endpoint:
+// not if it was sent before the last success.
 func (o *outlierDetector) countFailure(now instant.Time, failed *call, weight float64) (counts bool) {
 	for _, m := range failed.messages {
 		o.classFailures[m.Class] += weight / float64(len(failed.messages))
@@ -66,8 +67,8 @@
 	return probes
 }
 
-// recordSuccess takes in a successful call: an ejected endpoint starts its slow start. Where the destination reports
-// little remaining capacity, the send rate's quiet time starts anew.
+// recordSuccess takes in a successful call: an ejected endpoint starts its slow start. Where the destination
+// reports little remaining capacity, the send rate's quiet time starts anew.
 func (d *Dispatcher) recordSuccess(ep *endpoint, capacityRemains bool) {
 	queue := ep.queue
 	ep.outlier.consecutiveFailures, ep.outlier.lastSuccessAt, queue.lastSuccessAt = 0, d.now, d.now
@@ -90,8 +91,8 @@
 	}
 }
 
-// recordFailure takes in a failed call, and ejects its endpoint after ejectionThreshold of them. A relay with a low rate
-// may not wait for that many.
+// recordFailure takes in a failed call, and ejects its endpoint after ejectionThreshold of them. A relay with
+// a low rate may not wait for that many.
 func (d *Dispatcher) recordFailure(ep *endpoint, failed *call, weight float64) {
 	if !ep.outlier.countFailure(d.now, failed, weight) {
 		return
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -54,8 +54,8 @@
 	expect(t, "others do not", d.Handle(moment(5*ms), []Event{arrive("o", 1)}), "o>a")
 }
 
-// TestOutageOfAllClassesEndsForAll guards against failures of an outage that are held against an endpoint for good, in
-// the classes that happened to meet it.
+// TestOutageOfAllClassesEndsForAll guards against failures of an outage that are held against an endpoint for
+// good, in the classes that happened to meet it.
 func TestOutageOfAllClassesEndsForAll(t *testing.T) {
 	s := plain()
 	s.SlowStartWindow = time.Second
--- a/policy/peer_report.go
+++ b/policy/peer_report.go
@@ -2,7 +2,8 @@
 
 import "milletsail/internal/instant"
 
-// peerReport is what other relays report of an endpoint or a destination, with the times by this relay's clock.
+// peerReport is what other relays report of an endpoint or a destination, with the times by this relay's
+// clock.
 type peerReport struct {
 	observers  int
 	rank       int          // this relay's turn to probe, from 0
@@ -14,8 +15,8 @@
 // valid reports whether there is a report that may still be used.
 func (r peerReport) valid(now instant.Time) bool { return r.observers > 0 && now < r.validUntil }
 
-// handlePeerSuspected takes in what other relays report. This relay's own observations take precedence if they are younger
-// than the first of the others.
+// handlePeerSuspected takes in what other relays report. This relay's own observations take precedence if
+// they are younger than the first of the others.
 func (d *Dispatcher) handlePeerSuspected(suspected PeerSuspected) {
 	report := peerReport{
 		observers:  suspected.Observers,
@@ -39,8 +40,8 @@
 	}
 }
 
-// applyDestinationReport ejects the endpoints of a destination that enough relays have found to reject everything for
-// circuitOpenAfter.
+// applyDestinationReport ejects the endpoints of a destination that enough relays have found to reject
+// everything for circuitOpenAfter.
 func (d *Dispatcher) applyDestinationReport(q *queue, report peerReport) {
 	q.peerReport = report
 	lasting := d.now.Sub(report.oldestAt) > circuitOpenAfter
@@ -54,8 +55,9 @@
 	}
 }
 
-// handleGossip takes in a message of another relay: a rejection counts like an own one, but not for health; an ejected
-// endpoint may have recovered, or one may not have accepted a connection; or a canary has had an outcome.
+// handleGossip takes in a message of another relay: a rejection counts like an own one, but not for health;
+// an ejected endpoint may have recovered, or one may not have accepted a connection; or a canary has had an
+// outcome.
 func (d *Dispatcher) handleGossip(message []byte) {
 	d.lastGossipAt = d.now
 	recovered := d.endpoints[decodeEndpointMessage(endpointRecoveredType, message)]
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,10 +1,10 @@
-// Package policy decides what a relay does with its messages: which it admits, where and when it sends them, when it
-// retries, and when it gives up. It has no I/O, no clock and no goroutines: [Dispatcher.Handle] takes a batch of events
-// and returns actions. The interface (settings, events, actions) is in policy/api.go.
+// Package policy decides what a relay does with its messages: which it admits, where and when it sends them,
+// when it retries, and when it gives up. It has no I/O, no clock and no goroutines: [Dispatcher.Handle] takes
+// a batch of events and returns actions. The interface (settings, events, actions) is in policy/api.go.
 //
-// Admission control is the core: Hyytiä's value-function bound for parallel first-come queues (admission.go). The other
-// files treat what that model leaves out, one concern each: outlier detection, circuit state, slow start, send rate,
-// scheduling, retries, canary analysis, zones and the exchange with other relays.
+// Admission control is the core: Hyytiä's value-function bound for parallel first-come queues (admission.go).
+// The other files treat what that model leaves out, one concern each: outlier detection, circuit state, slow
+// start, send rate, scheduling, retries, canary analysis, zones and the exchange with other relays.
 package policy
 
 import (
@@ -31,8 +31,8 @@
 	return d.actions
 }
 
-// handleListChanges takes in the changes of the endpoint list ahead of the other events: a Directory has them already, and
-// the rest of the batch has to meet the same list with one as without.
+// handleListChanges takes in the changes of the endpoint list ahead of the other events: a Directory has them
+// already, and the rest of the batch has to meet the same list with one as without.
 func (d *Dispatcher) handleListChanges(events []Event) {
 	for _, event := range events {
 		if updated, ok := event.(EndpointsUpdated); ok {
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// minObservers is the number of relays that have to report an endpoint as down, or a destination as rejecting,
-	// before that stands for own observations: one relay may have a faulty network of its own, and two may share it.
+	// minObservers is the number of relays that have to report an endpoint as down, or a destination as
+	// rejecting, before that stands for own observations: one relay may have a faulty network of its own, and
+	// two may share it.
 	minObservers = 3
-	// probeInterval is the time between two probes of the whole fleet, and between the turns of two relays: half the
-	// window in which receivers commonly count calls.
+	// probeInterval is the time between two probes of the whole fleet, and between the turns of two relays:
+	// half the window in which receivers commonly count calls.
 	probeInterval = rateWindow / 2
 )
 
-// singleProber reports whether several relays were rejected by a destination and this one has not been served since. It
-// isn't known to be down yet, but the calls of one relay at a time find out as well as those of all.
+// singleProber reports whether several relays were rejected by a destination and this one has not been served
+// since. It isn't known to be down yet, but the calls of one relay at a time find out as well as those of
+// all.
 func (d *Dispatcher) singleProber(q *queue) bool {
 	report := q.peerReport
 	return report.observers >= minObservers && d.now < report.validUntil && q.lastSuccessAt < report.oldestAt
 }
 
-// isProber reports whether a destination is down, or nearly known to be, and this relay is the next of the fleet to probe
-// it: regardless of its own send rate and pauses, since it probes for all.
+// isProber reports whether a destination is down, or nearly known to be, and this relay is the next of the
+// fleet to probe it: regardless of its own send rate and pauses, since it probes for all.
 func (d *Dispatcher) isProber(q *queue) bool {
 	if !q.allEjected() && !d.singleProber(q) || len(q.endpoints) == 0 {
 		return false
@@ -33,9 +35,9 @@
 	return turn > 0 && turn <= d.now.Add(probeInterval)
 }
 
-// probeTurn is when this relay may probe what the fleet reports as down, or 0 where it reports nothing: the first by rank
-// an interval after anyone's last probe; and if that relay has nothing to send, after each further interval twice as many
-// relays.
+// probeTurn is when this relay may probe what the fleet reports as down, or 0 where it reports nothing: the
+// first by rank an interval after anyone's last probe; and if that relay has nothing to send, after each
+// further interval twice as many relays.
 func (d *Dispatcher) probeTurn(ep *endpoint) instant.Time {
 	report := ep.peerReport
 	ofQueue := ep.queue.peerReport
@@ -53,8 +55,8 @@
 	return max(report.newestAt, ep.queue.probedAt).Add(time.Duration(intervals * float64(interval)))
 }
 
-// blockedUntil is until when a queue sends nothing. A Retry-After always binds, the relay's own pause not while it probes
-// for the fleet.
+// blockedUntil is until when a queue sends nothing. A Retry-After always binds, the relay's own pause not
+// while it probes for the fleet.
 func (d *Dispatcher) blockedUntil(q *queue) instant.Time {
 	if d.isProber(q) {
 		return q.circuit.retryAfterUntil
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -28,8 +28,9 @@
 	return n
 }
 
-// A destination counts as shut where several relays have met nothing but refusals, though this one has met none; not
-// where too few have, not before it would count as shut to one of them, and not against an own success since.
+// A destination counts as shut where several relays have met nothing but refusals, though this one has met
+// none; not where too few have, not before it would count as shut to one of them, and not against an own
+// success since.
 func TestShutByTheWordOfOthers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -67,8 +68,8 @@
 	}
 }
 
-// What the fleet finds bad is tried by one relay at a time: the first in rank, the others where that one does not, and
-// by their own budgets alone once the word is past its bound.
+// What the fleet finds bad is tried by one relay at a time: the first in rank, the others where that one does
+// not, and by their own budgets alone once the word is past its bound.
 func TestOneTries(t *testing.T) {
 	tried := func(rank int, until time.Duration) time.Duration {
 		d := large(t, 300, 60, "a")
@@ -96,7 +97,8 @@
 	}
 }
 
-// A relay that tried in vain does not try again before the next turn, whether it has heard of its own try or not.
+// A relay that tried in vain does not try again before the next turn, whether it has heard of its own try or
+// not.
 func TestTriesAreApart(t *testing.T) {
 	d := large(t, 300, 60, "a")
 	d.Handle(moment(10*time.Second), []Event{PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: time.Second, ValidFor: 10 * time.Second}})
@@ -125,8 +127,8 @@
 	}
 }
 
-// A relay that has just started begins with the fleet's pace, one that has learned its own does not; and no pace is
-// taken that is beyond what a relay comes to by itself.
+// A relay that has just started begins with the fleet's pace, one that has learned its own does not; and no
+// pace is taken that is beyond what a relay comes to by itself.
 func TestBeginsWithTheFleetsPace(t *testing.T) {
 	for _, c := range []struct{ told, want float64 }{{0.4, 0.4}, {0.01, minRateShare}, {50, probingRateShare}} {
 		d := large(t, 10, 100, "a")
@@ -144,8 +146,8 @@
 	}
 }
 
-// Over a fleet with uneven traffic, the parts of a cold destination's budget add up to no more than even ones do, and a
-// relay without the others' word takes an even one.
+// Over a fleet with uneven traffic, the parts of a cold destination's budget add up to no more than even ones
+// do, and a relay without the others' word takes an even one.
 func TestPartsAddUp(t *testing.T) {
 	sum, traffic := 0.0, []float64{0.2, 0.2, 0.5, 1, 1, 1.5, 2, 3, 3, 6}
 	mean := 0.0
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -12,13 +12,13 @@
 type destination struct {
 	number int
 	queues []*queue // routes, or the one shared queue; queues[0] also serves while nothing is listed
-	// idleElement is the destination's place in Dispatcher.idleDestinations, or nil.
+	// idleElement is the destination's place in stateStore.idle, or nil.
 	idleElement *list.Element
 	idleSince   instant.Time // when it was put there
 }
 
-// queue is one first-come queue of the paper: the messages that wait for a destination, or for one of its routes, and
-// what each mechanism knows of it.
+// queue is one first-come queue of the paper: the messages that wait for a destination, or for one of its
+// routes, and what each mechanism knows of it.
 type queue struct {
 	destination *destination
 	endpoints   []*endpoint
@@ -64,7 +64,8 @@
 	}
 }
 
-// deactivateIdle removes the queues without messages and calls from the active ones, and those of removed routes altogether.
+// deactivateIdle removes the queues without messages and calls from the active ones, and those of removed
+// routes altogether.
 func (d *Dispatcher) deactivateIdle() {
 	d.active = slices.DeleteFunc(d.active, func(q *queue) bool {
 		q.active = len(q.waiting) > 0 || len(q.calls) > 0
@@ -76,7 +77,8 @@
 	})
 }
 
-// removeUnusedQueue removes a queue without endpoints, messages and calls, unless it is its destination's only one.
+// removeUnusedQueue removes a queue without endpoints, messages and calls, unless it is its destination's
+// only one.
 func (d *Dispatcher) removeUnusedQueue(q *queue) {
 	if len(q.endpoints) > 0 || q.active || q.destination.queues[0] == q && len(q.destination.queues) == 1 {
 		return
@@ -85,8 +87,8 @@
 	d.removeQueue(q)
 }
 
-// removeQueue takes a queue out of the list of all queues, which keeps its order. Where state is kept on demand, many come
-// and go and the order has no meaning: there the last one takes its place.
+// removeQueue takes a queue out of the list of all queues, which keeps its order. Where state is kept on
+// demand, many come and go and the order has no meaning: there the last one takes its place.
 func (d *Dispatcher) removeQueue(q *queue) {
 	if d.onDemand() {
 		last := len(d.queues) - 1
--- a/policy/queueing_delay.go
+++ b/policy/queueing_delay.go
@@ -9,8 +9,8 @@
 // minRate bounds rates from below where something is divided by them, in calls a second.
 const minRate = 1e-9
 
-// concurrency is the number of calls of a queue that are out at once: in a pause or an outage, as many as there were
-// before.
+// concurrency is the number of calls of a queue that are out at once: in a pause or an outage, as many as
+// there were before.
 func (q *queue) concurrency(now instant.Time) float64 {
 	out := math.Max(1, float64(len(q.calls)))
 	if q.circuit.paused(now) || q.resourcesExhausted(now) || q.allEjected() {
@@ -31,15 +31,16 @@
 // callsFor is the number of calls that carry n messages of a queue.
 func (q *queue) callsFor(n int) float64 { return float64(n) / float64(q.maxBatch) }
 
-// queueingDelay is u, in seconds: the calls that carry the waiting messages × mean latency ÷ concurrency, and at least
-// what pauses, the send rate and slow start imply. It is zero while a slot is free and nothing waits.
+// queueingDelay is u, in seconds: the calls that carry the waiting messages × mean latency ÷ concurrency, and
+// at least what pauses, the send rate and slow start imply. It is zero while a slot is free and nothing
+// waits.
 func (d *Dispatcher) queueingDelay(q *queue) float64 {
 	byLatency := q.callsFor(len(q.waiting)) * d.currentLatency(q) / q.concurrency(d.now)
 	return math.Max(byLatency, d.timeToNextCall(q, len(q.waiting)))
 }
 
-// currentLatency is the mean latency of a queue, in seconds, with the ages of the calls out counted in, so that a hang
-// shows before any outcome.
+// currentLatency is the mean latency of a queue, in seconds, with the ages of the calls out counted in, so
+// that a hang shows before any outcome.
 func (d *Dispatcher) currentLatency(q *queue) float64 {
 	mean := q.latency.mean
 	for _, c := range q.calls {
@@ -50,8 +51,8 @@
 	return mean
 }
 
-// timeToNextCall is the time, in seconds, until a queue may send its next call with n messages ahead of it, as far as
-// pauses, send rate and health tell.
+// timeToNextCall is the time, in seconds, until a queue may send its next call with n messages ahead of it,
+// as far as pauses, send rate and health tell.
 func (d *Dispatcher) timeToNextCall(q *queue, n int) float64 {
 	delay := math.Max(0, (d.blockedUntil(q).Sub(d.now)).Seconds())
 	calls := q.callsFor(n)
@@ -71,8 +72,9 @@
 	return math.Max(delay, warmUp)
 }
 
-// timeThroughSlowStart is the time, in seconds, in which an endpoint that is ejected or warms up could get a number of
-// calls: until its next probe, and if that succeeds the others at the budget of an endpoint halfway through slow start.
+// timeThroughSlowStart is the time, in seconds, in which an endpoint that is ejected or warms up could get a
+// number of calls: until its next probe, and if that succeeds the others at the budget of an endpoint halfway
+// through slow start.
 func (d *Dispatcher) timeThroughSlowStart(ep *endpoint, calls float64) float64 {
 	recovered := d.timeSinceRecovery(ep)
 	firstCall := math.Max(0, 1-d.slowStartTokens(ep)) / math.Max(minRate, d.slowStartBudget(ep, recovered))
--- a/policy/queueing_delay_test.go
+++ b/policy/queueing_delay_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// A wait stops the calls that a backlog is worked off with, but they all come back after it: what is held is not
-// taken for work of one call after another.
+// A wait stops the calls that a backlog is worked off with, but they all come back after it: what is held is
+// not taken for work of one call after another.
 func TestBacklogInAWait(t *testing.T) {
 	s := plain()
 	s.Slots = 20
@@ -80,7 +80,8 @@
 	}
 }
 
-// TestBorrowedLatency guards against queues that know nothing: a lost first call would hold its slot to its end.
+// TestBorrowedLatency guards against queues that know nothing: a lost first call would hold its slot to its
+// end.
 func TestBorrowedLatency(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.Handle(0, []Event{arrive("m", 0)})
--- a/policy/rate_sharing.go
+++ b/policy/rate_sharing.go
@@ -8,9 +8,11 @@
 )
 
 const (
-	// publishIntervalPerRelay is the part that each relay of the fleet adds to the time between two published rates.
+	// publishIntervalPerRelay is the part that each relay of the fleet adds to the time between two published
+	// rates.
 	publishIntervalPerRelay = 100 * time.Millisecond
-	// minPublishInterval is the least time between two published rates: the interval of the heartbeats that carry them.
+	// minPublishInterval is the least time between two published rates: the interval of the heartbeats that
+	// carry them.
 	minPublishInterval = 5 * time.Second
 	// minTrafficShare is the least multiple of an even share that a relay takes for having little traffic.
 	minTrafficShare = 0.5
@@ -24,8 +26,8 @@
 	rateUntil instant.Time // until when it may be used
 }
 
-// arrivalRate is the rate of messages at another relay, in messages a second, and whether it is known. As it is known
-// from few relays, a standard error is added.
+// arrivalRate is the rate of messages at another relay, in messages a second, and whether it is known. As it
+// is known from few relays, a standard error is added.
 func (p *peerTraffic) arrivalRate(now instant.Time) (rate float64, known bool) {
 	if now >= p.rateUntil || p.rate.Reporters < minObservers {
 		return 0, false
@@ -39,8 +41,8 @@
 	nextQueue int // in Dispatcher.queues
 }
 
-// handlePeerRate takes in what other relays send a destination. A relay that has no experience with it starts with the
-// fleet's rate.
+// handlePeerRate takes in what other relays send a destination. A relay that has no experience with it starts
+// with the fleet's rate.
 func (d *Dispatcher) handlePeerRate(received PeerRateReceived) {
 	queue := d.sharedQueue(received.Destination, true)
 	if queue == nil {
@@ -66,8 +68,8 @@
 	return float64(d.settings.FleetSize)
 }
 
-// trafficShare is this relay's part of what the fleet may send a destination, by the traffic that it has for it, as a
-// multiple of an even share.
+// trafficShare is this relay's part of what the fleet may send a destination, by the traffic that it has for
+// it, as a multiple of an even share.
 func (d *Dispatcher) trafficShare(q *queue) float64 {
 	usual, known := q.peers.arrivalRate(d.now)
 	if !known {
--- a/policy/resource_backoff_test.go
+++ b/policy/resource_backoff_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A call that could not be begun uses up no attempt, whatever the class, opens no window, and is held against no endpoint;
-// its queue waits a moment, longer each time up to a bound, and is back at once when calls can be begun.
+// A call that could not be begun uses up no attempt, whatever the class, opens no window, and is held against
+// no endpoint; its queue waits a moment, longer each time up to a bound, and is back at once when calls can
+// be begun.
 func TestUnsentCalls(t *testing.T) {
 	for class := range 3 {
 		s := plain()
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -131,8 +131,8 @@
 	expect(t, "a third where two may be held", d.Handle(moment(time.Second), events), "refuse l m>b")
 }
 
-// While attempts leave no record, only what a later process may send again goes out; the rest waits, and goes once
-// they do.
+// While attempts leave no record, only what a later process may send again goes out; the rest waits, and goes
+// once they do.
 func TestUnrecorded(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{StorageChanged{Writable: false}})
@@ -150,8 +150,9 @@
 	}
 }
 
-// What a restart finds untried is tried: before what arrives afresh, and a told wait, be it that of a destination that
-// is shut and comes back cold, delays it without ending it while time is left, though nothing is known yet of latencies.
+// What a restart finds untried is tried: before what arrives afresh, and a told wait, be it that of a
+// destination that is shut and comes back cold, delays it without ending it while time is left, though
+// nothing is known yet of latencies.
 func TestUntriedIsTriedFirst(t *testing.T) {
 	for _, wait := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		s := plain()
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -10,7 +10,8 @@
 const (
 	// timeoutShare is the share of the time left after which an attempt of a retryable message times out.
 	timeoutShare = 1.0 / 3
-	// minTimeoutLatencies is the least timeout, in mean latencies, so that slow receivers don't time out for nothing.
+	// minTimeoutLatencies is the least timeout, in mean latencies, so that slow receivers don't time out for
+	// nothing.
 	minTimeoutLatencies = 8
 )
 
@@ -24,8 +25,9 @@
 	return nil
 }
 
-// idempotencyExpiry is when a destination that may have run a message may have dropped its idempotency key, or never where
-// that doesn't matter. It is two batch intervals early, since a decision's time is that of its batch.
+// idempotencyExpiry is when a destination that may have run a message may have dropped its idempotency key,
+// or never where that doesn't matter. It is two batch intervals early, since a decision's time is that of its
+// batch.
 func (d *Dispatcher) idempotencyExpiry(m *message) instant.Time {
 	if first := m.firstPossibleExecution(); first != nil && m.class.Effect == IdempotentWithKey {
 		return first.sentAt.Add(m.class.IdempotencyWindow).Add(-(2 * d.settings.BatchInterval))
@@ -69,8 +71,8 @@
 	return d.keys.allows(m)
 }
 
-// attemptTimeout is how long an attempt of a message waits for its answer, or 0 for as long as the message has: if it
-// can't be retried, a timeout would only fail it.
+// attemptTimeout is how long an attempt of a message waits for its answer, or 0 for as long as the message
+// has: if it can't be retried, a timeout would only fail it.
 func (d *Dispatcher) attemptTimeout(m *message, c *call) time.Duration {
 	left := m.expiresAt.Sub(d.now)
 	if m.class.Effect == NotIdempotent || len(m.attempts) >= d.settings.MaxAttempts {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -33,7 +33,8 @@
 	expect(t, "memory gone", got, "refuse m")
 }
 
-// A call that brings a message again has to be written while the receiver knows it: its connection may take long.
+// A call that brings a message again has to be written while the receiver knows it: its connection may take
+// long.
 func TestKeyedWrittenWithinItsMemory(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	within := func(actions []Action) time.Duration { return actions[0].(Send).WriteTimeout }
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -25,8 +25,9 @@
 	return best
 }
 
-// routeCost is the added cost of a message on a route, in the manner of rule (25) of the paper: the value lost by
-// lateness, the price of the zone, and the work left (priced so that a whole deadline of it costs one message).
+// routeCost is the added cost of a message on a route, in the manner of rule (25) of the paper: the value
+// lost by lateness, the price of the zone, and the work left (priced so that a whole deadline of it costs one
+// message).
 func (d *Dispatcher) routeCost(route *queue, m *message) float64 {
 	delay := d.queueingDelay(route) + math.Max(route.latency.byClass[m.Class], d.currentLatency(route))
 	timeLeft := m.expiresAt.Sub(d.now) - time.Duration(math.Min(delay, maxRoutingDelay)*float64(time.Second))
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -14,19 +14,20 @@
 type slotScheduler struct {
 	inUse    int
 	lastCall int // number of the last call
-	// unansweredShare is the moving average of the share of late calls (by stalledFactor) that had no success.
+	// unansweredShare is the moving average of the share of late calls (by stalledFactor) that had no
+	// success.
 	unansweredShare float64
 }
 
-// take takes a slot for the next call, and returns the call's number.
-func (s *slotScheduler) take() int {
+// acquire takes a slot for the next call, and returns the call's number.
+func (s *slotScheduler) acquire() int {
 	s.inUse++
 	s.lastCall++
 	return s.lastCall
 }
 
-// dispatch gives free slots in turn to the queues that can send: first those with the fewest calls out, and among these the
-// one whose message loses its value first.
+// dispatch gives free slots in turn to the queues that can send: first those with the fewest calls out, and
+// among these the one whose message loses its value first.
 func (d *Dispatcher) dispatch() {
 	for d.slots.inUse < d.settings.Slots && !d.stopping {
 		var best *queue
@@ -49,7 +50,8 @@
 	}
 }
 
-// valueDeadline is when the value of a message falls below minDeliveryValue. A message below that comes after all others.
+// valueDeadline is when the value of a message falls below minDeliveryValue. A message below that comes after
+// all others.
 func (d *Dispatcher) valueDeadline(m *message) instant.Time {
 	at := m.expiresAt.Add(-m.class.Deadline).Add(m.class.ageAt(minDeliveryValue))
 	if at < d.now {
@@ -88,7 +90,7 @@
 
 // startCall starts a call with a message and, where the kind of destination allows it, others of the queue.
 func (d *Dispatcher) startCall(q *queue, ep *endpoint, first *message) {
-	started := &call{endpoint: ep, number: d.slots.take(), sentAt: d.now}
+	started := &call{endpoint: ep, number: d.slots.acquire(), sentAt: d.now}
 	d.activate(q)
 	q.calls, ep.calls = append(q.calls, started), append(ep.calls, started)
 	ep.lastUsedAt = d.now
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// The end of one message's time ends the call for all: those that may run out of time before a usual call ends travel with
-// their like, and the others are not given up with them.
+// The end of one message's time ends the call for all: those that may run out of time before a usual call
+// ends travel with their like, and the others are not given up with them.
 func TestLittleTimeInACall(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	d.Handle(moment(ms), []Event{arrive("first", 0)})
--- a/policy/sendrate.go
+++ b/policy/sendrate.go
@@ -10,8 +10,8 @@
 const (
 	// rateDecreaseFactor is the multiplicative decrease of a send rate, at most once in rateWindow.
 	rateDecreaseFactor = 0.85
-	// minRateShare is the least that rejections leave of the even share: limits are lowered too, and rejected calls
-	// use them up.
+	// minRateShare is the least that rejections leave of the even share: limits are lowered too, and rejected
+	// calls use them up.
 	minRateShare = 0.15
 	// rateIncreaseGain is the increase of a send rate a second, for each second without a rejection (per s²).
 	rateIncreaseGain = 0.06
@@ -19,17 +19,19 @@
 	maxQuietTime = 5 * time.Second
 	// probingRateShare is the multiple of the even share beyond which a rate rises only while messages wait.
 	probingRateShare = 1.5
-	// minRemainingAllowance is the share of its allowance that a destination must report, where it sends load reports,
-	// for a send rate to rise.
+	// minRemainingAllowance is the share of its allowance that a destination must report, where it sends load
+	// reports, for a send rate to rise.
 	minRemainingAllowance = 0.5
-	// lowRateCalls is the even share, in calls a rateWindow, below which a relay meets a destination by chance only.
+	// lowRateCalls is the even share, in calls a rateWindow, below which a relay meets a destination by
+	// chance only.
 	lowRateCalls = 0.5
-	// rateWindow is the time whose calls may be sent at once: receivers count calls in windows of about this length.
+	// rateWindow is the time whose calls may be sent at once: receivers count calls in windows of about this
+	// length.
 	rateWindow = time.Second
 )
 
-// sendRateLimiter limits the calls of one queue: the rate falls by a factor with rejections and rises again while there
-// are none (AIMD). It belongs to one queue and is not safe for concurrent use.
+// sendRateLimiter limits the calls of one queue: the rate falls by a factor with rejections and rises again
+// while there are none (AIMD). It belongs to one queue and is not safe for concurrent use.
 type sendRateLimiter struct {
 	listedRate  float64 // calls a second that all relays may make; 0 for unknown
 	rate        float64 // calls a second of this relay; 0 for unlimited
@@ -63,8 +65,8 @@
 	l.rate, l.decreasedAt = math.Max(minRateShare*evenShare, decreased), now
 }
 
-// increase raises the rate, up to limit, for the time from a moment until now; quietSince is the end of the last pause
-// or decrease.
+// increase raises the rate, up to limit, for the time from a moment until now; quietSince is the end of the
+// last pause or decrease.
 func (l *sendRateLimiter) increase(now, from, quietSince instant.Time, limit float64) {
 	exponent := rateIncreaseGain * min(now.Sub(quietSince), maxQuietTime).Seconds() * now.Sub(from).Seconds()
 	l.rate = math.Min(l.rate*math.Exp(exponent), limit)
@@ -76,8 +78,8 @@
 	return q.limiter.refill(d.now)
 }
 
-// increaseRate raises the send rate of a queue for the time without a rejection here or at another relay. Its own
-// successes don't count: one relay of many has them too seldom.
+// increaseRate raises the send rate of a queue for the time without a rejection here or at another relay. Its
+// own successes don't count: one relay of many has them too seldom.
 func (d *Dispatcher) increaseRate(q *queue) {
 	limiter := &q.limiter
 	quietSince := max(limiter.decreasedAt, q.circuit.backoffUntil)
@@ -106,8 +108,8 @@
 // evenShare is this relay's even share of a queue's listed rate, in calls a second.
 func (d *Dispatcher) evenShare(q *queue) float64 { return q.limiter.listedRate / d.relayCount() }
 
-// hasLowRate reports whether the even share is so low that a second probe is more than this relay's part of what a
-// destination in slow start may get.
+// hasLowRate reports whether the even share is so low that a second probe is more than this relay's part of
+// what a destination in slow start may get.
 func (d *Dispatcher) hasLowRate(q *queue) bool {
 	return q.limiter.listedRate > 0 && d.evenShare(q)*rateWindow.Seconds() < lowRateCalls
 }
--- a/policy/sendrate_test.go
+++ b/policy/sendrate_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestPaceFollows guards against a pace that is cut by refusals and never comes back, one that rises although the
-// destination reports that its allowance is used up, and one that a limit far below the listed rate does not reach.
+// TestPaceFollows guards against a pace that is cut by refusals and never comes back, one that rises although
+// the destination reports that its allowance is used up, and one that a limit far below the listed rate does
+// not reach.
 func TestPaceFollows(t *testing.T) {
 	s := plain()
 	s.Weights, s.FleetSize = WeightsNominal, 4
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -9,15 +9,17 @@
 )
 
 const (
-	// unresponsiveFactor is the number of mean latencies without an outcome that makes an endpoint unresponsive.
+	// unresponsiveFactor is the number of mean latencies without an outcome that makes an endpoint
+	// unresponsive.
 	unresponsiveFactor = 6
-	// stalledFactor is the number of mean latencies after which a call may be canceled where its slot is wanted and
-	// late calls mostly remain unanswered.
+	// stalledFactor is the number of mean latencies after which a call may be canceled where its slot is
+	// wanted and late calls mostly remain unanswered.
 	stalledFactor = 3
-	// finalAttemptFactor multiplies these for a call whose message fails with it: a slot serves a message of the same
-	// value in each mean latency.
+	// finalAttemptFactor multiplies these for a call whose message fails with it: a slot serves a message of
+	// the same value in each mean latency.
 	finalAttemptFactor = 2
-	// unansweredThreshold is the share of late calls without a success above which they count as mostly unanswered.
+	// unansweredThreshold is the share of late calls without a success above which they count as mostly
+	// unanswered.
 	unansweredThreshold = 0.5
 )
 
@@ -42,11 +44,12 @@
 	}
 }
 
-// cancelStalledCalls cancels calls that are out far longer than usual, so that their messages can be sent again. It guards
-// against lost calls and answers, and against hangs that take all slots, whatever the cause. The price is the work of
-// a call that was merely slow: so it waits longer with each attempt, and cancels a call that no later one has overtaken
-// only where a slot is wanted. A call that may not be retried is canceled for a wanted slot alone, finalAttemptFactor
-// times as late: its message fails, but the slot serves others.
+// cancelStalledCalls cancels calls that are out far longer than usual, so that their messages can be sent
+// again. It guards against lost calls and answers, and against hangs that take all slots, whatever the cause.
+// The price is the work of a call that was merely slow: so it waits longer with each attempt, and cancels a
+// call that no later one has overtaken only where a slot is wanted. A call that may not be retried is
+// canceled for a wanted slot alone, finalAttemptFactor times as late: its message fails, but the slot serves
+// others.
 func (d *Dispatcher) cancelStalledCalls() {
 	if !d.settings.CanCancel {
 		return
@@ -67,8 +70,8 @@
 	}
 }
 
-// callStalled reports whether a call is to be canceled, and whether it may be retried and one that was sent later to the same
-// endpoint has succeeded.
+// callStalled reports whether a call is to be canceled, and whether it may be retried and one that was sent
+// later to the same endpoint has succeeded.
 func (d *Dispatcher) callStalled(c *call, slotWanted bool) (stalled, overtaken bool) {
 	retryable := d.callRetryable(c)
 	overtaken = retryable && c.endpoint.succeededCallAt > c.sentAt
@@ -80,8 +83,8 @@
 	return stalled, overtaken
 }
 
-// stalledCallFactor is the number of mean latencies after which a wanted slot is taken back: sooner where late calls mostly
-// had no success at all (loss, hangs) than where they had (slowness, heavy work).
+// stalledCallFactor is the number of mean latencies after which a wanted slot is taken back: sooner where
+// late calls mostly had no success at all (loss, hangs) than where they had (slowness, heavy work).
 func (d *Dispatcher) stalledCallFactor() float64 {
 	if d.slots.unansweredShare > unansweredThreshold {
 		return stalledFactor
@@ -89,8 +92,8 @@
 	return unresponsiveFactor
 }
 
-// overdueAt is when a call has been out for a multiple of its usual latency, which doubles with each attempt of its first
-// message, or never where the latency is unknown.
+// overdueAt is when a call has been out for a multiple of its usual latency, which doubles with each attempt
+// of its first message, or never where the latency is unknown.
 func (d *Dispatcher) overdueAt(c *call, factor float64) instant.Time {
 	latency := &c.endpoint.queue.latency
 	usual := math.Max(latency.mean, c.endpoint.lastLatency)
@@ -104,7 +107,8 @@
 	return c.sentAt.Add(time.Duration(factor * doubled * usual * float64(time.Second)))
 }
 
-// unresponsive reports whether an endpoint has a call out for far longer than usual and no success since it was sent.
+// unresponsive reports whether an endpoint has a call out for far longer than usual and no success since it
+// was sent.
 func (d *Dispatcher) unresponsive(ep *endpoint) bool {
 	if len(ep.calls) == 0 || ep.queue.latency.mean == 0 {
 		return false
--- a/policy/state_store_bench_test.go
+++ b/policy/state_store_bench_test.go
@@ -22,8 +22,8 @@
 	return no, err == nil && no < int(n)
 }
 
-// BenchmarkArrival measures a message, from its arrival to its success, at 208 messages a second: all for ten destinations, or
-// for all in turn, so that each loads state where there are many.
+// BenchmarkArrival measures a message, from its arrival to its success, at 208 messages a second: all for ten
+// destinations, or for all in turn, so that each loads state where there are many.
 func BenchmarkArrival(b *testing.B) {
 	tests := []struct{ listed, used int }{{1_000, 10}, {490_000, 10}, {1_000, 1_000}, {490_000, 490_000}}
 	for _, tt := range tests {
--- a/policy/state_store_rules_test.go
+++ b/policy/state_store_rules_test.go
@@ -33,8 +33,8 @@
 	return 0, false
 }
 
-// pause lets the traffic stop from time to time, and when nothing is out any more, the time pass in which the state of idle
-// destinations goes.
+// pause lets the traffic stop from time to time, and when nothing is out any more, the time pass in which the
+// state of idle destinations goes.
 func (w *world) pause() {
 	if !w.quiet {
 		w.quiet = w.r.Intn(60) == 0
@@ -53,7 +53,8 @@
 	w.now += longPause
 }
 
-// Neither loading state on demand nor dropping it breaks a rule: waits, what an outage leaves, and the order of keys.
+// Neither loading state on demand nor dropping it breaks a rule: waits, what an outage leaves, and the order
+// of keys.
 func TestRulesOnDemand(t *testing.T) {
 	for seed := range int64(150) {
 		r := rand.New(rand.NewSource(seed))
--- a/policy/state_store_test.go
+++ b/policy/state_store_test.go
@@ -93,7 +93,7 @@
 }
 
 func (d *Dispatcher) stateCounts() [4]int {
-	return [4]int{len(d.destinations), len(d.queues), len(d.endpoints), d.idleDestinations.Len()}
+	return [4]int{len(d.destinations), len(d.queues), len(d.endpoints), d.store.idle.Len()}
 }
 
 func TestStateIsBoundedByTraffic(t *testing.T) {
@@ -298,8 +298,8 @@
 			serve(t, d, now, listed-1)
 		})
 	}
-	// Maps and slices grow now and then, which is no work for destinations: one allocation for each ten would be a hundred
-	// with the smaller of the two states below.
+	// Maps and slices grow now and then, which is no work for destinations: one allocation for each ten would
+	// be a hundred with the smaller of the two states below.
 	const growth = 2
 	few, fewAllocations := work(1_000, 10)
 	for _, inState := range []int{1_000, 10_000} {
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -11,16 +11,16 @@
 	minFailingDestinations = 2
 	// zoneFailureThreshold is the share of a zone's endpoints of known health that must fail.
 	zoneFailureThreshold = 0.6
-	// maxOtherZonesFailureShare is the share of the other zones' endpoints that may fail: above it, the zone isn't the
-	// cause.
+	// maxOtherZonesFailureShare is the share of the other zones' endpoints that may fail: above it, the zone
+	// isn't the cause.
 	maxOtherZonesFailureShare = 0.25
 	// healthObservationWindow is the age up to which an outcome says something of an endpoint's health.
 	healthObservationWindow = 5 * time.Second
-	// panicThreshold is the share of the listed endpoints that may be evacuated at once: the rest could not carry more,
-	// and the observation is more likely to be wrong (the reason of Envoy's panic threshold).
+	// panicThreshold is the share of the listed endpoints that may be evacuated at once: the rest could not
+	// carry more, and the observation is more likely to be wrong (the reason of Envoy's panic threshold).
 	panicThreshold = 0.5
-	// initialRecoveryBackoff is the time before a zone whose recovery failed may recover again. It doubles with each
-	// further failure, up to the slow start window.
+	// initialRecoveryBackoff is the time before a zone whose recovery failed may recover again. It doubles
+	// with each further failure, up to the slow start window.
 	initialRecoveryBackoff = time.Second
 	// minIsolatingZones is the number of other zones that must all fail for this relay to count as isolated.
 	minIsolatingZones = 2
@@ -66,8 +66,8 @@
 	}
 }
 
-// recoverEvacuatedZones takes all evacuations back: if more than panicThreshold of the endpoints seem to fail, the
-// observation is more likely to be wrong.
+// recoverEvacuatedZones takes all evacuations back: if more than panicThreshold of the endpoints seem to
+// fail, the observation is more likely to be wrong.
 func (d *Dispatcher) recoverEvacuatedZones(surveys []zoneSurvey) {
 	for number := range surveys {
 		if d.zones.get(number).state == Evacuated {
@@ -76,8 +76,8 @@
 	}
 }
 
-// reachesOtherZone reports whether a zone that is neither the own nor the one that fails has answered a call that was sent
-// after the failures started: only then it isn't this relay that is isolated.
+// reachesOtherZone reports whether a zone that is neither the own nor the one that fails has answered a call
+// that was sent after the failures started: only then it isn't this relay that is isolated.
 func (d *Dispatcher) reachesOtherZone(number int, surveys []zoneSurvey) bool {
 	for other, survey := range surveys {
 		if other != number && other != d.settings.Zone && survey.lastAnsweredAt > d.zones.get(number).failingSince {
@@ -87,8 +87,8 @@
 	return false
 }
 
-// detectIsolation reports whether this relay is isolated: all zones but its own fail, of which there are two at least. Its
-// observations then count as second-hand, and it goes on with what it reaches.
+// detectIsolation reports whether this relay is isolated: all zones but its own fail, of which there are two
+// at least. Its observations then count as second-hand, and it goes on with what it reaches.
 func (d *Dispatcher) detectIsolation(surveys []zoneSurvey) bool {
 	others := 0
 	for number, survey := range surveys {
@@ -102,8 +102,8 @@
 	return others >= minIsolatingZones
 }
 
-// evacuate moves what has endpoints elsewhere out of a zone, and cancels calls there that are later than usual and may be
-// retried.
+// evacuate moves what has endpoints elsewhere out of a zone, and cancels calls there that are later than
+// usual and may be retried.
 func (d *Dispatcher) evacuate(number int, state ZoneState) {
 	d.setZoneState(number, state)
 	for _, ep := range d.endpointsInZone(number) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// startRecovery lets a zone serve again, with the slow start of endpoints that were ejected. Those that fail recover by probes
-// of their own.
+// startRecovery lets a zone serve again, with the slow start of endpoints that were ejected. Those that fail
+// recover by probes of their own.
 func (d *Dispatcher) startRecovery(number int) {
 	d.setZoneState(number, Recovering)
 	for _, ep := range d.endpointsInZone(number) {
@@ -132,8 +132,8 @@
 	}
 }
 
-// mayRecover reports whether an ejected endpoint that answers gets more than probes: not before its zone's backoff is over, and
-// one zone at a time. It starts the recovery of the zone.
+// mayRecover reports whether an ejected endpoint that answers gets more than probes: not before its zone's
+// backoff is over, and one zone at a time. It starts the recovery of the zone.
 func (d *Dispatcher) mayRecover(ep *endpoint) bool {
 	if d.zones.state(ep.Zone) != Evacuated {
 		return true
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// Over any zones, all of each zone's messages go somewhere, no zone gets more than it has room for beyond its own, what
-// has room stays at home, as much is served as can be, and the order of the zones does not matter.
+// Over any zones, all of each zone's messages go somewhere, no zone gets more than it has room for beyond its
+// own, what has room stays at home, as much is served as can be, and the order of the zones does not matter.
 func TestSpill(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rates := rapid.SliceOfN(rapid.Float64Range(0, 100), 2, 6)
@@ -68,7 +68,8 @@
 	})
 }
 
-// zoned is a relay of zone 0 and its world: destinations with an endpoint in each zone, and what answers there.
+// zoned is a relay of zone 0 and its world: destinations with an endpoint in each zone, and what answers
+// there.
 type zoned struct {
 	*testing.T
 	d     *Dispatcher
@@ -160,7 +161,8 @@
 	}
 }
 
-// What other relays of the zone send counts: where the zones together have less room here, a part goes elsewhere.
+// What other relays of the zone send counts: where the zones together have less room here, a part goes
+// elsewhere.
 func TestSpillsByWhatOthersSend(t *testing.T) {
 	z := newZoned(t, 3, 1, func(s *Settings) { s.Weights, s.FleetSize = WeightsNominal, 1 })
 	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "0-0", Weight: 300}, {ID: "0-1", Zone: 1, Weight: 300}, {ID: "0-2", Zone: 2, Weight: 300}}},
@@ -173,8 +175,8 @@
 	}
 }
 
-// A zone that fails as a whole is left at once, with endpoints that have not failed yet, and returned to after it is
-// back: one evacuation and one return, and the ramp's time to full use.
+// A zone that fails as a whole is left at once, with endpoints that have not failed yet, and returned to
+// after it is back: one evacuation and one return, and the ramp's time to full use.
 func TestZoneOut(t *testing.T) {
 	z := newZoned(t, 4, 8, func(s *Settings) { s.Zone = 3 })
 	down := false
@@ -234,7 +236,8 @@
 }
 
 // What is not a zone's failure is not taken for one: a bad destination, bad endpoints here and there, trouble
-// everywhere, refusals, slow calls, and the relay itself cut off from all zones but its own, when it accuses nobody.
+// everywhere, refusals, slow calls, and the relay itself cut off from all zones but its own, when it accuses
+// nobody.
 func TestNoFalseEvacuation(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -273,7 +276,8 @@
 	}
 }
 
-// More than half of the fleet's endpoints are not left by verdict: a zone with most of them is found out one by one.
+// More than half of the fleet's endpoints are not left by verdict: a zone with most of them is found out one
+// by one.
 func TestPanic(t *testing.T) {
 	s := plain()
 	s.Zones, s.Slots = true, 60
@@ -296,8 +300,8 @@
 	}
 }
 
-// An order has a zone left until its end, whatever its health, but for destinations that are nowhere else; it returns on
-// the ramp; and orders that make no sense are refused.
+// An order has a zone left until its end, whatever its health, but for destinations that are nowhere else; it
+// returns on the ramp; and orders that make no sense are refused.
 func TestZoneOrder(t *testing.T) {
 	z := newZoned(t, 3, 4, nil)
 	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "9-0", Destination: 9}}}})
--- a/policy/zone_table.go
+++ b/policy/zone_table.go
@@ -6,7 +6,8 @@
 	"milletsail/internal/instant"
 )
 
-// zoneTable holds the zones that endpoints are listed in. It belongs to one dispatcher and is not safe for concurrent use.
+// zoneTable holds the zones that endpoints are listed in. It belongs to one dispatcher and is not safe for
+// concurrent use.
 type zoneTable struct {
 	byNumber map[int]*zoneRecord
 	isolated bool // this relay gets no answer from any zone but its own
@@ -89,8 +90,8 @@
 	return all, d.zones.isolated
 }
 
-// Order evacuates a zone by an operator's order until a moment, or ends the order if until is 0. It returns an error for an
-// order that makes no sense. Handle has to be called after it.
+// Order evacuates a zone by an operator's order until a moment, or ends the order if until is 0. It returns
+// an error for an order that makes no sense. Handle has to be called after it.
 func (d *Dispatcher) Order(number int, until instant.Time) error {
 	surveys, _ := d.surveyZones()
 	if !d.settings.Zones || number < 0 || number >= len(surveys) || surveys[number].listed == 0 {
