--- a/policy/admission.go
+++ b/policy/admission.go
@@ -34,7 +34,10 @@
 
 // newAdmissionController returns a controller that counts since a moment.
 func newAdmissionController(since instant.Time) admissionController {
-	return admissionController{arrivals: decayingCounter{startedAt: since}, misses: decayingCounter{startedAt: since}}
+	return admissionController{
+		arrivals: decayingCounter{startedAt: since},
+		misses:   decayingCounter{startedAt: since},
+	}
 }
 
 // rates returns λ and r, in messages a second.
@@ -73,7 +76,8 @@
 	λ, r := queue.admission.rates(d.now)
 	queue.admission.recordVirtualArrival(d.now, timeLeft-latency, interval)
 	if λ*interval > 1 {
-		timeLeft = math.Min(timeLeft, d.overloadAgeLimit(arrived.class).Seconds()) // little time left need not be age
+		// The bound is on the age: little time left need not come from it.
+		timeLeft = math.Min(timeLeft, d.overloadAgeLimit(arrived.class).Seconds())
 	}
 	excess := delay + 2*latency - timeLeft
 	switch {
--- a/policy/api.go
+++ b/policy/api.go
@@ -130,9 +130,9 @@
 	Deadline          time.Duration // a message expires after this
 	PriorityWeight    float64       // full value of a message
 	LateValueShare    float64       // share of the value that is left at the deadline
-	ExponentialDecay  bool          // the value halves with each further LatencyObjective; else it falls linearly
+	ExponentialDecay  bool          // the value halves each further LatencyObjective; else it falls linearly
 	Effect            Effect
-	KeysPerZone       bool          // IdempotentWithKey: only endpoints of one zone share the idempotency keys
+	KeysPerZone       bool          // IdempotentWithKey: only endpoints of one zone share the keys
 	IdempotencyWindow time.Duration // IdempotentWithKey: how long a destination remembers a key
 	Ordered           bool          // messages with the same key are sent one at a time, in order
 }
@@ -149,7 +149,7 @@
 	Zone                  int // of this relay, as in Endpoint
 	Classes               []Class
 	Kinds                 []Kind
-	ZoneCost              []float64 // by zone: the cost of sending all messages by routes there, in mean priority weights
+	ZoneCost              []float64 // by zone: cost of sending all messages there, in mean priority weights
 	Slots                 int       // calls out at once
 	QueueCapacity         int       // unfinished messages, sent or not
 	MaxBatchBytes         int       // bytes in a call with several messages at most; 0 for any number
--- a/policy/canary_analysis.go
+++ b/policy/canary_analysis.go
@@ -118,7 +118,8 @@
 	if !d.settings.Gossip || d.random.Float64() >= reportedShare {
 		return
 	}
-	message := canaryMessage{endpoint: ep.ID, class: class, failed: failed, id: d.random.Uint64() % maxGossipNumber}
+	id := d.random.Uint64() % maxGossipNumber
+	message := canaryMessage{endpoint: ep.ID, class: class, failed: failed, id: id}
 	d.emit(Broadcast{Message: message.encode()})
 }
 
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -66,17 +66,17 @@
 
 // recordRejection takes in a rejection by the destination, and broadcasts what the other relays don't know of
 // it. A run of rejections ejects its endpoints.
-func (d *Dispatcher) recordRejection(q *queue, rejection limitMessage) {
-	down := q.circuit.countRejection(d.now, rejection.retryAfter)
-	probedForAll := d.isProber(q)
-	until := d.openCircuit(q, rejection)
-	unknownToOthers := probedForAll || until > q.circuit.announcedUntil.Add(initialBackoff)
-	if d.settings.Gossip && !q.separateRoute && unknownToOthers {
-		q.circuit.announcedUntil = until
+func (d *Dispatcher) recordRejection(queue *queue, rejection limitMessage) {
+	down := queue.circuit.countRejection(d.now, rejection.retryAfter)
+	probedForAll := d.isProber(queue)
+	until := d.openCircuit(queue, rejection)
+	unknownToOthers := probedForAll || until > queue.circuit.announcedUntil.Add(initialBackoff)
+	if d.settings.Gossip && !queue.separateRoute && unknownToOthers {
+		queue.circuit.announcedUntil = until
 		d.emit(Broadcast{Message: rejection.encode()})
 	}
-	if down || !d.settings.Gossip && d.probeBudgetSpent(q, q.circuit.consecutiveRejections) {
-		for _, ep := range q.endpoints {
+	if down || !d.settings.Gossip && d.probeBudgetSpent(queue, queue.circuit.consecutiveRejections) {
+		for _, ep := range queue.endpoints {
 			d.eject(ep)
 		}
 	}
@@ -85,8 +85,8 @@
 // openCircuit pauses a queue after a rejection here or at another relay, and returns the end of the pause.
 // All relays that learn of it stop together; they start again apart, each with a random part of a call saved
 // up.
-func (d *Dispatcher) openCircuit(q *queue, rejection limitMessage) (until instant.Time) {
-	circuit := &q.circuit
+func (d *Dispatcher) openCircuit(queue *queue, rejection limitMessage) (until instant.Time) {
+	circuit := &queue.circuit
 	circuit.rejectedCallAt = max(circuit.rejectedCallAt, d.now.Add(-rejection.callAge))
 	pause := rejection.retryAfter
 	if pause <= 0 {
@@ -96,13 +96,13 @@
 		pause = circuit.nextBackoff(d.now, d.random)
 	}
 	until = d.now.Add(min(pause, maxBackoff))
-	if q.limiter.mayDecrease(d.now) {
-		d.increaseRate(q)
-		q.limiter.decrease(d.now, d.evenShare(q))
+	if queue.limiter.mayDecrease(d.now) {
+		d.increaseRate(queue)
+		queue.limiter.decrease(d.now, d.evenShare(queue))
 	}
 	if until > circuit.backoffUntil {
 		circuit.backoffUntil = until
-		q.limiter.bucket.reset(d.random.Float64(), until)
+		queue.limiter.bucket.reset(d.random.Float64(), until)
 	}
 	return until
 }
@@ -126,9 +126,12 @@
 // capacity to relays that were not rejected. Half of the relays, by chance, may probe once more; but not
 // after a Retry-After, when all would, and not in an outage that began just after a success, which won't end
 // yet.
-func (d *Dispatcher) probeBudgetSpent(q *queue, n int) bool {
-	if !d.hasLowRate(q) || q.lastSuccessAt > 0 && d.now.Sub(q.lastSuccessAt) <= circuitOpenAfter {
+func (d *Dispatcher) probeBudgetSpent(queue *queue, n int) bool {
+	if !d.hasLowRate(queue) || queue.lastSuccessAt > 0 && d.now.Sub(queue.lastSuccessAt) <= circuitOpenAfter {
 		return false
 	}
-	return n >= ejectionThreshold || d.now < q.circuit.retryAfterUntil || d.random.Float64() < secondProbeProbability
+	if n >= ejectionThreshold || d.now < queue.circuit.retryAfterUntil {
+		return true
+	}
+	return d.random.Float64() < secondProbeProbability
 }
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -11,7 +11,8 @@
 	for _, ep := range q.endpoints {
 		// An ejected endpoint is probed with a message's first attempt, unless it is the only one.
 		retryAtEjected := ep.outlier.ejected && len(m.attempts) > 0 && len(q.endpoints) > 1
-		if retryAtEjected || d.canaryWithheld(ep) || !d.acceptsCall(ep) || d.avoidsZone(ep, m) || !d.retryAllowed(m, ep) {
+		if retryAtEjected || d.canaryWithheld(ep) || !d.acceptsCall(ep) ||
+			d.avoidsZone(ep, m) || !d.retryAllowed(m, ep) {
 			continue
 		}
 		if best == nil || d.preferred(m, zone, ep, best) {
--- a/policy/event.go
+++ b/policy/event.go
@@ -90,7 +90,7 @@
 		Destination       int
 		LiveRelays        int       // that share the traffic, this one included
 		Reporters         int       // relays that the report is from
-		RateShare         float64   // median of their send rates, as a multiple of an even share of the listed rate
+		RateShare         float64   // median of their send rates, in even shares of the listed rate
 		ArrivalRate       float64   // messages a second at one relay
 		ArrivalRateError  float64   // standard error of ArrivalRate
 		ArrivalRateByZone []float64 // messages a second that arrive in each zone, over its relays; or nil
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -74,7 +74,8 @@
 	case o.NoRoom:
 		return encodeEndpointMessage(connectErrorType, o.Endpoint)
 	}
-	return limitMessage{accepted: o.Open, destination: o.Destination, retryAfter: o.Wait, callAge: o.Age}.encode()
+	limit := limitMessage{accepted: o.Open, destination: o.Destination, retryAfter: o.Wait, callAge: o.Age}
+	return limit.encode()
 }
 
 // encode returns the type, and the numbers as varints with durations in milliseconds.
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -25,27 +25,27 @@
 }
 
 // resumeAttempt adds an attempt of an earlier process to a message.
-func (d *Dispatcher) resumeAttempt(m *message, prior PriorAttempt) {
+func (d *Dispatcher) resumeAttempt(resumed *message, prior PriorAttempt) {
 	ep := d.lookUpEndpoint(prior.Endpoint, true)
 	if ep == nil {
-		ep = d.unlistedEndpoint(prior.Endpoint, m.Destination)
+		ep = d.unlistedEndpoint(prior.Endpoint, resumed.Destination)
 	}
-	resumed := &call{endpoint: ep, sentAt: prior.SentAt}
+	priorCall := &call{endpoint: ep, sentAt: prior.SentAt}
 	if prior.InFlight {
-		resumed = d.adoptCall(ep, prior)
+		priorCall = d.adoptCall(ep, prior)
+		priorCall.openAttempts++
+		priorCall.size += resumed.Size
+		priorCall.messages = append(priorCall.messages, resumed)
 		resumed.openAttempts++
-		resumed.size += m.Size
-		resumed.messages = append(resumed.messages, m)
-		m.openAttempts++
 	}
-	m.attempts = append(m.attempts, attempt{
-		call:        resumed,
+	resumed.attempts = append(resumed.attempts, attempt{
+		call:        priorCall,
 		sentAt:      prior.SentAt,
 		open:        prior.InFlight,
 		notExecuted: prior.NotExecuted,
 	})
 	if !prior.NotExecuted {
-		m.keyBlockedUntil = max(m.keyBlockedUntil, d.now.Add(d.settings.OrderedKeyDelay))
+		resumed.keyBlockedUntil = max(resumed.keyBlockedUntil, d.now.Add(d.settings.OrderedKeyDelay))
 	}
 }
 
@@ -143,8 +143,10 @@
 func (state StateInherited) Translate(to func(instant.Time) instant.Time) StateInherited {
 	state.Endpoints = slices.Clone(state.Endpoints)
 	times := []*instant.Time{
-		&state.RetryAfterUntil, &state.BackoffUntil, &state.TokensAt, &state.FirstRejectionAt, &state.LastSuccessAt,
-		&state.Arrivals.UpdatedAt, &state.Arrivals.StartedAt, &state.Misses.UpdatedAt, &state.Misses.StartedAt,
+		&state.RetryAfterUntil, &state.BackoffUntil, &state.TokensAt,
+		&state.FirstRejectionAt, &state.LastSuccessAt,
+		&state.Arrivals.UpdatedAt, &state.Arrivals.StartedAt,
+		&state.Misses.UpdatedAt, &state.Misses.StartedAt,
 	}
 	for i := range state.Endpoints {
 		ep := &state.Endpoints[i]
@@ -185,22 +187,22 @@
 }
 
 // restoreQueue takes over the state of a queue.
-func (d *Dispatcher) restoreQueue(q *queue, state StateInherited) {
-	q.circuit.retryAfterUntil = state.RetryAfterUntil
-	q.circuit.backoffUntil = state.BackoffUntil
-	q.circuit.consecutiveRejections = state.ConsecutiveRejections
-	q.circuit.firstRejectionAt = state.FirstRejectionAt
-	q.lastSuccessAt = state.LastSuccessAt
-	q.typicalConcurrency = state.Concurrency
-	q.limiter.rate = state.SendRate
-	q.limiter.bucket.reset(state.Tokens, state.TokensAt)
-	q.admission.arrivals = restoreCounter(state.Arrivals)
-	q.admission.misses = restoreCounter(state.Misses)
-	if len(state.ClassLatency) != len(q.latency.byClass) {
+func (d *Dispatcher) restoreQueue(queue *queue, state StateInherited) {
+	queue.circuit.retryAfterUntil = state.RetryAfterUntil
+	queue.circuit.backoffUntil = state.BackoffUntil
+	queue.circuit.consecutiveRejections = state.ConsecutiveRejections
+	queue.circuit.firstRejectionAt = state.FirstRejectionAt
+	queue.lastSuccessAt = state.LastSuccessAt
+	queue.typicalConcurrency = state.Concurrency
+	queue.limiter.rate = state.SendRate
+	queue.limiter.bucket.reset(state.Tokens, state.TokensAt)
+	queue.admission.arrivals = restoreCounter(state.Arrivals)
+	queue.admission.misses = restoreCounter(state.Misses)
+	if len(state.ClassLatency) != len(queue.latency.byClass) {
 		return
 	}
-	q.latency = state.latencyEstimate()
-	if prior := d.latencyPrior(q.kind); prior.outcomes < state.Outcomes {
+	queue.latency = state.latencyEstimate()
+	if prior := d.latencyPrior(queue.kind); prior.outcomes < state.Outcomes {
 		*prior = state.latencyEstimate()
 	}
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -15,7 +15,7 @@
 // handleAttemptEnded takes in the end of an attempt: first what it says of the endpoint, then what becomes of
 // the message.
 func (d *Dispatcher) handleAttemptEnded(ended AttemptEnded) {
-	m, c := d.closeAttempt(ended)
+	sent, c := d.closeAttempt(ended)
 	if c == nil {
 		return
 	}
@@ -26,36 +26,37 @@
 	case ended.Outcome == NotStarted:
 		d.recordNotStarted(c)
 	case c.openAttempts == 0:
-		d.handleCallEnded(c, m, ended)
+		d.handleCallEnded(c, sent, ended)
 	}
 	if ended.Outcome == TimedOut || ended.Outcome == Reset || ended.Outcome == Canceled {
-		m.keyBlockedUntil = d.now.Add(d.settings.OrderedKeyDelay)
+		sent.keyBlockedUntil = d.now.Add(d.settings.OrderedKeyDelay)
 	}
-	d.continueMessage(m, ended)
+	d.continueMessage(sent, ended)
 }
 
 // closeAttempt marks an attempt as ended, and returns its message and its call, or nil if it is unknown or
 // has ended before. A call frees its slot with the last of its messages. One that was not started leaves no
 // trace.
 func (d *Dispatcher) closeAttempt(ended AttemptEnded) (*message, *call) {
-	m := d.messages.byID[ended.ID]
-	if m == nil || ended.Attempt < 0 || ended.Attempt >= len(m.attempts) || !m.attempts[ended.Attempt].open {
+	sent := d.messages.byID[ended.ID]
+	if sent == nil || ended.Attempt < 0 || ended.Attempt >= len(sent.attempts) || !sent.attempts[ended.Attempt].open {
 		return nil, nil
 	}
-	closed := &m.attempts[ended.Attempt]
+	closed := &sent.attempts[ended.Attempt]
 	c := closed.call
 	closed.open = false
 	closed.notExecuted = ended.Outcome.ProvesNotExecuted()
-	m.openAttempts--
-	if ended.Outcome == NotStarted && ended.Attempt == len(m.attempts)-1 { // its number goes to the next one
-		m.attempts = m.attempts[:ended.Attempt]
+	sent.openAttempts--
+	if ended.Outcome == NotStarted && ended.Attempt == len(sent.attempts)-1 { // its number goes to the next one
+		sent.attempts = sent.attempts[:ended.Attempt]
 	}
 	c.openAttempts--
 	if c.openAttempts == 0 {
 		d.slots.inUse--
-		c.endpoint.calls, c.endpoint.queue.calls = remove(c.endpoint.calls, c), remove(c.endpoint.queue.calls, c)
+		ep := c.endpoint
+		ep.calls, ep.queue.calls = remove(ep.calls, c), remove(ep.queue.calls, c)
 	}
-	return m, c
+	return sent, c
 }
 
 // handleRetryAfter keeps to a Retry-After, whatever became of the message, also with calls that are not
@@ -103,45 +104,46 @@
 
 // recordOutcome updates what is known of an endpoint and its queue. It goes by the call's own latency, since
 // a relay that was suspended learns late of the end.
-func (d *Dispatcher) recordOutcome(o callOutcome) {
-	ep, queue := o.call.endpoint, o.call.endpoint.queue
-	d.slots.recordLateness(o.Outcome, o.call.sentAt.Add(o.Latency) >= d.overdueAt(o.call, stalledFactor))
-	d.recordLocalLoad(ep, o.AttemptEnded)
-	usual := queue.latency.byClass[o.message.Class]
-	d.analyzeOutcome(ep, o.message, o.AttemptEnded, usual > 0 && o.seconds > stalledFactor*usual)
-	switch o.Outcome {
+func (d *Dispatcher) recordOutcome(outcome callOutcome) {
+	ep, queue := outcome.call.endpoint, outcome.call.endpoint.queue
+	d.slots.recordLateness(outcome.Outcome, outcome.call.sentAt.Add(outcome.Latency) >= d.overdueAt(outcome.call, stalledFactor))
+	d.recordLocalLoad(ep, outcome.AttemptEnded)
+	usual := queue.latency.byClass[outcome.message.Class]
+	d.analyzeOutcome(ep, outcome.message, outcome.AttemptEnded, usual > 0 && outcome.seconds > stalledFactor*usual)
+	switch outcome.Outcome {
 	case OK:
-		d.recordDelivery(o)
+		d.recordDelivery(outcome)
 	case Rejected:
-		d.recordRejection(queue, limitMessage{destination: queue.destination.number, retryAfter: o.RetryAfter,
-			callAge: d.now.Sub(o.call.sentAt)})
+		d.recordRejection(queue, limitMessage{destination: queue.destination.number, retryAfter: outcome.RetryAfter,
+			callAge: d.now.Sub(outcome.call.sentAt)})
 	case ConnectError:
-		d.recordConnectError(ep, o.call)
+		d.recordConnectError(ep, outcome.call)
 	case Failed, Reset:
-		d.recordFailure(ep, o.call, errorResponseWeight)
+		d.recordFailure(ep, outcome.call, errorResponseWeight)
 	case TimedOut, Canceled:
-		late := o.seconds > stalledFactor*queue.latency.mean
-		if late && (o.Outcome == TimedOut || o.call.canceled) {
-			d.recordFailure(ep, o.call, 1)
+		late := outcome.seconds > stalledFactor*queue.latency.mean
+		if late && (outcome.Outcome == TimedOut || outcome.call.canceled) {
+			d.recordFailure(ep, outcome.call, 1)
 		}
 	case NotSent, NotStarted:
 	}
 }
 
 // recordDelivery takes in a delivered call.
-func (d *Dispatcher) recordDelivery(o callOutcome) {
-	ep, queue, class, sentAt := o.call.endpoint, o.call.endpoint.queue, o.message.Class, o.call.sentAt
+func (d *Dispatcher) recordDelivery(outcome callOutcome) {
+	ep, queue, class, sentAt := outcome.call.endpoint, outcome.call.endpoint.queue, outcome.message.Class, outcome.call.sentAt
 	ep.connections.recordSuccess(d.now, sentAt)
-	ep.succeededCallAt, ep.lastLatency = max(ep.succeededCallAt, sentAt), o.seconds
-	queue.latency.record(class, o.seconds)
+	ep.succeededCallAt, ep.lastLatency = max(ep.succeededCallAt, sentAt), outcome.seconds
+	queue.latency.record(class, outcome.seconds)
 	queue.typicalConcurrency += latencyWeight * (float64(len(queue.calls)+1) - queue.typicalConcurrency)
-	d.latencyPrior(queue.kind).record(class, o.seconds)
+	d.latencyPrior(queue.kind).record(class, outcome.seconds)
 	ep.outlier.classFailures[class] = 0
 	if ep.outlier.ejected && sentAt < ep.outlier.ejectedAt && d.now < queue.circuit.retryAfterUntil {
 		return // sent before the destination asked for a pause: it says nothing of its recovery
 	}
-	d.recordSuccess(ep, o.LoadReport == nil || o.LoadReport.Remaining >= minRemainingAllowance)
-	accepted := limitMessage{accepted: true, destination: queue.destination.number, callAge: d.now.Sub(sentAt)}
+	d.recordSuccess(ep, outcome.LoadReport == nil || outcome.LoadReport.Remaining >= minRemainingAllowance)
+	callAge := d.now.Sub(sentAt)
+	accepted := limitMessage{accepted: true, destination: queue.destination.number, callAge: callAge}
 	if (d.closeCircuit(queue, accepted) || queue.peerReport.observers > 0) && d.settings.Gossip {
 		queue.peerReport = peerReport{}
 		d.emit(Broadcast{Message: accepted.encode()})
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -148,5 +148,10 @@
 
 // allEjected reports whether a queue has endpoints and all of them are ejected.
 func (q *queue) allEjected() bool {
-	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, func(ep *endpoint) bool { return !ep.outlier.ejected })
+	for _, ep := range q.endpoints {
+		if !ep.outlier.ejected {
+			return false
+		}
+	}
+	return len(q.endpoints) > 0
 }
--- a/policy/rate_sharing.go
+++ b/policy/rate_sharing.go
@@ -55,7 +55,8 @@
 	}
 	limiter := &queue.limiter
 	if queue.latency.outcomes == 0 && queue.circuit.rejectedCallAt == 0 && limiter.listedRate > 0 {
-		limiter.rate = d.evenShare(queue) * math.Min(probingRateShare, math.Max(minRateShare, received.RateShare))
+		share := math.Min(probingRateShare, math.Max(minRateShare, received.RateShare))
+		limiter.rate = d.evenShare(queue) * share
 		limiter.bucket.tokens = math.Min(limiter.bucket.tokens, limiter.burst())
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -53,7 +53,8 @@
 // callRetryable reports whether every message of a call may be sent again after it.
 func (d *Dispatcher) callRetryable(c *call) bool {
 	for _, m := range c.messages {
-		if m.class.Effect == NotIdempotent || !d.retryAllowed(m, nil) || len(m.attempts) >= d.settings.MaxAttempts {
+		exhausted := len(m.attempts) >= d.settings.MaxAttempts
+		if m.class.Effect == NotIdempotent || exhausted || !d.retryAllowed(m, nil) {
 			return false
 		}
 	}
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -89,25 +89,25 @@
 }
 
 // startCall starts a call with a message and, where the kind of destination allows it, others of the queue.
-func (d *Dispatcher) startCall(q *queue, ep *endpoint, first *message) {
+func (d *Dispatcher) startCall(queue *queue, ep *endpoint, first *message) {
 	started := &call{endpoint: ep, number: d.slots.acquire(), sentAt: d.now}
-	d.activate(q)
-	q.calls, ep.calls = append(q.calls, started), append(ep.calls, started)
+	d.activate(queue)
+	queue.calls, ep.calls = append(queue.calls, started), append(ep.calls, started)
 	ep.lastUsedAt = d.now
-	if q.limiter.rate > 0 {
-		q.limiter.bucket.tokens = math.Max(0, d.sendTokens(q)-1)
+	if queue.limiter.rate > 0 {
+		queue.limiter.bucket.tokens = math.Max(0, d.sendTokens(queue)-1)
 	}
 	if d.settings.Zones {
-		d.recordSpillover(q, ep)
+		d.recordSpillover(queue, ep)
 	}
 	if d.settings.CanaryAnalysis {
-		d.addCanaryCredit(q, ep)
+		d.addCanaryCredit(queue, ep)
 	}
 	if ep.limitedBySlowStart() {
 		ep.slowStart.bucket.tokens = math.Max(0, d.slowStartTokens(ep)-1)
 	}
-	if ep.outlier.ejected || d.singleProber(q) {
-		q.probedAt = d.now
+	if ep.outlier.ejected || d.singleProber(queue) {
+		queue.probedAt = d.now
 	}
 	d.startAttempt(first, started)
 	if !ep.outlier.ejected { // a probe carries one message
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -35,7 +35,8 @@
 	d.setEjected(ep, false)
 	ep.slowStart = slowStartState{active: true, recoveredAt: d.now, bucket: tokenBucket{tokens, d.now}}
 	ep.outlier.consecutiveFailures, ep.queue.outageSuspected = 0, false
-	clear(ep.outlier.classFailures) // they were the outage's: no message that failed there would be sent there again
+	// These failures were the outage's: with them, no message that failed there would be sent there again.
+	clear(ep.outlier.classFailures)
 	d.emit(PersistHealth{Endpoint: ep.ID, At: d.now, SecondHand: source == secondHand})
 }
 
@@ -82,7 +83,8 @@
 	if s.SlowStartWindow <= 0 {
 		return 1.0
 	}
-	return s.SlowStartInitialShare + (1-s.SlowStartInitialShare)*float64(sinceRecovery)/float64(s.SlowStartWindow)
+	initial := s.SlowStartInitialShare
+	return initial + (1-initial)*float64(sinceRecovery)/float64(s.SlowStartWindow)
 }
 
 // initialTokens is the part of a call that is saved up at the begin of a budget of less than a call a window.
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -79,8 +79,8 @@
 	if !retryable {
 		factor *= finalAttemptFactor
 	}
-	stalled = overtaken && d.now >= d.overdueAt(c, unresponsiveFactor) || slotWanted && d.now >= d.overdueAt(c, factor)
-	return stalled, overtaken
+	lost := overtaken && d.now >= d.overdueAt(c, unresponsiveFactor)
+	return lost || slotWanted && d.now >= d.overdueAt(c, factor), overtaken
 }
 
 // stalledCallFactor is the number of mean latencies after which a wanted slot is taken back: sooner where
--- a/policy/state_store.go
+++ b/policy/state_store.go
@@ -164,11 +164,11 @@
 
 // endpointStateNeeded reports whether the state of an endpoint without calls limits it.
 func (d *Dispatcher) endpointStateNeeded(ep *endpoint) bool {
-	warmingUp := ep.outlier.ejected || ep.slowStart.active && d.timeSinceRecovery(ep) < d.settings.SlowStartWindow
+	slowStarting := ep.slowStart.active && d.timeSinceRecovery(ep) < d.settings.SlowStartWindow
 	lastUsedAt := max(ep.lastUsedAt, ep.connections.fullAt)
 	connectionsLimited := ep.connections.full(d.now, d.settings.IdleConnTimeout) &&
 		d.now.Sub(lastUsedAt) < d.settings.IdleConnTimeout
 	paused := d.now < ep.resourceBackoff.until
 	suspected := ep.outlier.consecutiveFailures > 0 || ep.peerReport.valid(d.now)
-	return warmingUp || connectionsLimited || paused || suspected || ep.canary != nil
+	return ep.outlier.ejected || slowStarting || connectionsLimited || paused || suspected || ep.canary != nil
 }
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -36,8 +36,8 @@
 			d.addSendTimes(&next, q)
 		}
 	}
-	for _, m := range d.keys.blocked {
-		next.add(m.keyBlockedUntil)
+	for _, done := range d.keys.blocked {
+		next.add(done.keyBlockedUntil)
 	}
 	// A clock with coarser steps than ours may fire a little before the time: that timer is used up.
 	if next.at < never && (d.timer.dueAt < soonest || next.at < d.timer.dueAt) {
--- a/policy/value.go
+++ b/policy/value.go
@@ -13,7 +13,8 @@
 	case age > c.Deadline:
 		return 0
 	case c.ExponentialDecay && c.LatencyObjective > 0:
-		return math.Max(c.LateValueShare, math.Pow(0.5, float64(age-c.LatencyObjective)/float64(c.LatencyObjective)))
+		halvings := float64(age-c.LatencyObjective) / float64(c.LatencyObjective)
+		return math.Max(c.LateValueShare, math.Pow(0.5, halvings))
 	}
 	return 1 - (1-c.LateValueShare)*float64(age-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective)
 }
@@ -26,5 +27,6 @@
 	case c.ExponentialDecay:
 		return min(c.Deadline, c.LatencyObjective-time.Duration(math.Log2(share)*float64(c.LatencyObjective)))
 	}
-	return c.LatencyObjective + time.Duration((1-share)/(1-c.LateValueShare)*float64(c.Deadline-c.LatencyObjective))
+	declining := float64(c.Deadline - c.LatencyObjective)
+	return c.LatencyObjective + time.Duration((1-share)/(1-c.LateValueShare)*declining)
 }
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -44,10 +44,11 @@
 	for number, survey := range surveys {
 		record := d.zones.get(number)
 		fails := survey.failsAlone(surveys) && d.reachesOtherZone(number, surveys)
+		tooMany := float64(evacuated+survey.listed) > panicThreshold*float64(listed)
 		switch {
 		case record.state == EvacuatedByOrder && d.now >= record.deadline:
 			d.startRecovery(number)
-		case fails && record.state == Serving && float64(evacuated+survey.listed) > panicThreshold*float64(listed):
+		case fails && record.state == Serving && tooMany:
 			d.recoverEvacuatedZones(surveys)
 			return
 		case fails && record.state == Serving:
@@ -80,7 +81,8 @@
 // that was sent after the failures started: only then it isn't this relay that is isolated.
 func (d *Dispatcher) reachesOtherZone(number int, surveys []zoneSurvey) bool {
 	for other, survey := range surveys {
-		if other != number && other != d.settings.Zone && survey.lastAnsweredAt > d.zones.get(number).failingSince {
+		bystander := other != number && other != d.settings.Zone
+		if bystander && survey.lastAnsweredAt > d.zones.get(number).failingSince {
 			return true
 		}
 	}
