--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -9,7 +9,7 @@
 )
 
 // Messages for destinations that are out leave a part of the holding room to those for others.
-func TestRoomBesideAnOutage(t *testing.T) {
+func TestCapacityBesideAnOutage(t *testing.T) {
 	s := plain()
 	s.QueueCapacity = 8
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
@@ -26,11 +26,11 @@
 	expect(t, "the last quarter is for the other", all, "refuse 6 refuse 7 refuse 8 other>d")
 }
 
-func TestRefusing(t *testing.T) {
+func TestDelayBound(t *testing.T) {
 	tests := []struct {
-		name         string
-		u, x, τ, net float64
-		held, want   bool
+		name          string
+		u, x, τ, net  float64
+		waiting, want bool
 	}{
 		{"u exactly τ", 2, 0.1, 2, 0, true, false},
 		{"u above τ", 2.01, 0.1, 2, 0, false, true},
@@ -44,7 +44,7 @@
 		{"held, but u is 0", 0, 9, 2, 2, true, false},
 	}
 	for _, tt := range tests {
-		if got := exceedsDelayBound(tt.u, tt.x, tt.τ, tt.net, tt.held); got != tt.want {
+		if got := exceedsDelayBound(tt.u, tt.x, tt.τ, tt.net, tt.waiting); got != tt.want {
 			t.Errorf("%s: got %v", tt.name, got)
 		}
 	}
@@ -95,8 +95,8 @@
 	tests := []struct {
 		class    int
 		overload bool
-		held     int // at half a second each
-		refused  bool
+		waiting  int // at half a second each
+		rejected bool
 	}{
 		{0, false, 8, false}, {0, true, 3, false}, {0, true, 5, true},
 		{1, false, 20, false}, {1, true, 3, false}, {1, true, 5, true}, // class 0 is worth more
@@ -106,7 +106,7 @@
 		d := start(t, s, Endpoint{ID: "a"})
 		q := d.queues[0]
 		q.latency.mean = 0.5
-		for range tt.held {
+		for range tt.waiting {
 			q.waiting = append(q.waiting, &message{class: &s.Classes[1], expiresAt: moment(time.Hour), queue: q})
 		}
 		if tt.overload {
@@ -117,26 +117,26 @@
 		d.messages.unfinished = append(d.messages.unfinished, m)
 		q.admission.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
 		d.admit(m)
-		if m.done != tt.refused {
-			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.held, m.done)
+		if m.done != tt.rejected {
+			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.waiting, m.done)
 		}
 	}
 }
 
-// TestRoom guards against one queue that fills the holding room.
-func TestRoom(t *testing.T) {
+// TestOverloaded guards against one queue that fills the holding room.
+func TestOverloaded(t *testing.T) {
 	s := plain()
 	s.QueueCapacity = 20
 	d := start(t, s, Endpoint{ID: "b", Destination: 1}) // nothing is listed for destination 0
-	refused := 0
+	rejected := 0
 	for i := range 20 {
 		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), TimeLeft: 10 * time.Second}})
-		if strings.HasPrefix(said(got), "refuse") {
-			refused++
+		if strings.HasPrefix(summary(got), "refuse") {
+			rejected++
 		}
 	}
-	if refused != 5 {
-		t.Errorf("%d of 20 refused, want those past three quarters of the room", refused)
+	if rejected != 5 {
+		t.Errorf("%d of 20 refused, want those past three quarters of the room", rejected)
 	}
 	expect(t, "another destination", d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}}), "n>b")
 }
--- a/policy/canary_test.go
+++ b/policy/canary_test.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// proving is a fleet of relays in virtual time whose destination has two older endpoints and new ones. Notes
+// canaryFleet is a fleet of relays in virtual time whose destination has two older endpoints and new ones. Notes
 // are carried to all others, but those that lose drops.
-type proving struct {
+type canaryFleet struct {
 	*testing.T
-	relays []*Dispatcher
-	now    time.Duration
-	n      int
-	out    [][]due
-	sent   map[string]int
-	fails  func(ep string, class int) Outcome
-	took   func(ep string) time.Duration
-	lose   func() bool
-	held   map[string]int // relays that held an endpoint back
-	rng    *rand.Rand
+	relays    []*Dispatcher
+	now       time.Duration
+	n         int
+	out       [][]due
+	sent      map[string]int
+	fails     func(ep string, class int) Outcome
+	took      func(ep string) time.Duration
+	lose      func() bool
+	suspended map[string]int // relays that held an endpoint back
+	rng       *rand.Rand
 }
 
-func newProving(t *testing.T, relays int, change func(*Settings)) *proving {
-	p := &proving{T: t, sent: map[string]int{}, held: map[string]int{}, rng: rand.New(rand.NewPCG(2, 2)), now: time.Second,
+func newCanaryFleet(t *testing.T, relays int, change func(*Settings)) *canaryFleet {
+	p := &canaryFleet{T: t, sent: map[string]int{}, suspended: map[string]int{}, rng: rand.New(rand.NewPCG(2, 2)), now: time.Second,
 		fails: func(string, int) Outcome { return OK }, took: func(string) time.Duration { return 30 * ms }, lose: func() bool { return false }}
 	for no := range relays {
 		s := plain()
@@ -43,13 +43,13 @@
 }
 
 // list tells all relays of endpoints.
-func (p *proving) list(eps ...Endpoint) {
+func (p *canaryFleet) list(eps ...Endpoint) {
 	for no := range p.relays {
 		p.handle(no, EndpointsUpdated{Endpoints: eps})
 	}
 }
 
-func (p *proving) handle(no int, events ...Event) {
+func (p *canaryFleet) handle(no int, events ...Event) {
 	for _, a := range p.relays[no].Handle(moment(p.now), events) {
 		switch a := a.(type) {
 		case Send:
@@ -66,29 +66,29 @@
 			}
 		case CanaryStageChanged:
 			if a.SuspendedUntil > moment(p.now) {
-				p.held[a.Endpoint]++
+				p.suspended[a.Endpoint]++
 			}
 		}
 	}
 }
 
 // run has each relay get rate messages a second, one in five of them of the second class.
-func (p *proving) run(until time.Duration, rate float64) {
+func (p *canaryFleet) run(until time.Duration, rate float64) {
 	for ; p.now < until; p.now += 10 * ms {
 		for no := range p.relays {
 			var events []Event
-			rest := p.out[no][:0:0]
+			remainder := p.out[no][:0:0]
 			for _, x := range p.out[no] {
 				switch {
 				case x.at > p.now:
-					rest = append(rest, x)
+					remainder = append(remainder, x)
 				case x.e.ID == "":
 					events = append(events, GossipReceived{Message: []byte(x.e.Endpoint)})
 				default:
 					events = append(events, x.e)
 				}
 			}
-			p.out[no] = rest
+			p.out[no] = remainder
 			if p.rng.Float64() < rate*0.01 {
 				p.n++
 				class := 0
@@ -103,7 +103,7 @@
 }
 
 // share is an endpoint's share of the calls of a span.
-func (p *proving) share(ep string, until time.Duration, rate float64) float64 {
+func (p *canaryFleet) share(ep string, until time.Duration, rate float64) float64 {
 	clear(p.sent)
 	p.run(until, rate)
 	all := 0
@@ -115,26 +115,26 @@
 
 // A version that fails is held back by nearly all relays with few of the calls; one that is as good comes to
 // its share.
-func TestNewcomers(t *testing.T) {
+func TestCanaries(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		fails   func(ep string, class int) Outcome
-		slow    bool
-		lose    float64
-		held    bool
-		served  float64 // share of the calls in the first 14 s, at most
-		through int     // relays that are through with it after 30 s, at least
+		name      string
+		fails     func(ep string, class int) Outcome
+		slow      bool
+		lose      float64
+		suspended bool
+		served    float64 // share of the calls in the first 14 s, at most
+		through   int     // relays that are through with it after 30 s, at least
 	}{
 		{name: "good", served: 1, through: 20},
 		{name: "good, half of the notes lost", served: 1, lose: 0.5, through: 20},
 		{name: "good beside errors of all", fails: func(string, int) Outcome { return Failed }, served: 1, through: 1},
-		{name: "bad", fails: func(ep string, _ int) Outcome { return map[bool]Outcome{true: Failed}[ep == "new"] }, held: true, served: 0.03},
-		{name: "bad, half of the notes lost", fails: func(ep string, _ int) Outcome { return map[bool]Outcome{true: Reset}[ep == "new"] }, lose: 0.5, held: true, served: 0.04},
-		{name: "bad for one class", fails: func(ep string, class int) Outcome { return map[bool]Outcome{true: Failed}[ep == "new" && class == 1] }, held: true, served: 0.15},
-		{name: "slow", slow: true, held: true, served: 0.03},
+		{name: "bad", fails: func(ep string, _ int) Outcome { return map[bool]Outcome{true: Failed}[ep == "new"] }, suspended: true, served: 0.03},
+		{name: "bad, half of the notes lost", fails: func(ep string, _ int) Outcome { return map[bool]Outcome{true: Reset}[ep == "new"] }, lose: 0.5, suspended: true, served: 0.04},
+		{name: "bad for one class", fails: func(ep string, class int) Outcome { return map[bool]Outcome{true: Failed}[ep == "new" && class == 1] }, suspended: true, served: 0.15},
+		{name: "slow", slow: true, suspended: true, served: 0.03},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newProving(t, 20, nil)
+			p := newCanaryFleet(t, 20, nil)
 			p.lose = func() bool { return p.rng.Float64() < c.lose }
 			if c.fails != nil {
 				p.fails = func(ep string, class int) Outcome {
@@ -158,10 +158,10 @@
 			if share > c.served {
 				t.Errorf("%.3f of the calls go there", share)
 			}
-			if held := p.held["new"]; c.held && held < 15 || !c.held && held > 0 {
-				t.Errorf("held back by %d of 20 relays", held)
+			if suspended := p.suspended["new"]; c.suspended && suspended < 15 || !c.suspended && suspended > 0 {
+				t.Errorf("held back by %d of 20 relays", suspended)
 			}
-			if !c.held {
+			if !c.suspended {
 				p.run(40*time.Second, 2)
 				through := 0
 				for _, d := range p.relays {
@@ -178,15 +178,15 @@
 }
 
 // What is new is never held to a share where no older endpoint serves beside it, nor where it is off.
-func TestNewcomersAlone(t *testing.T) {
-	for name, change := range map[string]func(*proving) []Endpoint{
-		"all are new": func(p *proving) []Endpoint {
+func TestCanariesWithoutBaseline(t *testing.T) {
+	for name, change := range map[string]func(*canaryFleet) []Endpoint{
+		"all are new": func(p *canaryFleet) []Endpoint {
 			return []Endpoint{{ID: "old-a", Removed: true}, {ID: "old-b", Removed: true}, {ID: "new", StartedAt: moment(p.now)}}
 		},
-		"the older ones drain": func(p *proving) []Endpoint {
+		"the older ones drain": func(p *canaryFleet) []Endpoint {
 			return []Endpoint{{ID: "old-a", Draining: true}, {ID: "old-b", Draining: true}, {ID: "new", StartedAt: moment(p.now)}}
 		},
-		"the older ones are out": func(p *proving) []Endpoint {
+		"the older ones are out": func(p *canaryFleet) []Endpoint {
 			for _, d := range p.relays {
 				for _, ep := range d.endpoints {
 					d.eject(ep)
@@ -195,8 +195,10 @@
 			p.fails = func(ep string, _ int) Outcome { return map[bool]Outcome{true: ConnectError}[ep != "new"] }
 			return []Endpoint{{ID: "new", StartedAt: moment(p.now)}}
 		},
-		"long ago": func(p *proving) []Endpoint { return []Endpoint{{ID: "new", StartedAt: moment(p.now - 2*canaryMaxAge)}} },
-		"off": func(p *proving) []Endpoint {
+		"long ago": func(p *canaryFleet) []Endpoint {
+			return []Endpoint{{ID: "new", StartedAt: moment(p.now - 2*canaryMaxAge)}}
+		},
+		"off": func(p *canaryFleet) []Endpoint {
 			for _, d := range p.relays {
 				d.settings.CanaryAnalysis = false
 			}
@@ -204,7 +206,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newProving(t, 5, nil)
+			p := newCanaryFleet(t, 5, nil)
 			p.now = 5 * time.Minute
 			p.run(5*time.Minute+5*time.Second, 2)
 			p.list(change(p)...)
@@ -224,8 +226,8 @@
 // A hold ends by itself, and what follows begins small again; a copy of a note counts once; a relay whose own
 // calls fail everywhere speaks against nobody; notes that are cut off or name what is not there change
 // nothing.
-func TestNewcomersEvidence(t *testing.T) {
-	p := newProving(t, 1, nil)
+func TestCanaryEvidence(t *testing.T) {
+	p := newCanaryFleet(t, 1, nil)
 	p.run(3*time.Second, 5)
 	p.list(Endpoint{ID: "new", StartedAt: moment(p.now)})
 	d := p.relays[0]
@@ -237,8 +239,8 @@
 	if ep.canary.suspendedUntil > 0 || ep.canary.outcomes != 1 {
 		t.Errorf("ten copies of a note count %d times", ep.canary.outcomes)
 	}
-	for _, note := range [][]byte{bad[:1], bad[:2], {}, canaryMessage{"none", 0, true, 1}.encode(), canaryMessage{"new", 99, true, 1}.encode(), canaryMessage{"old-a", 0, true, 1}.encode()} {
-		p.handle(0, GossipReceived{Message: note})
+	for _, message := range [][]byte{bad[:1], bad[:2], {}, canaryMessage{"none", 0, true, 1}.encode(), canaryMessage{"new", 99, true, 1}.encode(), canaryMessage{"old-a", 0, true, 1}.encode()} {
+		p.handle(0, GossipReceived{Message: message})
 	}
 	if ep.canary.outcomes != 1 {
 		t.Errorf("%d outcomes after notes that say nothing", ep.canary.outcomes)
@@ -246,8 +248,8 @@
 	for no := range uint64(3) {
 		p.handle(0, GossipReceived{Message: canaryMessage{"new", 0, true, no}.encode()})
 	}
-	if held := ep.canary.suspendedUntil.Sub(moment(p.now)); held != initialSuspension || ep.canary.stage != 0 {
-		t.Errorf("held for %v", held)
+	if suspended := ep.canary.suspendedUntil.Sub(moment(p.now)); suspended != initialSuspension || ep.canary.stage != 0 {
+		t.Errorf("held for %v", suspended)
 	}
 	if share := p.share("new", time.Duration(ep.canary.suspendedUntil.Add(-50*ms)), 5); share > 0 {
 		t.Errorf("%.3f of the calls while it is held back", share)
@@ -256,24 +258,24 @@
 		t.Errorf("%.3f of the calls at once after a hold", share)
 	}
 
-	lone := newProving(t, 2, nil)
+	lone := newCanaryFleet(t, 2, nil)
 	lone.fails = func(string, int) Outcome { return Failed }
 	lone.run(6*time.Second, 5)
 	lone.list(Endpoint{ID: "new", StartedAt: moment(lone.now)})
-	told := 0
+	broadcasts := 0
 	for range 50 {
 		lone.now += 50 * ms
 		d := lone.relays[0]
 		d.analyzeOutcome(d.endpoints["new"], &message{Arrived: Arrived{Class: 0}}, AttemptEnded{Outcome: Failed}, false)
 		for _, a := range d.actions {
-			if tell, ok := a.(Broadcast); ok {
-				if _, trial := decodeCanaryMessage(tell.Message); trial {
-					told++
+			if broadcast, ok := a.(Broadcast); ok {
+				if _, trial := decodeCanaryMessage(broadcast.Message); trial {
+					broadcasts++
 				}
 			}
 		}
 	}
-	if told > 0 {
-		t.Errorf("a relay whose calls all fail speaks %d times against a newcomer", told)
+	if broadcasts > 0 {
+		t.Errorf("a relay whose calls all fail speaks %d times against a newcomer", broadcasts)
 	}
 }
--- a/policy/circuit_test.go
+++ b/policy/circuit_test.go
@@ -10,7 +10,7 @@
 )
 
 // A wait that comes with a delivery binds as one that comes with a refusal.
-func TestWaitWithDelivery(t *testing.T) {
+func TestRetryAfterWithDelivery(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
 	d.Handle(moment(100*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true, RetryAfter: time.Second}})
@@ -18,7 +18,7 @@
 	expect(t, "after it", d.Handle(moment(1100*ms), []Event{TimerFired{}}), "n>a")
 }
 
-func TestWaits(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	for _, tt := range []struct {
 		kind int
 		want string
@@ -32,22 +32,22 @@
 
 // TestWaitOfABundle guards against a wait that is told with the first of several outcomes of one call. A wait
 // binds calls that were decided before it and are not written yet, at all endpoints of the destination.
-func TestWaitWithholdsCalls(t *testing.T) {
+func TestRetryAfterCancelsUnwrittenCalls(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
 	other := Arrived{ID: "m3", Destination: 1, TimeLeft: 10 * time.Second}
 	expect(t, "sent", d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0), other}), "m1>a m3>c m2>b")
-	var held []string
+	var canceled []string
 	for _, a := range d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}}) {
 		if a, ok := a.(CancelUnwritten); ok {
-			held = append(held, a.Endpoint)
+			canceled = append(canceled, a.Endpoint)
 		}
 	}
-	if !slices.Equal(held, []string{"a", "b"}) {
-		t.Errorf("withheld: %v", held)
+	if !slices.Equal(canceled, []string{"a", "b"}) {
+		t.Errorf("withheld: %v", canceled)
 	}
 }
 
-func TestWaitOfABundle(t *testing.T) {
+func TestRetryAfterOfABatch(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	expect(t, "one call", d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}), "m>a n>a")
 	if d.slots.inUse != 1 {
@@ -57,9 +57,9 @@
 	expect(t, "in the wait", got, "")
 }
 
-// TestShutIsCold guards against relays that wait as told while a destination is shut, and come back all at
+// TestOpenCircuitEndsInSlowStart guards against relays that wait as told while a destination is shut, and come back all at
 // once as to a warm one; and against an answer to a call from before that ends the outage.
-func TestShutIsCold(t *testing.T) {
+func TestOpenCircuitEndsInSlowStart(t *testing.T) {
 	s := plain()
 	s.Weights, s.Slots = WeightsNominal, 8
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
@@ -84,14 +84,14 @@
 			}
 		}
 	}
-	most := int(s.OverloadFactor * s.SlowStartInitialShare * 8 * s.OverloadWindow.Seconds())
-	if sent == 0 || sent > most {
-		t.Errorf("%d calls as it opens, want some and %d at most", sent, most)
+	budget := int(s.OverloadFactor * s.SlowStartInitialShare * 8 * s.OverloadWindow.Seconds())
+	if sent == 0 || sent > budget {
+		t.Errorf("%d calls as it opens, want some and %d at most", sent, budget)
 	}
 }
 
-// TestRelaysDoNotKnockInStep guards against relays that are refused together and come back together.
-func TestRelaysDoNotKnockInStep(t *testing.T) {
+// TestRelaysDoNotProbeInStep guards against relays that are refused together and come back together.
+func TestRelaysDoNotProbeInStep(t *testing.T) {
 	s := plain()
 	s.FleetSize, s.Weights = 400, WeightsNominal
 	seen := map[instant.Time]bool{}
@@ -109,17 +109,17 @@
 	}
 }
 
-// TestFewKnocksAtSize guards against hundreds of relays whose further knocks push over a destination that
+// TestProbesOfALargeFleet guards against hundreds of relays whose further knocks push over a destination that
 // comes back cold: the even share of 4 calls a second is 0.01 for one of 400, and 2 for one of 2.
-func TestFewKnocksAtSize(t *testing.T) {
+func TestProbesOfALargeFleet(t *testing.T) {
 	for _, tt := range []struct {
-		relays      int
-		outcome     Outcome
-		wait        time.Duration
-		least, most int // of 40 relays are sick after one
+		relays          int
+		outcome         Outcome
+		wait            time.Duration
+		atLeast, atMost int // of 40 relays are sick after one
 	}{{400, Rejected, 0, 10, 30}, {400, ConnectError, 0, 10, 30}, {400, Rejected, time.Second, 40, 40},
 		{2, Rejected, 0, 0, 0}, {2, ConnectError, 0, 0, 0}} {
-		sick := 0
+		ejected := 0
 		for seed := range int64(40) {
 			s := plain()
 			s.FleetSize, s.Weights = tt.relays, WeightsNominal
@@ -130,15 +130,15 @@
 			d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
 			d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, RetryAfter: tt.wait}})
 			if d.endpoints["a"].outlier.ejected {
-				sick++
+				ejected++
 			}
 			d.recordRejection(d.queues[0], limitMessage{})
 			if d.recordRejection(d.queues[0], limitMessage{}); tt.relays > 2 && !d.endpoints["a"].outlier.ejected {
 				t.Errorf("%d relays, outcome %d: not sick after more", tt.relays, tt.outcome)
 			}
 		}
-		if sick < tt.least || sick > tt.most {
-			t.Errorf("%d relays, outcome %d, wait %v: %d of 40 sick", tt.relays, tt.outcome, tt.wait, sick)
+		if ejected < tt.atLeast || ejected > tt.atMost {
+			t.Errorf("%d relays, outcome %d, wait %v: %d of 40 sick", tt.relays, tt.outcome, tt.wait, ejected)
 		}
 	}
 }
--- a/policy/connection_limit_test.go
+++ b/policy/connection_limit_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestConnectionCap guards against taking a connection limit for an outage.
-func TestConnectionCap(t *testing.T) {
+// TestConnectionLimit guards against taking a connection limit for an outage.
+func TestConnectionLimit(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0)})
 	d.Handle(moment(10*ms), []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: OK, Completed: true}, arrive("m3", 0)})
@@ -24,10 +24,10 @@
 	}
 }
 
-// TestIdleConnectionsMakeRoom guards against many relays whose idle connections fill an endpoint, and against
+// TestIdleConnectionsAreClosedWhenFull guards against many relays whose idle connections fill an endpoint, and against
 // connections closed where nothing speaks for that.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
-	refused := []Event{GossipReceived{Message: encodeEndpointMessage(connectErrorType, "a")}}
+func TestIdleConnectionsAreClosedWhenFull(t *testing.T) {
+	rejected := []Event{GossipReceived{Message: encodeEndpointMessage(connectErrorType, "a")}}
 	for _, tt := range []struct {
 		name    string
 		at      time.Duration // of a note that another relay got no connection; the call lasts from 1 s to 2 s
@@ -42,11 +42,11 @@
 		s.IdleConnTimeout, s.FleetSize = 10*time.Second, 40
 		d := start(t, s, Endpoint{ID: "a"})
 		if tt.at > 0 && tt.at < time.Second {
-			d.Handle(moment(tt.at), refused)
+			d.Handle(moment(tt.at), rejected)
 		}
 		d.Handle(moment(time.Second), []Event{arrive("m", 0)})
 		if tt.at > time.Second {
-			d.Handle(moment(tt.at), refused)
+			d.Handle(moment(tt.at), rejected)
 		}
 		d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 		d.endpoints["a"].connections.limit = tt.connCap
@@ -61,38 +61,38 @@
 	}
 }
 
-// TestConnectionRefusedIsTold guards against a relay that alone knows of an endpoint without room, and
+// TestConnectErrorIsBroadcast guards against a relay that alone knows of an endpoint without room, and
 // against a note for each of its connections.
-func TestConnectionRefusedIsTold(t *testing.T) {
+func TestConnectErrorIsBroadcast(t *testing.T) {
 	d := fleet(t, connectErrorReporters, 400)[0]
-	told := 0
+	broadcasts := 0
 	for i := range 4 {
 		at, id := time.Duration(10+3*i)*100*ms, fmt.Sprint("m", i)
 		d.endpoints["a"].outlier.ejected, d.endpoints["a"].outlier.consecutiveFailures = false, 0
 		d.Handle(moment(at), []Event{arrive(id, 0)})
 		for _, a := range d.Handle(moment(at+10*ms), []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
-			if tell, ok := a.(Broadcast); ok && decodeEndpointMessage(connectErrorType, tell.Message) == "a" {
-				told++
+			if broadcast, ok := a.(Broadcast); ok && decodeEndpointMessage(connectErrorType, broadcast.Message) == "a" {
+				broadcasts++
 			}
 		}
 	}
-	if told != 1 {
-		t.Errorf("%d notes within a second", told)
+	if broadcasts != 1 {
+		t.Errorf("%d notes within a second", broadcasts)
 	}
 }
 
-// TestFewTellWhatAllMeet guards against a note from each relay of a fleet that meets the same outage.
-func TestFewTellWhatAllMeet(t *testing.T) {
-	told := 0
+// TestConnectErrorReporters guards against a note from each relay of a fleet that meets the same outage.
+func TestConnectErrorReporters(t *testing.T) {
+	broadcasts := 0
 	for _, d := range fleet(t, 300, 3000) {
 		d.Handle(moment(time.Second), []Event{arrive("m", 0)})
 		for _, a := range d.Handle(moment(1010*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
-			if tell, ok := a.(Broadcast); ok && decodeEndpointMessage(connectErrorType, tell.Message) == "a" {
-				told++
+			if broadcast, ok := a.(Broadcast); ok && decodeEndpointMessage(connectErrorType, broadcast.Message) == "a" {
+				broadcasts++
 			}
 		}
 	}
-	if told < 1 || told > 3*connectErrorReporters {
-		t.Errorf("%d relays of 300 told it", told)
+	if broadcasts < 1 || broadcasts > 3*connectErrorReporters {
+		t.Errorf("%d relays of 300 told it", broadcasts)
 	}
 }
--- a/policy/expiry_test.go
+++ b/policy/expiry_test.go
@@ -6,7 +6,7 @@
 )
 
 // The client of a message that is given up learns when its destination may get messages again.
-func TestGivenUpToldWhenToComeBack(t *testing.T) {
+func TestAbandonedMessageHasRetryAfter(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
 	d.Handle(moment(8600*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: 2400 * ms}})
@@ -21,7 +21,7 @@
 	t.Error("not given up")
 }
 
-func TestHeldMessagesEndInTime(t *testing.T) {
+func TestWaitingMessagesExpire(t *testing.T) {
 	d := start(t, plain())
 	got := d.Handle(0, []Event{arrive("m", 2)})
 	expect(t, "no endpoint listed", got, "")
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-func TestNotes(t *testing.T) {
+func TestLimitMessages(t *testing.T) {
 	for _, l := range []limitMessage{{}, {destination: 7, retryAfter: 1500 * ms, callAge: 90 * ms}, {accepted: true, destination: 7, callAge: 90 * ms},
 		{destination: maxGossipNumber, retryAfter: maxGossipNumber * ms, callAge: maxGossipNumber * ms}} {
 		if got, ok := decodeLimitMessage(l.encode()); !ok || got != l {
 			t.Errorf("%v was read as %v, %v", l, got, ok)
 		}
 	}
-	whole := limitMessage{destination: 300, retryAfter: 700 * ms, callAge: 300 * ms}.encode()
-	for _, bad := range [][]byte{nil, {}, {circuitOpenType}, whole[:2], whole[:len(whole)-1], append(bytes.Clone(whole), 0),
-		append([]byte{'x'}, whole[1:]...), append([]byte{circuitOpenType}, bytes.Repeat([]byte{0xff}, 200)...),
+	complete := limitMessage{destination: 300, retryAfter: 700 * ms, callAge: 300 * ms}.encode()
+	for _, bad := range [][]byte{nil, {}, {circuitOpenType}, complete[:2], complete[:len(complete)-1], append(bytes.Clone(complete), 0),
+		append([]byte{'x'}, complete[1:]...), append([]byte{circuitOpenType}, bytes.Repeat([]byte{0xff}, 200)...),
 		limitMessage{destination: maxGossipNumber + 1}.encode(), limitMessage{retryAfter: (maxGossipNumber + 1) * ms}.encode()} {
 		if l, ok := decodeLimitMessage(bad); ok {
 			t.Errorf("%x was read as %v", bad, l)
@@ -32,9 +32,9 @@
 			t.Errorf("%+v is read as %+v", o, got)
 		}
 	}
-	for _, note := range []string{"", "x", "c", "b", "n", "c\x01"} {
-		if got, ok := ReadNote([]byte(note)); ok {
-			t.Errorf("%q is read as %+v", note, got)
+	for _, message := range []string{"", "x", "c", "b", "n", "c\x01"} {
+		if got, ok := ReadNote([]byte(message)); ok {
+			t.Errorf("%q is read as %+v", message, got)
 		}
 	}
 }
@@ -54,28 +54,28 @@
 	return all
 }
 
-// notes gives what a relay tells when its call is refused.
-func notes(d *Dispatcher, at, wait time.Duration, id string) (all [][]byte) {
+// broadcasts gives what a relay tells when its call is refused.
+func broadcasts(d *Dispatcher, at, wait time.Duration, id string) (all [][]byte) {
 	d.Handle(moment(at), []Event{arrive(id, 0)})
 	for _, a := range d.Handle(moment(at+ms), []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, RetryAfter: wait}}) {
-		if tell, ok := a.(Broadcast); ok {
-			all = append(all, tell.Message)
+		if broadcast, ok := a.(Broadcast); ok {
+			all = append(all, broadcast.Message)
 		}
 	}
 	return all
 }
 
-// TestFleetComesDownTogether guards against a fleet of which each relay has to meet a refusal itself, and
+// TestFleetDecreasesRatesAtOnce guards against a fleet of which each relay has to meet a refusal itself, and
 // against one that comes back in step once the wait is over.
-func TestFleetComesDownTogether(t *testing.T) {
+func TestFleetDecreasesRatesAtOnce(t *testing.T) {
 	all := fleet(t, 80, 40)
 	at, wait := 2*time.Second, time.Second
-	told := notes(all[0], at, wait, "m")
-	if len(told) != 1 {
-		t.Fatalf("%d notes of a refusal", len(told))
+	messages := broadcasts(all[0], at, wait, "m")
+	if len(messages) != 1 {
+		t.Fatalf("%d notes of a refusal", len(messages))
 	}
 	for _, d := range all[1:] {
-		d.Handle(moment(at+10*ms), []Event{GossipReceived{Message: told[0]}, arrive("m", 0)})
+		d.Handle(moment(at+10*ms), []Event{GossipReceived{Message: messages[0]}, arrive("m", 0)})
 		if q := d.queues[0]; q.limiter.rate >= d.evenShare(q)*1.3 || len(q.calls) > 0 {
 			t.Fatalf("pace %v and %d calls out after a note", q.limiter.rate, len(q.calls))
 		}
@@ -99,60 +99,60 @@
 	}
 }
 
-// TestPacesRiseOnWhatIsHeard guards against a large fleet that no refusal reaches any more and whose paces
+// TestRatesRiseWhileGossipArrives guards against a large fleet that no refusal reaches any more and whose paces
 // all climb as if there were none.
-func TestPacesRiseOnWhatIsHeard(t *testing.T) {
+func TestRatesRiseWhileGossipArrives(t *testing.T) {
 	for _, tt := range []struct {
-		relays int
-		heard  bool // notes of another destination
-		above  bool // the even share after the while
+		relays   int
+		received bool // notes of another destination
+		above    bool // the even share after the while
 	}{{300, true, true}, {300, false, false}, {2, false, true}} {
 		d := fleet(t, tt.relays, 60)[0]
 		q := d.queues[0]
 		q.limiter.rate = d.evenShare(q) / 2
 		for at := time.Second; at < 20*time.Second; at += 500 * ms {
 			var events []Event
-			if tt.heard {
+			if tt.received {
 				events = append(events, GossipReceived{Message: limitMessage{destination: 5}.encode()})
 			}
 			d.Handle(moment(at), append(events, arrive(fmt.Sprint(at), 0)))
 			d.sendTokens(q)
 		}
 		if above := q.limiter.rate > d.evenShare(q); above != tt.above || q.limiter.rate < 0.9*d.evenShare(q) {
-			t.Errorf("%d relays, notes %v: pace %v, even share %v", tt.relays, tt.heard, q.limiter.rate, d.evenShare(q))
+			t.Errorf("%d relays, notes %v: pace %v, even share %v", tt.relays, tt.received, q.limiter.rate, d.evenShare(q))
 		}
 	}
 }
 
-// TestNotesAreNotRepeated guards against a note from each relay that is refused.
-func TestNotesAreNotRepeated(t *testing.T) {
+// TestGossipIsNotRepeated guards against a note from each relay that is refused.
+func TestGossipIsNotRepeated(t *testing.T) {
 	all := fleet(t, 2, 400)
 	at := 2 * time.Second
-	told := notes(all[0], at, time.Second, "m")
+	messages := broadcasts(all[0], at, time.Second, "m")
 	all[1].Handle(moment(at), []Event{arrive("n", 0)})
-	all[1].Handle(moment(at+ms), []Event{GossipReceived{Message: told[0]}})
+	all[1].Handle(moment(at+ms), []Event{GossipReceived{Message: messages[0]}})
 	for _, a := range all[1].Handle(moment(at+20*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 990 * ms}}) {
 		if _, ok := a.(Broadcast); ok {
 			t.Error("a relay told again what it had heard")
 		}
 	}
-	if again := notes(all[1], at+3*time.Second, time.Second, "o"); len(again) != 1 {
+	if again := broadcasts(all[1], at+3*time.Second, time.Second, "o"); len(again) != 1 {
 		t.Errorf("%d notes of a later refusal", len(again))
 	}
 	silent := fleet(t, 2, 400)[0]
 	silent.settings.Gossip = false
-	if told := notes(silent, at, time.Second, "m"); len(told) != 0 {
+	if messages := broadcasts(silent, at, time.Second, "m"); len(messages) != 0 {
 		t.Error("a note where none is allowed")
 	}
 }
 
-// TestNotesAreEvidenceOnly guards against notes that decide alone: garbled ones, of places that nobody
+// TestGossipDoesNotEject guards against notes that decide alone: garbled ones, of places that nobody
 // listed, and a flood of them.
-func TestNotesAreEvidenceOnly(t *testing.T) {
+func TestGossipDoesNotEject(t *testing.T) {
 	d := fleet(t, 80, 40)[0]
 	q := d.queues[0]
-	for _, note := range [][]byte{nil, []byte("hello"), limitMessage{destination: 5, retryAfter: time.Second}.encode()} {
-		d.Handle(moment(time.Second), []Event{GossipReceived{Message: note}})
+	for _, message := range [][]byte{nil, []byte("hello"), limitMessage{destination: 5, retryAfter: time.Second}.encode()} {
+		d.Handle(moment(time.Second), []Event{GossipReceived{Message: message}})
 	}
 	if q.circuit.backoffUntil != 0 || len(d.destinations) != 1 || len(d.endpoints) != 1 {
 		t.Errorf("hold until %v, %d destinations, %d endpoints", q.circuit.backoffUntil, len(d.destinations), len(d.endpoints))
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestPauseEndsWithAnAnswer guards against a fleet that sits out a told wait although the destination goes on
+// TestBackoffEndsWithASuccess guards against a fleet that sits out a told wait although the destination goes on
 // taking calls, and against one that takes an answer to an earlier call for that.
-func TestPauseEndsWithAnAnswer(t *testing.T) {
+func TestBackoffEndsWithASuccess(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		after time.Duration // the refused call was sent at 2 s
@@ -181,24 +181,24 @@
 		all := fleet(t, 3, 400)
 		sent := 2*time.Second + tt.after
 		all[1].Handle(moment(sent), []Event{arrive("n", 0)})
-		notes(all[0], 2*time.Second, time.Second, "m")
-		refusal := limitMessage{retryAfter: time.Second, callAge: 100 * ms}.encode()
-		var told [][]byte
-		all[1].Handle(moment(2100*ms), []Event{GossipReceived{Message: refusal}})
-		all[2].Handle(moment(2100*ms), []Event{GossipReceived{Message: refusal}})
+		broadcasts(all[0], 2*time.Second, time.Second, "m")
+		rejection := limitMessage{retryAfter: time.Second, callAge: 100 * ms}.encode()
+		var broadcasts [][]byte
+		all[1].Handle(moment(2100*ms), []Event{GossipReceived{Message: rejection}})
+		all[2].Handle(moment(2100*ms), []Event{GossipReceived{Message: rejection}})
 		for _, a := range all[1].Handle(moment(2200*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true}}) {
-			if tell, ok := a.(Broadcast); ok {
-				told = append(told, tell.Message)
+			if broadcast, ok := a.(Broadcast); ok {
+				broadcasts = append(broadcasts, broadcast.Message)
 			}
 		}
-		if len(told) > 0 != tt.ends || all[1].queues[0].circuit.backoffUntil > moment(2200*ms) == tt.ends {
-			t.Fatalf("%s: %d notes, pause until %v", tt.name, len(told), all[1].queues[0].circuit.backoffUntil)
+		if len(broadcasts) > 0 != tt.ends || all[1].queues[0].circuit.backoffUntil > moment(2200*ms) == tt.ends {
+			t.Fatalf("%s: %d notes, pause until %v", tt.name, len(broadcasts), all[1].queues[0].circuit.backoffUntil)
 		}
 		if !tt.ends {
 			continue
 		}
 		for _, d := range []*Dispatcher{all[0], all[2]} {
-			d.Handle(moment(2210*ms), []Event{GossipReceived{Message: told[0]}})
+			d.Handle(moment(2210*ms), []Event{GossipReceived{Message: broadcasts[0]}})
 		}
 		if q := all[2].queues[0]; q.circuit.backoffUntil > moment(2210*ms) {
 			t.Errorf("the others pause until %v", q.circuit.backoffUntil)
@@ -209,28 +209,28 @@
 	}
 }
 
-// TestFleetLearnsOfAReturn guards against relays that each wait for a success of their own while an endpoint
+// TestRecoveryIsBroadcast guards against relays that each wait for a success of their own while an endpoint
 // is back, and against all of them knocking at once when they hear of one.
-func TestFleetLearnsOfAReturn(t *testing.T) {
+func TestRecoveryIsBroadcast(t *testing.T) {
 	all := fleet(t, 80, 40)
 	for _, d := range all {
 		d.Handle(moment(time.Second), []Event{arrive("m", 0)})
 		d.eject(d.endpoints["a"])
 	}
-	var told [][]byte
+	var messages [][]byte
 	back := 10 * time.Second
 	for _, a := range all[0].Handle(moment(back), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}}) {
-		if tell, ok := a.(Broadcast); ok {
-			told = append(told, tell.Message)
+		if broadcast, ok := a.(Broadcast); ok {
+			messages = append(messages, broadcast.Message)
 		}
 	}
-	if len(told) != 1 {
-		t.Fatalf("%d notes of a return", len(told))
+	if len(messages) != 1 {
+		t.Fatalf("%d notes of a return", len(messages))
 	}
 	sent := 0
 	for _, d := range all[1:] {
 		d.Handle(moment(back), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}})
-		d.Handle(moment(back+10*ms), []Event{GossipReceived{Message: told[0]}, GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, "unlisted")}, arrive("n", 0)})
+		d.Handle(moment(back+10*ms), []Event{GossipReceived{Message: messages[0]}, GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, "unlisted")}, arrive("n", 0)})
 		ep := d.endpoints["a"]
 		if ep.outlier.ejected || !ep.slowStart.active || ep.slowStart.recoveredAt != moment(back+10*ms) || len(d.endpoints) != 1 {
 			t.Fatalf("sick %v, ramping %v, back since %v, %d endpoints", ep.outlier.ejected, ep.slowStart.active, ep.slowStart.recoveredAt, len(d.endpoints))
@@ -240,8 +240,8 @@
 	}
 	s := all[0].settings
 	share := s.SlowStartInitialShare + (1-s.SlowStartInitialShare)*float64(s.OverloadWindow/2)/float64(s.SlowStartWindow)
-	most := int(s.OverloadFactor * share * 40 * s.OverloadWindow.Seconds()) // that the rule allows
-	if sent == 0 || sent > most {
-		t.Errorf("%d relays sent to a cold endpoint within the rule's span, want some and %d at most", sent, most)
+	highest := int(s.OverloadFactor * share * 40 * s.OverloadWindow.Seconds()) // that the rule allows
+	if sent == 0 || sent > highest {
+		t.Errorf("%d relays sent to a cold endpoint within the rule's span, want some and %d at most", sent, highest)
 	}
 }
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -7,12 +7,12 @@
 
 // What the process before has out holds slots here too, and its end counts as that of an own call: one that
 // failed is sent again, one whose message is over only gives its slot back.
-func TestCallsOutAtAHandover(t *testing.T) {
+func TestCallsInFlightAtAHandover(t *testing.T) {
 	s := plain()
 	s.Slots = 2
 	d := start(t, s, Endpoint{ID: "a", Destination: 0}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
-	out := func(id string, dest int, ep string, call int, over bool) Event {
-		return Arrived{ID: id, Destination: dest, TimeLeft: 9 * time.Second, Resumed: true, Completed: over,
+	out := func(id string, dest int, ep string, call int, completed bool) Event {
+		return Arrived{ID: id, Destination: dest, TimeLeft: 9 * time.Second, Resumed: true, Completed: completed,
 			PriorAttempts: []PriorAttempt{{Endpoint: ep, SentAt: moment(-ms), InFlight: true, Call: call}}}
 	}
 	expect(t, "both slots are taken", d.Handle(0, []Event{out("m1", 0, "a", 7, false), out("m2", 1, "b", 8, true),
@@ -33,7 +33,7 @@
 
 // What a dispatcher has learned is the next one's from the start, but for endpoints that are no longer
 // listed.
-func TestLearned(t *testing.T) {
+func TestExportState(t *testing.T) {
 	s := plain()
 	s.Weights = WeightsNominal
 	list := []Endpoint{{ID: "a", Destination: 0, Weight: 10}, {ID: "b", Destination: 1, Weight: 10}, {ID: "c", Destination: 2, Weight: 10}}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -33,8 +33,8 @@
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Key: "k"}
 }
 
-// said lists actions in short, without timers and time-outs.
-func said(actions []Action) string {
+// summary lists actions in short, without timers and time-outs.
+func summary(actions []Action) string {
 	var out []string
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -55,7 +55,7 @@
 
 func expect(t *testing.T, what string, actions []Action, want string) {
 	t.Helper()
-	if got := said(actions); got != want {
+	if got := summary(actions); got != want {
 		t.Errorf("%s: got %q, want %q", what, got, want)
 	}
 }
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestOrder(t *testing.T) {
+func TestOrderedKeys(t *testing.T) {
 	s := plain()
 	s.OrderedKeyDelay = 300 * ms
 	d := start(t, s, Endpoint{ID: "a"})
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// TestGrayErrors guards against taking a share of failing calls for an outage.
-func TestGrayErrors(t *testing.T) {
+// TestErrorResponsesCountHalf guards against taking a share of failing calls for an outage.
+func TestErrorResponsesCountHalf(t *testing.T) {
 	tests := []struct {
 		outcome Outcome
 		n       int
-		sick    bool
+		ejected bool
 	}{{Reset, 3, false}, {Reset, 4, true}, {Failed, 3, false}, {ConnectError, 1, false}, {ConnectError, 2, true}}
 	for _, tt := range tests {
 		d := start(t, plain(), Endpoint{ID: "a"})
@@ -20,14 +20,14 @@
 		for i := range tt.n {
 			d.Handle(moment(time.Duration(i+1)*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
 		}
-		if got := d.endpoints["a"].outlier.ejected; got != tt.sick {
+		if got := d.endpoints["a"].outlier.ejected; got != tt.ejected {
 			t.Errorf("%d of outcome %d: sick %v", tt.n, tt.outcome, got)
 		}
 	}
 }
 
-// TestSiblingTrials guards against slow detection: outages mostly end for a whole destination.
-func TestSiblingTrials(t *testing.T) {
+// TestSiblingProbes guards against slow detection: outages mostly end for a whole destination.
+func TestSiblingProbes(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	a, b := d.endpoints["a"], d.endpoints["b"]
 	d.eject(a)
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// large is one relay of many, with endpoints of one destination that takes a rate.
-func large(t *testing.T, relays int, weight float64, ids ...string) *Dispatcher {
+// largeFleetRelay is one relay of many, with endpoints of one destination that takes a rate.
+func largeFleetRelay(t *testing.T, relays int, weight float64, ids ...string) *Dispatcher {
 	t.Helper()
 	s := plain()
 	s.FleetSize, s.Weights, s.Gossip, s.PublishRates = relays, WeightsNominal, true, true
@@ -19,7 +19,7 @@
 	return start(t, s, eps...)
 }
 
-func hearsay(actions []Action) (n int) {
+func secondHandCount(actions []Action) (n int) {
 	for _, a := range actions {
 		if a, ok := a.(PersistHealth); ok && a.Ejected && a.SecondHand {
 			n++
@@ -31,7 +31,7 @@
 // A destination counts as shut where several relays have met nothing but refusals, though this one has met
 // none; not where too few have, not before it would count as shut to one of them, and not against an own
 // success since.
-func TestShutByTheWordOfOthers(t *testing.T) {
+func TestEjectedByPeerReports(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		e       PeerSuspected
@@ -49,7 +49,7 @@
 		{"an endpoint that serves here", PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 3, OldestAge: 2 * time.Second, ValidFor: time.Second}, true, 0},
 		{"an endpoint that is not listed", PeerSuspected{Endpoint: "x", Observers: 9, RecentObservers: 9, OldestAge: 3 * time.Second, ValidFor: time.Second}, false, 0},
 	} {
-		d := large(t, 60, 60, "a", "b")
+		d := largeFleetRelay(t, 60, 60, "a", "b")
 		if c.success {
 			for i := range 2 {
 				id := fmt.Sprint(i)
@@ -62,7 +62,7 @@
 				d.endpoints["a"].outlier.lastSuccessAt = moment(9100 * ms)
 			}
 		}
-		if got := hearsay(d.Handle(moment(10*time.Second), []Event{c.e})); got != c.want {
+		if got := secondHandCount(d.Handle(moment(10*time.Second), []Event{c.e})); got != c.want {
 			t.Errorf("%s: %d endpoints count as out, want %d", c.name, got, c.want)
 		}
 	}
@@ -70,11 +70,11 @@
 
 // What the fleet finds bad is tried by one relay at a time: the first in rank, the others where that one does
 // not, and by their own budgets alone once the word is past its bound.
-func TestOneTries(t *testing.T) {
-	tried := func(rank int, until time.Duration) time.Duration {
-		d := large(t, 300, 60, "a")
-		word := PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: 100 * ms, ValidFor: until, Rank: rank}
-		d.Handle(moment(10*time.Second), []Event{word})
+func TestOneRelayProbes(t *testing.T) {
+	probed := func(rank int, until time.Duration) time.Duration {
+		d := largeFleetRelay(t, 300, 60, "a")
+		report := PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: 100 * ms, ValidFor: until, Rank: rank}
+		d.Handle(moment(10*time.Second), []Event{report})
 		for now := 10 * time.Second; now < 30*time.Second; now += 10 * ms {
 			for _, a := range d.Handle(moment(now), []Event{Arrived{ID: now.String(), TimeLeft: 9 * time.Second}}) {
 				if _, ok := a.(Send); ok {
@@ -86,21 +86,21 @@
 	}
 	last := time.Duration(0)
 	for _, rank := range []int{0, 1, 7, 100} {
-		at, want := tried(rank, 10*time.Second), time.Duration((1+math.Log2(1+float64(rank)))*float64(probeInterval))-100*ms
+		at, want := probed(rank, 10*time.Second), time.Duration((1+math.Log2(1+float64(rank)))*float64(probeInterval))-100*ms
 		if at < want || at > want+200*ms || at <= last {
 			t.Errorf("rank %d tries after %v, want about %v", rank, at, want)
 		}
 		last = at
 	}
-	if at := tried(100, 50*ms); moment(at) != never && at < time.Second {
+	if at := probed(100, 50*ms); moment(at) != never && at < time.Second {
 		t.Errorf("past its bound, the word still has rank 100 try after %v", at)
 	}
 }
 
 // A relay that tried in vain does not try again before the next turn, whether it has heard of its own try or
 // not.
-func TestTriesAreApart(t *testing.T) {
-	d := large(t, 300, 60, "a")
+func TestProbeTurnsAreApart(t *testing.T) {
+	d := largeFleetRelay(t, 300, 60, "a")
 	d.Handle(moment(10*time.Second), []Event{PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: time.Second, ValidFor: 10 * time.Second}})
 	var at []time.Duration
 	attempts := map[string]int{}
@@ -129,15 +129,15 @@
 
 // A relay that has just started begins with the fleet's pace, one that has learned its own does not; and no
 // pace is taken that is beyond what a relay comes to by itself.
-func TestBeginsWithTheFleetsPace(t *testing.T) {
-	for _, c := range []struct{ told, want float64 }{{0.4, 0.4}, {0.01, minRateShare}, {50, probingRateShare}} {
-		d := large(t, 10, 100, "a")
-		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: c.told, ArrivalRate: 1, ValidFor: time.Minute}})
+func TestStartsWithTheFleetsRate(t *testing.T) {
+	for _, c := range []struct{ reported, want float64 }{{0.4, 0.4}, {0.01, minRateShare}, {50, probingRateShare}} {
+		d := largeFleetRelay(t, 10, 100, "a")
+		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: c.reported, ArrivalRate: 1, ValidFor: time.Minute}})
 		if got := d.queues[0].limiter.rate; math.Abs(got-10*c.want) > 1e-9 {
-			t.Errorf("told %v, it begins with %v a second, want %v", c.told, got, 10*c.want)
+			t.Errorf("told %v, it begins with %v a second, want %v", c.reported, got, 10*c.want)
 		}
 	}
-	d := large(t, 10, 100, "a")
+	d := largeFleetRelay(t, 10, 100, "a")
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
 	d.Handle(moment(2*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 	d.Handle(moment(3*ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: 0.4, ArrivalRate: 1, ValidFor: time.Minute}})
@@ -148,14 +148,14 @@
 
 // Over a fleet with uneven traffic, the parts of a cold destination's budget add up to no more than even ones
 // do, and a relay without the others' word takes an even one.
-func TestPartsAddUp(t *testing.T) {
+func TestTrafficSharesAddUp(t *testing.T) {
 	sum, traffic := 0.0, []float64{0.2, 0.2, 0.5, 1, 1, 1.5, 2, 3, 3, 6}
 	mean := 0.0
 	for _, v := range traffic {
 		mean += v / float64(len(traffic))
 	}
 	for _, v := range traffic {
-		d := large(t, len(traffic), 100, "a")
+		d := largeFleetRelay(t, len(traffic), 100, "a")
 		q := d.queues[0]
 		q.admission.arrivals = decayingCounter{value: v * counterTimeConstant.Seconds(), updatedAt: 0, startedAt: moment(-time.Hour)}
 		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 8, RateShare: 1, ArrivalRate: mean, ArrivalRateError: 0.5, ValidFor: time.Second}})
@@ -170,8 +170,8 @@
 }
 
 // A pace is shared for one destination after the other, as seldom as relays tell of themselves.
-func TestShares(t *testing.T) {
-	d := large(t, 60, 60, "a")
+func TestPublishRate(t *testing.T) {
+	d := largeFleetRelay(t, 60, 60, "a")
 	n := 0
 	for now := time.Duration(0); now < time.Minute; now += 100 * ms {
 		for _, a := range d.Handle(moment(now), []Event{TimerFired{}}) {
--- a/policy/queueing_delay_test.go
+++ b/policy/queueing_delay_test.go
@@ -23,14 +23,14 @@
 	for i := range 100 {
 		events = append(events, arrive(fmt.Sprint("n", i), 0))
 	}
-	if got := said(d.Handle(moment(2300*ms), events)); !strings.Contains(got, "refuse") {
+	if got := summary(d.Handle(moment(2300*ms), events)); !strings.Contains(got, "refuse") {
 		t.Error("twenty calls ahead: nothing refused")
 	}
 }
 
 // A wait stops the calls that a backlog is worked off with, but they all come back after it: what is held is
 // not taken for work of one call after another.
-func TestBacklogInAWait(t *testing.T) {
+func TestBacklogDuringRetryAfter(t *testing.T) {
 	s := plain()
 	s.Slots = 20
 	d := start(t, s, Endpoint{ID: "a"})
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestBorrowedLatency guards against queues that know nothing: a lost first call would hold its slot to its
+// TestLatencyPrior guards against queues that know nothing: a lost first call would hold its slot to its
 // end.
-func TestBorrowedLatency(t *testing.T) {
+func TestLatencyPrior(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.Handle(moment(400*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 400 * ms, Completed: true},
--- a/policy/resource_backoff_test.go
+++ b/policy/resource_backoff_test.go
@@ -9,7 +9,7 @@
 // A call that could not be begun uses up no attempt, whatever the class, opens no window, and is held against
 // no endpoint; its queue waits a moment, longer each time up to a bound, and is back at once when calls can
 // be begun.
-func TestUnsentCalls(t *testing.T) {
+func TestCallsNotStarted(t *testing.T) {
 	for class := range 3 {
 		s := plain()
 		s.MaxAttempts = 2
@@ -42,7 +42,7 @@
 }
 
 // A call to a cold endpoint that could not be begun gives its part of the budget back.
-func TestUnsentCallsCostNoBudget(t *testing.T) {
+func TestCallsNotStartedCostNoBudget(t *testing.T) {
 	s := plain()
 	s.SlowStartWindow, s.SlowStartInitialShare, s.OverloadFactor, s.OverloadWindow, s.Weights = 10*time.Second, 0.2, 2.5, 1500*ms, WeightsNominal
 	d, err := New(s, 1)
@@ -61,7 +61,7 @@
 }
 
 // Where no call can be begun to one endpoint of a destination, the others serve on.
-func TestUnsentCallsElsewhere(t *testing.T) {
+func TestCallsNotStartedElsewhere(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	now := moment(time.Second)
 	served := 0
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -7,8 +7,8 @@
 )
 
 // resumed is a message that an earlier process took on, with the attempts that it made.
-func resumed(id string, class int, tried ...PriorAttempt) Event {
-	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Resumed: true, PriorAttempts: tried}
+func resumed(id string, class int, prior ...PriorAttempt) Event {
+	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Resumed: true, PriorAttempts: prior}
 }
 
 func TestResumed(t *testing.T) {
@@ -17,10 +17,10 @@
 	ran := func(ago time.Duration) PriorAttempt {
 		return PriorAttempt{Endpoint: "gone", SentAt: moment(begin - ago)}
 	}
-	unrun := PriorAttempt{Endpoint: "a", SentAt: moment(begin - time.Second), NotExecuted: true}
+	notExecuted := PriorAttempt{Endpoint: "a", SentAt: moment(begin - time.Second), NotExecuted: true}
 	spent := make([]PriorAttempt, plain().MaxAttempts)
 	for i := range spent {
-		spent[i] = unrun
+		spent[i] = notExecuted
 	}
 	tests := []struct {
 		name  string
@@ -33,7 +33,7 @@
 		{"keyed past its memory", resumed("m", keyed, ran(4*time.Second)), "refuse m"},
 		{"keyed, counted from the first that may have run", resumed("m", keyed, ran(4*time.Second), ran(ms)), "refuse m"},
 		{"unsafe, may have run", resumed("m", unsafe, ran(time.Second)), "fail m"},
-		{"unsafe, never ran", resumed("m", unsafe, unrun, unrun), "m>a"},
+		{"unsafe, never ran", resumed("m", unsafe, notExecuted, notExecuted), "m>a"},
 		{"all attempts made", resumed("m", safe, spent...), ""},
 		{"its time is up", Arrived{ID: "m", Resumed: true, TimeLeft: -time.Second}, "refuse m"},
 	}
@@ -44,7 +44,7 @@
 }
 
 // A message that was taken on before is not up for admission again.
-func TestResumedIsNotRefusedForBacklog(t *testing.T) {
+func TestResumedIsNotRejectedForBacklog(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.destination(0).queues[0].latency.mean, d.destination(0).queues[0].circuit.retryAfterUntil = 1, moment(60*time.Second)
 	expect(t, "a fresh one", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "refuse n")
@@ -52,7 +52,7 @@
 }
 
 // A restart in an outage, or in the ramp after one, goes on as the process before it would have.
-func TestRecalled(t *testing.T) {
+func TestStateRestored(t *testing.T) {
 	s := plain()
 	s.Weights, s.Slots = WeightsNominal, 16
 	sends := func(events ...Event) int {
@@ -72,8 +72,8 @@
 	if out := sends(StateRestored{Endpoint: "a", Ejected: true, At: moment(time.Hour - time.Minute)}); out > maxUnhealthyCalls || out >= healthy {
 		t.Errorf("in an outage: %d calls at once, %d when healthy", out, healthy)
 	}
-	if ramp := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Second)}); ramp >= healthy {
-		t.Errorf("in a ramp: %d calls at once, %d when healthy", ramp, healthy)
+	if slowStart := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Second)}); slowStart >= healthy {
+		t.Errorf("in a ramp: %d calls at once, %d when healthy", slowStart, healthy)
 	}
 	if warm := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Minute)}); warm != healthy {
 		t.Errorf("after a ramp: %d calls at once, want %d", warm, healthy)
@@ -84,9 +84,9 @@
 }
 
 // What has to be recalled is told when it happens.
-func TestRemember(t *testing.T) {
+func TestPersistHealth(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	told := func(actions []Action) (list []PersistHealth) {
+	persisted := func(actions []Action) (list []PersistHealth) {
 		for _, a := range actions {
 			if r, ok := a.(PersistHealth); ok {
 				list = append(list, r)
@@ -96,31 +96,31 @@
 	}
 	d.Handle(moment(time.Second), []Event{arrive("m", 0)})
 	d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: ConnectError}})
-	got := told(d.Handle(moment(3*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: ConnectError}}))
+	got := persisted(d.Handle(moment(3*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: ConnectError}}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", Ejected: true, At: moment(3 * time.Second)}) {
 		t.Errorf("an outage: %v", got)
 	}
 	expect(t, "the next knock", d.Handle(moment(7*time.Second), []Event{TimerFired{}}), "m>a")
-	got = told(d.Handle(moment(8*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 2, Outcome: OK, Completed: true}}))
+	got = persisted(d.Handle(moment(8*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 2, Outcome: OK, Completed: true}}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", At: moment(8 * time.Second)}) {
 		t.Errorf("the return: %v", got)
 	}
 }
 
-func TestStopping(t *testing.T) {
+func TestShutdownStarted(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	expect(t, "nothing is sent", d.Handle(moment(time.Second), []Event{ShutdownStarted{}, arrive("m", 0)}), "")
 	expect(t, "nor later", d.Handle(moment(2*time.Second), []Event{TimerFired{}}), "")
 }
 
-func TestSpent(t *testing.T) {
+func TestAttemptsExhausted(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	expect(t, "sent", d.Handle(moment(time.Second), []Event{arrive("m", 2)}), "m>a")
 	expect(t, "ended", d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotSent, AttemptsExhausted: true}}),
 		"refuse m")
 }
 
-func TestHoldRoom(t *testing.T) {
+func TestQueueCapacity(t *testing.T) {
 	s := plain()
 	s.QueueCapacity, s.Slots = 2, 1
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
@@ -133,7 +133,7 @@
 
 // While attempts leave no record, only what a later process may send again goes out; the rest waits, and goes
 // once they do.
-func TestUnrecorded(t *testing.T) {
+func TestStorageReadOnly(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{StorageChanged{Writable: false}})
 	expect(t, "no record", d.Handle(moment(time.Second), []Event{resumed("safe", 0), resumed("keyed", 1), resumed("unsafe", 2)}), "safe>a")
@@ -153,7 +153,7 @@
 // What a restart finds untried is tried: before what arrives afresh, and a told wait, be it that of a
 // destination that is shut and comes back cold, delays it without ending it while time is left, though
 // nothing is known yet of latencies.
-func TestUntriedIsTriedFirst(t *testing.T) {
+func TestOtherEndpointFirst(t *testing.T) {
 	for _, wait := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		s := plain()
 		s.Slots = 1
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestKeyedEndsWithItsMemory(t *testing.T) {
+func TestIdempotencyWindowEndsRetries(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m", 1)})
 	got := d.Handle(moment(3995*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}})
@@ -35,7 +35,7 @@
 
 // A call that brings a message again has to be written while the receiver knows it: its connection may take
 // long.
-func TestKeyedWrittenWithinItsMemory(t *testing.T) {
+func TestWrittenWithinIdempotencyWindow(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	within := func(actions []Action) time.Duration { return actions[0].(Send).WriteTimeout }
 	if got := within(d.Handle(0, []Event{arrive("m", 1)})); got != 0 {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestUnsafeHasNoEarlyTimeout(t *testing.T) {
+func TestNotIdempotentHasNoTimeout(t *testing.T) {
 	for i, want := range []bool{true, true, false} {
 		d := start(t, plain(), Endpoint{ID: "a"})
 		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), Class: i, TimeLeft: 10 * time.Second}})
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -9,7 +9,7 @@
 )
 
 // Messages of one call are marked as such, and a call holds no more than its number and its size allow.
-func TestMessagesOfACall(t *testing.T) {
+func TestBatch(t *testing.T) {
 	s := plain()
 	s.MaxBatchBytes = 100
 	d := start(t, s, Endpoint{ID: "a", Kind: 1})
@@ -31,7 +31,7 @@
 
 // The end of one message's time ends the call for all: those that may run out of time before a usual call
 // ends travel with their like, and the others are not given up with them.
-func TestLittleTimeInACall(t *testing.T) {
+func TestNearDeadlineInABatch(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	d.Handle(moment(ms), []Event{arrive("first", 0)})
 	d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "first", Endpoint: "a", Outcome: OK, Latency: time.Second, Completed: true}})
--- a/policy/sendrate_test.go
+++ b/policy/sendrate_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestPaceFollows guards against a pace that is cut by refusals and never comes back, one that rises although
+// TestSendRate guards against a pace that is cut by refusals and never comes back, one that rises although
 // the destination reports that its allowance is used up, and one that a limit far below the listed rate does
 // not reach.
-func TestPaceFollows(t *testing.T) {
+func TestSendRate(t *testing.T) {
 	s := plain()
 	s.Weights, s.FleetSize = WeightsNominal, 4
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
@@ -16,13 +16,13 @@
 	if q.limiter.rate != 2 {
 		t.Fatalf("pace %v, want 8 / 4", q.limiter.rate)
 	}
-	refused := func(at time.Duration) {
+	reject := func(at time.Duration) {
 		d.now = moment(at)
 		d.recordRejection(q, limitMessage{})
 	}
-	refused(time.Second)
+	reject(time.Second)
 	cut := q.limiter.rate
-	if refused(1100 * ms); !(cut < 2) || q.limiter.rate != cut {
+	if reject(1100 * ms); !(cut < 2) || q.limiter.rate != cut {
 		t.Errorf("pace %v after a refusal, %v after another of the same moment", cut, q.limiter.rate)
 	}
 	q.waiting = []*message{{}}
@@ -41,7 +41,7 @@
 		t.Errorf("pace %v after 20 s in calm, want the even share back", q.limiter.rate)
 	}
 	for i := range 30 {
-		refused(time.Duration(d.now.Add(time.Duration(1+i%2) * time.Second)))
+		reject(time.Duration(d.now.Add(time.Duration(1+i%2) * time.Second)))
 	}
 	if q.limiter.rate > 0.5 {
 		t.Errorf("pace %v after refusals for 45 s: a quarter of the listed rate is not reached", q.limiter.rate)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestReturn plays each kind of outage: trials stay within the rule's budget, and a success starts a ramp.
-func TestReturn(t *testing.T) {
+// TestSlowStart plays each kind of outage: trials stay within the rule's budget, and a success starts a ramp.
+func TestSlowStart(t *testing.T) {
 	s := plain()
 	s.Weights = WeightsNominal
 	for _, outcome := range []Outcome{ConnectError, Failed, Reset, Rejected, TimedOut} {
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestRampAfterSuccess(t *testing.T) {
+func TestSlowStartAfterSuccess(t *testing.T) {
 	s := plain()
 	s.Weights, s.Slots = WeightsNominal, 40
 	d := start(t, s, Endpoint{ID: "a", Weight: 10})
@@ -59,14 +59,14 @@
 	}
 }
 
-// TestNewEndpointOfADestinationThatIsOut guards against all relays rushing to a replacement at once.
-func TestNewEndpointOfADestinationThatIsOut(t *testing.T) {
-	for _, gone := range []bool{false, true} { // the old endpoint stays, or is replaced
+// TestNewEndpointOfAnEjectedDestination guards against all relays rushing to a replacement at once.
+func TestNewEndpointOfAnEjectedDestination(t *testing.T) {
+	for _, removed := range []bool{false, true} { // the old endpoint stays, or is replaced
 		d := start(t, plain(), Endpoint{ID: "a"})
 		d.eject(d.endpoints["a"])
-		d.Handle(moment(ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Removed: gone}, {ID: "b"}}}})
+		d.Handle(moment(ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Removed: removed}, {ID: "b"}}}})
 		if !d.endpoints["b"].outlier.ejected {
-			t.Errorf("old one gone %v: the new one is not on its budget", gone)
+			t.Errorf("old one gone %v: the new one is not on its budget", removed)
 		}
 		d.recordSuccess(d.endpoints["b"], true)
 		d.Handle(moment(2*ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "c"}}}})
--- a/policy/stalled_calls_test.go
+++ b/policy/stalled_calls_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestLostCallIsSentAgain guards against single lost calls: one that a later call has overtaken is
+// TestLostCallIsRetried guards against single lost calls: one that a later call has overtaken is
 // called off; one that nothing has overtaken stays while slots are free.
-func TestLostCallIsSentAgain(t *testing.T) {
+func TestLostCallIsRetried(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.record(0, 0.1)
@@ -20,8 +20,8 @@
 	expect(t, "sent again", d.Handle(moment(705*ms), []Event{AttemptEnded{ID: "lost", Endpoint: "a", Outcome: Canceled}}), "lost>a")
 }
 
-// TestStuckSlotIsTakenBack guards against hangs that fill the slots.
-func TestStuckSlotIsTakenBack(t *testing.T) {
+// TestSlotOfAStalledCallIsFreed guards against hangs that fill the slots.
+func TestSlotOfAStalledCallIsFreed(t *testing.T) {
 	s := plain()
 	s.Slots = 2
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
@@ -34,8 +34,8 @@
 	expect(t, "one is wanted", d.Handle(moment(1000*ms), []Event{at("o", 2)}), "cancel m/0")
 }
 
-// TestStuckFactor guards against slots lost to calls that will never be answered.
-func TestStuckFactor(t *testing.T) {
+// TestStalledCallFactor guards against slots lost to calls that will never be answered.
+func TestStalledCallFactor(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	if got := d.stalledCallFactor(); got != unresponsiveFactor {
 		t.Errorf("at the start: %v", got)
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestLostUnsafeAnswerFreesItsSlot guards against answers lost at unsafe calls, which filled all slots.
-func TestLostUnsafeAnswerFreesItsSlot(t *testing.T) {
+// TestLostAnswerOfNotIdempotentFreesItsSlot guards against answers lost at unsafe calls, which filled all slots.
+func TestLostAnswerOfNotIdempotentFreesItsSlot(t *testing.T) {
 	s := plain()
 	s.Slots = 1
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
--- a/policy/state_store_bench_test.go
+++ b/policy/state_store_bench_test.go
@@ -36,14 +36,14 @@
 			}
 			before := heap()
 			d.Handle(0, []Event{EndpointsUpdated{}})
-			now, no, most := time.Duration(0), 0, 0
+			now, no, highest := time.Duration(0), 0, 0
 			for b.Loop() {
 				now += time.Second / 208
 				no = (no + 7919) % tt.used
 				serve(b, d, now, no)
-				most = max(most, len(d.destinations))
+				highest = max(highest, len(d.destinations))
 			}
-			b.ReportMetric(float64(most), "destinations")
+			b.ReportMetric(float64(highest), "destinations")
 			b.ReportMetric((heap()-before)/float64(len(d.destinations)), "B/destination")
 			runtime.KeepAlive(d)
 		})
--- a/policy/state_store_pair_test.go
+++ b/policy/state_store_pair_test.go
@@ -12,21 +12,21 @@
 
 // pair runs a dispatcher with all state and one with state on demand on the same events.
 type pair struct {
-	t           *rapid.T
-	s           Settings
-	list        *directory
-	eager, lazy *Dispatcher
-	now         time.Duration
-	next        int
-	attempts    []AttemptEnded // that are out
-	tries       map[string]int
+	t             *rapid.T
+	s             Settings
+	list          *directory
+	eager, lazy   *Dispatcher
+	now           time.Duration
+	next          int
+	attempts      []AttemptEnded // that are out
+	attemptCounts map[string]int
 }
 
 // Destinations 0 to 3 have endpoints in one queue, 4 and 5 are routes apart, 6 is listed by nobody.
 const sharedDestinations, listedDestinations, usedDestinations = 4, 6, 7
 
 func newPair(t *rapid.T) *pair {
-	p := &pair{t: t, s: onDemandSettings(), list: newDirectory(), tries: map[string]int{}}
+	p := &pair{t: t, s: onDemandSettings(), list: newDirectory(), attemptCounts: map[string]int{}}
 	p.s.FleetSize = rapid.SampledFrom([]int{1, 4, 400}).Draw(t, "relays")
 	p.s.Slots = rapid.IntRange(2, 6).Draw(t, "slots")
 	p.s.Weights = rapid.SampledFrom([]Weights{WeightsOff, WeightsNominal}).Draw(t, "weights")
@@ -71,8 +71,8 @@
 	}
 	for _, a := range got {
 		if s, ok := a.(Send); ok {
-			p.attempts = append(p.attempts, AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Attempt: p.tries[s.ID]})
-			p.tries[s.ID]++
+			p.attempts = append(p.attempts, AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Attempt: p.attemptCounts[s.ID]})
+			p.attemptCounts[s.ID]++
 		}
 	}
 	draining := 0
@@ -164,7 +164,7 @@
 	if len(eps) > 0 && rapid.IntRange(0, 9).Draw(p.t, "resumed") == 0 {
 		a.Resumed = true
 		a.PriorAttempts = []PriorAttempt{{Endpoint: eps[0].ID, SentAt: moment(p.now - 300*ms), NotExecuted: rapid.Bool().Draw(p.t, "not run")}}
-		p.tries[a.ID]++
+		p.attemptCounts[a.ID]++
 	}
 	return a
 }
--- a/policy/state_store_test.go
+++ b/policy/state_store_test.go
@@ -84,7 +84,7 @@
 	t.Helper()
 	for _, no := range destinations {
 		id := fmt.Sprint("m", no, "-", now)
-		sent := said(d.Handle(moment(now), []Event{Arrived{ID: id, Destination: no, TimeLeft: 10 * time.Second}}))
+		sent := summary(d.Handle(moment(now), []Event{Arrived{ID: id, Destination: no, TimeLeft: 10 * time.Second}}))
 		if want := fmt.Sprint(id, ">e", no); sent != want {
 			t.Fatalf("at %v: %q, want %q", now, sent, want)
 		}
@@ -134,7 +134,7 @@
 }
 
 // What binds keeps state for as long as it binds.
-func TestBindingStateStays(t *testing.T) {
+func TestNeededStateStays(t *testing.T) {
 	const long = 10 * time.Minute
 	failed := func(o Outcome, wait time.Duration) func(*Dispatcher) {
 		return func(d *Dispatcher) {
@@ -179,10 +179,10 @@
 			s.SlowStartWindow, s.IdleConnTimeout = long, long
 			d, _ := startOnDemand(t, s, many(10)...)
 			tt.cause(d)
-			kept := d.destinations[7]
+			needed := d.destinations[7]
 			for now := time.Minute; now < min(tt.until, 2*long); now += time.Minute {
 				d.Handle(moment(now), nil)
-				if kept == nil || d.destinations[7] != kept || d.endpoints["e7"] == nil {
+				if needed == nil || d.destinations[7] != needed || d.endpoints["e7"] == nil {
 					t.Fatalf("at %v its state is gone", now)
 				}
 			}
@@ -199,7 +199,7 @@
 
 // Only facts that bind load state.
 func TestWhatLoadsState(t *testing.T) {
-	received := func(note []byte) Event { return GossipReceived{Message: note} }
+	received := func(message []byte) Event { return GossipReceived{Message: message} }
 	tests := map[string]struct {
 		event Event
 		loads bool
@@ -301,11 +301,11 @@
 	// Maps and slices grow now and then, which is no work for destinations: one allocation for each ten would
 	// be a hundred with the smaller of the two states below.
 	const growth = 2
-	few, fewAllocations := work(1_000, 10)
+	small, smallAllocations := work(1_000, 10)
 	for _, inState := range []int{1_000, 10_000} {
-		lots, lotsAllocations := work(20_000, inState)
-		if few != 1 || lots != 1 || lotsAllocations > fewAllocations+growth {
-			t.Errorf("%d look-ups and %v allocations with 10 in state, %d and %v with %d", few, fewAllocations, lots, lotsAllocations, inState)
+		large, largeAllocations := work(20_000, inState)
+		if small != 1 || large != 1 || largeAllocations > smallAllocations+growth {
+			t.Errorf("%d look-ups and %v allocations with 10 in state, %d and %v with %d", small, smallAllocations, large, largeAllocations, inState)
 		}
 	}
 }
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -14,13 +14,13 @@
 
 // Over any zones, all of each zone's messages go somewhere, no zone gets more than it has room for beyond its
 // own, what has room stays at home, as much is served as can be, and the order of the zones does not matter.
-func TestSpill(t *testing.T) {
+func TestSpilloverShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rates := rapid.SliceOfN(rapid.Float64Range(0, 100), 2, 6)
 		demand := rates.Draw(t, "demand")
-		room := rapid.SliceOfN(rapid.Float64Range(0, 100), len(demand), len(demand)).Draw(t, "room")
-		shares := spilloverShares(demand, room)
-		sumDemand, sumRoom, served := 0.0, 0.0, 0.0
+		capacity := rapid.SliceOfN(rapid.Float64Range(0, 100), len(demand), len(demand)).Draw(t, "room")
+		shares := spilloverShares(demand, capacity)
+		sumDemand, totalCapacity, served := 0.0, 0.0, 0.0
 		for z := range demand {
 			sum, in := 0.0, 0.0
 			for y := range demand {
@@ -35,17 +35,17 @@
 			if math.Abs(sum-1) > 1e-6 {
 				t.Fatalf("the parts of zone %d come to %v", z, sum)
 			}
-			if in > math.Max(0, room[z]-demand[z])+1e-6 {
-				t.Fatalf("zone %d with room for %v and %v of its own gets %v", z, room[z], demand[z], in)
+			if in > math.Max(0, capacity[z]-demand[z])+1e-6 {
+				t.Fatalf("zone %d with room for %v and %v of its own gets %v", z, capacity[z], demand[z], in)
 			}
-			if demand[z] <= room[z] && shares[z][z] < 1-1e-9 {
+			if demand[z] <= capacity[z] && shares[z][z] < 1-1e-9 {
 				t.Fatalf("zone %d has room and keeps %v", z, shares[z][z])
 			}
-			sumDemand, sumRoom = sumDemand+demand[z], sumRoom+room[z]
-			served += in + math.Min(room[z], demand[z])
+			sumDemand, totalCapacity = sumDemand+demand[z], totalCapacity+capacity[z]
+			served += in + math.Min(capacity[z], demand[z])
 		}
-		if served < math.Min(sumDemand, sumRoom)-1e-6 {
-			t.Fatalf("%v is served of %v, with room for %v", served, sumDemand, sumRoom)
+		if served < math.Min(sumDemand, totalCapacity)-1e-6 {
+			t.Fatalf("%v is served of %v, with room for %v", served, sumDemand, totalCapacity)
 		}
 		order := rapid.Permutation(slices.Collect(func(yield func(int) bool) {
 			for z := range demand {
@@ -56,7 +56,7 @@
 		})).Draw(t, "order")
 		d2, r2 := make([]float64, len(demand)), make([]float64, len(demand))
 		for i, z := range order {
-			d2[i], r2[i] = demand[z], room[z]
+			d2[i], r2[i] = demand[z], capacity[z]
 		}
 		for i, row := range spilloverShares(d2, r2) {
 			for j, part := range row {
@@ -68,19 +68,19 @@
 	})
 }
 
-// zoned is a relay of zone 0 and its world: destinations with an endpoint in each zone, and what answers
+// zonedRelay is a relay of zone 0 and its world: destinations with an endpoint in each zone, and what answers
 // there.
-type zoned struct {
+type zonedRelay struct {
 	*testing.T
-	d     *Dispatcher
-	now   time.Duration
-	n     int
-	fails func(ep string, dest, zone int) Outcome
-	sent  map[string]int // calls by zone, and all to one as "all"
-	told  []string       // zones' changes
-	said  int            // endpoints that this relay itself says are out
-	out   []due
-	rng   *rand.Rand
+	d            *Dispatcher
+	now          time.Duration
+	n            int
+	fails        func(ep string, dest, zone int) Outcome
+	sent         map[string]int // calls by zone, and all to one as "all"
+	broadcasts   []string       // zones' changes
+	stateChanges int            // endpoints that this relay itself says are out
+	out          []due
+	rng          *rand.Rand
 }
 
 type due struct {
@@ -88,7 +88,7 @@
 	e  AttemptEnded
 }
 
-func newZoned(t *testing.T, zones, dests int, change func(*Settings)) *zoned {
+func newZonedRelay(t *testing.T, zones, dests int, change func(*Settings)) *zonedRelay {
 	s := plain()
 	s.Zones, s.Slots, s.QueueCapacity, s.SlowStartWindow, s.SlowStartInitialShare = true, 60, 1000, 4*time.Second, 0.5
 	s.Classes = s.Classes[:1]
@@ -101,12 +101,12 @@
 			eps = append(eps, Endpoint{ID: fmt.Sprintf("%d-%d", dest, zone), Destination: dest, Zone: zone})
 		}
 	}
-	return &zoned{T: t, d: start(t, s, eps...), sent: map[string]int{}, rng: rand.New(rand.NewPCG(1, 1)),
+	return &zonedRelay{T: t, d: start(t, s, eps...), sent: map[string]int{}, rng: rand.New(rand.NewPCG(1, 1)),
 		fails: func(string, int, int) Outcome { return OK }}
 }
 
 // run has messages arrive for all destinations in turn, 100 a second, and calls end after some 30 ms.
-func (z *zoned) run(until time.Duration) {
+func (z *zonedRelay) run(until time.Duration) {
 	for ; z.now < until; z.now += 5 * ms {
 		var events []Event
 		for len(z.out) > 0 && z.out[0].at <= z.now {
@@ -129,21 +129,21 @@
 				z.out = append(z.out, due{z.now + 30*ms + time.Duration(z.rng.IntN(10))*ms, e})
 				slices.SortStableFunc(z.out, func(a, b due) int { return int(a.at - b.at) })
 			case ZoneStateChanged:
-				z.told = append(z.told, fmt.Sprintf("%d %v", a.Zone, a.State))
+				z.broadcasts = append(z.broadcasts, fmt.Sprintf("%d %v", a.Zone, a.State))
 			case PersistHealth:
 				if a.Ejected && !a.SecondHand {
-					z.said++
+					z.stateChanges++
 				}
 			}
 		}
 	}
 }
 
-func (z *zoned) state(no int) ZoneState { return z.d.zones.get(no).state }
+func (z *zonedRelay) state(no int) ZoneState { return z.d.zones.get(no).state }
 
 // Calls stay in the own zone while it answers as it is used to, and leave it as far as it slows down.
 func TestLocalFirst(t *testing.T) {
-	z := newZoned(t, 3, 4, nil)
+	z := newZonedRelay(t, 3, 4, nil)
 	z.run(20 * time.Second)
 	if local := float64(z.sent["0"]) / float64(z.sent["all"]); local < 0.98 {
 		t.Errorf("%.3f of the calls stay in the own zone", local)
@@ -163,8 +163,8 @@
 
 // What other relays of the zone send counts: where the zones together have less room here, a part goes
 // elsewhere.
-func TestSpillsByWhatOthersSend(t *testing.T) {
-	z := newZoned(t, 3, 1, func(s *Settings) { s.Weights, s.FleetSize = WeightsNominal, 1 })
+func TestSpilloverByPeerRates(t *testing.T) {
+	z := newZonedRelay(t, 3, 1, func(s *Settings) { s.Weights, s.FleetSize = WeightsNominal, 1 })
 	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "0-0", Weight: 300}, {ID: "0-1", Zone: 1, Weight: 300}, {ID: "0-2", Zone: 2, Weight: 300}}},
 		PeerRateReceived{LiveRelays: 3, Reporters: 5, RateShare: 1, ArrivalRate: 100, ArrivalRateByZone: []float64{160, 50, 80}, ValidFor: time.Minute}})
 	z.run(20 * time.Second)
@@ -177,8 +177,8 @@
 
 // A zone that fails as a whole is left at once, with endpoints that have not failed yet, and returned to
 // after it is back: one evacuation and one return, and the ramp's time to full use.
-func TestZoneOut(t *testing.T) {
-	z := newZoned(t, 4, 8, func(s *Settings) { s.Zone = 3 })
+func TestZoneEvacuation(t *testing.T) {
+	z := newZonedRelay(t, 4, 8, func(s *Settings) { s.Zone = 3 })
 	down := false
 	z.fails = func(_ string, _, zone int) Outcome {
 		if zone == 1 && down {
@@ -192,7 +192,7 @@
 	z.run(2 * time.Second)
 	down = true
 	z.run(4 * time.Second)
-	if got := strings.Join(z.told, ", "); got != "1 evacuated" {
+	if got := strings.Join(z.broadcasts, ", "); got != "1 evacuated" {
 		t.Fatalf("after it failed: %s", got)
 	}
 	before := z.sent["1"]
@@ -202,7 +202,7 @@
 	}
 	down = false
 	z.run(22 * time.Second)
-	if got := strings.Join(z.told, ", "); got != "1 evacuated, 1 returning, 1 serving" {
+	if got := strings.Join(z.broadcasts, ", "); got != "1 evacuated, 1 returning, 1 serving" {
 		t.Errorf("after its return: %s", got)
 	}
 	all, _ := z.d.Zones()
@@ -213,7 +213,7 @@
 
 // A zone that comes and goes every few seconds is left once and not returned to; what it costs is trials.
 func TestFlapping(t *testing.T) {
-	z := newZoned(t, 4, 8, func(s *Settings) { s.SlowStartWindow = 8 * time.Second })
+	z := newZonedRelay(t, 4, 8, func(s *Settings) { s.SlowStartWindow = 8 * time.Second })
 	z.fails = func(_ string, _, zone int) Outcome {
 		if zone == 1 && z.now/(5*time.Second)%2 == 1 {
 			return ConnectError
@@ -231,7 +231,7 @@
 	}
 	all, _ := z.d.Zones()
 	if all[1].Evacuations != 1 || all[1].Recoveries > 1 {
-		t.Errorf("%+v, %v", all[1], z.told)
+		t.Errorf("%+v, %v", all[1], z.broadcasts)
 	}
 }
 
@@ -252,7 +252,7 @@
 		{"a load peak", func(_, zone, n int) Outcome { return []Outcome{OK, Rejected, OK}[zone%2*(n%3)] }},
 		{"cut off", func(_, zone, _ int) Outcome { return []Outcome{OK, ConnectError}[min(1, zone)] }},
 	} {
-		z := newZoned(t, 3, 8, nil)
+		z := newZonedRelay(t, 3, 8, nil)
 		z.run(2 * time.Second)
 		z.fails = func(_ string, dest, zone int) Outcome { return c.fails(dest, zone, z.rng.IntN(1000)) }
 		ever := false
@@ -264,21 +264,21 @@
 			_, cutOff := z.d.Zones()
 			ever = ever || cutOff
 		}
-		if len(z.told) > 0 {
-			t.Errorf("%s: %v", c.name, z.told)
+		if len(z.broadcasts) > 0 {
+			t.Errorf("%s: %v", c.name, z.broadcasts)
 		}
 		if want := c.name == "cut off" || c.name == "all fails"; ever != want && c.name != "a third fails everywhere" {
 			t.Errorf("%s: cut off: %v", c.name, ever)
 		}
-		if c.name == "cut off" && z.said > 4 { // those of the first moments, before it can tell
-			t.Errorf("%s: it accuses %d endpoints", c.name, z.said)
+		if c.name == "cut off" && z.stateChanges > 4 { // those of the first moments, before it can tell
+			t.Errorf("%s: it accuses %d endpoints", c.name, z.stateChanges)
 		}
 	}
 }
 
 // More than half of the fleet's endpoints are not left by verdict: a zone with most of them is found out one
 // by one.
-func TestPanic(t *testing.T) {
+func TestPanicThreshold(t *testing.T) {
 	s := plain()
 	s.Zones, s.Slots = true, 60
 	var eps []Endpoint
@@ -303,7 +303,7 @@
 // An order has a zone left until its end, whatever its health, but for destinations that are nowhere else; it
 // returns on the ramp; and orders that make no sense are refused.
 func TestZoneOrder(t *testing.T) {
-	z := newZoned(t, 3, 4, nil)
+	z := newZonedRelay(t, 3, 4, nil)
 	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "9-0", Destination: 9}}}})
 	z.run(time.Second)
 	for _, bad := range []int{-1, 3, 70} {
@@ -348,11 +348,11 @@
 		z.run(11100 * ms)
 	}
 	if z.state(0) != Recovering {
-		t.Errorf("after its end: %v", z.told)
+		t.Errorf("after its end: %v", z.broadcasts)
 	}
 	z.run(16 * time.Second)
 	if z.state(0) != Serving || z.sent["0"] == before {
-		t.Errorf("after the ramp: %v", z.told)
+		t.Errorf("after the ramp: %v", z.broadcasts)
 	}
 }
 
