--- a/internal/relay/upstream/call.go
+++ b/internal/relay/upstream/call.go
@@ -23,7 +23,7 @@
 )
 
 // userAgent names the relay to endpoints.
-const userAgent = "frostlink"
+const userAgent = "milletsail"
 
 // Call is one request to an endpoint, with one message or with several.
 type Call struct {
