--- a/policy/queue.go
+++ b/policy/queue.go
@@ -31,11 +31,12 @@
 	active        bool // among Dispatcher.active
 	index         int  // in Dispatcher.queues
 
+	// dispatch reads the circuit of every active queue, so it stands near the waiting messages (in one cache line).
+	circuit            circuitBreaker
+	limiter            sendRateLimiter
 	admission          admissionController
 	latency            latencyEstimate
-	typicalConcurrency float64 // mean number of calls out at a success
-	limiter            sendRateLimiter
-	circuit            circuitBreaker
+	typicalConcurrency float64      // mean number of calls out at a success
 	peerReport         peerReport   // on the destination
 	probedAt           instant.Time // when the ejected or rejecting destination last got a call
 	peers              peerTraffic
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -62,7 +62,7 @@
 
 // nextSendable returns the message that a queue would send now and its endpoint, or nil.
 func (d *Dispatcher) nextSendable(q *queue) (*endpoint, *message) {
-	if len(q.waiting) == 0 || !d.maySend(q) {
+	if len(q.waiting) == 0 || d.now < q.circuit.retryAfterUntil || !d.maySend(q) {
 		return nil, nil
 	}
 	for _, m := range q.waiting {
@@ -75,10 +75,11 @@
 	return nil, nil
 }
 
-// maySend reports whether slots, pauses, the send rate and probe turns let a queue send a call now.
+// maySend reports whether slots, the relay's own pause, the send rate and probe turns let a queue send a call
+// now.
 func (d *Dispatcher) maySend(q *queue) bool {
 	maxCalls := max(1, int(math.Ceil(maxQueueSlotShare*float64(d.settings.Slots))))
-	if d.now < q.circuit.retryAfterUntil || len(q.calls) >= maxCalls {
+	if len(q.calls) >= maxCalls {
 		return false
 	}
 	isProber := d.isProber(q)
