--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -37,7 +37,7 @@
 	// pipeTimeout is how long to wait for the output to be closed after the program has ended: a child process may keep it
 	// open.
 	pipeTimeout = time.Second
-	// maxOutputSize bounds the output that is kept, in bytes.
+	// maxOutputSize bounds the buffered output, in bytes.
 	maxOutputSize = 4096
 )
 
--- a/internal/fleet/fact.go
+++ b/internal/fleet/fact.go
@@ -35,18 +35,25 @@
 	Name         string        // of the kind in View; part of the admin endpoint's JSON
 	FadesAfter   time.Duration // the age from which a fact carries less weight
 	ExpiresAfter time.Duration // the age from which a fact is no longer used
-	Fallback     string        // what a relay does without such a fact
 }
 
 // Lifetimes holds the lifetime of each kind. That of KindMember must exceed several heartbeat intervals of the largest fleet.
+// The comments say what a relay does without such a fact.
 var Lifetimes = map[Kind]Lifetime{
-	KindMember:             {"member", 60 * time.Second, 120 * time.Second, "counts all relays of the configuration as live"},
-	KindDestinationClosed:  {"closed", 2 * time.Second, 10 * time.Second, "uses the rejections that it received itself"},
-	KindDestinationOpen:    {"open", 2 * time.Second, 10 * time.Second, "uses its own successful requests"},
-	KindEndpointEjected:    {"out", 2 * time.Second, 30 * time.Second, "uses the failures that it observed itself"},
-	KindEndpointRecovered:  {"back", 10 * time.Second, 30 * time.Second, "starts its own recovery ramp"},
-	KindConnectionRejected: {"no room", 5 * time.Second, 10 * time.Second, "uses the state of its own connections"},
-	KindSendRate:           {"pace", 45 * time.Second, 90 * time.Second, "starts with an even share of the listed rate"},
+	// It counts all relays of the configuration as live.
+	KindMember: {"member", 60 * time.Second, 120 * time.Second},
+	// It uses the rejections that it received itself.
+	KindDestinationClosed: {"closed", 2 * time.Second, 10 * time.Second},
+	// It uses its own successful requests.
+	KindDestinationOpen: {"open", 2 * time.Second, 10 * time.Second},
+	// It uses the failures that it observed itself.
+	KindEndpointEjected: {"out", 2 * time.Second, 30 * time.Second},
+	// It starts its own recovery ramp.
+	KindEndpointRecovered: {"back", 10 * time.Second, 30 * time.Second},
+	// It uses the state of its own connections.
+	KindConnectionRejected: {"no room", 5 * time.Second, 10 * time.Second},
+	// It starts with an even share of the listed rate.
+	KindSendRate: {"pace", 45 * time.Second, 90 * time.Second},
 }
 
 // FactVersion orders the facts that one origin publishes under one FactID.
--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -37,8 +37,8 @@
 	crashes   int                              // in the last sample
 }
 
-// latencySums holds what Little's law gives the latency of a cohort from: the messages pending and completed since latencies
-// were last compared.
+// latencySums holds the messages pending and completed since latencies were last compared. By Little's law their ratio is the
+// latency of a cohort.
 type latencySums struct{ pending, completed float64 }
 
 // CanaryAnalysis compares the relays with the new version to the others. It compares differences over the same time, so that
