--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -4,20 +4,24 @@
 package admin
 
 import (
+	"context"
 	"io"
 	"net"
 	"time"
 )
 
 // Call sends one command line to the admin endpoint at address and returns the reply unchanged. timeout bounds
-// connecting, and then sending and receiving together.
-func Call(address, line string, timeout time.Duration) (string, error) {
-	conn, err := net.DialTimeout("tcp", address, timeout)
+// connecting, and then sending and receiving together; ctx ends connecting earlier.
+func Call(ctx context.Context, address, line string, timeout time.Duration) (string, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return "", err
 	}
-	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(timeout))
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return "", err
+	}
 	if _, err := io.WriteString(conn, line+"\n"); err != nil {
 		return "", err
 	}
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -1,119 +1,81 @@
 package policy
 
 import (
-	"container/list"
 	"math/rand/v2"
+	"slices"
 
 	"milletsail/internal/instant"
 )
 
-// This file holds the dispatcher.
-
 // Dispatcher decides for one relay. It is not safe for concurrent use.
+//
+// What concerns a destination or an endpoint is in the parts of its queue and endpoint; here are the parts
+// that concern the whole relay.
 type Dispatcher struct {
-	s         Settings
-	now       instant.Time
-	endpoints map[string]*endpoint
-	dests     map[int]*destination
-	active    []*queue // those with messages held or calls out
-	queues    []*queue // in the order in which they were first seen
-	messages  map[string]*message
-	live      []*message // unfinished, in the order of arrival
-	resting   []*message // over, but their keys rest
-	keys      map[string][]*message
-	out       int // calls out
-	// unanswered is the share of calls out for stuckAfter mean latencies that had no success.
-	unanswered float64
-	seq        int
-	turn       int
-	meanWorth  float64
-	resub      instant.Time // when to subscribe
-	wakeAt     instant.Time // when the next timer is due; 0 for none
-	heardAt    instant.Time // when the last note came
-	shareAt    instant.Time // when to share a pace next
-	shareNext  int          // among queues
-	relays     int          // that count as there; 0 for unknown
-	zones      map[int]*zone
-	cutOff     bool // nothing answers in all zones but the own
-	stopping   bool // send nothing more
-	unrecorded bool // attempts leave no trace for a later process
-	actions    []Action
-	chance     *rand.Rand
-	pools      map[int]*latencies // by kind of destination
-	onTrial    int                // endpoints with a trial
-	bad        int                // endpoints that countsAsBad
-	listedAt   instant.Time       // of the first Listed; never before it
-	idle       list.List          // of *destination: on demand only, by idleSince; those that have become busy may still be in it
+	settings Settings
+	now      instant.Time
+	actions  []Action // of the batch that is handled
+	random   *rand.Rand
+
+	destinations     map[int]*destination
+	endpoints        map[string]*endpoint
+	queues           []*queue // in the order in which they were first seen
+	active           []*queue // those with messages waiting or calls out
+	unavailableCount int      // endpoints for which isUnavailable holds
+
+	messages      messageTable
+	keys          orderedKeys
+	slots         slotScheduler
+	latencyPriors map[int]*latencyEstimate // by kind of destination
+	meanPriority  float64                  // mean priority weight of the classes
+	watch         endpointWatch
+	timer         timerState
+	publisher     ratePublisher
+	liveRelays    int          // that share the traffic now; 0 for unknown
+	lastGossipAt  instant.Time // when the last gossip message was received
+	zones         zoneTable
+	canaryCount   int
+	store         stateStore
+
+	stopping        bool // send nothing more
+	storageReadOnly bool // attempts leave no record for a later process
 }
 
-// New returns a dispatcher that knows nothing yet. Settings that make no sense give an error.
-func New(s Settings, seed int64) (*Dispatcher, error) {
-	if err := s.check(); err != nil {
+// New returns a dispatcher that knows nothing yet, or an error for settings that make no sense. The seed is
+// that of its random decisions.
+func New(settings Settings, seed int64) (*Dispatcher, error) {
+	if err := settings.check(); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{s: s, endpoints: map[string]*endpoint{}, dests: map[int]*destination{},
-		messages: map[string]*message{}, keys: map[string][]*message{},
-		pools: map[int]*latencies{}, chance: rand.New(rand.NewPCG(uint64(seed), 0)), resub: never, listedAt: never}
-	if s.Subscribe {
-		d.resub = 0 // at once
+	dispatcher := &Dispatcher{
+		settings:      settings,
+		random:        rand.New(rand.NewPCG(uint64(seed), 0)),
+		destinations:  map[int]*destination{},
+		endpoints:     map[string]*endpoint{},
+		messages:      messageTable{byID: map[string]*message{}},
+		keys:          orderedKeys{waiting: map[string][]*message{}},
+		latencyPriors: map[int]*latencyEstimate{},
+		watch:         endpointWatch{subscribeAt: never, firstListedAt: never},
+	}
+	if settings.Subscribe {
+		dispatcher.watch.subscribeAt = 0 // at once
 	}
-	for _, c := range s.Classes {
-		d.meanWorth += c.PriorityWeight / float64(len(s.Classes))
+	for _, class := range settings.Classes {
+		dispatcher.meanPriority += class.PriorityWeight / float64(len(settings.Classes))
 	}
-	return d, nil
+	return dispatcher, nil
 }
 
-// never is later than every moment.
+// never is later than every other time.
 const never = instant.Never
 
-func (d *Dispatcher) act(a Action) { d.actions = append(d.actions, a) }
+// emit adds an action to those of the batch.
+func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// truth is 1 for what is so.
-func truth(so bool) float64 {
-	if so {
-		return 1
-	}
-	return 0
-}
-
-// remove takes v out of a slice and keeps the order.
-func remove[T comparable](list []T, v T) []T {
-	for i := range list {
-		if list[i] == v {
-			return append(list[:i], list[i+1:]...)
-		}
+// remove takes an element out of a slice and keeps the order.
+func remove[T comparable](list []T, element T) []T {
+	if i := slices.Index(list, element); i >= 0 {
+		return append(list[:i], list[i+1:]...)
 	}
 	return list
 }
-
-// apply takes in one event, and gives the message that is up for admission by it, if any.
-func (d *Dispatcher) apply(e Event) *message {
-	switch e := e.(type) {
-	case Arrived:
-		return d.take(e)
-	case AttemptEnded:
-		d.ended(e)
-	case Withdrawn:
-		d.withdraw(e.ID)
-	case EndpointsUpdated: // taken in ahead of the others
-	case WatchFailed:
-		if d.s.Subscribe {
-			d.resub = d.now.Add(subscribeAgain)
-		}
-	case StateRestored:
-		d.recall(e)
-	case StateInherited:
-		d.inherit(e)
-	case GossipReceived:
-		d.heard(e.Message)
-	case PeerSuspected:
-		d.accused(e)
-	case PeerRateReceived:
-		d.pacedBy(e)
-	case StorageChanged:
-		d.unrecorded = !e.Writable
-	case ShutdownStarted:
-		d.stopping = true
-	}
-	return nil
-}
--- /dev/null
+++ b/policy/endpoint_list.go
@@ -0,0 +1,111 @@
+package policy
+
+import (
+	"slices"
+	"time"
+
+	"milletsail/internal/instant"
+)
+
+// resubscribeDelay is the time before a failed watch of the endpoint list is started again.
+const resubscribeDelay = 500 * time.Millisecond
+
+// endpointWatch is the watch of the endpoint list.
+type endpointWatch struct {
+	subscribeAt   instant.Time // when to subscribe next
+	firstListedAt instant.Time // when the first entries came; never before that
+}
+
+// renewWatch subscribes to the endpoint list when that is due.
+func (d *Dispatcher) renewWatch() {
+	if d.now >= d.watch.subscribeAt {
+		d.watch.subscribeAt = never
+		d.emit(Subscribe{})
+	}
+}
+
+// updateEndpoints takes in a change of the endpoint list.
+func (d *Dispatcher) updateEndpoints(updated EndpointsUpdated) {
+	d.watch.firstListedAt = min(d.watch.firstListedAt, d.now)
+	for _, listed := range updated.Endpoints {
+		if d.affectsState(listed) {
+			d.updateEndpoint(listed, d.now)
+		}
+	}
+	if updated.Complete {
+		d.removeUnlisted(updated.Endpoints)
+	}
+	for _, q := range slices.Clone(d.active) {
+		if len(q.waiting) > 0 && !q.acceptsCalls() {
+			d.reroute(q)
+		}
+	}
+}
+
+// removeUnlisted removes the endpoints that a complete list does not name.
+func (d *Dispatcher) removeUnlisted(complete []Endpoint) {
+	listed := map[string]bool{}
+	for _, entry := range complete {
+		listed[entry.ID] = true
+	}
+	for _, q := range slices.Clone(d.queues) {
+		for _, ep := range slices.Clone(q.endpoints) {
+			if !listed[ep.ID] {
+				d.removeEndpoint(ep)
+			}
+		}
+	}
+}
+
+// updateEndpoint takes in one entry of the list, which is listed since a moment.
+func (d *Dispatcher) updateEndpoint(listed Endpoint, since instant.Time) {
+	ep := d.endpoints[listed.ID]
+	if listed.Removed {
+		if ep != nil {
+			d.removeEndpoint(ep)
+		}
+		return
+	}
+	joinsOutage := false
+	if ep == nil {
+		dest := d.destination(listed.Destination)
+		if ep = d.endpoints[listed.ID]; ep == nil { // loading the destination may have brought it
+			ep = d.addEndpoint(dest, listed, since)
+			joinsOutage = ep.queue.outageSuspected
+		}
+	}
+	d.startCanary(ep, listed)
+	d.updateAvailability(ep, func() { ep.Endpoint = listed })
+	d.setListedRate(ep.queue, listed.Weight, since)
+	if joinsOutage { // at a destination that is down, it needs a slow start like the others
+		d.eject(ep)
+	}
+}
+
+// addEndpoint adds an endpoint that is listed since a moment to its destination.
+func (d *Dispatcher) addEndpoint(dest *destination, listed Endpoint, since instant.Time) *endpoint {
+	ep := &endpoint{outlier: newOutlierDetector(len(d.settings.Classes)), queue: dest.queues[0]}
+	d.endpoints[listed.ID] = ep
+	kind := Kind{MaxBatch: 1}
+	if listed.Kind >= 0 && listed.Kind < len(d.settings.Kinds) {
+		kind = d.settings.Kinds[listed.Kind]
+	}
+	if kind.SeparateRoutes && (len(ep.queue.endpoints) > 0 || len(dest.queues) > 1) {
+		ep.queue = d.addQueue(dest, since)
+	}
+	queue := ep.queue
+	queue.maxBatch, queue.separateRoute, queue.kind = max(1, kind.MaxBatch), kind.SeparateRoutes, listed.Kind
+	queue.endpoints = append(queue.endpoints, ep)
+	return ep
+}
+
+// removeEndpoint removes an endpoint that is no longer listed. Calls that are out there still end.
+func (d *Dispatcher) removeEndpoint(ep *endpoint) {
+	d.updateAvailability(ep, func() { ep.Removed = true })
+	if ep.canary != nil {
+		d.canaryCount--
+	}
+	delete(d.endpoints, ep.ID)
+	ep.queue.endpoints = remove(ep.queue.endpoints, ep)
+	d.removeUnusedQueue(ep.queue)
+}
--- /dev/null
+++ b/policy/gossip_codec.go
@@ -0,0 +1,161 @@
+package policy
+
+import (
+	"encoding/binary"
+	"time"
+)
+
+// The first byte of a gossip message is its type. The letters are the wire format.
+const (
+	circuitOpenType       = 'c' // a destination has rejected a call
+	circuitClosedType     = 'o' // a destination has accepted a call
+	endpointRecoveredType = 'b' // an ejected endpoint answers again
+	connectErrorType      = 'n' // an endpoint has not accepted a connection
+	canarySuccessType     = 'g' // a call to a canary has succeeded
+	canaryFailureType     = 'w' // a call to a canary has failed
+)
+
+// maxGossipNumber bounds the numbers of a gossip message, so that none overflows.
+const maxGossipNumber = 1 << 31
+
+// limitMessage reports that a destination has rejected or accepted a call.
+type limitMessage struct {
+	accepted    bool
+	destination int
+	retryAfter  time.Duration // of a rejection, or 0
+	callAge     time.Duration // since the call was sent
+}
+
+// canaryMessage reports the outcome of a message of a class at a canary. Its random ID tells it from copies
+// of itself.
+type canaryMessage struct {
+	endpoint string
+	class    int
+	failed   bool
+	id       uint64
+}
+
+// Observed is what the message of a Broadcast reports, for callers that combine the reports of several
+// relays: one of Closed (a destination has rejected a call), Open (it has accepted one), Back (an endpoint
+// has recovered) and NoRoom (it has not accepted a connection).
+type Observed struct {
+	Closed, Open, Back, NoRoom bool
+	Destination                int           // of Closed and Open
+	Endpoint                   string        // of Back and NoRoom
+	Wait                       time.Duration // Retry-After of a rejection, or 0
+	Age                        time.Duration // since the call was sent
+}
+
+// ReadNote decodes the message of a Broadcast. It returns false for one that is malformed or of another type.
+func ReadNote(message []byte) (observed Observed, ok bool) {
+	if limit, ok := decodeLimitMessage(message); ok {
+		return Observed{
+			Closed:      !limit.accepted,
+			Open:        limit.accepted,
+			Destination: limit.destination,
+			Wait:        limit.retryAfter,
+			Age:         limit.callAge,
+		}, true
+	}
+	if recovered := decodeEndpointMessage(endpointRecoveredType, message); recovered != "" {
+		return Observed{Back: true, Endpoint: recovered}, true
+	}
+	if full := decodeEndpointMessage(connectErrorType, message); full != "" {
+		return Observed{NoRoom: true, Endpoint: full}, true
+	}
+	return Observed{}, false
+}
+
+// Note encodes an observation as the message of a Broadcast.
+func (o Observed) Note() []byte {
+	switch {
+	case o.Back:
+		return encodeEndpointMessage(endpointRecoveredType, o.Endpoint)
+	case o.NoRoom:
+		return encodeEndpointMessage(connectErrorType, o.Endpoint)
+	}
+	limit := limitMessage{accepted: o.Open, destination: o.Destination, retryAfter: o.Wait, callAge: o.Age}
+	return limit.encode()
+}
+
+// encode returns the type, and the numbers as varints with durations in milliseconds.
+func (m limitMessage) encode() []byte {
+	encoded := []byte{circuitOpenType}
+	if m.accepted {
+		encoded[0] = circuitClosedType
+	}
+	encoded = binary.AppendUvarint(encoded, uint64(m.destination))
+	encoded = binary.AppendUvarint(encoded, uint64(m.retryAfter.Milliseconds()))
+	return binary.AppendUvarint(encoded, uint64(m.callAge.Milliseconds()))
+}
+
+// decodeLimitMessage decodes a limitMessage. It returns false for one that is malformed, longer, or of
+// another type.
+func decodeLimitMessage(message []byte) (m limitMessage, ok bool) {
+	if len(message) == 0 || message[0] != circuitOpenType && message[0] != circuitClosedType {
+		return m, false
+	}
+	var numbers [3]uint64
+	remaining := message[1:]
+	for i := range numbers {
+		if numbers[i], remaining, ok = decodeNumber(remaining); !ok {
+			return m, false
+		}
+	}
+	return limitMessage{
+		accepted:    message[0] == circuitClosedType,
+		destination: int(numbers[0]),
+		retryAfter:  time.Duration(numbers[1]) * time.Millisecond,
+		callAge:     time.Duration(numbers[2]) * time.Millisecond,
+	}, len(remaining) == 0
+}
+
+// encode returns the type, the class and the ID as varints, and the endpoint.
+func (m canaryMessage) encode() []byte {
+	encoded := []byte{canarySuccessType}
+	if m.failed {
+		encoded[0] = canaryFailureType
+	}
+	encoded = binary.AppendUvarint(encoded, uint64(m.class))
+	encoded = binary.AppendUvarint(encoded, m.id)
+	return append(encoded, m.endpoint...)
+}
+
+// decodeCanaryMessage decodes a canaryMessage. It returns false for one that is malformed or of another type.
+func decodeCanaryMessage(message []byte) (m canaryMessage, ok bool) {
+	if len(message) == 0 || message[0] != canarySuccessType && message[0] != canaryFailureType {
+		return m, false
+	}
+	class, remaining, ok := decodeNumber(message[1:])
+	if !ok {
+		return m, false
+	}
+	id, remaining, ok := decodeNumber(remaining)
+	if !ok {
+		return m, false
+	}
+	failed := message[0] == canaryFailureType
+	return canaryMessage{endpoint: string(remaining), class: int(class), failed: failed, id: id}, true
+}
+
+// decodeNumber decodes a varint up to maxGossipNumber, and returns what follows it.
+func decodeNumber(message []byte) (number uint64, remaining []byte, ok bool) {
+	number, length := binary.Uvarint(message)
+	if length <= 0 || number > maxGossipNumber {
+		return 0, nil, false
+	}
+	return number, message[length:], true
+}
+
+// encodeEndpointMessage returns a message of a type that names an endpoint.
+func encodeEndpointMessage(messageType byte, endpoint string) []byte {
+	return append([]byte{messageType}, endpoint...)
+}
+
+// decodeEndpointMessage returns the endpoint that a message of a type names, or "" for another type.
+func decodeEndpointMessage(messageType byte, message []byte) string {
+	if len(message) == 0 || message[0] != messageType {
+		return ""
+	}
+	return string(message[1:])
+}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -2,47 +2,47 @@
 
 import "math"
 
-// This file holds what is known of latencies.
+// latencyWeight is the weight of a new outcome in a moving average: about the last ten calls count.
+const latencyWeight = 0.1
 
-// latencies are mean latencies in seconds; 0 for unknown.
-type latencies struct {
-	n     int     // outcomes counted
-	mean  float64 // of all classes
-	class []float64
+// latencyEstimate holds moving averages of latencies in seconds; 0 for unknown.
+type latencyEstimate struct {
+	outcomes int     // counted
+	mean     float64 // of all classes
+	byClass  []float64
 }
 
-// observe adds a latency to the means; the first ones weigh more, as what was there is borrowed.
-func (l *latencies) observe(class int, took float64) {
-	l.n++
-	gain := math.Max(latencyGain, 1/float64(l.n+1))
-	for _, mean := range []*float64{&l.mean, &l.class[class]} {
+// record adds a latency to the averages. The first ones weigh more, as what was there is a prior.
+func (l *latencyEstimate) record(class int, latency float64) {
+	l.outcomes++
+	weight := math.Max(latencyWeight, 1/float64(l.outcomes+1))
+	for _, mean := range []*float64{&l.mean, &l.byClass[class]} {
 		if *mean == 0 {
-			*mean = took
+			*mean = latency
 		}
-		*mean += gain * (took - *mean)
+		*mean += weight * (latency - *mean)
 	}
 }
 
-// borrow fills what a queue does not know of its latencies from all destinations of its kind.
-func (d *Dispatcher) borrow(q *queue) {
-	pool := d.pool(q.kind)
-	if pool.n == 0 {
+// applyPrior fills in what is unknown from a prior.
+func (l *latencyEstimate) applyPrior(prior *latencyEstimate) {
+	if prior.outcomes == 0 {
 		return
 	}
-	if q.n == 0 {
-		q.mean = pool.mean
+	if l.outcomes == 0 {
+		l.mean = prior.mean
 	}
-	for i, mean := range q.class {
-		if mean == 0 || q.n == 0 {
-			q.class[i] = pool.class[i]
+	for class, mean := range l.byClass {
+		if mean == 0 || l.outcomes == 0 {
+			l.byClass[class] = prior.byClass[class]
 		}
 	}
 }
 
-// pool gives what is known of a kind.
-func (d *Dispatcher) pool(kind int) *latencies {
-	if d.pools[kind] == nil {
-		d.pools[kind] = &latencies{class: make([]float64, len(d.s.Classes))}
+// latencyPrior returns the estimate over all destinations of a kind.
+func (d *Dispatcher) latencyPrior(kind int) *latencyEstimate {
+	if d.latencyPriors[kind] == nil {
+		d.latencyPriors[kind] = &latencyEstimate{byClass: make([]float64, len(d.settings.Classes))}
 	}
-	return d.pools[kind]
+	return d.latencyPriors[kind]
 }
--- /dev/null
+++ b/policy/scheduler.go
@@ -0,0 +1,150 @@
+package policy
+
+import (
+	"math"
+	"time"
+
+	"milletsail/internal/instant"
+)
+
+// maxQueueSlotShare is the share of the slots that one queue may have, so that no queue takes all of them.
+const maxQueueSlotShare = 0.5
+
+// slotScheduler counts the slots, of which each call takes one.
+type slotScheduler struct {
+	inUse    int
+	lastCall int // number of the last call
+	// unansweredShare is the moving average of the share of late calls (by stalledFactor) that had no
+	// success.
+	unansweredShare float64
+}
+
+// acquire takes a slot for the next call, and returns the call's number.
+func (s *slotScheduler) acquire() int {
+	s.inUse++
+	s.lastCall++
+	return s.lastCall
+}
+
+// dispatch gives free slots in turn to the queues that can send: first those with the fewest calls out, and
+// among these the one whose message loses its value first.
+func (d *Dispatcher) dispatch() {
+	for d.slots.inUse < d.settings.Slots && !d.stopping {
+		var best *queue
+		var target *endpoint
+		var first *message
+		for _, candidate := range d.active {
+			if best != nil && len(candidate.calls) > len(best.calls) {
+				continue
+			}
+			ep, m := d.nextSendable(candidate)
+			if m != nil && (best == nil || len(candidate.calls) < len(best.calls) ||
+				d.valueDeadline(m) < d.valueDeadline(first)) {
+				best, target, first = candidate, ep, m
+			}
+		}
+		if best == nil {
+			return
+		}
+		d.startCall(best, target, first)
+	}
+}
+
+// valueDeadline is when the value of a message falls below minDeliveryValue. A message below that comes after
+// all others.
+func (d *Dispatcher) valueDeadline(m *message) instant.Time {
+	at := m.expiresAt.Add(-m.class.Deadline).Add(m.class.ageAt(minDeliveryValue))
+	if at < d.now {
+		at = at.Add(time.Hour)
+	}
+	return at
+}
+
+// nextSendable returns the message that a queue would send now and its endpoint, or nil.
+func (d *Dispatcher) nextSendable(q *queue) (*endpoint, *message) {
+	if len(q.waiting) == 0 || d.now < q.circuit.retryAfterUntil || !d.maySend(q) {
+		return nil, nil
+	}
+	for _, m := range q.waiting {
+		if d.attemptAllowed(m) {
+			if ep := d.selectEndpoint(q, m); ep != nil {
+				return ep, m
+			}
+		}
+	}
+	return nil, nil
+}
+
+// maySend reports whether slots, the relay's own pause, the send rate and probe turns let a queue send a call
+// now.
+func (d *Dispatcher) maySend(q *queue) bool {
+	maxCalls := max(1, int(math.Ceil(maxQueueSlotShare*float64(d.settings.Slots))))
+	if len(q.calls) >= maxCalls {
+		return false
+	}
+	isProber := d.isProber(q)
+	if (d.now < q.circuit.backoffUntil || q.limiter.rate > 0 && d.sendTokens(q) < 1) && !isProber {
+		return false
+	}
+	return !d.singleProber(q) || isProber && d.now >= d.probeTurn(q.endpoints[0])
+}
+
+// startCall starts a call with a message and, where the kind of destination allows it, others of the queue.
+func (d *Dispatcher) startCall(queue *queue, ep *endpoint, first *message) {
+	started := &call{endpoint: ep, number: d.slots.acquire(), sentAt: d.now}
+	d.activate(queue)
+	queue.calls, ep.calls = append(queue.calls, started), append(ep.calls, started)
+	ep.lastUsedAt = d.now
+	if queue.limiter.rate > 0 {
+		queue.limiter.bucket.tokens = math.Max(0, d.sendTokens(queue)-1)
+	}
+	if d.settings.Zones {
+		d.recordSpillover(queue, ep)
+	}
+	if d.settings.CanaryAnalysis {
+		d.addCanaryCredit(queue, ep)
+	}
+	if ep.limitedBySlowStart() {
+		ep.slowStart.bucket.tokens = math.Max(0, d.slowStartTokens(ep)-1)
+	}
+	if ep.outlier.ejected || d.singleProber(queue) {
+		queue.probedAt = d.now
+	}
+	d.startAttempt(first, started)
+	if !ep.outlier.ejected { // a probe carries one message
+		d.fillBatch(started, first)
+	}
+}
+
+// fillBatch adds waiting messages to a call, as many as may travel with its first one.
+func (d *Dispatcher) fillBatch(batch *call, first *message) {
+	queue := batch.endpoint.queue
+	for i := 0; i < len(queue.waiting) && batch.openAttempts < queue.maxBatch; {
+		m := queue.waiting[i]
+		fits := d.settings.MaxBatchBytes == 0 || batch.size+m.Size <= d.settings.MaxBatchBytes
+		if fits && d.attemptAllowed(m) && d.retryAllowed(m, batch.endpoint) &&
+			d.nearDeadline(queue, m) == d.nearDeadline(queue, first) {
+			d.startAttempt(m, batch) // which dequeues it
+			continue
+		}
+		i++
+	}
+}
+
+// startAttempt adds a message to a call.
+func (d *Dispatcher) startAttempt(m *message, c *call) {
+	m.dequeue()
+	writeTimeout := d.writeTimeout(m)
+	m.attempts = append(m.attempts, attempt{call: c, sentAt: d.now, open: true})
+	m.openAttempts++
+	c.openAttempts++
+	c.size += m.Size
+	c.messages = append(c.messages, m)
+	d.emit(Send{
+		ID:           m.ID,
+		Endpoint:     c.endpoint.ID,
+		Timeout:      d.attemptTimeout(m, c),
+		WriteTimeout: writeTimeout,
+		Call:         c.number,
+	})
+}
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -2,58 +2,89 @@
 
 import "milletsail/internal/instant"
 
-// This file holds the timer.
-
-// arm asks for a timer when something is next due by time alone.
-func (d *Dispatcher) arm() {
-	next := never
-	soon := func(t instant.Time) { next = min(next, max(t, d.now.Add(d.s.BatchInterval))) }
-	soon(d.resub)
-	for _, m := range d.live {
-		if m.q != nil {
-			soon(d.lastChance(m))
-			soon(d.forgotten(m))
+// stallFactors are the multiples of the usual latency at which calls may be found stalled.
+var stallFactors = [...]float64{stalledFactor, unresponsiveFactor, unresponsiveFactor * finalAttemptFactor}
+
+// timerState is the timer that the caller was last asked for.
+type timerState struct {
+	dueAt instant.Time // 0 for none
+}
+
+// earliestTime is the earliest of several times, but no earlier than a bound.
+type earliestTime struct {
+	at        instant.Time
+	noEarlier instant.Time
+}
+
+// add takes a time into account.
+func (e *earliestTime) add(at instant.Time) { e.at = min(e.at, max(at, e.noEarlier)) }
+
+// armTimer asks for a timer for when something is next due by time alone.
+func (d *Dispatcher) armTimer() {
+	soonest := d.now.Add(d.settings.BatchInterval)
+	next := earliestTime{at: never, noEarlier: soonest}
+	next.add(d.watch.subscribeAt)
+	for _, m := range d.messages.unfinished {
+		if m.queue != nil {
+			next.add(d.finalAttemptAt(m))
+			next.add(d.idempotencyExpiry(m))
 		}
 	}
 	for _, q := range d.active {
-		for _, c := range q.out {
-			for _, factor := range []float64{stuckAfter, silentAfter, silentAfter * finalFactor} {
-				if at := d.lateAt(c, factor); at > d.now && !c.canceled {
-					soon(at)
-				}
-			}
-		}
-		if len(q.held) == 0 {
-			continue
+		d.addStallTimes(&next, q)
+		if len(q.waiting) > 0 {
+			d.addSendTimes(&next, q)
 		}
-		at := max(d.pausedTo(q), d.now)
-		if q.pace > 0 && d.tokens(q) < 1 && !d.tries(q) {
-			at = max(at, d.now.Add(wait(1-q.tokens, q.pace)))
+	}
+	for _, done := range d.keys.blocked {
+		next.add(done.keyBlockedUntil)
+	}
+	// A clock with coarser steps than ours may fire a little before the time: that timer is used up.
+	if next.at < never && (d.timer.dueAt < soonest || next.at < d.timer.dueAt) {
+		d.timer.dueAt = next.at
+		d.emit(SetTimer{After: next.at.Sub(d.now)})
+	}
+}
+
+// addStallTimes adds the times at which the calls of a queue may be found stalled.
+func (d *Dispatcher) addStallTimes(next *earliestTime, q *queue) {
+	for _, c := range q.calls {
+		for _, factor := range stallFactors {
+			if at := d.overdueAt(c, factor); at > d.now && !c.canceled {
+				next.add(at)
+			}
 		}
-		if d.fenced(q) && len(q.eps) > 0 {
-			at = max(at, d.tryAt(q.eps[0]))
+	}
+}
+
+// addSendTimes adds the times at which a queue, or an endpoint of it, may send again.
+func (d *Dispatcher) addSendTimes(next *earliestTime, q *queue) {
+	sendAt := d.nextSendTime(q)
+	if sendAt > d.now {
+		next.add(sendAt)
+	}
+	for _, ep := range q.endpoints {
+		if ep.resourceBackoff.until > d.now {
+			next.add(max(sendAt, ep.resourceBackoff.until))
 		}
-		if at > d.now {
-			soon(at)
+		if ep.limitedBySlowStart() && d.slowStartTokens(ep) < 1 {
+			budget := d.slowStartBudget(ep, d.timeSinceRecovery(ep))
+			next.add(max(sendAt, d.now.Add(tokenDelay(1-ep.slowStart.bucket.tokens, budget))))
 		}
-		for _, ep := range q.eps {
-			if ep.lack.until > d.now {
-				soon(max(at, ep.lack.until))
-			}
-			if (ep.sick || ep.ramping) && d.epTokens(ep) < 1 {
-				soon(max(at, d.now.Add(wait(1-ep.tokens, d.budget(ep, d.coldFor(ep))))))
-			}
-			if turn := d.tryAt(ep); ep.sick && turn > d.now {
-				soon(max(at, turn))
-			}
+		if turn := d.probeTurn(ep); ep.outlier.ejected && turn > d.now {
+			next.add(max(sendAt, turn))
 		}
 	}
-	for _, m := range d.resting {
-		soon(m.rest)
+}
+
+// nextSendTime is when pauses, the send rate and probe turns let a queue send again.
+func (d *Dispatcher) nextSendTime(q *queue) instant.Time {
+	at := max(d.blockedUntil(q), d.now)
+	if q.limiter.rate > 0 && d.sendTokens(q) < 1 && !d.isProber(q) {
+		at = max(at, d.now.Add(tokenDelay(1-q.limiter.bucket.tokens, q.limiter.rate)))
 	}
-	// A clock with coarser steps than ours may wake us a little before the time: that timer is used up.
-	if next < never && (d.wakeAt < d.now.Add(d.s.BatchInterval) || next < d.wakeAt) {
-		d.wakeAt = next
-		d.act(SetTimer{After: next.Sub(d.now)})
+	if d.singleProber(q) && len(q.endpoints) > 0 {
+		at = max(at, d.probeTurn(q.endpoints[0]))
 	}
+	return at
 }
--- /dev/null
+++ b/policy/zone_survey.go
@@ -0,0 +1,101 @@
+package policy
+
+import (
+	"math/bits"
+
+	"milletsail/internal/instant"
+)
+
+// destinationBits is the number of bits of zoneSurvey.failingDestinations.
+const destinationBits = 64
+
+// maxZones bounds the numbers of zones: a wrong number in an endpoint list must not take memory.
+const maxZones = 64
+
+// zoneSurvey counts the endpoints of a zone.
+type zoneSurvey struct {
+	listed              int
+	known               int          // of known health
+	failing             int          // of these
+	failingDestinations uint64       // a bit for each, by number
+	lastAnsweredAt      instant.Time // when the latest call that was answered was sent
+}
+
+// add counts an endpoint.
+func (s *zoneSurvey) add(ep *endpoint, health endpointHealth) {
+	s.listed++
+	s.lastAnsweredAt = max(s.lastAnsweredAt, ep.succeededCallAt)
+	if health != healthUnknown {
+		s.known++
+	}
+	if health == healthFailing {
+		s.failing++
+		s.failingDestinations |= 1 << (ep.queue.destination.number % destinationBits)
+	}
+}
+
+// fails reports whether the zone fails as a whole.
+func (s *zoneSurvey) fails() bool {
+	return s.failing >= minFailingEndpoints &&
+		bits.OnesCount64(s.failingDestinations) >= minFailingDestinations &&
+		float64(s.failing) >= zoneFailureThreshold*float64(s.known)
+}
+
+// failsAlone reports whether the zone fails as a whole, and the others, taken together, don't.
+func (s *zoneSurvey) failsAlone(all []zoneSurvey) bool {
+	known, failing := -s.known, -s.failing
+	for _, survey := range all {
+		known, failing = known+survey.known, failing+survey.failing
+	}
+	return s.fails() && float64(failing) <= maxOtherZonesFailureShare*float64(known)
+}
+
+// endpointHealth is the health of an endpoint as a survey counts it.
+type endpointHealth int
+
+const (
+	healthUnknown endpointHealth = iota
+	healthServing
+	healthFailing
+)
+
+// health returns the health of an endpoint for the survey of its zone.
+func (d *Dispatcher) health(ep *endpoint) endpointHealth {
+	outlier, zone := &ep.outlier, d.zones.get(ep.Zone)
+	failedLast := outlier.lastFailureAt > outlier.lastSuccessAt
+	current := outlier.ejected || d.now.Sub(outlier.lastFailureAt) < healthObservationWindow
+	beforeRecovery := zone.state == Recovering && outlier.lastFailureAt <= zone.enteredAt
+	switch {
+	case failedLast && current && !beforeRecovery || d.unresponsive(ep):
+		return healthFailing
+	case outlier.lastSuccessAt > 0 && d.now.Sub(outlier.lastSuccessAt) < healthObservationWindow:
+		return healthServing
+	}
+	return healthUnknown
+}
+
+// surveyZones counts the endpoints by zone, and the listed ones of all zones.
+func (d *Dispatcher) surveyZones() (surveys []zoneSurvey, listed int) {
+	for _, q := range d.queues {
+		for _, ep := range q.endpoints {
+			if ep.Zone < 0 || ep.Zone >= maxZones || ep.Draining {
+				continue
+			}
+			for len(surveys) <= ep.Zone {
+				surveys = append(surveys, zoneSurvey{})
+			}
+			listed++
+			surveys[ep.Zone].add(ep, d.health(ep))
+		}
+	}
+	for number, survey := range surveys {
+		record := d.zones.get(number)
+		switch {
+		case survey.failing == 0:
+			record.failingSince = 0
+		case record.failingSince == 0:
+			record.failingSince = d.now
+		}
+	}
+	return surveys, listed
+}
