--- a/cmd/milletsail/canaries.go
+++ b/cmd/milletsail/canaries.go
@@ -9,7 +9,7 @@
 // canariesCommand shows the canary analysis of new endpoints, which each relay carries out by itself. Its name on the command line
 // stays "servers", as operators know it.
 func canariesCommand() *cobra.Command {
-	query := adminQuery[relay.ServersStatus]{
+	query := adminQuery[relay.CanaryStatus]{
 		line:   "servers",
 		header: "relay\tendpoint\tof\tstage\tshare\tfor s\theld s\tholds\tdoubt\t",
 		rows:   canaryRows,
@@ -23,13 +23,13 @@
 	return canaries
 }
 
-func canaryRows(out *table, status relay.ServersStatus) {
-	for _, canary := range status.Servers {
+func canaryRows(out *table, status relay.CanaryStatus) {
+	for _, canary := range status.Endpoints {
 		remark := ""
-		if !canary.Proving {
+		if !canary.HasBaseline {
 			remark = "alone: no older one serves"
 		}
 		out.printf("%d\t%s\t%d\t%d\t%.0f%%\t%.1f\t%.1f\t%d\t%.2f\t%s\n", status.Self, canary.Endpoint, canary.Destination, canary.Stage+1,
-			100*canary.Share, canary.ForS, canary.HeldS, canary.Holds, canary.Doubt, remark)
+			100*canary.Share, canary.StageSeconds, canary.SuspendedSeconds, canary.Suspensions, canary.RegressionScore, remark)
 	}
 }
--- a/cmd/milletsail/zone.go
+++ b/cmd/milletsail/zone.go
@@ -52,11 +52,11 @@
 func zoneRows(out *table, status relay.ZoneStatus) {
 	for _, zone := range status.Zones {
 		remark := ""
-		if status.CutOff && zone.Zone != status.Zone {
+		if status.Isolated && zone.Zone != status.Zone {
 			remark = "cut off from it"
 		}
-		out.printf("%d\t%s\t%s\t%s\t%.1f\t%.0f\t%d\t%d\t%d\t%s\n", status.Self, status.Zone, zone.Zone, zone.State, zone.ForS, zone.UntilS,
-			zone.Endpoints, zone.Evacuations, zone.Returns, remark)
+		out.printf("%d\t%s\t%s\t%s\t%.1f\t%.0f\t%d\t%d\t%d\t%s\n", status.Self, status.Zone, zone.Zone, zone.State, zone.StateSeconds, zone.OrderSeconds,
+			zone.Endpoints, zone.Evacuations, zone.Recoveries, remark)
 	}
 }
 
--- /dev/null
+++ b/internal/relay/canaries.go
@@ -0,0 +1,40 @@
+package relay
+
+import (
+	"encoding/json"
+
+	"milletsail/internal/clock"
+)
+
+// CanaryStatus is what a relay says, at its admin endpoint, of endpoints that are new on the list.
+type CanaryStatus struct {
+	Self      int            `json:"self"`
+	Endpoints []CanaryReport `json:"servers"`
+}
+
+// CanaryReport is what a relay says of one of them.
+type CanaryReport struct {
+	Endpoint         string  `json:"endpoint"`
+	Destination      int     `json:"destination"`
+	Stage            int     `json:"stage"` // from 0
+	Share            float64 `json:"share"` // of its destination's calls
+	HasBaseline      bool    `json:"proving"`
+	StageSeconds     float64 `json:"for_s"`            // how long the stage has lasted
+	SuspendedSeconds float64 `json:"held_s,omitempty"` // how long it still gets nothing
+	Suspensions      int     `json:"holds"`
+	RegressionScore  float64 `json:"doubt"` // 1 has it held back
+}
+
+// canaryStatus says how new endpoints fare.
+func (l *loop) canaryStatus() string {
+	s, now := CanaryStatus{Self: l.cfg.Settings.Ordinal, Endpoints: []CanaryReport{}}, clock.Now()
+	for _, n := range l.dispatcher.Canaries() {
+		s.Endpoints = append(s.Endpoints, CanaryReport{Endpoint: n.Endpoint, Destination: n.Destination, Stage: n.Stage, Share: n.Share,
+			HasBaseline: n.HasBaseline, StageSeconds: max(0, now.Sub(n.StageStartedAt)).Seconds(), SuspendedSeconds: max(0, n.SuspendedUntil.Sub(now)).Seconds(), Suspensions: n.Suspensions, RegressionScore: n.RegressionScore})
+	}
+	text, err := json.Marshal(s)
+	if err != nil {
+		return "ERR " + err.Error()
+	}
+	return string(text)
+}
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -18,24 +18,24 @@
 // 202 and what was sent must be known to a later process.
 func (l *loop) commit() {
 	err := l.journal.Commit()
-	l.stored(err == nil)
-	fresh, sends, effects := l.fresh, l.sends, l.effects
-	l.fresh, l.sends, l.effects = nil, nil, nil
+	l.setWritable(err == nil)
+	fresh, sends, effects := l.newMessages, l.sends, l.afterCommit
+	l.newMessages, l.sends, l.afterCommit = nil, nil, nil
 	if err != nil {
 		slog.Debug("nothing taken on, and sent only what may be repeated", "err", err)
 	}
 	for _, m := range fresh {
 		switch {
-		case m.replies == nil: // refused
+		case m.responses == nil: // refused
 		case err != nil:
-			l.metrics.CountResult(l.class(m.Class), metrics.Rejected)
-			answer(m.replies, frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.Policy.MaxRetryAfter})
+			l.metrics.CountResult(l.classIndex(m.Class), metrics.Rejected)
+			respondAll(m.responses, frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.Policy.MaxRetryAfter})
 			l.events = append(l.events, policy.Withdrawn{ID: m.ID})
 		default:
-			m.copied = len(m.replies) > 1
-			l.pend(m)
-			answer(m.replies, frontend.Response{Status: http.StatusAccepted})
-			m.replies = nil
+			m.resubmitted = len(m.responses) > 1
+			l.countPending(m)
+			respondAll(m.responses, frontend.Response{Status: http.StatusAccepted})
+			m.responses = nil
 		}
 	}
 	for i := 0; i < len(sends); {
@@ -44,27 +44,29 @@
 			n++
 		}
 		// Without its record a later process may make an attempt again, which is harmless only in a safe class.
-		safe := func(s send) bool { return l.cfg.Policy.Classes[l.class(s.m.Class)].Effect == policy.Idempotent }
+		safe := func(s send) bool {
+			return l.cfg.Policy.Classes[l.classIndex(s.message.Class)].Effect == policy.Idempotent
+		}
 		// Nor is one sent that was not taken on after all.
-		refused := func(s send) bool { return s.m.replies != nil }
+		refused := func(s send) bool { return s.message.responses != nil }
 		if err == nil || !slices.ContainsFunc(sends[i:n], func(s send) bool { return !safe(s) || refused(s) }) {
-			l.call(sends[i:n])
+			l.startCall(sends[i:n])
 		} else {
 			for _, s := range sends[i:n] {
-				l.unsent(s, policy.NotStarted)
+				l.completeUnsent(s, policy.NotStarted)
 			}
 		}
 		i = n
 	}
 	for _, m := range fresh {
-		if m.replies != nil { // not taken on after all
-			l.end(m)
+		if m.responses != nil { // not taken on after all
+			l.complete(m)
 		}
 	}
 	for _, do := range effects {
 		do()
 	}
-	l.postRecorded(err == nil)
+	l.enqueueRecorded(err == nil)
 }
 
 // unrecordedNotification is a notice of a message whose end is to be on disk before the platform is told of it: a process after a
@@ -74,22 +76,22 @@
 	expiresAt    instant.Time // of the message: from then on no process sends it any more
 }
 
-// postRecorded posts the notices whose ends are on disk, or whose messages' time is up whether or not they are.
-func (l *loop) postRecorded(written bool) {
+// enqueueRecorded posts the notices whose ends are on disk, or whose messages' time is up whether or not they are.
+func (l *loop) enqueueRecorded(written bool) {
 	now := clock.Now()
-	waiting := l.unrecorded[:0]
-	for _, n := range l.unrecorded {
+	waiting := l.unrecordedNotifications[:0]
+	for _, n := range l.unrecordedNotifications {
 		if written || n.expiresAt <= now {
 			l.notifier.Enqueue(n.notification)
 		} else {
 			waiting = append(waiting, n)
 		}
 	}
-	l.unrecorded = waiting
+	l.unrecordedNotifications = waiting
 }
 
-// stored tells the module and the operators when the journal can't be written any more, and when it can again.
-func (l *loop) stored(ok bool) {
+// setWritable tells the module and the operators when the journal can't be written any more, and when it can again.
+func (l *loop) setWritable(ok bool) {
 	if ok == (l.metrics.StorageError.Load() == nil) {
 		return
 	}
@@ -100,7 +102,7 @@
 	}
 	l.metrics.StorageError.Store(why)
 	if ok {
-		l.postRecorded(true)
+		l.enqueueRecorded(true)
 	}
 	l.events = append(l.events, policy.StorageChanged{Writable: ok})
 }
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -20,7 +20,7 @@
 		slog.Info("call without delivery", "id", e.id, "dest", m.Dest, "host", e.endpoint, "attempt", e.attempt,
 			"outcome", e.Outcome, "took", e.latency, "wait", e.RetryAfter)
 	}
-	l.observed(e)
+	l.observeFailure(e)
 	unrun := e.Outcome == policy.Rejected || e.Outcome == policy.ConnectError || e.Outcome == policy.NotSent || e.Outcome == policy.NotStarted
 	if l.journal.Get(m.ID) == m.Entry {
 		l.journal.EndAttempt(m.Entry, unrun)
@@ -30,53 +30,53 @@
 	}
 	l.events = append(l.events, policy.AttemptEnded{ID: e.id, Endpoint: e.endpoint, Attempt: e.attempt, Outcome: e.Outcome,
 		RetryAfter: e.RetryAfter, Latency: e.latency, Completed: e.Completed, AttemptsExhausted: e.AttemptsExhausted, LoadReport: e.LoadReport})
-	if !m.over && e.Outcome == policy.OK {
-		l.metrics.CountResult(l.class(m.Class), metrics.Completed)
-	} else if !m.over && e.Completed { // its end came without us
-		l.metrics.CountResult(l.class(m.Class), metrics.Failed)
+	if !m.ended && e.Outcome == policy.OK {
+		l.metrics.CountResult(l.classIndex(m.Class), metrics.Completed)
+	} else if !m.ended && e.Completed { // its end came without us
+		l.metrics.CountResult(l.classIndex(m.Class), metrics.Failed)
 	}
-	if e.Completed || m.over && m.PendingNotification == nil {
-		l.end(m)
+	if e.Completed || m.ended && m.PendingNotification == nil {
+		l.complete(m)
 	}
 }
 
-// refuse ends a message undelivered: by its answer if that is still due, else by a notice.
-func (l *loop) refuse(m *message, v frontend.Response, status string, why policy.Reason) {
-	if m == nil || m.over {
+// endUndelivered ends a message undelivered: by its answer if that is still due, else by a notice.
+func (l *loop) endUndelivered(m *message, v frontend.Response, status string, why policy.Reason) {
+	if m == nil || m.ended {
 		return
 	}
 	slog.Info("undelivered", "id", m.ID, "dest", m.Dest, "class", m.Class, "status", status, "why", why, "attempts", len(m.Attempts),
-		"taken", m.replies == nil, "left", clock.Until(m.ExpiresAt), "after", v.RetryAfter)
+		"taken", m.responses == nil, "left", clock.Until(m.ExpiresAt), "after", v.RetryAfter)
 	l.metrics.Reasons.Increment("relay_undelivered", why)
 	how := metrics.Failed
 	if status == notifier.StatusDeferred {
 		how = metrics.Rejected
 	}
-	l.metrics.CountResult(l.class(m.Class), how)
-	if replies := m.replies; replies != nil {
-		m.replies = nil
-		l.effects = append(l.effects, func() { answer(replies, v) })
-		l.end(m)
+	l.metrics.CountResult(l.classIndex(m.Class), how)
+	if replies := m.responses; replies != nil {
+		m.responses = nil
+		l.afterCommit = append(l.afterCommit, func() { respondAll(replies, v) })
+		l.complete(m)
 		return
 	}
-	m.over = true
-	l.settle(m)
+	m.ended = true
+	l.countEnded(m)
 	n := journal.Notification{ID: m.ID, Status: status, RetryAfterMS: v.RetryAfter.Milliseconds()}
 	l.journal.RecordPendingNotification(m.Entry, n)
-	l.unrecorded = append(l.unrecorded, unrecordedNotification{n, m.ExpiresAt})
+	l.unrecordedNotifications = append(l.unrecordedNotifications, unrecordedNotification{n, m.ExpiresAt})
 }
 
-// answer gives all that handed a message in the same verdict.
-func answer(replies []chan frontend.Response, v frontend.Response) {
+// respondAll gives all that handed a message in the same verdict.
+func respondAll(replies []chan frontend.Response, v frontend.Response) {
 	for _, reply := range replies {
 		reply <- v
 	}
 }
 
-// end notes that nothing more is owed for a message.
-func (l *loop) end(m *message) {
-	m.over = true
-	l.settle(m)
+// complete notes that nothing more is owed for a message.
+func (l *loop) complete(m *message) {
+	m.ended = true
+	l.countEnded(m)
 	if l.journal.Get(m.ID) == m.Entry {
 		l.journal.Complete(m.Entry)
 	}
@@ -86,16 +86,16 @@
 	}
 }
 
-// pend counts a message as taken on until it is settled.
-func (l *loop) pend(m *message) {
-	m.pending = true
+// countPending counts a message as taken on until it is settled.
+func (l *loop) countPending(m *message) {
+	m.countedPending = true
 	l.metrics.Pending.Add(1)
 }
 
-// settle notes that a message taken on has its end.
-func (l *loop) settle(m *message) {
-	if m.pending {
-		m.pending = false
+// countEnded notes that a message taken on has its end.
+func (l *loop) countEnded(m *message) {
+	if m.countedPending {
+		m.countedPending = false
 		l.metrics.Pending.Add(-1)
 	}
 }
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -46,8 +46,8 @@
 	Fleet bool `json:"fleet"`
 	// Zones has this relay decide by zones, and accept operators' orders about them at the admin endpoint.
 	Zones bool `json:"zones"`
-	// Newcomers has endpoints that are new on the list pass canary analysis before they get their share. Off by default.
-	Newcomers bool `json:"newcomers"`
+	// CanaryAnalysis has endpoints that are new on the list pass canary analysis before they get their share. Off by default.
+	CanaryAnalysis bool `json:"newcomers"`
 
 	// Files is what the journal is written to, and Boot what distinguishes one boot of the machine from another; none for the
 	// system's own. Tests replace them.
@@ -143,7 +143,7 @@
 	if durability := os.Getenv(durabilityVariable); durability != "" {
 		c.Durability = durability
 	}
-	for name, on := range map[string]*bool{fleetVariable: &c.Fleet, zonesVariable: &c.Zones, newcomersVariable: &c.Newcomers} {
+	for name, on := range map[string]*bool{fleetVariable: &c.Fleet, zonesVariable: &c.Zones, newcomersVariable: &c.CanaryAnalysis} {
 		switch value := os.Getenv(name); value {
 		case "":
 		case "on", "off":
@@ -182,7 +182,7 @@
 		return err
 	}
 	// In the simulator some deployments learn of changes unasked; on sockets they come to a watch alone.
-	c.Policy.Subscribe, c.Policy.PublishRates, c.Policy.Zones, c.Policy.CanaryAnalysis = true, c.Fleet, c.Zones, c.Newcomers
+	c.Policy.Subscribe, c.Policy.PublishRates, c.Policy.Zones, c.Policy.CanaryAnalysis = true, c.Fleet, c.Zones, c.CanaryAnalysis
 	c.Policy.MaxBatchBytes = protocol.MaxBodySize - len("[]")
 	_, err = policy.New(c.Policy, c.RandomSeed) // its own check of the settings
 	return err
--- a/internal/relay/list.go
+++ b/internal/relay/endpointlist.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	// sweepSize is how many places of the table one batch of the loop looks at, while the entries are removed that a whole
+	// sweepBatchSize is how many places of the table one batch of the loop looks at, while the entries are removed that a whole
 	// list no longer names.
-	sweepSize = 2048
-	// loggedChanges is how many changes of one object are logged one by one; of further ones only the number is.
-	loggedChanges = 32
+	sweepBatchSize = 2048
+	// maxLoggedChanges is how many changes of one object are logged one by one; of further ones only the number is.
+	maxLoggedChanges = 32
 )
 
-// maxBornMS bounds the times of starts: the year 2200.
-const maxBornMS = 7_258_118_400_000
+// maxStartTimeMS bounds the times of starts: the year 2200.
+const maxStartTimeMS = 7_258_118_400_000
 
 // endpointList is the list of endpoints as discovery last sent it, in memory and, where there is room, on disk. The loop
 // owns it. Discovery's objects come in batches. A whole list replaces the entries that it does not name: they are
 // removed in bounded steps once its last batch is in.
 type endpointList struct {
-	settings *settings.Settings
-	table    *endpoints.Table
-	store    *endpoints.Store // nil for none
-	storing  bool             // the store has more to do
-	seq      int64            // of the last object that is complete
-	clocks   clock.Pair       // as of the start: what translates the wall times in the list, which all machines read from one clock
+	settings   *settings.Settings
+	table      *endpoints.Table
+	store      *endpoints.Store // nil for none
+	compacting bool             // the store has more to do
+	version    int64            // of the last object that is complete
+	clocks     clock.Pair       // as of the start: what translates the wall times in the list, which all machines read from one clock
 
 	replacing bool              // the entries of the present object are marked, since it may be a whole list
 	changes   int               // of the present object
-	removing  *discovery.Batch  // the last batch of a whole list, while entries that it did not name are removed
-	waiting   []discovery.Batch // came meanwhile
+	sweeping  *discovery.Batch  // the last batch of a whole list, while entries that it did not name are removed
+	queued    []discovery.Batch // came meanwhile
 }
 
 // endpoint translates an entry into the policy's terms.
 func (list *endpointList) endpoint(e endpoints.Entry) policy.Endpoint {
-	born := clock.Wall(time.Duration(max(0, min(e.BornMS, maxBornMS))) * time.Millisecond)
+	born := clock.Wall(time.Duration(max(0, min(e.BornMS, maxStartTimeMS))) * time.Millisecond)
 	return policy.Endpoint{
 		ID:          e.Host,
 		Destination: e.Block,
@@ -71,35 +71,35 @@
 
 // acceptBatch applies a batch of the watch, or keeps it until the list before it is complete.
 func (l *loop) acceptBatch(b discovery.Batch) {
-	if l.list.removing != nil {
-		l.list.waiting = append(l.list.waiting, b)
+	if l.endpoints.sweeping != nil {
+		l.endpoints.queued = append(l.endpoints.queued, b)
 		return
 	}
 	if b.First {
-		l.list.begin(b.Batch)
+		l.endpoints.begin(b.Batch)
 	}
 	l.updateList(b.Batch)
 	switch {
 	case !b.End:
 		close(b.Applied)
-	case b.Complete && l.list.replacing:
-		l.list.removing = &b // the watch waits until the whole list is in force
+	case b.Complete && l.endpoints.replacing:
+		l.endpoints.sweeping = &b // the watch waits until the whole list is in force
 	default:
-		l.list.abortReplacement()
+		l.endpoints.abortReplacement()
 		l.completeList(b)
 	}
 }
 
-// looksUp tells whether the module keeps state only for destinations in use, and looks up the rest of the list.
-func (l *loop) looksUp() bool { return l.cfg.Policy.Directory != nil && !l.cfg.Policy.Zones }
+// usesDirectory tells whether the module keeps state only for destinations in use, and looks up the rest of the list.
+func (l *loop) usesDirectory() bool { return l.cfg.Policy.Directory != nil && !l.cfg.Policy.Zones }
 
-// avoided is how many listed endpoints get nothing now but trials. Where the module does not know the whole list, it
+// unavailableEndpoints is how many listed endpoints get nothing now but trials. Where the module does not know the whole list, it
 // counts those that drain nowhere.
-func (l *loop) avoided() int {
-	if !l.looksUp() {
-		return l.d.Avoided()
+func (l *loop) unavailableEndpoints() int {
+	if !l.usesDirectory() {
+		return l.dispatcher.Avoided()
 	}
-	return l.d.Avoided() + l.list.table.Draining()
+	return l.dispatcher.Avoided() + l.endpoints.table.Draining()
 }
 
 // begin prepares for the first batch of an object. Entries need marks unless the object is known to hold changes alone.
@@ -126,13 +126,13 @@
 	var recalled []policy.Event
 	for _, e := range b.Entries {
 		if e.Health == endpoints.Deleted {
-			if old, listed := l.list.table.Delete(e.Host); listed {
-				changed = append(changed, l.gone(old))
-				l.list.persist(nil, []string{e.Host})
+			if old, listed := l.endpoints.table.Delete(e.Host); listed {
+				changed = append(changed, l.dropEndpoint(old))
+				l.endpoints.persist(nil, []string{e.Host})
 			}
 			continue
 		}
-		old, listed := l.list.table.Put(e)
+		old, listed := l.endpoints.table.Put(e)
 		if listed && old == e {
 			continue
 		}
@@ -140,14 +140,14 @@
 		if listed && old.Dial != e.Dial {
 			l.pool.CloseIdle(old.Dial)
 		}
-		l.list.persist([]endpoints.Entry{e}, nil)
+		l.endpoints.persist([]endpoints.Entry{e}, nil)
 		if listed && old.Block != e.Block {
 			old.Health = endpoints.Deleted // at its former destination
-			changed = append(changed, l.list.endpoint(old))
+			changed = append(changed, l.endpoints.endpoint(old))
 		}
-		changed = append(changed, l.list.endpoint(e))
+		changed = append(changed, l.endpoints.endpoint(e))
 		if !listed {
-			recalled = l.recall(recalled, e.Host)
+			recalled = l.appendHealth(recalled, e.Host)
 		}
 	}
 	if len(changed) > 0 {
@@ -156,17 +156,17 @@
 	}
 }
 
-// gone forgets an entry that was removed, and gives it as the module is told of it.
-func (l *loop) gone(e endpoints.Entry) policy.Endpoint {
+// dropEndpoint forgets an entry that was removed, and gives it as the module is told of it.
+func (l *loop) dropEndpoint(e endpoints.Entry) policy.Endpoint {
 	l.pool.CloseIdle(e.Dial)
 	l.journal.DropHealth(e.Host)
 	e.Health = endpoints.Deleted
-	return l.list.endpoint(e)
+	return l.endpoints.endpoint(e)
 }
 
-// recall adds what an earlier process of this relay knew of an endpoint's outage: the list that came with the
+// appendHealth adds what an earlier process of this relay knew of an endpoint's outage: the list that came with the
 // configuration may lack it.
-func (l *loop) recall(events []policy.Event, host string) []policy.Event {
+func (l *loop) appendHealth(events []policy.Event, host string) []policy.Event {
 	health, ok := l.journal.Health()[host]
 	if !ok {
 		return events
@@ -176,38 +176,38 @@
 
 // logChange logs a change of an entry, as long as the object does not bring many.
 func (l *loop) logChange(b endpoints.Batch, e endpoints.Entry) {
-	l.list.changes++
-	if l.list.changes <= loggedChanges && !b.Complete {
+	l.endpoints.changes++
+	if l.endpoints.changes <= maxLoggedChanges && !b.Complete {
 		slog.Info("endpoint changed", "host", e.Host, "dest", e.Block, "health", e.Health, "dial", e.Dial)
 	}
 }
 
 // removeUnlisted goes on removing the entries that a whole list did not name.
 func (l *loop) removeUnlisted() {
-	last := l.list.removing
+	last := l.endpoints.sweeping
 	if last == nil {
 		return
 	}
-	removed, done := l.list.table.Sweep(sweepSize)
+	removed, done := l.endpoints.table.Sweep(sweepBatchSize)
 	var gone []policy.Endpoint
 	var hosts []string
 	for _, e := range removed {
-		gone = append(gone, l.gone(e))
+		gone = append(gone, l.dropEndpoint(e))
 		hosts = append(hosts, e.Host)
 	}
-	l.list.persist(nil, hosts)
-	l.list.changes += len(removed)
+	l.endpoints.persist(nil, hosts)
+	l.endpoints.changes += len(removed)
 	if len(gone) > 0 {
 		l.events = append(l.events, policy.EndpointsUpdated{Endpoints: gone})
 	}
 	if !done {
 		return
 	}
-	l.list.removing, l.list.replacing = nil, false
+	l.endpoints.sweeping, l.endpoints.replacing = nil, false
 	l.forgetUnlisted()
 	l.completeList(*last)
-	waiting := l.list.waiting
-	l.list.waiting = nil
+	waiting := l.endpoints.queued
+	l.endpoints.queued = nil
 	for _, b := range waiting {
 		l.acceptBatch(b)
 	}
@@ -216,7 +216,7 @@
 // forgetUnlisted drops what is remembered of the health of hosts that are no longer listed.
 func (l *loop) forgetUnlisted() {
 	for host := range l.journal.Health() {
-		if _, listed := l.list.table.Get(host); !listed {
+		if _, listed := l.endpoints.table.Get(host); !listed {
 			l.journal.DropHealth(host)
 		}
 	}
@@ -224,9 +224,9 @@
 
 // completeList notes that all of an object is in force, and has the watch go on.
 func (l *loop) completeList(last discovery.Batch) {
-	l.list.commit(last.Seq)
-	if l.list.changes > loggedChanges || last.Complete {
-		slog.Info("list changed", "seq", last.Seq, "whole", last.Complete, "changes", l.list.changes, "endpoints", l.list.table.Len())
+	l.endpoints.commit(last.Seq)
+	if l.endpoints.changes > maxLoggedChanges || last.Complete {
+		slog.Info("list changed", "seq", last.Seq, "whole", last.Complete, "changes", l.endpoints.changes, "endpoints", l.endpoints.table.Len())
 	}
 	close(last.Applied)
 }
--- a/internal/relay/liststart.go
+++ b/internal/relay/endpointload.go
@@ -14,14 +14,14 @@
 
 // listSource is a list of endpoints that may be older or newer than another.
 type listSource struct {
-	name string
-	seq  int64
-	read func(deliver func(endpoints.Batch) error) error
+	name    string
+	version int64
+	read    func(deliver func(endpoints.Batch) error) error
 }
 
-// openList takes up the newest of the lists on disk and in the configuration. The latter may be older than what an
+// openEndpoints takes up the newest of the lists on disk and in the configuration. The latter may be older than what an
 // earlier process of this relay was sent: an endpoint that drains gets nothing new from this one either.
-func (l *loop) openList(dir string) {
+func (l *loop) openEndpoints(dir string) {
 	budget := int64(listShare * l.cfg.Limits.DiskMB * 1e6)
 	store, table, seq, found, err := openStore(dir, budget)
 	if err != nil {
@@ -31,29 +31,29 @@
 	for _, damage := range found.Damage {
 		slog.Warn("list of endpoints: damaged", "err", damage)
 	}
-	l.list.table, l.list.store, l.list.seq = table, store, seq
+	l.endpoints.table, l.endpoints.store, l.endpoints.version = table, store, seq
 	source := newestList(seq, journalList(l.journal.LegacyList()), listSource{"configuration", l.cfg.KnownEndpoints.Version, l.cfg.KnownEndpoints.Read})
 	if source.read != nil {
-		if err := source.read(l.list.replace); err != nil {
+		if err := source.read(l.endpoints.loadBatch); err != nil {
 			slog.Error("list of endpoints: all of it is asked for", "source", source.name, "err", err)
-			l.list.table.AbortReplacement()
-			l.list.seq = 0
+			l.endpoints.table.AbortReplacement()
+			l.endpoints.version = 0
 		}
 	}
 	l.journal.DropLegacyList()
 	debug.FreeOSMemory() // what reading a long list needed once is not needed again
-	slog.Info("list of endpoints", "source", source.name, "seq", l.list.seq, "endpoints", table.Len())
+	slog.Info("list of endpoints", "source", source.name, "seq", l.endpoints.version, "endpoints", table.Len())
 }
 
 // newestList chooses the list to start from. The configuration's counts also where it has no version, and the one on disk
 // only where it has one: version 0 there means that all of the list has to be asked for.
 func newestList(onDisk int64, inJournal, configured listSource) listSource {
 	newest := configured
-	if inJournal.seq > newest.seq {
+	if inJournal.version > newest.version {
 		newest = inJournal
 	}
-	if onDisk > 0 && onDisk >= newest.seq {
-		newest = listSource{name: "disk", seq: onDisk}
+	if onDisk > 0 && onDisk >= newest.version {
+		newest = listSource{name: "disk", version: onDisk}
 	}
 	return newest
 }
@@ -69,8 +69,8 @@
 	}}
 }
 
-// replace applies a batch of a list that replaces all there is, while the loop does not run yet.
-func (list *endpointList) replace(b endpoints.Batch) error {
+// loadBatch applies a batch of a list that replaces all there is, while the loop does not run yet.
+func (list *endpointList) loadBatch(b endpoints.Batch) error {
 	if b.First {
 		list.table.BeginReplacement()
 	}
@@ -90,20 +90,20 @@
 	return nil
 }
 
-// inform tells the module that there is a list, and what an earlier process knew of the health of its endpoints. The
+// announceEndpoints tells the module that there is a list, and what an earlier process knew of the health of its endpoints. The
 // module looks up what it needs of the list, or is given all of it where it has to know all zones.
-func (l *loop) inform() {
+func (l *loop) announceEndpoints() {
 	var all []policy.Endpoint
-	if !l.looksUp() {
-		entries, _, _ := l.list.table.All(0, math.MaxInt)
+	if !l.usesDirectory() {
+		entries, _, _ := l.endpoints.table.All(0, math.MaxInt)
 		for e := range entries {
-			all = append(all, l.list.endpoint(e))
+			all = append(all, l.endpoints.endpoint(e))
 		}
 	}
 	l.events = append(l.events, policy.EndpointsUpdated{Endpoints: all})
 	for host := range l.journal.Health() {
-		if _, listed := l.list.table.Get(host); listed {
-			l.events = l.recall(l.events, host)
+		if _, listed := l.endpoints.table.Get(host); listed {
+			l.events = l.appendHealth(l.events, host)
 		}
 	}
 }
--- a/internal/relay/liststore.go
+++ b/internal/relay/endpointstore.go
@@ -12,9 +12,9 @@
 	listFolder = "endpoints"
 	// listShare of the disk's limit is for the list; the rest is the journal's.
 	listShare = 1.0 / 8
-	// storeEvery is the wait between the steps of the store's compaction, so that one of a long list takes a small part of
+	// compactionInterval is the wait between the steps of the store's compaction, so that one of a long list takes a small part of
 	// the loop's time: 490,000 entries are written in some ten seconds.
-	storeEvery = 10 * time.Millisecond
+	compactionInterval = 10 * time.Millisecond
 )
 
 // persist puts changes of the table on disk. A sequence number follows once all changes of its object are there.
@@ -26,14 +26,14 @@
 
 // commit notes that an object is complete.
 func (list *endpointList) commit(seq int64) {
-	list.seq = seq
+	list.version = seq
 	if list.store == nil {
 		return
 	}
 	if err := list.store.Commit(seq); err != nil {
 		slog.Warn("list of endpoints not written", "err", err)
 	}
-	list.dropDisabled()
+	list.closeDisabled()
 }
 
 // maintainStore does the next step of the store's own work.
@@ -41,12 +41,12 @@
 	if list.store == nil {
 		return
 	}
-	list.storing = list.store.CompactStep(list.table)
-	list.dropDisabled()
+	list.compacting = list.store.CompactStep(list.table)
+	list.closeDisabled()
 }
 
-// dropDisabled goes on without a store that has given up: the next process starts from the configuration's list.
-func (list *endpointList) dropDisabled() {
+// closeDisabled goes on without a store that has given up: the next process starts from the configuration's list.
+func (list *endpointList) closeDisabled() {
 	reason, disabled := list.store.Disabled()
 	if !disabled {
 		return
@@ -63,5 +63,5 @@
 	if err := list.store.Close(); err != nil {
 		slog.Warn("list of endpoints on disk", "err", err)
 	}
-	list.store, list.storing = nil, false
+	list.store, list.compacting = nil, false
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -33,16 +33,16 @@
 	}
 	// batchReceived is a part of an object that discovery sent.
 	batchReceived struct{ discovery.Batch }
-	// heard is a note of another relay.
-	heard struct{ note []byte }
-	// fleetSaid is what the other relays have found out together.
-	fleetSaid struct{ live.PeerAssessment }
+	// gossipReceived is a note of another relay.
+	gossipReceived struct{ message []byte }
+	// fleetAssessed is what the other relays have found out together.
+	fleetAssessed struct{ live.PeerAssessment }
 	// watchEnded says that the watch on discovery ended or could not be had.
 	watchEnded struct{}
 	// notificationsReceived says that the platform has notices.
 	notificationsReceived struct{ ids []string }
-	// stopSending says that the process is about to end.
-	stopSending struct{}
+	// shutdownStarted says that the process is about to end.
+	shutdownStarted struct{}
 	// successorRequested is a successor that requests the state directory.
 	successorRequested struct{ link *handover.Link }
 	// successorMessage is a message of the successor after a handover.
@@ -53,7 +53,7 @@
 	idleQuery struct{ idle chan bool }
 )
 
-func (e messageArrived) apply(l *loop) { l.arrive(e.Submission) }
+func (e messageArrived) apply(l *loop) { l.admit(e.Submission) }
 
 func (e clientLeft) apply(l *loop) { l.withdraw(e.Submission) }
 
@@ -68,9 +68,13 @@
 
 func (e batchReceived) apply(l *loop) { l.acceptBatch(e.Batch) }
 
-func (e heard) apply(l *loop) { l.events = append(l.events, policy.GossipReceived{Message: e.note}) }
+func (e gossipReceived) apply(l *loop) {
+	l.events = append(l.events, policy.GossipReceived{Message: e.message})
+}
 
-func (e fleetSaid) apply(l *loop) { l.events = append(l.events, said(e.PeerAssessment)...) }
+func (e fleetAssessed) apply(l *loop) {
+	l.events = append(l.events, assessmentEvents(e.PeerAssessment)...)
+}
 
 func (e adminCommand) apply(*loop) { e.reply <- e.answer() }
 
@@ -79,7 +83,7 @@
 func (e notificationsReceived) apply(l *loop) {
 	for _, id := range e.ids {
 		if m := l.messages[id]; m != nil {
-			l.end(m)
+			l.complete(m)
 		}
 	}
 }
@@ -91,7 +95,7 @@
 	l.handover.requester = e.link
 }
 
-func (stopSending) apply(l *loop) { l.events = append(l.events, policy.ShutdownStarted{}) }
+func (shutdownStarted) apply(l *loop) { l.events = append(l.events, policy.ShutdownStarted{}) }
 
 func (e idleQuery) apply(l *loop) { e.idle <- len(l.messages) == 0 }
 
--- a/internal/relay/expiry_test.go
+++ b/internal/relay/expiry_test.go
@@ -12,7 +12,7 @@
 	now := clock.Now()
 	sends := func(left ...time.Duration) (all []send) {
 		for _, d := range left {
-			all = append(all, send{expires: now.Add(d)})
+			all = append(all, send{expiresAt: now.Add(d)})
 		}
 		return all
 	}
@@ -20,12 +20,12 @@
 		left []time.Duration
 		want time.Duration
 	}{
-		{[]time.Duration{time.Minute, time.Second}, time.Second - answerMargin},
-		{[]time.Duration{time.Second, time.Minute}, time.Second - answerMargin},
-		{[]time.Duration{2 * answerMargin, time.Minute}, answerMargin},
-		{[]time.Duration{answerMargin, time.Minute}, answerMargin / 2},
+		{[]time.Duration{time.Minute, time.Second}, time.Second - responseMargin},
+		{[]time.Duration{time.Second, time.Minute}, time.Second - responseMargin},
+		{[]time.Duration{2 * responseMargin, time.Minute}, responseMargin},
+		{[]time.Duration{responseMargin, time.Minute}, responseMargin / 2},
 	} {
-		if by := answerBy(now, sends(c.left...)); by.Sub(now) != c.want {
+		if by := responseDeadline(now, sends(c.left...)); by.Sub(now) != c.want {
 			t.Errorf("%v left: by %v, want %v", c.left, by.Sub(now), c.want)
 		}
 	}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -51,7 +51,7 @@
 		return false
 	}
 	_ = l.journal.Close()
-	l.list.close()
+	l.endpoints.close()
 	l.owner.Release()
 	if err := link.Transfer(); err != nil {
 		slog.Warn("handover: transfer not sent", "error", err)
@@ -66,7 +66,7 @@
 // makeOffer returns what the successor has to know beside the journal.
 func (l *loop) makeOffer(link *handover.Link) *handover.Offer {
 	offer := &handover.Offer{Clients: l.clients.Count(), Clocks: link.ReadClocks()}
-	for _, state := range l.d.ExportState() {
+	for _, state := range l.dispatcher.ExportState() {
 		offer.PolicyState = append(offer.PolicyState, state.Translate(link.EncodeInstant))
 	}
 	if l.journal.WriteError() != nil {
@@ -92,10 +92,10 @@
 		m, err := link.Receive()
 		if err != nil {
 			link.Close()
-			l.put(successorGone{})
+			l.enqueue(successorGone{})
 			return
 		}
-		l.put(successorMessage{m})
+		l.enqueue(successorMessage{m})
 	}
 }
 
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -13,32 +13,32 @@
 	"milletsail/policy"
 )
 
-// jsonGrowth is how much longer a byte of an id or a key can become in JSON.
-const jsonGrowth = 6
+// maxJSONGrowth is how much longer a byte of an id or a key can become in JSON.
+const maxJSONGrowth = 6
 
-// arrive takes in a message that is handed in.
-func (l *loop) arrive(a *frontend.Submission) {
+// admit takes in a message that is handed in.
+func (l *loop) admit(a *frontend.Submission) {
 	if m := l.messages[a.Entry.ID]; m != nil {
 		// The same message once more, as after a connection that broke: it is ours already, unless it is over or
 		// still undecided.
 		switch {
-		case m.over && l.mayHaveRun(m): // 503 would say that handing it in again is harmless
+		case m.ended && l.mayHaveExecuted(m): // 503 would say that handing it in again is harmless
 			a.Response <- frontend.Response{Status: http.StatusBadGateway}
-		case m.over:
+		case m.ended:
 			a.Response <- frontend.Response{Status: http.StatusServiceUnavailable}
-		case m.replies != nil:
-			m.replies = append(m.replies, a.Response)
+		case m.responses != nil:
+			m.responses = append(m.responses, a.Response)
 		default:
-			m.copied = true
+			m.resubmitted = true
 			a.Response <- frontend.Response{Status: http.StatusAccepted}
 		}
 		return
 	}
-	if !l.list.table.Named(a.Entry.Dest) || !l.journal.Reserve(a.Entry) {
+	if !l.endpoints.table.Named(a.Entry.Dest) || !l.journal.Reserve(a.Entry) {
 		// Guards the module against destinations that no list has named, and the disk against overflow.
-		l.metrics.CountResult(l.class(a.Entry.Class), metrics.Rejected)
+		l.metrics.CountResult(l.classIndex(a.Entry.Class), metrics.Rejected)
 		why := "no such destination"
-		if l.list.table.Named(a.Entry.Dest) {
+		if l.endpoints.table.Named(a.Entry.Dest) {
 			why = "no room in the folder, or it can't be written"
 		}
 		l.metrics.Reasons.Add("relay_refused_unseen", why, 1)
@@ -47,16 +47,16 @@
 		return
 	}
 	slog.Debug("arrived", "id", a.Entry.ID, "dest", a.Entry.Dest, "class", a.Entry.Class, "left", clock.Until(a.Entry.ExpiresAt))
-	m := &message{Entry: a.Entry, replies: []chan frontend.Response{a.Response}}
+	m := &message{Entry: a.Entry, responses: []chan frontend.Response{a.Response}}
 	l.messages[m.ID] = m
-	l.fresh = append(l.fresh, m)
-	l.events = append(l.events, policy.Arrived{ID: m.ID, Class: l.class(m.Class), Destination: m.Dest,
-		TimeLeft: clock.Until(m.ExpiresAt), Size: bundled(m.Entry)})
+	l.newMessages = append(l.newMessages, m)
+	l.events = append(l.events, policy.Arrived{ID: m.ID, Class: l.classIndex(m.Class), Destination: m.Dest,
+		TimeLeft: clock.Until(m.ExpiresAt), Size: sizeInBatch(m.Entry)})
 }
 
-// mayHaveRun tells whether an attempt of a message may have run that must not be made again elsewhere.
-func (l *loop) mayHaveRun(m *message) bool {
-	no := l.class(m.Class)
+// mayHaveExecuted tells whether an attempt of a message may have run that must not be made again elsewhere.
+func (l *loop) mayHaveExecuted(m *message) bool {
+	no := l.classIndex(m.Class)
 	if no < 0 {
 		return false
 	}
@@ -71,24 +71,24 @@
 // chance or on purpose: their leaving takes back nothing, and what one of them was told is owed to it.
 func (l *loop) withdraw(a *frontend.Submission) {
 	m := l.messages[a.Entry.ID]
-	if m == nil || m.over || m.Entry != a.Entry || m.copied || len(m.replies) > 1 {
+	if m == nil || m.ended || m.Entry != a.Entry || m.resubmitted || len(m.responses) > 1 {
 		return
 	}
 	l.metrics.Reasons.Add("relay_withdrawn", "the client left", 1)
 	slog.Info("withdrawn", "id", m.ID, "dest", m.Dest, "attempts", len(m.Attempts))
 	l.events = append(l.events, policy.Withdrawn{ID: m.ID})
-	l.end(m)
+	l.complete(m)
 }
 
-// bundled is the room that a message takes up in the body of a call with several.
-func bundled(e *journal.Entry) int {
-	return len(`{"id":"","key":"","body":""},`) + jsonGrowth*(len(e.ID)+len(e.Key)) + base64.StdEncoding.EncodedLen(len(e.Body))
+// sizeInBatch is the room that a message takes up in the body of a call with several.
+func sizeInBatch(e *journal.Entry) int {
+	return len(`{"id":"","key":"","body":""},`) + maxJSONGrowth*(len(e.ID)+len(e.Key)) + base64.StdEncoding.EncodedLen(len(e.Body))
 }
 
-// admitted takes on the arrivals of this batch that were not refused.
-func (l *loop) admitted() {
-	for _, m := range l.fresh {
-		if !m.over {
+// acceptNewMessages takes on the arrivals of this batch that were not refused.
+func (l *loop) acceptNewMessages() {
+	for _, m := range l.newMessages {
+		if !m.ended {
 			l.journal.Accept(m.Entry)
 		}
 	}
--- a/internal/relay/list_bench_test.go
+++ b/internal/relay/list_bench_test.go
@@ -83,14 +83,14 @@
 					l.accept(batchReceived{batch})
 					l.step()
 				})
-				for l.list.removing != nil {
+				for l.endpoints.sweeping != nil {
 					timed(l.step)
 				}
 			})
 			if version != seq {
 				b.Fatal("the list was not applied")
 			}
-			for l.list.storing {
+			for l.endpoints.compacting {
 				timed(l.step)
 			}
 			b.ReportMetric(longest.Seconds()*1e3, step.name+"-longest-ms")
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -38,11 +38,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loop{cfg: cfg, d: d, list: list, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: kept, messages: map[string]*message{},
+	l := &loop{cfg: cfg, dispatcher: d, endpoints: list, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: kept, messages: map[string]*message{},
 		pool: upstream.NewPool(time.Second, time.Second, 10, nil)}
-	l.openList(dir)
+	l.openEndpoints(dir)
 	t.Cleanup(func() {
-		l.list.close()
+		l.endpoints.close()
 		_ = kept.Close()
 	})
 	return l
@@ -57,7 +57,7 @@
 	}
 	version := deliverObjects(t, text, func(b discovery.Batch) {
 		l.accept(batchReceived{b})
-		for l.step(); l.list.removing != nil; {
+		for l.step(); l.endpoints.sweeping != nil; {
 			l.step()
 		}
 	})
@@ -116,8 +116,8 @@
 		l := listLoop(t, dir, 1000)
 		hosts := filler(n)
 		l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
-		for l.list.maintainStore(); l.list.storing; {
-			l.list.maintainStore()
+		for l.endpoints.maintainStore(); l.endpoints.compacting; {
+			l.endpoints.maintainStore()
 		}
 		before := folderSize(t, dir)
 		drains := hosts[0]
@@ -180,8 +180,8 @@
 		l.journal.RecordHealth(host, journal.HealthRecord{Ejected: true, ChangedAt: clock.Now()})
 	}
 	l.object(t, Members{Seq: 51, Whole: true, Hosts: hosts[:manyHosts-1]})
-	if l.list.table.Len() != manyHosts-1 {
-		t.Errorf("%d hosts are listed", l.list.table.Len())
+	if l.endpoints.table.Len() != manyHosts-1 {
+		t.Errorf("%d hosts are listed", l.endpoints.table.Len())
 	}
 	if health := l.journal.Health(); len(health) != 1 || !health[stays].Ejected {
 		t.Errorf("remembered: %v", health)
@@ -307,7 +307,7 @@
 	})
 	p.kill(c)
 	log := fmt.Sprint(c.Stderr)
-	if n := strings.Count(log, "host=filler-"); n == 0 || n > loggedChanges {
+	if n := strings.Count(log, "host=filler-"); n == 0 || n > maxLoggedChanges {
 		t.Errorf("%d of %d changes are logged", n, manyHosts)
 	}
 	if !strings.Contains(log, "host="+known.Host+" ") {
@@ -327,7 +327,7 @@
 			change.Health = draining
 		}
 		l.object(t, Members{Seq: seq, Hosts: []Member{change}})
-		if l.list.store == nil {
+		if l.endpoints.store == nil {
 			t.Fatalf("given up after %d changes", seq-50)
 		}
 	}
--- a/internal/relay/list_flow_test.go
+++ b/internal/relay/list_flow_test.go
@@ -26,13 +26,13 @@
 	next.Seq, next.CompleteKnown = 52, true
 	l.accept(batchReceived{whole})
 	l.accept(batchReceived{next})
-	for steps := 1; l.list.removing != nil; steps++ {
-		before := l.list.table.Len()
+	for steps := 1; l.endpoints.sweeping != nil; steps++ {
+		before := l.endpoints.table.Len()
 		if _, seq := storedList(t, dir); seq != 50 || applied(whole) || applied(next) {
 			t.Fatalf("version %d is on disk, applied %v and %v, with entries to be removed", seq, applied(whole), applied(next))
 		}
 		l.step()
-		if removed := before - l.list.table.Len(); removed > sweepSize {
+		if removed := before - l.endpoints.table.Len(); removed > sweepBatchSize {
 			t.Fatalf("%d entries removed in one batch", removed)
 		}
 		if steps > manyHosts {
--- a/internal/relay/list_start_test.go
+++ b/internal/relay/list_start_test.go
@@ -25,7 +25,7 @@
 		{41, 41, 40, "disk"},
 		{0, 40, 41, "configuration"},
 	} {
-		newest := newestList(c.onDisk, listSource{name: "journal", seq: c.inJournal}, listSource{name: "configuration", seq: c.configured})
+		newest := newestList(c.onDisk, listSource{name: "journal", version: c.inJournal}, listSource{name: "configuration", version: c.configured})
 		if newest.name != c.want {
 			t.Errorf("versions %d on disk, %d in the journal, %d configured: %s, want %s", c.onDisk, c.inJournal, c.configured, newest.name, c.want)
 		}
@@ -45,8 +45,8 @@
 	}
 	l := listLoop(t, t.TempDir(), 1000)
 	l.cfg.KnownEndpoints = config.EndpointSource{Path: path}
-	l.openList(t.TempDir())
-	if n := l.list.table.Len(); n != len(hosts) {
+	l.openEndpoints(t.TempDir())
+	if n := l.endpoints.table.Len(); n != len(hosts) {
 		t.Errorf("%d endpoints are listed, want %d", n, len(hosts))
 	}
 }
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -73,7 +73,7 @@
 func (p *predecessor) submit(from *handover.Submission) {
 	s := &predecessorsSubmission{&frontend.Submission{Entry: p.entry(from), Response: make(chan frontend.Response, 1)}, make(chan struct{})}
 	p.submitted[from.Number] = s
-	p.loop.put(messageArrived{s.Submission})
+	p.loop.enqueue(messageArrived{s.Submission})
 	go p.respond(s, from.Number)
 }
 
@@ -81,7 +81,7 @@
 func (p *predecessor) entry(from *handover.Submission) *journal.Entry {
 	e := &journal.Entry{ID: from.Entry.ID, Class: from.Entry.Class, Dest: from.Entry.Destination, Key: from.Entry.Key,
 		ExpiresAt: p.link.Instant(from.Entry.ExpiresAt), Body: from.Body}
-	if class := p.loop.class(e.Class); class >= 0 {
+	if class := p.loop.classIndex(e.Class); class >= 0 {
 		e.ExpiresAt = min(e.ExpiresAt, clock.Now().Add(p.loop.cfg.Policy.Classes[class].Deadline))
 	}
 	return e
@@ -94,7 +94,7 @@
 	case response := <-s.Response:
 		p.link.Send(handover.Message{Response: &handover.Response{Number: number, Status: response.Status, RetryAfter: response.RetryAfter}})
 	case <-s.left:
-		p.loop.put(clientLeft{s.Submission})
+		p.loop.enqueue(clientLeft{s.Submission})
 	}
 }
 
@@ -108,7 +108,7 @@
 		all = append(all, attemptEnded{id: r.ID, attempt: r.Attempt, endpoint: r.Endpoint, latency: r.Latency, Result: upstream.Result{
 			Outcome: r.Outcome, RetryAfter: r.RetryAfter, Completed: r.Completed, AttemptsExhausted: r.AttemptsExhausted, LoadReport: r.LoadReport}})
 	}
-	p.loop.put(all)
+	p.loop.enqueue(all)
 }
 
 // end takes in that the predecessor is gone: its calls may have been executed, and its clients have left.
@@ -118,7 +118,7 @@
 		all = append(all, attemptEnded{id: id, attempt: attempt, Result: upstream.Result{Outcome: policy.Reset}})
 	}
 	if len(all) > 0 {
-		p.loop.put(all)
+		p.loop.enqueue(all)
 	}
 	for _, s := range p.submitted {
 		close(s.left)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,12 +31,12 @@
 // The stages of a planned end, from the signal on. Connections go on coming for up to 0.4 s, and the process
 // may be killed after 3.7 s.
 const (
-	listenOn  = time.Second             // until then new connections are taken
-	sendOn    = 2900 * time.Millisecond // until then calls begin
-	callsOn   = 3500 * time.Millisecond // until then calls come to their end
-	askIdle   = 50 * time.Millisecond   // between looks whether all is done
-	lastWords = 100 * time.Millisecond  // for answers that are being written
-	goneBy    = 3650 * time.Millisecond // until then clients may read the last answers
+	acceptPhase          = time.Second             // until then new connections are taken
+	startCallsPhase      = 2900 * time.Millisecond // until then calls begin
+	finishCallsPhase     = 3500 * time.Millisecond // until then calls come to their end
+	idlePollInterval     = 50 * time.Millisecond   // between looks whether all is done
+	responseWriteTimeout = 100 * time.Millisecond  // for answers that are being written
+	exitDeadline         = 3650 * time.Millisecond // until then clients may read the last answers
 )
 
 // ReadConfig reads and checks a configuration file, as config.Read does; for programs that only know this package.
@@ -95,43 +95,43 @@
 	deciding, endOwnerTasks := context.WithCancel(live)
 	defer endOwnerTasks()
 	s := cfg.Settings
-	l := &loop{cfg: cfg, d: d, journal: kept, metrics: counters, inbox: make(chan event, inboxSize), calls: live,
-		messages: map[string]*message{}, list: list,
+	l := &loop{cfg: cfg, dispatcher: d, journal: kept, metrics: counters, inbox: make(chan event, inboxCapacity), calls: live,
+		messages: map[string]*message{}, endpoints: list,
 		pool: upstream.NewPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.Policy.IdleConnTimeout,
 			max(1, int(frontend.UpstreamShare*float64(cfg.Limits.Sockets))), &counters.UpstreamRequests),
 		clients: clients, owner: acquired.Ownership,
 		handover: handoverState{completed: make(chan struct{}), endOwnerTasks: endOwnerTasks}}
-	l.watch = discovery.New(cfg.Discovery, discovery.RequestJitter(&cfg.Settings), func(b discovery.Batch) { l.put(batchReceived{b}) },
-		func() { l.put(watchEnded{}) })
-	l.watch.MaxListSize = int64(listMemoryShare * cfg.Limits.MemoryMB * 1e6)
-	l.watch.Immediate = acquired.Predecessor != nil // the process before had a watch until now, and no other relay starts for that
-	notifications := notifier.New(cfg.Discovery, func(ids []string) { l.put(notificationsReceived{ids}) })
+	l.watcher = discovery.New(cfg.Discovery, discovery.RequestJitter(&cfg.Settings), func(b discovery.Batch) { l.enqueue(batchReceived{b}) },
+		func() { l.enqueue(watchEnded{}) })
+	l.watcher.MaxListSize = int64(listMemoryShare * cfg.Limits.MemoryMB * 1e6)
+	l.watcher.Immediate = acquired.Predecessor != nil // the process before had a watch until now, and no other relay starts for that
+	notifications := notifier.New(cfg.Discovery, func(ids []string) { l.enqueue(notificationsReceived{ids}) })
 	l.notifier = notifications
 	l.gossip = gossip.New(gossipOptions(cfg), l.receiveGossip)
 	if cfg.Fleet && l.gossip != nil {
-		l.shared = l.share(dir)
-		operators.Handle("fleet", admin.WithoutArguments(l.shared.JSON))
+		l.fleet = l.newFleetService(dir)
+		operators.Handle("fleet", admin.WithoutArguments(l.fleet.JSON))
 	}
 	srv := frontend.NewServer(cfg, &counters.Reasons,
-		func(s *frontend.Submission) { l.put(messageArrived{s}) }, func(s *frontend.Submission) { l.put(clientLeft{s}) })
-	handover.ListenForSuccessors(deciding, dir, &counters.Reasons, func(link *handover.Link) { l.put(successorRequested{link}) })
-	l.openList(dir)
-	defer func() { l.list.close() }()
+		func(s *frontend.Submission) { l.enqueue(messageArrived{s}) }, func(s *frontend.Submission) { l.enqueue(clientLeft{s}) })
+	handover.ListenForSuccessors(deciding, dir, &counters.Reasons, func(link *handover.Link) { l.enqueue(successorRequested{link}) })
+	l.openEndpoints(dir)
+	defer func() { l.endpoints.close() }()
 	l.openZones(dir)
-	if l.zoning != nil {
-		operators.Handle("zone", l.askZones)
+	if l.zones != nil {
+		operators.Handle("zone", l.handleZoneCommand)
 	}
-	if cfg.Newcomers {
-		operators.Handle("servers", admin.WithoutArguments(func() string { return l.askLoop(l.servers) }))
+	if cfg.CanaryAnalysis {
+		operators.Handle("servers", admin.WithoutArguments(func() string { return l.askLoop(l.canaryStatus) }))
 	}
 	operators.Handle("diagnostics", admin.WithoutArguments(counters.Reasons.Text))
 	l.restore(acquired.Predecessor, acquired.Offer) // clients wait to be served until this is done
 	var work sync.WaitGroup
 	work.Go(func() { l.run(live) })
-	work.Go(func() { l.watch.Run(deciding) })
+	work.Go(func() { l.watcher.Run(deciding) })
 	work.Go(func() { notifications.Run(deciding) })
 	work.Go(func() { l.gossip.Run(deciding) })
-	work.Go(func() { l.shared.Run(deciding) })
+	work.Go(func() { l.fleet.Run(deciding) })
 	if acquired.Predecessor != nil {
 		go l.followPredecessor(acquired.Predecessor, acquired.Offer)
 	}
@@ -139,15 +139,15 @@
 	go func() { served <- srv.Serve(clients) }()
 	counters.Serving.Store(true)
 
-	work.Go(func() { followDiscovery(live, addresses, l.watch, notifications) }) // to the end: notices are owed while it drains too
+	work.Go(func() { followDiscovery(live, addresses, l.watcher, notifications) }) // to the end: notices are owed while it drains too
 	select {
 	case err = <-served:
 	case <-l.handover.completed:
 		counters.Serving.Store(false)
-		l.retire(ctx, srv)
+		l.drainAfterHandover(ctx, srv)
 	case <-ctx.Done():
 		counters.Serving.Store(false)
-		l.drain(srv)
+		l.shutDown(srv)
 	}
 	stop()
 	work.Wait()
@@ -200,64 +200,64 @@
 	return ""
 }
 
-// retire brings a relay to its end whose place a newer process has taken: it stays for as long as clients keep its
+// drainAfterHandover brings a relay to its end whose place a newer process has taken: it stays for as long as clients keep its
 // connections or calls are out, but after a signal to end no longer than drain does.
-func (l *loop) retire(ctx context.Context, srv *frontend.Server) {
+func (l *loop) drainAfterHandover(ctx context.Context, srv *frontend.Server) {
 	srv.StartDraining()
 	_ = l.clients.Close()
 	end, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer context.AfterFunc(ctx, func() {
-		if clock.Sleep(end, callsOn) {
+		if clock.Sleep(end, finishCallsPhase) {
 			cancel()
 		}
 	})()
-	for l.clients.Count() > 0 || !l.idle() {
-		if !clock.Sleep(end, askIdle) {
+	for l.clients.Count() > 0 || !l.isIdle() {
+		if !clock.Sleep(end, idlePollInterval) {
 			break
 		}
 	}
-	l.shutdown(srv, clock.Now().Add(lastWords))
+	l.closeConnections(srv, clock.Now().Add(responseWriteTimeout))
 }
 
-// drain brings a relay to its end. No request that was read goes unanswered: answers close their
+// shutDown brings a relay to its end. No request that was read goes unanswered: answers close their
 // connections, and those that stay unused are closed last.
-func (l *loop) drain(srv *frontend.Server) {
+func (l *loop) shutDown(srv *frontend.Server) {
 	begun := clock.Now()
 	until := func(stage time.Duration) time.Duration { return clock.Until(begun.Add(stage)) }
 	srv.StartDraining()
-	time.Sleep(until(listenOn))
+	time.Sleep(until(acceptPhase))
 	_ = l.clients.Close()
-	for until(sendOn) > 0 && l.busy() {
-		time.Sleep(askIdle)
+	for until(startCallsPhase) > 0 && l.isBusy() {
+		time.Sleep(idlePollInterval)
 	}
-	l.put(stopSending{})
-	for until(callsOn) > 0 && l.busy() {
-		time.Sleep(askIdle)
+	l.enqueue(shutdownStarted{})
+	for until(finishCallsPhase) > 0 && l.isBusy() {
+		time.Sleep(idlePollInterval)
 	}
-	l.shutdown(srv, begun.Add(goneBy))
+	l.closeConnections(srv, begun.Add(exitDeadline))
 }
 
-// shutdown closes the clients' connections: those that rest at once, the others once the answers that are being written
+// closeConnections closes the clients' connections: those that rest at once, the others once the answers that are being written
 // are out. The process ends when the clients have read these, or at a moment.
-func (l *loop) shutdown(srv *frontend.Server, by instant.Time) {
-	ctx, cancel := context.WithTimeout(context.Background(), lastWords)
+func (l *loop) closeConnections(srv *frontend.Server, by instant.Time) {
+	ctx, cancel := context.WithTimeout(context.Background(), responseWriteTimeout)
 	defer cancel()
 	if err := srv.Shutdown(ctx); err != nil {
 		slog.Warn("connections left", "err", err)
 	}
 	// No request is taken up any more: what is left of the others ends with the process.
 	for l.clients.ResponsesUnread() && clock.Now() < by {
-		time.Sleep(askIdle / 10)
+		time.Sleep(idlePollInterval / 10)
 	}
 }
 
-// busy tells whether a message is held, or a request that may become one is still being written.
-func (l *loop) busy() bool { return l.clients.Busy() || !l.idle() }
+// isBusy tells whether a message is held, or a request that may become one is still being written.
+func (l *loop) isBusy() bool { return l.clients.Busy() || !l.isIdle() }
 
-// idle tells whether nothing is held.
-func (l *loop) idle() bool {
+// isIdle tells whether nothing is held.
+func (l *loop) isIdle() bool {
 	q := idleQuery{make(chan bool, 1)}
-	l.put(q)
+	l.enqueue(q)
 	return <-q.idle
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -597,8 +597,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loop{cfg: &config.Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
-		messages: map[string]*message{}, list: listAt(7)}
+	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
+		messages: map[string]*message{}, endpoints: listAt(7)}
 	l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
 	copyOf := func(id string) *frontend.Submission {
 		return &frontend.Submission{Response: make(chan frontend.Response, 1),
@@ -667,18 +667,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loop{cfg: &config.Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), messages: map[string]*message{}, list: listAt()}
+	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), messages: map[string]*message{}, endpoints: listAt()}
 	timer := clock.Now().Add(time.Minute)
-	l.wakeAt = timer
+	l.timerAt = timer
 	m := &message{Entry: &journal.Entry{ID: "m"}}
 	l.messages["m"] = m
-	l.unsent(send{m: m}, policy.NotStarted)
-	if due := l.due(); due != 0 {
+	l.completeUnsent(send{message: m}, policy.NotStarted)
+	if due := l.untilNextStep(); due != 0 {
 		t.Errorf("the module hears of it in %v", due)
 	}
 	l.step()
-	if l.wakeAt != timer {
-		t.Errorf("the timer moved by %v", l.wakeAt-timer)
+	if l.timerAt != timer {
+		t.Errorf("the timer moved by %v", l.timerAt-timer)
 	}
 }
 
@@ -692,8 +692,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := &loop{cfg: &config.Config{}, d: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3),
-			messages: map[string]*message{}, list: listAt(7), notifier: &notifier.Notifier{}}
+		l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3),
+			messages: map[string]*message{}, endpoints: listAt(7), notifier: &notifier.Notifier{}}
 		l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
 		start := time.Now()
 		hand := func(id string, left time.Duration) *frontend.Submission {
@@ -704,17 +704,17 @@
 		first := hand("first", time.Second)
 		hand("second", 2*time.Second)
 		l.step()
-		time.Sleep(l.due() - tick/2)
+		time.Sleep(l.untilNextStep() - tick/2)
 		delete(l.messages, "first")
 		l.events = append(l.events, policy.Withdrawn{ID: first.Entry.ID})
 		l.step()
 		for range 3 { // as far as the timers wake the relay before the second message's time is up
-			time.Sleep(min(l.due(), 2*time.Second-time.Since(start)))
-			if l.due() == 0 {
+			time.Sleep(min(l.untilNextStep(), 2*time.Second-time.Since(start)))
+			if l.untilNextStep() == 0 {
 				l.step()
 			}
 		}
-		if m := l.messages["second"]; !m.over {
+		if m := l.messages["second"]; !m.ended {
 			t.Error("nothing woke the relay before the message's time was up")
 		}
 	})
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -14,11 +14,11 @@
 // restore takes up what the journal holds, the list of endpoints, and what the process before has out, where that one
 // handed over.
 func (l *loop) restore(k *handover.Link, off *handover.Offer) {
-	l.inform()
-	if l.zoning != nil && len(l.zoning.pending) > 0 {
+	l.announceEndpoints()
+	if l.zones != nil && len(l.zones.pending) > 0 {
 		l.step() // an order goes on before anything is sent
 	}
-	l.watch.Version = l.list.seq
+	l.watcher.Version = l.endpoints.version
 	out := map[string]handover.Attempt{}
 	if off != nil {
 		for _, a := range off.InFlight {
@@ -40,24 +40,24 @@
 		}
 		m := &message{Entry: e}
 		l.messages[e.ID] = m
-		l.pend(m)
+		l.countPending(m)
 		if o, ok := out[e.ID]; ok {
 			o.Reconcile(e, k.Instant(o.StartedAt))
 		}
 		if e.PendingNotification != nil {
-			m.over = true
-			l.settle(m)
+			m.ended = true
+			l.countEnded(m)
 			l.notifier.Enqueue(*e.PendingNotification)
 			continue // a call of it that is still out follows below
 		}
-		class := l.class(e.Class)
+		class := l.classIndex(e.Class)
 		if class < 0 { // the settings have changed, and the module could not end it
-			l.refuse(m, frontend.Response{}, notifier.StatusUndeliverable, policy.ReasonNone)
+			l.endUndelivered(m, frontend.Response{}, notifier.StatusUndeliverable, policy.ReasonNone)
 			continue
 		}
 		// Whatever the folder says, no message has more time than its class.
 		a := policy.Arrived{ID: e.ID, Class: class, Destination: e.Dest, Resumed: true,
-			TimeLeft: min(clock.Until(e.ExpiresAt), l.cfg.Policy.Classes[class].Deadline), Size: bundled(e)}
+			TimeLeft: min(clock.Until(e.ExpiresAt), l.cfg.Policy.Classes[class].Deadline), Size: sizeInBatch(e)}
 		for _, t := range e.Attempts {
 			// An attempt that was out when the process ended may have run.
 			a.PriorAttempts = append(a.PriorAttempts, policy.PriorAttempt{Endpoint: t.Host, SentAt: min(t.StartedAt, clock.Now()), NotExecuted: t.Ended && t.NotExecuted})
@@ -71,10 +71,10 @@
 	for _, o := range out { // their messages are over, but they hold slots
 		m := l.messages[o.ID]
 		if m == nil {
-			m = &message{Entry: &journal.Entry{ID: o.ID, Class: o.Class, Dest: o.Destination, Attempts: make([]journal.Attempt, o.Attempt+1)}, over: true}
+			m = &message{Entry: &journal.Entry{ID: o.ID, Class: o.Class, Dest: o.Destination, Attempts: make([]journal.Attempt, o.Attempt+1)}, ended: true}
 			l.messages[o.ID] = m
 		}
-		a := policy.Arrived{ID: o.ID, Class: l.class(o.Class), Destination: o.Destination, Resumed: true, Completed: true,
+		a := policy.Arrived{ID: o.ID, Class: l.classIndex(o.Class), Destination: o.Destination, Resumed: true, Completed: true,
 			PriorAttempts: slices.Repeat([]policy.PriorAttempt{{Endpoint: o.Endpoint, SentAt: k.Instant(o.StartedAt)}}, o.Attempt+1)}
 		l.rejoin(k, m, o, &a)
 		l.events = append(l.events, a)
--- a/internal/relay/selfcheck.go
+++ b/internal/relay/selfcheck.go
@@ -19,9 +19,9 @@
 // for the next boot.
 func (l *loop) checkClocks() {
 	now := clock.ReadPair()
-	by := l.clocks.SteppedBy(now)
-	known := l.clocks != (clock.Pair{})
-	l.clocks = now
+	by := l.lastClocks.SteppedBy(now)
+	known := l.lastClocks != (clock.Pair{})
+	l.lastClocks = now
 	if !known || by.Abs() < clockStep {
 		return
 	}
@@ -37,10 +37,10 @@
 func (l *loop) checkOverdue() {
 	now := clock.Now()
 	for _, m := range l.messages {
-		if m.over || m.overdue || now.Sub(m.ExpiresAt) < overdueAfter {
+		if m.ended || m.reportedOverdue || now.Sub(m.ExpiresAt) < overdueAfter {
 			continue
 		}
-		m.overdue = true
+		m.reportedOverdue = true
 		slog.Error("held past its time", "id", m.ID, "dest", m.Dest, "class", m.Class, "attempts", len(m.Attempts), "by", now.Sub(m.ExpiresAt),
 			"call out", m.cancel != nil)
 		l.metrics.Reasons.Add("relay_overdue", m.Class, 1)
--- a/internal/relay/selfcheck_test.go
+++ b/internal/relay/selfcheck_test.go
@@ -16,13 +16,13 @@
 	l := &loop{metrics: metrics.New([]policy.Class{{Name: "status"}}), messages: map[string]*message{}}
 	l.checkClocks() // the first reading tells nothing
 	for _, by := range []time.Duration{time.Hour, -10 * time.Second, 10 * time.Millisecond} {
-		l.clocks = clock.ReadPair()
-		l.clocks.Wall -= clock.Wall(by)
+		l.lastClocks = clock.ReadPair()
+		l.lastClocks.Wall -= clock.Wall(by)
 		l.checkClocks()
 	}
 	l.messages["late"] = &message{Entry: &journal.Entry{ID: "late", Class: "status", ExpiresAt: clock.Now().Add(-time.Second)}}
 	l.messages["in time"] = &message{Entry: &journal.Entry{ID: "in time", Class: "status", ExpiresAt: clock.Now().Add(time.Minute)}}
-	l.messages["over"] = &message{Entry: &journal.Entry{ID: "over", Class: "status", ExpiresAt: clock.Now().Add(-time.Second)}, over: true}
+	l.messages["over"] = &message{Entry: &journal.Entry{ID: "over", Class: "status", ExpiresAt: clock.Now().Add(-time.Second)}, ended: true}
 	l.checkOverdue()
 	l.checkOverdue()
 	l.metrics.Reasons.Increment("relay_undelivered", policy.ReasonBacklog)
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -9,8 +9,8 @@
 	"milletsail/policy"
 )
 
-// share has this relay share what it learns with the others, and brings the loop what they say.
-func (l *loop) share(dir string) *live.Service {
+// newFleetService has this relay share what it learns with the others, and brings the loop what they say.
+func (l *loop) newFleetService(dir string) *live.Service {
 	s := &l.cfg.Settings
 	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(), Zone: s.Az, Seed: uint64(l.cfg.RandomSeed),
 		Send: func(to int, note []byte) {
@@ -20,35 +20,35 @@
 				l.gossip.Send(to, note)
 			}
 		},
-		OnAssessment: func(said live.PeerAssessment) { l.offer(fleetSaid{said}) },
+		OnAssessment: func(said live.PeerAssessment) { l.offerEvent(fleetAssessed{said}) },
 		OnFact: func(f fleet.Fact, age time.Duration) {
 			if o, ok := observation(f, age); ok {
-				l.offer(heard{o.Note()})
+				l.offerEvent(gossipReceived{o.Note()})
 			}
 		}})
 }
 
 // receiveGossip hands a message of another relay to the service that it is for; for the goroutine of the gossip transport.
 func (l *loop) receiveGossip(from int, message []byte) {
-	if l.shared.Accepts(message) {
-		l.shared.Receive(from, message)
+	if l.fleet.Accepts(message) {
+		l.fleet.Receive(from, message)
 		return
 	}
-	l.offer(heard{message})
+	l.offerEvent(gossipReceived{message})
 }
 
-// offer hands the loop an event that may be lost, where it has more to do than it can.
-func (l *loop) offer(e event) {
+// offerEvent hands the loop an event that may be lost, where it has more to do than it can.
+func (l *loop) offerEvent(e event) {
 	select {
 	case l.inbox <- e:
 	default:
 	}
 }
 
-// tell tells all other relays what a note of the module says: as a fact where they share what they learn.
-func (l *loop) tell(note []byte) {
+// broadcast tells all other relays what a note of the module says: as a fact where they share what they learn.
+func (l *loop) broadcast(note []byte) {
 	o, ok := policy.ReadNote(note)
-	if l.shared == nil || !ok {
+	if l.fleet == nil || !ok {
 		l.gossip.Broadcast(note)
 		return
 	}
@@ -61,7 +61,7 @@
 	case o.NoRoom:
 		kind, key, value = fleet.KindConnectionRejected, o.Endpoint, 0
 	}
-	l.shared.Observe(kind, key, value, false, o.Age) // the module has seen to it that few tell
+	l.fleet.Observe(kind, key, value, false, o.Age) // the module has seen to it that few tell
 }
 
 // observation is what a fact says to the module, if it is of the kinds that notes tell.
@@ -83,8 +83,8 @@
 	return o, true
 }
 
-// said turns what the fleet says into the module's events.
-func said(s live.PeerAssessment) []policy.Event {
+// assessmentEvents turns what the fleet says into the module's events.
+func assessmentEvents(s live.PeerAssessment) []policy.Event {
 	events := []policy.Event{policy.PeerSuspected{Destination: s.Dest, Endpoint: s.Endpoint, Observers: s.Observers, RecentObservers: s.RecentObservers, OldestAge: s.OldestAge,
 		NewestAge: s.NewestAge, ValidFor: s.ValidFor, Rank: s.Rank}}
 	if s.Rates.Reporters > 0 {
@@ -94,10 +94,10 @@
 	return events
 }
 
-// observed tells the other relays of a call that failed, where they know of an outage.
-func (l *loop) observed(e attemptEnded) {
+// observeFailure tells the other relays of a call that failed, where they know of an outage.
+func (l *loop) observeFailure(e attemptEnded) {
 	switch e.Outcome {
 	case policy.ConnectError, policy.Failed, policy.Reset, policy.TimedOut:
-		l.shared.ObserveFailure(e.endpoint)
+		l.fleet.ObserveFailure(e.endpoint)
 	}
 }
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -39,11 +39,11 @@
 	if err := old.exit(t); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if took := time.Since(begun); took < callsOn {
+	if took := time.Since(begun); took < finishCallsPhase {
 		t.Errorf("calls that were out had only %v", took)
 	}
-	if callsOn+lastWords > goneBy || goneBy >= 3700*time.Millisecond {
-		t.Errorf("it ends %v after the signal, and is killed after 3.7 s", goneBy)
+	if finishCallsPhase+responseWriteTimeout > exitDeadline || exitDeadline >= 3700*time.Millisecond {
+		t.Errorf("it ends %v after the signal, and is killed after 3.7 s", exitDeadline)
 	}
 	entries := readEntries(t, p.dir)
 	if len(entries) != len(want) || slices.ContainsFunc(entries, func(e *journal.Entry) bool {
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -64,20 +64,20 @@
 				t.Fatal(err)
 			}
 			var queue recordedNotifications
-			l := &loop{cfg: &config.Config{}, d: d, metrics: metrics.New(classes), journal: kept, messages: map[string]*message{}, list: listAt(7), notifier: &queue}
+			l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New(classes), journal: kept, messages: map[string]*message{}, endpoints: listAt(7), notifier: &queue}
 			l.cfg.Policy.Classes = classes
 			m := &message{Entry: &journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left)}}
 			l.messages["m"] = m
 			kept.Accept(m.Entry)
 			l.commit()
 			disk.full.Store(true)
-			l.refuse(m, frontend.Response{}, notifier.StatusDeferred, policy.ReasonNoTimeLeft)
+			l.endUndelivered(m, frontend.Response{}, notifier.StatusDeferred, policy.ReasonNoTimeLeft)
 			l.commit()
 			if len(queue) != c.before {
 				t.Errorf("%d notices while nothing can be written, want %d", len(queue), c.before)
 			}
 			disk.full.Store(false)
-			l.stored(kept.Commit() == nil)
+			l.setWritable(kept.Commit() == nil)
 			if len(queue) != 1 {
 				t.Errorf("%d notices once it is written", len(queue))
 			}
--- a/internal/relay/zoning.go
+++ b/internal/relay/zonecommands.go
@@ -13,29 +13,29 @@
 	"milletsail/policy"
 )
 
-// zoning is what a relay has of operators' orders about zones; nil where zones are off.
-type zoning struct {
-	book    *zones.OrderStore
+// zoneOrders is what a relay has of operators' orders about zones; nil where zones are off.
+type zoneOrders struct {
+	store   *zones.OrderStore
 	pending []zones.Order // of an earlier process, until endpoints are listed that they are about
 }
 
 // ZoneStatus is what a relay says of zones at its admin endpoint.
 type ZoneStatus struct {
-	Self   int          `json:"self"`
-	Zone   string       `json:"zone"`    // of this relay
-	CutOff bool         `json:"cut_off"` // it takes itself, and no other zone, for cut off
-	Zones  []ZoneReport `json:"zones"`
+	Self     int          `json:"self"`
+	Zone     string       `json:"zone"`    // of this relay
+	Isolated bool         `json:"cut_off"` // it takes itself, and no other zone, for cut off
+	Zones    []ZoneReport `json:"zones"`
 }
 
 // ZoneReport is what a relay says of one zone.
 type ZoneReport struct {
-	Zone        string  `json:"zone"`
-	State       string  `json:"state"`
-	ForS        float64 `json:"for_s"`             // how long it has been so
-	UntilS      float64 `json:"until_s,omitempty"` // how long an order still runs
-	Endpoints   int     `json:"endpoints"`
-	Evacuations int     `json:"evacuations"` // since the process started, by verdict and by order
-	Returns     int     `json:"returns"`
+	Zone         string  `json:"zone"`
+	State        string  `json:"state"`
+	StateSeconds float64 `json:"for_s"`             // how long it has been so
+	OrderSeconds float64 `json:"until_s,omitempty"` // how long an order still runs
+	Endpoints    int     `json:"endpoints"`
+	Evacuations  int     `json:"evacuations"` // since the process started, by verdict and by order
+	Recoveries   int     `json:"returns"`
 }
 
 // openZones takes up the orders that are kept in the folder.
@@ -47,20 +47,20 @@
 	if err != nil {
 		slog.Error("orders about zones", "err", err)
 	}
-	l.zoning = &zoning{book: book, pending: book.Active(clock.Now())}
+	l.zones = &zoneOrders{store: book, pending: book.Active(clock.Now())}
 }
 
-// askZones has the loop answer an operator's line; for goroutines of the admin endpoint.
-func (l *loop) askZones(text string) string {
+// handleZoneCommand has the loop answer an operator's line; for goroutines of the admin endpoint.
+func (l *loop) handleZoneCommand(text string) string {
 	line, err := zones.ParseCommand(text)
 	if err != nil {
 		return "ERR " + err.Error()
 	}
-	return l.askLoop(func() string { return l.zoneCalled(line) })
+	return l.askLoop(func() string { return l.executeZoneCommand(line) })
 }
 
-// zoneCalled answers an operator's line.
-func (l *loop) zoneCalled(c zones.Command) string {
+// executeZoneCommand answers an operator's line.
+func (l *loop) executeZoneCommand(c zones.Command) string {
 	if c.Action == zones.Status {
 		text, err := json.Marshal(l.zoneStatus())
 		if err != nil {
@@ -77,14 +77,14 @@
 	if c.Action == zones.Evacuate {
 		until = now.Add(c.Duration)
 	}
-	if err := l.d.Order(no, until); err != nil {
+	if err := l.dispatcher.Order(no, until); err != nil {
 		return fmt.Sprintf("ERR %s %s: %v", c.Action, c.Zone, err)
 	}
 	l.events = append(l.events, policy.TimerFired{})
-	if err := l.zoning.book.Put(c.Zone, until, now); err != nil {
+	if err := l.zones.store.Put(c.Zone, until, now); err != nil {
 		slog.Error("order about a zone", "err", err)
 		if until > 0 {
-			_ = l.d.Order(no, 0) // it would not outlast a restart
+			_ = l.dispatcher.Order(no, 0) // it would not outlast a restart
 		}
 		return "ERR the order could not be kept: " + err.Error()
 	}
@@ -92,14 +92,14 @@
 	return "OK"
 }
 
-// reorder gives the module the orders of an earlier process, once it knows endpoints that they are about.
-func (l *loop) reorder() {
-	l.zoning.pending = slices.DeleteFunc(l.zoning.pending, func(o zones.Order) bool {
+// resumeZoneOrders gives the module the orders of an earlier process, once it knows endpoints that they are about.
+func (l *loop) resumeZoneOrders() {
+	l.zones.pending = slices.DeleteFunc(l.zones.pending, func(o zones.Order) bool {
 		no := slices.Index(l.cfg.Settings.Localities, o.Zone)
 		if no < 0 || o.Until <= clock.Now() {
 			return true
 		}
-		if err := l.d.Order(no, o.Until); err != nil {
+		if err := l.dispatcher.Order(no, o.Until); err != nil {
 			return false
 		}
 		slog.Info("an order about a zone goes on", "zone", o.Zone, "for", clock.Until(o.Until))
@@ -117,13 +117,13 @@
 	}
 	s := ZoneStatus{Self: l.cfg.Settings.Ordinal, Zone: name(l.cfg.Settings.Az), Zones: []ZoneReport{}}
 	now := clock.Now()
-	all, cutOff := l.d.Zones()
-	s.CutOff = cutOff
+	all, cutOff := l.dispatcher.Zones()
+	s.Isolated = cutOff
 	for _, z := range all {
-		r := ZoneReport{Zone: name(z.Zone), State: z.State.String(), ForS: now.Sub(z.EnteredAt).Seconds(), Endpoints: z.Endpoints,
-			Evacuations: z.Evacuations, Returns: z.Recoveries}
+		r := ZoneReport{Zone: name(z.Zone), State: z.State.String(), StateSeconds: now.Sub(z.EnteredAt).Seconds(), Endpoints: z.Endpoints,
+			Evacuations: z.Evacuations, Recoveries: z.Recoveries}
 		if z.State == policy.EvacuatedByOrder {
-			r.UntilS = z.OrderExpiresAt.Sub(now).Seconds()
+			r.OrderSeconds = z.OrderExpiresAt.Sub(now).Seconds()
 		}
 		s.Zones = append(s.Zones, r)
 	}
