--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -1,7 +1,6 @@
 package relay
 
 import (
-	"context"
 	"log/slog"
 	"time"
 
@@ -20,15 +19,15 @@
 		l.send(now, a)
 	case policy.Cancel:
 		if m := l.messages[a.ID]; m != nil && m.cancel != nil && a.Attempt == len(m.Attempts)-1 {
-			l.afterCommit = append(l.afterCommit, m.cancel)
+			l.batch.afterCommit = append(l.batch.afterCommit, m.cancel)
 		}
 	case policy.CancelUnwritten:
 		if h, ok := l.endpoints.table.Get(a.Endpoint); ok {
-			l.afterCommit = append(l.afterCommit, func() { l.pool.CancelUnwritten(h.Dial) })
+			l.batch.afterCommit = append(l.batch.afterCommit, func() { l.pool.CancelUnwritten(h.Dial) })
 		}
 	case policy.CloseIdleConnections:
 		if h, ok := l.endpoints.table.Get(a.Endpoint); ok {
-			l.afterCommit = append(l.afterCommit, func() { l.pool.CloseIdle(h.Dial) })
+			l.batch.afterCommit = append(l.batch.afterCommit, func() { l.pool.CloseIdle(h.Dial) })
 		}
 	case policy.SetTimer:
 		// The module has one timer and asks anew only where the one it has is no use to it any more.
@@ -36,7 +35,7 @@
 	case policy.Subscribe:
 		l.watcher.Request()
 	case policy.Broadcast:
-		l.afterCommit = append(l.afterCommit, func() { l.broadcast(a.Message) })
+		l.batch.afterCommit = append(l.batch.afterCommit, func() { l.broadcast(a.Message) })
 	case policy.PersistHealth:
 		if _, ok := l.endpoints.table.Get(a.Endpoint); ok {
 			l.journal.RecordHealth(a.Endpoint, journal.HealthRecord{Ejected: a.Ejected, ChangedAt: a.At})
@@ -83,7 +82,7 @@
 		l.completeUnsent(s, policy.NotSent)
 		return
 	}
-	l.sends = append(l.sends, s)
+	l.batch.sends = append(l.batch.sends, s)
 }
 
 // completeUnsent reports an attempt that was not made.
@@ -124,7 +123,7 @@
 // startCall makes a call in a goroutine of its own. Its messages share its fate: it is given up for all of them shortly before
 // the time of one is up, and for none while any of them is still waited for.
 func (l *loop) startCall(sends []send) {
-	ctx, cancel := context.WithCancel(l.calls)
+	ctx, cancel := l.callContext()
 	r := upstream.Call{Addr: sends[0].endpoint.Dial}
 	end := func(s send, took time.Duration, res upstream.Result) attemptEnded {
 		return attemptEnded{id: s.message.ID, attempt: s.attempt, endpoint: s.endpoint.Host, latency: took, Result: res}
--- a/internal/relay/admin/server.go
+++ b/internal/relay/admin/server.go
@@ -40,7 +40,7 @@
 // Handler answers a command; arguments is what follows its first word.
 type Handler func(arguments string) string
 
-// Server answers commands. A nil Server is one without an endpoint: Handle does nothing.
+// Server answers commands. A nil Server is one without an endpoint: Handle and Close do nothing.
 type Server struct {
 	listener net.Listener
 	metrics  *metrics.Metrics
@@ -100,7 +100,12 @@
 }
 
 // Close stops accepting connections, which ends Serve.
-func (s *Server) Close() error { return s.listener.Close() }
+func (s *Server) Close() error {
+	if s == nil {
+		return nil
+	}
+	return s.listener.Close()
+}
 
 // enter makes room for a connection, at the cost of the session that has been silent longest. With every place taken by one
 // that is being replied to, it closes the connection and returns nil.
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -19,8 +19,8 @@
 func (l *loop) commit() {
 	err := l.journal.Commit()
 	l.setWritable(err == nil)
-	fresh, sends, effects := l.newMessages, l.sends, l.afterCommit
-	l.newMessages, l.sends, l.afterCommit = nil, nil, nil
+	fresh, sends, effects := l.batch.newMessages, l.batch.sends, l.batch.afterCommit
+	l.batch.newMessages, l.batch.sends, l.batch.afterCommit = nil, nil, nil
 	if err != nil {
 		slog.Debug("nothing taken on, and sent only what may be repeated", "err", err)
 	}
@@ -30,7 +30,7 @@
 		case err != nil:
 			l.metrics.CountResult(l.classIndex(m.Class), metrics.Rejected)
 			respondAll(m.responses, frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.Policy.MaxRetryAfter})
-			l.events = append(l.events, policy.Withdrawn{ID: m.ID})
+			l.batch.events = append(l.batch.events, policy.Withdrawn{ID: m.ID})
 		default:
 			m.resubmitted = len(m.responses) > 1
 			l.countPending(m)
@@ -104,5 +104,5 @@
 	if ok {
 		l.enqueueRecorded(true)
 	}
-	l.events = append(l.events, policy.StorageChanged{Writable: ok})
+	l.batch.events = append(l.batch.events, policy.StorageChanged{Writable: ok})
 }
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -28,7 +28,7 @@
 	if e.Outcome == policy.NotStarted { // no attempt was made; until the next segment a later process takes it for one that never ran
 		m.Attempts = m.Attempts[:e.attempt]
 	}
-	l.events = append(l.events, policy.AttemptEnded{ID: e.id, Endpoint: e.endpoint, Attempt: e.attempt, Outcome: e.Outcome,
+	l.batch.events = append(l.batch.events, policy.AttemptEnded{ID: e.id, Endpoint: e.endpoint, Attempt: e.attempt, Outcome: e.Outcome,
 		RetryAfter: e.RetryAfter, Latency: e.latency, Completed: e.Completed, AttemptsExhausted: e.AttemptsExhausted, LoadReport: e.LoadReport})
 	if !m.ended && e.Outcome == policy.OK {
 		l.metrics.CountResult(l.classIndex(m.Class), metrics.Completed)
@@ -55,7 +55,7 @@
 	l.metrics.CountResult(l.classIndex(m.Class), how)
 	if replies := m.responses; replies != nil {
 		m.responses = nil
-		l.afterCommit = append(l.afterCommit, func() { respondAll(replies, v) })
+		l.batch.afterCommit = append(l.batch.afterCommit, func() { respondAll(replies, v) })
 		l.complete(m)
 		return
 	}
--- a/internal/relay/endpointlist.go
+++ b/internal/relay/endpointlist.go
@@ -151,8 +151,8 @@
 		}
 	}
 	if len(changed) > 0 {
-		l.events = append(l.events, policy.EndpointsUpdated{Endpoints: changed})
-		l.events = append(l.events, recalled...)
+		l.batch.events = append(l.batch.events, policy.EndpointsUpdated{Endpoints: changed})
+		l.batch.events = append(l.batch.events, recalled...)
 	}
 }
 
@@ -198,7 +198,7 @@
 	l.endpoints.persist(nil, hosts)
 	l.endpoints.changes += len(removed)
 	if len(gone) > 0 {
-		l.events = append(l.events, policy.EndpointsUpdated{Endpoints: gone})
+		l.batch.events = append(l.batch.events, policy.EndpointsUpdated{Endpoints: gone})
 	}
 	if !done {
 		return
--- a/internal/relay/endpointload.go
+++ b/internal/relay/endpointload.go
@@ -100,10 +100,10 @@
 			all = append(all, l.endpoints.endpoint(e))
 		}
 	}
-	l.events = append(l.events, policy.EndpointsUpdated{Endpoints: all})
+	l.batch.events = append(l.batch.events, policy.EndpointsUpdated{Endpoints: all})
 	for host := range l.journal.Health() {
 		if _, listed := l.endpoints.table.Get(host); listed {
-			l.events = l.appendHealth(l.events, host)
+			l.batch.events = l.appendHealth(l.batch.events, host)
 		}
 	}
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -69,16 +69,16 @@
 func (e batchReceived) apply(l *loop) { l.acceptBatch(e.Batch) }
 
 func (e gossipReceived) apply(l *loop) {
-	l.events = append(l.events, policy.GossipReceived{Message: e.message})
+	l.batch.events = append(l.batch.events, policy.GossipReceived{Message: e.message})
 }
 
 func (e fleetAssessed) apply(l *loop) {
-	l.events = append(l.events, assessmentEvents(e.PeerAssessment)...)
+	l.batch.events = append(l.batch.events, assessmentEvents(e.PeerAssessment)...)
 }
 
 func (e adminCommand) apply(*loop) { e.reply <- e.answer() }
 
-func (watchEnded) apply(l *loop) { l.events = append(l.events, policy.WatchFailed{}) }
+func (watchEnded) apply(l *loop) { l.batch.events = append(l.batch.events, policy.WatchFailed{}) }
 
 func (e notificationsReceived) apply(l *loop) {
 	for _, id := range e.ids {
@@ -95,7 +95,9 @@
 	l.handover.requester = e.link
 }
 
-func (shutdownStarted) apply(l *loop) { l.events = append(l.events, policy.ShutdownStarted{}) }
+func (shutdownStarted) apply(l *loop) {
+	l.batch.events = append(l.batch.events, policy.ShutdownStarted{})
+}
 
 func (e idleQuery) apply(l *loop) { e.idle <- len(l.messages) == 0 }
 
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -41,7 +41,7 @@
 // handOver hands the journal and all decisions over to a successor. It reports false, and has changed nothing, where the
 // successor does not come as far as being ready. The loop stands still meanwhile: nothing may change under an offer.
 func (l *loop) handOver(link *handover.Link) bool {
-	for l.step(); len(l.events) > 0; {
+	for l.step(); len(l.batch.events) > 0; {
 		l.step()
 	}
 	offer := l.makeOffer(link)
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -374,7 +374,7 @@
 			p := newPlatform(t)
 			p.addHost("h1", 7)
 			p.inherits()
-			j := openJournal(t, p.dir, 3)
+			j := openTestJournal(t, p.dir, 3)
 			j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 			commit(t, j)
 			c := exec.Command(os.Args[0])
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -49,8 +49,8 @@
 	slog.Debug("arrived", "id", a.Entry.ID, "dest", a.Entry.Dest, "class", a.Entry.Class, "left", clock.Until(a.Entry.ExpiresAt))
 	m := &message{Entry: a.Entry, responses: []chan frontend.Response{a.Response}}
 	l.messages[m.ID] = m
-	l.newMessages = append(l.newMessages, m)
-	l.events = append(l.events, policy.Arrived{ID: m.ID, Class: l.classIndex(m.Class), Destination: m.Dest,
+	l.batch.newMessages = append(l.batch.newMessages, m)
+	l.batch.events = append(l.batch.events, policy.Arrived{ID: m.ID, Class: l.classIndex(m.Class), Destination: m.Dest,
 		TimeLeft: clock.Until(m.ExpiresAt), Size: sizeInBatch(m.Entry)})
 }
 
@@ -76,7 +76,7 @@
 	}
 	l.metrics.Reasons.Add("relay_withdrawn", "the client left", 1)
 	slog.Info("withdrawn", "id", m.ID, "dest", m.Dest, "attempts", len(m.Attempts))
-	l.events = append(l.events, policy.Withdrawn{ID: m.ID})
+	l.batch.events = append(l.batch.events, policy.Withdrawn{ID: m.ID})
 	l.complete(m)
 }
 
@@ -87,7 +87,7 @@
 
 // acceptNewMessages takes on the arrivals of this batch that were not refused.
 func (l *loop) acceptNewMessages() {
-	for _, m := range l.newMessages {
+	for _, m := range l.batch.newMessages {
 		if !m.ended {
 			l.journal.Accept(m.Entry)
 		}
--- a/internal/relay/list_flow_test.go
+++ b/internal/relay/list_flow_test.go
@@ -66,9 +66,9 @@
 	b := discovery.Batch{Applied: make(chan struct{})}
 	b.Entries = []Member{host}
 	events := func() (text string) {
-		l.events = nil
+		l.batch.events = nil
 		l.updateList(b.Batch)
-		for _, e := range l.events {
+		for _, e := range l.batch.events {
 			text += fmt.Sprintf("%T ", e)
 			if listed, ok := e.(policy.EndpointsUpdated); ok {
 				for _, ep := range listed.Endpoints {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -19,19 +19,23 @@
 	"milletsail/policy"
 )
 
-// inboxCapacity events wait for the loop without holding up the goroutines that bring them.
-const inboxCapacity = 1024
+const (
+	// inboxCapacity events wait for the loop without blocking the goroutines that bring them.
+	inboxCapacity = 1024
+	// maintenanceInterval is the time between two rounds of maintenance.
+	maintenanceInterval = time.Second
+)
 
-// message is what the loop holds of a message taken on.
+// message is what the loop has of an accepted message, or of one that is being decided on.
 type message struct {
 	*journal.Entry
-	responses       []chan frontend.Response // of those that handed it in, until they are answered
-	resubmitted     bool                     // a further copy of it was answered 202
-	call            int                      // the module's number of the call out
-	cancel          context.CancelFunc       // ends the wait for the call out; nil while there is none
-	ended           bool                     // ended, but a call is still out
-	countedPending  bool                     // taken on and not ended, as the figures have it
-	reportedOverdue bool                     // reported as held past its time
+	responses       []chan frontend.Response // to those that submitted it, until they are answered
+	resubmitted     bool                     // a further submission of it was answered 202
+	call            int                      // the policy's number of the call in flight
+	cancel          context.CancelFunc       // ends the wait for the call in flight; nil while there is none
+	ended           bool                     // ended, but a call is still in flight
+	countedPending  bool                     // accepted and not ended, as the metrics have it
+	reportedOverdue bool                     // reported as overdue
 }
 
 // notificationQueue takes notifications for the platform, and never blocks.
@@ -39,60 +43,66 @@
 	Enqueue(n journal.Notification)
 }
 
-// loop owns the dispatcher and the journal: nothing else touches their state. It batches events by tick,
-// hands them to the module, and carries out what that decides. It never waits for a socket.
-type loop struct {
-	cfg         *config.Config
-	dispatcher  *policy.Dispatcher
-	journal     *journal.Journal
-	inbox       chan event
-	pool        *upstream.Pool
-	watcher     *discovery.Watcher
-	notifier    notificationQueue
-	gossip      *gossip.Transport
-	fleet       *live.Service // nil where nothing is shared
-	zones       *zoneOrders   // nil where zones are off
-	metrics     *metrics.Metrics
-	messages    map[string]*message
-	lastClocks  clock.Pair // as last read, to tell steps of the wall clock
-	endpoints   *endpointList
-	timerAt     instant.Time
-	lastStep    instant.Time // when the last batch was handled
-	calls       context.Context
+// batch is what the loop gathers until its next step, and what that step decides.
+type batch struct {
 	events      []policy.Event
-	newMessages []*message // arrivals of this batch
-	sends       []send     // of this batch
-	afterCommit []func()   // of this batch, once its records are written
-	// unrecordedNotifications are the notices whose messages' ends are not on disk yet.
+	newMessages []*message // that clients submitted
+	sends       []send     // that the policy wants
+	afterCommit []func()   // to be done once the step's records are written
+}
+
+// loop is the event loop. It owns the policy, the journal, the endpoint list and the message table: while run is active no other
+// goroutine touches them, and all that others bring comes through the inbox. It gathers events for a batch interval, lets the
+// policy decide on them, and executes its actions. It never waits for a socket.
+type loop struct {
+	inbox chan event
+	cfg   *config.Config
+
+	// The state that the loop owns.
+	dispatcher *policy.Dispatcher
+	journal    *journal.Journal
+	endpoints  *endpointList
+	messages   map[string]*message // by id; the message table
+	batch      batch
+	timerAt    instant.Time // when the policy wants to act next
+	lastStep   instant.Time
+	lastClocks clock.Pair  // to notice steps of the wall clock
+	zones      *zoneOrders // nil where zones are off
+	// unrecordedNotifications are those whose messages' ends are not on disk yet.
 	unrecordedNotifications []unrecordedNotification
 
-	clients  *frontend.ConnectionLimiter
+	// The process's relation to the state directory.
 	owner    *journal.Ownership
 	handover handoverState
+
+	// The parts beside the loop, all of them safe for concurrent use.
+	clients  *frontend.ConnectionLimiter
+	pool     *upstream.Pool
+	watcher  *discovery.Watcher
+	notifier notificationQueue
+	gossip   *gossip.Transport
+	fleet    *live.Service // nil where nothing is shared
+	metrics  *metrics.Metrics
+	// callContext returns the context of a new call, which ends with the process.
+	callContext func() (context.Context, context.CancelFunc)
 }
 
 // enqueue hands the loop an event.
 func (l *loop) enqueue(e event) { l.inbox <- e }
 
-// run serves until ctx ends.
+// run handles events until ctx ends. Run of this package waits for it.
 func (l *loop) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	sweep := time.NewTicker(time.Second)
-	defer sweep.Stop()
+	maintenance := time.NewTicker(maintenanceInterval)
+	defer maintenance.Stop()
 	for {
 		timer.Reset(l.untilNextStep())
 		select {
 		case <-ctx.Done():
 			return
-		case <-sweep.C:
-			l.pool.Sweep()
-			l.checkClocks()
-			if l.handover.decides() {
-				l.setWritable(l.journal.Retry())
-				l.endpoints.maintainStore()
-				l.checkOverdue()
-			}
+		case <-maintenance.C:
+			l.maintain()
 			continue
 		case e := <-l.inbox:
 			if !l.handover.decides() {
@@ -105,35 +115,57 @@
 				continue
 			}
 		}
-		// What comes within a tick of the last batch is one batch.
-		tick := time.NewTimer(clock.Until(l.lastStep.Add(l.cfg.Policy.BatchInterval)))
-		for more := true; more; {
-			select {
-			case e := <-l.inbox:
-				l.accept(e)
-			case <-tick.C:
-				more = false
-			}
-		}
+		l.gather()
 		l.step()
-		if requester := l.handover.requester; requester != nil {
-			l.handover.requester = nil
-			if l.handOver(requester) {
-				l.pool.DisableKeepAlives()
-				l.handover.endOwnerTasks()
-				close(l.handover.completed)
-			}
+		l.answerRequester()
+	}
+}
+
+// maintain does what is due from time to time.
+func (l *loop) maintain() {
+	l.pool.Sweep()
+	l.checkClocks()
+	if l.handover.decides() {
+		l.setWritable(l.journal.Retry())
+		l.endpoints.maintainStore()
+		l.checkOverdue()
+	}
+}
+
+// gather accepts further events for the batch: all that come within an interval of the last one.
+func (l *loop) gather() {
+	interval := time.NewTimer(clock.Until(l.lastStep.Add(l.cfg.Policy.BatchInterval)))
+	for {
+		select {
+		case e := <-l.inbox:
+			l.accept(e)
+		case <-interval.C:
+			return
 		}
 	}
 }
 
-// untilNextStep is the time until the module has something to act on: at once where a batch left events of its own. The
-// module's timer stays as it is then, since the module does not ask for it twice.
+// answerRequester hands over to a successor that has requested the state directory, if there is one.
+func (l *loop) answerRequester() {
+	requester := l.handover.requester
+	if requester == nil {
+		return
+	}
+	l.handover.requester = nil
+	if l.handOver(requester) {
+		l.pool.DisableKeepAlives()
+		l.handover.endOwnerTasks()
+		close(l.handover.completed)
+	}
+}
+
+// untilNextStep returns the time until there is something to act on: at once where a step left events of its own. The policy's
+// timer stays as it is then, since the policy does not set it twice.
 func (l *loop) untilNextStep() time.Duration {
 	switch {
 	case !l.handover.decides():
 		return time.Hour
-	case len(l.events) > 0 || l.endpoints.sweeping != nil:
+	case len(l.batch.events) > 0 || l.endpoints.sweeping != nil:
 		return 0
 	}
 	wait := max(0, clock.Until(l.timerAt))
@@ -149,7 +181,7 @@
 // accept takes in one event.
 func (l *loop) accept(e event) { e.apply(l) }
 
-// classIndex gives the number of a class, or -1.
+// classIndex returns the index of a class, or -1 where the settings do not have it.
 func (l *loop) classIndex(name string) int {
 	for i := range l.cfg.Policy.Classes {
 		if l.cfg.Policy.Classes[i].Name == name {
@@ -159,26 +191,19 @@
 	return -1
 }
 
-// step lets the module act on a batch, and carries its actions out once what they need is in the journal.
+// step lets the policy decide on the batch, and executes its actions once what they need is in the journal.
 func (l *loop) step() {
 	now := clock.Now()
 	l.lastStep = now
 	if l.timerAt <= now {
 		l.timerAt = now.Add(time.Hour)
-		l.events = append(l.events, policy.TimerFired{})
+		l.batch.events = append(l.batch.events, policy.TimerFired{})
 	}
 	l.removeUnlisted()
-	events := l.events
-	l.events = nil
+	events := l.batch.events
+	l.batch.events = nil
 	actions := l.dispatcher.Handle(now, events)
-	for _, a := range actions {
-		switch a := a.(type) {
-		case policy.Reject:
-			l.endUndelivered(l.messages[a.ID], frontend.Response{Status: http.StatusTooManyRequests, RetryAfter: a.RetryAfter}, notifier.StatusDeferred, a.Reason)
-		case policy.Fail:
-			l.endUndelivered(l.messages[a.ID], frontend.Response{Status: http.StatusBadGateway}, notifier.StatusUndeliverable, a.Reason)
-		}
-	}
+	l.endRejected(actions)
 	l.acceptNewMessages()
 	for _, a := range actions {
 		l.execute(now, a)
@@ -191,3 +216,16 @@
 		l.resumeZoneOrders()
 	}
 }
+
+// endRejected ends the messages that the policy rejects or gives up, so that the new ones among them are not accepted.
+func (l *loop) endRejected(actions []policy.Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case policy.Reject:
+			response := frontend.Response{Status: http.StatusTooManyRequests, RetryAfter: a.RetryAfter}
+			l.endUndelivered(l.messages[a.ID], response, notifier.StatusDeferred, a.Reason)
+		case policy.Fail:
+			l.endUndelivered(l.messages[a.ID], frontend.Response{Status: http.StatusBadGateway}, notifier.StatusUndeliverable, a.Reason)
+		}
+	}
+}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -8,12 +8,10 @@
 	"net/http"
 	"runtime/debug"
 	"sync"
-	"time"
 
 	"milletsail/internal/clock"
 	"milletsail/internal/compat"
 	"milletsail/internal/fleet"
-	"milletsail/internal/instant"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/admin"
 	"milletsail/internal/relay/config"
@@ -28,131 +26,157 @@
 	"milletsail/policy"
 )
 
-// The stages of a planned end, from the signal on. Connections go on coming for up to 0.4 s, and the process
-// may be killed after 3.7 s.
-const (
-	acceptPhase          = time.Second             // until then new connections are taken
-	startCallsPhase      = 2900 * time.Millisecond // until then calls begin
-	finishCallsPhase     = 3500 * time.Millisecond // until then calls come to their end
-	idlePollInterval     = 50 * time.Millisecond   // between looks whether all is done
-	responseWriteTimeout = 100 * time.Millisecond  // for answers that are being written
-	exitDeadline         = 3650 * time.Millisecond // until then clients may read the last answers
-)
-
 // ReadConfig reads and checks a configuration file, as config.Read does; for programs that only know this package.
 func ReadConfig(path string) (*config.Config, error) { return config.Read(path) }
 
-// listMemoryShare is the share of a relay's memory that one list may be as long as: an entry takes no more room in the table
-// than as JSON.
+// listMemoryShare is the share of a relay's memory that one endpoint list may be as long as: an entry takes no more memory in the
+// table than as JSON.
 const listMemoryShare = 0.5
 
-// Run runs a relay until ctx ends, and then brings it to an orderly end: it goes on serving for as long as
-// clients may still come, and leaves what is not delivered by then to the journal in dir. Each address that
-// comes on addresses takes the place of the one in cfg.
+// Run runs a relay until ctx ends, and then shuts it down gracefully: it goes on serving for as long as clients may still come,
+// and leaves what is not delivered by then to the journal in dir. Each address of discovery that comes on addresses takes the
+// place of the one in cfg. It also ends once a successor has taken over and nothing is left to do here.
 func Run(ctx context.Context, cfg *config.Config, dir string, addresses <-chan string) error {
 	list := &endpointList{settings: &cfg.Settings, clocks: clock.ReadPair()}
 	cfg.Policy.Directory = list
-	d, err := policy.New(cfg.Policy, cfg.RandomSeed)
+	dispatcher, err := policy.New(cfg.Policy, cfg.RandomSeed)
 	if err != nil {
 		return err
 	}
 	counters := metrics.New(cfg.Policy.Classes)
-	var operators *admin.Server
-	if cfg.Admin != "" {
-		if operators, err = admin.Listen(cfg.Admin, counters); err != nil {
-			return err
-		}
-		defer func() { _ = operators.Close() }()
-		go operators.Serve()
+	operators, err := openAdmin(cfg, counters)
+	if err != nil {
+		return err
 	}
+	defer func() { _ = operators.Close() }()
 	clients, err := frontend.Listen(cfg, &counters.Reasons)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	defer func() { _ = clients.Close() }()
 	acquired, err := handover.Acquire(ctx, dir)
-	if err != nil && ctx.Err() != nil {
-		return nil // told to end before there was anything to bring to an end
-	}
 	if err != nil {
-		return err
+		return unlessDone(ctx, err)
 	}
 	defer acquired.Ownership.Release()
-	kept, found, err := loadJournal(ctx, cfg, dir)
-	if err != nil && ctx.Err() != nil {
-		return nil // nothing was taken on by this process
-	}
+	opened, err := openJournal(ctx, cfg, dir)
 	if err != nil {
-		return err
-	}
-	defer kept.Close()
-	if found.Records > 0 {
-		slog.Info("journal read", "file", found.File, "records", found.Records, "live", len(kept.Entries()), "torn", found.Torn, "by wall clock", found.UsedWallClock)
+		return unlessDone(ctx, err)
 	}
+	defer func() { _ = opened.Close() }()
 
-	live, stop := context.WithCancel(context.Background())
+	processCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	deciding, endOwnerTasks := context.WithCancel(live)
+	ownerCtx, endOwnerTasks := context.WithCancel(processCtx)
 	defer endOwnerTasks()
-	s := cfg.Settings
-	l := &loop{cfg: cfg, dispatcher: d, journal: kept, metrics: counters, inbox: make(chan event, inboxCapacity), calls: live,
-		messages: map[string]*message{}, endpoints: list,
-		pool: upstream.NewPool(settings.Seconds(s.Limits.ConnTimeoutS), cfg.Policy.IdleConnTimeout,
-			max(1, int(frontend.UpstreamShare*float64(cfg.Limits.Sockets))), &counters.UpstreamRequests),
-		clients: clients, owner: acquired.Ownership,
-		handover: handoverState{completed: make(chan struct{}), endOwnerTasks: endOwnerTasks}}
-	l.watcher = discovery.New(cfg.Discovery, discovery.RequestJitter(&cfg.Settings), func(b discovery.Batch) { l.enqueue(batchReceived{b}) },
-		func() { l.enqueue(watchEnded{}) })
-	l.watcher.MaxListSize = int64(listMemoryShare * cfg.Limits.MemoryMB * 1e6)
-	l.watcher.Immediate = acquired.Predecessor != nil // the process before had a watch until now, and no other relay starts for that
-	notifications := notifier.New(cfg.Discovery, func(ids []string) { l.enqueue(notificationsReceived{ids}) })
-	l.notifier = notifications
-	l.gossip = gossip.New(gossipOptions(cfg), l.receiveGossip)
-	if cfg.Fleet && l.gossip != nil {
-		l.fleet = l.newFleetService(dir)
-		operators.Handle("fleet", admin.WithoutArguments(l.fleet.JSON))
-	}
-	srv := frontend.NewServer(cfg, &counters.Reasons,
+	l := &loop{cfg: cfg, dispatcher: dispatcher, journal: opened, endpoints: list, clients: clients, metrics: counters,
+		inbox: make(chan event, inboxCapacity), messages: map[string]*message{}, pool: newPool(cfg, counters), owner: acquired.Ownership,
+		handover:    handoverState{completed: make(chan struct{}), endOwnerTasks: endOwnerTasks},
+		callContext: func() (context.Context, context.CancelFunc) { return context.WithCancel(processCtx) }}
+	tasks := l.connect(dir, acquired, operators)
+	server := frontend.NewServer(cfg, &counters.Reasons,
 		func(s *frontend.Submission) { l.enqueue(messageArrived{s}) }, func(s *frontend.Submission) { l.enqueue(clientLeft{s}) })
-	handover.ListenForSuccessors(deciding, dir, &counters.Reasons, func(link *handover.Link) { l.enqueue(successorRequested{link}) })
+	handover.ListenForSuccessors(ownerCtx, dir, &counters.Reasons, func(link *handover.Link) { l.enqueue(successorRequested{link}) })
 	l.openEndpoints(dir)
 	defer func() { l.endpoints.close() }()
 	l.openZones(dir)
-	if l.zones != nil {
-		operators.Handle("zone", l.handleZoneCommand)
-	}
-	if cfg.CanaryAnalysis {
-		operators.Handle("servers", admin.WithoutArguments(func() string { return l.askLoop(l.canaryStatus) }))
-	}
-	operators.Handle("diagnostics", admin.WithoutArguments(counters.Reasons.Text))
+	l.handleCommands(operators)
 	l.restore(acquired.Predecessor, acquired.Offer) // clients wait to be served until this is done
+
+	// All goroutines that are started here are waited for, but those that end with the connections they serve.
 	var work sync.WaitGroup
-	work.Go(func() { l.run(live) })
-	work.Go(func() { l.watcher.Run(deciding) })
-	work.Go(func() { notifications.Run(deciding) })
-	work.Go(func() { l.gossip.Run(deciding) })
-	work.Go(func() { l.fleet.Run(deciding) })
+	work.Go(func() { l.run(processCtx) })
+	for _, task := range tasks.ofOwner {
+		work.Go(func() { task(ownerCtx) })
+	}
 	if acquired.Predecessor != nil {
 		go l.followPredecessor(acquired.Predecessor, acquired.Offer)
 	}
 	served := make(chan error, 1)
-	go func() { served <- srv.Serve(clients) }()
+	go func() { served <- server.Serve(clients) }()
 	counters.Serving.Store(true)
+	// To the end: notifications are posted while the relay drains, too.
+	work.Go(func() { followDiscovery(processCtx, addresses, tasks.redirected...) })
+	err = l.waitForEnd(ctx, server, served)
+	stop()
+	work.Wait()
+	return err
+}
+
+// unlessDone returns no error where ctx has ended: the process was told to end before there was anything to shut down.
+func unlessDone(ctx context.Context, err error) error {
+	if ctx.Err() != nil {
+		return nil
+	}
+	return err
+}
 
-	work.Go(func() { followDiscovery(live, addresses, l.watcher, notifications) }) // to the end: notices are owed while it drains too
+// openAdmin opens the admin endpoint and serves it, or returns nil where none is configured. Close ends the goroutine.
+func openAdmin(cfg *config.Config, counters *metrics.Metrics) (*admin.Server, error) {
+	if cfg.Admin == "" {
+		return nil, nil //nolint:nilnil // a nil Server is one without an endpoint
+	}
+	operators, err := admin.Listen(cfg.Admin, counters)
+	if err != nil {
+		return nil, err
+	}
+	go operators.Serve()
+	return operators, nil
+}
+
+// newPool returns the pool of connections to endpoints.
+func newPool(cfg *config.Config, counters *metrics.Metrics) *upstream.Pool {
+	capacity := max(1, int(frontend.UpstreamShare*float64(cfg.Limits.Sockets)))
+	return upstream.NewPool(settings.Seconds(cfg.Settings.Limits.ConnTimeoutS), cfg.Policy.IdleConnTimeout, capacity, &counters.UpstreamRequests)
+}
+
+// tasks are what runs beside the loop.
+type tasks struct {
+	ofOwner    []func(context.Context) // as long as this process owns the state directory
+	redirected []redirectable          // where discovery moves
+}
+
+// connect makes the parts that talk to discovery and to other relays. Run starts them.
+func (l *loop) connect(dir string, acquired *handover.Acquired, operators *admin.Server) tasks {
+	l.watcher = discovery.New(l.cfg.Discovery, discovery.RequestJitter(&l.cfg.Settings),
+		func(b discovery.Batch) { l.enqueue(batchReceived{b}) }, func() { l.enqueue(watchEnded{}) })
+	l.watcher.MaxListSize = int64(listMemoryShare * l.cfg.Limits.MemoryMB * 1e6)
+	l.watcher.Immediate = acquired.Predecessor != nil // which had a watch until now, and no other relay starts for that
+	notifications := notifier.New(l.cfg.Discovery, func(ids []string) { l.enqueue(notificationsReceived{ids}) })
+	l.notifier = notifications
+	l.gossip = gossip.New(gossipOptions(l.cfg), l.receiveGossip)
+	if l.cfg.Fleet && l.gossip != nil {
+		l.fleet = l.newFleetService(dir)
+		operators.Handle("fleet", admin.WithoutArguments(l.fleet.JSON))
+	}
+	return tasks{ofOwner: []func(context.Context){l.watcher.Run, notifications.Run, l.gossip.Run, l.fleet.Run},
+		redirected: []redirectable{l.watcher, notifications}}
+}
+
+// handleCommands has operators' commands answered.
+func (l *loop) handleCommands(operators *admin.Server) {
+	if l.zones != nil {
+		operators.Handle("zone", l.handleZoneCommand)
+	}
+	if l.cfg.CanaryAnalysis {
+		operators.Handle("servers", admin.WithoutArguments(func() string { return l.askLoop(l.canaryStatus) }))
+	}
+	operators.Handle("diagnostics", admin.WithoutArguments(l.metrics.Reasons.Text))
+}
+
+// waitForEnd serves until the process has to end, and shuts it down.
+func (l *loop) waitForEnd(ctx context.Context, server *frontend.Server, served <-chan error) error {
 	select {
-	case err = <-served:
+	case err := <-served:
+		if !errors.Is(err, http.ErrServerClosed) {
+			return fmt.Errorf("serve: %w", err)
+		}
 	case <-l.handover.completed:
-		counters.Serving.Store(false)
-		l.drainAfterHandover(ctx, srv)
+		l.metrics.Serving.Store(false)
+		l.drainAfterHandover(ctx, server)
 	case <-ctx.Done():
-		counters.Serving.Store(false)
-		l.shutDown(srv)
-	}
-	stop()
-	work.Wait()
-	if err != nil && !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("serve: %w", err)
+		l.metrics.Serving.Store(false)
+		l.shutDown(server)
 	}
 	return nil
 }
@@ -199,65 +223,3 @@
 	}
 	return ""
 }
-
-// drainAfterHandover brings a relay to its end whose place a newer process has taken: it stays for as long as clients keep its
-// connections or calls are out, but after a signal to end no longer than drain does.
-func (l *loop) drainAfterHandover(ctx context.Context, srv *frontend.Server) {
-	srv.StartDraining()
-	_ = l.clients.Close()
-	end, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	defer context.AfterFunc(ctx, func() {
-		if clock.Sleep(end, finishCallsPhase) {
-			cancel()
-		}
-	})()
-	for l.clients.Count() > 0 || !l.isIdle() {
-		if !clock.Sleep(end, idlePollInterval) {
-			break
-		}
-	}
-	l.closeConnections(srv, clock.Now().Add(responseWriteTimeout))
-}
-
-// shutDown brings a relay to its end. No request that was read goes unanswered: answers close their
-// connections, and those that stay unused are closed last.
-func (l *loop) shutDown(srv *frontend.Server) {
-	begun := clock.Now()
-	until := func(stage time.Duration) time.Duration { return clock.Until(begun.Add(stage)) }
-	srv.StartDraining()
-	time.Sleep(until(acceptPhase))
-	_ = l.clients.Close()
-	for until(startCallsPhase) > 0 && l.isBusy() {
-		time.Sleep(idlePollInterval)
-	}
-	l.enqueue(shutdownStarted{})
-	for until(finishCallsPhase) > 0 && l.isBusy() {
-		time.Sleep(idlePollInterval)
-	}
-	l.closeConnections(srv, begun.Add(exitDeadline))
-}
-
-// closeConnections closes the clients' connections: those that rest at once, the others once the answers that are being written
-// are out. The process ends when the clients have read these, or at a moment.
-func (l *loop) closeConnections(srv *frontend.Server, by instant.Time) {
-	ctx, cancel := context.WithTimeout(context.Background(), responseWriteTimeout)
-	defer cancel()
-	if err := srv.Shutdown(ctx); err != nil {
-		slog.Warn("connections left", "err", err)
-	}
-	// No request is taken up any more: what is left of the others ends with the process.
-	for l.clients.ResponsesUnread() && clock.Now() < by {
-		time.Sleep(idlePollInterval / 10)
-	}
-}
-
-// isBusy tells whether a message is held, or a request that may become one is still being written.
-func (l *loop) isBusy() bool { return l.clients.Busy() || !l.isIdle() }
-
-// isIdle tells whether nothing is held.
-func (l *loop) isIdle() bool {
-	q := idleQuery{make(chan bool, 1)}
-	l.enqueue(q)
-	return <-q.idle
-}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -51,8 +51,8 @@
 	return j
 }
 
-// openJournal opens a journal of the test's own.
-func openJournal(t testing.TB, dir string, mb float64) *journal.Journal {
+// openTestJournal opens a journal of the test's own.
+func openTestJournal(t testing.TB, dir string, mb float64) *journal.Journal {
 	t.Helper()
 	j, _, err := journal.Open(dir, journal.Options{DiskMB: mb})
 	if err != nil {
@@ -430,7 +430,7 @@
 // A message whose class the settings no longer have is ended all the same.
 func TestClassGone(t *testing.T) {
 	dir := t.TempDir()
-	j := openJournal(t, dir, 3)
+	j := openTestJournal(t, dir, 3)
 	j.Accept(&journal.Entry{ID: "m", Class: "parcel", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 	commit(t, j)
 	p := newPlatform(t)
@@ -446,7 +446,7 @@
 func TestCannotListen(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	j := openJournal(t, p.dir, 3)
+	j := openTestJournal(t, p.dir, 3)
 	j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 	commit(t, j)
 	taken, err := net.Listen("tcp", p.addr)
@@ -476,7 +476,7 @@
 // leave notes messages in the journal as an earlier process would have.
 func leave(t *testing.T, p *platform, ids ...string) {
 	t.Helper()
-	j := openJournal(t, p.dir, 3)
+	j := openTestJournal(t, p.dir, 3)
 	for _, id := range ids {
 		j.Accept(&journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute), Body: []byte(id)})
 	}
@@ -518,7 +518,7 @@
 		}
 		return http.StatusOK
 	}
-	j := openJournal(t, p.dir, 3)
+	j := openTestJournal(t, p.dir, 3)
 	for id, e := range map[string]struct {
 		class string
 		left  time.Duration
@@ -597,7 +597,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
+	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openTestJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
 		messages: map[string]*message{}, endpoints: listAt(7)}
 	l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
 	copyOf := func(id string) *frontend.Submission {
@@ -667,7 +667,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3), messages: map[string]*message{}, endpoints: listAt()}
+	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openTestJournal(t, t.TempDir(), 3), messages: map[string]*message{}, endpoints: listAt()}
 	timer := clock.Now().Add(time.Minute)
 	l.timerAt = timer
 	m := &message{Entry: &journal.Entry{ID: "m"}}
@@ -692,7 +692,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openJournal(t, t.TempDir(), 3),
+		l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openTestJournal(t, t.TempDir(), 3),
 			messages: map[string]*message{}, endpoints: listAt(7), notifier: &notifier.Notifier{}}
 		l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
 		start := time.Now()
@@ -706,7 +706,7 @@
 		l.step()
 		time.Sleep(l.untilNextStep() - tick/2)
 		delete(l.messages, "first")
-		l.events = append(l.events, policy.Withdrawn{ID: first.Entry.ID})
+		l.batch.events = append(l.batch.events, policy.Withdrawn{ID: first.Entry.ID})
 		l.step()
 		for range 3 { // as far as the timers wake the relay before the second message's time is up
 			time.Sleep(min(l.untilNextStep(), 2*time.Second-time.Since(start)))
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -25,7 +25,7 @@
 			out[a.ID] = a
 		}
 		for _, learned := range off.PolicyState {
-			l.events = append(l.events, learned.Translate(k.DecodeInstant))
+			l.batch.events = append(l.batch.events, learned.Translate(k.DecodeInstant))
 		}
 		l.clients.Reserve(off.Clients)
 	}
@@ -66,7 +66,7 @@
 			delete(out, e.ID)
 			l.rejoin(k, m, o, &a)
 		}
-		l.events = append(l.events, a)
+		l.batch.events = append(l.batch.events, a)
 	}
 	for _, o := range out { // their messages are over, but they hold slots
 		m := l.messages[o.ID]
@@ -77,7 +77,7 @@
 		a := policy.Arrived{ID: o.ID, Class: l.classIndex(o.Class), Destination: o.Destination, Resumed: true, Completed: true,
 			PriorAttempts: slices.Repeat([]policy.PriorAttempt{{Endpoint: o.Endpoint, SentAt: k.Instant(o.StartedAt)}}, o.Attempt+1)}
 		l.rejoin(k, m, o, &a)
-		l.events = append(l.events, a)
+		l.batch.events = append(l.batch.events, a)
 	}
 	l.step()
 }
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -136,7 +136,7 @@
 		t.Run(strings.ReplaceAll(tt.name, " ", "_"), func(t *testing.T) {
 			p := newPlatform(t)
 			p.addHost("h1", 7)
-			j := openJournal(t, p.dir, 3)
+			j := openTestJournal(t, p.dir, 3)
 			e := &journal.Entry{ID: "m", Class: "order", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute), Body: []byte("m")}
 			j.Accept(e)
 			for _, a := range tt.entry.Attempts {
--- a/internal/relay/storage.go
+++ b/internal/relay/storage.go
@@ -15,14 +15,23 @@
 // listTimeout bounds the attempts to read the endpoint list on disk: discovery has it too.
 const listTimeout = 5 * time.Second
 
-// loadJournal opens the journal in the folder.
-func loadJournal(ctx context.Context, cfg *config.Config, dir string) (kept *journal.Journal, found *journal.Report, err error) {
-	err = retry.Storage(ctx, retry.StorageTimeout, "open journal", func() (err error) {
-		kept, found, err = journal.Open(dir, journal.Options{DiskMB: (1 - listShare) * cfg.Limits.DiskMB, Relay: cfg.Name,
+// openJournal opens the journal in the state directory, and logs what it holds.
+func openJournal(ctx context.Context, cfg *config.Config, dir string) (*journal.Journal, error) {
+	var opened *journal.Journal
+	var found *journal.Report
+	err := retry.Storage(ctx, retry.StorageTimeout, "open journal", func() (err error) {
+		opened, found, err = journal.Open(dir, journal.Options{DiskMB: (1 - listShare) * cfg.Limits.DiskMB, Relay: cfg.Name,
 			SurvivesPowerLoss: cfg.Durability == config.DurabilityPower, Files: cfg.Files, Boot: cfg.Boot})
 		return err
 	})
-	return kept, found, err
+	if err != nil {
+		return nil, err
+	}
+	if found.Records > 0 {
+		slog.Info("journal read", "file", found.File, "records", found.Records, "live_messages", len(opened.Entries()), "torn", found.Torn,
+			"used_wall_clock", found.UsedWallClock)
+	}
+	return opened, nil
 }
 
 // openStore reads the list of endpoints in the folder. A file that can't be read in time counts as damaged.
--- a/internal/relay/stored_test.go
+++ b/internal/relay/stored_test.go
@@ -134,7 +134,7 @@
 				p := newPlatform(b)
 				p.disk = 64
 				p.addHost("h1", 7)
-				j := openJournal(b, p.dir, 64)
+				j := openTestJournal(b, p.dir, 64)
 				for i := range c.live {
 					e := &journal.Entry{ID: fmt.Sprintf("%016x", i), Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left), Body: make([]byte, 200)}
 					j.Accept(e)
--- a/internal/relay/wire_http_test.go
+++ b/internal/relay/wire_http_test.go
@@ -136,7 +136,7 @@
 	p := newPlatform(t)
 	p.bundle = 3
 	p.hosts = []Member{hostAt(host.addr)}
-	j := openJournal(t, p.dir, 3)
+	j := openTestJournal(t, p.dir, 3)
 	for id, key := range map[string]string{"a": "key <of> a", "b": ""} { // "b" has none
 		j.Accept(&journal.Entry{ID: id, Class: "status", Dest: 7, Key: key, ExpiresAt: clock.Now().Add(time.Minute),
 			Body: []byte("body of " + id)})
--- a/internal/relay/zonecommands.go
+++ b/internal/relay/zonecommands.go
@@ -80,7 +80,7 @@
 	if err := l.dispatcher.Order(no, until); err != nil {
 		return fmt.Sprintf("ERR %s %s: %v", c.Action, c.Zone, err)
 	}
-	l.events = append(l.events, policy.TimerFired{})
+	l.batch.events = append(l.batch.events, policy.TimerFired{})
 	if err := l.zones.store.Put(c.Zone, until, now); err != nil {
 		slog.Error("order about a zone", "err", err)
 		if until > 0 {
@@ -103,7 +103,7 @@
 			return false
 		}
 		slog.Info("an order about a zone goes on", "zone", o.Zone, "for", clock.Until(o.Until))
-		l.events = append(l.events, policy.TimerFired{})
+		l.batch.events = append(l.batch.events, policy.TimerFired{})
 		return true
 	})
 }
