--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -14,22 +14,37 @@
 	"milletsail/policy"
 )
 
-// commit writes the batch's records, and only then answers clients and makes calls: what was answered with
-// 202 and what was sent must be known to a later process.
+// commit writes the batch's records, and only then answers clients and starts calls: what was answered with 202 and what was
+// sent must be known to a later process.
 func (l *loop) commit() {
 	err := l.journal.Commit()
 	l.setWritable(err == nil)
-	fresh, sends, effects := l.batch.newMessages, l.batch.sends, l.batch.afterCommit
+	newMessages, sends, afterCommit := l.batch.newMessages, l.batch.sends, l.batch.afterCommit
 	l.batch.newMessages, l.batch.sends, l.batch.afterCommit = nil, nil, nil
 	if err != nil {
-		slog.Debug("nothing taken on, and sent only what may be repeated", "err", err)
+		slog.Debug("journal not written: nothing accepted, and sent only what is idempotent", "error", err)
 	}
-	for _, m := range fresh {
+	l.respondToNew(newMessages, err == nil)
+	l.startCalls(sends, err == nil)
+	for _, m := range newMessages {
+		if m.responses != nil { // not accepted after all
+			l.complete(m)
+		}
+	}
+	for _, do := range afterCommit {
+		do()
+	}
+	l.enqueueRecorded(err == nil)
+}
+
+// respondToNew answers the clients of new messages that the policy did not reject.
+func (l *loop) respondToNew(messages []*message, written bool) {
+	for _, m := range messages {
 		switch {
-		case m.responses == nil: // refused
-		case err != nil:
+		case m.responses == nil: // rejected
+		case !written:
 			l.metrics.CountResult(l.classIndex(m.Class), metrics.Rejected)
-			respondAll(m.responses, frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.Policy.MaxRetryAfter})
+			respondAll(m.responses, l.unavailable())
 			l.batch.events = append(l.batch.events, policy.Withdrawn{ID: m.ID})
 		default:
 			m.resubmitted = len(m.responses) > 1
@@ -38,45 +53,42 @@
 			m.responses = nil
 		}
 	}
-	for i := 0; i < len(sends); {
-		n := i + 1
-		for n < len(sends) && sends[n].call == sends[i].call {
+}
+
+// startCalls starts the calls of a batch. Sends of one call follow each other.
+func (l *loop) startCalls(sends []send, written bool) {
+	for len(sends) > 0 {
+		n := 1
+		for n < len(sends) && sends[n].call == sends[0].call {
 			n++
 		}
-		// Without its record a later process may make an attempt again, which is harmless only in a safe class.
-		safe := func(s send) bool {
-			return l.cfg.Policy.Classes[l.classIndex(s.message.Class)].Effect == policy.Idempotent
+		call := sends[:n]
+		sends = sends[n:]
+		if written || !slices.ContainsFunc(call, l.needsRecord) {
+			l.startCall(call)
+			continue
 		}
-		// Nor is one sent that was not taken on after all.
-		refused := func(s send) bool { return s.message.responses != nil }
-		if err == nil || !slices.ContainsFunc(sends[i:n], func(s send) bool { return !safe(s) || refused(s) }) {
-			l.startCall(sends[i:n])
-		} else {
-			for _, s := range sends[i:n] {
-				l.completeUnsent(s, policy.NotStarted)
-			}
+		for _, s := range call {
+			l.completeUnsent(s, policy.NotStarted)
 		}
-		i = n
 	}
-	for _, m := range fresh {
-		if m.responses != nil { // not taken on after all
-			l.complete(m)
-		}
-	}
-	for _, do := range effects {
-		do()
-	}
-	l.enqueueRecorded(err == nil)
 }
 
-// unrecordedNotification is a notice of a message whose end is to be on disk before the platform is told of it: a process after a
-// kill would else go on with a message that is over.
+// needsRecord reports whether an attempt may not be made without its record: a later process may make it again, which is
+// harmless only in an idempotent class. Nor is one made of a message that was not accepted after all.
+func (l *loop) needsRecord(s send) bool {
+	class := l.cfg.Policy.Classes[l.classIndex(s.message.Class)]
+	return class.Effect != policy.Idempotent || s.message.responses != nil
+}
+
+// unrecordedNotification is a notification of a message whose end has to be on disk before the platform learns of it: a process
+// that follows a kill would else go on with a message that has ended.
 type unrecordedNotification struct {
 	notification journal.Notification
 	expiresAt    instant.Time // of the message: from then on no process sends it any more
 }
 
-// enqueueRecorded posts the notices whose ends are on disk, or whose messages' time is up whether or not they are.
+// enqueueRecorded enqueues the notifications whose ends are on disk, or whose messages have expired whether or not they are.
 func (l *loop) enqueueRecorded(written bool) {
 	now := clock.Now()
 	waiting := l.unrecordedNotifications[:0]
@@ -90,19 +102,19 @@
 	l.unrecordedNotifications = waiting
 }
 
-// setWritable tells the module and the operators when the journal can't be written any more, and when it can again.
-func (l *loop) setWritable(ok bool) {
-	if ok == (l.metrics.StorageError.Load() == nil) {
+// setWritable tells the policy and the operators when the journal can't be written any more, and when it can again.
+func (l *loop) setWritable(writable bool) {
+	if writable == (l.metrics.StorageError.Load() == nil) {
 		return
 	}
-	var why *string
-	if !ok {
+	var reason *string
+	if !writable {
 		text := fmt.Sprint(l.journal.WriteError())
-		why = &text
+		reason = &text
 	}
-	l.metrics.StorageError.Store(why)
-	if ok {
+	l.metrics.StorageError.Store(reason)
+	if writable {
 		l.enqueueRecorded(true)
 	}
-	l.batch.events = append(l.batch.events, policy.StorageChanged{Writable: ok})
+	l.batch.events = append(l.batch.events, policy.StorageChanged{Writable: writable})
 }
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -11,28 +11,33 @@
 	"milletsail/policy"
 )
 
+// The counters of messages that were not delivered, by reason.
+const (
+	failedAttempts      = "relay_calls_without_delivery"
+	undeliveredMessages = "relay_undelivered"
+)
+
 // completeAttempt takes in the end of a call for a message.
 func (l *loop) completeAttempt(e attemptEnded) {
-	m := l.messages[e.id] // stays as long as a call is out
+	m := l.messages[e.id] // stays as long as a call is in flight
 	m.cancel = nil
 	if e.Outcome != policy.OK {
-		l.metrics.Reasons.Increment("relay_calls_without_delivery", e.Outcome)
-		slog.Info("call without delivery", "id", e.id, "dest", m.Dest, "host", e.endpoint, "attempt", e.attempt,
-			"outcome", e.Outcome, "took", e.latency, "wait", e.RetryAfter)
+		l.metrics.Reasons.Increment(failedAttempts, e.Outcome)
+		slog.Info("attempt failed", "request_id", e.id, "destination", m.Dest, "endpoint", e.endpoint, "attempt", e.attempt,
+			"outcome", e.Outcome, "latency", e.latency, "retry_after", e.RetryAfter)
 	}
 	l.observeFailure(e)
-	unrun := e.Outcome == policy.Rejected || e.Outcome == policy.ConnectError || e.Outcome == policy.NotSent || e.Outcome == policy.NotStarted
 	if l.journal.Get(m.ID) == m.Entry {
-		l.journal.EndAttempt(m.Entry, unrun)
+		l.journal.EndAttempt(m.Entry, e.Outcome.ProvesNotExecuted())
 	}
-	if e.Outcome == policy.NotStarted { // no attempt was made; until the next segment a later process takes it for one that never ran
+	if e.Outcome == policy.NotStarted { // no attempt was made; until the next segment a later process takes it for one not executed
 		m.Attempts = m.Attempts[:e.attempt]
 	}
 	l.batch.events = append(l.batch.events, policy.AttemptEnded{ID: e.id, Endpoint: e.endpoint, Attempt: e.attempt, Outcome: e.Outcome,
 		RetryAfter: e.RetryAfter, Latency: e.latency, Completed: e.Completed, AttemptsExhausted: e.AttemptsExhausted, LoadReport: e.LoadReport})
 	if !m.ended && e.Outcome == policy.OK {
 		l.metrics.CountResult(l.classIndex(m.Class), metrics.Completed)
-	} else if !m.ended && e.Completed { // its end came without us
+	} else if !m.ended && e.Completed { // its end came without this relay
 		l.metrics.CountResult(l.classIndex(m.Class), metrics.Failed)
 	}
 	if e.Completed || m.ended && m.PendingNotification == nil {
@@ -40,40 +45,40 @@
 	}
 }
 
-// endUndelivered ends a message undelivered: by its answer if that is still due, else by a notice.
-func (l *loop) endUndelivered(m *message, v frontend.Response, status string, why policy.Reason) {
+// endUndelivered ends a message that is not delivered: by a response if it has none yet, else by a notification.
+func (l *loop) endUndelivered(m *message, response frontend.Response, status string, reason policy.Reason) {
 	if m == nil || m.ended {
 		return
 	}
-	slog.Info("undelivered", "id", m.ID, "dest", m.Dest, "class", m.Class, "status", status, "why", why, "attempts", len(m.Attempts),
-		"taken", m.responses == nil, "left", clock.Until(m.ExpiresAt), "after", v.RetryAfter)
-	l.metrics.Reasons.Increment("relay_undelivered", why)
-	how := metrics.Failed
+	slog.Info("message not delivered", "request_id", m.ID, "destination", m.Dest, "class", m.Class, "status", status, "reason", reason,
+		"attempts", len(m.Attempts), "accepted", m.responses == nil, "time_left", clock.Until(m.ExpiresAt), "retry_after", response.RetryAfter)
+	l.metrics.Reasons.Increment(undeliveredMessages, reason)
+	result := metrics.Failed
 	if status == notifier.StatusDeferred {
-		how = metrics.Rejected
+		result = metrics.Rejected
 	}
-	l.metrics.CountResult(l.classIndex(m.Class), how)
-	if replies := m.responses; replies != nil {
+	l.metrics.CountResult(l.classIndex(m.Class), result)
+	if responses := m.responses; responses != nil {
 		m.responses = nil
-		l.batch.afterCommit = append(l.batch.afterCommit, func() { respondAll(replies, v) })
+		l.batch.afterCommit = append(l.batch.afterCommit, func() { respondAll(responses, response) })
 		l.complete(m)
 		return
 	}
 	m.ended = true
 	l.countEnded(m)
-	n := journal.Notification{ID: m.ID, Status: status, RetryAfterMS: v.RetryAfter.Milliseconds()}
-	l.journal.RecordPendingNotification(m.Entry, n)
-	l.unrecordedNotifications = append(l.unrecordedNotifications, unrecordedNotification{n, m.ExpiresAt})
+	notification := journal.Notification{ID: m.ID, Status: status, RetryAfterMS: response.RetryAfter.Milliseconds()}
+	l.journal.RecordPendingNotification(m.Entry, notification)
+	l.unrecordedNotifications = append(l.unrecordedNotifications, unrecordedNotification{notification, m.ExpiresAt})
 }
 
-// respondAll gives all that handed a message in the same verdict.
-func respondAll(replies []chan frontend.Response, v frontend.Response) {
-	for _, reply := range replies {
-		reply <- v
+// respondAll gives all that submitted a message the same response.
+func respondAll(responses []chan frontend.Response, response frontend.Response) {
+	for _, r := range responses {
+		r <- response
 	}
 }
 
-// complete notes that nothing more is owed for a message.
+// complete notes that nothing more has to be done for a message.
 func (l *loop) complete(m *message) {
 	m.ended = true
 	l.countEnded(m)
@@ -86,13 +91,13 @@
 	}
 }
 
-// countPending counts a message as taken on until it is settled.
+// countPending counts a message as pending until countEnded.
 func (l *loop) countPending(m *message) {
 	m.countedPending = true
 	l.metrics.Pending.Add(1)
 }
 
-// countEnded notes that a message taken on has its end.
+// countEnded counts a message as pending no more.
 func (l *loop) countEnded(m *message) {
 	if m.countedPending {
 		m.countedPending = false
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -16,76 +16,99 @@
 // maxJSONGrowth is how much longer a byte of an id or a key can become in JSON.
 const maxJSONGrowth = 6
 
-// admit takes in a message that is handed in.
-func (l *loop) admit(a *frontend.Submission) {
-	if m := l.messages[a.Entry.ID]; m != nil {
-		// The same message once more, as after a connection that broke: it is ours already, unless it is over or
-		// still undecided.
-		switch {
-		case m.ended && l.mayHaveExecuted(m): // 503 would say that handing it in again is harmless
-			a.Response <- frontend.Response{Status: http.StatusBadGateway}
-		case m.ended:
-			a.Response <- frontend.Response{Status: http.StatusServiceUnavailable}
-		case m.responses != nil:
-			m.responses = append(m.responses, a.Response)
-		default:
-			m.resubmitted = true
-			a.Response <- frontend.Response{Status: http.StatusAccepted}
-		}
+// The counters of messages that never reached the policy, and of those that their clients withdrew, by reason.
+const (
+	rejectedUnseen    = "relay_refused_unseen"
+	withdrawnMessages = "relay_withdrawn"
+)
+
+// The reasons for which a message never reaches the policy, as counters have them.
+const (
+	reasonNoDestination = "no such destination"
+	reasonNoStorage     = "no room in the folder, or it can't be written"
+	reasonClientLeft    = "the client left"
+)
+
+// admit takes in a message that is submitted.
+func (l *loop) admit(s *frontend.Submission) {
+	if m := l.messages[s.Entry.ID]; m != nil {
+		l.admitAgain(m, s)
 		return
 	}
-	if !l.endpoints.table.Named(a.Entry.Dest) || !l.journal.Reserve(a.Entry) {
-		// Guards the module against destinations that no list has named, and the disk against overflow.
-		l.metrics.CountResult(l.classIndex(a.Entry.Class), metrics.Rejected)
-		why := "no such destination"
-		if l.endpoints.table.Named(a.Entry.Dest) {
-			why = "no room in the folder, or it can't be written"
-		}
-		l.metrics.Reasons.Add("relay_refused_unseen", why, 1)
-		slog.Info("refused", "id", a.Entry.ID, "dest", a.Entry.Dest, "class", a.Entry.Class, "why", why)
-		a.Response <- frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.Policy.MaxRetryAfter}
+	// Guards the policy against destinations that no list has named, and the disk against overflow.
+	if !l.endpoints.table.Named(s.Entry.Dest) {
+		l.rejectUnseen(s, reasonNoDestination)
 		return
 	}
-	slog.Debug("arrived", "id", a.Entry.ID, "dest", a.Entry.Dest, "class", a.Entry.Class, "left", clock.Until(a.Entry.ExpiresAt))
-	m := &message{Entry: a.Entry, responses: []chan frontend.Response{a.Response}}
+	if !l.journal.Reserve(s.Entry) {
+		l.rejectUnseen(s, reasonNoStorage)
+		return
+	}
+	slog.Debug("message arrived", "request_id", s.Entry.ID, "destination", s.Entry.Dest, "class", s.Entry.Class,
+		"time_left", clock.Until(s.Entry.ExpiresAt))
+	m := &message{Entry: s.Entry, responses: []chan frontend.Response{s.Response}}
 	l.messages[m.ID] = m
 	l.batch.newMessages = append(l.batch.newMessages, m)
 	l.batch.events = append(l.batch.events, policy.Arrived{ID: m.ID, Class: l.classIndex(m.Class), Destination: m.Dest,
 		TimeLeft: clock.Until(m.ExpiresAt), Size: sizeInBatch(m.Entry)})
 }
 
-// mayHaveExecuted tells whether an attempt of a message may have run that must not be made again elsewhere.
+// admitAgain takes in the same message once more, as after a connection that broke: it is accepted already, unless it has ended
+// or is undecided.
+func (l *loop) admitAgain(m *message, s *frontend.Submission) {
+	switch {
+	case m.ended && l.mayHaveExecuted(m): // 503 would say that submitting it again is harmless
+		s.Response <- frontend.Response{Status: http.StatusBadGateway}
+	case m.ended:
+		s.Response <- frontend.Response{Status: http.StatusServiceUnavailable}
+	case m.responses != nil:
+		m.responses = append(m.responses, s.Response)
+	default:
+		m.resubmitted = true
+		s.Response <- frontend.Response{Status: http.StatusAccepted}
+	}
+}
+
+// rejectUnseen rejects a message that the policy does not see.
+func (l *loop) rejectUnseen(s *frontend.Submission, reason string) {
+	l.metrics.CountResult(l.classIndex(s.Entry.Class), metrics.Rejected)
+	l.metrics.Reasons.Add(rejectedUnseen, reason, 1)
+	slog.Info("request rejected", "request_id", s.Entry.ID, "destination", s.Entry.Dest, "class", s.Entry.Class, "reason", reason)
+	s.Response <- l.unavailable()
+}
+
+// mayHaveExecuted reports whether an attempt of a message may have been executed that must not be repeated elsewhere.
 func (l *loop) mayHaveExecuted(m *message) bool {
-	no := l.classIndex(m.Class)
-	if no < 0 {
+	index := l.classIndex(m.Class)
+	if index < 0 {
 		return false
 	}
-	class := l.cfg.Policy.Classes[no]
+	class := l.cfg.Policy.Classes[index]
 	if class.Effect == policy.Idempotent || class.Effect == policy.IdempotentWithKey && !class.KeysPerZone {
 		return false
 	}
 	return slices.ContainsFunc(m.Attempts, func(a journal.Attempt) bool { return !a.Ended || !a.NotExecuted })
 }
 
-// withdraw withdraws a message whose client left without an answer. Others may have handed in the same id, by
-// chance or on purpose: their leaving takes back nothing, and what one of them was told is owed to it.
-func (l *loop) withdraw(a *frontend.Submission) {
-	m := l.messages[a.Entry.ID]
-	if m == nil || m.ended || m.Entry != a.Entry || m.resubmitted || len(m.responses) > 1 {
+// withdraw ends a message whose client left without a response. Others may have submitted the same id, by chance or on purpose:
+// their leaving withdraws nothing, and what one of them was told has to be done.
+func (l *loop) withdraw(s *frontend.Submission) {
+	m := l.messages[s.Entry.ID]
+	if m == nil || m.ended || m.Entry != s.Entry || m.resubmitted || len(m.responses) > 1 {
 		return
 	}
-	l.metrics.Reasons.Add("relay_withdrawn", "the client left", 1)
-	slog.Info("withdrawn", "id", m.ID, "dest", m.Dest, "attempts", len(m.Attempts))
+	l.metrics.Reasons.Add(withdrawnMessages, reasonClientLeft, 1)
+	slog.Info("message withdrawn", "request_id", m.ID, "destination", m.Dest, "attempts", len(m.Attempts))
 	l.batch.events = append(l.batch.events, policy.Withdrawn{ID: m.ID})
 	l.complete(m)
 }
 
-// sizeInBatch is the room that a message takes up in the body of a call with several.
+// sizeInBatch returns how many bytes a message takes up in the body of a call with several.
 func sizeInBatch(e *journal.Entry) int {
 	return len(`{"id":"","key":"","body":""},`) + maxJSONGrowth*(len(e.ID)+len(e.Key)) + base64.StdEncoding.EncodedLen(len(e.Body))
 }
 
-// acceptNewMessages takes on the arrivals of this batch that were not refused.
+// acceptNewMessages accepts the messages of this batch that were not rejected.
 func (l *loop) acceptNewMessages() {
 	for _, m := range l.batch.newMessages {
 		if !m.ended {
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -11,81 +11,94 @@
 	"milletsail/policy"
 )
 
-// restore takes up what the journal holds, the list of endpoints, and what the process before has out, where that one
-// handed over.
-func (l *loop) restore(k *handover.Link, off *handover.Offer) {
+// restore takes up what the journal holds, the endpoint list, and what the predecessor has in flight, where that one handed
+// over; link and offer are nil otherwise. It runs before the loop.
+func (l *loop) restore(link *handover.Link, offer *handover.Offer) {
 	l.announceEndpoints()
 	if l.zones != nil && len(l.zones.pending) > 0 {
 		l.step() // an order goes on before anything is sent
 	}
 	l.watcher.Version = l.endpoints.version
-	out := map[string]handover.Attempt{}
-	if off != nil {
-		for _, a := range off.InFlight {
-			out[a.ID] = a
+	inFlight := map[string]handover.Attempt{}
+	if offer != nil {
+		for _, a := range offer.InFlight {
+			inFlight[a.ID] = a
 		}
-		for _, learned := range off.PolicyState {
-			l.batch.events = append(l.batch.events, learned.Translate(k.DecodeInstant))
+		for _, state := range offer.PolicyState {
+			l.batch.events = append(l.batch.events, state.Translate(link.DecodeInstant))
 		}
-		l.clients.Reserve(off.Clients)
+		l.clients.Reserve(offer.Clients)
 	}
 	for _, e := range l.journal.Entries() {
-		if off != nil && off.JournalIncomplete {
-			live, ok := off.Live[e.ID]
+		if offer != nil && offer.JournalIncomplete {
+			live, ok := offer.Live[e.ID]
 			if !ok { // its end could not be written
 				l.journal.Complete(e)
 				continue
 			}
 			live.Reconcile(e)
 		}
-		m := &message{Entry: e}
-		l.messages[e.ID] = m
-		l.countPending(m)
-		if o, ok := out[e.ID]; ok {
-			o.Reconcile(e, k.Instant(o.StartedAt))
-		}
-		if e.PendingNotification != nil {
-			m.ended = true
-			l.countEnded(m)
-			l.notifier.Enqueue(*e.PendingNotification)
-			continue // a call of it that is still out follows below
-		}
-		class := l.classIndex(e.Class)
-		if class < 0 { // the settings have changed, and the module could not end it
-			l.endUndelivered(m, frontend.Response{}, notifier.StatusUndeliverable, policy.ReasonNone)
-			continue
-		}
-		// Whatever the folder says, no message has more time than its class.
-		a := policy.Arrived{ID: e.ID, Class: class, Destination: e.Dest, Resumed: true,
-			TimeLeft: min(clock.Until(e.ExpiresAt), l.cfg.Policy.Classes[class].Deadline), Size: sizeInBatch(e)}
-		for _, t := range e.Attempts {
-			// An attempt that was out when the process ended may have run.
-			a.PriorAttempts = append(a.PriorAttempts, policy.PriorAttempt{Endpoint: t.Host, SentAt: min(t.StartedAt, clock.Now()), NotExecuted: t.Ended && t.NotExecuted})
-		}
-		if o, ok := out[e.ID]; ok && o.Attempt == len(e.Attempts)-1 {
-			delete(out, e.ID)
-			l.rejoin(k, m, o, &a)
-		}
-		l.batch.events = append(l.batch.events, a)
+		l.restoreMessage(link, e, inFlight)
 	}
-	for _, o := range out { // their messages are over, but they hold slots
-		m := l.messages[o.ID]
-		if m == nil {
-			m = &message{Entry: &journal.Entry{ID: o.ID, Class: o.Class, Dest: o.Destination, Attempts: make([]journal.Attempt, o.Attempt+1)}, ended: true}
-			l.messages[o.ID] = m
-		}
-		a := policy.Arrived{ID: o.ID, Class: l.classIndex(o.Class), Destination: o.Destination, Resumed: true, Completed: true,
-			PriorAttempts: slices.Repeat([]policy.PriorAttempt{{Endpoint: o.Endpoint, SentAt: k.Instant(o.StartedAt)}}, o.Attempt+1)}
-		l.rejoin(k, m, o, &a)
-		l.batch.events = append(l.batch.events, a)
+	for _, a := range inFlight {
+		l.restoreEnded(link, a)
 	}
 	l.step()
 }
 
-// rejoin marks the last attempt of a message as still out in the process before.
-func (l *loop) rejoin(k *handover.Link, m *message, o handover.Attempt, a *policy.Arrived) {
-	last := &a.PriorAttempts[o.Attempt]
-	last.InFlight, last.Call = true, o.Call
-	m.call = o.Call
-	m.cancel = func() { k.Send(handover.Message{Cancel: &handover.Attempt{ID: o.ID, Attempt: o.Attempt}}) }
+// restoreMessage takes up a message of the journal. It removes the attempt in flight that belongs to it.
+func (l *loop) restoreMessage(link *handover.Link, e *journal.Entry, inFlight map[string]handover.Attempt) {
+	m := &message{Entry: e}
+	l.messages[e.ID] = m
+	l.countPending(m)
+	attempt, hasAttempt := inFlight[e.ID]
+	if hasAttempt {
+		attempt.Reconcile(e, link.Instant(attempt.StartedAt))
+	}
+	if e.PendingNotification != nil {
+		m.ended = true
+		l.countEnded(m)
+		l.notifier.Enqueue(*e.PendingNotification)
+		return // a call of it that is still in flight is taken up with those of ended messages
+	}
+	class := l.classIndex(e.Class)
+	if class < 0 { // the settings have changed, and the policy could not end it
+		l.endUndelivered(m, frontend.Response{}, notifier.StatusUndeliverable, policy.ReasonNone)
+		return
+	}
+	// Whatever the journal says, no message has more time than its class.
+	arrived := policy.Arrived{ID: e.ID, Class: class, Destination: e.Dest, Resumed: true,
+		TimeLeft: min(clock.Until(e.ExpiresAt), l.cfg.Policy.Classes[class].Deadline), Size: sizeInBatch(e)}
+	for _, a := range e.Attempts {
+		// An attempt that was in flight when the process ended may have been executed.
+		arrived.PriorAttempts = append(arrived.PriorAttempts, policy.PriorAttempt{Endpoint: a.Host, SentAt: min(a.StartedAt, clock.Now()),
+			NotExecuted: a.Ended && a.NotExecuted})
+	}
+	if hasAttempt && attempt.Attempt == len(e.Attempts)-1 {
+		delete(inFlight, e.ID)
+		l.rejoin(link, m, attempt, &arrived)
+	}
+	l.batch.events = append(l.batch.events, arrived)
+}
+
+// restoreEnded takes up an attempt in flight of a message that has ended, since it occupies a slot.
+func (l *loop) restoreEnded(link *handover.Link, a handover.Attempt) {
+	m := l.messages[a.ID]
+	if m == nil {
+		m = &message{Entry: &journal.Entry{ID: a.ID, Class: a.Class, Dest: a.Destination, Attempts: make([]journal.Attempt, a.Attempt+1)}, ended: true}
+		l.messages[a.ID] = m
+	}
+	prior := policy.PriorAttempt{Endpoint: a.Endpoint, SentAt: link.Instant(a.StartedAt)}
+	arrived := policy.Arrived{ID: a.ID, Class: l.classIndex(a.Class), Destination: a.Destination, Resumed: true, Completed: true,
+		PriorAttempts: slices.Repeat([]policy.PriorAttempt{prior}, a.Attempt+1)}
+	l.rejoin(link, m, a, &arrived)
+	l.batch.events = append(l.batch.events, arrived)
+}
+
+// rejoin marks the last attempt of a message as still in flight in the predecessor.
+func (l *loop) rejoin(link *handover.Link, m *message, a handover.Attempt, arrived *policy.Arrived) {
+	last := &arrived.PriorAttempts[a.Attempt]
+	last.InFlight, last.Call = true, a.Call
+	m.call = a.Call
+	m.cancel = func() { link.Send(handover.Message{Cancel: &handover.Attempt{ID: a.ID, Attempt: a.Attempt}}) }
 }
--- a/internal/relay/selfcheck.go
+++ b/internal/relay/selfcheck.go
@@ -7,11 +7,17 @@
 	"milletsail/internal/clock"
 )
 
+// The counters of what should not happen, by direction of a clock's step and by class.
+const (
+	wallClockSteps  = "relay_wall_clock_steps"
+	overdueMessages = "relay_overdue"
+)
+
 const (
 	// clockStep is how far the wall clock has to move against the monotonic one within a second to count as stepped: time
 	// servers slew it by far less.
 	clockStep = 100 * time.Millisecond
-	// overdueAfter is how long a message may be held past its time before that is reported: its notice is due 300 ms after.
+	// overdueAfter is how long after its expiry a message is reported: its notification is due after 300 ms.
 	overdueAfter = 250 * time.Millisecond
 )
 
@@ -29,11 +35,11 @@
 	if by < 0 {
 		direction = "back"
 	}
-	slog.Warn("wall clock stepped", "by", by, "messages", len(l.messages), "uptime", clock.Uptime())
-	l.metrics.Reasons.Add("relay_wall_clock_steps", direction, 1)
+	slog.Warn("wall clock stepped", "step", by, "messages", len(l.messages), "uptime", clock.Uptime())
+	l.metrics.Reasons.Add(wallClockSteps, direction, 1)
 }
 
-// checkOverdue reports the messages whose time is up and that have no end: there should never be any.
+// checkOverdue reports the messages that have expired and not ended: there should never be any.
 func (l *loop) checkOverdue() {
 	now := clock.Now()
 	for _, m := range l.messages {
@@ -41,8 +47,8 @@
 			continue
 		}
 		m.reportedOverdue = true
-		slog.Error("held past its time", "id", m.ID, "dest", m.Dest, "class", m.Class, "attempts", len(m.Attempts), "by", now.Sub(m.ExpiresAt),
-			"call out", m.cancel != nil)
-		l.metrics.Reasons.Add("relay_overdue", m.Class, 1)
+		slog.Error("message overdue", "request_id", m.ID, "destination", m.Dest, "class", m.Class, "attempts", len(m.Attempts),
+			"overdue_by", now.Sub(m.ExpiresAt), "call_in_flight", m.cancel != nil)
+		l.metrics.Reasons.Add(overdueMessages, m.Class, 1)
 	}
 }
