--- a/internal/relay/canaries.go
+++ b/internal/relay/canaries.go
@@ -6,13 +6,13 @@
 	"milletsail/internal/clock"
 )
 
-// CanaryStatus is what a relay says, at its admin endpoint, of endpoints that are new on the list.
+// CanaryStatus is the reply to "servers" at the admin endpoint: the canary analysis of endpoints that are new on the list.
 type CanaryStatus struct {
 	Self      int            `json:"self"`
 	Endpoints []CanaryReport `json:"servers"`
 }
 
-// CanaryReport is what a relay says of one of them.
+// CanaryReport is the part of it about one endpoint.
 type CanaryReport struct {
 	Endpoint         string  `json:"endpoint"`
 	Destination      int     `json:"destination"`
@@ -25,7 +25,7 @@
 	RegressionScore  float64 `json:"doubt"` // 1 has it held back
 }
 
-// canaryStatus says how new endpoints fare.
+// canaryStatus returns the reply to "servers".
 func (l *loop) canaryStatus() string {
 	s, now := CanaryStatus{Self: l.cfg.Settings.Ordinal, Endpoints: []CanaryReport{}}, clock.Now()
 	for _, n := range l.dispatcher.Canaries() {
--- a/internal/relay/endpointlist.go
+++ b/internal/relay/endpointlist.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// sweepBatchSize is how many places of the table one batch of the loop looks at, while the entries are removed that a whole
+	// sweepBatchSize is how many places of the table one step of the loop looks at, while it removes the entries that a complete
 	// list no longer names.
 	sweepBatchSize = 2048
 	// maxLoggedChanges is how many changes of one object are logged one by one; of further ones only the number is.
@@ -23,39 +23,39 @@
 // maxStartTimeMS bounds the times of starts: the year 2200.
 const maxStartTimeMS = 7_258_118_400_000
 
-// endpointList is the list of endpoints as discovery last sent it, in memory and, where there is room, on disk. The loop
-// owns it. Discovery's objects come in batches. A whole list replaces the entries that it does not name: they are
-// removed in bounded steps once its last batch is in.
+// endpointList is the endpoint list as discovery last sent it, in memory and, where there is room, on disk. The loop owns it.
+// Discovery's objects come in batches. A complete list replaces all entries: those that it does not name are removed in bounded
+// steps once its last batch is in.
 type endpointList struct {
 	settings   *settings.Settings
 	table      *endpoints.Table
 	store      *endpoints.Store // nil for none
 	compacting bool             // the store has more to do
-	version    int64            // of the last object that is complete
-	clocks     clock.Pair       // as of the start: what translates the wall times in the list, which all machines read from one clock
+	version    int64            // of the last object that was applied completely
+	clocks     clock.Pair       // of the start; they translate the wall times in the list, which all machines read from one clock
 
-	replacing bool              // the entries of the present object are marked, since it may be a whole list
+	replacing bool              // the entries of the present object are marked, since it may be a complete list
 	changes   int               // of the present object
-	sweeping  *discovery.Batch  // the last batch of a whole list, while entries that it did not name are removed
-	queued    []discovery.Batch // came meanwhile
+	sweeping  *discovery.Batch  // the last batch of a complete list, while entries that it did not name are removed
+	queued    []discovery.Batch // that came meanwhile
 }
 
 // endpoint translates an entry into the policy's terms.
 func (list *endpointList) endpoint(e endpoints.Entry) policy.Endpoint {
-	born := clock.Wall(time.Duration(max(0, min(e.BornMS, maxStartTimeMS))) * time.Millisecond)
+	startedAt := clock.Wall(time.Duration(max(0, min(e.BornMS, maxStartTimeMS))) * time.Millisecond)
 	return policy.Endpoint{
 		ID:          e.Host,
 		Destination: e.Block,
 		Kind:        slices.Index(list.settings.Shapes, e.Class),
 		Zone:        slices.Index(list.settings.Localities, e.Site),
 		Weight:      e.Share,
-		StartedAt:   max(0, list.clocks.InstantOf(born)),
+		StartedAt:   max(0, list.clocks.InstantOf(startedAt)),
 		Draining:    e.Health == endpoints.Draining,
 		Removed:     e.Health == endpoints.Deleted,
 	}
 }
 
-// Endpoints gives the endpoints of a destination, in the order in which they were first listed; for policy.Directory.
+// Endpoints returns the endpoints of a destination, in the order in which they were first listed; for policy.Directory.
 func (list *endpointList) Endpoints(destination int) (all []policy.Endpoint) {
 	for e := range list.table.ByDestination(destination) {
 		all = append(all, list.endpoint(e))
@@ -63,13 +63,13 @@
 	return all
 }
 
-// Destination gives the destination of a listed endpoint; for policy.Directory.
+// Destination returns the destination of a listed endpoint; for policy.Directory.
 func (list *endpointList) Destination(endpoint string) (int, bool) {
 	e, ok := list.table.Get(endpoint)
 	return e.Block, ok
 }
 
-// acceptBatch applies a batch of the watch, or keeps it until the list before it is complete.
+// acceptBatch applies a batch of the watch, or queues it until the list before it is applied.
 func (l *loop) acceptBatch(b discovery.Batch) {
 	if l.endpoints.sweeping != nil {
 		l.endpoints.queued = append(l.endpoints.queued, b)
@@ -83,18 +83,18 @@
 	case !b.End:
 		close(b.Applied)
 	case b.Complete && l.endpoints.replacing:
-		l.endpoints.sweeping = &b // the watch waits until the whole list is in force
+		l.endpoints.sweeping = &b // the watch waits until the complete list is applied
 	default:
 		l.endpoints.abortReplacement()
 		l.completeList(b)
 	}
 }
 
-// usesDirectory tells whether the module keeps state only for destinations in use, and looks up the rest of the list.
+// usesDirectory reports whether the policy keeps state only for destinations in use, and looks up the rest of the list.
 func (l *loop) usesDirectory() bool { return l.cfg.Policy.Directory != nil && !l.cfg.Policy.Zones }
 
-// unavailableEndpoints is how many listed endpoints get nothing now but trials. Where the module does not know the whole list, it
-// counts those that drain nowhere.
+// unavailableEndpoints returns how many listed endpoints get nothing now but health checks. Where the policy does not know the
+// complete list, it does not count those that drain.
 func (l *loop) unavailableEndpoints() int {
 	if !l.usesDirectory() {
 		return l.dispatcher.Avoided()
@@ -112,7 +112,7 @@
 	}
 }
 
-// abortReplacement gives up a replacement that is not complete, or was none: no entry is removed.
+// abortReplacement ends a replacement that is incomplete, or was none: no entry is removed.
 func (list *endpointList) abortReplacement() {
 	if list.replacing {
 		list.table.AbortReplacement()
@@ -120,10 +120,10 @@
 	}
 }
 
-// updateList applies the entries of a batch, and hands the module what is new in them.
+// updateList applies the entries of a batch, and tells the policy what is new in them.
 func (l *loop) updateList(b endpoints.Batch) {
 	var changed []policy.Endpoint
-	var recalled []policy.Event
+	var restored []policy.Event
 	for _, e := range b.Entries {
 		if e.Health == endpoints.Deleted {
 			if old, listed := l.endpoints.table.Delete(e.Host); listed {
@@ -147,16 +147,16 @@
 		}
 		changed = append(changed, l.endpoints.endpoint(e))
 		if !listed {
-			recalled = l.appendHealth(recalled, e.Host)
+			restored = l.appendHealth(restored, e.Host)
 		}
 	}
 	if len(changed) > 0 {
 		l.batch.events = append(l.batch.events, policy.EndpointsUpdated{Endpoints: changed})
-		l.batch.events = append(l.batch.events, recalled...)
+		l.batch.events = append(l.batch.events, restored...)
 	}
 }
 
-// dropEndpoint forgets an entry that was removed, and gives it as the module is told of it.
+// dropEndpoint drops what belongs to an entry that was removed, and returns the entry as the policy is told of it.
 func (l *loop) dropEndpoint(e endpoints.Entry) policy.Endpoint {
 	l.pool.CloseIdle(e.Dial)
 	l.journal.DropHealth(e.Host)
@@ -178,33 +178,33 @@
 func (l *loop) logChange(b endpoints.Batch, e endpoints.Entry) {
 	l.endpoints.changes++
 	if l.endpoints.changes <= maxLoggedChanges && !b.Complete {
-		slog.Info("endpoint changed", "host", e.Host, "dest", e.Block, "health", e.Health, "dial", e.Dial)
+		slog.Info("endpoint changed", "endpoint", e.Host, "destination", e.Block, "health", e.Health, "address", e.Dial)
 	}
 }
 
-// removeUnlisted goes on removing the entries that a whole list did not name.
+// removeUnlisted goes on removing the entries that a complete list did not name.
 func (l *loop) removeUnlisted() {
 	last := l.endpoints.sweeping
 	if last == nil {
 		return
 	}
 	removed, done := l.endpoints.table.Sweep(sweepBatchSize)
-	var gone []policy.Endpoint
+	var removedEndpoints []policy.Endpoint
 	var hosts []string
 	for _, e := range removed {
-		gone = append(gone, l.dropEndpoint(e))
+		removedEndpoints = append(removedEndpoints, l.dropEndpoint(e))
 		hosts = append(hosts, e.Host)
 	}
 	l.endpoints.persist(nil, hosts)
 	l.endpoints.changes += len(removed)
-	if len(gone) > 0 {
-		l.batch.events = append(l.batch.events, policy.EndpointsUpdated{Endpoints: gone})
+	if len(removedEndpoints) > 0 {
+		l.batch.events = append(l.batch.events, policy.EndpointsUpdated{Endpoints: removedEndpoints})
 	}
 	if !done {
 		return
 	}
 	l.endpoints.sweeping, l.endpoints.replacing = nil, false
-	l.forgetUnlisted()
+	l.dropUnlistedHealth()
 	l.completeList(*last)
 	waiting := l.endpoints.queued
 	l.endpoints.queued = nil
@@ -213,8 +213,8 @@
 	}
 }
 
-// forgetUnlisted drops what is remembered of the health of hosts that are no longer listed.
-func (l *loop) forgetUnlisted() {
+// dropUnlistedHealth drops the recorded health of endpoints that are no longer listed.
+func (l *loop) dropUnlistedHealth() {
 	for host := range l.journal.Health() {
 		if _, listed := l.endpoints.table.Get(host); !listed {
 			l.journal.DropHealth(host)
@@ -222,11 +222,12 @@
 	}
 }
 
-// completeList notes that all of an object is in force, and has the watch go on.
+// completeList notes that an object is applied, and has the watch go on.
 func (l *loop) completeList(last discovery.Batch) {
 	l.endpoints.commit(last.Seq)
 	if l.endpoints.changes > maxLoggedChanges || last.Complete {
-		slog.Info("list changed", "seq", last.Seq, "whole", last.Complete, "changes", l.endpoints.changes, "endpoints", l.endpoints.table.Len())
+		slog.Info("endpoint list changed", "version", last.Seq, "complete", last.Complete, "changes", l.endpoints.changes,
+			"endpoints", l.endpoints.table.Len())
 	}
 	close(last.Applied)
 }
--- a/internal/relay/endpointload.go
+++ b/internal/relay/endpointload.go
@@ -12,37 +12,37 @@
 	"milletsail/policy"
 )
 
-// listSource is a list of endpoints that may be older or newer than another.
+// listSource is an endpoint list that may be older or newer than another.
 type listSource struct {
 	name    string
 	version int64
 	read    func(deliver func(endpoints.Batch) error) error
 }
 
-// openEndpoints takes up the newest of the lists on disk and in the configuration. The latter may be older than what an
-// earlier process of this relay was sent: an endpoint that drains gets nothing new from this one either.
+// openEndpoints loads the newest of the lists on disk, in the journal and in the configuration. The last may be older than what an
+// earlier process of this relay received: an endpoint that drains gets nothing new from this one either.
 func (l *loop) openEndpoints(dir string) {
 	budget := int64(listShare * l.cfg.Limits.DiskMB * 1e6)
 	store, table, seq, found, err := openStore(dir, budget)
 	if err != nil {
-		slog.Warn("list of endpoints not kept on disk", "err", err)
+		slog.Warn("endpoint list not stored on disk", "error", err)
 		table = endpoints.NewTable()
 	}
 	for _, damage := range found.Damage {
-		slog.Warn("list of endpoints: damaged", "err", damage)
+		slog.Warn("endpoint list on disk is damaged", "error", damage)
 	}
 	l.endpoints.table, l.endpoints.store, l.endpoints.version = table, store, seq
 	source := newestList(seq, journalList(l.journal.LegacyList()), listSource{"configuration", l.cfg.KnownEndpoints.Version, l.cfg.KnownEndpoints.Read})
 	if source.read != nil {
 		if err := source.read(l.endpoints.loadBatch); err != nil {
-			slog.Error("list of endpoints: all of it is asked for", "source", source.name, "err", err)
+			slog.Error("endpoint list unreadable, requesting all of it", "source", source.name, "error", err)
 			l.endpoints.table.AbortReplacement()
 			l.endpoints.version = 0
 		}
 	}
 	l.journal.DropLegacyList()
 	debug.FreeOSMemory() // what reading a long list needed once is not needed again
-	slog.Info("list of endpoints", "source", source.name, "seq", l.endpoints.version, "endpoints", table.Len())
+	slog.Info("endpoint list loaded", "source", source.name, "version", l.endpoints.version, "endpoints", table.Len())
 }
 
 // newestList chooses the list to start from. The configuration's counts also where it has no version, and the one on disk
@@ -58,7 +58,7 @@
 	return newest
 }
 
-// journalList is the list that the version before kept in its journal, if it did.
+// journalList returns the list that an earlier version kept in its journal, if it did.
 func journalList(kept journal.LegacyEndpointList) listSource {
 	var head struct{ Seq int64 }
 	if kept.Text == nil || json.Unmarshal(kept.Text, &head) != nil {
@@ -69,7 +69,7 @@
 	}}
 }
 
-// loadBatch applies a batch of a list that replaces all there is, while the loop does not run yet.
+// loadBatch applies a batch of a list that replaces all there is, before the loop runs.
 func (list *endpointList) loadBatch(b endpoints.Batch) error {
 	if b.First {
 		list.table.BeginReplacement()
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// announceEndpoints tells the module that there is a list, and what an earlier process knew of the health of its endpoints. The
-// module looks up what it needs of the list, or is given all of it where it has to know all zones.
+// announceEndpoints tells the policy that there is a list, and what an earlier process recorded of the health of its endpoints.
+// The policy looks up what it needs of the list, or gets all of it where it has to know all zones.
 func (l *loop) announceEndpoints() {
 	var all []policy.Endpoint
 	if !l.usesDirectory() {
--- a/internal/relay/endpointstore.go
+++ b/internal/relay/endpointstore.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// listFolder is the folder of the list of endpoints, within that of the relay.
+	// listFolder is the directory of the endpoint list, within the state directory.
 	listFolder = "endpoints"
 	// listShare of the disk's limit is for the list; the rest is the journal's.
 	listShare = 1.0 / 8
@@ -17,21 +17,21 @@
 	compactionInterval = 10 * time.Millisecond
 )
 
-// persist puts changes of the table on disk. A sequence number follows once all changes of its object are there.
+// persist writes changes of the table to disk. A version follows once all changes of its object are there.
 func (list *endpointList) persist(puts []endpoints.Entry, deletes []string) {
 	if list.store != nil {
 		list.store.Append(puts, deletes)
 	}
 }
 
-// commit notes that an object is complete.
+// commit records that an object was applied completely.
 func (list *endpointList) commit(seq int64) {
 	list.version = seq
 	if list.store == nil {
 		return
 	}
 	if err := list.store.Commit(seq); err != nil {
-		slog.Warn("list of endpoints not written", "err", err)
+		slog.Warn("endpoint list not written", "error", err)
 	}
 	list.closeDisabled()
 }
@@ -45,23 +45,24 @@
 	list.closeDisabled()
 }
 
-// closeDisabled goes on without a store that has given up: the next process starts from the configuration's list.
+// closeDisabled goes on without a store that is disabled: the next process starts from the configuration's list, and requests what
+// that lacks.
 func (list *endpointList) closeDisabled() {
 	reason, disabled := list.store.Disabled()
 	if !disabled {
 		return
 	}
-	slog.Warn("list of endpoints not kept on disk: the next start asks for what the configuration lacks", "reason", reason)
+	slog.Warn("endpoint list no longer stored on disk", "reason", reason)
 	list.close()
 }
 
-// close ends the writing to disk: from here on another process may own the folder.
+// close ends the writing to disk: from here on another process may own the state directory.
 func (list *endpointList) close() {
 	if list.store == nil {
 		return
 	}
 	if err := list.store.Close(); err != nil {
-		slog.Warn("list of endpoints on disk", "err", err)
+		slog.Warn("endpoint list on disk not closed", "error", err)
 	}
 	list.store, list.compacting = nil, false
 }
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -11,11 +11,11 @@
 	"milletsail/policy"
 )
 
-// event is what a goroutine sends the loop. Only the loop calls apply, while this process owns the folder; after a
-// handover pass takes events instead.
+// event is what a goroutine sends the loop. Only the loop calls apply, while this process owns the state directory; after a
+// handover handleAfterHandover takes events instead.
 type event interface{ apply(l *loop) }
 
-// The events.
+// The events of clients, calls, discovery, other relays, the platform, the process and its successor.
 type (
 	// messageArrived is a message that a client submits.
 	messageArrived struct{ *frontend.Submission }
@@ -33,13 +33,13 @@
 	}
 	// batchReceived is a part of an object that discovery sent.
 	batchReceived struct{ discovery.Batch }
-	// gossipReceived is a note of another relay.
+	// gossipReceived is a gossip message for the policy.
 	gossipReceived struct{ message []byte }
-	// fleetAssessed is what the other relays have found out together.
+	// fleetAssessed is what the relays of the fleet have found out together.
 	fleetAssessed struct{ live.PeerAssessment }
-	// watchEnded says that the watch on discovery ended or could not be had.
+	// watchEnded says that the watch on discovery ended, or that its request failed.
 	watchEnded struct{}
-	// notificationsReceived says that the platform has notices.
+	// notificationsReceived says that the platform has received the notifications of some messages.
 	notificationsReceived struct{ ids []string }
 	// shutdownStarted says that the process is about to end.
 	shutdownStarted struct{}
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -208,7 +208,7 @@
 		t.Errorf("%d bytes are on disk", size)
 	}
 	p.kill(c)
-	if n := strings.Count(fmt.Sprint(c.Stderr), "not kept on disk"); n != 1 {
+	if n := strings.Count(fmt.Sprint(c.Stderr), "no longer stored on disk"); n != 1 {
 		t.Errorf("it said so %d times", n)
 	}
 	p.start()
@@ -307,10 +307,10 @@
 	})
 	p.kill(c)
 	log := fmt.Sprint(c.Stderr)
-	if n := strings.Count(log, "host=filler-"); n == 0 || n > maxLoggedChanges {
+	if n := strings.Count(log, "endpoint=filler-"); n == 0 || n > maxLoggedChanges {
 		t.Errorf("%d of %d changes are logged", n, manyHosts)
 	}
-	if !strings.Contains(log, "host="+known.Host+" ") {
+	if !strings.Contains(log, "endpoint="+known.Host+" ") {
 		t.Error("a change of one host is not logged")
 	}
 }
--- a/internal/relay/list_watch_test.go
+++ b/internal/relay/list_watch_test.go
@@ -222,7 +222,7 @@
 		}
 	}
 	p.kill(c)
-	if strings.Contains(fmt.Sprint(c.Stderr), "not of the destination") {
+	if strings.Contains(fmt.Sprint(c.Stderr), "of another destination") {
 		t.Error("the module was not told that the host is gone")
 	}
 }
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -9,7 +9,7 @@
 	"milletsail/policy"
 )
 
-// newFleetService has this relay share what it learns with the others, and brings the loop what they say.
+// newFleetService returns the service that shares what this relay learns with the fleet. It brings the loop what the others share.
 func (l *loop) newFleetService(dir string) *live.Service {
 	s := &l.cfg.Settings
 	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(), Zone: s.Az, Seed: uint64(l.cfg.RandomSeed),
@@ -20,7 +20,7 @@
 				l.gossip.Send(to, note)
 			}
 		},
-		OnAssessment: func(said live.PeerAssessment) { l.offerEvent(fleetAssessed{said}) },
+		OnAssessment: func(a live.PeerAssessment) { l.offerEvent(fleetAssessed{a}) },
 		OnFact: func(f fleet.Fact, age time.Duration) {
 			if o, ok := observation(f, age); ok {
 				l.offerEvent(gossipReceived{o.Note()})
@@ -37,7 +37,7 @@
 	l.offerEvent(gossipReceived{message})
 }
 
-// offerEvent hands the loop an event that may be lost, where it has more to do than it can.
+// offerEvent enqueues an event that may be lost: it is, where the inbox is full.
 func (l *loop) offerEvent(e event) {
 	select {
 	case l.inbox <- e:
@@ -45,7 +45,7 @@
 	}
 }
 
-// broadcast tells all other relays what a note of the module says: as a fact where they share what they learn.
+// broadcast sends a gossip message of the policy to all other relays: as a fact where the fleet shares what it learns.
 func (l *loop) broadcast(note []byte) {
 	o, ok := policy.ReadNote(note)
 	if l.fleet == nil || !ok {
@@ -57,14 +57,14 @@
 	case o.Open:
 		kind = fleet.KindDestinationOpen
 	case o.Back:
-		return // Remember says the same
+		return // PersistHealth says the same
 	case o.NoRoom:
 		kind, key, value = fleet.KindConnectionRejected, o.Endpoint, 0
 	}
-	l.fleet.Observe(kind, key, value, false, o.Age) // the module has seen to it that few tell
+	l.fleet.Observe(kind, key, value, false, o.Age) // the policy limits how many relays report it
 }
 
-// observation is what a fact says to the module, if it is of the kinds that notes tell.
+// observation returns what a fact says to the policy, if it is of the kinds that gossip messages carry.
 func observation(f fleet.Fact, age time.Duration) (o policy.Observed, ok bool) {
 	o = policy.Observed{Closed: f.Kind == fleet.KindDestinationClosed, Open: f.Kind == fleet.KindDestinationOpen, Back: f.Kind == fleet.KindEndpointRecovered,
 		NoRoom: f.Kind == fleet.KindConnectionRejected, Age: age}
@@ -83,7 +83,7 @@
 	return o, true
 }
 
-// assessmentEvents turns what the fleet says into the module's events.
+// assessmentEvents translates an assessment of the fleet into the policy's events.
 func assessmentEvents(s live.PeerAssessment) []policy.Event {
 	events := []policy.Event{policy.PeerSuspected{Destination: s.Dest, Endpoint: s.Endpoint, Observers: s.Observers, RecentObservers: s.RecentObservers, OldestAge: s.OldestAge,
 		NewestAge: s.NewestAge, ValidFor: s.ValidFor, Rank: s.Rank}}
@@ -94,7 +94,7 @@
 	return events
 }
 
-// observeFailure tells the other relays of a call that failed, where they know of an outage.
+// observeFailure reports an attempt that failed to the fleet.
 func (l *loop) observeFailure(e attemptEnded) {
 	switch e.Outcome {
 	case policy.ConnectError, policy.Failed, policy.Reset, policy.TimedOut:
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -30,8 +30,8 @@
 	responseWriteTimeout = 100 * time.Millisecond
 )
 
-// drainAfterHandover brings a relay to its end whose place a newer process has taken: it stays for as long as clients keep its
-// connections or calls are out, but after a signal to end no longer than drain does.
+// drainAfterHandover ends a relay that has handed over: it stays for as long as clients keep its connections or calls are in
+// flight, but after a signal to end no longer than shutDown does.
 func (l *loop) drainAfterHandover(ctx context.Context, server *frontend.Server) {
 	server.StartDraining()
 	_ = l.clients.Close()
@@ -50,11 +50,11 @@
 	l.closeConnections(server, clock.Now().Add(responseWriteTimeout))
 }
 
-// shutDown brings a relay to its end. No request that was read goes unanswered: answers close their
-// connections, and those that stay unused are closed last.
+// shutDown shuts a relay down gracefully. No request that was read goes unanswered: responses close their connections, and those
+// that stay unused are closed last.
 func (l *loop) shutDown(server *frontend.Server) {
-	begun := clock.Now()
-	until := func(stage time.Duration) time.Duration { return clock.Until(begun.Add(stage)) }
+	started := clock.Now()
+	until := func(phase time.Duration) time.Duration { return clock.Until(started.Add(phase)) }
 	server.StartDraining()
 	time.Sleep(until(acceptPhase))
 	_ = l.clients.Close()
@@ -65,29 +65,29 @@
 	for until(finishCallsPhase) > 0 && l.isBusy() {
 		time.Sleep(idlePollInterval)
 	}
-	l.closeConnections(server, begun.Add(exitDeadline))
+	l.closeConnections(server, started.Add(exitDeadline))
 }
 
-// closeConnections closes the clients' connections: those that rest at once, the others once the answers that are being written
-// are out. The process ends when the clients have read these, or at a moment.
-func (l *loop) closeConnections(server *frontend.Server, by instant.Time) {
+// closeConnections closes the clients' connections: those that are idle at once, the others once the responses that are being
+// written are out. It waits until the clients have read these, or for a deadline.
+func (l *loop) closeConnections(server *frontend.Server, deadline instant.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), responseWriteTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		slog.Warn("connections left", "err", err)
+		slog.Warn("connections not closed in time", "error", err)
 	}
-	// No request is taken up any more: what is left of the others ends with the process.
-	for l.clients.ResponsesUnread() && clock.Now() < by {
+	// No request is accepted any more: what is left of the others ends with the process.
+	for l.clients.ResponsesUnread() && clock.Now() < deadline {
 		time.Sleep(readPollInterval)
 	}
 }
 
-// isBusy tells whether a message is held, or a request that may become one is still being written.
+// isBusy reports whether a message is pending, or a request that may become one is still being written.
 func (l *loop) isBusy() bool { return l.clients.Busy() || !l.isIdle() }
 
-// isIdle tells whether nothing is held.
+// isIdle reports whether the loop has nothing left to do.
 func (l *loop) isIdle() bool {
-	q := idleQuery{make(chan bool, 1)}
-	l.enqueue(q)
-	return <-q.idle
+	query := idleQuery{make(chan bool, 1)}
+	l.enqueue(query)
+	return <-query.idle
 }
--- a/internal/relay/storage.go
+++ b/internal/relay/storage.go
@@ -34,7 +34,7 @@
 	return opened, nil
 }
 
-// openStore reads the list of endpoints in the folder. A file that can't be read in time counts as damaged.
+// openStore reads the endpoint list in the state directory. A file that can't be read in time counts as damaged.
 func openStore(dir string, budget int64) (store *endpoints.Store, table *endpoints.Table, seq int64, found endpoints.LoadReport, err error) {
 	dir = filepath.Join(dir, listFolder)
 	err = retry.Storage(context.Background(), listTimeout, "read endpoint list", func() (err error) {
--- a/internal/relay/zonecommands.go
+++ b/internal/relay/zonecommands.go
@@ -13,21 +13,21 @@
 	"milletsail/policy"
 )
 
-// zoneOrders is what a relay has of operators' orders about zones; nil where zones are off.
+// zoneOrders are operators' orders about zones; nil where zones are off. The loop owns them.
 type zoneOrders struct {
 	store   *zones.OrderStore
-	pending []zones.Order // of an earlier process, until endpoints are listed that they are about
+	pending []zones.Order // of an earlier process, until endpoints of their zones are listed
 }
 
-// ZoneStatus is what a relay says of zones at its admin endpoint.
+// ZoneStatus is the reply to "zone status" at the admin endpoint.
 type ZoneStatus struct {
 	Self     int          `json:"self"`
 	Zone     string       `json:"zone"`    // of this relay
-	Isolated bool         `json:"cut_off"` // it takes itself, and no other zone, for cut off
+	Isolated bool         `json:"cut_off"` // it considers its own zone, and no other, isolated
 	Zones    []ZoneReport `json:"zones"`
 }
 
-// ZoneReport is what a relay says of one zone.
+// ZoneReport is the part of it about one zone.
 type ZoneReport struct {
 	Zone         string  `json:"zone"`
 	State        string  `json:"state"`
@@ -38,19 +38,19 @@
 	Recoveries   int     `json:"returns"`
 }
 
-// openZones takes up the orders that are kept in the folder.
+// openZones loads the orders that are stored in the state directory.
 func (l *loop) openZones(dir string) {
 	if !l.cfg.Zones {
 		return
 	}
 	book, err := zones.Open(dir)
 	if err != nil {
-		slog.Error("orders about zones", "err", err)
+		slog.Error("zone orders not loaded", "error", err)
 	}
 	l.zones = &zoneOrders{store: book, pending: book.Active(clock.Now())}
 }
 
-// handleZoneCommand has the loop answer an operator's line; for goroutines of the admin endpoint.
+// handleZoneCommand has the loop answer an operator's command; for goroutines of the admin endpoint.
 func (l *loop) handleZoneCommand(text string) string {
 	line, err := zones.ParseCommand(text)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return l.askLoop(func() string { return l.executeZoneCommand(line) })
 }
 
-// executeZoneCommand answers an operator's line.
+// executeZoneCommand executes an operator's command and returns the reply.
 func (l *loop) executeZoneCommand(c zones.Command) string {
 	if c.Action == zones.Status {
 		text, err := json.Marshal(l.zoneStatus())
@@ -82,17 +82,17 @@
 	}
 	l.batch.events = append(l.batch.events, policy.TimerFired{})
 	if err := l.zones.store.Put(c.Zone, until, now); err != nil {
-		slog.Error("order about a zone", "err", err)
+		slog.Error("zone order not stored", "error", err)
 		if until > 0 {
 			_ = l.dispatcher.Order(no, 0) // it would not outlast a restart
 		}
 		return "ERR the order could not be kept: " + err.Error()
 	}
-	slog.Info("order about a zone", "verb", c.Action, "zone", c.Zone, "for", c.Duration)
+	slog.Info("zone order executed", "action", c.Action, "zone", c.Zone, "duration", c.Duration)
 	return "OK"
 }
 
-// resumeZoneOrders gives the module the orders of an earlier process, once it knows endpoints that they are about.
+// resumeZoneOrders gives the policy the orders of an earlier process, once it knows endpoints of their zones.
 func (l *loop) resumeZoneOrders() {
 	l.zones.pending = slices.DeleteFunc(l.zones.pending, func(o zones.Order) bool {
 		no := slices.Index(l.cfg.Settings.Localities, o.Zone)
@@ -102,7 +102,7 @@
 		if err := l.dispatcher.Order(no, o.Until); err != nil {
 			return false
 		}
-		slog.Info("an order about a zone goes on", "zone", o.Zone, "for", clock.Until(o.Until))
+		slog.Info("zone order resumed", "zone", o.Zone, "duration", clock.Until(o.Until))
 		l.batch.events = append(l.batch.events, policy.TimerFired{})
 		return true
 	})
