--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"context"
 	"log/slog"
 	"time"
 
@@ -148,10 +149,10 @@
 }
 
 // startCall makes a call in a goroutine of its own, which ends with the call and brings the loop its end; calls are canceled with
-// the process, which waits for none of them. Its messages share it: it is canceled shortly before one of them expires, and once
+// ctx, and nobody waits for them. Its messages share it: it is canceled shortly before one of them expires, and once
 // none of them is waited for any more.
-func (l *loop) startCall(sends []send) {
-	ctx, cancel := l.callContext()
+func (l *loop) startCall(ctx context.Context, sends []send) {
+	ctx, cancel := context.WithCancel(ctx)
 	call := l.newCall(sends)
 	waiting := len(sends)
 	for _, s := range sends {
--- a/internal/relay/admin/server.go
+++ b/internal/relay/admin/server.go
@@ -56,12 +56,11 @@
 	commandReceived bool // it keeps its place until it has the reply
 }
 
-// Listen opens the endpoint at an address. Serve answers there.
-func Listen(address string, m *metrics.Metrics) (*Server, error) {
+// Listen opens the endpoint at an address. Serve answers there. The end of ctx does not interrupt it.
+func Listen(ctx context.Context, address string, m *metrics.Metrics) (*Server, error) {
 	var config net.ListenConfig
-	socket, err := listener.Listen("admin endpoint", func() (net.Listener, error) {
-		return config.Listen(context.Background(), "tcp", address)
-	})
+	ctx = context.WithoutCancel(ctx)
+	socket, err := listener.Listen(ctx, "admin endpoint", func() (net.Listener, error) { return config.Listen(ctx, "tcp", address) })
 	if err != nil {
 		return nil, fmt.Errorf("admin endpoint: %w", err)
 	}
--- a/internal/relay/admin/server_test.go
+++ b/internal/relay/admin/server_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	m := metrics.New([]policy.Class{{Name: "a"}, {Name: "b"}})
 	m.Serving.Store(true)
-	d, err := Listen("127.0.0.1:0", m)
+	d, err := Listen(t.Context(), "127.0.0.1:0", m)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"net/http"
@@ -16,7 +17,7 @@
 
 // commit writes the batch's records, and only then answers clients and starts calls: what was answered with 202 and what was
 // sent must be known to a later process.
-func (l *loop) commit() {
+func (l *loop) commit(ctx context.Context) {
 	err := l.journal.Commit()
 	l.setWritable(err == nil)
 	newMessages, sends, afterCommit := l.batch.newMessages, l.batch.sends, l.batch.afterCommit
@@ -25,7 +26,7 @@
 		slog.Debug("journal not written: nothing accepted, and sent only what is idempotent", "error", err)
 	}
 	l.respondToNew(newMessages, err == nil)
-	l.startCalls(sends, err == nil)
+	l.startCalls(ctx, sends, err == nil)
 	for _, m := range newMessages {
 		if m.responses != nil { // not accepted after all
 			l.complete(m)
@@ -56,7 +57,7 @@
 }
 
 // startCalls starts the calls of a batch. Sends of one call follow each other.
-func (l *loop) startCalls(sends []send, written bool) {
+func (l *loop) startCalls(ctx context.Context, sends []send, written bool) {
 	for len(sends) > 0 {
 		n := 1
 		for n < len(sends) && sends[n].call == sends[0].call {
@@ -65,7 +66,7 @@
 		call := sends[:n]
 		sends = sends[n:]
 		if written || !slices.ContainsFunc(call, l.needsRecord) {
-			l.startCall(call)
+			l.startCall(ctx, call)
 			continue
 		}
 		for _, s := range call {
--- a/internal/relay/frontend/limiter.go
+++ b/internal/relay/frontend/limiter.go
@@ -52,9 +52,10 @@
 }
 
 // Listen accepts client connections at the socket that the platform holds, where it says so, else at the address that the
-// configuration names.
-func Listen(c *config.Config, reasons *metrics.ReasonCounters) (*ConnectionLimiter, error) {
-	opened, err := listener.Listen("clients", func() (net.Listener, error) { return openSocket(c) })
+// configuration names. The end of ctx does not interrupt it.
+func Listen(ctx context.Context, c *config.Config, reasons *metrics.ReasonCounters) (*ConnectionLimiter, error) {
+	ctx = context.WithoutCancel(ctx)
+	opened, err := listener.Listen(ctx, "clients", func() (net.Listener, error) { return openSocket(ctx, c) })
 	if err != nil {
 		return nil, err
 	}
@@ -79,10 +80,10 @@
 }
 
 // openSocket opens the configured socket.
-func openSocket(c *config.Config) (net.Listener, error) {
+func openSocket(ctx context.Context, c *config.Config) (net.Listener, error) {
 	if c.InheritedSocket == "" {
 		var listen net.ListenConfig
-		return listen.Listen(context.Background(), "tcp", c.Listen)
+		return listen.Listen(ctx, "tcp", c.Listen)
 	}
 	fd, err := strconv.Atoi(c.InheritedSocket)
 	if err != nil {
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"context"
 	"log/slog"
 	"net/http"
 
@@ -40,9 +41,9 @@
 
 // handOver hands the journal and all decisions over to a successor. It reports false, and has changed nothing, where the
 // successor does not come as far as being ready. The loop stands still meanwhile: nothing may change under an offer.
-func (l *loop) handOver(link *handover.Link) bool {
-	for l.step(); len(l.batch.events) > 0; {
-		l.step()
+func (l *loop) handOver(ctx context.Context, link *handover.Link) bool {
+	for l.step(ctx); len(l.batch.events) > 0; {
+		l.step(ctx)
 	}
 	offer := l.makeOffer(link)
 	if err := link.Offer(offer); err != nil {
--- a/internal/relay/list_bench_test.go
+++ b/internal/relay/list_bench_test.go
@@ -81,17 +81,17 @@
 			version := deliverObjects(b, text, func(batch discovery.Batch) {
 				timed(func() {
 					l.accept(batchReceived{batch})
-					l.step()
+					l.step(b.Context())
 				})
 				for l.endpoints.sweeping != nil {
-					timed(l.step)
+					timed(func() { l.step(b.Context()) })
 				}
 			})
 			if version != seq {
 				b.Fatal("the list was not applied")
 			}
 			for l.endpoints.compacting {
-				timed(l.step)
+				timed(func() { l.step(b.Context()) })
 			}
 			b.ReportMetric(longest.Seconds()*1e3, step.name+"-longest-ms")
 			b.ReportMetric(all.Seconds()*1e3, step.name+"-all-ms")
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -40,7 +40,7 @@
 	}
 	l := &loop{cfg: cfg, dispatcher: d, endpoints: list, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: kept, messages: map[string]*message{},
 		pool: upstream.NewPool(time.Second, time.Second, 10, nil)}
-	l.openEndpoints(dir)
+	l.openEndpoints(t.Context(), dir)
 	t.Cleanup(func() {
 		l.endpoints.close()
 		_ = kept.Close()
@@ -57,8 +57,8 @@
 	}
 	version := deliverObjects(t, text, func(b discovery.Batch) {
 		l.accept(batchReceived{b})
-		for l.step(); l.endpoints.sweeping != nil; {
-			l.step()
+		for l.step(t.Context()); l.endpoints.sweeping != nil; {
+			l.step(t.Context())
 		}
 	})
 	if version != m.Seq {
--- a/internal/relay/list_flow_test.go
+++ b/internal/relay/list_flow_test.go
@@ -31,7 +31,7 @@
 		if _, seq := storedList(t, dir); seq != 50 || applied(whole) || applied(next) {
 			t.Fatalf("version %d is on disk, applied %v and %v, with entries to be removed", seq, applied(whole), applied(next))
 		}
-		l.step()
+		l.step(t.Context())
 		if removed := before - l.endpoints.table.Len(); removed > sweepBatchSize {
 			t.Fatalf("%d entries removed in one batch", removed)
 		}
--- a/internal/relay/list_start_test.go
+++ b/internal/relay/list_start_test.go
@@ -45,7 +45,7 @@
 	}
 	l := listLoop(t, t.TempDir(), 1000)
 	l.cfg.KnownEndpoints = config.EndpointSource{Path: path}
-	l.openEndpoints(t.TempDir())
+	l.openEndpoints(t.Context(), t.TempDir())
 	if n := l.endpoints.table.Len(); n != len(hosts) {
 		t.Errorf("%d endpoints are listed, want %d", n, len(hosts))
 	}
--- a/internal/relay/listener/listener.go
+++ b/internal/relay/listener/listener.go
@@ -74,10 +74,10 @@
 
 // Listen calls listen, and again for a while where a system call fails: an address that another process is about to leave
 // refuses no start. An address that makes no sense is an error at once. The name is for logs.
-func Listen(name string, listen func() (net.Listener, error)) (socket net.Listener, err error) {
+func Listen(ctx context.Context, name string, listen func() (net.Listener, error)) (socket net.Listener, err error) {
 	policy := retry.Policy{Timeout: listenTimeout, Interval: listenRetryInterval, Retryable: resource.IsSystemError,
 		OnRetry: func(err error) { slog.Warn("listen failed", "listener", name, "error", err) }}
-	err = retry.Do(context.Background(), policy, func() error {
+	err = retry.Do(ctx, policy, func() error {
 		socket, err = listen()
 		return err
 	})
--- a/internal/relay/listener/listener_test.go
+++ b/internal/relay/listener/listener_test.go
@@ -59,7 +59,7 @@
 // A listen that fails for a moment is tried again; an address that makes no sense is an error at once.
 func TestListenFailures(t *testing.T) {
 	tries := 0
-	l, err := Listen("clients", func() (net.Listener, error) {
+	l, err := Listen(t.Context(), "clients", func() (net.Listener, error) {
 		if tries++; tries < 3 {
 			return nil, &net.OpError{Op: "listen", Net: "tcp", Err: syscall.EADDRINUSE}
 		}
@@ -70,7 +70,7 @@
 	}
 	_ = l.Close()
 	begun := time.Now()
-	if _, err := Listen("clients", func() (net.Listener, error) { return (&net.ListenConfig{}).Listen(t.Context(), "tcp", "no address") }); err == nil || time.Since(begun) > listenTimeout/2 {
+	if _, err := Listen(t.Context(), "clients", func() (net.Listener, error) { return (&net.ListenConfig{}).Listen(t.Context(), "tcp", "no address") }); err == nil || time.Since(begun) > listenTimeout/2 {
 		t.Errorf("after %v: %v", time.Since(begun), err)
 	}
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -83,8 +83,6 @@
 	gossip   *gossip.Transport
 	fleet    *live.Service // nil where nothing is shared
 	metrics  *metrics.Metrics
-	// callContext returns the context of a new call, which ends with the process.
-	callContext func() (context.Context, context.CancelFunc)
 }
 
 // enqueue hands the loop an event.
@@ -116,8 +114,8 @@
 			}
 		}
 		l.gather()
-		l.step()
-		l.answerRequester()
+		l.step(ctx)
+		l.answerRequester(ctx)
 	}
 }
 
@@ -146,13 +144,13 @@
 }
 
 // answerRequester hands over to a successor that has requested the state directory, if there is one.
-func (l *loop) answerRequester() {
+func (l *loop) answerRequester(ctx context.Context) {
 	requester := l.handover.requester
 	if requester == nil {
 		return
 	}
 	l.handover.requester = nil
-	if l.handOver(requester) {
+	if l.handOver(ctx, requester) {
 		l.pool.DisableKeepAlives()
 		l.handover.endOwnerTasks()
 		close(l.handover.completed)
@@ -191,8 +189,9 @@
 	return -1
 }
 
-// step lets the policy decide on the batch, and executes its actions once what they need is in the journal.
-func (l *loop) step() {
+// step lets the policy decide on the batch, and executes its actions once what they need is in the journal. Calls that it starts
+// end with ctx.
+func (l *loop) step(ctx context.Context) {
 	now := clock.Now()
 	l.lastStep = now
 	if l.timerAt <= now {
@@ -208,7 +207,7 @@
 	for _, a := range actions {
 		l.execute(now, a)
 	}
-	l.commit()
+	l.commit(ctx)
 	l.endpoints.maintainStore()
 	l.metrics.Endpoints.Store(int64(l.endpoints.table.Len()))
 	l.metrics.UnavailableEndpoints.Store(int64(l.unavailableEndpoints()))
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -44,12 +44,12 @@
 		return err
 	}
 	counters := metrics.New(cfg.Policy.Classes)
-	operators, err := openAdmin(cfg, counters)
+	operators, err := openAdmin(ctx, cfg, counters)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = operators.Close() }()
-	clients, err := frontend.Listen(cfg, &counters.Reasons)
+	clients, err := frontend.Listen(ctx, cfg, &counters.Reasons)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -65,23 +65,22 @@
 	}
 	defer func() { _ = opened.Close() }()
 
-	processCtx, stop := context.WithCancel(context.Background())
+	processCtx, stop := context.WithCancel(context.WithoutCancel(ctx)) // the relay outlives the signal to end
 	defer stop()
 	ownerCtx, endOwnerTasks := context.WithCancel(processCtx)
 	defer endOwnerTasks()
 	l := &loop{cfg: cfg, dispatcher: dispatcher, journal: opened, endpoints: list, clients: clients, metrics: counters,
 		inbox: make(chan event, inboxCapacity), messages: map[string]*message{}, pool: newPool(cfg, counters), owner: acquired.Ownership,
-		handover:    handoverState{completed: make(chan struct{}), endOwnerTasks: endOwnerTasks},
-		callContext: func() (context.Context, context.CancelFunc) { return context.WithCancel(processCtx) }}
+		handover: handoverState{completed: make(chan struct{}), endOwnerTasks: endOwnerTasks}}
 	tasks := l.connect(dir, acquired, operators)
 	server := frontend.NewServer(cfg, &counters.Reasons,
 		func(s *frontend.Submission) { l.enqueue(messageArrived{s}) }, func(s *frontend.Submission) { l.enqueue(clientLeft{s}) })
 	handover.ListenForSuccessors(ownerCtx, dir, &counters.Reasons, func(link *handover.Link) { l.enqueue(successorRequested{link}) })
-	l.openEndpoints(dir)
+	l.openEndpoints(ctx, dir)
 	defer func() { l.endpoints.close() }()
 	l.openZones(dir)
 	l.handleCommands(operators)
-	l.restore(acquired.Predecessor, acquired.Offer) // clients wait to be served until this is done
+	l.restore(processCtx, acquired.Predecessor, acquired.Offer) // clients wait to be served until this is done
 
 	// All goroutines that are started here are waited for, but those that end with the connections they serve.
 	var work sync.WaitGroup
@@ -112,11 +111,11 @@
 }
 
 // openAdmin opens the admin endpoint and serves it, or returns nil where none is configured. Close ends the goroutine.
-func openAdmin(cfg *config.Config, counters *metrics.Metrics) (*admin.Server, error) {
+func openAdmin(ctx context.Context, cfg *config.Config, counters *metrics.Metrics) (*admin.Server, error) {
 	if cfg.Admin == "" {
 		return nil, nil //nolint:nilnil // a nil Server is one without an endpoint
 	}
-	operators, err := admin.Listen(cfg.Admin, counters)
+	operators, err := admin.Listen(ctx, cfg.Admin, counters)
 	if err != nil {
 		return nil, err
 	}
@@ -176,7 +175,7 @@
 		l.drainAfterHandover(ctx, server)
 	case <-ctx.Done():
 		l.metrics.Serving.Store(false)
-		l.shutDown(server)
+		l.shutDown(ctx, server)
 	}
 	return nil
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -618,7 +618,7 @@
 	if s := status(second); s != 0 {
 		t.Errorf("a copy of an undecided message was answered %d", s)
 	}
-	l.step()
+	l.step(t.Context())
 	if a, b := status(first), status(second); a != http.StatusAccepted || b != a {
 		t.Errorf("answers %d and %d", a, b)
 	}
@@ -626,14 +626,14 @@
 	for _, a := range []*frontend.Submission{late, second, first} {
 		l.accept(clientLeft{a})
 	}
-	l.step()
+	l.step(t.Context())
 	if l.messages["m"] == nil || l.journal.Get("m") == nil {
 		t.Error("a message that others were told is taken on was withdrawn")
 	}
 	alone := copyOf("n")
 	l.accept(messageArrived{alone})
 	l.accept(clientLeft{alone})
-	l.step()
+	l.step(t.Context())
 	if l.messages["n"] != nil || l.journal.Get("n") != nil {
 		t.Error("a message whose client left unanswered was kept")
 	}
@@ -648,7 +648,7 @@
 		id := fmt.Sprint("out", i)
 		gone, again := copyOf(id), copyOf(id)
 		l.accept(messageArrived{gone})
-		l.step()
+		l.step(t.Context())
 		m := l.messages[id]
 		l.journal.StartAttempt(m.Entry, "h1", clock.Now())
 		m.cancel = func() {}
@@ -676,7 +676,7 @@
 	if due := l.untilNextStep(); due != 0 {
 		t.Errorf("the module hears of it in %v", due)
 	}
-	l.step()
+	l.step(t.Context())
 	if l.timerAt != timer {
 		t.Errorf("the timer moved by %v", l.timerAt-timer)
 	}
@@ -703,15 +703,15 @@
 		}
 		first := hand("first", time.Second)
 		hand("second", 2*time.Second)
-		l.step()
+		l.step(t.Context())
 		time.Sleep(l.untilNextStep() - tick/2)
 		delete(l.messages, "first")
 		l.batch.events = append(l.batch.events, policy.Withdrawn{ID: first.Entry.ID})
-		l.step()
+		l.step(t.Context())
 		for range 3 { // as far as the timers wake the relay before the second message's time is up
 			time.Sleep(min(l.untilNextStep(), 2*time.Second-time.Since(start)))
 			if l.untilNextStep() == 0 {
-				l.step()
+				l.step(t.Context())
 			}
 		}
 		if m := l.messages["second"]; !m.ended {
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -1,6 +1,8 @@
 package relay
 
 import (
+	"context"
+
 	"slices"
 
 	"milletsail/internal/clock"
@@ -13,10 +15,10 @@
 
 // restore takes up what the journal holds, the endpoint list, and what the predecessor has in flight, where that one handed
 // over; link and offer are nil otherwise. It runs before the loop.
-func (l *loop) restore(link *handover.Link, offer *handover.Offer) {
+func (l *loop) restore(ctx context.Context, link *handover.Link, offer *handover.Offer) {
 	l.announceEndpoints()
 	if l.zones != nil && len(l.zones.pending) > 0 {
-		l.step() // an order goes on before anything is sent
+		l.step(ctx) // an order goes on before anything is sent
 	}
 	l.watcher.Version = l.endpoints.version
 	inFlight := map[string]handover.Attempt{}
@@ -43,7 +45,7 @@
 	for _, a := range inFlight {
 		l.restoreEnded(link, a)
 	}
-	l.step()
+	l.step(ctx)
 }
 
 // restoreMessage takes up a message of the journal. It removes the attempt in flight that belongs to it.
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -35,7 +35,7 @@
 func (l *loop) drainAfterHandover(ctx context.Context, server *frontend.Server) {
 	server.StartDraining()
 	_ = l.clients.Close()
-	end, cancel := context.WithCancel(context.Background())
+	end, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	defer context.AfterFunc(ctx, func() {
 		if clock.Sleep(end, finishCallsPhase) {
@@ -47,12 +47,12 @@
 			break
 		}
 	}
-	l.closeConnections(server, clock.Now().Add(responseWriteTimeout))
+	l.closeConnections(ctx, server, clock.Now().Add(responseWriteTimeout))
 }
 
 // shutDown shuts a relay down gracefully. No request that was read goes unanswered: responses close their connections, and those
 // that stay unused are closed last.
-func (l *loop) shutDown(server *frontend.Server) {
+func (l *loop) shutDown(ctx context.Context, server *frontend.Server) {
 	started := clock.Now()
 	until := func(phase time.Duration) time.Duration { return clock.Until(started.Add(phase)) }
 	server.StartDraining()
@@ -65,13 +65,13 @@
 	for until(finishCallsPhase) > 0 && l.isBusy() {
 		time.Sleep(idlePollInterval)
 	}
-	l.closeConnections(server, started.Add(exitDeadline))
+	l.closeConnections(ctx, server, started.Add(exitDeadline))
 }
 
 // closeConnections closes the clients' connections: those that are idle at once, the others once the responses that are being
 // written are out. It waits until the clients have read these, or for a deadline.
-func (l *loop) closeConnections(server *frontend.Server, deadline instant.Time) {
-	ctx, cancel := context.WithTimeout(context.Background(), responseWriteTimeout)
+func (l *loop) closeConnections(ctx context.Context, server *frontend.Server, deadline instant.Time) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), responseWriteTimeout) // the signal to end has come
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		slog.Warn("connections not closed in time", "error", err)
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -69,10 +69,10 @@
 			m := &message{Entry: &journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left)}}
 			l.messages["m"] = m
 			kept.Accept(m.Entry)
-			l.commit()
+			l.commit(t.Context())
 			disk.full.Store(true)
 			l.endUndelivered(m, frontend.Response{}, notifier.StatusDeferred, policy.ReasonNoTimeLeft)
-			l.commit()
+			l.commit(t.Context())
 			if len(queue) != c.before {
 				t.Errorf("%d notices while nothing can be written, want %d", len(queue), c.before)
 			}
