--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -16,18 +16,18 @@
 )
 
 // slowPost begins to hand a message in; the rest goes when finish is called, which gives the answer.
-func slowPost(t *testing.T, p *platform, id string) (c net.Conn, finish func() (*http.Response, error)) {
+func slowPost(t *testing.T, p *platform, id string) (c net.Conn, finish func() (answer, error)) {
 	t.Helper()
-	c, err := net.Dial("tcp", p.addr)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	_, _ = io.WriteString(c, "POST /status HTTP/1.1\r\nHost: relay\r\nTenant: acme\r\nX-Envelope: dest=7\r\n"+
 		"Request-Timeout: 25\r\nRequest-Id: "+id+"\r\nContent-Length: 2\r\nX-Slow: ")
-	return c, func() (*http.Response, error) {
+	return c, func() (answer, error) {
 		_, _ = io.WriteString(c, "\r\n\r\nhi")
-		return http.ReadResponse(bufio.NewReader(c), nil)
+		return nextAnswer(bufio.NewReader(c))
 	}
 }
 
@@ -43,11 +43,11 @@
 			if i%16 == 0 { // it writes on, as slow clients do: on a busy machine the crowd takes longer than patience
 				_, _ = io.WriteString(slow, "x")
 			}
-			c, err := net.Dial("tcp", p.addr)
+			c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 		}
 		c := p.keep()
 		if resp := c.handIn(t, "status", "new"+c.LocalAddr().String()); resp.StatusCode != http.StatusAccepted {
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	p.until("no new connection is taken", func() bool {
-		c, err := net.Dial("tcp", p.addr)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.addr)
 		if err == nil {
 			_ = c.Close()
 		}
@@ -92,11 +92,11 @@
 	p.sockets, p.limited, p.down, p.admin = 96, true, true, closedAddress(t)
 	p.start()
 	for range 3 * p.sockets {
-		c, err := net.Dial("tcp", p.addr)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		p.take("status", id, "20")
@@ -134,9 +134,9 @@
 	}
 	p.until("it drains", func() bool {
 		c := p.keep()
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		_, _ = io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: relay\r\n\r\n")
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		resp, err := nextAnswer(bufio.NewReader(c))
 		return err == nil && resp.Close
 	})
 	fresh, opened := p.keep(), time.Now() // it sends nothing, and must not hold up the end
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -29,6 +29,7 @@
 }
 
 func testDrainedHost(t *testing.T, mode string) {
+	t.Helper()
 	p := newPlatform(t)
 	p.mode = mode
 	old := p.addHost("h1", 7)
--- a/internal/relay/endings_test.go
+++ b/internal/relay/endings_test.go
@@ -54,7 +54,9 @@
 			if first {
 				p.began <- id
 				<-reset
-				_ = c.(*net.TCPConn).SetLinger(0)
+				if tcp, ok := c.(*net.TCPConn); ok {
+					_ = tcp.SetLinger(0)
+				}
 				return
 			}
 			repeats <- time.Now()
@@ -164,12 +166,8 @@
 		t.Fatal(err)
 	}
 	p.until("it drains", func() bool {
-		resp, err := http.Get("http://" + p.addr + "/_health")
-		if err != nil {
-			return false
-		}
-		_ = resp.Body.Close()
-		return resp.Close
+		resp, err := p.health()
+		return err == nil && resp.Close
 	})
 }
 
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -24,12 +25,16 @@
 // inherits has the platform hold the clients' socket.
 func (p *platform) inherits() {
 	p.t.Helper()
-	l, err := net.Listen("tcp", p.addr)
+	l, err := (&net.ListenConfig{}).Listen(p.t.Context(), "tcp", p.addr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	defer l.Close()
-	if p.shared, err = l.(*net.TCPListener).File(); err != nil {
+	defer func() { _ = l.Close() }()
+	tcp, ok := l.(*net.TCPListener)
+	if !ok {
+		p.t.Fatalf("a listener of type %T", l)
+	}
+	if p.shared, err = tcp.File(); err != nil {
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { _ = p.shared.Close() })
@@ -41,11 +46,11 @@
 	p.admin = closedAddress(p.t)
 	c := p.start()
 	p.until("the new process takes clients", func() bool {
-		conn, err := net.Dial("tcp", p.admin)
+		conn, err := (&net.Dialer{}).DialContext(p.t.Context(), "tcp", p.admin)
 		if err != nil {
 			return false
 		}
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 		_, _ = io.WriteString(conn, "health\n")
 		reply, _ := io.ReadAll(conn)
 		return string(reply) == "OK\n"
@@ -61,7 +66,7 @@
 
 func (p *platform) keep() *keptConn {
 	p.t.Helper()
-	c, err := net.Dial("tcp", p.addr)
+	c, err := (&net.Dialer{}).DialContext(p.t.Context(), "tcp", p.addr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -70,11 +75,11 @@
 }
 
 // handIn hands a message in and gives the answer.
-func (c *keptConn) handIn(t *testing.T, class, id string) *http.Response {
+func (c *keptConn) handIn(t *testing.T, class, id string) answer {
 	t.Helper()
 	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: relay\r\nTenant: acme\r\nRequest-Id: %s\r\nIdempotency-Key: key-%s\r\n"+
 		"Request-Timeout: 25\r\nX-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi", class, id, id)
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := nextAnswer(c.in)
 	if err != nil {
 		t.Fatalf("%s: %v", id, err)
 	}
@@ -175,7 +180,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	info, err := file.Stat()
 	if err != nil {
 		t.Fatal(err)
@@ -297,7 +302,7 @@
 		}},
 	}
 	for _, s := range steps {
-		c, err := net.Dial("unix", filepath.Join(p.dir, "handover"))
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "unix", filepath.Join(p.dir, "handover"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -377,7 +382,7 @@
 			j := openTestJournal(t, p.dir, 3)
 			j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 			commit(t, j)
-			c := exec.Command(os.Args[0])
+			c := exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0])
 			c.Env = append(os.Environ(), childDies+"="+step, childState+"="+p.dir)
 			out, err := c.StdoutPipe()
 			if err != nil {
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -24,24 +24,24 @@
 )
 
 // listLoop gives a loop that has its journal and its list in a folder, as Run makes it, and is not run.
-func listLoop(t testing.TB, dir string, diskMB float64) *loop {
-	t.Helper()
+func listLoop(tb testing.TB, dir string, diskMB float64) *loop {
+	tb.Helper()
 	cfg := &config.Config{Limits: config.Limits{DiskMB: diskMB}, Settings: settings.Settings{Shapes: []string{"m2"}, Localities: []string{"a"}}}
 	list := &endpointList{settings: &cfg.Settings}
 	cfg.Policy = policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, Directory: list,
 		Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}
 	d, err := policy.New(cfg.Policy, 1)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	kept, _, err := journal.Open(dir, journal.Options{DiskMB: (1 - listShare) * diskMB})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	l := &loop{cfg: cfg, dispatcher: d, endpoints: list, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: kept, messages: map[string]*message{},
 		pool: upstream.NewPool(time.Second, time.Second, 10, nil)}
-	l.openEndpoints(t.Context(), dir)
-	t.Cleanup(func() {
+	l.openEndpoints(tb.Context(), dir)
+	tb.Cleanup(func() {
 		l.endpoints.close()
 		_ = kept.Close()
 	})
@@ -49,39 +49,39 @@
 }
 
 // object has the loop take in an object of discovery's, in batches, to the end.
-func (l *loop) object(t testing.TB, m Members) {
-	t.Helper()
+func (l *loop) object(tb testing.TB, m Members) {
+	tb.Helper()
 	text, err := json.Marshal(m)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	version := deliverObjects(t, text, func(b discovery.Batch) {
+	version := deliverObjects(tb, text, func(b discovery.Batch) {
 		l.accept(batchReceived{b})
-		for l.step(t.Context()); l.endpoints.sweeping != nil; {
-			l.step(t.Context())
+		for l.step(tb.Context()); l.endpoints.sweeping != nil; {
+			l.step(tb.Context())
 		}
 	})
 	if version != m.Seq {
-		t.Fatalf("version %d of the list was not applied", m.Seq)
+		tb.Fatalf("version %d of the list was not applied", m.Seq)
 	}
 }
 
 // deliverObjects hands on the batches of discovery's objects as a watch does, each once the one before is applied, and gives
 // the version of the last object.
-func deliverObjects(t testing.TB, text []byte, take func(discovery.Batch)) (version int64) {
-	t.Helper()
+func deliverObjects(tb testing.TB, text []byte, take func(discovery.Batch)) (version int64) {
+	tb.Helper()
 	for reader := endpoints.NewReader(bytes.NewReader(text)); ; {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return version
 		}
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		b := discovery.Batch{Batch: batch, Applied: make(chan struct{})}
 		take(b)
 		if !applied(b) {
-			t.Fatalf("a batch of version %d was not applied", batch.Seq)
+			tb.Fatalf("a batch of version %d was not applied", batch.Seq)
 		}
 		if batch.End {
 			version = batch.Seq
@@ -90,8 +90,8 @@
 }
 
 // folderSize is the size of all files in a folder.
-func folderSize(t testing.TB, dir string) (size int64) {
-	t.Helper()
+func folderSize(tb testing.TB, dir string) (size int64) {
+	tb.Helper()
 	err := filepath.WalkDir(dir, func(_ string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
 			return err
@@ -103,7 +103,7 @@
 		return err
 	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return size
 }
--- a/internal/relay/list_platform_test.go
+++ b/internal/relay/list_platform_test.go
@@ -26,7 +26,7 @@
 // send writes a piece of the answer.
 func (a *watchAnswer) send(text string) {
 	_, _ = io.WriteString(a.rw, text)
-	a.rw.(http.Flusher).Flush()
+	_ = http.NewResponseController(a.rw).Flush()
 }
 
 // keepAlive tells that nothing changes until the relay leaves.
@@ -67,11 +67,11 @@
 }
 
 // wholeList is a whole list as discovery writes it.
-func wholeList(t testing.TB, seq int64, hosts []Member) string {
-	t.Helper()
+func wholeList(tb testing.TB, seq int64, hosts []Member) string {
+	tb.Helper()
 	text, err := json.Marshal(Members{Seq: seq, Whole: true, Hosts: hosts})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return string(text) + "\n"
 }
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -75,18 +75,18 @@
 const draining = endpoints.Draining
 
 // storedList gives the list that a relay has on disk, and its version; the relay may run.
-func storedList(t testing.TB, dir string) (hosts []Member, seq int64) {
-	t.Helper()
-	folder := t.TempDir()
+func storedList(tb testing.TB, dir string) (hosts []Member, seq int64) {
+	tb.Helper()
+	folder := tb.TempDir()
 	if err := os.CopyFS(folder, os.DirFS(filepath.Join(dir, listFolder))); err != nil && !errors.Is(err, os.ErrNotExist) {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	store, table, seq, _, err := endpoints.Open(folder, math.MaxInt64)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if err := store.Close(); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	all, _, _ := table.All(0, math.MaxInt)
 	return slices.Collect(all), seq
@@ -144,19 +144,19 @@
 	released chan bool   // closed at the end
 }
 
-func newPlatform(t testing.TB) *platform {
-	t.Helper()
-	p := &platform{t: t, dir: t.TempDir(), memory: 15, sockets: 1024, disk: 3, bundle: 1, mode: "subscribe", began: make(chan string, 1000), lines: make(chan string, 10),
+func newPlatform(tb testing.TB) *platform {
+	tb.Helper()
+	p := &platform{t: tb, dir: tb.TempDir(), memory: 15, sockets: 1024, disk: 3, bundle: 1, mode: "subscribe", began: make(chan string, 1000), lines: make(chan string, 10),
 		released: make(chan bool), answer: func(*http.Request) int { return http.StatusOK }}
 	p.discovery = httptest.NewServer(http.HandlerFunc(p.serveDiscovery))
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		close(p.released)
 		p.discovery.CloseClientConnections()
 		p.discovery.Close()
 	})
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := (&net.ListenConfig{}).Listen(tb.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	p.addr = l.Addr().String()
 	_ = l.Close()
@@ -250,7 +250,7 @@
 	p.mu.Unlock()
 	defer p.mu.Lock()
 	for {
-		w.(http.Flusher).Flush()
+		_ = http.NewResponseController(w).Flush()
 		select {
 		case <-r.Context().Done():
 			return
@@ -303,7 +303,7 @@
 // start starts a relay and waits until it is ready.
 func (p *platform) start() *child {
 	p.t.Helper()
-	c := &child{Cmd: exec.Command(os.Args[0]), exited: make(chan error, 1), config: p.config()}
+	c := &child{Cmd: exec.CommandContext(context.WithoutCancel(p.t.Context()), os.Args[0]), exited: make(chan error, 1), config: p.config()}
 	c.Env = append(os.Environ(), childConfig+"="+c.config, childState+"="+p.dir)
 	if p.limited {
 		c.Env = append(c.Env, fmt.Sprint(childFiles, "=", p.sockets))
@@ -317,14 +317,7 @@
 	}
 	go func() { c.exited <- c.Wait() }()
 	p.t.Cleanup(func() { _ = c.Process.Kill() })
-	p.until("the relay is ready", func() bool {
-		resp, err := http.Get("http://" + p.addr + "/_health")
-		if err != nil {
-			return false
-		}
-		_ = resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
-	})
+	p.untilReady()
 	return c
 }
 
@@ -334,7 +327,7 @@
 	if err := c.Process.Kill(); err != nil {
 		p.t.Fatal(err)
 	}
-	<-c.exited
+	<-c.exited //nolint:errcheck // it was killed
 }
 
 // until waits for something to come true; how long that takes decides nothing.
@@ -372,9 +365,9 @@
 }
 
 // handIn hands a message in and returns the answer.
-func (p *platform) handIn(class, id, timeout string, change ...func(*http.Request)) *http.Response {
+func (p *platform) handIn(class, id, timeout string, change ...func(*http.Request)) answer {
 	p.t.Helper()
-	r, err := http.NewRequest(http.MethodPost, "http://"+p.addr+"/"+class, strings.NewReader("body of "+id))
+	r, err := http.NewRequestWithContext(p.t.Context(), http.MethodPost, "http://"+p.addr+"/"+class, strings.NewReader("body of "+id))
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -386,11 +379,10 @@
 	for _, c := range change {
 		c(r)
 	}
-	resp, err := http.DefaultClient.Do(r)
+	resp, err := do(r)
 	if err != nil {
 		p.t.Fatalf("%s: %v", id, err)
 	}
-	_ = resp.Body.Close()
 	return resp
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -52,20 +52,20 @@
 }
 
 // openTestJournal opens a journal of the test's own.
-func openTestJournal(t testing.TB, dir string, mb float64) *journal.Journal {
-	t.Helper()
+func openTestJournal(tb testing.TB, dir string, mb float64) *journal.Journal {
+	tb.Helper()
 	j, _, err := journal.Open(dir, journal.Options{DiskMB: mb})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { _ = j.Close() })
+	tb.Cleanup(func() { _ = j.Close() })
 	return j
 }
 
-func commit(t testing.TB, j *journal.Journal) {
-	t.Helper()
+func commit(tb testing.TB, j *journal.Journal) {
+	tb.Helper()
 	if err := j.Commit(); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
@@ -265,7 +265,7 @@
 			if err := c.Process.Signal(tt.signal); err != nil {
 				t.Fatal(err)
 			}
-			receive(t, c.exited)
+			_ = receive(t, c.exited)
 			time.Sleep(tt.wait)
 			var again time.Duration
 			p.set(func() {
@@ -449,11 +449,11 @@
 	j := openTestJournal(t, p.dir, 3)
 	j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 	commit(t, j)
-	taken, err := net.Listen("tcp", p.addr)
+	taken, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer func() { _ = taken.Close() }()
 	cfg, err := config.Read(p.config())
 	if err != nil {
 		t.Fatal(err)
@@ -467,9 +467,9 @@
 }
 
 // closedAddress is an address at which connections are refused.
-func closedAddress(t testing.TB) string {
-	t.Helper()
-	p := newPlatform(t)
+func closedAddress(tb testing.TB) string {
+	tb.Helper()
+	p := newPlatform(tb)
 	return p.addr
 }
 
@@ -558,11 +558,11 @@
 	}
 	var conns []net.Conn
 	for _, tt := range tests {
-		c, err := net.Dial("tcp", p.addr)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		if err := c.SetDeadline(time.Now().Add(long)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/wire_admin_test.go
+++ b/internal/relay/wire_admin_test.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"context"
 	"encoding/binary"
 	"encoding/hex"
 	"encoding/json"
@@ -28,20 +29,20 @@
 )
 
 // askOperator sends an operator's line and gives the whole reply.
-func askOperator(t testing.TB, addr, line string) string {
-	t.Helper()
-	conn, err := net.Dial("tcp", addr)
+func askOperator(tb testing.TB, addr, line string) string {
+	tb.Helper()
+	conn, err := (&net.Dialer{}).DialContext(tb.Context(), "tcp", addr)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(long))
 	if _, err := io.WriteString(conn, line); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	reply, err := io.ReadAll(conn)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return string(reply)
 }
@@ -59,8 +60,12 @@
 	if err := json.Unmarshal(text, &top); err != nil {
 		p.t.Fatal(err)
 	}
-	settings := top["settings"].(map[string]any)
-	change(top, settings, settings["limits"].(map[string]any))
+	settings, isObject := top["settings"].(map[string]any)
+	limits, hasLimits := settings["limits"].(map[string]any)
+	if !isObject || !hasLimits {
+		p.t.Fatalf("settings %v", top["settings"])
+	}
+	change(top, settings, limits)
 	if text, err = json.Marshal(top); err != nil {
 		p.t.Fatal(err)
 	}
@@ -73,7 +78,7 @@
 // startWith starts a relay with a configuration file in a process of its own, and waits until it is ready.
 func (p *platform) startWith(path string) {
 	p.t.Helper()
-	relay := exec.Command(os.Args[0])
+	relay := exec.CommandContext(context.WithoutCancel(p.t.Context()), os.Args[0])
 	relay.Env = append(os.Environ(), childConfig+"="+path, childState+"="+p.dir)
 	if err := relay.Start(); err != nil {
 		p.t.Fatal(err)
@@ -89,12 +94,8 @@
 func (p *platform) untilReady() {
 	p.t.Helper()
 	p.until("the relay is ready", func() bool {
-		resp, err := http.Get("http://" + p.addr + "/_health")
-		if err != nil {
-			return false
-		}
-		_ = resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
+		resp, err := p.health()
+		return err == nil && resp.StatusCode == http.StatusOK
 	})
 }
 
@@ -112,13 +113,13 @@
 }
 
 // listenUDP opens a socket for notes.
-func listenUDP(t testing.TB) *net.UDPConn {
-	t.Helper()
+func listenUDP(tb testing.TB) *net.UDPConn {
+	tb.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() })
+	tb.Cleanup(func() { _ = conn.Close() })
 	return conn
 }
 
--- a/internal/relay/wire_handover_test.go
+++ b/internal/relay/wire_handover_test.go
@@ -81,13 +81,13 @@
 
 // join joins a new process with the old one.
 func (p *handoverProxy) join(newer net.Conn) {
-	defer newer.Close()
-	old, err := net.Dial("unix", p.path)
+	defer func() { _ = newer.Close() }()
+	old, err := (&net.Dialer{}).DialContext(p.t.Context(), "unix", p.path)
 	if err != nil {
 		p.t.Error(err)
 		return
 	}
-	defer old.Close()
+	defer func() { _ = old.Close() }()
 	var both sync.WaitGroup
 	both.Go(func() { p.pass("new", newer, old) })
 	both.Go(func() { p.pass("old", old, newer) })
@@ -100,7 +100,9 @@
 	for {
 		text, err := in.ReadString('\n')
 		if err != nil {
-			_ = sink.(*net.UnixConn).CloseWrite()
+			if half, ok := sink.(*net.UnixConn); ok {
+				_ = half.CloseWrite()
+			}
 			return
 		}
 		line := handoverLine{from: from, kind: handoverKind.FindString(text), text: text}
@@ -149,7 +151,7 @@
 
 // connect opens a client's connection, and has the old process answer on it, so that it is that one's.
 func (s *handoverScript) connect(id string) {
-	conn, err := net.Dial("tcp", s.p.addr)
+	conn, err := (&net.Dialer{}).DialContext(s.p.t.Context(), "tcp", s.p.addr)
 	if err != nil {
 		s.p.t.Error(err)
 		return
@@ -257,6 +259,7 @@
 // It answers other calls with 200 at once, or, where it holds all, not at all: a call that began later and has ended
 // would have the relay call off those that are out.
 func holdingHost(t *testing.T, holdsAll bool) (host *recorder, release map[string]chan bool) {
+	t.Helper()
 	release = map[string]chan bool{"silent": make(chan bool)}
 	answers := map[string]string{}
 	for _, call := range callsOut {
@@ -382,11 +385,11 @@
 // askHandover asks the process that owns a folder for it, and gives its offer, which it does not take up.
 func askHandover(t *testing.T, dir string) string {
 	t.Helper()
-	conn, err := net.Dial("unix", filepath.Join(dir, "handover"))
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "unix", filepath.Join(dir, "handover"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(long))
 	if _, err := io.WriteString(conn, `{"step":"ask"}`+"\n"); err != nil {
 		t.Fatal(err)
--- a/internal/relay/wire_http_test.go
+++ b/internal/relay/wire_http_test.go
@@ -63,7 +63,7 @@
 // serveRaw has each connection to an address served, and closed at the end of that.
 func serveRaw(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 				return
 			}
 			go func() {
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				serve(conn)
 			}()
 		}
@@ -181,11 +181,11 @@
 // exchangeRaw sends a request on a connection of its own and gives the whole answer, byte for byte.
 func (p *platform) exchangeRaw(request string) string {
 	p.t.Helper()
-	conn, err := net.Dial("tcp", p.addr)
+	conn, err := (&net.Dialer{}).DialContext(p.t.Context(), "tcp", p.addr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(long))
 	if _, err := io.WriteString(conn, request); err != nil {
 		p.t.Fatal(err)
@@ -194,15 +194,16 @@
 }
 
 // readAnswer reads one answer, byte for byte.
-func readAnswer(t testing.TB, conn net.Conn) string {
-	t.Helper()
+func readAnswer(tb testing.TB, conn net.Conn) string {
+	tb.Helper()
 	var raw bytes.Buffer
 	resp, err := http.ReadResponse(bufio.NewReader(io.TeeReader(conn, &raw)), nil)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
+	defer func() { _ = resp.Body.Close() }()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return raw.String()
 }
