--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -165,7 +165,7 @@
 				return
 			}
 			canceled = true
-			claim.Take()
+			claim.Acquire()
 			if waiting--; waiting == 0 {
 				cancel()
 			}
--- a/internal/relay/admin/server.go
+++ b/internal/relay/admin/server.go
@@ -176,8 +176,8 @@
 	case "counters":
 		return append(s.metrics.Text(), "END\n"...)
 	}
-	word, arguments, _ := strings.Cut(command, " ")
-	if value, ok := s.handlers.Load(word); ok {
+	name, arguments, _ := strings.Cut(command, " ")
+	if value, ok := s.handlers.Load(name); ok {
 		if handler, ok := value.(Handler); ok {
 			return []byte(handler(arguments) + "\n")
 		}
--- a/internal/relay/admincommands.go
+++ b/internal/relay/admincommands.go
@@ -11,8 +11,8 @@
 	reply  chan string // has capacity for one
 }
 
-// askLoop has the loop answer an operator's command; for goroutines of the admin endpoint.
-func (l *loop) askLoop(answer func() string) string {
+// queryLoop has the loop answer an operator's command; for goroutines of the admin endpoint.
+func (l *loop) queryLoop(answer func() string) string {
 	c := adminCommand{answer, make(chan string, 1)}
 	timer := time.NewTimer(adminLoopTimeout)
 	defer timer.Stop()
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -18,57 +18,57 @@
 )
 
 // completeAttempt takes in the end of a call for a message.
-func (l *loop) completeAttempt(e attemptEnded) {
-	m := l.messages[e.id] // stays as long as a call is in flight
-	m.cancel = nil
-	if e.Outcome != policy.OK {
-		l.metrics.Reasons.Increment(failedAttempts, e.Outcome)
-		slog.Info("attempt failed", "request_id", e.id, "destination", m.Dest, "endpoint", e.endpoint, "attempt", e.attempt,
-			"outcome", e.Outcome, "latency", e.latency, "retry_after", e.RetryAfter)
+func (l *loop) completeAttempt(attempt attemptEnded) {
+	msg := l.messages[attempt.id] // stays as long as a call is in flight
+	msg.cancel = nil
+	if attempt.Outcome != policy.OK {
+		l.metrics.Reasons.Increment(failedAttempts, attempt.Outcome)
+		slog.Info("attempt failed", "request_id", attempt.id, "destination", msg.Dest, "endpoint", attempt.endpoint, "attempt", attempt.attempt,
+			"outcome", attempt.Outcome, "latency", attempt.latency, "retry_after", attempt.RetryAfter)
 	}
-	l.observeFailure(e)
-	if l.journal.Get(m.ID) == m.Entry {
-		l.journal.EndAttempt(m.Entry, e.Outcome.ProvesNotExecuted())
+	l.observeFailure(attempt)
+	if l.journal.Get(msg.ID) == msg.Entry {
+		l.journal.EndAttempt(msg.Entry, attempt.Outcome.ProvesNotExecuted())
 	}
-	if e.Outcome == policy.NotStarted { // no attempt was made; until the next segment a later process takes it for one not executed
-		m.Attempts = m.Attempts[:e.attempt]
+	if attempt.Outcome == policy.NotStarted { // no attempt was made; until the next segment a later process takes it for one not executed
+		msg.Attempts = msg.Attempts[:attempt.attempt]
 	}
-	l.batch.events = append(l.batch.events, policy.AttemptEnded{ID: e.id, Endpoint: e.endpoint, Attempt: e.attempt, Outcome: e.Outcome,
-		RetryAfter: e.RetryAfter, Latency: e.latency, Completed: e.Completed, AttemptsExhausted: e.AttemptsExhausted, LoadReport: e.LoadReport})
-	if !m.ended && e.Outcome == policy.OK {
-		l.metrics.CountResult(l.classIndex(m.Class), metrics.Completed)
-	} else if !m.ended && e.Completed { // its end came without this relay
-		l.metrics.CountResult(l.classIndex(m.Class), metrics.Failed)
+	l.batch.events = append(l.batch.events, policy.AttemptEnded{ID: attempt.id, Endpoint: attempt.endpoint, Attempt: attempt.attempt, Outcome: attempt.Outcome,
+		RetryAfter: attempt.RetryAfter, Latency: attempt.latency, Completed: attempt.Completed, AttemptsExhausted: attempt.AttemptsExhausted, LoadReport: attempt.LoadReport})
+	if !msg.ended && attempt.Outcome == policy.OK {
+		l.metrics.CountResult(l.classIndex(msg.Class), metrics.Completed)
+	} else if !msg.ended && attempt.Completed { // its end came without this relay
+		l.metrics.CountResult(l.classIndex(msg.Class), metrics.Failed)
 	}
-	if e.Completed || m.ended && m.PendingNotification == nil {
-		l.complete(m)
+	if attempt.Completed || msg.ended && msg.PendingNotification == nil {
+		l.complete(msg)
 	}
 }
 
 // endUndelivered ends a message that is not delivered: by a response if it has none yet, else by a notification.
-func (l *loop) endUndelivered(m *message, response frontend.Response, status string, reason policy.Reason) {
-	if m == nil || m.ended {
+func (l *loop) endUndelivered(msg *message, response frontend.Response, status string, reason policy.Reason) {
+	if msg == nil || msg.ended {
 		return
 	}
-	slog.Info("message not delivered", "request_id", m.ID, "destination", m.Dest, "class", m.Class, "status", status, "reason", reason,
-		"attempts", len(m.Attempts), "accepted", m.responses == nil, "time_left", clock.Until(m.ExpiresAt), "retry_after", response.RetryAfter)
+	slog.Info("message not delivered", "request_id", msg.ID, "destination", msg.Dest, "class", msg.Class, "status", status, "reason", reason,
+		"attempts", len(msg.Attempts), "accepted", msg.responses == nil, "time_left", clock.Until(msg.ExpiresAt), "retry_after", response.RetryAfter)
 	l.metrics.Reasons.Increment(undeliveredMessages, reason)
 	result := metrics.Failed
 	if status == notifier.StatusDeferred {
 		result = metrics.Rejected
 	}
-	l.metrics.CountResult(l.classIndex(m.Class), result)
-	if responses := m.responses; responses != nil {
-		m.responses = nil
+	l.metrics.CountResult(l.classIndex(msg.Class), result)
+	if responses := msg.responses; responses != nil {
+		msg.responses = nil
 		l.batch.afterCommit = append(l.batch.afterCommit, func() { respondAll(responses, response) })
-		l.complete(m)
+		l.complete(msg)
 		return
 	}
-	m.ended = true
-	l.countEnded(m)
-	notification := journal.Notification{ID: m.ID, Status: status, RetryAfterMS: response.RetryAfter.Milliseconds()}
-	l.journal.RecordPendingNotification(m.Entry, notification)
-	l.unrecordedNotifications = append(l.unrecordedNotifications, unrecordedNotification{notification, m.ExpiresAt})
+	msg.ended = true
+	l.countEnded(msg)
+	notification := journal.Notification{ID: msg.ID, Status: status, RetryAfterMS: response.RetryAfter.Milliseconds()}
+	l.journal.RecordPendingNotification(msg.Entry, notification)
+	l.unrecordedNotifications = append(l.unrecordedNotifications, unrecordedNotification{notification, msg.ExpiresAt})
 }
 
 // respondAll gives all that submitted a message the same response.
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -94,9 +94,9 @@
 	// durabilityVariable is that of Durability.
 	durabilityVariable = "NODE_DURABILITY"
 	// fleetVariable is "on" or "off", as the next two are.
-	fleetVariable     = "NODE_FLEET"
-	zonesVariable     = "NODE_ZONES"
-	newcomersVariable = "NODE_NEWCOMERS"
+	fleetVariable  = "NODE_FLEET"
+	zonesVariable  = "NODE_ZONES"
+	canaryVariable = "NODE_NEWCOMERS"
 )
 
 // Read reads and checks a configuration file, and the environment.
@@ -106,23 +106,23 @@
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	defer func() { _ = file.Close() }()
-	c := &Config{KnownEndpoints: EndpointSource{Path: path}}
-	err = decode(file, c, func(b endpoints.Batch) error {
+	config := &Config{KnownEndpoints: EndpointSource{Path: path}}
+	err = decode(file, config, func(b endpoints.Batch) error {
 		if b.End {
-			c.KnownEndpoints.Version = b.Seq
+			config.KnownEndpoints.Version = b.Seq
 		}
 		return nil
 	})
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if err := c.applyEnvironment(); err != nil {
+	if err := config.applyEnvironment(); err != nil {
 		return nil, err
 	}
-	if err := c.validate(); err != nil {
+	if err := config.validate(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	return c, nil
+	return config, nil
 }
 
 // ReadAtStart is Read for a process that starts: a file system that fails for a moment refuses no start.
@@ -135,15 +135,15 @@
 }
 
 // applyEnvironment takes over what environment variables say.
-func (c *Config) applyEnvironment() error {
+func (config *Config) applyEnvironment() error {
 	if admin := os.Getenv(adminVariable); admin != "" {
-		c.Admin = admin
+		config.Admin = admin
 	}
-	c.InheritedSocket = os.Getenv(socketVariable)
+	config.InheritedSocket = os.Getenv(socketVariable)
 	if durability := os.Getenv(durabilityVariable); durability != "" {
-		c.Durability = durability
+		config.Durability = durability
 	}
-	for name, on := range map[string]*bool{fleetVariable: &c.Fleet, zonesVariable: &c.Zones, newcomersVariable: &c.CanaryAnalysis} {
+	for name, on := range map[string]*bool{fleetVariable: &config.Fleet, zonesVariable: &config.Zones, canaryVariable: &config.CanaryAnalysis} {
 		switch value := os.Getenv(name); value {
 		case "":
 		case "on", "off":
--- a/internal/relay/config/endpoints.go
+++ b/internal/relay/config/endpoints.go
@@ -59,11 +59,11 @@
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return errors.New("invalid: there is more behind the JSON object")
 	}
-	rest, err := json.Marshal(fields)
+	remaining, err := json.Marshal(fields)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(rest, c)
+	return json.Unmarshal(remaining, c)
 }
 
 // decodeField decodes a field of a configuration: the list in batches, any other as it stands.
--- a/internal/relay/discovery/timing.go
+++ b/internal/relay/discovery/timing.go
@@ -53,8 +53,8 @@
 
 // delay is how long a request waits: a fixed part, and a random one of the span of the jitter.
 type delay struct {
-	least  time.Duration
-	jitter time.Duration
+	minimum time.Duration
+	jitter  time.Duration
 }
 
 // nextDelay returns the delay of the next request, after a watch that brought some lists and ended with an error; last is
@@ -67,14 +67,14 @@
 	if resource.IsLocalFailure(err) { // there is no crowd at discovery that this relay has to make way for
 		return delay{jitter: min(w.jitter, localFailureJitter)}
 	}
-	most := maxRetryJitterAlone
+	maxSpan := maxRetryJitterAlone
 	if w.jitter > 0 {
-		most = max(maxRetryJitter, 2*w.jitter)
+		maxSpan = max(maxRetryJitter, 2*w.jitter)
 	}
 	var next delay
 	if unavailable := new(UnavailableError); errors.As(err, &unavailable) {
-		next.least = unavailable.RetryAfter
+		next.minimum = unavailable.RetryAfter
 	}
-	next.jitter = min(most, 2*last+minRetryJitter, 2*maxJitter-next.least)
+	next.jitter = min(maxSpan, 2*last+minRetryJitter, 2*maxJitter-next.minimum)
 	return next
 }
--- a/internal/relay/discovery/timing_test.go
+++ b/internal/relay/discovery/timing_test.go
@@ -227,8 +227,8 @@
 	next := delay{jitter: w.jitter}
 	for range 5 {
 		next = w.nextDelay(next.jitter, 0, &net.OpError{Op: "dial", Err: syscall.ENETUNREACH})
-		if next.jitter > localFailureJitter || next.least > 0 {
-			t.Fatalf("a span of %v behind %v", next.jitter, next.least)
+		if next.jitter > localFailureJitter || next.minimum > 0 {
+			t.Fatalf("a span of %v behind %v", next.jitter, next.minimum)
 		}
 	}
 	if next = w.nextDelay(next.jitter, 0, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}); next.jitter <= minRetryJitter {
--- a/internal/relay/discovery/watcher.go
+++ b/internal/relay/discovery/watcher.go
@@ -106,7 +106,7 @@
 		watchCtx, url := w.begin(ctx)
 		var lists int
 		var err error
-		wait := next.least + w.randomDelay(next.jitter)
+		wait := next.minimum + w.randomDelay(next.jitter)
 		if !due.IsZero() {
 			wait = min(wait, clock.Until(due))
 		}
--- a/internal/relay/endpointlist.go
+++ b/internal/relay/endpointlist.go
@@ -70,23 +70,23 @@
 }
 
 // acceptBatch applies a batch of the watch, or queues it until the list before it is applied.
-func (l *loop) acceptBatch(b discovery.Batch) {
+func (l *loop) acceptBatch(batch discovery.Batch) {
 	if l.endpoints.sweeping != nil {
-		l.endpoints.queued = append(l.endpoints.queued, b)
+		l.endpoints.queued = append(l.endpoints.queued, batch)
 		return
 	}
-	if b.First {
-		l.endpoints.begin(b.Batch)
+	if batch.First {
+		l.endpoints.begin(batch.Batch)
 	}
-	l.updateList(b.Batch)
+	l.updateList(batch.Batch)
 	switch {
-	case !b.End:
-		close(b.Applied)
-	case b.Complete && l.endpoints.replacing:
-		l.endpoints.sweeping = &b // the watch waits until the complete list is applied
+	case !batch.End:
+		close(batch.Applied)
+	case batch.Complete && l.endpoints.replacing:
+		l.endpoints.sweeping = &batch // the watch waits until the complete list is applied
 	default:
 		l.endpoints.abortReplacement()
-		l.completeList(b)
+		l.completeList(batch)
 	}
 }
 
@@ -124,30 +124,30 @@
 func (l *loop) updateList(b endpoints.Batch) {
 	var changed []policy.Endpoint
 	var restored []policy.Event
-	for _, e := range b.Entries {
-		if e.Health == endpoints.Deleted {
-			if old, listed := l.endpoints.table.Delete(e.Host); listed {
+	for _, entry := range b.Entries {
+		if entry.Health == endpoints.Deleted {
+			if old, listed := l.endpoints.table.Delete(entry.Host); listed {
 				changed = append(changed, l.dropEndpoint(old))
-				l.endpoints.persist(nil, []string{e.Host})
+				l.endpoints.persist(nil, []string{entry.Host})
 			}
 			continue
 		}
-		old, listed := l.endpoints.table.Put(e)
-		if listed && old == e {
+		old, listed := l.endpoints.table.Put(entry)
+		if listed && old == entry {
 			continue
 		}
-		l.logChange(b, e)
-		if listed && old.Dial != e.Dial {
+		l.logChange(b, entry)
+		if listed && old.Dial != entry.Dial {
 			l.pool.CloseIdle(old.Dial)
 		}
-		l.endpoints.persist([]endpoints.Entry{e}, nil)
-		if listed && old.Block != e.Block {
+		l.endpoints.persist([]endpoints.Entry{entry}, nil)
+		if listed && old.Block != entry.Block {
 			old.Health = endpoints.Deleted // at its former destination
 			changed = append(changed, l.endpoints.endpoint(old))
 		}
-		changed = append(changed, l.endpoints.endpoint(e))
+		changed = append(changed, l.endpoints.endpoint(entry))
 		if !listed {
-			restored = l.appendHealth(restored, e.Host)
+			restored = l.appendHealth(restored, entry.Host)
 		}
 	}
 	if len(changed) > 0 {
--- a/internal/relay/endpointload.go
+++ b/internal/relay/endpointload.go
@@ -60,34 +60,34 @@
 }
 
 // journalList returns the list that an earlier version kept in its journal, if it did.
-func journalList(kept journal.LegacyEndpointList) listSource {
+func journalList(stored journal.LegacyEndpointList) listSource {
 	var head struct{ Seq int64 }
-	if kept.Text == nil || json.Unmarshal(kept.Text, &head) != nil {
+	if stored.Text == nil || json.Unmarshal(stored.Text, &head) != nil {
 		return listSource{}
 	}
 	return listSource{"journal", head.Seq, func(deliver func(endpoints.Batch) error) error {
-		return endpoints.ReadObject(json.NewDecoder(bytes.NewReader(kept.Text)), deliver)
+		return endpoints.ReadObject(json.NewDecoder(bytes.NewReader(stored.Text)), deliver)
 	}}
 }
 
 // loadBatch applies a batch of a list that replaces all there is, before the loop runs.
-func (list *endpointList) loadBatch(b endpoints.Batch) error {
-	if b.First {
+func (list *endpointList) loadBatch(batch endpoints.Batch) error {
+	if batch.First {
 		list.table.BeginReplacement()
 	}
-	for _, e := range b.Entries {
+	for _, e := range batch.Entries {
 		if old, listed := list.table.Put(e); !listed || old != e {
 			list.persist([]endpoints.Entry{e}, nil)
 		}
 	}
-	if !b.End {
+	if !batch.End {
 		return nil
 	}
 	removed, _ := list.table.Sweep(math.MaxInt)
 	for _, e := range removed {
 		list.persist(nil, []string{e.Host})
 	}
-	list.commit(b.Seq)
+	list.commit(batch.Seq)
 	return nil
 }
 
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -47,8 +47,8 @@
 	successorRequested struct{ link *handover.Link }
 	// successorMessage is a message of the successor after a handover.
 	successorMessage struct{ handover.Message }
-	// successorGone says that the successor is gone.
-	successorGone struct{}
+	// successorLost says that the successor is gone.
+	successorLost struct{}
 	// idleQuery asks whether nothing is left to do.
 	idleQuery struct{ idle chan bool }
 )
@@ -104,4 +104,4 @@
 // apply does nothing: messages and the end of a successor come after a handover, and handleAfterHandover takes them.
 func (successorMessage) apply(*loop) {}
 
-func (successorGone) apply(*loop) {}
+func (successorLost) apply(*loop) {}
--- a/internal/relay/frontend/connection.go
+++ b/internal/relay/frontend/connection.go
@@ -50,8 +50,8 @@
 
 // Read notes that the client is active. What crosses the relay's close is not read as a request.
 func (c *Connection) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	if n > 0 {
+	count, err := c.Conn.Read(b)
+	if count > 0 {
 		c.limiter.mu.Lock()
 		defer c.limiter.mu.Unlock()
 		if c.closed {
@@ -65,7 +65,7 @@
 			_ = c.Conn.SetReadDeadline(clock.Deadline(min(c.acceptedAt.Add(ReadTimeout), c.lastActive.Add(stallTimeout))))
 		}
 	}
-	return n, err
+	return count, err
 }
 
 // SetReadDeadline is how net/http bounds the time to read a request.
--- a/internal/relay/frontend/limiter.go
+++ b/internal/relay/frontend/limiter.go
@@ -75,8 +75,8 @@
 // capacityFor is how many client connections fit beside what else needs descriptors, the calls of all slots and another
 // process in a handover included, but no fewer than the platform lets clients use.
 func capacityFor(sockets, slots int) int {
-	rest := sockets - int(UpstreamShare*float64(sockets)) - slots - 2*fixedDescriptors
-	return max(1, sockets/guaranteedClientDivisor, min(int(clientShare*float64(sockets)), rest))
+	remaining := sockets - int(UpstreamShare*float64(sockets)) - slots - 2*fixedDescriptors
+	return max(1, sockets/guaranteedClientDivisor, min(int(clientShare*float64(sockets)), remaining))
 }
 
 // openSocket opens the configured socket.
@@ -110,7 +110,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.full() && !l.closed {
-		if l.makeRoom() {
+		if l.evictOrWait() {
 			break
 		}
 	}
@@ -123,8 +123,8 @@
 	return len(l.connections) >= max(l.capacity-l.reserved, int(minShareInHandover*float64(l.capacity)), 1)
 }
 
-// makeRoom evicts a connection, or reports false once something has changed. The caller holds the lock.
-func (l *ConnectionLimiter) makeRoom() bool {
+// evictOrWait evicts a connection, or reports false once something has changed. The caller holds the lock.
+func (l *ConnectionLimiter) evictOrWait() bool {
 	candidate := l.evictionCandidate(clock.Now())
 	if candidate == nil {
 		// None may be evicted now: one that is silent may in a moment.
--- a/internal/relay/frontend/server.go
+++ b/internal/relay/frontend/server.go
@@ -48,20 +48,20 @@
 // NewServer returns a server that hands each message to submit, and again to withdraw where its client leaves before the
 // response. Both may block, and are called by many goroutines.
 func NewServer(c *config.Config, reasons *metrics.ReasonCounters, submit, withdraw func(*Submission)) *Server {
-	s := &Server{reasons: reasons, classes: map[string]*policy.Class{}, tenants: map[string]bool{}, submit: submit, withdraw: withdraw}
+	server := &Server{reasons: reasons, classes: map[string]*policy.Class{}, tenants: map[string]bool{}, submit: submit, withdraw: withdraw}
 	for i := range c.Policy.Classes {
-		s.classes[c.Policy.Classes[i].Name] = &c.Policy.Classes[i]
+		server.classes[c.Policy.Classes[i].Name] = &c.Policy.Classes[i]
 	}
 	for _, t := range c.Settings.Tenants {
-		s.tenants[t.Name] = true
+		server.tenants[t.Name] = true
 	}
-	s.http = &http.Server{Handler: http.HandlerFunc(s.handle), ReadTimeout: ReadTimeout, IdleTimeout: idleTimeout,
+	server.http = &http.Server{Handler: http.HandlerFunc(server.handle), ReadTimeout: ReadTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderSize, ConnState: connectionStateChanged,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connectionKey{}, c)
 		},
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
-	return s
+	return server
 }
 
 // connectionStateChanged tells a connection that its last response is written.
--- a/internal/relay/frontend/submission.go
+++ b/internal/relay/frontend/submission.go
@@ -58,37 +58,37 @@
 }
 
 // parseMessage checks a request. An error is a requestError: a malformed request gets a plain 4xx.
-func (s *Server) parseMessage(w http.ResponseWriter, r *http.Request) (*Submission, error) {
+func (s *Server) parseMessage(w http.ResponseWriter, request *http.Request) (*Submission, error) {
 	now := clock.Now()
-	name := strings.Split(strings.TrimPrefix(r.URL.Path, "/"), "/")[0]
+	name := strings.Split(strings.TrimPrefix(request.URL.Path, "/"), "/")[0]
 	class := s.classes[name]
 	if class == nil {
 		return nil, malformed(http.StatusNotFound, "unknown class %q", name)
 	}
-	if tenant := r.Header.Get("Tenant"); len(s.tenants) > 0 && !s.tenants[tenant] {
+	if tenant := request.Header.Get("Tenant"); len(s.tenants) > 0 && !s.tenants[tenant] {
 		return nil, malformed(http.StatusBadRequest, "unknown tenant %q", tenant)
 	}
-	if len(r.TransferEncoding) > 0 {
+	if len(request.TransferEncoding) > 0 {
 		// net/http hides a Content-Length that contradicts the chunks, and what follows them may then be a body
 		// made to look like a further request.
 		return nil, malformed(http.StatusLengthRequired, "no plain Content-Length")
 	}
-	id, key := r.Header.Get("Request-Id"), r.Header.Get("Idempotency-Key")
+	id, key := request.Header.Get("Request-Id"), request.Header.Get("Idempotency-Key")
 	if id == "" || len(id) > MaxIDSize || len(key) > MaxIDSize {
 		return nil, malformed(http.StatusBadRequest, "no id, or an id or key too long")
 	}
 	if key == "" && class.Effect == policy.IdempotentWithKey {
 		return nil, malformed(http.StatusBadRequest, "no key in a class with idempotency keys")
 	}
-	destination, err := parseDestination(r.Header.Get("X-Envelope"))
+	destination, err := parseDestination(request.Header.Get("X-Envelope"))
 	if err != nil {
 		return nil, err
 	}
-	timeout, err := parseTimeout(r.Header.Get("Request-Timeout"))
+	timeout, err := parseTimeout(request.Header.Get("Request-Timeout"))
 	if err != nil {
 		return nil, err
 	}
-	body, err := readBody(w, r)
+	body, err := readBody(w, request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/relay/gossip/gossip.go
+++ b/internal/relay/gossip/gossip.go
@@ -47,27 +47,27 @@
 
 // New returns a transport that hands each message to onMessage, with the ordinal of its sender. It returns nil where the
 // options have no use for one or their addresses can't be parsed.
-func New(o Options, onMessage func(from int, message []byte)) *Transport {
-	if !o.Allowed || o.Listen == "" || o.Broadcast == "" {
+func New(options Options, onMessage func(from int, message []byte)) *Transport {
+	if !options.Allowed || options.Listen == "" || options.Broadcast == "" {
 		return nil
 	}
-	t := &Transport{listen: o.Listen, ordinals: map[netip.AddrPort]int{}, peers: make([]netip.AddrPort, len(o.Peers)), onMessage: onMessage}
+	transport := &Transport{listen: options.Listen, ordinals: map[netip.AddrPort]int{}, peers: make([]netip.AddrPort, len(options.Peers)), onMessage: onMessage}
 	var err error
-	if t.broadcast, err = netip.ParseAddrPort(o.Broadcast); err != nil {
+	if transport.broadcast, err = netip.ParseAddrPort(options.Broadcast); err != nil {
 		slog.Warn("gossip disabled", "error", err)
 		return nil
 	}
-	for i, addr := range o.Peers {
+	for i, addr := range options.Peers {
 		peer, err := netip.ParseAddrPort(addr)
 		if err != nil {
 			slog.Warn("gossip with a peer disabled", "peer", i, "error", err)
 			continue
 		}
-		if i != o.Self {
-			t.ordinals[peer], t.peers[i] = i, peer
+		if i != options.Self {
+			transport.ordinals[peer], transport.peers[i] = i, peer
 		}
 	}
-	return t
+	return transport
 }
 
 // Run receives messages until ctx ends. It runs in one goroutine, which its caller waits for, and starts no other.
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -14,8 +14,8 @@
 type ownership int
 
 const (
-	// ownershipHeld lets this process decide everything.
-	ownershipHeld ownership = iota
+	// ownershipActive lets this process decide everything.
+	ownershipActive ownership = iota
 	// ownershipTransferred has a successor that decides: only connections of clients and calls in flight are left here.
 	ownershipTransferred
 	// ownershipOrphaned has lost that successor: what is left here comes to its end.
@@ -37,7 +37,7 @@
 }
 
 // decides reports whether this process owns the state directory.
-func (s *handoverState) decides() bool { return s.ownership == ownershipHeld }
+func (s *handoverState) decides() bool { return s.ownership == ownershipActive }
 
 // handOver hands the journal and all decisions over to a successor. It reports false, and has changed nothing, where the
 // successor does not come as far as being ready. The loop stands still meanwhile: nothing may change under an offer.
@@ -93,7 +93,7 @@
 		m, err := link.Receive()
 		if err != nil {
 			link.Close()
-			l.enqueue(successorGone{})
+			l.enqueue(successorLost{})
 			return
 		}
 		l.enqueue(successorMessage{m})
@@ -111,7 +111,7 @@
 		l.forwardResults(e)
 	case successorMessage:
 		l.handleSuccessorMessage(e.Message)
-	case successorGone:
+	case successorLost:
 		l.orphan()
 	case idleQuery:
 		e.idle <- l.idleAfterHandover()
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -30,27 +30,27 @@
 )
 
 // admit takes in a message that is submitted.
-func (l *loop) admit(s *frontend.Submission) {
-	if m := l.messages[s.Entry.ID]; m != nil {
-		l.admitAgain(m, s)
+func (l *loop) admit(submission *frontend.Submission) {
+	if msg := l.messages[submission.Entry.ID]; msg != nil {
+		l.admitAgain(msg, submission)
 		return
 	}
 	// Guards the policy against destinations that no list has named, and the disk against overflow.
-	if !l.endpoints.table.Named(s.Entry.Dest) {
-		l.rejectUnseen(s, reasonNoDestination)
+	if !l.endpoints.table.Named(submission.Entry.Dest) {
+		l.rejectUnseen(submission, reasonNoDestination)
 		return
 	}
-	if !l.journal.Reserve(s.Entry) {
-		l.rejectUnseen(s, reasonNoStorage)
+	if !l.journal.Reserve(submission.Entry) {
+		l.rejectUnseen(submission, reasonNoStorage)
 		return
 	}
-	slog.Debug("message arrived", "request_id", s.Entry.ID, "destination", s.Entry.Dest, "class", s.Entry.Class,
-		"time_left", clock.Until(s.Entry.ExpiresAt))
-	m := &message{Entry: s.Entry, responses: []chan frontend.Response{s.Response}}
-	l.messages[m.ID] = m
-	l.batch.newMessages = append(l.batch.newMessages, m)
-	l.batch.events = append(l.batch.events, policy.Arrived{ID: m.ID, Class: l.classIndex(m.Class), Destination: m.Dest,
-		TimeLeft: clock.Until(m.ExpiresAt), Size: sizeInBatch(m.Entry)})
+	slog.Debug("message arrived", "request_id", submission.Entry.ID, "destination", submission.Entry.Dest, "class", submission.Entry.Class,
+		"time_left", clock.Until(submission.Entry.ExpiresAt))
+	msg := &message{Entry: submission.Entry, responses: []chan frontend.Response{submission.Response}}
+	l.messages[msg.ID] = msg
+	l.batch.newMessages = append(l.batch.newMessages, msg)
+	l.batch.events = append(l.batch.events, policy.Arrived{ID: msg.ID, Class: l.classIndex(msg.Class), Destination: msg.Dest,
+		TimeLeft: clock.Until(msg.ExpiresAt), Size: sizeInBatch(msg.Entry)})
 }
 
 // admitAgain takes in the same message once more, as after a connection that broke: it is accepted already, unless it has ended
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -331,7 +331,7 @@
 			t.Fatalf("given up after %d changes", seq-50)
 		}
 	}
-	if size := folderSize(t, dir+"/"+listFolder); float64(size) > listShare*3e6 {
+	if size := folderSize(t, dir+"/"+listDirectory); float64(size) > listShare*3e6 {
 		t.Errorf("%d bytes are on disk", size)
 	}
 }
--- a/internal/relay/notifier/notifier.go
+++ b/internal/relay/notifier/notifier.go
@@ -48,7 +48,7 @@
 type Notifier struct {
 	client      *http.Client
 	onReceived  func(ids []string)
-	wake        chan struct{} // the queue is not empty
+	notEmpty    chan struct{} // the queue is not empty
 	singlePosts chan struct{} // holds one for each single post in flight
 	singles     sync.WaitGroup
 
@@ -59,7 +59,7 @@
 
 // New returns a notifier that posts to discovery's address, and reports the messages whose notifications were received.
 func New(discovery string, onReceived func(ids []string)) *Notifier {
-	n := &Notifier{onReceived: onReceived, wake: make(chan struct{}, 1), singlePosts: make(chan struct{}, MaxSinglePosts),
+	n := &Notifier{onReceived: onReceived, notEmpty: make(chan struct{}, 1), singlePosts: make(chan struct{}, MaxSinglePosts),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: postTimeout}}
 	n.Redirect(discovery)
 	return n
@@ -78,7 +78,7 @@
 	n.queue = append(n.queue, notification)
 	n.mu.Unlock()
 	select {
-	case n.wake <- struct{}{}:
+	case n.notEmpty <- struct{}{}:
 	default:
 	}
 }
@@ -90,7 +90,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.wake:
+		case <-n.notEmpty:
 		}
 		for batch, body := n.nextBatch(); len(batch) > 0; batch, body = n.nextBatch() {
 			if !n.postBatch(ctx, batch, body) {
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -78,7 +78,7 @@
 func storedList(tb testing.TB, dir string) (hosts []Member, seq int64) {
 	tb.Helper()
 	folder := tb.TempDir()
-	if err := os.CopyFS(folder, os.DirFS(filepath.Join(dir, listFolder))); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := os.CopyFS(folder, os.DirFS(filepath.Join(dir, listDirectory))); err != nil && !errors.Is(err, os.ErrNotExist) {
 		tb.Fatal(err)
 	}
 	store, table, seq, _, err := endpoints.Open(folder, math.MaxInt64)
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -34,20 +34,20 @@
 // ends with the predecessor, and nobody waits for it.
 func (l *loop) followPredecessor(link *handover.Link, offer *handover.Offer) {
 	go link.Write()
-	p := &predecessor{loop: l, link: link, inFlight: map[string]int{}, submitted: map[int]*predecessorsSubmission{}}
+	follower := &predecessor{loop: l, link: link, inFlight: map[string]int{}, submitted: map[int]*predecessorsSubmission{}}
 	for _, a := range offer.InFlight {
-		p.inFlight[a.ID] = a.Attempt
+		follower.inFlight[a.ID] = a.Attempt
 	}
 	for {
 		m, err := link.Receive()
 		if err != nil {
 			break
 		}
-		p.handle(m)
+		follower.handle(m)
 	}
 	link.Close()
 	time.Sleep(closeTime)
-	p.end()
+	follower.end()
 }
 
 // handle takes in one message.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -36,6 +36,8 @@
 // Run runs a relay until ctx ends, and then shuts it down gracefully: it goes on serving for as long as clients may still come,
 // and leaves what is not delivered by then to the journal in dir. Each address of discovery that comes on addresses takes the
 // place of the one in cfg. It also ends once a successor has taken over and nothing is left to do here.
+//
+// It is long because it is the one place that shows the order of the start: what is opened first is closed last.
 func Run(ctx context.Context, cfg *config.Config, dir string, addresses <-chan string) error {
 	list := &endpointList{settings: &cfg.Settings, clocks: clock.ReadPair()}
 	cfg.Policy.Directory = list
@@ -69,34 +71,34 @@
 	defer stop()
 	ownerCtx, endOwnerTasks := context.WithCancel(processCtx)
 	defer endOwnerTasks()
-	l := &loop{cfg: cfg, dispatcher: dispatcher, journal: opened, endpoints: list, clients: clients, metrics: counters,
+	eventLoop := &loop{cfg: cfg, dispatcher: dispatcher, journal: opened, endpoints: list, clients: clients, metrics: counters,
 		inbox: make(chan event, inboxCapacity), messages: map[string]*message{}, pool: newPool(cfg, counters), owner: acquired.Ownership,
 		handover: handoverState{completed: make(chan struct{}), endOwnerTasks: endOwnerTasks}}
-	tasks := l.connect(dir, acquired, operators)
+	tasks := eventLoop.connect(dir, acquired, operators)
 	server := frontend.NewServer(cfg, &counters.Reasons,
-		func(s *frontend.Submission) { l.enqueue(messageArrived{s}) }, func(s *frontend.Submission) { l.enqueue(clientLeft{s}) })
-	handover.ListenForSuccessors(ownerCtx, dir, &counters.Reasons, func(link *handover.Link) { l.enqueue(successorRequested{link}) })
-	l.openEndpoints(ctx, dir)
-	defer func() { l.endpoints.close() }()
-	l.openZones(dir)
-	l.handleCommands(operators)
-	l.restore(processCtx, acquired.Predecessor, acquired.Offer) // clients wait to be served until this is done
+		func(s *frontend.Submission) { eventLoop.enqueue(messageArrived{s}) }, func(s *frontend.Submission) { eventLoop.enqueue(clientLeft{s}) })
+	handover.ListenForSuccessors(ownerCtx, dir, &counters.Reasons, func(link *handover.Link) { eventLoop.enqueue(successorRequested{link}) })
+	eventLoop.openEndpoints(ctx, dir)
+	defer func() { eventLoop.endpoints.close() }()
+	eventLoop.openZones(dir)
+	eventLoop.handleCommands(operators)
+	eventLoop.restore(processCtx, acquired.Predecessor, acquired.Offer) // clients wait to be served until this is done
 
 	// All goroutines that are started here are waited for, but those that end with the connections they serve.
 	var work sync.WaitGroup
-	work.Go(func() { l.run(processCtx) })
+	work.Go(func() { eventLoop.run(processCtx) })
 	for _, task := range tasks.ofOwner {
 		work.Go(func() { task(ownerCtx) })
 	}
 	if acquired.Predecessor != nil {
-		go l.followPredecessor(acquired.Predecessor, acquired.Offer)
+		go eventLoop.followPredecessor(acquired.Predecessor, acquired.Offer)
 	}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(clients) }()
 	counters.Serving.Store(true)
 	// To the end: notifications are posted while the relay drains, too.
 	work.Go(func() { followDiscovery(processCtx, addresses, tasks.redirected...) })
-	err = l.waitForEnd(ctx, server, served)
+	err = eventLoop.waitForEnd(ctx, server, served)
 	stop()
 	work.Wait()
 	return err
@@ -158,7 +160,7 @@
 		operators.Handle("zone", l.handleZoneCommand)
 	}
 	if l.cfg.CanaryAnalysis {
-		operators.Handle("servers", admin.WithoutArguments(func() string { return l.askLoop(l.canaryStatus) }))
+		operators.Handle("servers", admin.WithoutArguments(func() string { return l.queryLoop(l.canaryStatus) }))
 	}
 	operators.Handle("diagnostics", admin.WithoutArguments(l.metrics.Reasons.Text))
 }
@@ -175,7 +177,7 @@
 		l.drainAfterHandover(ctx, server)
 	case <-ctx.Done():
 		l.metrics.Serving.Store(false)
-		l.shutDown(ctx, server)
+		l.shutdownGracefully(ctx, server)
 	}
 	return nil
 }
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -23,62 +23,62 @@
 	l.watcher.Version = l.endpoints.version
 	inFlight := map[string]handover.Attempt{}
 	if offer != nil {
-		for _, a := range offer.InFlight {
-			inFlight[a.ID] = a
+		for _, attempt := range offer.InFlight {
+			inFlight[attempt.ID] = attempt
 		}
 		for _, state := range offer.PolicyState {
 			l.batch.events = append(l.batch.events, state.Translate(link.DecodeInstant))
 		}
 		l.clients.Reserve(offer.Clients)
 	}
-	for _, e := range l.journal.Entries() {
+	for _, entry := range l.journal.Entries() {
 		if offer != nil && offer.JournalIncomplete {
-			live, ok := offer.Live[e.ID]
+			live, ok := offer.Live[entry.ID]
 			if !ok { // its end could not be written
-				l.journal.Complete(e)
+				l.journal.Complete(entry)
 				continue
 			}
-			live.Reconcile(e)
+			live.Reconcile(entry)
 		}
-		l.restoreMessage(link, e, inFlight)
+		l.restoreMessage(link, entry, inFlight)
 	}
-	for _, a := range inFlight {
-		l.restoreEnded(link, a)
+	for _, attempt := range inFlight {
+		l.restoreEnded(link, attempt)
 	}
 	l.step(ctx)
 }
 
 // restoreMessage takes up a message of the journal. It removes the attempt in flight that belongs to it.
-func (l *loop) restoreMessage(link *handover.Link, e *journal.Entry, inFlight map[string]handover.Attempt) {
-	m := &message{Entry: e}
-	l.messages[e.ID] = m
-	l.countPending(m)
-	attempt, hasAttempt := inFlight[e.ID]
+func (l *loop) restoreMessage(link *handover.Link, entry *journal.Entry, inFlight map[string]handover.Attempt) {
+	msg := &message{Entry: entry}
+	l.messages[entry.ID] = msg
+	l.countPending(msg)
+	attempt, hasAttempt := inFlight[entry.ID]
 	if hasAttempt {
-		attempt.Reconcile(e, link.Instant(attempt.StartedAt))
+		attempt.Reconcile(entry, link.Instant(attempt.StartedAt))
 	}
-	if e.PendingNotification != nil {
-		m.ended = true
-		l.countEnded(m)
-		l.notifier.Enqueue(*e.PendingNotification)
+	if entry.PendingNotification != nil {
+		msg.ended = true
+		l.countEnded(msg)
+		l.notifier.Enqueue(*entry.PendingNotification)
 		return // a call of it that is still in flight is taken up with those of ended messages
 	}
-	class := l.classIndex(e.Class)
+	class := l.classIndex(entry.Class)
 	if class < 0 { // the settings have changed, and the policy could not end it
-		l.endUndelivered(m, frontend.Response{}, notifier.StatusUndeliverable, policy.ReasonNone)
+		l.endUndelivered(msg, frontend.Response{}, notifier.StatusUndeliverable, policy.ReasonNone)
 		return
 	}
 	// Whatever the journal says, no message has more time than its class.
-	arrived := policy.Arrived{ID: e.ID, Class: class, Destination: e.Dest, Resumed: true,
-		TimeLeft: min(clock.Until(e.ExpiresAt), l.cfg.Policy.Classes[class].Deadline), Size: sizeInBatch(e)}
-	for _, a := range e.Attempts {
+	arrived := policy.Arrived{ID: entry.ID, Class: class, Destination: entry.Dest, Resumed: true,
+		TimeLeft: min(clock.Until(entry.ExpiresAt), l.cfg.Policy.Classes[class].Deadline), Size: sizeInBatch(entry)}
+	for _, prior := range entry.Attempts {
 		// An attempt that was in flight when the process ended may have been executed.
-		arrived.PriorAttempts = append(arrived.PriorAttempts, policy.PriorAttempt{Endpoint: a.Host, SentAt: min(a.StartedAt, clock.Now()),
-			NotExecuted: a.Ended && a.NotExecuted})
+		arrived.PriorAttempts = append(arrived.PriorAttempts, policy.PriorAttempt{Endpoint: prior.Host, SentAt: min(prior.StartedAt, clock.Now()),
+			NotExecuted: prior.Ended && prior.NotExecuted})
 	}
-	if hasAttempt && attempt.Attempt == len(e.Attempts)-1 {
-		delete(inFlight, e.ID)
-		l.rejoin(link, m, attempt, &arrived)
+	if hasAttempt && attempt.Attempt == len(entry.Attempts)-1 {
+		delete(inFlight, entry.ID)
+		l.rejoin(link, msg, attempt, &arrived)
 	}
 	l.batch.events = append(l.batch.events, arrived)
 }
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -46,41 +46,41 @@
 }
 
 // broadcast sends a gossip message of the policy to all other relays: as a fact where the fleet shares what it learns.
-func (l *loop) broadcast(note []byte) {
-	o, ok := policy.ReadNote(note)
+func (l *loop) broadcast(message []byte) {
+	observed, ok := policy.ReadNote(message)
 	if l.fleet == nil || !ok {
-		l.gossip.Broadcast(note)
+		l.gossip.Broadcast(message)
 		return
 	}
-	kind, key, value := fleet.KindDestinationClosed, strconv.Itoa(o.Destination), uint64(o.Wait.Milliseconds())
+	kind, key, value := fleet.KindDestinationClosed, strconv.Itoa(observed.Destination), uint64(observed.Wait.Milliseconds())
 	switch {
-	case o.Open:
+	case observed.Open:
 		kind = fleet.KindDestinationOpen
-	case o.Back:
+	case observed.Back:
 		return // PersistHealth says the same
-	case o.NoRoom:
-		kind, key, value = fleet.KindConnectionRejected, o.Endpoint, 0
+	case observed.NoRoom:
+		kind, key, value = fleet.KindConnectionRejected, observed.Endpoint, 0
 	}
-	l.fleet.Observe(kind, key, value, false, o.Age) // the policy limits how many relays report it
+	l.fleet.Observe(kind, key, value, false, observed.Age) // the policy limits how many relays report it
 }
 
 // observation returns what a fact says to the policy, if it is of the kinds that gossip messages carry.
-func observation(f fleet.Fact, age time.Duration) (o policy.Observed, ok bool) {
-	o = policy.Observed{Closed: f.Kind == fleet.KindDestinationClosed, Open: f.Kind == fleet.KindDestinationOpen, Back: f.Kind == fleet.KindEndpointRecovered,
+func observation(f fleet.Fact, age time.Duration) (observed policy.Observed, ok bool) {
+	observed = policy.Observed{Closed: f.Kind == fleet.KindDestinationClosed, Open: f.Kind == fleet.KindDestinationOpen, Back: f.Kind == fleet.KindEndpointRecovered,
 		NoRoom: f.Kind == fleet.KindConnectionRejected, Age: age}
-	if o.Back || o.NoRoom {
-		o.Endpoint = f.Key
-		return o, true
+	if observed.Back || observed.NoRoom {
+		observed.Endpoint = f.Key
+		return observed, true
 	}
 	dest, err := strconv.Atoi(f.Key)
-	if err != nil || !o.Closed && !o.Open {
-		return o, false
+	if err != nil || !observed.Closed && !observed.Open {
+		return observed, false
 	}
-	o.Destination = dest
-	if o.Closed {
-		o.Wait = time.Duration(min(f.Value, uint64(time.Hour/time.Millisecond))) * time.Millisecond
+	observed.Destination = dest
+	if observed.Closed {
+		observed.Wait = time.Duration(min(f.Value, uint64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
-	return o, true
+	return observed, true
 }
 
 // assessmentEvents translates an assessment of the fleet into the policy's events.
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -50,9 +50,9 @@
 	l.closeConnections(ctx, server, clock.Now().Add(responseWriteTimeout))
 }
 
-// shutDown shuts a relay down gracefully. No request that was read goes unanswered: responses close their connections, and those
+// shutdownGracefully shuts a relay down gracefully. No request that was read goes unanswered: responses close their connections, and those
 // that stay unused are closed last.
-func (l *loop) shutDown(ctx context.Context, server *frontend.Server) {
+func (l *loop) shutdownGracefully(ctx context.Context, server *frontend.Server) {
 	started := clock.Now()
 	until := func(phase time.Duration) time.Duration { return clock.Until(started.Add(phase)) }
 	server.StartDraining()
--- a/internal/relay/storage.go
+++ b/internal/relay/storage.go
@@ -36,7 +36,7 @@
 
 // openStore reads the endpoint list in the state directory. A file that can't be read in time counts as damaged.
 func openStore(ctx context.Context, dir string, budget int64) (store *endpoints.Store, table *endpoints.Table, seq int64, found endpoints.LoadReport, err error) {
-	dir = filepath.Join(dir, listFolder)
+	dir = filepath.Join(dir, listDirectory)
 	err = retry.Storage(context.WithoutCancel(ctx), listTimeout, "read endpoint list", func() (err error) {
 		store, table, seq, found, err = endpoints.Open(dir, budget)
 		return err
--- a/internal/relay/upstream/call.go
+++ b/internal/relay/upstream/call.go
@@ -56,14 +56,14 @@
 
 // WriteClaim decides between the writing of a message and its end while its call waits for a connection: the first to take
 // the claim wins. It is safe for concurrent use.
-type WriteClaim struct{ taken atomic.Bool }
+type WriteClaim struct{ acquired atomic.Bool }
 
-// Take claims the message, and reports false where it was claimed already.
-func (c *WriteClaim) Take() bool { return c == nil || c.taken.CompareAndSwap(false, true) }
+// Acquire claims the message, and reports false where it was claimed already.
+func (c *WriteClaim) Acquire() bool { return c == nil || c.acquired.CompareAndSwap(false, true) }
 
 // claimMessages returns the call with those of its messages that may be written.
 func (c Call) claimMessages() Call {
-	c.Messages = slices.DeleteFunc(slices.Clone(c.Messages), func(m Message) bool { return !m.Claim.Take() })
+	c.Messages = slices.DeleteFunc(slices.Clone(c.Messages), func(m Message) bool { return !m.Claim.Acquire() })
 	return c
 }
 
--- a/internal/relay/upstream/pool_test.go
+++ b/internal/relay/upstream/pool_test.go
@@ -148,7 +148,7 @@
 	}
 	p := testPool()
 	p.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error {
-		if !call.Messages[0].Claim.Take() {
+		if !call.Messages[0].Claim.Acquire() {
 			t.Error("settled twice")
 		}
 		return nil
@@ -162,7 +162,7 @@
 	}
 	p = testPool()
 	p.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error {
-		call.Messages[1].Claim.Take()
+		call.Messages[1].Claim.Acquire()
 		return nil
 	}
 	if got := p.Do(t.Context(), call); got[0].Outcome != policy.NotSent || got[1].Outcome != policy.NotSent || p.idleCount != 1 {
--- a/internal/relay/zonecommands.go
+++ b/internal/relay/zonecommands.go
@@ -56,39 +56,39 @@
 	if err != nil {
 		return "ERR " + err.Error()
 	}
-	return l.askLoop(func() string { return l.executeZoneCommand(line) })
+	return l.queryLoop(func() string { return l.executeZoneCommand(line) })
 }
 
 // executeZoneCommand executes an operator's command and returns the reply.
-func (l *loop) executeZoneCommand(c zones.Command) string {
-	if c.Action == zones.Status {
+func (l *loop) executeZoneCommand(command zones.Command) string {
+	if command.Action == zones.Status {
 		text, err := json.Marshal(l.zoneStatus())
 		if err != nil {
 			return "ERR " + err.Error()
 		}
 		return string(text)
 	}
-	no := slices.Index(l.cfg.Settings.Localities, c.Zone)
+	no := slices.Index(l.cfg.Settings.Localities, command.Zone)
 	if no < 0 {
-		return fmt.Sprintf("ERR there is no zone %q: there are %s", c.Zone, strings.Join(l.cfg.Settings.Localities, ", "))
+		return fmt.Sprintf("ERR there is no zone %q: there are %s", command.Zone, strings.Join(l.cfg.Settings.Localities, ", "))
 	}
 	now := clock.Now()
 	var until instant.Time
-	if c.Action == zones.Evacuate {
-		until = now.Add(c.Duration)
+	if command.Action == zones.Evacuate {
+		until = now.Add(command.Duration)
 	}
 	if err := l.dispatcher.Order(no, until); err != nil {
-		return fmt.Sprintf("ERR %s %s: %v", c.Action, c.Zone, err)
+		return fmt.Sprintf("ERR %s %s: %v", command.Action, command.Zone, err)
 	}
 	l.batch.events = append(l.batch.events, policy.TimerFired{})
-	if err := l.zones.store.Put(c.Zone, until, now); err != nil {
+	if err := l.zones.store.Put(command.Zone, until, now); err != nil {
 		slog.Error("zone order not stored", "error", err)
 		if until > 0 {
 			_ = l.dispatcher.Order(no, 0) // it would not outlast a restart
 		}
 		return "ERR the order could not be kept: " + err.Error()
 	}
-	slog.Info("zone order executed", "action", c.Action, "zone", c.Zone, "duration", c.Duration)
+	slog.Info("zone order executed", "action", command.Action, "zone", command.Zone, "duration", command.Duration)
 	return "OK"
 }
 
