--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -83,8 +83,9 @@
 	}
 	endpoint, listed := l.endpoints.table.Get(a.Endpoint)
 	timeLeft := m.ExpiresAt.Sub(now)
-	s := send{message: m, call: a.Call, attempt: len(m.Attempts), endpoint: endpoint, timeout: timeLeft, writeTimeout: a.WriteTimeout,
-		expiresAt: m.ExpiresAt}
+	s := send{message: m, call: a.Call, attempt: len(m.Attempts), endpoint: endpoint, timeout: timeLeft,
+		writeTimeout: a.WriteTimeout,
+		expiresAt:    m.ExpiresAt}
 	if a.Timeout > 0 {
 		s.timeout = min(timeLeft, a.Timeout)
 	}
@@ -157,7 +158,8 @@
 	waiting := len(sends)
 	for _, s := range sends {
 		claim := new(upstream.WriteClaim)
-		call.Messages = append(call.Messages, upstream.Message{ID: s.message.ID, Key: s.message.Key, Body: s.message.Body, Claim: claim})
+		call.Messages = append(call.Messages, upstream.Message{ID: s.message.ID, Key: s.message.Key, Body: s.message.Body,
+			Claim: claim})
 		canceled := false
 		s.message.call = s.call
 		s.message.cancel = func() {
--- a/internal/relay/canaries.go
+++ b/internal/relay/canaries.go
@@ -30,7 +30,8 @@
 	s, now := CanaryStatus{Self: l.cfg.Settings.Ordinal, Endpoints: []CanaryReport{}}, clock.Now()
 	for _, n := range l.dispatcher.Canaries() {
 		s.Endpoints = append(s.Endpoints, CanaryReport{Endpoint: n.Endpoint, Destination: n.Destination, Stage: n.Stage, Share: n.Share,
-			HasBaseline: n.HasBaseline, StageSeconds: max(0, now.Sub(n.StageStartedAt)).Seconds(), SuspendedSeconds: max(0, n.SuspendedUntil.Sub(now)).Seconds(), Suspensions: n.Suspensions, RegressionScore: n.RegressionScore})
+			HasBaseline: n.HasBaseline, StageSeconds: max(0, now.Sub(n.StageStartedAt)).Seconds(), SuspendedSeconds: max(0,
+				n.SuspendedUntil.Sub(now)).Seconds(), Suspensions: n.Suspensions, RegressionScore: n.RegressionScore})
 	}
 	text, err := json.Marshal(s)
 	if err != nil {
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -23,18 +23,20 @@
 	msg.cancel = nil
 	if attempt.Outcome != policy.OK {
 		l.metrics.Reasons.Increment(failedAttempts, attempt.Outcome)
-		slog.Info("attempt failed", "request_id", attempt.id, "destination", msg.Dest, "endpoint", attempt.endpoint, "attempt", attempt.attempt,
-			"outcome", attempt.Outcome, "latency", attempt.latency, "retry_after", attempt.RetryAfter)
+		slog.Info("attempt failed", "request_id", attempt.id, "destination", msg.Dest, "endpoint", attempt.endpoint,
+			"attempt", attempt.attempt, "outcome", attempt.Outcome, "latency", attempt.latency, "retry_after", attempt.RetryAfter)
 	}
 	l.observeFailure(attempt)
 	if l.journal.Get(msg.ID) == msg.Entry {
 		l.journal.EndAttempt(msg.Entry, attempt.Outcome.ProvesNotExecuted())
 	}
-	if attempt.Outcome == policy.NotStarted { // no attempt was made; until the next segment a later process takes it for one not executed
+	if attempt.Outcome == policy.NotStarted {
+		// No attempt was made. Until the next segment a later process takes it for one that was not executed.
 		msg.Attempts = msg.Attempts[:attempt.attempt]
 	}
-	l.batch.events = append(l.batch.events, policy.AttemptEnded{ID: attempt.id, Endpoint: attempt.endpoint, Attempt: attempt.attempt, Outcome: attempt.Outcome,
-		RetryAfter: attempt.RetryAfter, Latency: attempt.latency, Completed: attempt.Completed, AttemptsExhausted: attempt.AttemptsExhausted, LoadReport: attempt.LoadReport})
+	l.batch.events = append(l.batch.events, policy.AttemptEnded{ID: attempt.id, Endpoint: attempt.endpoint,
+		Attempt: attempt.attempt, Outcome: attempt.Outcome, RetryAfter: attempt.RetryAfter, Latency: attempt.latency,
+		Completed: attempt.Completed, AttemptsExhausted: attempt.AttemptsExhausted, LoadReport: attempt.LoadReport})
 	if !msg.ended && attempt.Outcome == policy.OK {
 		l.metrics.CountResult(l.classIndex(msg.Class), metrics.Completed)
 	} else if !msg.ended && attempt.Completed { // its end came without this relay
@@ -50,8 +52,9 @@
 	if msg == nil || msg.ended {
 		return
 	}
-	slog.Info("message not delivered", "request_id", msg.ID, "destination", msg.Dest, "class", msg.Class, "status", status, "reason", reason,
-		"attempts", len(msg.Attempts), "accepted", msg.responses == nil, "time_left", clock.Until(msg.ExpiresAt), "retry_after", response.RetryAfter)
+	slog.Info("message not delivered", "request_id", msg.ID, "destination", msg.Dest, "class", msg.Class, "status", status,
+		"reason", reason, "attempts", len(msg.Attempts), "accepted", msg.responses == nil, "time_left", clock.Until(msg.ExpiresAt),
+		"retry_after", response.RetryAfter)
 	l.metrics.Reasons.Increment(undeliveredMessages, reason)
 	result := metrics.Failed
 	if status == notifier.StatusDeferred {
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -143,7 +143,8 @@
 	if durability := os.Getenv(durabilityVariable); durability != "" {
 		config.Durability = durability
 	}
-	for name, on := range map[string]*bool{fleetVariable: &config.Fleet, zonesVariable: &config.Zones, canaryVariable: &config.CanaryAnalysis} {
+	for name, on := range map[string]*bool{fleetVariable: &config.Fleet, zonesVariable: &config.Zones,
+		canaryVariable: &config.CanaryAnalysis} {
 		switch value := os.Getenv(name); value {
 		case "":
 		case "on", "off":
--- a/internal/relay/config/endpoints_test.go
+++ b/internal/relay/config/endpoints_test.go
@@ -19,7 +19,8 @@
 	for _, tt := range []struct{ name, text, want string }{
 		{"first", `{"known":` + known + `,` + fields + `}`, ""},
 		{"last", `{` + fields + `,"known":` + known + `}`, ""},
-		{"a field of a wrong type", `{` + fields + `,"known":` + strings.Replace(known, `"block":1500`, `"block":"x"`, 1) + `}`, "known: unreadable list at byte"},
+		{"a field of a wrong type", `{` + fields + `,"known":` + strings.Replace(known, `"block":1500`, `"block":"x"`, 1) + `}`,
+			"known: unreadable list at byte"},
 		{"no list", `{` + fields + `,"known":7}`, "known"},
 		{"cut off in the list", `{` + fields + `,"known":` + known[:len(known)/2], "known: unexpected"},
 		{"cut off behind it", `{` + fields + `,"known":` + known, "unexpected"},
--- a/internal/relay/config/helpers_test.go
+++ b/internal/relay/config/helpers_test.go
@@ -24,7 +24,8 @@
 	t.Helper()
 	var hosts []endpoints.Entry
 	for i := range entries {
-		hosts = append(hosts, endpoints.Entry{Host: fmt.Sprintf("host-%06d", i), Dial: fmt.Sprintf("127.0.0.1:%d", 10_000+i), Site: "a", Class: "m2",
+		hosts = append(hosts, endpoints.Entry{Host: fmt.Sprintf("host-%06d", i), Dial: fmt.Sprintf("127.0.0.1:%d", 10_000+i),
+			Site: "a", Class: "m2",
 			Block: 1000 + i, Health: "SERVING", Share: 1})
 	}
 	text, err := json.Marshal(map[string]any{"seq": version, "whole": true, "hosts": hosts})
--- a/internal/relay/discovery/timing_test.go
+++ b/internal/relay/discovery/timing_test.go
@@ -40,7 +40,8 @@
 		return 0
 	}
 	go w.Run(t.Context())
-	for i, want := range []time.Duration{fleet, 2*fleet + minRetryJitter, max(2*fleet, maxRetryJitter), max(2*fleet, maxRetryJitter), fleet} {
+	for i, want := range []time.Duration{fleet, 2*fleet + minRetryJitter, max(2*fleet, maxRetryJitter), max(2*fleet,
+		maxRetryJitter), fleet} {
 		if i == 3 {
 			lists <- true
 		}
--- a/internal/relay/endings_test.go
+++ b/internal/relay/endings_test.go
@@ -222,7 +222,8 @@
 	next := p.start()
 	p.until("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	p.kill(next)
-	if calls, notices := p.sent(), p.noticesOf(next); len(calls) != 1 || len(notices) != 1 || notices[0] != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
+	if calls, notices := p.sent(), p.noticesOf(next); len(calls) != 1 || len(notices) != 1 ||
+		notices[0] != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("calls %v, notices %v", calls, notices)
 	}
 }
--- a/internal/relay/endpointstore.go
+++ b/internal/relay/endpointstore.go
@@ -45,7 +45,8 @@
 	list.closeDisabled()
 }
 
-// closeDisabled goes on without a store that is disabled: the next process starts from the configuration's list, and requests what
+// closeDisabled goes on without a store that is disabled: the next process starts from the configuration's list, and requests
+// what
 // that lacks.
 func (list *endpointList) closeDisabled() {
 	reason, disabled := list.store.Disabled()
--- a/internal/relay/frontend/connection_test.go
+++ b/internal/relay/frontend/connection_test.go
@@ -156,7 +156,8 @@
 	defer func() { _ = c.Close() }()
 	_, _ = io.WriteString(c, posted("a"))
 	_ = closeWrite(c)
-	for end := time.Now().Add(long); g.any(func(c *Connection) bool { return c.state == stateResponsePending }) && time.Now().Before(end); {
+	for end := time.Now().Add(long); g.any(func(c *Connection) bool { return c.state == stateResponsePending }) &&
+		time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(time.Second))
@@ -202,7 +203,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := &ConnectionLimiter{Listener: l, capacity: 9, connections: map[*Connection]bool{}, queueDelay: func() time.Duration { return time.Hour }}
+			g := &ConnectionLimiter{Listener: l, capacity: 9, connections: map[*Connection]bool{},
+				queueDelay: func() time.Duration { return time.Hour }}
 			g.changed.L = &g.mu
 			s := NewServer(&config.Config{}, new(metrics.ReasonCounters), func(*Submission) {}, func(*Submission) {})
 			go func() { _ = s.http.Serve(g) }()
--- a/internal/relay/frontend/limiter_test.go
+++ b/internal/relay/frontend/limiter_test.go
@@ -16,11 +16,16 @@
 		none bool
 	}{
 		{"the oldest that sent nothing", []*Connection{ago(stateIdle, 3*time.Second), ago(stateIdle, time.Second)}, false},
-		{"one that sent nothing before one that stalls", []*Connection{ago(stateIdle, time.Millisecond), ago(stateReading, 2*time.Second)}, false},
-		{"the one stalled longest", []*Connection{ago(stateReading, 2*time.Second), ago(stateReading, time.Second), ago(stateResponsePending, time.Minute)}, false},
-		{"one whose last answer is out before one that stalls", []*Connection{ago(stateLingering, minLinger), ago(stateReading, 2*time.Second)}, false},
-		{"none whose answer is on its way", []*Connection{ago(stateLingering, minLinger/2), ago(stateResponsePending, time.Minute)}, true},
-		{"none that writes on or is owed its answer", []*Connection{ago(stateReading, stallTimeout/2), ago(stateResponsePending, time.Minute)}, true},
+		{"one that sent nothing before one that stalls", []*Connection{ago(stateIdle, time.Millisecond), ago(stateReading,
+			2*time.Second)}, false},
+		{"the one stalled longest", []*Connection{ago(stateReading, 2*time.Second), ago(stateReading, time.Second),
+			ago(stateResponsePending, time.Minute)}, false},
+		{"one whose last answer is out before one that stalls", []*Connection{ago(stateLingering, minLinger), ago(stateReading,
+			2*time.Second)}, false},
+		{"none whose answer is on its way", []*Connection{ago(stateLingering, minLinger/2), ago(stateResponsePending, time.Minute)},
+			true},
+		{"none that writes on or is owed its answer", []*Connection{ago(stateReading, stallTimeout/2), ago(stateResponsePending,
+			time.Minute)}, true},
 	}
 	for _, tt := range tests {
 		g := &ConnectionLimiter{connections: map[*Connection]bool{}}
@@ -39,7 +44,8 @@
 
 // Clients get what is left beside calls, idle connections and another process, within their share.
 func TestClientRoom(t *testing.T) {
-	for _, tt := range []struct{ sockets, slots, want int }{{1024, 33, 512}, {224, 33, 85}, {192, 33, 64}, {192, 100, 64}, {3, 9, 1}} {
+	for _, tt := range []struct{ sockets, slots, want int }{{1024, 33, 512}, {224, 33, 85}, {192, 33, 64}, {192, 100, 64}, {3, 9,
+		1}} {
 		if got := capacityFor(tt.sockets, tt.slots); got != tt.want {
 			t.Errorf("%d descriptors, %d slots: room %d, want %d", tt.sockets, tt.slots, got, tt.want)
 		}
--- a/internal/relay/frontend/server.go
+++ b/internal/relay/frontend/server.go
@@ -48,7 +48,8 @@
 // NewServer returns a server that hands each message to submit, and again to withdraw where its client leaves before the
 // response. Both may block, and are called by many goroutines.
 func NewServer(c *config.Config, reasons *metrics.ReasonCounters, submit, withdraw func(*Submission)) *Server {
-	server := &Server{reasons: reasons, classes: map[string]*policy.Class{}, tenants: map[string]bool{}, submit: submit, withdraw: withdraw}
+	server := &Server{reasons: reasons, classes: map[string]*policy.Class{}, tenants: map[string]bool{}, submit: submit,
+		withdraw: withdraw}
 	for i := range c.Policy.Classes {
 		server.classes[c.Policy.Classes[i].Name] = &c.Policy.Classes[i]
 	}
--- a/internal/relay/gossip/gossip_test.go
+++ b/internal/relay/gossip/gossip_test.go
@@ -30,7 +30,10 @@
 	addr := own.LocalAddr().String()
 	_ = own.Close() // for the relay
 	got := make(chan string, 9)
-	p := New(optionsOf(0, friend.LocalAddr().String(), addr, friend.LocalAddr().String()), func(from int, note []byte) { got <- fmt.Sprint(from, " ", string(note)) })
+	p := New(optionsOf(0, friend.LocalAddr().String(), addr, friend.LocalAddr().String()), func(from int,
+		note []byte) {
+		got <- fmt.Sprint(from, " ", string(note))
+	})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
 	go func() {
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -136,7 +136,8 @@
 	l.handover.forwarded[l.handover.lastNumber] = s
 	e := s.Entry
 	l.handover.successor.Send(handover.Message{Submission: &handover.Submission{Number: l.handover.lastNumber, Body: e.Body,
-		Entry: &handover.Entry{ID: e.ID, Class: e.Class, Destination: e.Dest, Key: e.Key, ExpiresAt: l.handover.successor.WallTime(e.ExpiresAt)}}})
+		Entry: &handover.Entry{ID: e.ID, Class: e.Class, Destination: e.Dest, Key: e.Key,
+			ExpiresAt: l.handover.successor.WallTime(e.ExpiresAt)}}})
 }
 
 // withdrawForwarded tells the successor that the client of a forwarded message has left.
@@ -161,7 +162,8 @@
 		if a.Outcome == policy.NotStarted { // an earlier version may not know it
 			a.Outcome = policy.NotSent
 		}
-		results = append(results, handover.CallResult{ID: a.id, Attempt: a.attempt, Endpoint: a.endpoint, Latency: a.latency, Outcome: a.Outcome,
+		results = append(results, handover.CallResult{ID: a.id, Attempt: a.attempt, Endpoint: a.endpoint, Latency: a.latency,
+			Outcome:    a.Outcome,
 			RetryAfter: a.RetryAfter, Completed: a.Completed, AttemptsExhausted: a.AttemptsExhausted, LoadReport: a.LoadReport})
 	}
 	if len(results) > 0 {
--- a/internal/relay/handover/link.go
+++ b/internal/relay/handover/link.go
@@ -33,7 +33,8 @@
 
 // newLink returns a link over a connection.
 func newLink(conn net.Conn) *Link {
-	return &Link{conn: conn, incoming: json.NewDecoder(conn), outgoing: make(chan Message, queueCapacity), closed: make(chan struct{})}
+	return &Link{conn: conn, incoming: json.NewDecoder(conn), outgoing: make(chan Message, queueCapacity),
+		closed: make(chan struct{})}
 }
 
 // WallTime returns a moment as it goes on the link.
--- a/internal/relay/handover/link_test.go
+++ b/internal/relay/handover/link_test.go
@@ -79,7 +79,8 @@
 		t.Fatal(err)
 	}
 	var refused *TransitionError
-	if err := predecessor.Offer(&Offer{}); !errors.As(err, &refused) || refused.From != StateOffered || refused.Step != stepTransfer {
+	if err := predecessor.Offer(&Offer{}); !errors.As(err, &refused) || refused.From != StateOffered ||
+		refused.Step != stepTransfer {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/relay/handover/state_test.go
+++ b/internal/relay/handover/state_test.go
@@ -7,7 +7,8 @@
 
 // The steps are allowed in their order alone, and nothing but the end follows the transfer.
 func TestSteps(t *testing.T) {
-	messages := map[State]Message{StateRequested: {Step: stepRequest}, StateOffered: {Offer: &Offer{}}, StateReady: {Step: stepReady},
+	messages := map[State]Message{StateRequested: {Step: stepRequest}, StateOffered: {Offer: &Offer{}},
+		StateReady:       {Step: stepReady},
 		StateTransferred: {Step: stepTransfer}}
 	for from := StateConnected; from <= StateTransferred; from++ {
 		for to, m := range messages {
@@ -27,7 +28,8 @@
 
 // The names of states are those in logs.
 func TestStateNames(t *testing.T) {
-	for state, want := range map[State]string{StateConnected: "connected", StateTransferred: "transferred", -1: "State(-1)", 9: "State(9)"} {
+	for state, want := range map[State]string{StateConnected: "connected", StateTransferred: "transferred", -1: "State(-1)",
+		9: "State(9)"} {
 		if got := state.String(); got != want {
 			t.Errorf("%d: %s, want %s", state, got, want)
 		}
--- /dev/null
+++ b/internal/relay/handover_killed_test.go
@@ -0,0 +1,114 @@
+package relay
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+
+	"milletsail/internal/clock"
+	"milletsail/internal/journal"
+	"milletsail/internal/relay/notifier"
+)
+
+func TestOldProcessKilledAfterHandover(t *testing.T) {
+	p := newPlatform(t)
+	p.addHost("h1", 7)
+	p.answer = func(*http.Request) int { return 0 }
+	p.inherits()
+	old := p.start()
+	p.take("order", "unsafe", "25")
+	p.take("status", "safe", "25")
+	p.called()
+	p.called()
+	p.upgrade()
+	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
+	p.kill(old)
+	if id := p.called(); id != "safe" {
+		t.Errorf("%s is sent again", id)
+	}
+	p.until("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "unsafe", Status: notifier.StatusUndeliverable}) {
+		t.Errorf("notices %v", n)
+	}
+}
+
+func dieAt(step, dir string) {
+	die := func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL) }
+	o, err := journal.AcquireOwnership(dir)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "own:", err)
+		os.Exit(1)
+	}
+	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, "handover"), Net: "unix"})
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "listen:", err)
+		os.Exit(1)
+	}
+	go func() {
+		defer die()
+		conn, err := socket.Accept()
+		if err != nil {
+			return
+		}
+		in := bufio.NewReader(conn)
+		if request, err := in.ReadString('\n'); err != nil || request != `{"step":"ask"}`+"\n" {
+			return
+		}
+		switch step {
+		case "offered", "released":
+			offer := `{"offer":{"out":[{"id":"m","attempt":0,"class":"status","dest":7,"host":"h1"}],"learned":null,"clients":0}}`
+			if _, err := io.WriteString(conn, offer+"\n"); err != nil {
+				return
+			}
+			if step == "released" {
+				_, _ = in.ReadString('\n')
+				o.Release()
+			}
+		case "half an offer":
+			_, _ = io.WriteString(conn, `{"offer":{"out":[`)
+		}
+	}()
+	fmt.Println("ready")
+	select {}
+}
+
+func TestOldProcessKilledAtEachStep(t *testing.T) {
+	for _, step := range []string{"asked", "half an offer", "offered", "released"} {
+		t.Run(step, func(t *testing.T) {
+			p := newPlatform(t)
+			p.addHost("h1", 7)
+			p.inherits()
+			j := openTestJournal(t, p.dir, 3)
+			j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
+			commit(t, j)
+			c := exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0])
+			c.Env = append(os.Environ(), childDies+"="+step, childState+"="+p.dir)
+			out, err := c.StdoutPipe()
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := c.Start(); err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { _ = c.Process.Kill() })
+			if word, err := bufio.NewReader(out).ReadString('\n'); err != nil {
+				t.Fatalf("%q, %v", word, err)
+			}
+			p.upgrade()
+			_ = c.Wait()
+			p.until("the message is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
+			if got := p.sent(); len(got) != 1 || len(p.told()) != 0 {
+				t.Errorf("calls %v, notices %v", got, p.told())
+			}
+		})
+	}
+}
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -2,13 +2,11 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -19,10 +17,10 @@
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/handover"
-	"milletsail/internal/relay/notifier"
 )
 
 // inherits has the platform hold the clients' socket.
+
 func (p *platform) inherits() {
 	p.t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(p.t.Context(), "tcp", p.addr)
@@ -41,6 +39,7 @@
 }
 
 // upgrade starts a process beside the one that runs, and waits until it takes clients.
+
 func (p *platform) upgrade() *child {
 	p.t.Helper()
 	p.admin = closedAddress(p.t)
@@ -59,6 +58,7 @@
 }
 
 // keptConn is a client's connection that carries one message after another.
+
 type keptConn struct {
 	net.Conn
 	in *bufio.Reader
@@ -75,6 +75,7 @@
 }
 
 // handIn hands a message in and gives the answer.
+
 func (c *keptConn) handIn(t *testing.T, class, id string) answer {
 	t.Helper()
 	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: relay\r\nTenant: acme\r\nRequest-Id: %s\r\nIdempotency-Key: key-%s\r\n"+
@@ -87,6 +88,7 @@
 }
 
 // exit waits for the end of a process.
+
 func (c *child) exit(t *testing.T) error {
 	t.Helper()
 	select {
@@ -99,7 +101,9 @@
 }
 
 // A new version takes over under load: the call that is out ends in the old process and counts in the new one,
+
 // clients keep their connections for one more answer, and each message is sent once.
+
 func TestUpgrade(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -135,30 +139,11 @@
 }
 
 // The old process is killed right after the handover, with calls out: they may have run.
-func TestOldProcessKilledAfterHandover(t *testing.T) {
-	p := newPlatform(t)
-	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
-	p.inherits()
-	old := p.start()
-	p.take("order", "unsafe", "25")
-	p.take("status", "safe", "25")
-	p.called()
-	p.called()
-	p.upgrade()
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
-	p.kill(old)
-	if id := p.called(); id != "safe" {
-		t.Errorf("%s is sent again", id)
-	}
-	p.until("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "unsafe", Status: notifier.StatusUndeliverable}) {
-		t.Errorf("notices %v", n)
-	}
-}
 
 // The new process finds the journal damaged, so that each message may have one more attempt: the call that is out is
+
 // still the only one, and its end counts.
+
 func TestUpgradeWithADamagedJournal(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -215,6 +200,7 @@
 }
 
 // A wait that the old process was told binds the new one too.
+
 func TestToldWaitThroughUpgrade(t *testing.T) {
 	p := newPlatform(t)
 	var told time.Time
@@ -251,6 +237,7 @@
 }
 
 // An old process that is silent is ended, and the new one starts from the journal.
+
 func TestSilentOldProcess(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -274,7 +261,9 @@
 }
 
 // A new process that dies in the middle of its steps changes nothing, and one that dies as the owner leaves the
+
 // journal to the next.
+
 func TestNewProcessDies(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -332,80 +321,11 @@
 }
 
 // dieAt is a process that owns the folder and is killed at a step of its handover.
-func dieAt(step, dir string) {
-	die := func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL) }
-	o, err := journal.AcquireOwnership(dir)
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "own:", err)
-		os.Exit(1)
-	}
-	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, "handover"), Net: "unix"})
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "listen:", err)
-		os.Exit(1)
-	}
-	go func() {
-		defer die()
-		conn, err := socket.Accept()
-		if err != nil {
-			return
-		}
-		in := bufio.NewReader(conn)
-		if request, err := in.ReadString('\n'); err != nil || request != `{"step":"ask"}`+"\n" {
-			return
-		}
-		switch step {
-		case "offered", "released":
-			offer := `{"offer":{"out":[{"id":"m","attempt":0,"class":"status","dest":7,"host":"h1"}],"learned":null,"clients":0}}`
-			if _, err := io.WriteString(conn, offer+"\n"); err != nil {
-				return
-			}
-			if step == "released" {
-				_, _ = in.ReadString('\n')
-				o.Release()
-			}
-		case "half an offer":
-			_, _ = io.WriteString(conn, `{"offer":{"out":[`)
-		}
-	}()
-	fmt.Println("ready")
-	select {}
-}
 
 // Whatever step the old process is killed at, the new one starts from the journal.
-func TestOldProcessKilledAtEachStep(t *testing.T) {
-	for _, step := range []string{"asked", "half an offer", "offered", "released"} {
-		t.Run(step, func(t *testing.T) {
-			p := newPlatform(t)
-			p.addHost("h1", 7)
-			p.inherits()
-			j := openTestJournal(t, p.dir, 3)
-			j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
-			commit(t, j)
-			c := exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0])
-			c.Env = append(os.Environ(), childDies+"="+step, childState+"="+p.dir)
-			out, err := c.StdoutPipe()
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := c.Start(); err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(func() { _ = c.Process.Kill() })
-			if word, err := bufio.NewReader(out).ReadString('\n'); err != nil {
-				t.Fatalf("%q, %v", word, err)
-			}
-			p.upgrade()
-			_ = c.Wait()
-			p.until("the message is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			if got := p.sent(); len(got) != 1 || len(p.told()) != 0 {
-				t.Errorf("calls %v, notices %v", got, p.told())
-			}
-		})
-	}
-}
 
 // A folder whose path is too long for a socket can be handed over too.
+
 func TestSocketInALongPath(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
--- a/internal/relay/list_bench_test.go
+++ b/internal/relay/list_bench_test.go
@@ -64,7 +64,8 @@
 			name  string
 			whole bool
 			hosts []Member
-		}{{"fresh", true, hosts}, {"same", true, hosts}, {"change", false, []Member{{Host: "new", Block: 7}}}, {"few", true, hosts[:1000]}} {
+		}{{"fresh", true, hosts}, {"same", true, hosts}, {"change", false, []Member{{Host: "new", Block: 7}}}, {"few", true,
+			hosts[:1000]}} {
 			seq++
 			text, err := json.Marshal(Members{Seq: seq, Whole: step.whole, Hosts: step.hosts})
 			if err != nil {
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -26,7 +26,8 @@
 // listLoop gives a loop that has its journal and its list in a folder, as Run makes it, and is not run.
 func listLoop(tb testing.TB, dir string, diskMB float64) *loop {
 	tb.Helper()
-	cfg := &config.Config{Limits: config.Limits{DiskMB: diskMB}, Settings: settings.Settings{Shapes: []string{"m2"}, Localities: []string{"a"}}}
+	cfg := &config.Config{Limits: config.Limits{DiskMB: diskMB}, Settings: settings.Settings{Shapes: []string{"m2"},
+		Localities: []string{"a"}}}
 	list := &endpointList{settings: &cfg.Settings}
 	cfg.Policy = policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, Directory: list,
 		Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}
@@ -38,8 +39,9 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	l := &loop{cfg: cfg, dispatcher: d, endpoints: list, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: kept, messages: map[string]*message{},
-		pool: upstream.NewPool(time.Second, time.Second, 10, nil)}
+	l := &loop{cfg: cfg, dispatcher: d, endpoints: list, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: kept,
+		messages: map[string]*message{},
+		pool:     upstream.NewPool(time.Second, time.Second, 10, nil)}
 	l.openEndpoints(tb.Context(), dir)
 	tb.Cleanup(func() {
 		l.endpoints.close()
--- a/internal/relay/list_platform_test.go
+++ b/internal/relay/list_platform_test.go
@@ -60,7 +60,8 @@
 // filler are hosts of destinations of their own, which no message is for.
 func filler(n int) (hosts []Member) {
 	for i := range n {
-		hosts = append(hosts, Member{Host: fmt.Sprintf("filler-%06d", i), Dial: fmt.Sprintf("127.0.0.1:%d", 10_000+i%1000), Site: "a", Class: "m2",
+		hosts = append(hosts, Member{Host: fmt.Sprintf("filler-%06d", i), Dial: fmt.Sprintf("127.0.0.1:%d", 10_000+i%1000),
+			Site: "a", Class: "m2",
 			Block: 1000 + i, Health: "SERVING", Share: 1})
 	}
 	return hosts
--- a/internal/relay/list_start_test.go
+++ b/internal/relay/list_start_test.go
@@ -25,9 +25,11 @@
 		{41, 41, 40, "disk"},
 		{0, 40, 41, "configuration"},
 	} {
-		newest := newestList(c.onDisk, listSource{name: "journal", version: c.inJournal}, listSource{name: "configuration", version: c.configured})
+		newest := newestList(c.onDisk, listSource{name: "journal", version: c.inJournal}, listSource{name: "configuration",
+			version: c.configured})
 		if newest.name != c.want {
-			t.Errorf("versions %d on disk, %d in the journal, %d configured: %s, want %s", c.onDisk, c.inJournal, c.configured, newest.name, c.want)
+			t.Errorf("versions %d on disk, %d in the journal, %d configured: %s, want %s", c.onDisk, c.inJournal, c.configured,
+				newest.name, c.want)
 		}
 	}
 }
--- a/internal/relay/listener/listener_test.go
+++ b/internal/relay/listener/listener_test.go
@@ -27,7 +27,8 @@
 
 // No error of accept(2) ends the taking of connections; the close of the listener does.
 func TestAcceptFailures(t *testing.T) {
-	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
+	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+		syscall.EPROTO,
 		syscall.EPERM, syscall.EINTR, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 		syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT} {
 		l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -70,7 +71,10 @@
 	}
 	_ = l.Close()
 	begun := time.Now()
-	if _, err := Listen(t.Context(), "clients", func() (net.Listener, error) { return (&net.ListenConfig{}).Listen(t.Context(), "tcp", "no address") }); err == nil || time.Since(begun) > listenTimeout/2 {
+	if _, err := Listen(t.Context(), "clients", func() (net.Listener, error) {
+		return (&net.ListenConfig{}).Listen(t.Context(),
+			"tcp", "no address")
+	}); err == nil || time.Since(begun) > listenTimeout/2 {
 		t.Errorf("after %v: %v", time.Since(begun), err)
 	}
 }
--- /dev/null
+++ b/internal/relay/loop_test.go
@@ -0,0 +1,154 @@
+package relay
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"milletsail/internal/clock"
+	"milletsail/internal/journal"
+	"milletsail/internal/relay/config"
+	"milletsail/internal/relay/frontend"
+	"milletsail/internal/relay/metrics"
+	"milletsail/internal/relay/notifier"
+	"milletsail/policy"
+)
+
+func TestCopiesOfAMessage(t *testing.T) {
+	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
+		Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}),
+		journal: openTestJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
+		messages: map[string]*message{}, endpoints: listAt(7)}
+	l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
+	copyOf := func(id string) *frontend.Submission {
+		return &frontend.Submission{Response: make(chan frontend.Response, 1),
+			Entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)}}
+	}
+	status := func(a *frontend.Submission) int {
+		select {
+		case v := <-a.Response:
+			return v.Status
+		default:
+			return 0
+		}
+	}
+	first, second, late := copyOf("m"), copyOf("m"), copyOf("m")
+	l.accept(messageArrived{first})
+	l.accept(messageArrived{second})
+	if s := status(second); s != 0 {
+		t.Errorf("a copy of an undecided message was answered %d", s)
+	}
+	l.step(t.Context())
+	if a, b := status(first), status(second); a != http.StatusAccepted || b != a {
+		t.Errorf("answers %d and %d", a, b)
+	}
+	l.accept(messageArrived{late})
+	for _, a := range []*frontend.Submission{late, second, first} {
+		l.accept(clientLeft{a})
+	}
+	l.step(t.Context())
+	if l.messages["m"] == nil || l.journal.Get("m") == nil {
+		t.Error("a message that others were told is taken on was withdrawn")
+	}
+	alone := copyOf("n")
+	l.accept(messageArrived{alone})
+	l.accept(clientLeft{alone})
+	l.step(t.Context())
+	if l.messages["n"] != nil || l.journal.Get("n") != nil {
+		t.Error("a message whose client left unanswered was kept")
+	}
+	// One that was withdrawn while its call is out may have run: who hands its id in again is told that this is harmless
+	// only in a class that may be repeated.
+	for i, c := range []struct {
+		effect policy.Effect
+		byZone bool
+		want   int
+	}{{policy.Idempotent, false, 503}, {policy.IdempotentWithKey, false, 503}, {policy.IdempotentWithKey, true, 502},
+		{policy.NotIdempotent, false, 502}} {
+		l.cfg.Policy.Classes[0].Effect, l.cfg.Policy.Classes[0].KeysPerZone = c.effect, c.byZone
+		id := fmt.Sprint("out", i)
+		gone, again := copyOf(id), copyOf(id)
+		l.accept(messageArrived{gone})
+		l.step(t.Context())
+		m := l.messages[id]
+		l.journal.StartAttempt(m.Entry, "h1", clock.Now())
+		m.cancel = func() {}
+		l.accept(clientLeft{gone})
+		l.accept(messageArrived{again})
+		if got := status(again); got != c.want {
+			t.Errorf("%+v: answered %d", c, got)
+		}
+	}
+}
+
+// A send that could not be made is reported to the module at once, and leaves the module's timer as it was.
+
+func TestTimerAfterUnsentCall(t *testing.T) {
+	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
+		Classes: []policy.Class{{Name: "status", Deadline: time.Minute}}}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}),
+		journal: openTestJournal(t, t.TempDir(), 3), messages: map[string]*message{}, endpoints: listAt()}
+	timer := clock.Now().Add(time.Minute)
+	l.timerAt = timer
+	m := &message{Entry: &journal.Entry{ID: "m"}}
+	l.messages["m"] = m
+	l.completeUnsent(send{message: m}, policy.NotStarted)
+	if due := l.untilNextStep(); due != 0 {
+		t.Errorf("the module hears of it in %v", due)
+	}
+	l.step(t.Context())
+	if l.timerAt != timer {
+		t.Errorf("the timer moved by %v", l.timerAt-timer)
+	}
+}
+
+// What was due within a tick may be gone by an event just before it: the timer asked for next is not dropped with the
+
+// one that was due, or a message with nothing else to wake the relay ends late.
+
+func TestTimerAskedForShortOfAnother(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const tick = 5 * time.Millisecond
+		d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, BatchInterval: tick,
+			Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}),
+			journal:  openTestJournal(t, t.TempDir(), 3),
+			messages: map[string]*message{}, endpoints: listAt(7), notifier: &notifier.Notifier{}}
+		l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
+		start := time.Now()
+		hand := func(id string, left time.Duration) *frontend.Submission {
+			a := &frontend.Submission{Response: make(chan frontend.Response, 1), Entry: &journal.Entry{ID: id, Class: "status",
+				Dest: 7, ExpiresAt: clock.Now().Add(left)}}
+			l.accept(messageArrived{a})
+			return a
+		}
+		first := hand("first", time.Second)
+		hand("second", 2*time.Second)
+		l.step(t.Context())
+		time.Sleep(l.untilNextStep() - tick/2)
+		delete(l.messages, "first")
+		l.batch.events = append(l.batch.events, policy.Withdrawn{ID: first.Entry.ID})
+		l.step(t.Context())
+		for range 3 { // as far as the timers wake the relay before the second message's time is up
+			time.Sleep(min(l.untilNextStep(), 2*time.Second-time.Since(start)))
+			if l.untilNextStep() == 0 {
+				l.step(t.Context())
+			}
+		}
+		if m := l.messages["second"]; !m.ended {
+			t.Error("nothing woke the relay before the message's time was up")
+		}
+	})
+}
--- a/internal/relay/notifier/notifier_test.go
+++ b/internal/relay/notifier/notifier_test.go
@@ -20,7 +20,8 @@
 	n := New("127.0.0.1:0", nil)
 	const owed = 1000
 	for i := range owed {
-		n.Enqueue(journal.Notification{ID: fmt.Sprintf("%04d%s", i, strings.Repeat("\x01", 100)), Status: StatusDeferred, RetryAfterMS: 5})
+		n.Enqueue(journal.Notification{ID: fmt.Sprintf("%04d%s", i, strings.Repeat("\x01", 100)), Status: StatusDeferred,
+			RetryAfterMS: 5})
 	}
 	batch, body := n.nextBatch()
 	if len(batch) == 0 || len(batch) == owed || len(body) > protocol.MaxBodySize {
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -32,10 +32,13 @@
 )
 
 // childConfig and childState make the test program a relay, so that tests can kill one; childDies makes it a process
+
 // that owns the folder and is killed at a step of the handover.
+
 const childConfig, childState, childDies = "FROSTLINK_TEST_CONFIG", "FROSTLINK_TEST_STATE", "FROSTLINK_TEST_DIES"
 
 // childFiles has a child hold no more descriptors than the platform grants it.
+
 const childFiles = "FROSTLINK_TEST_FILES"
 
 func TestMain(m *testing.M) {
@@ -64,6 +67,7 @@
 }
 
 // Members is an object of discovery's, a list or a change of it, and Member one of its entries.
+
 type Members struct {
 	Seq   int64    `json:"seq"`
 	Whole bool     `json:"whole"`
@@ -75,6 +79,7 @@
 const draining = endpoints.Draining
 
 // storedList gives the list that a relay has on disk, and its version; the relay may run.
+
 func storedList(tb testing.TB, dir string) (hosts []Member, seq int64) {
 	tb.Helper()
 	folder := tb.TempDir()
@@ -93,6 +98,7 @@
 }
 
 // listAt gives a list of endpoints with one for each of some destinations.
+
 func listAt(destinations ...int) *endpointList {
 	table := endpoints.NewTable()
 	for _, number := range destinations {
@@ -102,19 +108,9 @@
 }
 
 // testSettings has a class of each effect; memory is that of the keyed one, in seconds.
-func testSettings(memory float64, bundle int, discovery string) string {
-	return fmt.Sprintf(`{"az":0,"categories":[
-	 {"name":"status","aim_s":2,"deadline_s":30,"idempotency":"retryable","group":"all","points":1},
-	 {"name":"payment","aim_s":2,"deadline_s":30,"idempotency":"dedup","group":"all","memory_span_s":%v,"points":2},
-	 {"name":"order","aim_s":2,"deadline_s":30,"idempotency":"fragile","group":"all","points":1}],
-	 "discovery":%q,"limits":{"cancel":true,"conn_idle_s":10,"connect_timeout_s":1,"max_attempts":12,
-	 "max_open":50,"max_retry_after_s":3,"retry_after":true},"localities":["a"],"n_instances":1,"quantum_s":0.002,
-	 "rules":{"cold_share":0.2,"overload_factor":2.5,"overload_for_s":1.5,"ramp_time_s":10},"shapes":["m2"],
-	 "specifics":{"bundle_max":[%v],"loses_worth":"linear","max_calls":8,"separate_routes":[false]},
-	 "tenants":[{"name":"acme"}],"weights":"nominal"}`, memory, discovery, bundle)
-}
 
 // platform stands for what a relay has round it: discovery, the hosts of destination 7, and its disk.
+
 type platform struct {
 	t         testing.TB
 	discovery *httptest.Server
@@ -146,7 +142,8 @@
 
 func newPlatform(tb testing.TB) *platform {
 	tb.Helper()
-	p := &platform{t: tb, dir: tb.TempDir(), memory: 15, sockets: 1024, disk: 3, bundle: 1, mode: "subscribe", began: make(chan string, 1000), lines: make(chan string, 10),
+	p := &platform{t: tb, dir: tb.TempDir(), memory: 15, sockets: 1024, disk: 3, bundle: 1, mode: "subscribe",
+		began: make(chan string, 1000), lines: make(chan string, 10),
 		released: make(chan bool), answer: func(*http.Request) int { return http.StatusOK }}
 	p.discovery = httptest.NewServer(http.HandlerFunc(p.serveDiscovery))
 	tb.Cleanup(func() {
@@ -164,6 +161,7 @@
 }
 
 // addHost starts a host of a destination.
+
 func (p *platform) addHost(id string, dest int) Member {
 	s := httptest.NewServer(http.HandlerFunc(p.serveHost))
 	p.t.Cleanup(func() {
@@ -179,6 +177,7 @@
 }
 
 // batchStatus is what an endpoint says of one message of a call with several.
+
 type batchStatus struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
@@ -265,6 +264,7 @@
 }
 
 // set changes what the platform does.
+
 func (p *platform) set(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -272,28 +272,9 @@
 }
 
 // config writes the relay's configuration and returns the file's name.
-func (p *platform) config() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	list := Members{Seq: 40, Whole: true, Hosts: p.hosts}
-	if p.unknown {
-		list.Hosts = nil
-	}
-	known, err := json.Marshal(list)
-	if err != nil {
-		p.t.Fatal(err)
-	}
-	text := fmt.Sprintf(`{"name":"n1","listen":%q,"admin":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
-	 "limits":{"cores":1,"memory_mb":192,"sockets":%d,"disk_mb":%d},"known":%s,"settings":%s}`,
-		p.addr, p.admin, strings.TrimPrefix(p.discovery.URL, "http://"), p.sockets, p.disk, known, testSettings(p.memory, p.bundle, p.mode))
-	path := filepath.Join(p.t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		p.t.Fatal(err)
-	}
-	return path
-}
 
 // child is a relay in a process of its own.
+
 type child struct {
 	*exec.Cmd
 	exited chan error
@@ -301,9 +282,11 @@
 }
 
 // start starts a relay and waits until it is ready.
+
 func (p *platform) start() *child {
 	p.t.Helper()
-	c := &child{Cmd: exec.CommandContext(context.WithoutCancel(p.t.Context()), os.Args[0]), exited: make(chan error, 1), config: p.config()}
+	c := &child{Cmd: exec.CommandContext(context.WithoutCancel(p.t.Context()), os.Args[0]), exited: make(chan error, 1),
+		config: p.config()}
 	c.Env = append(os.Environ(), childConfig+"="+c.config, childState+"="+p.dir)
 	if p.limited {
 		c.Env = append(c.Env, fmt.Sprint(childFiles, "=", p.sockets))
@@ -322,6 +305,7 @@
 }
 
 // kill ends a relay as an outright kill does.
+
 func (p *platform) kill(c *child) {
 	p.t.Helper()
 	if err := c.Process.Kill(); err != nil {
@@ -331,6 +315,7 @@
 }
 
 // until waits for something to come true; how long that takes decides nothing.
+
 func (p *platform) until(what string, true func() bool) {
 	p.t.Helper()
 	for end := time.Now().Add(long); !true(); time.Sleep(5 * time.Millisecond) {
@@ -341,6 +326,7 @@
 }
 
 // called waits for a call at a host and returns its id.
+
 func (p *platform) called() string {
 	p.t.Helper()
 	select {
@@ -365,9 +351,11 @@
 }
 
 // handIn hands a message in and returns the answer.
+
 func (p *platform) handIn(class, id, timeout string, change ...func(*http.Request)) answer {
 	p.t.Helper()
-	r, err := http.NewRequestWithContext(p.t.Context(), http.MethodPost, "http://"+p.addr+"/"+class, strings.NewReader("body of "+id))
+	r, err := http.NewRequestWithContext(p.t.Context(), http.MethodPost, "http://"+p.addr+"/"+class,
+		strings.NewReader("body of "+id))
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -387,6 +375,7 @@
 }
 
 // take hands a message in that has to be taken on.
+
 func (p *platform) take(class, id, timeout string) {
 	p.t.Helper()
 	if resp := p.handIn(class, id, timeout); resp.StatusCode != http.StatusAccepted {
@@ -395,6 +384,7 @@
 }
 
 // held is a host's answer that waits until it is let go.
+
 func (p *platform) held(hold chan bool) func(*http.Request) int {
 	return func(r *http.Request) int {
 		select {
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -71,7 +71,8 @@
 
 // submit hands the loop a message that a client submitted to the predecessor.
 func (p *predecessor) submit(from *handover.Submission) {
-	s := &predecessorsSubmission{&frontend.Submission{Entry: p.entry(from), Response: make(chan frontend.Response, 1)}, make(chan struct{})}
+	s := &predecessorsSubmission{&frontend.Submission{Entry: p.entry(from), Response: make(chan frontend.Response, 1)},
+		make(chan struct{})}
 	p.submitted[from.Number] = s
 	p.loop.enqueue(messageArrived{s.Submission})
 	go p.respond(s, from.Number)
@@ -92,7 +93,8 @@
 func (p *predecessor) respond(s *predecessorsSubmission, number int) {
 	select {
 	case response := <-s.Response:
-		p.link.Send(handover.Message{Response: &handover.Response{Number: number, Status: response.Status, RetryAfter: response.RetryAfter}})
+		p.link.Send(handover.Message{Response: &handover.Response{Number: number, Status: response.Status,
+			RetryAfter: response.RetryAfter}})
 	case <-s.left:
 		p.loop.enqueue(clientLeft{s.Submission})
 	}
@@ -106,7 +108,8 @@
 			delete(p.inFlight, r.ID)
 		}
 		all = append(all, attemptEnded{id: r.ID, attempt: r.Attempt, endpoint: r.Endpoint, latency: r.Latency, Result: upstream.Result{
-			Outcome: r.Outcome, RetryAfter: r.RetryAfter, Completed: r.Completed, AttemptsExhausted: r.AttemptsExhausted, LoadReport: r.LoadReport}})
+			Outcome: r.Outcome, RetryAfter: r.RetryAfter, Completed: r.Completed, AttemptsExhausted: r.AttemptsExhausted,
+			LoadReport: r.LoadReport}})
 	}
 	p.loop.enqueue(all)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -72,12 +72,15 @@
 	ownerCtx, endOwnerTasks := context.WithCancel(processCtx)
 	defer endOwnerTasks()
 	eventLoop := &loop{cfg: cfg, dispatcher: dispatcher, journal: opened, endpoints: list, clients: clients, metrics: counters,
-		inbox: make(chan event, inboxCapacity), messages: map[string]*message{}, pool: newPool(cfg, counters), owner: acquired.Ownership,
+		inbox: make(chan event, inboxCapacity), messages: map[string]*message{}, pool: newPool(cfg, counters),
+		owner:    acquired.Ownership,
 		handover: handoverState{completed: make(chan struct{}), endOwnerTasks: endOwnerTasks}}
 	tasks := eventLoop.connect(dir, acquired, operators)
 	server := frontend.NewServer(cfg, &counters.Reasons,
-		func(s *frontend.Submission) { eventLoop.enqueue(messageArrived{s}) }, func(s *frontend.Submission) { eventLoop.enqueue(clientLeft{s}) })
-	handover.ListenForSuccessors(ownerCtx, dir, &counters.Reasons, func(link *handover.Link) { eventLoop.enqueue(successorRequested{link}) })
+		func(s *frontend.Submission) { eventLoop.enqueue(messageArrived{s}) },
+		func(s *frontend.Submission) { eventLoop.enqueue(clientLeft{s}) })
+	handover.ListenForSuccessors(ownerCtx, dir, &counters.Reasons,
+		func(link *handover.Link) { eventLoop.enqueue(successorRequested{link}) })
 	eventLoop.openEndpoints(ctx, dir)
 	defer func() { eventLoop.endpoints.close() }()
 	eventLoop.openZones(dir)
@@ -128,7 +131,8 @@
 // newPool returns the pool of connections to endpoints.
 func newPool(cfg *config.Config, counters *metrics.Metrics) *upstream.Pool {
 	capacity := max(1, int(frontend.UpstreamShare*float64(cfg.Limits.Sockets)))
-	return upstream.NewPool(settings.Seconds(cfg.Settings.Limits.ConnTimeoutS), cfg.Policy.IdleConnTimeout, capacity, &counters.UpstreamRequests)
+	return upstream.NewPool(settings.Seconds(cfg.Settings.Limits.ConnTimeoutS), cfg.Policy.IdleConnTimeout, capacity,
+		&counters.UpstreamRequests)
 }
 
 // tasks are what runs beside the loop.
@@ -184,7 +188,8 @@
 
 // gossipOptions are those of the configuration.
 func gossipOptions(cfg *config.Config) gossip.Options {
-	return gossip.Options{Allowed: cfg.Policy.Gossip, Listen: cfg.PeerListen, Broadcast: cfg.PeersAll, Peers: cfg.Peers, Self: cfg.Settings.Ordinal}
+	return gossip.Options{Allowed: cfg.Policy.Gossip, Listen: cfg.PeerListen, Broadcast: cfg.PeersAll, Peers: cfg.Peers,
+		Self: cfg.Settings.Ordinal}
 }
 
 // redirectable is a client of discovery.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -10,19 +10,15 @@
 	"slices"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"milletsail/internal/clock"
 	"milletsail/internal/journal"
 	"milletsail/internal/relay/config"
 	"milletsail/internal/relay/frontend"
-	"milletsail/internal/relay/metrics"
 	"milletsail/internal/relay/notifier"
 	"milletsail/internal/relay/protocol"
-	"milletsail/policy"
 )
 
 func TestDelivery(t *testing.T) {
@@ -42,6 +38,7 @@
 }
 
 // readJournal reads a journal that a relay may be writing.
+
 func readJournal(t *testing.T, dir string) *journal.Journal {
 	t.Helper()
 	j, _, err := journal.Read(dir)
@@ -52,6 +49,7 @@
 }
 
 // openTestJournal opens a journal of the test's own.
+
 func openTestJournal(tb testing.TB, dir string, mb float64) *journal.Journal {
 	tb.Helper()
 	j, _, err := journal.Open(dir, journal.Options{DiskMB: mb})
@@ -80,6 +78,7 @@
 }
 
 // Malformed requests get a plain 4xx other than 429, nothing is taken on, and the relay goes on.
+
 func TestMalformedRequests(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -139,6 +138,7 @@
 }
 
 // A destination that no list has named is refused: the list may lag, and the module keeps state for each.
+
 func TestUnknownDestination(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -157,6 +157,7 @@
 }
 
 // What could not be delivered ends by one notice, which is posted until it is received.
+
 func TestNoticeUntilReceived(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -175,6 +176,7 @@
 }
 
 // The ends that answers tell: 410 leaves nothing owed, 504 a notice, and there are no further calls.
+
 func TestTerminalAnswers(t *testing.T) {
 	for status, want := range map[int]int{http.StatusGone: 0, http.StatusGatewayTimeout: 1} {
 		p := newPlatform(t)
@@ -193,193 +195,25 @@
 }
 
 // A process is killed with a call out. The next one may make it again only as its class allows, and ends
+
 // each message exactly once.
-func TestKilledWithCallsOut(t *testing.T) {
-	tests := []struct {
-		name, class string
-		memory      float64
-		again       bool
-	}{
-		{"safe", "status", 15, true},
-		{"keyed, remembered", "payment", 15, true},
-		{"keyed, forgotten", "payment", 0.05, false},
-		{"unsafe", "order", 15, false},
-	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) {
-			p := newPlatform(t)
-			p.memory = tt.memory
-			p.addHost("h1", 7)
-			p.answer = func(*http.Request) int { return 0 }
-			c := p.start()
-			p.take(tt.class, "m", "25")
-			p.called()
-			p.kill(c)
-			time.Sleep(100 * time.Millisecond) // past the short memory
-			var key string
-			p.set(func() {
-				p.answer = func(r *http.Request) int {
-					key = r.Header.Get("Idempotency-Key")
-					return http.StatusOK
-				}
-			})
-			p.start()
-			if tt.again {
-				p.called()
-				if key != "key-m" {
-					t.Errorf("key %q", key)
-				}
-			}
-			p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			want := map[bool]int{true: 2, false: 1}[tt.again]
-			if got := p.sent(); len(got) != want {
-				t.Errorf("calls %v, want %d", got, want)
-			}
-			if n := p.told(); len(n) != map[bool]int{true: 0, false: 1}[tt.again] {
-				t.Errorf("notices %v", n)
-			} else if tt.class == "order" && n[0].Status != notifier.StatusUndeliverable {
-				t.Errorf("an unsafe message that may have run was handed back: %v", n)
-			}
-		})
-	}
-}
 
 // A window for repeats of 1 s counts from the first sending, whatever ends the process: killed and back at once, the message
+
 // goes out again within it; after a planned end, which takes longer while the call hangs, it ends as its class says.
-func TestWindowOfASecond(t *testing.T) {
-	for _, tt := range []struct {
-		name   string
-		signal syscall.Signal
-		wait   time.Duration
-		again  bool
-	}{{"killed", syscall.SIGKILL, 0, true}, {"killed, back late", syscall.SIGKILL, time.Second, false}, {"told to end", syscall.SIGTERM, 0, false}} {
-		t.Run(tt.name, func(t *testing.T) {
-			p := newPlatform(t)
-			p.memory = 1
-			p.addHost("h1", 7)
-			p.answer = func(*http.Request) int { return 0 }
-			c := p.start()
-			p.take("payment", "m", "25")
-			p.called()
-			sent := time.Now()
-			if err := c.Process.Signal(tt.signal); err != nil {
-				t.Fatal(err)
-			}
-			_ = receive(t, c.exited)
-			time.Sleep(tt.wait)
-			var again time.Duration
-			p.set(func() {
-				p.answer = func(*http.Request) int {
-					again = time.Since(sent)
-					return http.StatusOK
-				}
-			})
-			p.start()
-			p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			calls, told := p.sent(), p.told()
-			if again > time.Second {
-				t.Errorf("sent again after %v", again)
-			}
-			if !tt.again && (len(calls) != 1 || len(told) != 1 || told[0].Status != notifier.StatusDeferred) {
-				t.Errorf("calls %v, notices %v", calls, told)
-			}
-			if tt.again && len(calls)+len(told) != 2 { // once more, or, on a machine too slow for that, its end
-				t.Errorf("calls %v, notices %v", calls, told)
-			}
-		})
-	}
-}
 
 // Attempts that never ran do not bind the next process, and a message keeps its time: one whose time ran
+
 // out between two processes still gets its end.
-func TestKilledWhileHolding(t *testing.T) {
-	p := newPlatform(t)
-	h := p.addHost("h1", 7)
-	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1 // tried rarely, so that attempts remain
-	c := p.start()
-	p.take("order", "late", "0.6")
-	p.take("order", "kept", "25")
-	p.until("an attempt is noted", func() bool {
-		e := readEntries(t, p.dir)
-		return len(e) > 0 && len(e[0].Attempts) > 0 && e[0].Attempts[0].NotExecuted
-	})
-	p.kill(c)
-	time.Sleep(600 * time.Millisecond)
-	p.set(func() { p.hosts[0] = h })
-	p.start()
-	if id := p.called(); id != "kept" {
-		t.Errorf("call for %s", id)
-	}
-	p.until("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.told(); len(n) != 1 || n[0].ID != "late" {
-		t.Errorf("notices %v", n)
-	}
-}
 
 // A planned end: answers close their connections, nothing that was read goes unanswered, calls out come to
+
 // their end, and the rest is for the next process.
-func TestPlannedRestart(t *testing.T) {
-	p := newPlatform(t)
-	h := p.addHost("h1", 7)
-	p.addHost("h8", 8)
-	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1 // tried rarely, so that attempts remain
-	c := p.start()
-	p.take("order", "before", "25")
-	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	n := 0
-	p.until("answers close connections", func() bool {
-		n++
-		resp := p.handIn("status", "after"+string(rune('a'+n%26))+string(rune('a'+n/26%26)), "25",
-			func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
-		if resp.StatusCode != http.StatusAccepted {
-			t.Fatalf("while it ends: %s", resp.Status)
-		}
-		return resp.Close
-	})
-	select {
-	case err := <-c.exited:
-		if err != nil {
-			t.Errorf("exit: %v", err)
-		}
-	case <-time.After(long):
-		t.Fatal("no exit after SIGTERM")
-	}
-	if got := len(p.sent()); got != n {
-		t.Errorf("%d of %d delivered before the end", got, n)
-	}
-	if e := readEntries(t, p.dir); len(e) != 1 || e[0].ID != "before" {
-		t.Fatalf("left for the next process: %v", e)
-	}
-	p.set(func() { p.hosts[0] = h })
-	p.start()
-	p.until("the rest is delivered", func() bool { return slices.Contains(p.sent(), "before") })
-}
 
 // A notice that the platform has not received is owed by the next process too.
-func TestNoticeOwedThroughRestart(t *testing.T) {
-	p := newPlatform(t)
-	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
-	p.deaf = 1 << 30
-	c := p.start()
-	p.take("order", "m", "0.3")
-	p.until("the notice is owed", func() bool {
-		e := readEntries(t, p.dir)
-		return len(e) == 1 && e[0].PendingNotification != nil
-	})
-	p.kill(c)
-	p.set(func() { p.deaf = 0 })
-	p.start()
-	p.until("the notice is received", func() bool { return len(p.told()) == 1 })
-	p.until("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.sent(); len(n) != 1 {
-		t.Errorf("calls: %v", n)
-	}
-}
 
 // The same message handed in twice, as after a connection that broke, is taken on once.
+
 func TestSameMessageTwice(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -397,52 +231,11 @@
 }
 
 // An outage that was seen outlasts the process, for a host that the configuration's list lacks as well.
-func TestOutageRememberedThroughRestart(t *testing.T) {
-	for _, known := range []bool{true, false} {
-		p := newPlatform(t)
-		p.addHost("h1", 7)
-		p.hosts[0].Share = 0.05 // a budget of one knock in many seconds
-		up := p.hosts[0]
-		p.hosts[0].Dial = closedAddress(t)
-		c := p.start()
-		p.take("status", "a", "25")
-		p.until("the outage is noted", func() bool { return readHealth(t, p.dir)["h1"].Ejected })
-		p.kill(c)
-		p.set(func() { p.hosts[0] = up })
-		if !known {
-			p.set(func() { p.unknown = true })
-		}
-		p.start()
-		resp := p.handIn("status", "b", "25")
-		for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.handIn("status", "b", "25") {
-			time.Sleep(10 * time.Millisecond) // not listed yet
-		}
-		// A fresh relay would take it on and send at once; in an outage the next knock is too far off.
-		if resp.StatusCode != http.StatusTooManyRequests {
-			t.Errorf("known %v: %s", known, resp.Status)
-		}
-		if got := p.sent(); len(got) > 1 {
-			t.Errorf("known %v: %v sent at once to a destination that was out", known, got)
-		}
-	}
-}
 
 // A message whose class the settings no longer have is ended all the same.
-func TestClassGone(t *testing.T) {
-	dir := t.TempDir()
-	j := openTestJournal(t, dir, 3)
-	j.Accept(&journal.Entry{ID: "m", Class: "parcel", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
-	commit(t, j)
-	p := newPlatform(t)
-	p.dir = dir
-	p.start()
-	p.until("its notice is received", func() bool { return len(p.told()) == 1 })
-	if n := p.told()[0]; n != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
-		t.Errorf("notice %v", n)
-	}
-}
 
 // A relay that cannot listen ends with an error before it has called anyone.
+
 func TestCannotListen(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -467,6 +260,7 @@
 }
 
 // closedAddress is an address at which connections are refused.
+
 func closedAddress(tb testing.TB) string {
 	tb.Helper()
 	p := newPlatform(tb)
@@ -474,6 +268,7 @@
 }
 
 // leave notes messages in the journal as an earlier process would have.
+
 func leave(t *testing.T, p *platform, ids ...string) {
 	t.Helper()
 	j := openTestJournal(t, p.dir, 3)
@@ -484,7 +279,9 @@
 }
 
 // Messages that wait for one host travel in calls of as many as its kind takes: a call for each would need slots
+
 // that the relay does not have.
+
 func TestMessagesTravelTogether(t *testing.T) {
 	p := newPlatform(t)
 	p.bundle = 3
@@ -501,7 +298,9 @@
 }
 
 // Messages of a call share its fate: once the time of one is up the call is given up for all, and what is answered to it
+
 // from then on counts for none. That one ends, and the others are sent again as their class permits, once.
+
 func TestExpiryInACall(t *testing.T) {
 	p := newPlatform(t)
 	p.bundle = 3
@@ -542,6 +341,7 @@
 }
 
 // A peer that sends a request in another's body, or nothing at all, costs a connection that is soon closed.
+
 func TestPeersThatSendNoProperRequest(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -590,132 +390,5 @@
 }
 
 // A peer that hands in the id of a message that was taken on, and leaves, takes nothing back; two that hand in the
-// same id at once get the same answer.
-func TestCopiesOfAMessage(t *testing.T) {
-	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
-		Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openTestJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
-		messages: map[string]*message{}, endpoints: listAt(7)}
-	l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
-	copyOf := func(id string) *frontend.Submission {
-		return &frontend.Submission{Response: make(chan frontend.Response, 1),
-			Entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)}}
-	}
-	status := func(a *frontend.Submission) int {
-		select {
-		case v := <-a.Response:
-			return v.Status
-		default:
-			return 0
-		}
-	}
-	first, second, late := copyOf("m"), copyOf("m"), copyOf("m")
-	l.accept(messageArrived{first})
-	l.accept(messageArrived{second})
-	if s := status(second); s != 0 {
-		t.Errorf("a copy of an undecided message was answered %d", s)
-	}
-	l.step(t.Context())
-	if a, b := status(first), status(second); a != http.StatusAccepted || b != a {
-		t.Errorf("answers %d and %d", a, b)
-	}
-	l.accept(messageArrived{late})
-	for _, a := range []*frontend.Submission{late, second, first} {
-		l.accept(clientLeft{a})
-	}
-	l.step(t.Context())
-	if l.messages["m"] == nil || l.journal.Get("m") == nil {
-		t.Error("a message that others were told is taken on was withdrawn")
-	}
-	alone := copyOf("n")
-	l.accept(messageArrived{alone})
-	l.accept(clientLeft{alone})
-	l.step(t.Context())
-	if l.messages["n"] != nil || l.journal.Get("n") != nil {
-		t.Error("a message whose client left unanswered was kept")
-	}
-	// One that was withdrawn while its call is out may have run: who hands its id in again is told that this is harmless
-	// only in a class that may be repeated.
-	for i, c := range []struct {
-		effect policy.Effect
-		byZone bool
-		want   int
-	}{{policy.Idempotent, false, 503}, {policy.IdempotentWithKey, false, 503}, {policy.IdempotentWithKey, true, 502}, {policy.NotIdempotent, false, 502}} {
-		l.cfg.Policy.Classes[0].Effect, l.cfg.Policy.Classes[0].KeysPerZone = c.effect, c.byZone
-		id := fmt.Sprint("out", i)
-		gone, again := copyOf(id), copyOf(id)
-		l.accept(messageArrived{gone})
-		l.step(t.Context())
-		m := l.messages[id]
-		l.journal.StartAttempt(m.Entry, "h1", clock.Now())
-		m.cancel = func() {}
-		l.accept(clientLeft{gone})
-		l.accept(messageArrived{again})
-		if got := status(again); got != c.want {
-			t.Errorf("%+v: answered %d", c, got)
-		}
-	}
-}
 
-// A send that could not be made is reported to the module at once, and leaves the module's timer as it was.
-func TestTimerAfterUnsentCall(t *testing.T) {
-	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
-		Classes: []policy.Class{{Name: "status", Deadline: time.Minute}}}, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openTestJournal(t, t.TempDir(), 3), messages: map[string]*message{}, endpoints: listAt()}
-	timer := clock.Now().Add(time.Minute)
-	l.timerAt = timer
-	m := &message{Entry: &journal.Entry{ID: "m"}}
-	l.messages["m"] = m
-	l.completeUnsent(send{message: m}, policy.NotStarted)
-	if due := l.untilNextStep(); due != 0 {
-		t.Errorf("the module hears of it in %v", due)
-	}
-	l.step(t.Context())
-	if l.timerAt != timer {
-		t.Errorf("the timer moved by %v", l.timerAt-timer)
-	}
-}
-
-// What was due within a tick may be gone by an event just before it: the timer asked for next is not dropped with the
-// one that was due, or a message with nothing else to wake the relay ends late.
-func TestTimerAskedForShortOfAnother(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		const tick = 5 * time.Millisecond
-		d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, BatchInterval: tick,
-			Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: openTestJournal(t, t.TempDir(), 3),
-			messages: map[string]*message{}, endpoints: listAt(7), notifier: &notifier.Notifier{}}
-		l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
-		start := time.Now()
-		hand := func(id string, left time.Duration) *frontend.Submission {
-			a := &frontend.Submission{Response: make(chan frontend.Response, 1), Entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(left)}}
-			l.accept(messageArrived{a})
-			return a
-		}
-		first := hand("first", time.Second)
-		hand("second", 2*time.Second)
-		l.step(t.Context())
-		time.Sleep(l.untilNextStep() - tick/2)
-		delete(l.messages, "first")
-		l.batch.events = append(l.batch.events, policy.Withdrawn{ID: first.Entry.ID})
-		l.step(t.Context())
-		for range 3 { // as far as the timers wake the relay before the second message's time is up
-			time.Sleep(min(l.untilNextStep(), 2*time.Second-time.Since(start)))
-			if l.untilNextStep() == 0 {
-				l.step(t.Context())
-			}
-		}
-		if m := l.messages["second"]; !m.ended {
-			t.Error("nothing woke the relay before the message's time was up")
-		}
-	})
-}
+// same id at once get the same answer.
--- a/internal/relay/resource/resource.go
+++ b/internal/relay/resource/resource.go
@@ -8,7 +8,8 @@
 )
 
 // remoteErrors are the errors of connect(2) that come from the peer or the network. All others are local.
-var remoteErrors = []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EHOSTDOWN}
+var remoteErrors = []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
+	syscall.EHOSTDOWN}
 
 // exhaustionErrors say that this process or the machine has too little of something, or that its disk fails.
 var exhaustionErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EIO}
--- /dev/null
+++ b/internal/relay/restart_test.go
@@ -0,0 +1,236 @@
+package relay
+
+import (
+	"net/http"
+	"slices"
+	"syscall"
+	"testing"
+	"time"
+
+	"milletsail/internal/clock"
+	"milletsail/internal/journal"
+	"milletsail/internal/relay/notifier"
+)
+
+func TestKilledWithCallsOut(t *testing.T) {
+	tests := []struct {
+		name, class string
+		memory      float64
+		again       bool
+	}{
+		{"safe", "status", 15, true},
+		{"keyed, remembered", "payment", 15, true},
+		{"keyed, forgotten", "payment", 0.05, false},
+		{"unsafe", "order", 15, false},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			p := newPlatform(t)
+			p.memory = tt.memory
+			p.addHost("h1", 7)
+			p.answer = func(*http.Request) int { return 0 }
+			c := p.start()
+			p.take(tt.class, "m", "25")
+			p.called()
+			p.kill(c)
+			time.Sleep(100 * time.Millisecond) // past the short memory
+			var key string
+			p.set(func() {
+				p.answer = func(r *http.Request) int {
+					key = r.Header.Get("Idempotency-Key")
+					return http.StatusOK
+				}
+			})
+			p.start()
+			if tt.again {
+				p.called()
+				if key != "key-m" {
+					t.Errorf("key %q", key)
+				}
+			}
+			p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
+			want := map[bool]int{true: 2, false: 1}[tt.again]
+			if got := p.sent(); len(got) != want {
+				t.Errorf("calls %v, want %d", got, want)
+			}
+			if n := p.told(); len(n) != map[bool]int{true: 0, false: 1}[tt.again] {
+				t.Errorf("notices %v", n)
+			} else if tt.class == "order" && n[0].Status != notifier.StatusUndeliverable {
+				t.Errorf("an unsafe message that may have run was handed back: %v", n)
+			}
+		})
+	}
+}
+
+func TestWindowOfASecond(t *testing.T) {
+	for _, tt := range []struct {
+		name   string
+		signal syscall.Signal
+		wait   time.Duration
+		again  bool
+	}{{"killed", syscall.SIGKILL, 0, true}, {"killed, back late", syscall.SIGKILL, time.Second, false}, {"told to end",
+		syscall.SIGTERM, 0, false}} {
+		t.Run(tt.name, func(t *testing.T) {
+			p := newPlatform(t)
+			p.memory = 1
+			p.addHost("h1", 7)
+			p.answer = func(*http.Request) int { return 0 }
+			c := p.start()
+			p.take("payment", "m", "25")
+			p.called()
+			sent := time.Now()
+			if err := c.Process.Signal(tt.signal); err != nil {
+				t.Fatal(err)
+			}
+			_ = receive(t, c.exited)
+			time.Sleep(tt.wait)
+			var again time.Duration
+			p.set(func() {
+				p.answer = func(*http.Request) int {
+					again = time.Since(sent)
+					return http.StatusOK
+				}
+			})
+			p.start()
+			p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
+			calls, told := p.sent(), p.told()
+			if again > time.Second {
+				t.Errorf("sent again after %v", again)
+			}
+			if !tt.again && (len(calls) != 1 || len(told) != 1 || told[0].Status != notifier.StatusDeferred) {
+				t.Errorf("calls %v, notices %v", calls, told)
+			}
+			if tt.again && len(calls)+len(told) != 2 { // once more, or, on a machine too slow for that, its end
+				t.Errorf("calls %v, notices %v", calls, told)
+			}
+		})
+	}
+}
+
+func TestKilledWhileHolding(t *testing.T) {
+	p := newPlatform(t)
+	h := p.addHost("h1", 7)
+	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1 // tried rarely, so that attempts remain
+	c := p.start()
+	p.take("order", "late", "0.6")
+	p.take("order", "kept", "25")
+	p.until("an attempt is noted", func() bool {
+		e := readEntries(t, p.dir)
+		return len(e) > 0 && len(e[0].Attempts) > 0 && e[0].Attempts[0].NotExecuted
+	})
+	p.kill(c)
+	time.Sleep(600 * time.Millisecond)
+	p.set(func() { p.hosts[0] = h })
+	p.start()
+	if id := p.called(); id != "kept" {
+		t.Errorf("call for %s", id)
+	}
+	p.until("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	if n := p.told(); len(n) != 1 || n[0].ID != "late" {
+		t.Errorf("notices %v", n)
+	}
+}
+
+func TestPlannedRestart(t *testing.T) {
+	p := newPlatform(t)
+	h := p.addHost("h1", 7)
+	p.addHost("h8", 8)
+	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1 // tried rarely, so that attempts remain
+	c := p.start()
+	p.take("order", "before", "25")
+	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	n := 0
+	p.until("answers close connections", func() bool {
+		n++
+		resp := p.handIn("status", "after"+string(rune('a'+n%26))+string(rune('a'+n/26%26)), "25",
+			func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
+		if resp.StatusCode != http.StatusAccepted {
+			t.Fatalf("while it ends: %s", resp.Status)
+		}
+		return resp.Close
+	})
+	select {
+	case err := <-c.exited:
+		if err != nil {
+			t.Errorf("exit: %v", err)
+		}
+	case <-time.After(long):
+		t.Fatal("no exit after SIGTERM")
+	}
+	if got := len(p.sent()); got != n {
+		t.Errorf("%d of %d delivered before the end", got, n)
+	}
+	if e := readEntries(t, p.dir); len(e) != 1 || e[0].ID != "before" {
+		t.Fatalf("left for the next process: %v", e)
+	}
+	p.set(func() { p.hosts[0] = h })
+	p.start()
+	p.until("the rest is delivered", func() bool { return slices.Contains(p.sent(), "before") })
+}
+
+func TestNoticeOwedThroughRestart(t *testing.T) {
+	p := newPlatform(t)
+	p.addHost("h1", 7)
+	p.answer = func(*http.Request) int { return 0 }
+	p.deaf = 1 << 30
+	c := p.start()
+	p.take("order", "m", "0.3")
+	p.until("the notice is owed", func() bool {
+		e := readEntries(t, p.dir)
+		return len(e) == 1 && e[0].PendingNotification != nil
+	})
+	p.kill(c)
+	p.set(func() { p.deaf = 0 })
+	p.start()
+	p.until("the notice is received", func() bool { return len(p.told()) == 1 })
+	p.until("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	if n := p.sent(); len(n) != 1 {
+		t.Errorf("calls: %v", n)
+	}
+}
+
+func TestOutageRememberedThroughRestart(t *testing.T) {
+	for _, known := range []bool{true, false} {
+		p := newPlatform(t)
+		p.addHost("h1", 7)
+		p.hosts[0].Share = 0.05 // a budget of one knock in many seconds
+		up := p.hosts[0]
+		p.hosts[0].Dial = closedAddress(t)
+		c := p.start()
+		p.take("status", "a", "25")
+		p.until("the outage is noted", func() bool { return readHealth(t, p.dir)["h1"].Ejected })
+		p.kill(c)
+		p.set(func() { p.hosts[0] = up })
+		if !known {
+			p.set(func() { p.unknown = true })
+		}
+		p.start()
+		resp := p.handIn("status", "b", "25")
+		for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.handIn("status", "b", "25") {
+			time.Sleep(10 * time.Millisecond) // not listed yet
+		}
+		// A fresh relay would take it on and send at once; in an outage the next knock is too far off.
+		if resp.StatusCode != http.StatusTooManyRequests {
+			t.Errorf("known %v: %s", known, resp.Status)
+		}
+		if got := p.sent(); len(got) > 1 {
+			t.Errorf("known %v: %v sent at once to a destination that was out", known, got)
+		}
+	}
+}
+
+func TestClassGone(t *testing.T) {
+	dir := t.TempDir()
+	j := openTestJournal(t, dir, 3)
+	j.Accept(&journal.Entry{ID: "m", Class: "parcel", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
+	commit(t, j)
+	p := newPlatform(t)
+	p.dir = dir
+	p.start()
+	p.until("its notice is received", func() bool { return len(p.told()) == 1 })
+	if n := p.told()[0]; n != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
+		t.Errorf("notice %v", n)
+	}
+}
--- a/internal/relay/retry/retry_test.go
+++ b/internal/relay/retry/retry_test.go
@@ -38,7 +38,8 @@
 		{"canceled", canceled, time.Minute, false, never, 1, errFails},
 	} {
 		attempts, waits := 0, 0
-		p := Policy{Timeout: tt.timeout, Interval: time.Millisecond, Retryable: func(error) bool { return !tt.final }, OnRetry: func(error) { waits++ }}
+		p := Policy{Timeout: tt.timeout, Interval: time.Millisecond, Retryable: func(error) bool { return !tt.final },
+			OnRetry: func(error) { waits++ }}
 		err := Do(tt.ctx, p, func() error {
 			attempts++
 			return tt.attempt(attempts)
--- a/internal/relay/selfcheck_test.go
+++ b/internal/relay/selfcheck_test.go
@@ -22,11 +22,13 @@
 	}
 	l.messages["late"] = &message{Entry: &journal.Entry{ID: "late", Class: "status", ExpiresAt: clock.Now().Add(-time.Second)}}
 	l.messages["in time"] = &message{Entry: &journal.Entry{ID: "in time", Class: "status", ExpiresAt: clock.Now().Add(time.Minute)}}
-	l.messages["over"] = &message{Entry: &journal.Entry{ID: "over", Class: "status", ExpiresAt: clock.Now().Add(-time.Second)}, ended: true}
+	l.messages["over"] = &message{Entry: &journal.Entry{ID: "over", Class: "status", ExpiresAt: clock.Now().Add(-time.Second)},
+		ended: true}
 	l.checkOverdue()
 	l.checkOverdue()
 	l.metrics.Reasons.Increment("relay_undelivered", policy.ReasonBacklog)
-	want := []string{`relay_overdue{reason="status"} 1`, `relay_undelivered{reason="backlog"} 1`, `relay_wall_clock_steps{reason="back"} 1`,
+	want := []string{`relay_overdue{reason="status"} 1`, `relay_undelivered{reason="backlog"} 1`,
+		`relay_wall_clock_steps{reason="back"} 1`,
 		`relay_wall_clock_steps{reason="forward"} 1`, "END"}
 	if got := l.metrics.Reasons.Text(); got != strings.Join(want, "\n") {
 		t.Errorf("%s", got)
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -9,10 +9,12 @@
 	"milletsail/policy"
 )
 
-// newFleetService returns the service that shares what this relay learns with the fleet. It brings the loop what the others share.
+// newFleetService returns the service that shares what this relay learns with the fleet. It brings the loop what the others
+// share.
 func (l *loop) newFleetService(dir string) *live.Service {
 	s := &l.cfg.Settings
-	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(), Zone: s.Az, Seed: uint64(l.cfg.RandomSeed),
+	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(),
+		Zone: s.Az, Seed: uint64(l.cfg.RandomSeed),
 		Send: func(to int, note []byte) {
 			if to == fleet.Everyone {
 				l.gossip.Broadcast(note)
@@ -66,7 +68,8 @@
 
 // observation returns what a fact says to the policy, if it is of the kinds that gossip messages carry.
 func observation(f fleet.Fact, age time.Duration) (observed policy.Observed, ok bool) {
-	observed = policy.Observed{Closed: f.Kind == fleet.KindDestinationClosed, Open: f.Kind == fleet.KindDestinationOpen, Back: f.Kind == fleet.KindEndpointRecovered,
+	observed = policy.Observed{Closed: f.Kind == fleet.KindDestinationClosed, Open: f.Kind == fleet.KindDestinationOpen,
+		Back:   f.Kind == fleet.KindEndpointRecovered,
 		NoRoom: f.Kind == fleet.KindConnectionRejected, Age: age}
 	if observed.Back || observed.NoRoom {
 		observed.Endpoint = f.Key
@@ -85,11 +88,14 @@
 
 // assessmentEvents translates an assessment of the fleet into the policy's events.
 func assessmentEvents(s live.PeerAssessment) []policy.Event {
-	events := []policy.Event{policy.PeerSuspected{Destination: s.Dest, Endpoint: s.Endpoint, Observers: s.Observers, RecentObservers: s.RecentObservers, OldestAge: s.OldestAge,
+	events := []policy.Event{policy.PeerSuspected{Destination: s.Dest, Endpoint: s.Endpoint, Observers: s.Observers,
+		RecentObservers: s.RecentObservers, OldestAge: s.OldestAge,
 		NewestAge: s.NewestAge, ValidFor: s.ValidFor, Rank: s.Rank}}
 	if s.Rates.Reporters > 0 {
-		events = append(events, policy.PeerRateReceived{Destination: s.Dest, LiveRelays: s.LiveRelays, Reporters: s.Rates.Reporters, RateShare: s.Rates.RateShare,
-			ArrivalRate: s.Rates.ArrivalRate, ArrivalRateError: s.Rates.ArrivalRateError, ArrivalRateByZone: s.ArrivalRateByZone, ValidFor: s.Rates.ValidFor})
+		events = append(events, policy.PeerRateReceived{Destination: s.Dest, LiveRelays: s.LiveRelays, Reporters: s.Rates.Reporters,
+			RateShare:   s.Rates.RateShare,
+			ArrivalRate: s.Rates.ArrivalRate, ArrivalRateError: s.Rates.ArrivalRateError, ArrivalRateByZone: s.ArrivalRateByZone,
+			ValidFor: s.Rates.ValidFor})
 	}
 	return events
 }
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -50,7 +50,8 @@
 	l.closeConnections(ctx, server, clock.Now().Add(responseWriteTimeout))
 }
 
-// shutdownGracefully shuts a relay down gracefully. No request that was read goes unanswered: responses close their connections, and those
+// shutdownGracefully shuts a relay down gracefully. No request that was read goes unanswered: responses close their
+// connections, and those
 // that stay unused are closed last.
 func (l *loop) shutdownGracefully(ctx context.Context, server *frontend.Server) {
 	started := clock.Now()
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -129,9 +129,12 @@
 	}{
 		{"taken on, not sent", journal.Entry{}, 1, 0},
 		{"its call noted, perhaps not written", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now()}}}, 0, 1},
-		{"its call's end noted as never run", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(), Ended: true, NotExecuted: true}}}, 1, 0},
-		{"its call's end noted, its own not", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(), Ended: true}}}, 0, 1},
-		{"its notice owed, perhaps received", journal.Entry{PendingNotification: &journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}}, 0, 1},
+		{"its call's end noted as never run", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(),
+			Ended: true, NotExecuted: true}}}, 1, 0},
+		{"its call's end noted, its own not", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(),
+			Ended: true}}}, 0, 1},
+		{"its notice owed, perhaps received", journal.Entry{PendingNotification: &journal.Notification{ID: "m",
+			Status: notifier.StatusUndeliverable}}, 0, 1},
 	} {
 		t.Run(strings.ReplaceAll(tt.name, " ", "_"), func(t *testing.T) {
 			p := newPlatform(t)
--- a/internal/relay/storage.go
+++ b/internal/relay/storage.go
@@ -28,14 +28,16 @@
 		return nil, err
 	}
 	if found.Records > 0 {
-		slog.Info("journal read", "file", found.File, "records", found.Records, "live_messages", len(opened.Entries()), "torn", found.Torn,
+		slog.Info("journal read", "file", found.File, "records", found.Records, "live_messages", len(opened.Entries()), "torn",
+			found.Torn,
 			"used_wall_clock", found.UsedWallClock)
 	}
 	return opened, nil
 }
 
 // openStore reads the endpoint list in the state directory. A file that can't be read in time counts as damaged.
-func openStore(ctx context.Context, dir string, budget int64) (store *endpoints.Store, table *endpoints.Table, seq int64, found endpoints.LoadReport, err error) {
+func openStore(ctx context.Context, dir string, budget int64) (store *endpoints.Store, table *endpoints.Table, seq int64,
+	found endpoints.LoadReport, err error) {
 	dir = filepath.Join(dir, listDirectory)
 	err = retry.Storage(context.WithoutCancel(ctx), listTimeout, "read endpoint list", func() (err error) {
 		store, table, seq, found, err = endpoints.Open(dir, budget)
--- a/internal/relay/stored_test.go
+++ b/internal/relay/stored_test.go
@@ -50,7 +50,10 @@
 	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
 	close(hold)
 	p.until("what may be repeated goes out", func() bool { return slices.Contains(p.sent(), "safe") })
-	p.until("the operators are told", func() bool { return strings.HasPrefix(askOperator(t, p.admin, "health\n"), "ERR nothing is taken on") })
+	p.until("the operators are told", func() bool {
+		return strings.HasPrefix(askOperator(t, p.admin, "health\n"),
+			"ERR nothing is taken on")
+	})
 	resp := p.handIn("status", "late", "25")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("with a full disk: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
@@ -136,7 +139,8 @@
 				p.addHost("h1", 7)
 				j := openTestJournal(b, p.dir, 64)
 				for i := range c.live {
-					e := &journal.Entry{ID: fmt.Sprintf("%016x", i), Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left), Body: make([]byte, 200)}
+					e := &journal.Entry{ID: fmt.Sprintf("%016x", i), Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left),
+						Body: make([]byte, 200)}
 					j.Accept(e)
 					j.StartAttempt(e, "h1", clock.Now())
 					j.EndAttempt(e, true)
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -64,7 +64,8 @@
 				t.Fatal(err)
 			}
 			var queue recordedNotifications
-			l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New(classes), journal: kept, messages: map[string]*message{}, endpoints: listAt(7), notifier: &queue}
+			l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New(classes), journal: kept,
+				messages: map[string]*message{}, endpoints: listAt(7), notifier: &queue}
 			l.cfg.Policy.Classes = classes
 			m := &message{Entry: &journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left)}}
 			l.messages["m"] = m
@@ -88,7 +89,8 @@
 // What a journal that could not be written lacks, the process before tells: attempts may have run, and an end stays one.
 func TestUnwrittenJournalIsMadeUpFor(t *testing.T) {
 	e := &journal.Entry{ID: "m", Attempts: []journal.Attempt{{Host: "h1", Ended: true, NotExecuted: true}}}
-	handover.LiveMessage{Attempts: 3, PendingNotification: &journal.Notification{ID: "m", Status: notifier.StatusDeferred}}.Reconcile(e)
+	handover.LiveMessage{Attempts: 3, PendingNotification: &journal.Notification{ID: "m",
+		Status: notifier.StatusDeferred}}.Reconcile(e)
 	if len(e.Attempts) != 3 || !e.Attempts[2].Uncertain || e.Attempts[2].NotExecuted || e.PendingNotification == nil {
 		t.Errorf("%+v", e)
 	}
--- a/internal/relay/upstream/pool_test.go
+++ b/internal/relay/upstream/pool_test.go
@@ -283,8 +283,10 @@
 
 // A call for which this process has no descriptor left says nothing of the host.
 func TestNoDescriptorForACall(t *testing.T) {
-	for errno, want := range map[syscall.Errno]policy.Outcome{syscall.EMFILE: policy.NotStarted, syscall.ENFILE: policy.NotStarted, syscall.ENOBUFS: policy.NotStarted,
-		syscall.ENOMEM: policy.NotStarted, syscall.EADDRNOTAVAIL: policy.NotStarted, syscall.EADDRINUSE: policy.NotStarted, syscall.EAGAIN: policy.NotStarted,
+	for errno, want := range map[syscall.Errno]policy.Outcome{syscall.EMFILE: policy.NotStarted,
+		syscall.ENFILE: policy.NotStarted, syscall.ENOBUFS: policy.NotStarted,
+		syscall.ENOMEM: policy.NotStarted, syscall.EADDRNOTAVAIL: policy.NotStarted, syscall.EADDRINUSE: policy.NotStarted,
+		syscall.EAGAIN:      policy.NotStarted,
 		syscall.ENETUNREACH: policy.NotStarted, syscall.EACCES: policy.NotStarted, syscall.EPERM: policy.NotStarted,
 		syscall.ECONNREFUSED: policy.ConnectError, syscall.ETIMEDOUT: policy.ConnectError, syscall.EHOSTUNREACH: policy.ConnectError} {
 		p := testPool()
--- a/internal/relay/upstream/response.go
+++ b/internal/relay/upstream/response.go
@@ -101,7 +101,8 @@
 
 // classifyResponse reads a result from the head of a response, as the protocol defines it.
 func classifyResponse(resp *http.Response) Result {
-	result := Result{Outcome: policy.Failed, RetryAfter: parseRetryAfter(resp), LoadReport: parseLoadReport(resp.Header.Get("Server-Load"))}
+	result := Result{Outcome: policy.Failed, RetryAfter: parseRetryAfter(resp),
+		LoadReport: parseLoadReport(resp.Header.Get("Server-Load"))}
 	switch resp.StatusCode {
 	case http.StatusOK:
 		result.Outcome, result.Completed = policy.OK, true
--- /dev/null
+++ b/internal/relay/wire_handover_proxy_test.go
@@ -0,0 +1,76 @@
+package relay
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+)
+
+type handoverProxy struct {
+	t     *testing.T
+	path  string                  // of the old process's socket
+	meet  func(handoverLine) bool // is called with each line, and tells whether it is to be passed on
+	lines chan handoverLine
+}
+
+func proxyHandover(t *testing.T, dir string, meet func(handoverLine) bool) *handoverProxy {
+	t.Helper()
+	socket := filepath.Join(dir, "handover")
+	proxy := &handoverProxy{t: t, path: socket + "-old", meet: meet, lines: make(chan handoverLine, 1000)}
+	if err := os.Rename(socket, proxy.path); err != nil {
+		t.Fatal(err)
+	}
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: socket, Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener.SetUnlinkOnClose(false) // by then it is the new process's
+	t.Cleanup(func() { _ = listener.Close() })
+	go func() {
+		for {
+			newer, err := listener.Accept()
+			if err != nil { // closed
+				return
+			}
+			go proxy.join(newer)
+		}
+	}()
+	return proxy
+}
+
+func (p *handoverProxy) join(newer net.Conn) {
+	defer func() { _ = newer.Close() }()
+	old, err := (&net.Dialer{}).DialContext(p.t.Context(), "unix", p.path)
+	if err != nil {
+		p.t.Error(err)
+		return
+	}
+	defer func() { _ = old.Close() }()
+	var both sync.WaitGroup
+	both.Go(func() { p.pass("new", newer, old) })
+	both.Go(func() { p.pass("old", old, newer) })
+	both.Wait()
+}
+
+func (p *handoverProxy) pass(from string, source, sink net.Conn) {
+	in := bufio.NewReader(source)
+	for {
+		text, err := in.ReadString('\n')
+		if err != nil {
+			if half, ok := sink.(*net.UnixConn); ok {
+				_ = half.CloseWrite()
+			}
+			return
+		}
+		line := handoverLine{from: from, kind: handoverKind.FindString(text), text: text}
+		passes := p.meet(line)
+		p.lines <- line
+		if passes {
+			_, _ = io.WriteString(sink, text)
+		}
+	}
+}
--- a/internal/relay/zonecommands.go
+++ b/internal/relay/zonecommands.go
@@ -120,7 +120,8 @@
 	all, cutOff := l.dispatcher.Zones()
 	s.Isolated = cutOff
 	for _, z := range all {
-		r := ZoneReport{Zone: name(z.Zone), State: z.State.String(), StateSeconds: now.Sub(z.EnteredAt).Seconds(), Endpoints: z.Endpoints,
+		r := ZoneReport{Zone: name(z.Zone), State: z.State.String(), StateSeconds: now.Sub(z.EnteredAt).Seconds(),
+			Endpoints:   z.Endpoints,
 			Evacuations: z.Evacuations, Recoveries: z.Recoveries}
 		if z.State == policy.EvacuatedByOrder {
 			r.OrderSeconds = z.OrderExpiresAt.Sub(now).Seconds()
