--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -157,34 +157,34 @@
 }
 
 // validate checks the configuration and derives the policy's settings.
-func (c *Config) validate() error {
+func (config *Config) validate() error {
 	switch {
-	case c.Listen == "":
+	case config.Listen == "":
 		return errors.New("listen: missing")
-	case c.Discovery == "":
+	case config.Discovery == "":
 		return errors.New("discovery: missing")
-	case !(c.Limits.Cores > 0):
-		return fmt.Errorf("limits.cores: %v is not above 0", c.Limits.Cores)
-	case !(c.Limits.MemoryMB > 0):
-		return fmt.Errorf("limits.memory_mb: %v is not above 0", c.Limits.MemoryMB)
-	case c.Limits.Sockets < 1:
-		return fmt.Errorf("limits.sockets: %d is not above 0", c.Limits.Sockets)
-	case !(c.Limits.DiskMB > 0):
-		return fmt.Errorf("limits.disk_mb: %v is not above 0", c.Limits.DiskMB)
-	case c.Durability != "" && c.Durability != DurabilityProcess && c.Durability != DurabilityPower:
-		return fmt.Errorf("durability: %q is not %q or %q", c.Durability, DurabilityProcess, DurabilityPower)
+	case !(config.Limits.Cores > 0):
+		return fmt.Errorf("limits.cores: %v is not above 0", config.Limits.Cores)
+	case !(config.Limits.MemoryMB > 0):
+		return fmt.Errorf("limits.memory_mb: %v is not above 0", config.Limits.MemoryMB)
+	case config.Limits.Sockets < 1:
+		return fmt.Errorf("limits.sockets: %d is not above 0", config.Limits.Sockets)
+	case !(config.Limits.DiskMB > 0):
+		return fmt.Errorf("limits.disk_mb: %v is not above 0", config.Limits.DiskMB)
+	case config.Durability != "" && config.Durability != DurabilityProcess && config.Durability != DurabilityPower:
+		return fmt.Errorf("durability: %q is not %q or %q", config.Durability, DurabilityProcess, DurabilityPower)
 	}
-	seed, err := strconv.ParseUint(c.Seed, 16, 64)
+	seed, err := strconv.ParseUint(config.Seed, 16, 64)
 	if err != nil {
 		return fmt.Errorf("seed: %w", err)
 	}
-	c.RandomSeed = int64(seed)
-	if c.Policy, err = c.Settings.Policy(); err != nil {
+	config.RandomSeed = int64(seed)
+	if config.Policy, err = config.Settings.Policy(); err != nil {
 		return err
 	}
 	// In the simulator some deployments learn of changes unasked; on sockets they come to a watch alone.
-	c.Policy.Subscribe, c.Policy.PublishRates, c.Policy.Zones, c.Policy.CanaryAnalysis = true, c.Fleet, c.Zones, c.CanaryAnalysis
-	c.Policy.MaxBatchBytes = protocol.MaxBodySize - len("[]")
-	_, err = policy.New(c.Policy, c.RandomSeed) // its own check of the settings
+	config.Policy.Subscribe, config.Policy.PublishRates, config.Policy.Zones, config.Policy.CanaryAnalysis = true, config.Fleet, config.Zones, config.CanaryAnalysis
+	config.Policy.MaxBatchBytes = protocol.MaxBodySize - len("[]")
+	_, err = policy.New(config.Policy, config.RandomSeed) // its own check of the settings
 	return err
 }
--- a/internal/relay/handover_killed_test.go
+++ b/internal/relay/handover_killed_test.go
@@ -19,6 +19,7 @@
 	"milletsail/internal/relay/notifier"
 )
 
+// The old process is killed right after the handover, with calls out: they may have run.
 func TestOldProcessKilledAfterHandover(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -41,6 +42,7 @@
 	}
 }
 
+// dieAt is a process that owns the folder and is killed at a step of its handover.
 func dieAt(step, dir string) {
 	die := func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL) }
 	o, err := journal.AcquireOwnership(dir)
@@ -81,6 +83,7 @@
 	select {}
 }
 
+// Whatever step the old process is killed at, the new one starts from the journal.
 func TestOldProcessKilledAtEachStep(t *testing.T) {
 	for _, step := range []string{"asked", "half an offer", "offered", "released"} {
 		t.Run(step, func(t *testing.T) {
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -20,7 +20,6 @@
 )
 
 // inherits has the platform hold the clients' socket.
-
 func (p *platform) inherits() {
 	p.t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(p.t.Context(), "tcp", p.addr)
@@ -39,7 +38,6 @@
 }
 
 // upgrade starts a process beside the one that runs, and waits until it takes clients.
-
 func (p *platform) upgrade() *child {
 	p.t.Helper()
 	p.admin = closedAddress(p.t)
@@ -58,7 +56,6 @@
 }
 
 // keptConn is a client's connection that carries one message after another.
-
 type keptConn struct {
 	net.Conn
 	in *bufio.Reader
@@ -75,7 +72,6 @@
 }
 
 // handIn hands a message in and gives the answer.
-
 func (c *keptConn) handIn(t *testing.T, class, id string) answer {
 	t.Helper()
 	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: relay\r\nTenant: acme\r\nRequest-Id: %s\r\nIdempotency-Key: key-%s\r\n"+
@@ -88,7 +84,6 @@
 }
 
 // exit waits for the end of a process.
-
 func (c *child) exit(t *testing.T) error {
 	t.Helper()
 	select {
@@ -101,9 +96,7 @@
 }
 
 // A new version takes over under load: the call that is out ends in the old process and counts in the new one,
-
 // clients keep their connections for one more answer, and each message is sent once.
-
 func TestUpgrade(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -138,12 +131,8 @@
 	p.until("it is delivered", func() bool { return slices.Contains(p.sent(), "later") })
 }
 
-// The old process is killed right after the handover, with calls out: they may have run.
-
 // The new process finds the journal damaged, so that each message may have one more attempt: the call that is out is
-
 // still the only one, and its end counts.
-
 func TestUpgradeWithADamagedJournal(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -200,7 +189,6 @@
 }
 
 // A wait that the old process was told binds the new one too.
-
 func TestToldWaitThroughUpgrade(t *testing.T) {
 	p := newPlatform(t)
 	var told time.Time
@@ -237,7 +225,6 @@
 }
 
 // An old process that is silent is ended, and the new one starts from the journal.
-
 func TestSilentOldProcess(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -261,9 +248,7 @@
 }
 
 // A new process that dies in the middle of its steps changes nothing, and one that dies as the owner leaves the
-
 // journal to the next.
-
 func TestNewProcessDies(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -320,12 +305,7 @@
 	p.until("the next one delivers", func() bool { return len(readEntries(t, p.dir)) == 0 })
 }
 
-// dieAt is a process that owns the folder and is killed at a step of its handover.
-
-// Whatever step the old process is killed at, the new one starts from the journal.
-
 // A folder whose path is too long for a socket can be handed over too.
-
 func TestSocketInALongPath(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
--- a/internal/relay/loop_test.go
+++ b/internal/relay/loop_test.go
@@ -16,6 +16,8 @@
 	"milletsail/policy"
 )
 
+// A peer that hands in the id of a message that was taken on, and leaves, takes nothing back; two that hand in the
+// same id at once get the same answer.
 func TestCopiesOfAMessage(t *testing.T) {
 	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
 		Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}, 1)
@@ -88,7 +90,6 @@
 }
 
 // A send that could not be made is reported to the module at once, and leaves the module's timer as it was.
-
 func TestTimerAfterUnsentCall(t *testing.T) {
 	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
 		Classes: []policy.Class{{Name: "status", Deadline: time.Minute}}}, 1)
@@ -112,9 +113,7 @@
 }
 
 // What was due within a tick may be gone by an event just before it: the timer asked for next is not dropped with the
-
 // one that was due, or a message with nothing else to wake the relay ends late.
-
 func TestTimerAskedForShortOfAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tick = 5 * time.Millisecond
--- a/internal/relay/platform_config_test.go
+++ b/internal/relay/platform_config_test.go
@@ -8,6 +8,7 @@
 	"strings"
 )
 
+// testSettings has a class of each effect; memory is that of the keyed one, in seconds.
 func testSettings(memory float64, bundle int, discovery string) string {
 	return fmt.Sprintf(`{"az":0,"categories":[
 	 {"name":"status","aim_s":2,"deadline_s":30,"idempotency":"retryable","group":"all","points":1},
@@ -20,6 +21,7 @@
 	 "tenants":[{"name":"acme"}],"weights":"nominal"}`, memory, discovery, bundle)
 }
 
+// config writes the relay's configuration and returns the file's name.
 func (p *platform) config() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -32,13 +32,10 @@
 )
 
 // childConfig and childState make the test program a relay, so that tests can kill one; childDies makes it a process
-
 // that owns the folder and is killed at a step of the handover.
-
 const childConfig, childState, childDies = "FROSTLINK_TEST_CONFIG", "FROSTLINK_TEST_STATE", "FROSTLINK_TEST_DIES"
 
 // childFiles has a child hold no more descriptors than the platform grants it.
-
 const childFiles = "FROSTLINK_TEST_FILES"
 
 func TestMain(m *testing.M) {
@@ -67,7 +64,6 @@
 }
 
 // Members is an object of discovery's, a list or a change of it, and Member one of its entries.
-
 type Members struct {
 	Seq   int64    `json:"seq"`
 	Whole bool     `json:"whole"`
@@ -79,7 +75,6 @@
 const draining = endpoints.Draining
 
 // storedList gives the list that a relay has on disk, and its version; the relay may run.
-
 func storedList(tb testing.TB, dir string) (hosts []Member, seq int64) {
 	tb.Helper()
 	folder := tb.TempDir()
@@ -98,7 +93,6 @@
 }
 
 // listAt gives a list of endpoints with one for each of some destinations.
-
 func listAt(destinations ...int) *endpointList {
 	table := endpoints.NewTable()
 	for _, number := range destinations {
@@ -107,10 +101,7 @@
 	return &endpointList{settings: &settings.Settings{}, table: table}
 }
 
-// testSettings has a class of each effect; memory is that of the keyed one, in seconds.
-
 // platform stands for what a relay has round it: discovery, the hosts of destination 7, and its disk.
-
 type platform struct {
 	t         testing.TB
 	discovery *httptest.Server
@@ -161,7 +152,6 @@
 }
 
 // addHost starts a host of a destination.
-
 func (p *platform) addHost(id string, dest int) Member {
 	s := httptest.NewServer(http.HandlerFunc(p.serveHost))
 	p.t.Cleanup(func() {
@@ -177,7 +167,6 @@
 }
 
 // batchStatus is what an endpoint says of one message of a call with several.
-
 type batchStatus struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
@@ -264,17 +253,13 @@
 }
 
 // set changes what the platform does.
-
 func (p *platform) set(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 }
 
-// config writes the relay's configuration and returns the file's name.
-
 // child is a relay in a process of its own.
-
 type child struct {
 	*exec.Cmd
 	exited chan error
@@ -282,7 +267,6 @@
 }
 
 // start starts a relay and waits until it is ready.
-
 func (p *platform) start() *child {
 	p.t.Helper()
 	c := &child{Cmd: exec.CommandContext(context.WithoutCancel(p.t.Context()), os.Args[0]), exited: make(chan error, 1),
@@ -305,7 +289,6 @@
 }
 
 // kill ends a relay as an outright kill does.
-
 func (p *platform) kill(c *child) {
 	p.t.Helper()
 	if err := c.Process.Kill(); err != nil {
@@ -315,7 +298,6 @@
 }
 
 // until waits for something to come true; how long that takes decides nothing.
-
 func (p *platform) until(what string, true func() bool) {
 	p.t.Helper()
 	for end := time.Now().Add(long); !true(); time.Sleep(5 * time.Millisecond) {
@@ -326,7 +308,6 @@
 }
 
 // called waits for a call at a host and returns its id.
-
 func (p *platform) called() string {
 	p.t.Helper()
 	select {
@@ -351,7 +332,6 @@
 }
 
 // handIn hands a message in and returns the answer.
-
 func (p *platform) handIn(class, id, timeout string, change ...func(*http.Request)) answer {
 	p.t.Helper()
 	r, err := http.NewRequestWithContext(p.t.Context(), http.MethodPost, "http://"+p.addr+"/"+class,
@@ -375,7 +355,6 @@
 }
 
 // take hands a message in that has to be taken on.
-
 func (p *platform) take(class, id, timeout string) {
 	p.t.Helper()
 	if resp := p.handIn(class, id, timeout); resp.StatusCode != http.StatusAccepted {
@@ -384,7 +363,6 @@
 }
 
 // held is a host's answer that waits until it is let go.
-
 func (p *platform) held(hold chan bool) func(*http.Request) int {
 	return func(r *http.Request) int {
 		select {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -38,7 +38,6 @@
 }
 
 // readJournal reads a journal that a relay may be writing.
-
 func readJournal(t *testing.T, dir string) *journal.Journal {
 	t.Helper()
 	j, _, err := journal.Read(dir)
@@ -49,7 +48,6 @@
 }
 
 // openTestJournal opens a journal of the test's own.
-
 func openTestJournal(tb testing.TB, dir string, mb float64) *journal.Journal {
 	tb.Helper()
 	j, _, err := journal.Open(dir, journal.Options{DiskMB: mb})
@@ -78,7 +76,6 @@
 }
 
 // Malformed requests get a plain 4xx other than 429, nothing is taken on, and the relay goes on.
-
 func TestMalformedRequests(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -138,7 +135,6 @@
 }
 
 // A destination that no list has named is refused: the list may lag, and the module keeps state for each.
-
 func TestUnknownDestination(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -157,7 +153,6 @@
 }
 
 // What could not be delivered ends by one notice, which is posted until it is received.
-
 func TestNoticeUntilReceived(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -176,7 +171,6 @@
 }
 
 // The ends that answers tell: 410 leaves nothing owed, 504 a notice, and there are no further calls.
-
 func TestTerminalAnswers(t *testing.T) {
 	for status, want := range map[int]int{http.StatusGone: 0, http.StatusGatewayTimeout: 1} {
 		p := newPlatform(t)
@@ -194,26 +188,7 @@
 	}
 }
 
-// A process is killed with a call out. The next one may make it again only as its class allows, and ends
-
-// each message exactly once.
-
-// A window for repeats of 1 s counts from the first sending, whatever ends the process: killed and back at once, the message
-
-// goes out again within it; after a planned end, which takes longer while the call hangs, it ends as its class says.
-
-// Attempts that never ran do not bind the next process, and a message keeps its time: one whose time ran
-
-// out between two processes still gets its end.
-
-// A planned end: answers close their connections, nothing that was read goes unanswered, calls out come to
-
-// their end, and the rest is for the next process.
-
-// A notice that the platform has not received is owed by the next process too.
-
 // The same message handed in twice, as after a connection that broke, is taken on once.
-
 func TestSameMessageTwice(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -230,12 +205,7 @@
 	}
 }
 
-// An outage that was seen outlasts the process, for a host that the configuration's list lacks as well.
-
-// A message whose class the settings no longer have is ended all the same.
-
 // A relay that cannot listen ends with an error before it has called anyone.
-
 func TestCannotListen(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -260,7 +230,6 @@
 }
 
 // closedAddress is an address at which connections are refused.
-
 func closedAddress(tb testing.TB) string {
 	tb.Helper()
 	p := newPlatform(tb)
@@ -268,7 +237,6 @@
 }
 
 // leave notes messages in the journal as an earlier process would have.
-
 func leave(t *testing.T, p *platform, ids ...string) {
 	t.Helper()
 	j := openTestJournal(t, p.dir, 3)
@@ -279,9 +247,7 @@
 }
 
 // Messages that wait for one host travel in calls of as many as its kind takes: a call for each would need slots
-
 // that the relay does not have.
-
 func TestMessagesTravelTogether(t *testing.T) {
 	p := newPlatform(t)
 	p.bundle = 3
@@ -298,9 +264,7 @@
 }
 
 // Messages of a call share its fate: once the time of one is up the call is given up for all, and what is answered to it
-
 // from then on counts for none. That one ends, and the others are sent again as their class permits, once.
-
 func TestExpiryInACall(t *testing.T) {
 	p := newPlatform(t)
 	p.bundle = 3
@@ -341,7 +305,6 @@
 }
 
 // A peer that sends a request in another's body, or nothing at all, costs a connection that is soon closed.
-
 func TestPeersThatSendNoProperRequest(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -388,7 +351,3 @@
 		t.Errorf("%q was sent on", id)
 	}
 }
-
-// A peer that hands in the id of a message that was taken on, and leaves, takes nothing back; two that hand in the
-
-// same id at once get the same answer.
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -12,6 +12,8 @@
 	"milletsail/internal/relay/notifier"
 )
 
+// A process is killed with a call out. The next one may make it again only as its class allows, and ends
+// each message exactly once.
 func TestKilledWithCallsOut(t *testing.T) {
 	tests := []struct {
 		name, class string
@@ -62,6 +64,8 @@
 	}
 }
 
+// A window for repeats of 1 s counts from the first sending, whatever ends the process: killed and back at once, the message
+// goes out again within it; after a planned end, which takes longer while the call hangs, it ends as its class says.
 func TestWindowOfASecond(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -107,6 +111,8 @@
 	}
 }
 
+// Attempts that never ran do not bind the next process, and a message keeps its time: one whose time ran
+// out between two processes still gets its end.
 func TestKilledWhileHolding(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addHost("h1", 7)
@@ -131,6 +137,8 @@
 	}
 }
 
+// A planned end: answers close their connections, nothing that was read goes unanswered, calls out come to
+// their end, and the rest is for the next process.
 func TestPlannedRestart(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addHost("h1", 7)
@@ -170,6 +178,7 @@
 	p.until("the rest is delivered", func() bool { return slices.Contains(p.sent(), "before") })
 }
 
+// A notice that the platform has not received is owed by the next process too.
 func TestNoticeOwedThroughRestart(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -191,6 +200,7 @@
 	}
 }
 
+// An outage that was seen outlasts the process, for a host that the configuration's list lacks as well.
 func TestOutageRememberedThroughRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		p := newPlatform(t)
@@ -221,6 +231,7 @@
 	}
 }
 
+// A message whose class the settings no longer have is ended all the same.
 func TestClassGone(t *testing.T) {
 	dir := t.TempDir()
 	j := openTestJournal(t, dir, 3)
--- a/internal/relay/wire_handover_proxy_test.go
+++ b/internal/relay/wire_handover_proxy_test.go
@@ -10,6 +10,8 @@
 	"testing"
 )
 
+// handoverProxy stands between an old process and a new one, and keeps each line that goes over their link before it
+// passes it on.
 type handoverProxy struct {
 	t     *testing.T
 	path  string                  // of the old process's socket
@@ -17,6 +19,8 @@
 	lines chan handoverLine
 }
 
+// proxyHandover puts a proxy in the place of the socket in a folder. The old process's socket goes on under another
+// name.
 func proxyHandover(t *testing.T, dir string, meet func(handoverLine) bool) *handoverProxy {
 	t.Helper()
 	socket := filepath.Join(dir, "handover")
@@ -42,6 +46,7 @@
 	return proxy
 }
 
+// join joins a new process with the old one.
 func (p *handoverProxy) join(newer net.Conn) {
 	defer func() { _ = newer.Close() }()
 	old, err := (&net.Dialer{}).DialContext(p.t.Context(), "unix", p.path)
@@ -56,6 +61,7 @@
 	both.Wait()
 }
 
+// pass passes the lines of one process on to the other, and then its end.
 func (p *handoverProxy) pass(from string, source, sink net.Conn) {
 	in := bufio.NewReader(source)
 	for {
--- a/internal/relay/wire_handover_test.go
+++ b/internal/relay/wire_handover_test.go
@@ -20,7 +20,6 @@
 )
 
 // Masks of the handover.
-
 var (
 	// maskMoment hides a wall time in RFC 3339.
 	maskMoment = mask{regexp.MustCompile(`"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.?\d*(Z|[+-]\d\d:\d\d)"`), `"MOMENT"`}
@@ -34,7 +33,6 @@
 )
 
 // handoverLine is one line of the link between two processes, as its bytes came.
-
 type handoverLine struct {
 	from string // "old" or "new"
 	kind string // its first key, with the step where it is one
@@ -42,25 +40,10 @@
 }
 
 // handoverKind finds the first key of a line.
-
 var handoverKind = regexp.MustCompile(`^\{"(\w+)":("\w+")?`)
 
-// handoverProxy stands between an old process and a new one, and keeps each line that goes over their link before it
-
-// passes it on.
-
-// proxyHandover puts a proxy in the place of the socket in a folder. The old process's socket goes on under another
-
-// name.
-
-// join joins a new process with the old one.
-
-// pass passes the lines of one process on to the other, and then its end.
-
 // handoverScript leads clients of the old process through a handover. Each of its steps follows from a line of the
-
 // link, so that their order is the same in each run.
-
 type handoverScript struct {
 	p       *platform
 	mu      sync.Mutex
@@ -68,11 +51,9 @@
 }
 
 // messagesPassed are the messages that clients hand in at the old process after the handover, in order.
-
 var messagesPassed = []string{"taken on", "refused", "withdrawn"}
 
 // meet takes the steps that follow from a line.
-
 func (s *handoverScript) meet(line handoverLine) (passes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +78,6 @@
 }
 
 // connect opens a client's connection, and has the old process answer on it, so that it is that one's.
-
 func (s *handoverScript) connect(id string) {
 	conn, err := (&net.Dialer{}).DialContext(s.p.t.Context(), "tcp", s.p.addr)
 	if err != nil {
@@ -117,7 +97,6 @@
 }
 
 // handIn writes a client's request. The second message is for a destination that there is not.
-
 func (s *handoverScript) handIn(id string) {
 	destination := "X-Envelope: dest=7"
 	if id == "refused" {
@@ -130,17 +109,13 @@
 }
 
 // handoverRecord is what went over a link, by the kinds of lines: lines of one kind have an order, which those of
-
 // different kinds need not have.
-
 type handoverRecord map[string][]string
 
 // titleOf is the kind of lines that a line is of, with the process that sent it.
-
 func titleOf(from, kind string) string { return "from the " + from + " process: " + kind }
 
 // await takes lines until there are so many of a kind from a process that hold a word.
-
 func (r handoverRecord) await(proxy *handoverProxy, from, kind, word string, count int) {
 	proxy.t.Helper()
 	title := titleOf(from, kind)
@@ -157,7 +132,6 @@
 }
 
 // filter gives the texts that a condition holds for.
-
 func filter(texts []string, holds func(string) bool) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, text := range texts {
@@ -169,14 +143,12 @@
 }
 
 // callsOfOffer finds the calls of an offer, and callOfOffer each of them.
-
 var (
 	callsOfOffer = regexp.MustCompile(`"out":\[[^\]]*\]`)
 	callOfOffer  = regexp.MustCompile(`\{[^}]*\}`)
 )
 
 // sortedOffer puts the calls of an offer in order, of which the old process keeps none.
-
 func sortedOffer(text string) string {
 	return callsOfOffer.ReplaceAllStringFunc(text, func(calls string) string {
 		return `"out":[` + strings.Join(slices.Sorted(slices.Values(callOfOffer.FindAllString(calls, -1))), ",") + "]"
@@ -184,9 +156,7 @@
 }
 
 // text gives the lines of some kinds as a golden file has them, or of all where none is named. Answers to several
-
 // messages come in any order, and of the lines on clients' connections, which come by chance, there is one.
-
 func (r handoverRecord) text(titles ...string) string {
 	if len(titles) == 0 {
 		titles = slices.Sorted(maps.Keys(r))
@@ -206,7 +176,6 @@
 }
 
 // callsOut are the messages whose calls the old process has out at the handover, and the answer to each, in order.
-
 var callsOut = []struct{ id, answer string }{
 	{"delivered", "HTTP/1.1 200 OK\r\nServer-Load: x0=0.5,x1=25\r\nContent-Length: 0\r\n\r\n"},
 	{"turned away", "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n"},
@@ -215,11 +184,8 @@
 }
 
 // holdingHost starts an endpoint that answers the first calls of callsOut once it is let, and that of "silent" never.
-
 // It answers other calls with 200 at once, or, where it holds all, not at all: a call that began later and has ended
-
 // would have the relay call off those that are out.
-
 func holdingHost(t *testing.T, holdsAll bool) (host *recorder, release map[string]chan bool) {
 	t.Helper()
 	release = map[string]chan bool{"silent": make(chan bool)}
@@ -255,9 +221,7 @@
 }
 
 // TestHandoverOnTheWire pins the lines between an old process and a new one, both ways: a process of this version
-
 // follows one of the version before, and is followed by one of the next.
-
 func TestHandoverOnTheWire(t *testing.T) {
 	host, release := holdingHost(t, true)
 	p := newPlatform(t)
@@ -289,7 +253,6 @@
 }
 
 // answer reads the answer that a client has got.
-
 func (s *handoverScript) answer(t *testing.T, id string) (text string) {
 	t.Helper()
 	for line := ""; line != "\r\n"; {
@@ -303,7 +266,6 @@
 }
 
 // TestCancelOnTheWire pins the line by which a new process calls off a call that the old one has out.
-
 func TestCancelOnTheWire(t *testing.T) {
 	host, _ := holdingHost(t, false)
 	p := newPlatform(t)
@@ -323,9 +285,7 @@
 }
 
 // TestUnwrittenOnTheWire pins what a relay says whose journal can't be written: to clients, to operators, and to a
-
 // newer process, which the journal can't tell then.
-
 func TestUnwrittenOnTheWire(t *testing.T) {
 	host, release := holdingHost(t, false)
 	discovery := record(t, func(recordedRequest) string { return emptyAnswer("503 Service Unavailable") })
@@ -351,7 +311,6 @@
 }
 
 // askHandover asks the process that owns a folder for it, and gives its offer, which it does not take up.
-
 func askHandover(t *testing.T, dir string) string {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "unix", filepath.Join(dir, "handover"))
@@ -371,7 +330,6 @@
 }
 
 // runHere runs a relay in this process, which may change what no file configures, and waits until it is ready.
-
 func (p *platform) runHere(change func(*config.Config)) {
 	p.t.Helper()
 	cfg, err := config.Read(p.config())
