--- a/internal/relay/admin/server_test.go
+++ b/internal/relay/admin/server_test.go
@@ -43,7 +43,7 @@
 	return string(reply)
 }
 
-func TestAdminReplies(t *testing.T) {
+func TestReplies(t *testing.T) {
 	d := testAdmin(t)
 	d.metrics.CountResult(1, metrics.Rejected)
 	d.metrics.UpstreamRequests.Add(3)
@@ -78,7 +78,7 @@
 }
 
 // Callers that say nothing, or stop in the middle of a line, take no place from others.
-func TestAdminWithSilentCallers(t *testing.T) {
+func TestSilentSessions(t *testing.T) {
 	d := testAdmin(t)
 	addr := d.listener.Addr().String()
 	var silent []net.Conn
--- a/internal/relay/counters_test.go
+++ b/internal/relay/counters_test.go
@@ -7,7 +7,7 @@
 )
 
 // What becomes of messages is counted where it happens, and a call with several messages counts each.
-func TestFiguresOfARelay(t *testing.T) {
+func TestCountersOfARelay(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.admin = closedAddress(t)
--- a/internal/relay/discovery/timing_test.go
+++ b/internal/relay/discovery/timing_test.go
@@ -55,7 +55,7 @@
 
 // A relay asks so soon that what discovery tells arrives before it counts as told, however large the fleet: after a
 // reload that is 4 s, and where changes come unasked it is at once.
-func TestAsksBeforeListsCountAsTold(t *testing.T) {
+func TestRequestJitter(t *testing.T) {
 	for _, tt := range []struct {
 		mode   string
 		relays int
@@ -158,7 +158,7 @@
 }
 
 // A process that took over from another asks at once: what changes meanwhile would come too late.
-func TestWatchAfterTakeover(t *testing.T) {
+func TestWatchAfterHandover(t *testing.T) {
 	spans := make(chan time.Duration, 1)
 	w := New("127.0.0.1:0", 47*jitterPerRelay, inObjects(func(Members) {}), func() {})
 	w.Immediate = true
--- a/internal/relay/discovery/watch_test.go
+++ b/internal/relay/discovery/watch_test.go
@@ -106,7 +106,7 @@
 }
 
 // What discovery asks for as a wait is kept, up to a bound.
-func TestBusyDiscovery(t *testing.T) {
+func TestUnavailableDiscovery(t *testing.T) {
 	for text, want := range map[string]time.Duration{"0.75": 750 * time.Millisecond, "": 0, "soon": 0, "3600": maxRetryJitter} {
 		s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 			rw.Header().Set("Retry-After", text)
@@ -123,7 +123,7 @@
 }
 
 // A relay that takes long over a batch does not take the watch for silent, and gets no other batch meanwhile.
-func TestBusyRelayIsNoSilentWatch(t *testing.T) {
+func TestBusyRelayIsNoStalledWatch(t *testing.T) {
 	const silence = 100 * time.Millisecond
 	list := wholeList(t, 50, filler(2*endpoints.BatchSize))
 	batches := make(chan Batch, 100)
@@ -152,7 +152,7 @@
 
 // Discovery may move while a batch is applied: the watch at the new address begins at once, from the last version that
 // is whole.
-func TestDiscoveryMovesWhileABatchIsTakenIn(t *testing.T) {
+func TestRedirectWhileABatchIsApplied(t *testing.T) {
 	list := wholeList(t, 50, filler(2*endpoints.BatchSize))
 	batches := make(chan Batch, 100)
 	w, _ := startWatch(t, long, func(rw http.ResponseWriter, r *http.Request) {
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -80,7 +80,7 @@
 
 // A host that was told to drain gets nothing from the next process either, though the configuration's list is
 // older than that and discovery is down.
-func TestDrainToldBeforeRestart(t *testing.T) {
+func TestDrainingBeforeRestart(t *testing.T) {
 	p := newPlatform(t)
 	old := p.addHost("h1", 7)
 	c := p.start()
--- a/internal/relay/frontend/limiter_test.go
+++ b/internal/relay/frontend/limiter_test.go
@@ -43,7 +43,7 @@
 }
 
 // Clients get what is left beside calls, idle connections and another process, within their share.
-func TestClientRoom(t *testing.T) {
+func TestCapacity(t *testing.T) {
 	for _, tt := range []struct{ sockets, slots, want int }{{1024, 33, 512}, {224, 33, 85}, {192, 33, 64}, {192, 100, 64}, {3, 9,
 		1}} {
 		if got := capacityFor(tt.sockets, tt.slots); got != tt.want {
--- a/internal/relay/handover_killed_test.go
+++ b/internal/relay/handover_killed_test.go
@@ -20,7 +20,7 @@
 )
 
 // The old process is killed right after the handover, with calls out: they may have run.
-func TestOldProcessKilledAfterHandover(t *testing.T) {
+func TestPredecessorKilledAfterHandover(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.answer = func(*http.Request) int { return 0 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -189,7 +189,7 @@
 }
 
 // A wait that the old process was told binds the new one too.
-func TestToldWaitThroughUpgrade(t *testing.T) {
+func TestRetryAfterSurvivesUpgrade(t *testing.T) {
 	p := newPlatform(t)
 	var told time.Time
 	addr := serveRaw(t, func(c net.Conn) {
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -134,7 +134,7 @@
 }
 
 // A process that starts asks from the version on disk, has all of the list, and is sent nothing anew.
-func TestRestartAsksFromTheDisk(t *testing.T) {
+func TestRestartWatchesFromVersionOnDisk(t *testing.T) {
 	p, known := listPlatform(t)
 	indexes := make(chan string, 1000)
 	p.watch = func(a *watchAnswer) {
@@ -221,7 +221,7 @@
 }
 
 // The list that a version before left in its journal is taken up once, and what this one is sent goes before it.
-func TestListOfTheVersionBefore(t *testing.T) {
+func TestListOfAnEarlierVersion(t *testing.T) {
 	p, known := listPlatform(t)
 	drains := known
 	drains.Health = draining
@@ -291,7 +291,7 @@
 }
 
 // A long list of changes is logged in a few lines, a short one host by host.
-func TestManyChangesAreLoggedInShort(t *testing.T) {
+func TestManyChangesAreSummarizedInLogs(t *testing.T) {
 	p, known := listPlatform(t)
 	known.Health = draining
 	p.watch = func(a *watchAnswer) {
--- a/internal/relay/list_watch_test.go
+++ b/internal/relay/list_watch_test.go
@@ -188,7 +188,7 @@
 
 // A whole list removes the hosts that it does not name, however many others it names: they get nothing new. What is
 // remembered of the others stays.
-func TestWholeListRemovesHosts(t *testing.T) {
+func TestCompleteListRemovesEndpoints(t *testing.T) {
 	p, gone := listPlatform(t)
 	stays := p.addHost("h2", 7)
 	served := make(chan bool)
--- a/internal/relay/loop_test.go
+++ b/internal/relay/loop_test.go
@@ -114,7 +114,7 @@
 
 // What was due within a tick may be gone by an event just before it: the timer asked for next is not dropped with the
 // one that was due, or a message with nothing else to wake the relay ends late.
-func TestTimerAskedForShortOfAnother(t *testing.T) {
+func TestTimerSetJustBeforeAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tick = 5 * time.Millisecond
 		d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, BatchInterval: tick,
--- a/internal/relay/notifier/notifier_test.go
+++ b/internal/relay/notifier/notifier_test.go
@@ -16,7 +16,7 @@
 )
 
 // A body holds what the protocol allows, and the rest of what is owed waits for the next one.
-func TestNoticesOfABody(t *testing.T) {
+func TestBatchFitsABody(t *testing.T) {
 	n := New("127.0.0.1:0", nil)
 	const owed = 1000
 	for i := range owed {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -153,7 +153,7 @@
 }
 
 // What could not be delivered ends by one notice, which is posted until it is received.
-func TestNoticeUntilReceived(t *testing.T) {
+func TestNotificationUntilReceived(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.answer = func(*http.Request) int { return 0 }
@@ -189,7 +189,7 @@
 }
 
 // The same message handed in twice, as after a connection that broke, is taken on once.
-func TestSameMessageTwice(t *testing.T) {
+func TestMessageSubmittedTwice(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.answer = func(*http.Request) int { return 0 }
@@ -248,7 +248,7 @@
 
 // Messages that wait for one host travel in calls of as many as its kind takes: a call for each would need slots
 // that the relay does not have.
-func TestMessagesTravelTogether(t *testing.T) {
+func TestMessagesShareACall(t *testing.T) {
 	p := newPlatform(t)
 	p.bundle = 3
 	p.addHost("h1", 7)
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -201,7 +201,7 @@
 }
 
 // An outage that was seen outlasts the process, for a host that the configuration's list lacks as well.
-func TestOutageRememberedThroughRestart(t *testing.T) {
+func TestEjectionSurvivesRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		p := newPlatform(t)
 		p.addHost("h1", 7)
@@ -232,7 +232,7 @@
 }
 
 // A message whose class the settings no longer have is ended all the same.
-func TestClassGone(t *testing.T) {
+func TestClassRemovedFromSettings(t *testing.T) {
 	dir := t.TempDir()
 	j := openTestJournal(t, dir, 3)
 	j.Accept(&journal.Entry{ID: "m", Class: "parcel", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
--- a/internal/relay/upstream/response_test.go
+++ b/internal/relay/upstream/response_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestReport(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	for text, want := range map[string]*policy.LoadReport{
 		"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3, x0=0": {Limit: 3}, "": nil, "x0=0.4": nil, "x0=NaN,x1=1": nil,
 		"x0=-1,x1=2": nil, "x0=a,x1=2": nil, "x0=1;x1=2": nil,
