--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -84,8 +84,7 @@
 	endpoint, listed := l.endpoints.table.Get(a.Endpoint)
 	timeLeft := m.ExpiresAt.Sub(now)
 	s := send{message: m, call: a.Call, attempt: len(m.Attempts), endpoint: endpoint, timeout: timeLeft,
-		writeTimeout: a.WriteTimeout,
-		expiresAt:    m.ExpiresAt}
+		writeTimeout: a.WriteTimeout, expiresAt: m.ExpiresAt}
 	if a.Timeout > 0 {
 		s.timeout = min(timeLeft, a.Timeout)
 	}
--- a/internal/relay/canaries.go
+++ b/internal/relay/canaries.go
@@ -22,16 +22,24 @@
 	StageSeconds     float64 `json:"for_s"`            // how long the stage has lasted
 	SuspendedSeconds float64 `json:"held_s,omitempty"` // how long it still gets nothing
 	Suspensions      int     `json:"holds"`
-	RegressionScore  float64 `json:"doubt"` // 1 has it held back
+	RegressionScore  float64 `json:"doubt"` // 1 suspends it
 }
 
 // canaryStatus returns the reply to "servers".
 func (l *loop) canaryStatus() string {
 	s, now := CanaryStatus{Self: l.cfg.Settings.Ordinal, Endpoints: []CanaryReport{}}, clock.Now()
 	for _, n := range l.dispatcher.Canaries() {
-		s.Endpoints = append(s.Endpoints, CanaryReport{Endpoint: n.Endpoint, Destination: n.Destination, Stage: n.Stage, Share: n.Share,
-			HasBaseline: n.HasBaseline, StageSeconds: max(0, now.Sub(n.StageStartedAt)).Seconds(), SuspendedSeconds: max(0,
-				n.SuspendedUntil.Sub(now)).Seconds(), Suspensions: n.Suspensions, RegressionScore: n.RegressionScore})
+		s.Endpoints = append(s.Endpoints, CanaryReport{
+			Endpoint:         n.Endpoint,
+			Destination:      n.Destination,
+			Stage:            n.Stage,
+			Share:            n.Share,
+			HasBaseline:      n.HasBaseline,
+			StageSeconds:     max(0, now.Sub(n.StageStartedAt)).Seconds(),
+			SuspendedSeconds: max(0, n.SuspendedUntil.Sub(now)).Seconds(),
+			Suspensions:      n.Suspensions,
+			RegressionScore:  n.RegressionScore,
+		})
 	}
 	text, err := json.Marshal(s)
 	if err != nil {
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -183,7 +183,10 @@
 		return err
 	}
 	// In the simulator some deployments learn of changes unasked; on sockets they come to a watch alone.
-	config.Policy.Subscribe, config.Policy.PublishRates, config.Policy.Zones, config.Policy.CanaryAnalysis = true, config.Fleet, config.Zones, config.CanaryAnalysis
+	config.Policy.Subscribe = true
+	config.Policy.PublishRates = config.Fleet
+	config.Policy.Zones = config.Zones
+	config.Policy.CanaryAnalysis = config.CanaryAnalysis
 	config.Policy.MaxBatchBytes = protocol.MaxBodySize - len("[]")
 	_, err = policy.New(config.Policy, config.RandomSeed) // its own check of the settings
 	return err
--- a/internal/relay/endpointload.go
+++ b/internal/relay/endpointload.go
@@ -21,8 +21,7 @@
 }
 
 // openEndpoints loads the newest of the lists on disk, in the journal and in the configuration. The last may be older than what
-// an
-// earlier process of this relay received: an endpoint that drains gets nothing new from this one either.
+// an earlier process of this relay received: an endpoint that drains gets nothing new from this one either.
 func (l *loop) openEndpoints(ctx context.Context, dir string) {
 	budget := int64(listShare * l.cfg.Limits.DiskMB * 1e6)
 	store, table, seq, found, err := openStore(ctx, dir, budget)
@@ -34,8 +33,8 @@
 		slog.Warn("endpoint list on disk is damaged", "error", damage)
 	}
 	l.endpoints.table, l.endpoints.store, l.endpoints.version = table, store, seq
-	source := newestList(seq, journalList(l.journal.LegacyList()), listSource{"configuration", l.cfg.KnownEndpoints.Version,
-		l.cfg.KnownEndpoints.Read})
+	configured := listSource{"configuration", l.cfg.KnownEndpoints.Version, l.cfg.KnownEndpoints.Read}
+	source := newestList(seq, journalList(l.journal.LegacyList()), configured)
 	if source.read != nil {
 		if err := source.read(l.endpoints.loadBatch); err != nil {
 			slog.Error("endpoint list unreadable, requesting all of it", "source", source.name, "error", err)
--- a/internal/relay/endpointstore.go
+++ b/internal/relay/endpointstore.go
@@ -46,8 +46,7 @@
 }
 
 // closeDisabled goes on without a store that is disabled: the next process starts from the configuration's list, and requests
-// what
-// that lacks.
+// what that lacks.
 func (list *endpointList) closeDisabled() {
 	reason, disabled := list.store.Disabled()
 	if !disabled {
--- a/internal/relay/frontend/limiter.go
+++ b/internal/relay/frontend/limiter.go
@@ -151,8 +151,8 @@
 func (l *ConnectionLimiter) evictionCandidate(now instant.Time) (candidate *Connection) {
 	for c := range l.connections {
 		silent := now.Sub(c.lastActive)
-		if c.state == stateResponsePending || c.state == stateReading && silent < stallTimeout || c.state == stateLingering &&
-			silent < minLinger {
+		if c.state == stateResponsePending || c.state == stateReading && silent < stallTimeout ||
+			c.state == stateLingering && silent < minLinger {
 			continue
 		}
 		if candidate == nil || c.state < candidate.state || c.state == candidate.state && c.lastActive < candidate.lastActive {
--- a/internal/relay/gossip/gossip.go
+++ b/internal/relay/gossip/gossip.go
@@ -51,8 +51,8 @@
 	if !options.Allowed || options.Listen == "" || options.Broadcast == "" {
 		return nil
 	}
-	transport := &Transport{listen: options.Listen, ordinals: map[netip.AddrPort]int{}, peers: make([]netip.AddrPort,
-		len(options.Peers)), onMessage: onMessage}
+	transport := &Transport{listen: options.Listen, ordinals: map[netip.AddrPort]int{}, onMessage: onMessage,
+		peers: make([]netip.AddrPort, len(options.Peers))}
 	var err error
 	if transport.broadcast, err = netip.ParseAddrPort(options.Broadcast); err != nil {
 		slog.Warn("gossip disabled", "error", err)
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -163,8 +163,8 @@
 			a.Outcome = policy.NotSent
 		}
 		results = append(results, handover.CallResult{ID: a.id, Attempt: a.attempt, Endpoint: a.endpoint, Latency: a.latency,
-			Outcome:    a.Outcome,
-			RetryAfter: a.RetryAfter, Completed: a.Completed, AttemptsExhausted: a.AttemptsExhausted, LoadReport: a.LoadReport})
+			Outcome: a.Outcome, RetryAfter: a.RetryAfter, Completed: a.Completed, AttemptsExhausted: a.AttemptsExhausted,
+			LoadReport: a.LoadReport})
 	}
 	if len(results) > 0 {
 		l.handover.successor.Send(handover.Message{CallResults: results})
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -44,9 +44,8 @@
 		l.rejectUnseen(submission, reasonNoStorage)
 		return
 	}
-	slog.Debug("message arrived", "request_id", submission.Entry.ID, "destination", submission.Entry.Dest, "class",
-		submission.Entry.Class,
-		"time_left", clock.Until(submission.Entry.ExpiresAt))
+	slog.Debug("message arrived", "request_id", submission.Entry.ID, "destination", submission.Entry.Dest,
+		"class", submission.Entry.Class, "time_left", clock.Until(submission.Entry.ExpiresAt))
 	msg := &message{Entry: submission.Entry, responses: []chan frontend.Response{submission.Response}}
 	l.messages[msg.ID] = msg
 	l.batch.newMessages = append(l.batch.newMessages, msg)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -73,8 +73,7 @@
 	defer endOwnerTasks()
 	eventLoop := &loop{cfg: cfg, dispatcher: dispatcher, journal: opened, endpoints: list, clients: clients, metrics: counters,
 		inbox: make(chan event, inboxCapacity), messages: map[string]*message{}, pool: newPool(cfg, counters),
-		owner:    acquired.Ownership,
-		handover: handoverState{completed: make(chan struct{}), endOwnerTasks: endOwnerTasks}}
+		owner: acquired.Ownership, handover: handoverState{completed: make(chan struct{}), endOwnerTasks: endOwnerTasks}}
 	tasks := eventLoop.connect(dir, acquired, operators)
 	server := frontend.NewServer(cfg, &counters.Reasons,
 		func(s *frontend.Submission) { eventLoop.enqueue(messageArrived{s}) },
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -73,9 +73,8 @@
 		TimeLeft: min(clock.Until(entry.ExpiresAt), l.cfg.Policy.Classes[class].Deadline), Size: sizeInBatch(entry)}
 	for _, prior := range entry.Attempts {
 		// An attempt that was in flight when the process ended may have been executed.
-		arrived.PriorAttempts = append(arrived.PriorAttempts, policy.PriorAttempt{Endpoint: prior.Host, SentAt: min(prior.StartedAt,
-			clock.Now()),
-			NotExecuted: prior.Ended && prior.NotExecuted})
+		arrived.PriorAttempts = append(arrived.PriorAttempts, policy.PriorAttempt{Endpoint: prior.Host,
+			SentAt: min(prior.StartedAt, clock.Now()), NotExecuted: prior.Ended && prior.NotExecuted})
 	}
 	if hasAttempt && attempt.Attempt == len(entry.Attempts)-1 {
 		delete(inFlight, entry.ID)
@@ -88,8 +87,8 @@
 func (l *loop) restoreEnded(link *handover.Link, a handover.Attempt) {
 	m := l.messages[a.ID]
 	if m == nil {
-		m = &message{Entry: &journal.Entry{ID: a.ID, Class: a.Class, Dest: a.Destination, Attempts: make([]journal.Attempt,
-			a.Attempt+1)}, ended: true}
+		m = &message{ended: true, Entry: &journal.Entry{ID: a.ID, Class: a.Class, Dest: a.Destination,
+			Attempts: make([]journal.Attempt, a.Attempt+1)}}
 		l.messages[a.ID] = m
 	}
 	prior := policy.PriorAttempt{Endpoint: a.Endpoint, SentAt: link.Instant(a.StartedAt)}
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -68,9 +68,13 @@
 
 // observation returns what a fact says to the policy, if it is of the kinds that gossip messages carry.
 func observation(f fleet.Fact, age time.Duration) (observed policy.Observed, ok bool) {
-	observed = policy.Observed{Closed: f.Kind == fleet.KindDestinationClosed, Open: f.Kind == fleet.KindDestinationOpen,
+	observed = policy.Observed{
+		Closed: f.Kind == fleet.KindDestinationClosed,
+		Open:   f.Kind == fleet.KindDestinationOpen,
 		Back:   f.Kind == fleet.KindEndpointRecovered,
-		NoRoom: f.Kind == fleet.KindConnectionRejected, Age: age}
+		NoRoom: f.Kind == fleet.KindConnectionRejected,
+		Age:    age,
+	}
 	if observed.Back || observed.NoRoom {
 		observed.Endpoint = f.Key
 		return observed, true
@@ -89,13 +93,11 @@
 // assessmentEvents translates an assessment of the fleet into the policy's events.
 func assessmentEvents(s live.PeerAssessment) []policy.Event {
 	events := []policy.Event{policy.PeerSuspected{Destination: s.Dest, Endpoint: s.Endpoint, Observers: s.Observers,
-		RecentObservers: s.RecentObservers, OldestAge: s.OldestAge,
-		NewestAge: s.NewestAge, ValidFor: s.ValidFor, Rank: s.Rank}}
+		RecentObservers: s.RecentObservers, OldestAge: s.OldestAge, NewestAge: s.NewestAge, ValidFor: s.ValidFor, Rank: s.Rank}}
 	if s.Rates.Reporters > 0 {
 		events = append(events, policy.PeerRateReceived{Destination: s.Dest, LiveRelays: s.LiveRelays, Reporters: s.Rates.Reporters,
-			RateShare:   s.Rates.RateShare,
-			ArrivalRate: s.Rates.ArrivalRate, ArrivalRateError: s.Rates.ArrivalRateError, ArrivalRateByZone: s.ArrivalRateByZone,
-			ValidFor: s.Rates.ValidFor})
+			RateShare: s.Rates.RateShare, ArrivalRate: s.Rates.ArrivalRate, ArrivalRateError: s.Rates.ArrivalRateError,
+			ArrivalRateByZone: s.ArrivalRateByZone, ValidFor: s.Rates.ValidFor})
 	}
 	return events
 }
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -51,8 +51,7 @@
 }
 
 // shutdownGracefully shuts a relay down gracefully. No request that was read goes unanswered: responses close their
-// connections, and those
-// that stay unused are closed last.
+// connections, and those that stay unused are closed last.
 func (l *loop) shutdownGracefully(ctx context.Context, server *frontend.Server) {
 	started := clock.Now()
 	until := func(phase time.Duration) time.Duration { return clock.Until(started.Add(phase)) }
--- a/internal/relay/storage.go
+++ b/internal/relay/storage.go
@@ -28,9 +28,8 @@
 		return nil, err
 	}
 	if found.Records > 0 {
-		slog.Info("journal read", "file", found.File, "records", found.Records, "live_messages", len(opened.Entries()), "torn",
-			found.Torn,
-			"used_wall_clock", found.UsedWallClock)
+		slog.Info("journal read", "file", found.File, "records", found.Records, "live_messages", len(opened.Entries()),
+			"torn", found.Torn, "used_wall_clock", found.UsedWallClock)
 	}
 	return opened, nil
 }
--- a/internal/relay/zonecommands.go
+++ b/internal/relay/zonecommands.go
@@ -121,8 +121,7 @@
 	s.Isolated = cutOff
 	for _, z := range all {
 		r := ZoneReport{Zone: name(z.Zone), State: z.State.String(), StateSeconds: now.Sub(z.EnteredAt).Seconds(),
-			Endpoints:   z.Endpoints,
-			Evacuations: z.Evacuations, Recoveries: z.Recoveries}
+			Endpoints: z.Endpoints, Evacuations: z.Evacuations, Recoveries: z.Recoveries}
 		if z.State == policy.EvacuatedByOrder {
 			r.OrderSeconds = z.OrderExpiresAt.Sub(now).Seconds()
 		}
