--- a/policy/canary_test.go
+++ b/policy/canary_test.go
@@ -23,15 +23,13 @@
 	rng       *rand.Rand
 }
 
-func newCanaryFleet(t *testing.T, relays int, change func(*Settings)) *canaryFleet {
+func newCanaryFleet(t *testing.T, relays int) *canaryFleet {
+	t.Helper()
 	p := &canaryFleet{T: t, sent: map[string]int{}, suspended: map[string]int{}, rng: rand.New(rand.NewPCG(2, 2)), now: time.Second,
 		fails: func(string, int) Outcome { return OK }, took: func(string) time.Duration { return 30 * ms }, lose: func() bool { return false }}
 	for no := range relays {
 		s := plain()
 		s.CanaryAnalysis, s.Gossip, s.FleetSize, s.Slots, s.QueueCapacity = true, true, relays, 20, 1000
-		if change != nil {
-			change(&s)
-		}
 		d, err := New(s, int64(no))
 		if err != nil {
 			t.Fatal(err)
@@ -102,78 +100,104 @@
 	}
 }
 
-// share is an endpoint's share of the calls of a span.
-func (p *canaryFleet) share(ep string, until time.Duration, rate float64) float64 {
+// canaryShare runs until a time, and returns the share of its calls that the endpoint "new" got.
+func (p *canaryFleet) canaryShare(until time.Duration, rate float64) float64 {
 	clear(p.sent)
 	p.run(until, rate)
 	all := 0
 	for _, n := range p.sent {
 		all += n
 	}
-	return float64(p.sent[ep]) / float64(max(1, all))
+	return float64(p.sent["new"]) / float64(max(1, all))
+}
+
+// canaryCase is a new version of an endpoint, and what the relays have to make of it.
+type canaryCase struct {
+	name      string
+	fails     func(ep string, class int) Outcome
+	slow      bool
+	lose      float64
+	suspended bool
+	served    float64 // share of the calls in the first 14 s, at most
+	through   int     // relays that are through with it after 30 s, at least
+}
+
+// fleet returns 20 relays whose endpoints behave as the case says.
+func (c *canaryCase) fleet(t *testing.T) *canaryFleet {
+	t.Helper()
+	p := newCanaryFleet(t, 20)
+	p.lose = func() bool { return p.rng.Float64() < c.lose }
+	if c.fails != nil {
+		p.fails = func(ep string, class int) Outcome {
+			if c.name == "good beside errors of all" && p.rng.Float64() > 0.2 {
+				return OK
+			}
+			return c.fails(ep, class)
+		}
+	}
+	if c.slow {
+		p.took = func(ep string) time.Duration {
+			if ep == "new" {
+				return 400 * ms
+			}
+			return 30 * ms
+		}
+	}
+	return p
+}
+
+// check checks what the relays make of the endpoint "new".
+func (c *canaryCase) check(t *testing.T) {
+	t.Helper()
+	p := c.fleet(t)
+	p.run(10*time.Second, 2)
+	p.list(Endpoint{ID: "new", StartedAt: moment(p.now)})
+	share := p.canaryShare(24*time.Second, 2)
+	if share > c.served {
+		t.Errorf("%.3f of the calls go there", share)
+	}
+	if suspended := p.suspended["new"]; c.suspended && suspended < 15 || !c.suspended && suspended > 0 {
+		t.Errorf("suspended by %d of 20 relays", suspended)
+	}
+	if c.suspended {
+		return
+	}
+	p.run(40*time.Second, 2)
+	through := 0
+	for _, d := range p.relays {
+		if d.endpoints["new"].canary == nil {
+			through++
+		}
+	}
+	if through < c.through {
+		t.Errorf("after 30 s it is through at %d of 20 relays", through)
+	}
 }
 
-// A version that fails is held back by nearly all relays with few of the calls; one that is as good comes to
-// its share.
+// newFails returns an outcome for calls to the endpoint "new", of one class or of all (-1); others succeed.
+func newFails(outcome Outcome, onlyClass int) func(string, int) Outcome {
+	return func(ep string, class int) Outcome {
+		if ep == "new" && (onlyClass < 0 || class == onlyClass) {
+			return outcome
+		}
+		return OK
+	}
+}
+
+// A version that fails is suspended by nearly all relays with few of the calls; one that is as good comes to its share.
 func TestCanaries(t *testing.T) {
-	for _, c := range []struct {
-		name      string
-		fails     func(ep string, class int) Outcome
-		slow      bool
-		lose      float64
-		suspended bool
-		served    float64 // share of the calls in the first 14 s, at most
-		through   int     // relays that are through with it after 30 s, at least
-	}{
+	const allClasses = -1
+	allFail := func(string, int) Outcome { return Failed }
+	for _, c := range []canaryCase{
 		{name: "good", served: 1, through: 20},
 		{name: "good, half of the notes lost", served: 1, lose: 0.5, through: 20},
-		{name: "good beside errors of all", fails: func(string, int) Outcome { return Failed }, served: 1, through: 1},
-		{name: "bad", fails: func(ep string, _ int) Outcome { return map[bool]Outcome{true: Failed}[ep == "new"] }, suspended: true, served: 0.03},
-		{name: "bad, half of the notes lost", fails: func(ep string, _ int) Outcome { return map[bool]Outcome{true: Reset}[ep == "new"] }, lose: 0.5, suspended: true, served: 0.04},
-		{name: "bad for one class", fails: func(ep string, class int) Outcome { return map[bool]Outcome{true: Failed}[ep == "new" && class == 1] }, suspended: true, served: 0.15},
+		{name: "good beside errors of all", fails: allFail, served: 1, through: 1},
+		{name: "bad", fails: newFails(Failed, allClasses), suspended: true, served: 0.03},
+		{name: "bad, half of the notes lost", fails: newFails(Reset, allClasses), lose: 0.5, suspended: true, served: 0.04},
+		{name: "bad for one class", fails: newFails(Failed, 1), suspended: true, served: 0.15},
 		{name: "slow", slow: true, suspended: true, served: 0.03},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			p := newCanaryFleet(t, 20, nil)
-			p.lose = func() bool { return p.rng.Float64() < c.lose }
-			if c.fails != nil {
-				p.fails = func(ep string, class int) Outcome {
-					if c.name == "good beside errors of all" && p.rng.Float64() > 0.2 {
-						return OK
-					}
-					return c.fails(ep, class)
-				}
-			}
-			if c.slow {
-				p.took = func(ep string) time.Duration {
-					if ep == "new" {
-						return 400 * ms
-					}
-					return 30 * ms
-				}
-			}
-			p.run(10*time.Second, 2)
-			p.list(Endpoint{ID: "new", StartedAt: moment(p.now)})
-			share := p.share("new", 24*time.Second, 2)
-			if share > c.served {
-				t.Errorf("%.3f of the calls go there", share)
-			}
-			if suspended := p.suspended["new"]; c.suspended && suspended < 15 || !c.suspended && suspended > 0 {
-				t.Errorf("held back by %d of 20 relays", suspended)
-			}
-			if !c.suspended {
-				p.run(40*time.Second, 2)
-				through := 0
-				for _, d := range p.relays {
-					if d.endpoints["new"].canary == nil {
-						through++
-					}
-				}
-				if through < c.through {
-					t.Errorf("after 30 s it is through at %d of 20 relays", through)
-				}
-			}
-		})
+		t.Run(c.name, c.check)
 	}
 }
 
@@ -206,7 +230,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newCanaryFleet(t, 5, nil)
+			p := newCanaryFleet(t, 5)
 			p.now = 5 * time.Minute
 			p.run(5*time.Minute+5*time.Second, 2)
 			p.list(change(p)...)
@@ -216,7 +240,7 @@
 				}
 				return // calls gather at few endpoints while there is little to do, as they always did
 			}
-			if share := p.share("new", p.now+5*time.Second, 2); share < 0.25 {
+			if share := p.canaryShare(p.now+5*time.Second, 2); share < 0.25 {
 				t.Errorf("it gets %.2f of the calls", share)
 			}
 		})
@@ -227,7 +251,7 @@
 // calls fail everywhere speaks against nobody; notes that are cut off or name what is not there change
 // nothing.
 func TestCanaryEvidence(t *testing.T) {
-	p := newCanaryFleet(t, 1, nil)
+	p := newCanaryFleet(t, 1)
 	p.run(3*time.Second, 5)
 	p.list(Endpoint{ID: "new", StartedAt: moment(p.now)})
 	d := p.relays[0]
@@ -251,14 +275,14 @@
 	if suspended := ep.canary.suspendedUntil.Sub(moment(p.now)); suspended != initialSuspension || ep.canary.stage != 0 {
 		t.Errorf("held for %v", suspended)
 	}
-	if share := p.share("new", time.Duration(ep.canary.suspendedUntil.Add(-50*ms)), 5); share > 0 {
+	if share := p.canaryShare(time.Duration(ep.canary.suspendedUntil.Add(-50*ms)), 5); share > 0 {
 		t.Errorf("%.3f of the calls while it is held back", share)
 	}
-	if share := p.share("new", p.now+time.Second, 5); share > 0.25 || d.canaryWithheld(ep) && ep.canary.credit >= 1 {
+	if share := p.canaryShare(p.now+time.Second, 5); share > 0.25 || d.canaryWithheld(ep) && ep.canary.credit >= 1 {
 		t.Errorf("%.3f of the calls at once after a hold", share)
 	}
 
-	lone := newCanaryFleet(t, 2, nil)
+	lone := newCanaryFleet(t, 2)
 	lone.fails = func(string, int) Outcome { return Failed }
 	lone.run(6*time.Second, 5)
 	lone.list(Endpoint{ID: "new", StartedAt: moment(lone.now)})
--- a/policy/expiry_test.go
+++ b/policy/expiry_test.go
@@ -25,7 +25,7 @@
 	d := start(t, plain())
 	got := d.Handle(0, []Event{arrive("m", 2)})
 	expect(t, "no endpoint listed", got, "")
-	at := got[len(got)-1].(SetTimer).After
+	at := actionAs[SetTimer](t, got[len(got)-1]).After
 	if at > 10*time.Second || at < 9900*ms {
 		t.Errorf("timer after %v", at)
 	}
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -41,6 +41,7 @@
 
 // fleet gives relays of one destination.
 func fleet(t *testing.T, relays int, weight float64) (all []*Dispatcher) {
+	t.Helper()
 	s := plain()
 	s.FleetSize, s.Weights, s.Gossip = relays, WeightsNominal, true
 	for seed := range int64(relays) {
@@ -54,10 +55,10 @@
 	return all
 }
 
-// broadcasts gives what a relay tells when its call is refused.
-func broadcasts(d *Dispatcher, at, wait time.Duration, id string) (all [][]byte) {
+// broadcasts returns what a relay broadcasts when its call is rejected with a Retry-After of a second.
+func broadcasts(d *Dispatcher, at time.Duration, id string) (all [][]byte) {
 	d.Handle(moment(at), []Event{arrive(id, 0)})
-	for _, a := range d.Handle(moment(at+ms), []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, RetryAfter: wait}}) {
+	for _, a := range d.Handle(moment(at+ms), []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}}) {
 		if broadcast, ok := a.(Broadcast); ok {
 			all = append(all, broadcast.Message)
 		}
@@ -69,8 +70,8 @@
 // against one that comes back in step once the wait is over.
 func TestFleetDecreasesRatesAtOnce(t *testing.T) {
 	all := fleet(t, 80, 40)
-	at, wait := 2*time.Second, time.Second
-	messages := broadcasts(all[0], at, wait, "m")
+	at := 2 * time.Second
+	messages := broadcasts(all[0], at, "m")
 	if len(messages) != 1 {
 		t.Fatalf("%d notes of a refusal", len(messages))
 	}
@@ -128,7 +129,7 @@
 func TestGossipIsNotRepeated(t *testing.T) {
 	all := fleet(t, 2, 400)
 	at := 2 * time.Second
-	messages := broadcasts(all[0], at, time.Second, "m")
+	messages := broadcasts(all[0], at, "m")
 	all[1].Handle(moment(at), []Event{arrive("n", 0)})
 	all[1].Handle(moment(at+ms), []Event{GossipReceived{Message: messages[0]}})
 	for _, a := range all[1].Handle(moment(at+20*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 990 * ms}}) {
@@ -136,12 +137,12 @@
 			t.Error("a relay told again what it had heard")
 		}
 	}
-	if again := broadcasts(all[1], at+3*time.Second, time.Second, "o"); len(again) != 1 {
+	if again := broadcasts(all[1], at+3*time.Second, "o"); len(again) != 1 {
 		t.Errorf("%d notes of a later refusal", len(again))
 	}
 	silent := fleet(t, 2, 400)[0]
 	silent.settings.Gossip = false
-	if messages := broadcasts(silent, at, time.Second, "m"); len(messages) != 0 {
+	if messages := broadcasts(silent, at, "m"); len(messages) != 0 {
 		t.Error("a note where none is allowed")
 	}
 }
@@ -181,7 +182,7 @@
 		all := fleet(t, 3, 400)
 		sent := 2*time.Second + tt.after
 		all[1].Handle(moment(sent), []Event{arrive("n", 0)})
-		broadcasts(all[0], 2*time.Second, time.Second, "m")
+		broadcasts(all[0], 2*time.Second, "m")
 		rejection := limitMessage{retryAfter: time.Second, callAge: 100 * ms}.encode()
 		var broadcasts [][]byte
 		all[1].Handle(moment(2100*ms), []Event{GossipReceived{Message: rejection}})
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -9,16 +9,30 @@
 
 const ms = time.Millisecond
 
-// plain are settings with one safe class, and room for everything.
+// plain returns settings with one class of each effect, and capacity for everything.
 func plain() Settings {
-	return Settings{FleetSize: 1, Slots: 4, QueueCapacity: 100, MaxAttempts: 8, CanCancel: true,
-		BatchInterval: 5 * ms, SlowStartInitialShare: 0.2, SlowStartWindow: 10 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second,
-		MaxRetryAfter: 3 * time.Second, Kinds: []Kind{{MaxBatch: 1}, {MaxBatch: 5}, {MaxBatch: 1, SeparateRoutes: true}},
-		Classes: []Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, Effect: Idempotent},
-			{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, Effect: IdempotentWithKey, IdempotencyWindow: 4 * time.Second},
-			{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, Effect: NotIdempotent, Ordered: true}}}
+	idempotent := Class{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}
+	withKey, notIdempotent := idempotent, idempotent
+	withKey.Effect, withKey.IdempotencyWindow = IdempotentWithKey, 4*time.Second
+	notIdempotent.Effect, notIdempotent.Ordered = NotIdempotent, true
+	return Settings{
+		FleetSize:             1,
+		Slots:                 4,
+		QueueCapacity:         100,
+		MaxAttempts:           8,
+		CanCancel:             true,
+		BatchInterval:         5 * ms,
+		SlowStartInitialShare: 0.2,
+		SlowStartWindow:       10 * time.Second,
+		OverloadFactor:        2,
+		OverloadWindow:        2 * time.Second,
+		MaxRetryAfter:         3 * time.Second,
+		Kinds:                 []Kind{{MaxBatch: 1}, {MaxBatch: 5}, {MaxBatch: 1, SeparateRoutes: true}},
+		Classes:               []Class{idempotent, withKey, notIdempotent},
+	}
 }
 
+// start returns a dispatcher with endpoints listed at time 0.
 func start(t *testing.T, s Settings, eps ...Endpoint) *Dispatcher {
 	t.Helper()
 	d, err := New(s, 1)
@@ -29,11 +43,12 @@
 	return d
 }
 
+// arrive returns the arrival of a message with key "k" and ten seconds left.
 func arrive(id string, class int) Event {
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Key: "k"}
 }
 
-// summary lists actions in short, without timers and time-outs.
+// summary lists actions in short, without timers and timeouts.
 func summary(actions []Action) string {
 	var out []string
 	for _, a := range actions {
@@ -53,6 +68,17 @@
 	return strings.Join(out, " ")
 }
 
+// actionAs returns an action as one of type A, which it has to be.
+func actionAs[A Action](t *testing.T, action Action) A {
+	t.Helper()
+	as, ok := action.(A)
+	if !ok {
+		t.Fatalf("%T %+v, want a %T", action, action, as)
+	}
+	return as
+}
+
+// expect checks actions by their summary.
 func expect(t *testing.T, what string, actions []Action, want string) {
 	t.Helper()
 	if got := summary(actions); got != want {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -37,7 +37,7 @@
 // long.
 func TestWrittenWithinIdempotencyWindow(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	within := func(actions []Action) time.Duration { return actions[0].(Send).WriteTimeout }
+	within := func(actions []Action) time.Duration { return actionAs[Send](t, actions[0]).WriteTimeout }
 	if got := within(d.Handle(0, []Event{arrive("m", 1)})); got != 0 {
 		t.Errorf("first attempt: within %v", got)
 	}
@@ -59,7 +59,7 @@
 	for i, want := range []bool{true, true, false} {
 		d := start(t, plain(), Endpoint{ID: "a"})
 		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), Class: i, TimeLeft: 10 * time.Second}})
-		if send := got[0].(Send); (send.Timeout > 0) != want {
+		if send := actionAs[Send](t, got[0]); (send.Timeout > 0) != want {
 			t.Errorf("class %d: time-out %v", i, send.Timeout)
 		}
 	}
--- a/policy/rules_world_test.go
+++ b/policy/rules_world_test.go
@@ -135,40 +135,18 @@
 			if !t.open {
 				continue
 			}
-			limit := m.expires
-			if t.timeout > 0 {
-				limit = min(limit, t.sent+t.timeout)
-			}
-			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.ep, Attempt: i, Latency: w.now - t.sent, Completed: m.over}
-			switch {
-			case w.now >= limit:
-				e.Outcome = policy.TimedOut
-			case w.r.Intn(6) == 0:
-				e.Outcome = w.mood[w.c.eps[t.ep].Destination]
-				if w.r.Intn(4) == 0 {
-					e.Outcome = policy.Outcome(w.r.Intn(8))
-				}
-				call := fmt.Sprint(t.ep, t.sent) // the messages of one call share its fate
-				if fate, ok := w.fates[call]; ok {
-					e.Outcome = fate
-				}
-				if e.Outcome == policy.TimedOut {
-					continue
-				}
-				w.fates[call] = e.Outcome
-			default:
+			outcome, ended := w.outcome(m, t)
+			if !ended {
 				continue
 			}
-			if e.Outcome == policy.Rejected && w.r.Intn(2) == 0 {
-				e.RetryAfter = time.Duration(w.r.Intn(2000)) * time.Millisecond
-				if w.s.Directory != nil && w.r.Intn(4) == 0 {
-					e.RetryAfter = longWait
-				}
+			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.ep, Attempt: i, Outcome: outcome, Latency: w.now - t.sent}
+			if outcome == policy.Rejected && w.r.Intn(2) == 0 {
+				e.RetryAfter = w.retryAfter()
 			}
-			e.Completed = e.Completed || e.Outcome == policy.OK
+			e.Completed = m.over || outcome == policy.OK
 			events = append(events, e)
 			if w.r.Intn(30) == 0 {
-				events = append(events, e) // doubled up: changes nothing
+				events = append(events, e) // twice: changes nothing
 			}
 		}
 		if !m.over && w.r.Intn(400) == 0 {
@@ -178,6 +156,42 @@
 	return events
 }
 
+// outcome draws whether and how an attempt ends now. The messages of one call share its outcome.
+func (w *world) outcome(m *seen, t try) (outcome policy.Outcome, ended bool) {
+	limit := m.expires
+	if t.timeout > 0 {
+		limit = min(limit, t.sent+t.timeout)
+	}
+	if w.now >= limit {
+		return policy.TimedOut, true
+	}
+	if w.r.Intn(6) != 0 {
+		return policy.OK, false
+	}
+	outcome = w.mood[w.c.eps[t.ep].Destination]
+	if w.r.Intn(4) == 0 {
+		outcome = policy.Outcome(w.r.Intn(8))
+	}
+	call := fmt.Sprint(t.ep, t.sent)
+	if ofCall, ok := w.fates[call]; ok {
+		outcome = ofCall
+	}
+	if outcome == policy.TimedOut {
+		return policy.OK, false
+	}
+	w.fates[call] = outcome
+	return outcome, true
+}
+
+// retryAfter draws the Retry-After of a rejection.
+func (w *world) retryAfter() time.Duration {
+	retryAfter := time.Duration(w.r.Intn(2000)) * time.Millisecond
+	if w.s.Directory != nil && w.r.Intn(4) == 0 {
+		return longWait
+	}
+	return retryAfter
+}
+
 // play runs a dispatcher on seeded events under the checker and returns its actions.
 func play(seed int64, steps int) ([]policy.Action, error) {
 	r := rand.New(rand.NewSource(seed))
--- a/policy/state_store_pair_test.go
+++ b/policy/state_store_pair_test.go
@@ -101,7 +101,7 @@
 }
 
 // change draws a change of the list: an endpoint drains or not, or one comes or goes.
-func (p *pair) change() Event {
+func (p *pair) change() EndpointsUpdated {
 	no := rapid.IntRange(0, sharedDestinations-1).Draw(p.t, "destination")
 	e := p.endpoint(no, rapid.IntRange(0, 3).Draw(p.t, "endpoint"))
 	_, listed := p.list.of[e.ID]
@@ -183,8 +183,9 @@
 				case kind < 8:
 					events = append(events, p.arrival())
 				case kind == 8:
-					events = append(events, p.change())
-					p.list.change(events[len(events)-1].(EndpointsUpdated))
+					updated := p.change()
+					events = append(events, updated)
+					p.list.change(updated)
 				default:
 					events = append(events, p.fromOthers())
 				}
--- a/policy/state_store_test.go
+++ b/policy/state_store_test.go
@@ -58,13 +58,13 @@
 }
 
 // startOnDemand gives a dispatcher with a directory that was told of the list at 0.
-func startOnDemand(t testing.TB, s Settings, eps ...Endpoint) (*Dispatcher, *directory) {
-	t.Helper()
+func startOnDemand(tb testing.TB, s Settings, eps ...Endpoint) (*Dispatcher, *directory) {
+	tb.Helper()
 	list := newDirectory(eps...)
 	s.Directory = list
 	d, err := New(s, 1)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	d.Handle(0, []Event{EndpointsUpdated{Endpoints: eps}})
 	return d, list
@@ -80,13 +80,13 @@
 }
 
 // serve has messages for destinations sent and delivered.
-func serve(t testing.TB, d *Dispatcher, now time.Duration, destinations ...int) {
-	t.Helper()
+func serve(tb testing.TB, d *Dispatcher, now time.Duration, destinations ...int) {
+	tb.Helper()
 	for _, no := range destinations {
 		id := fmt.Sprint("m", no, "-", now)
 		sent := summary(d.Handle(moment(now), []Event{Arrived{ID: id, Destination: no, TimeLeft: 10 * time.Second}}))
 		if want := fmt.Sprint(id, ">e", no); sent != want {
-			t.Fatalf("at %v: %q, want %q", now, sent, want)
+			tb.Fatalf("at %v: %q, want %q", now, sent, want)
 		}
 		d.Handle(moment(now), []Event{AttemptEnded{ID: id, Endpoint: fmt.Sprint("e", no), Outcome: OK, Completed: true, Latency: 20 * ms}})
 	}
--- a/policy/timer_test.go
+++ b/policy/timer_test.go
@@ -35,9 +35,9 @@
 func TestTimerThatFiresEarly(t *testing.T) {
 	d := start(t, plain())
 	got := d.Handle(0, []Event{arrive("m", 0)})
-	at := got[len(got)-1].(SetTimer).After
+	at := actionAs[SetTimer](t, got[len(got)-1]).After
 	got = d.Handle(moment(at-400), []Event{TimerFired{}})
-	if len(got) != 1 || got[0].(SetTimer).After > 10*ms {
+	if len(got) != 1 || actionAs[SetTimer](t, got[0]).After > 10*ms {
 		t.Fatalf("400 ns early: %v, want another timer", got)
 	}
 }
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -12,60 +12,68 @@
 	"pgregory.net/rapid"
 )
 
-// Over any zones, all of each zone's messages go somewhere, no zone gets more than it has room for beyond its
-// own, what has room stays at home, as much is served as can be, and the order of the zones does not matter.
+// Over any zones, all of each zone's messages go somewhere, no zone gets more than it has capacity for beyond its own, what has
+// capacity stays at home, as much is served as can be, and the order of the zones does not matter.
 func TestSpilloverShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rates := rapid.SliceOfN(rapid.Float64Range(0, 100), 2, 6)
 		demand := rates.Draw(t, "demand")
 		capacity := rapid.SliceOfN(rapid.Float64Range(0, 100), len(demand), len(demand)).Draw(t, "room")
 		shares := spilloverShares(demand, capacity)
-		sumDemand, totalCapacity, served := 0.0, 0.0, 0.0
-		for z := range demand {
-			sum, in := 0.0, 0.0
-			for y := range demand {
-				if shares[z][y] < -1e-9 {
-					t.Fatalf("zone %d sends %v to %d", z, shares[z][y], y)
-				}
-				sum += shares[z][y]
-				if y != z {
-					in += shares[y][z] * demand[y]
-				}
-			}
-			if math.Abs(sum-1) > 1e-6 {
-				t.Fatalf("the parts of zone %d come to %v", z, sum)
-			}
-			if in > math.Max(0, capacity[z]-demand[z])+1e-6 {
-				t.Fatalf("zone %d with room for %v and %v of its own gets %v", z, capacity[z], demand[z], in)
-			}
-			if demand[z] <= capacity[z] && shares[z][z] < 1-1e-9 {
-				t.Fatalf("zone %d has room and keeps %v", z, shares[z][z])
-			}
-			sumDemand, totalCapacity = sumDemand+demand[z], totalCapacity+capacity[z]
-			served += in + math.Min(capacity[z], demand[z])
+		totalDemand, totalCapacity, served := 0.0, 0.0, 0.0
+		for zone := range demand {
+			totalDemand, totalCapacity = totalDemand+demand[zone], totalCapacity+capacity[zone]
+			served += checkZoneShares(t, zone, demand, capacity, shares) + math.Min(capacity[zone], demand[zone])
 		}
-		if served < math.Min(sumDemand, totalCapacity)-1e-6 {
-			t.Fatalf("%v is served of %v, with room for %v", served, sumDemand, totalCapacity)
+		if served < math.Min(totalDemand, totalCapacity)-1e-6 {
+			t.Fatalf("%v is served of %v, with capacity for %v", served, totalDemand, totalCapacity)
 		}
-		order := rapid.Permutation(slices.Collect(func(yield func(int) bool) {
-			for z := range demand {
-				if !yield(z) {
-					return
-				}
-			}
-		})).Draw(t, "order")
-		d2, r2 := make([]float64, len(demand)), make([]float64, len(demand))
-		for i, z := range order {
-			d2[i], r2[i] = demand[z], capacity[z]
+		checkZoneOrder(t, demand, capacity, shares)
+	})
+}
+
+// checkZoneShares checks the shares of a zone, and returns what it gets from others.
+func checkZoneShares(t *rapid.T, zone int, demand, capacity []float64, shares [][]float64) (received float64) {
+	sum := 0.0
+	for other := range demand {
+		if shares[zone][other] < -1e-9 {
+			t.Fatalf("zone %d sends %v to %d", zone, shares[zone][other], other)
 		}
-		for i, row := range spilloverShares(d2, r2) {
-			for j, part := range row {
-				if math.Abs(part-shares[order[i]][order[j]]) > 1e-6 {
-					t.Fatalf("in another order %d sends %d %v, not %v", order[i], order[j], part, shares[order[i]][order[j]])
-				}
+		sum += shares[zone][other]
+		if other != zone {
+			received += shares[other][zone] * demand[other]
+		}
+	}
+	if math.Abs(sum-1) > 1e-6 {
+		t.Fatalf("the shares of zone %d come to %v", zone, sum)
+	}
+	if received > math.Max(0, capacity[zone]-demand[zone])+1e-6 {
+		t.Fatalf("zone %d with capacity for %v and %v of its own gets %v", zone, capacity[zone], demand[zone], received)
+	}
+	if demand[zone] <= capacity[zone] && shares[zone][zone] < 1-1e-9 {
+		t.Fatalf("zone %d has capacity and keeps %v", zone, shares[zone][zone])
+	}
+	return received
+}
+
+// checkZoneOrder checks that the shares are the same in another order of the zones.
+func checkZoneOrder(t *rapid.T, demand, capacity []float64, shares [][]float64) {
+	zones := make([]int, len(demand))
+	for zone := range zones {
+		zones[zone] = zone
+	}
+	order := rapid.Permutation(zones).Draw(t, "order")
+	orderedDemand, orderedCapacity := make([]float64, len(demand)), make([]float64, len(demand))
+	for i, zone := range order {
+		orderedDemand[i], orderedCapacity[i] = demand[zone], capacity[zone]
+	}
+	for i, row := range spilloverShares(orderedDemand, orderedCapacity) {
+		for j, share := range row {
+			if want := shares[order[i]][order[j]]; math.Abs(share-want) > 1e-6 {
+				t.Fatalf("in another order %d sends %d %v, not %v", order[i], order[j], share, want)
 			}
 		}
-	})
+	}
 }
 
 // zonedRelay is a relay of zone 0 and its world: destinations with an endpoint in each zone, and what answers
@@ -77,8 +85,8 @@
 	n            int
 	fails        func(ep string, dest, zone int) Outcome
 	sent         map[string]int // calls by zone, and all to one as "all"
-	broadcasts   []string       // zones' changes
-	stateChanges int            // endpoints that this relay itself says are out
+	zoneChanges  []string       // in order
+	ownEjections int            // endpoints that this relay itself found failing
 	out          []due
 	rng          *rand.Rand
 }
@@ -89,6 +97,7 @@
 }
 
 func newZonedRelay(t *testing.T, zones, dests int, change func(*Settings)) *zonedRelay {
+	t.Helper()
 	s := plain()
 	s.Zones, s.Slots, s.QueueCapacity, s.SlowStartWindow, s.SlowStartInitialShare = true, 60, 1000, 4*time.Second, 0.5
 	s.Classes = s.Classes[:1]
@@ -121,7 +130,9 @@
 			switch a := a.(type) {
 			case Send:
 				var dest, zone int
-				fmt.Sscanf(a.Endpoint, "%d-%d", &dest, &zone)
+				if _, err := fmt.Sscanf(a.Endpoint, "%d-%d", &dest, &zone); err != nil {
+					z.Fatal(err)
+				}
 				z.sent[fmt.Sprint(zone)]++
 				z.sent["all"]++
 				e := AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(z.d.messages.byID[a.ID].attempts) - 1, Outcome: z.fails(a.Endpoint, dest, zone)}
@@ -129,10 +140,10 @@
 				z.out = append(z.out, due{z.now + 30*ms + time.Duration(z.rng.IntN(10))*ms, e})
 				slices.SortStableFunc(z.out, func(a, b due) int { return int(a.at - b.at) })
 			case ZoneStateChanged:
-				z.broadcasts = append(z.broadcasts, fmt.Sprintf("%d %v", a.Zone, a.State))
+				z.zoneChanges = append(z.zoneChanges, fmt.Sprintf("%d %v", a.Zone, a.State))
 			case PersistHealth:
 				if a.Ejected && !a.SecondHand {
-					z.stateChanges++
+					z.ownEjections++
 				}
 			}
 		}
@@ -192,7 +203,7 @@
 	z.run(2 * time.Second)
 	down = true
 	z.run(4 * time.Second)
-	if got := strings.Join(z.broadcasts, ", "); got != "1 evacuated" {
+	if got := strings.Join(z.zoneChanges, ", "); got != "1 evacuated" {
 		t.Fatalf("after it failed: %s", got)
 	}
 	before := z.sent["1"]
@@ -202,7 +213,7 @@
 	}
 	down = false
 	z.run(22 * time.Second)
-	if got := strings.Join(z.broadcasts, ", "); got != "1 evacuated, 1 returning, 1 serving" {
+	if got := strings.Join(z.zoneChanges, ", "); got != "1 evacuated, 1 returning, 1 serving" {
 		t.Errorf("after its return: %s", got)
 	}
 	all, _ := z.d.Zones()
@@ -231,7 +242,7 @@
 	}
 	all, _ := z.d.Zones()
 	if all[1].Evacuations != 1 || all[1].Recoveries > 1 {
-		t.Errorf("%+v, %v", all[1], z.broadcasts)
+		t.Errorf("%+v, %v", all[1], z.zoneChanges)
 	}
 }
 
@@ -264,14 +275,14 @@
 			_, cutOff := z.d.Zones()
 			ever = ever || cutOff
 		}
-		if len(z.broadcasts) > 0 {
-			t.Errorf("%s: %v", c.name, z.broadcasts)
+		if len(z.zoneChanges) > 0 {
+			t.Errorf("%s: %v", c.name, z.zoneChanges)
 		}
 		if want := c.name == "cut off" || c.name == "all fails"; ever != want && c.name != "a third fails everywhere" {
 			t.Errorf("%s: cut off: %v", c.name, ever)
 		}
-		if c.name == "cut off" && z.stateChanges > 4 { // those of the first moments, before it can tell
-			t.Errorf("%s: it accuses %d endpoints", c.name, z.stateChanges)
+		if c.name == "cut off" && z.ownEjections > 4 { // those of the first moments, before it can tell
+			t.Errorf("%s: it accuses %d endpoints", c.name, z.ownEjections)
 		}
 	}
 }
@@ -348,11 +359,11 @@
 		z.run(11100 * ms)
 	}
 	if z.state(0) != Recovering {
-		t.Errorf("after its end: %v", z.broadcasts)
+		t.Errorf("after its end: %v", z.zoneChanges)
 	}
 	z.run(16 * time.Second)
 	if z.state(0) != Serving || z.sent["0"] == before {
-		t.Errorf("after the ramp: %v", z.broadcasts)
+		t.Errorf("after the ramp: %v", z.zoneChanges)
 	}
 }
 
