--- a/policy/circuit_test.go
+++ b/policy/circuit_test.go
@@ -116,7 +116,7 @@
 		relays          int
 		outcome         Outcome
 		wait            time.Duration
-		atLeast, atMost int // of 40 relays are sick after one
+		lowest, highest int // of 40 relays are sick after one
 	}{{400, Rejected, 0, 10, 30}, {400, ConnectError, 0, 10, 30}, {400, Rejected, time.Second, 40, 40},
 		{2, Rejected, 0, 0, 0}, {2, ConnectError, 0, 0, 0}} {
 		ejected := 0
@@ -137,7 +137,7 @@
 				t.Errorf("%d relays, outcome %d: not sick after more", tt.relays, tt.outcome)
 			}
 		}
-		if ejected < tt.atLeast || ejected > tt.atMost {
+		if ejected < tt.lowest || ejected > tt.highest {
 			t.Errorf("%d relays, outcome %d, wait %v: %d of 40 sick", tt.relays, tt.outcome, tt.wait, ejected)
 		}
 	}
--- a/policy/decisions_cases_test.go
+++ b/policy/decisions_cases_test.go
@@ -126,16 +126,16 @@
 		{name: "shares", change: func(c *scenario) { sharing(c, 3) }, shows: shared},
 		{name: "shares of 60", change: func(c *scenario) { sharing(c, 60) }, shows: shared},
 		{name: "shares of 300", change: func(c *scenario) { sharing(c, 300) }, shows: shared},
-		{name: "accused alone", change: func(c *scenario) { c.accused, c.settings.PublishRates = true, true },
+		{name: "accused alone", change: func(c *scenario) { c.suspicions, c.settings.PublishRates = true, true },
 			shows: []string{"share"}},
-		{name: "paced alone", change: func(c *scenario) { c.paced, c.settings.PublishRates = true, true },
+		{name: "paced alone", change: func(c *scenario) { c.peerRates, c.settings.PublishRates = true, true },
 			shows: []string{"share"}},
 	}
 }
 
 func sharing(c *scenario, instances int) {
 	c.settings.Gossip, c.settings.PublishRates, c.settings.FleetSize = true, true, instances
-	c.accused, c.paced = true, true
+	c.suspicions, c.peerRates = true, true
 }
 
 // zoneCases are of decisions by zones.
--- a/policy/decisions_digest_test.go
+++ b/policy/decisions_digest_test.go
@@ -68,11 +68,11 @@
 	result := recordedCase{Actions: map[string]int{}}
 	for seed := range int64(4 * seedsPerCase) {
 		record, random := newDecisionRecord(), rand.New(rand.NewSource(seed))
-		drawn := &world{r: random, s: variant(random)}
+		drawn := &world{random: random, settings: variant(random)}
 		if onDemand {
-			drawn.s.Directory = drawn
+			drawn.settings.Directory = drawn
 		}
-		actions, err := playIn(drawn, seed, stepsOfRules)
+		actions, err := runIn(drawn, seed, stepsOfRules)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
--- a/policy/decisions_record_test.go
+++ b/policy/decisions_record_test.go
@@ -109,7 +109,7 @@
 		r.text(action.ID, reasonTag(t, action.Reason))
 	case policy.Broadcast:
 		r.tag("tell")
-		r.note(action.Message)
+		r.message(action.Message)
 	case policy.SetTimer:
 		r.tag("wake")
 		r.durations(action.After)
@@ -152,10 +152,10 @@
 	}
 }
 
-// note writes a note byte for byte, as relays of another version read it, and how it is read.
-func (r *decisionRecord) note(note []byte) {
-	r.text(string(note))
-	observed, ok := policy.ReadNote(note)
+// message writes a note byte for byte, as relays of another version read it, and how it is read.
+func (r *decisionRecord) message(message []byte) {
+	r.text(string(message))
+	observed, ok := policy.ReadNote(message)
 	r.flag(ok, observed.Closed, observed.Open, observed.Back, observed.NoRoom)
 	r.integers(observed.Destination)
 	r.text(observed.Endpoint)
@@ -216,7 +216,7 @@
 		r.integers(zone.Zone, zone.Endpoints, zone.Evacuations, zone.Recoveries)
 		r.moments(zone.EnteredAt, zone.OrderExpiresAt)
 	}
-	r.newcomers(dispatcher.Canaries())
+	r.canaries(dispatcher.Canaries())
 	learned := dispatcher.ExportState()
 	r.integers(len(learned))
 	for _, each := range learned {
@@ -224,7 +224,7 @@
 	}
 }
 
-func (r *decisionRecord) newcomers(all []policy.Canary) {
+func (r *decisionRecord) canaries(all []policy.Canary) {
 	r.integers(len(all))
 	for _, each := range all {
 		r.text(each.Endpoint)
--- a/policy/decisions_scene_actions_test.go
+++ b/policy/decisions_scene_actions_test.go
@@ -8,26 +8,26 @@
 	"milletsail/policy"
 )
 
-// take does what a relay wants done.
-func (s *scene) take(relay *simulatedRelay, action policy.Action) {
+// perform does what a relay wants done.
+func (s *scene) perform(relay *simulatedRelay, action policy.Action) {
 	switch action := action.(type) {
 	case policy.Send:
 		s.send(relay, action)
 	case policy.Reject:
-		relay.messages[action.ID].over = true
+		relay.messages[action.ID].completed = true
 	case policy.Fail:
-		relay.messages[action.ID].over = true
+		relay.messages[action.ID].completed = true
 	case policy.Cancel:
 		if message := relay.messages[action.ID]; message != nil {
 			s.cut(&message.attempts[action.Attempt], policy.Canceled)
 		}
 	case policy.CancelUnwritten:
-		s.withhold(relay, action.Endpoint)
+		s.cancelUnwritten(relay, action.Endpoint)
 	case policy.SetTimer:
-		relay.wakes = append(relay.wakes, s.now+action.After)
+		relay.timers = append(relay.timers, s.now+action.After)
 	case policy.Subscribe:
 		relay.subscribed = true
-		relay.inbox = append(relay.inbox, s.wholeList())
+		relay.inbox = append(relay.inbox, s.completeList())
 	case policy.PersistHealth:
 		if _, known := relay.remembered[action.Endpoint]; !known {
 			relay.rememberedBy = append(relay.rememberedBy, action.Endpoint)
@@ -36,12 +36,12 @@
 	case policy.PublishRate:
 		s.shares = append(s.shares, action)
 	case policy.Broadcast:
-		s.tell(relay, action)
+		s.broadcast(relay, action)
 	}
 }
 
-// tell brings a note to the other relays; some are lost, some come twice.
-func (s *scene) tell(from *simulatedRelay, action policy.Broadcast) {
+// broadcast brings a note to the other relays; some are lost, some come twice.
+func (s *scene) broadcast(from *simulatedRelay, action policy.Broadcast) {
 	for _, relay := range s.relays {
 		if relay == from || s.chance(20) {
 			continue
@@ -60,8 +60,8 @@
 	}
 }
 
-// withhold has half of the calls to an endpoint that are just begun come back unwritten.
-func (s *scene) withhold(relay *simulatedRelay, endpoint string) {
+// cancelUnwritten has half of the calls to an endpoint that are just begun come back unwritten.
+func (s *scene) cancelUnwritten(relay *simulatedRelay, endpoint string) {
 	for _, message := range relay.order {
 		for i := range message.attempts {
 			attempt := &message.attempts[i]
@@ -130,7 +130,7 @@
 		if s.chance(3) {
 			return ended(policy.TimedOut, time.Hour)
 		}
-	case crowdedOut:
+	case connectionsFull:
 		if s.chance(2) {
 			return ended(policy.ConnectError, soon)
 		}
--- a/policy/decisions_scene_events_test.go
+++ b/policy/decisions_scene_events_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	if relay.stopping > 0 {
 		if relay.stopping--; relay.stopping == 0 {
-			s.handOver(t, relay)
+			s.transferState(t, relay)
 		}
 		return
 	}
@@ -23,14 +23,14 @@
 		relay.inbox = append(relay.inbox, policy.ShutdownStarted{})
 		relay.stopping = 12
 	case s.scenario.handovers && s.chance(150):
-		s.handOver(t, relay)
+		s.transferState(t, relay)
 	case s.scenario.restarts && s.chance(150):
 		s.restart(t, relay)
 	}
 }
 
-// handOver passes what a process has learned, with its attempts that are out, to the next one.
-func (s *scene) handOver(t *testing.T, relay *simulatedRelay) {
+// transferState passes what a process has learned, with its attempts that are out, to the next one.
+func (s *scene) transferState(t *testing.T, relay *simulatedRelay) {
 	t.Helper()
 	later := func(at instant.Time) instant.Time { // the next process has another clock
 		if at == 0 || at == instant.Never {
@@ -60,18 +60,18 @@
 // resume hands the unfinished messages to a new process; keepOut says that attempts stay out.
 func (s *scene) resume(relay *simulatedRelay, keepOut bool) {
 	for _, message := range relay.order {
-		if message.over && (!keepOut || !message.hasOpen) {
+		if message.completed && (!keepOut || !message.hasOpen) {
 			message.closeAll()
 			continue
 		}
 		arrived := message.arrived
-		arrived.TimeLeft, arrived.Resumed, arrived.Completed = message.expires-s.now, true, message.over
+		arrived.TimeLeft, arrived.Resumed, arrived.Completed = message.expires-s.now, true, message.completed
 		arrived.PriorAttempts = nil
 		for i := range message.attempts {
 			attempt := &message.attempts[i]
 			attempt.open = attempt.open && keepOut
 			arrived.PriorAttempts = append(arrived.PriorAttempts, policy.PriorAttempt{Endpoint: attempt.endpoint,
-				SentAt: instant.Time(attempt.sent), NotExecuted: attempt.unrun, InFlight: attempt.open, Call: attempt.call})
+				SentAt: instant.Time(attempt.sent), NotExecuted: attempt.notExecuted, InFlight: attempt.open, Call: attempt.call})
 		}
 		message.hasOpen = message.hasOpen && keepOut
 		relay.inbox = append(relay.inbox, arrived)
@@ -89,15 +89,15 @@
 func (s *scene) events(relay *simulatedRelay) []policy.Event {
 	events := relay.inbox
 	relay.inbox = nil
-	kept := relay.wakes[:0]
-	for _, wake := range relay.wakes {
-		if wake <= s.now {
+	pending := relay.timers[:0]
+	for _, timer := range relay.timers {
+		if timer <= s.now {
 			events = append(events, policy.TimerFired{})
 		} else {
-			kept = append(kept, wake)
+			pending = append(pending, timer)
 		}
 	}
-	relay.wakes = kept
+	relay.timers = pending
 	events = append(events, s.endings(relay)...)
 	events = append(events, s.fromFleet(relay)...)
 	events = append(events, s.ofProcess(relay)...)
@@ -106,22 +106,22 @@
 
 // endings are the outcomes that are due, and withdrawals.
 func (s *scene) endings(relay *simulatedRelay) (events []policy.Event) {
-	kept := relay.order[:0]
+	remaining := relay.order[:0]
 	for _, message := range relay.order {
-		if !message.over && s.scenario.withdrawn && s.chance(150) {
-			message.over = true
+		if !message.completed && s.scenario.withdrawn && s.chance(150) {
+			message.completed = true
 			events = append(events, policy.Withdrawn{ID: message.arrived.ID})
 		}
 		if message.hasOpen {
 			events = append(events, s.endingsOf(message)...)
 		}
-		if message.over && !message.hasOpen {
+		if message.completed && !message.hasOpen {
 			delete(relay.messages, message.arrived.ID)
 			continue
 		}
-		kept = append(kept, message)
+		remaining = append(remaining, message)
 	}
-	relay.order = kept
+	relay.order = remaining
 	return events
 }
 
@@ -137,13 +137,13 @@
 		ending := attempt.ending
 		ending.ID, ending.Endpoint, ending.Attempt = message.arrived.ID, attempt.endpoint, i
 		ending.Latency = attempt.due - attempt.sent
-		message.over = message.over || ending.Outcome == policy.OK ||
+		message.completed = message.completed || ending.Outcome == policy.OK ||
 			ending.Outcome == policy.TimedOut && s.now >= message.expires
-		ending.Completed = message.over
+		ending.Completed = message.completed
 		ending.AttemptsExhausted = ending.Outcome == policy.NotSent && s.chance(3)
 		switch ending.Outcome {
 		case policy.Rejected, policy.ConnectError, policy.NotSent, policy.NotStarted:
-			attempt.unrun = true
+			attempt.notExecuted = true
 		}
 		events = append(events, ending)
 		if s.chance(60) {
@@ -158,7 +158,7 @@
 
 // fromFleet draws what is found of destinations over all relays.
 func (s *scene) fromFleet(relay *simulatedRelay) (events []policy.Event) {
-	if s.scenario.accused && s.chance(25) {
+	if s.scenario.suspicions && s.chance(25) {
 		server := s.servers[s.random.Intn(len(s.servers))]
 		found := policy.PeerSuspected{Destination: server.endpoint.Destination, Observers: s.random.Intn(7),
 			OldestAge: s.milliseconds(6000), ValidFor: 4 * time.Second, Rank: s.random.Intn(3)}
@@ -168,7 +168,7 @@
 		found.NewestAge, found.RecentObservers = found.OldestAge/2, s.random.Intn(found.Observers+1)
 		events = append(events, found)
 	}
-	if s.scenario.paced && len(s.shares) > 0 && s.chance(6) {
+	if s.scenario.peerRates && len(s.shares) > 0 && s.chance(6) {
 		share := s.shares[s.random.Intn(len(s.shares))]
 		rates := policy.PeerRateReceived{Destination: share.Destination, LiveRelays: 1 + s.random.Intn(relay.settings.FleetSize),
 			Reporters: 1 + s.random.Intn(8), RateShare: share.RateShare * (0.6 + s.random.Float64()),
--- a/policy/decisions_scene_test.go
+++ b/policy/decisions_scene_test.go
@@ -19,38 +19,38 @@
 
 // The conditions of a server.
 const (
-	working     condition = iota // answers, with few errors
-	slow                         // answers late
-	failing                      // answers with errors
-	rejecting                    // refuses every call
-	waiting                      // refuses every call and tells a wait
-	hanging                      // never answers
-	unreachable                  // takes no connection
-	lossy                        // loses part of the calls
-	crowdedOut                   // takes only some of the connections
-	conditions                   // their number
+	working         condition = iota // answers, with few errors
+	slow                             // answers late
+	failing                          // answers with errors
+	rejecting                        // refuses every call
+	waiting                          // refuses every call and tells a wait
+	hanging                          // never answers
+	unreachable                      // takes no connection
+	lossy                            // loses part of the calls
+	connectionsFull                  // takes only some of the connections
+	conditions                       // their number
 )
 
 // scenario is one case: settings, and what the simulation does beside the ordinary traffic.
 type scenario struct {
-	settings  policy.Settings
-	load      float64 // traffic as a multiple of what the listed rates allow
-	faults    float64 // chance of a change of a server's condition in a step, as a multiple of the usual
-	outages   bool    // whole zones fail together
-	orders    bool    // operators order zones left and restored
-	accused   bool    // findings of the fleet come in
-	paced     bool    // rates of the fleet come in
-	byZone    bool    // and with them the traffic of each zone
-	joining   bool    // endpoints that have just started are listed
-	onDemand  bool    // state on demand, with pauses in which it goes
-	restarts  bool    // processes are killed and begun anew
-	handovers bool    // processes hand over to the next
-	stops     bool    // and are told so ahead
-	unwritten bool    // attempts cannot be recorded at times
-	errors    bool    // one in five calls fails wherever it goes
-	unsent    bool    // calls are often not begun, for a lack at the relay
-	reports   bool    // destinations report their load
-	withdrawn bool    // clients give up
+	settings   policy.Settings
+	load       float64 // traffic as a multiple of what the listed rates allow
+	faults     float64 // chance of a change of a server's condition in a step, as a multiple of the usual
+	outages    bool    // whole zones fail together
+	orders     bool    // operators order zones left and restored
+	suspicions bool    // findings of the fleet come in
+	peerRates  bool    // rates of the fleet come in
+	byZone     bool    // and with them the traffic of each zone
+	joining    bool    // endpoints that have just started are listed
+	onDemand   bool    // state on demand, with pauses in which it goes
+	restarts   bool    // processes are killed and begun anew
+	handovers  bool    // processes hand over to the next
+	stops      bool    // and are told so ahead
+	unwritten  bool    // attempts cannot be recorded at times
+	errors     bool    // one in five calls fails wherever it goes
+	unsent     bool    // calls are often not begun, for a lack at the relay
+	reports    bool    // destinations report their load
+	withdrawn  bool    // clients give up
 }
 
 // simulatedServer is one endpoint and the truth about it.
@@ -69,22 +69,22 @@
 
 // attemptOut is one attempt as the simulation sees it.
 type attemptOut struct {
-	endpoint string
-	call     int
-	sent     time.Duration
-	due      time.Duration
-	ending   policy.AttemptEnded
-	open     bool
-	unrun    bool
+	endpoint    string
+	call        int
+	sent        time.Duration
+	due         time.Duration
+	ending      policy.AttemptEnded
+	open        bool
+	notExecuted bool
 }
 
 // notification is one message as the simulation sees it.
 type notification struct {
-	arrived  policy.Arrived
-	expires  time.Duration
-	attempts []attemptOut
-	over     bool
-	hasOpen  bool
+	arrived   policy.Arrived
+	expires   time.Duration
+	attempts  []attemptOut
+	completed bool
+	hasOpen   bool
 }
 
 // callFate is what becomes of one call, for all messages in it.
@@ -100,7 +100,7 @@
 	dispatcher   *policy.Dispatcher
 	messages     map[string]*notification
 	order        []*notification
-	wakes        []time.Duration
+	timers       []time.Duration
 	inbox        []policy.Event
 	fates        map[int]callFate
 	remembered   map[string]policy.PersistHealth
@@ -164,9 +164,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay.dispatcher, relay.wakes, relay.fates = dispatcher, nil, map[int]callFate{}
+	relay.dispatcher, relay.timers, relay.fates = dispatcher, nil, map[int]callFate{}
 	relay.subscribed = !relay.settings.Subscribe
-	relay.inbox = append([]policy.Event{s.wholeList()}, relay.inbox...)
+	relay.inbox = append([]policy.Event{s.completeList()}, relay.inbox...)
 }
 
 func (s *scene) addServer(destination, zone int) *simulatedServer {
@@ -208,7 +208,7 @@
 	return nil
 }
 
-func (s *scene) wholeList() policy.EndpointsUpdated {
+func (s *scene) completeList() policy.EndpointsUpdated {
 	list := policy.EndpointsUpdated{Complete: true}
 	for _, server := range s.servers {
 		list.Endpoints = append(list.Endpoints, server.endpoint)
@@ -238,7 +238,7 @@
 			actions := relay.dispatcher.Handle(instant.Time(s.now), events)
 			s.record.step(t, relay.number, actions)
 			for _, action := range actions {
-				s.take(relay, action)
+				s.perform(relay, action)
 			}
 			s.record.queries(t, relay.dispatcher, s.step%10 == 0)
 		}
@@ -250,9 +250,9 @@
 	after := time.Duration(1+s.random.Intn(16)) * 5 * time.Millisecond
 	if s.chance(3) { // a timer that is exact
 		for _, relay := range s.relays {
-			for _, wake := range relay.wakes {
-				if wake > s.now {
-					after = min(after, wake-s.now)
+			for _, timer := range relay.timers {
+				if timer > s.now {
+					after = min(after, timer-s.now)
 				}
 			}
 		}
@@ -342,7 +342,7 @@
 	}
 	list := policy.EndpointsUpdated{Endpoints: []policy.Endpoint{server.endpoint}}
 	if !s.scenario.onDemand && s.chance(5) {
-		list = s.wholeList()
+		list = s.completeList()
 	}
 	for _, relay := range s.relays {
 		if relay.subscribed {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -14,7 +14,7 @@
 
 func TestRulesUnderSeededEvents(t *testing.T) {
 	for seed := range int64(150) {
-		if _, err := play(seed, 500); err != nil {
+		if _, err := runSeeded(seed, 500); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
@@ -23,7 +23,7 @@
 func FuzzRules(f *testing.F) {
 	f.Add(int64(1))
 	f.Fuzz(func(t *testing.T, seed int64) {
-		if _, err := play(seed, 300); err != nil {
+		if _, err := runSeeded(seed, 300); err != nil {
 			t.Error(err)
 		}
 	})
@@ -31,8 +31,8 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range int64(10) {
-		a, _ := play(seed, 300)
-		b, _ := play(seed, 300)
+		a, _ := runSeeded(seed, 300)
+		b, _ := runSeeded(seed, 300)
 		if !reflect.DeepEqual(a, b) {
 			t.Errorf("seed %d: two plays of the same events differ", seed)
 		}
@@ -97,11 +97,11 @@
 	ended := func(id string, n int, o policy.Outcome) policy.Event {
 		return policy.AttemptEnded{ID: id, Endpoint: "a", Attempt: n, Outcome: o}
 	}
-	var knocks []step
+	var probes []step
 	for i := range 40 {
 		id := fmt.Sprint("m", i)
 		at := time.Duration(i) * 50 * time.Millisecond
-		knocks = append(knocks, step{at, []policy.Event{list, arrive(id, 0)}, []policy.Action{send(id)}},
+		probes = append(probes, step{at, []policy.Event{list, arrive(id, 0)}, []policy.Action{send(id)}},
 			step{at, []policy.Event{ended(id, 0, policy.ConnectError)}, nil})
 	}
 	tests := map[string][]step{
@@ -117,7 +117,7 @@
 			{3 * time.Second, []policy.Event{ended("m", 0, policy.TimedOut)}, []policy.Action{send("m")}}},
 		"3: drained": {{0, []policy.Event{list, arrive("m", 0), policy.EndpointsUpdated{Endpoints: []policy.Endpoint{
 			{ID: "a", Draining: true}}}}, []policy.Action{send("m")}}},
-		"4: knocking": knocks,
+		"4: knocking": probes,
 		"5: out of turn": {{0, []policy.Event{list, arrive("m", 2), arrive("n", 2)},
 			[]policy.Action{send("m"), send("n")}}},
 		"6: in a wait": {{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{send("m")}},
--- a/policy/rules_world_test.go
+++ b/policy/rules_world_test.go
@@ -30,59 +30,59 @@
 
 // world draws legal events from a seed; it knows nothing of servers.
 type world struct {
-	r     *rand.Rand
-	s     policy.Settings
-	c     *checker
-	now   time.Duration
-	next  int
-	wakes []time.Duration
-	eps   []policy.Endpoint
-	mood  []policy.Outcome // what the attempts of a destination mostly get just now
-	fates map[string]policy.Outcome
-	quiet bool // nothing arrives
+	random   *rand.Rand
+	settings policy.Settings
+	checker  *checker
+	now      time.Duration
+	next     int
+	timers   []time.Duration
+	eps      []policy.Endpoint
+	mood     []policy.Outcome // what the attempts of a destination mostly get just now
+	fates    map[string]policy.Outcome
+	quiet    bool // nothing arrives
 }
 
 func (w *world) list() policy.EndpointsUpdated {
-	whole := w.r.Intn(3) == 0 || len(w.eps) == 0
-	if len(w.eps) == 0 || w.r.Intn(3) == 0 {
-		dest := w.r.Intn(4)
+	complete := w.random.Intn(3) == 0 || len(w.eps) == 0
+	if len(w.eps) == 0 || w.random.Intn(3) == 0 {
+		dest := w.random.Intn(4)
 		w.eps = append(w.eps, policy.Endpoint{ID: fmt.Sprint("e", w.next), Destination: dest, Kind: dest % 3,
-			Zone: w.r.Intn(2), Weight: 2 + float64(dest)*3})
+			Zone: w.random.Intn(2), Weight: 2 + float64(dest)*3})
 		w.next++
 	}
 	var out []policy.Endpoint
 	for i := range w.eps {
-		if w.r.Intn(12) == 0 {
+		if w.random.Intn(12) == 0 {
 			w.eps[i].Draining = true
 		}
-		if w.r.Intn(15) == 0 && len(w.eps) > 4 {
+		if w.random.Intn(15) == 0 && len(w.eps) > 4 {
 			w.eps[i].Removed = true
 		}
-		if !whole || !w.eps[i].Removed {
+		if !complete || !w.eps[i].Removed {
 			out = append(out, w.eps[i])
 		}
 	}
-	kept := w.eps[:0]
+	remaining := w.eps[:0]
 	for _, e := range w.eps {
 		if !e.Removed {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
 	}
-	w.eps = kept
-	return policy.EndpointsUpdated{Complete: whole, Endpoints: out}
+	w.eps = remaining
+	return policy.EndpointsUpdated{Complete: complete, Endpoints: out}
 }
 
 // batch moves the clock to the next moment and gives its events.
 func (w *world) batch() []policy.Event {
-	at := w.now + time.Duration(1+w.r.Intn(60))*5*time.Millisecond
-	for _, t := range w.wakes {
+	at := w.now + time.Duration(1+w.random.Intn(60))*5*time.Millisecond
+	for _, t := range w.timers {
 		at = min(at, t)
 	}
-	for _, m := range w.c.order {
-		if !m.over && m.expires > w.now {
+	for _, m := range w.checker.order {
+		if !m.completed && m.expires > w.now {
 			at = min(at, m.expires)
 		}
-		for _, t := range m.tries {
+		for _, t := range m.attempts {
 			if t.open && t.timeout > 0 && t.sent+t.timeout > w.now {
 				at = min(at, t.sent+t.timeout)
 			}
@@ -90,32 +90,32 @@
 	}
 	w.now = max(at, w.now+5*time.Millisecond)
 	var events []policy.Event
-	kept := w.wakes[:0]
-	for _, t := range w.wakes {
+	remaining := w.timers[:0]
+	for _, t := range w.timers {
 		if t <= w.now {
 			events = append(events, policy.TimerFired{})
 		} else {
-			kept = append(kept, t)
+			remaining = append(remaining, t)
 		}
 	}
-	w.wakes = kept
+	w.timers = remaining
 	events = append(events, w.outcomes()...)
-	if w.r.Intn(12) == 0 {
+	if w.random.Intn(12) == 0 {
 		events = append(events, w.list())
 	}
-	if w.r.Intn(40) == 0 {
+	if w.random.Intn(40) == 0 {
 		events = append(events, policy.WatchFailed{})
 	}
-	for range w.r.Intn(4) {
+	for range w.random.Intn(4) {
 		if w.quiet {
 			break
 		}
 		w.next++
-		class := w.r.Intn(len(w.s.Classes))
-		e := policy.Arrived{ID: fmt.Sprint("m", w.next), Class: class, Destination: w.r.Intn(5),
-			TimeLeft: w.s.Classes[class].Deadline - time.Duration(w.r.Intn(2000))*time.Millisecond}
-		if w.s.Classes[class].Ordered && w.r.Intn(5) > 0 {
-			e.Key = fmt.Sprint("k", w.r.Intn(3))
+		class := w.random.Intn(len(w.settings.Classes))
+		e := policy.Arrived{ID: fmt.Sprint("m", w.next), Class: class, Destination: w.random.Intn(5),
+			TimeLeft: w.settings.Classes[class].Deadline - time.Duration(w.random.Intn(2000))*time.Millisecond}
+		if w.settings.Classes[class].Ordered && w.random.Intn(5) > 0 {
+			e.Key = fmt.Sprint("k", w.random.Intn(3))
 		}
 		events = append(events, e)
 	}
@@ -126,12 +126,12 @@
 func (w *world) outcomes() []policy.Event {
 	var events []policy.Event
 	for d := range w.mood {
-		if w.r.Intn(80) == 0 {
-			w.mood[d] = policy.Outcome(w.r.Intn(8))
+		if w.random.Intn(80) == 0 {
+			w.mood[d] = policy.Outcome(w.random.Intn(8))
 		}
 	}
-	for _, m := range w.c.order {
-		for i, t := range m.tries {
+	for _, m := range w.checker.order {
+		for i, t := range m.attempts {
 			if !t.open {
 				continue
 			}
@@ -140,16 +140,16 @@
 				continue
 			}
 			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.ep, Attempt: i, Outcome: outcome, Latency: w.now - t.sent}
-			if outcome == policy.Rejected && w.r.Intn(2) == 0 {
+			if outcome == policy.Rejected && w.random.Intn(2) == 0 {
 				e.RetryAfter = w.retryAfter()
 			}
-			e.Completed = m.over || outcome == policy.OK
+			e.Completed = m.completed || outcome == policy.OK
 			events = append(events, e)
-			if w.r.Intn(30) == 0 {
+			if w.random.Intn(30) == 0 {
 				events = append(events, e) // twice: changes nothing
 			}
 		}
-		if !m.over && w.r.Intn(400) == 0 {
+		if !m.completed && w.random.Intn(400) == 0 {
 			events = append(events, policy.Withdrawn{ID: m.ID})
 		}
 	}
@@ -157,7 +157,7 @@
 }
 
 // outcome draws whether and how an attempt ends now. The messages of one call share its outcome.
-func (w *world) outcome(m *seen, t try) (outcome policy.Outcome, ended bool) {
+func (w *world) outcome(m *observedMessage, t observedAttempt) (outcome policy.Outcome, ended bool) {
 	limit := m.expires
 	if t.timeout > 0 {
 		limit = min(limit, t.sent+t.timeout)
@@ -165,12 +165,12 @@
 	if w.now >= limit {
 		return policy.TimedOut, true
 	}
-	if w.r.Intn(6) != 0 {
+	if w.random.Intn(6) != 0 {
 		return policy.OK, false
 	}
-	outcome = w.mood[w.c.eps[t.ep].Destination]
-	if w.r.Intn(4) == 0 {
-		outcome = policy.Outcome(w.r.Intn(8))
+	outcome = w.mood[w.checker.endpoints[t.ep].Destination]
+	if w.random.Intn(4) == 0 {
+		outcome = policy.Outcome(w.random.Intn(8))
 	}
 	call := fmt.Sprint(t.ep, t.sent)
 	if ofCall, ok := w.fates[call]; ok {
@@ -185,23 +185,23 @@
 
 // retryAfter draws the Retry-After of a rejection.
 func (w *world) retryAfter() time.Duration {
-	retryAfter := time.Duration(w.r.Intn(2000)) * time.Millisecond
-	if w.s.Directory != nil && w.r.Intn(4) == 0 {
+	retryAfter := time.Duration(w.random.Intn(2000)) * time.Millisecond
+	if w.settings.Directory != nil && w.random.Intn(4) == 0 {
 		return longWait
 	}
 	return retryAfter
 }
 
-// play runs a dispatcher on seeded events under the checker and returns its actions.
-func play(seed int64, steps int) ([]policy.Action, error) {
+// runSeeded runs a dispatcher on seeded events under the checker and returns its actions.
+func runSeeded(seed int64, steps int) ([]policy.Action, error) {
 	r := rand.New(rand.NewSource(seed))
-	return playIn(&world{r: r, s: variant(r)}, seed, steps)
+	return runIn(&world{random: r, settings: variant(r)}, seed, steps)
 }
 
-// playIn does so with a world that has its settings.
-func playIn(w *world, seed int64, steps int) ([]policy.Action, error) {
-	r, s := w.r, w.s
-	w.c, w.now, w.mood, w.fates = newChecker(s), time.Hour, make([]policy.Outcome, 5), map[string]policy.Outcome{}
+// runIn does so with a world that has its settings.
+func runIn(w *world, seed int64, steps int) ([]policy.Action, error) {
+	r, s := w.random, w.settings
+	w.checker, w.now, w.mood, w.fates = newChecker(s), time.Hour, make([]policy.Outcome, 5), map[string]policy.Outcome{}
 	d, err := policy.New(s, seed)
 	if err != nil {
 		return nil, err
@@ -212,26 +212,26 @@
 			if d, err = policy.New(s, seed); err != nil {
 				return nil, err
 			}
-			w.c, w.wakes = newChecker(s), nil
+			w.checker, w.timers = newChecker(s), nil
 			w.eps = nil
 		}
 		if s.Directory != nil {
 			w.pause()
 		}
 		events := w.batch()
-		w.c.events(w.now, events)
+		w.checker.events(w.now, events)
 		actions := d.Handle(instant.Time(w.now), events)
 		all = append(all, actions...)
 		for _, a := range actions {
 			switch a := a.(type) {
 			case policy.SetTimer:
-				w.wakes = append(w.wakes, w.now+a.After)
+				w.timers = append(w.timers, w.now+a.After)
 			case policy.Cancel:
-				m := w.c.msgs[a.ID]
-				m.tries[a.Attempt].timeout = max(1, w.now-m.tries[a.Attempt].sent)
+				m := w.checker.messages[a.ID]
+				m.attempts[a.Attempt].timeout = max(1, w.now-m.attempts[a.Attempt].sent)
 			}
 		}
-		if err := w.c.actions(actions); err != nil {
+		if err := w.checker.actions(actions); err != nil {
 			return all, err
 		}
 	}
--- a/policy/state_store_rules_test.go
+++ b/policy/state_store_rules_test.go
@@ -37,12 +37,12 @@
 // state of idle destinations goes.
 func (w *world) pause() {
 	if !w.quiet {
-		w.quiet = w.r.Intn(60) == 0
+		w.quiet = w.random.Intn(60) == 0
 		return
 	}
-	for _, m := range w.c.order {
-		busy := !m.over
-		for _, t := range m.tries {
+	for _, m := range w.checker.order {
+		busy := !m.completed
+		for _, t := range m.attempts {
 			busy = busy || t.open
 		}
 		if busy {
@@ -58,9 +58,9 @@
 func TestRulesOnDemand(t *testing.T) {
 	for seed := range int64(150) {
 		r := rand.New(rand.NewSource(seed))
-		w := &world{r: r, s: variant(r)}
-		w.s.Directory = w
-		if _, err := playIn(w, seed, 800); err != nil {
+		w := &world{random: r, settings: variant(r)}
+		w.settings.Directory = w
+		if _, err := runIn(w, seed, 800); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
