--- /dev/null
+++ b/internal/journal/stored_describe_test.go
@@ -0,0 +1,134 @@
+package journal
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"milletsail/internal/instant"
+)
+
+// sameBytes fails with the place of the first byte that differs.
+func sameBytes(t *testing.T, name string, got, want []byte) {
+	t.Helper()
+	if bytes.Equal(got, want) {
+		return
+	}
+	place := 0
+	for place < min(len(got), len(want)) && got[place] == want[place] {
+		place++
+	}
+	t.Errorf("%s: %d bytes, want %d; they differ from byte %d on:\n%x\n%x", name, len(got), len(want), place,
+		got[place:min(len(got), place+32)], want[place:min(len(want), place+32)])
+}
+
+// describe tells all that a journal holds and how it was found, in words of this test's own.
+func describe(journal *Journal, report *Report, base instant.Time) string {
+	var out strings.Builder
+	fmt.Fprintf(&out, "format %d, relay %s, power %t, records %d, last %d, torn %d,", report.Format, report.Relay,
+		report.SurvivesPowerLoss, report.Records, report.LastSequence, report.Torn)
+	fmt.Fprintf(&out, " whole %t, rebooted %t, by wall %t\n", report.Complete(), report.Rebooted, report.UsedWallClock)
+	for _, name := range report.SkippedSegments {
+		fmt.Fprintf(&out, "passed over %s\n", name)
+	}
+	for _, entry := range journal.Entries() {
+		describeMessage(&out, entry, base)
+	}
+	if list := journal.LegacyList(); list.Text != nil {
+		fmt.Fprintf(&out, "list of %d hosts: %s\n", list.Endpoints, list.Text)
+	}
+	health := journal.Health()
+	for _, host := range slices.Sorted(maps.Keys(health)) {
+		fmt.Fprintf(&out, "health of %s: sick %t, at %s\n", host, health[host].Ejected, spanFrom(base, health[host].ChangedAt))
+	}
+	return out.String()
+}
+
+// describeMessage tells one message.
+func describeMessage(out *strings.Builder, entry *Entry, base instant.Time) {
+	taken, expires := spanFrom(base, entry.AcceptedAt), spanFrom(base, entry.ExpiresAt)
+	fmt.Fprintf(out, "message %s: class %s, destination %d, key %s, taken %s, expires %s, body %q\n",
+		entry.ID, entry.Class, entry.Dest, entry.Key, taken, expires, entry.Body)
+	for _, attempt := range entry.Attempts {
+		fmt.Fprintf(out, "  attempt at %s, begun %s", attempt.Host, spanFrom(base, attempt.StartedAt))
+		for _, mark := range []struct {
+			set  bool
+			name string
+		}{{attempt.Ended, "ended"}, {attempt.NotExecuted, "proved not to have run"}, {attempt.Uncertain, "in doubt"}} {
+			if mark.set {
+				fmt.Fprintf(out, ", %s", mark.name)
+			}
+		}
+		fmt.Fprintln(out)
+	}
+	if notice := entry.PendingNotification; notice != nil {
+		fmt.Fprintf(out, "  owes the notice %s: %s, again after %d ms\n", notice.ID, notice.Status, notice.RetryAfterMS)
+	}
+}
+
+// spanFrom tells a moment by its span from a base.
+func spanFrom(base, at instant.Time) string {
+	if at.IsZero() {
+		return "never"
+	}
+	return signedSpan(at.Sub(base))
+}
+
+// signedSpan writes a span with its sign.
+func signedSpan(span time.Duration) string {
+	if span < 0 {
+		return span.String()
+	}
+	return "+" + span.String()
+}
+
+// sameText fails with both texts where they differ.
+func sameText(t *testing.T, got, want string) {
+	t.Helper()
+	if got != want {
+		t.Errorf("got:\n%s\nwant:\n%s", got, want)
+	}
+}
+
+// fileNames lists a folder.
+func fileNames(t *testing.T, dir string) (names []string) {
+	t.Helper()
+	files, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		names = append(names, file.Name())
+	}
+	return names
+}
+
+// copyFolder copies the files of a folder into another.
+func copyFolder(t *testing.T, from, to string) {
+	t.Helper()
+	for _, name := range fileNames(t, from) {
+		putFile(t, filepath.Join(to, name), fileBytes(t, filepath.Join(from, name)))
+	}
+}
+
+func fileBytes(t *testing.T, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func putFile(t *testing.T, path string, text []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/journal/workload_test.go
@@ -0,0 +1,164 @@
+package journal
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"milletsail/internal/clock"
+	"milletsail/internal/instant"
+)
+
+// promises is what a workload was told, whatever a journal makes of it.
+type promises struct {
+	power    bool
+	answered map[string]bool // 202 was sent
+	over     map[string]bool // its end was committed
+	ending   map[string]bool // its end was noted, committed or not
+	ran      map[string]bool // an attempt went out that may have run
+	owed     map[string]bool
+}
+
+func newPromises(power bool) *promises {
+	return &promises{power, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}}
+}
+
+// kept tells whether what a start finds keeps the promises.
+func (p *promises) kept(j *Journal) error {
+	for id := range p.answered {
+		e := j.Get(id)
+		if e == nil && p.power && !p.ending[id] {
+			return fmt.Errorf("%s was answered 202 and is gone", id)
+		}
+		if e != nil && p.power && p.owed[id] && e.PendingNotification == nil {
+			return fmt.Errorf("%s ended by a notice and may be sent again", id)
+		}
+	}
+	for _, e := range j.Entries() {
+		if p.over[e.ID] && p.power {
+			return fmt.Errorf("%s is over and comes back", e.ID)
+		}
+		mayHaveRun := e.PendingNotification != nil || slices.ContainsFunc(e.Attempts, func(a Attempt) bool { return !a.Ended || !a.NotExecuted })
+		if (p.ran[e.ID] || p.over[e.ID]) && !mayHaveRun {
+			return fmt.Errorf("%s may have run, and that is forgotten", e.ID)
+		}
+	}
+	return nil
+}
+
+// workload runs a journal through a short life, and notes what was promised. answerEarly plants a fault.
+func workload(files FS, p *promises, answerEarly bool, rounds int) {
+	at := instant.Boot.Add(1000 * time.Second)
+	clocks := Clocks{Now: func() instant.Time { at = at.Add(time.Second); return at }, Wall: func() clock.Wall { return clock.Wall(at - instant.Boot) },
+		Uptime: func() time.Duration { return 0 }}
+	j, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: p.power, Files: files, Boot: "one", Clocks: clocks})
+	if err != nil {
+		return
+	}
+	for i := range rounds {
+		var fresh, sent, ended []string
+		for k := range 2 {
+			e := &Entry{ID: fmt.Sprintf("m%d-%d", i, k), Class: "order", Body: bytes.Repeat([]byte{byte(i)}, 300)}
+			if j.Reserve(e) {
+				j.Accept(e)
+				fresh = append(fresh, e.ID)
+				if answerEarly {
+					p.answered[e.ID] = true
+				}
+			}
+		}
+		for _, e := range j.Entries() {
+			switch {
+			case e.PendingNotification != nil, len(e.Attempts) == 1 && !e.Attempts[0].NotExecuted && i%2 == 0:
+				j.Complete(e)
+				p.ending[e.ID] = true
+				ended = append(ended, e.ID)
+			case len(e.Attempts) == 1 && !e.Attempts[0].Ended && i%3 == 1:
+				j.EndAttempt(e, false)
+			case len(e.Attempts) == 0 && p.answered[e.ID]:
+				j.StartAttempt(e, "h1", at)
+				sent = append(sent, e.ID)
+			}
+		}
+		var owed *Entry
+		if i%3 == 2 {
+			for _, e := range j.Entries() {
+				if p.answered[e.ID] && e.PendingNotification == nil {
+					owed = e
+				}
+			}
+			if owed != nil {
+				j.RecordPendingNotification(owed, Notification{ID: owed.ID, Status: "undeliverable"})
+			}
+		}
+		if i%4 == 3 {
+			j.segmentSize = 1 << 30 // the next segment is due
+		}
+		if j.Commit() != nil {
+			continue
+		}
+		for _, id := range fresh {
+			p.answered[id] = true
+		}
+		for _, id := range sent {
+			p.ran[id] = true
+		}
+		for _, id := range ended {
+			p.over[id] = true
+		}
+		if owed != nil {
+			p.owed[owed.ID] = true
+		}
+	}
+}
+
+// restart opens what a crash left, and looks at it; where the start itself may be cut short, it is, and once more.
+func restart(left *model, p *promises, pick func(int) int, again bool) error {
+	before := left.after(func(int) int { return 1 })
+	j, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: p.power, Files: left, Boot: "two"})
+	if err != nil {
+		return fmt.Errorf("the start fails: %w", err)
+	}
+	if err := p.kept(j); err != nil {
+		return err
+	}
+	if !again {
+		return nil
+	}
+	var second error
+	before.stopped = func(m *model, call string) {
+		if second == nil {
+			if err := restart(m.after(pick), p, pick, false); err != nil {
+				second = fmt.Errorf("after a second loss at a %s: %w", call, err)
+			}
+		}
+	}
+	if _, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: p.power, Files: before, Boot: "two"}); err != nil {
+		return err
+	}
+	return second
+}
+
+// lose runs a workload and has the power fail at each call, in so many ways each; it gives what is broken first.
+func lose(power bool, wrap func(*model) FS, answerEarly bool, ways int, seed uint64, prepare func(*model)) (states int, err error) {
+	rng := rand.New(rand.NewPCG(seed, 0))
+	m, p := newModel(), newPromises(power)
+	if prepare != nil {
+		prepare(m)
+	}
+	m.stopped = func(m *model, call string) {
+		for range ways {
+			if err != nil {
+				return
+			}
+			states++
+			if broken := restart(m.after(rng.IntN), p, rng.IntN, states%8 == 0); broken != nil {
+				err = fmt.Errorf("power lost after call %d, a %s: %w", m.calls, call, broken)
+			}
+		}
+	}
+	workload(wrap(m), p, answerEarly, 9)
+	return states, err
+}
