--- a/internal/journal/crashfs_test.go
+++ b/internal/journal/crashfs_test.go
@@ -41,7 +41,7 @@
 func newModel() *model { return &model{now: map[string]*inode{}, durable: map[string]*inode{}} }
 
 // call counts a call, and tells how it fails.
-func (m *model) call(name string) (failed bool, err error) {
+func (m *model) call() (failed bool, err error) {
 	m.calls++
 	if m.failAt > 0 && m.calls >= m.failAt && m.calls < m.failAt+m.failFor {
 		return true, m.failure
@@ -61,7 +61,7 @@
 }
 
 func (m *model) Create(path string) (File, error) {
-	if failed, err := m.call("create"); failed {
+	if failed, err := m.call(); failed {
 		return nil, errors.Join(err, syscall.ENOSPC)
 	}
 	f := &inode{}
@@ -72,7 +72,7 @@
 }
 
 func (f *modelFile) Write(b []byte) (int, error) {
-	if failed, err := f.m.call("write"); failed {
+	if failed, err := f.m.call(); failed {
 		n := len(b) / 2
 		f.f.data = append(f.f.data, b[:n]...)
 		f.m.done("short write")
@@ -84,7 +84,7 @@
 }
 
 func (f *modelFile) Sync() error {
-	if failed, err := f.m.call("sync"); failed {
+	if failed, err := f.m.call(); failed {
 		// The system drops what it could not write and calls it clean: a later sync would prove nothing.
 		return errors.Join(err, syscall.EIO)
 	}
@@ -94,7 +94,7 @@
 }
 
 func (f *modelFile) Truncate(size int64) error {
-	if failed, err := f.m.call("truncate"); failed {
+	if failed, err := f.m.call(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
 	f.f.data = bytes.Clone(f.f.data[:size])
@@ -113,7 +113,7 @@
 }
 
 func (m *model) Rename(from, to string) error {
-	if failed, err := m.call("rename"); failed {
+	if failed, err := m.call(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
 	m.now[to] = m.now[from]
@@ -124,7 +124,7 @@
 }
 
 func (m *model) Remove(path string) error {
-	if failed, err := m.call("remove"); failed {
+	if failed, err := m.call(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
 	if m.now[path] == nil {
@@ -144,7 +144,7 @@
 }
 
 func (m *model) SyncDir(string) error {
-	if failed, err := m.call("sync folder"); failed {
+	if failed, err := m.call(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
 	m.durable = map[string]*inode{}
@@ -211,4 +211,4 @@
 	return all
 }
 
-func plain(m *model) FS { return m }
+func unchanged(m *model) FS { return m }
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
@@ -9,13 +10,13 @@
 	"milletsail/internal/instant"
 )
 
-// life gives the segment of a short life.
-func life(t testing.TB) []byte {
-	t.Helper()
-	dir := t.TempDir()
+// sampleSegment returns a segment with each operation.
+func sampleSegment(tb testing.TB) []byte {
+	tb.Helper()
+	dir := tb.TempDir()
 	j, _, err := Open(dir, Options{DiskMB: 3, Relay: "n1"})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		e := &Entry{ID: id, Class: "order", Dest: 7, Key: "k", ExpiresAt: instant.Time(9e9), Body: []byte("body")}
@@ -28,23 +29,23 @@
 	j.RecordLegacyList(LegacyEndpointList{Text: []byte(`{"seq":3}`), Endpoints: 1})
 	j.RecordHealth("h1", HealthRecord{Ejected: true, ChangedAt: instant.Time(5e9)})
 	if err := j.Commit(); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	_ = j.Close()
 	found, err := filepath.Glob(filepath.Join(dir, segmentPrefix+"*"))
 	if err != nil || len(found) != 1 {
-		t.Fatalf("%v, %v", found, err)
+		tb.Fatalf("%v, %v", found, err)
 	}
 	raw, err := os.ReadFile(found[0])
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return raw
 }
 
 // Any bytes give a state or an error, and what was read can be written and read again.
 func FuzzSegment(f *testing.F) {
-	raw := life(f)
+	raw := sampleSegment(f)
 	f.Add(raw)
 	f.Add(raw[:len(raw)/2])
 	f.Add(append(bytes.Clone(raw), raw...))
@@ -57,13 +58,14 @@
 		}
 		j, r, err := Open(dir, Options{DiskMB: 64})
 		if err != nil {
-			if _, newer := err.(interface{ Unwrap() error }); !newer {
+			if newer := new(NewerError); !errors.As(err, &newer) {
 				t.Fatal(err)
 			}
 			return
 		}
-		defer j.Close()
-		if size := j.liveSize + len(j.entries); size > 200*len(raw)+(len(raw)/recordHeaderSize+1)*(laterRecordsReserve+endpointReserve*maxPayloadSize) {
+		defer func() { _ = j.Close() }()
+		largest := 200*len(raw) + (len(raw)/recordHeaderSize+1)*(laterRecordsReserve+endpointReserve*maxPayloadSize)
+		if size := j.liveSize + len(j.entries); size > largest {
 			t.Fatalf("%d bytes need room for %d", len(raw), size)
 		}
 		again, whole, err := Read(dir)
@@ -75,7 +77,7 @@
 
 // So do any bytes in the form of before, and they can be given back in it.
 func FuzzFormat1(f *testing.F) {
-	s, _, _, err := readSegment(bytes.NewReader(life(f)), 1<<20, "x", "")
+	s, _, _, err := readSegment(bytes.NewReader(sampleSegment(f)), 1<<20, "x", "")
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -102,7 +104,7 @@
 
 // Any payload gives an error or a record that is written as it was read.
 func FuzzPayload(f *testing.F) {
-	w := &scanner{source: bytes.NewReader(life(f)), size: 1 << 20}
+	w := &scanner{source: bytes.NewReader(sampleSegment(f)), size: 1 << 20}
 	if _, err := w.readHeader("x"); err != nil {
 		f.Fatal(err)
 	}
@@ -116,7 +118,8 @@
 			return
 		}
 		first := r.appendPayload(nil, wallClockOnly)
-		if err := again.decodePayload(first, interner{}, wallClockOnly); err != nil || !bytes.Equal(again.appendPayload(nil, wallClockOnly), first) {
+		err := again.decodePayload(first, interner{}, wallClockOnly)
+		if err != nil || !bytes.Equal(again.appendPayload(nil, wallClockOnly), first) {
 			t.Fatalf("%q is read as %q, and that as %q (%v)", payload, first, again.appendPayload(nil, wallClockOnly), err)
 		}
 	})
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -177,20 +177,8 @@
 		}
 		differ := 0
 		for _, want := range j.Entries() {
-			e := got.Get(want.ID)
-			switch {
-			case e == nil:
+			if differs(t, at, got.Get(want.ID), want) {
 				differ++
-			case len(e.Attempts) != len(want.Attempts) || (e.PendingNotification == nil) != (want.PendingNotification == nil):
-				differ++
-			case len(want.Attempts) > 0 && (e.Attempts[0].Uncertain || e.Attempts[0].Ended != want.Attempts[0].Ended):
-				differ++
-				if !e.Attempts[0].Uncertain && e.Attempts[0].NotExecuted {
-					t.Fatalf("byte %d: an attempt counts as one that never ran", at)
-				}
-			}
-			if e != nil && len(want.Attempts) > 0 && len(e.Attempts) == 0 {
-				t.Fatalf("byte %d: an attempt of %s is forgotten", at, want.ID)
 			}
 		}
 		if differ > 1 || len(got.Entries()) > len(j.Entries()) {
@@ -199,6 +187,28 @@
 	}
 }
 
+// differs reports whether what was read of a message differs from what was written. It fails the test where a possible
+// attempt is lost.
+func differs(t *testing.T, offset int, got, want *Entry) bool {
+	t.Helper()
+	if got == nil {
+		return true
+	}
+	if len(want.Attempts) > 0 && len(got.Attempts) == 0 {
+		t.Fatalf("byte %d: an attempt of %s is forgotten", offset, want.ID)
+	}
+	if len(got.Attempts) != len(want.Attempts) || (got.PendingNotification == nil) != (want.PendingNotification == nil) {
+		return true
+	}
+	if len(want.Attempts) == 0 || !got.Attempts[0].Uncertain && got.Attempts[0].Ended == want.Attempts[0].Ended {
+		return false
+	}
+	if !got.Attempts[0].Uncertain && got.Attempts[0].NotExecuted {
+		t.Fatalf("byte %d: an attempt counts as one that never ran", offset)
+	}
+	return true
+}
+
 // A range of several records that can't be read puts all that was live in doubt, is set aside, and what follows it
 // counts.
 func TestDamagedRange(t *testing.T) {
@@ -222,13 +232,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
+	t.Cleanup(func() { _ = again.Close() })
 	if len(r.Damage) != 1 || r.Damage[0].Missing < 3 || uint64(len(again.Entries())) != 20-r.Damage[0].Missing {
 		t.Errorf("%d live, damage %+v", len(again.Entries()), r.Damage)
 	}
 	for _, e := range again.Entries() {
 		n := 0
-		fmt.Sscanf(e.ID, "m%d", &n)
+		if _, err := fmt.Sscanf(e.ID, "m%d", &n); err != nil {
+			t.Fatal(err)
+		}
 		if doubted := len(e.Attempts) == 1 && e.Attempts[0].Uncertain; doubted != (n < 10) {
 			t.Errorf("%s: attempts %+v", e.ID, e.Attempts)
 		}
--- a/internal/journal/live_capacity_bench_test.go
+++ b/internal/journal/live_capacity_bench_test.go
@@ -18,7 +18,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer j.Close()
+			b.Cleanup(func() { _ = j.Close() })
 			for i := range live {
 				e := message(i)
 				j.Accept(e)
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -1,6 +1,7 @@
 package journal
 
 import (
+	"fmt"
 	"log/slog"
 	"os"
 	"syscall"
@@ -17,7 +18,7 @@
 	for _, power := range []bool{false, true} {
 		total := 0
 		for seed := range uint64(12) {
-			states, err := lose(power, plain, false, 24, seed, nil)
+			states, err := lose(power, unchanged, false, 24, seed, nil)
 			if err != nil {
 				t.Errorf("power %v, seed %d: %v", power, seed, err)
 			}
@@ -84,7 +85,7 @@
 		for _, failure := range []error{syscall.ENOSPC, syscall.EIO, nil} {
 			for at := 1; at <= calls; at++ {
 				for _, long := range []int{1, 3, 1000} {
-					_, err := lose(power, plain, false, 2, uint64(at), func(m *model) { m.failAt, m.failFor, m.failure = at, long, failure })
+					_, err := lose(power, unchanged, false, 2, uint64(at), func(m *model) { m.failAt, m.failFor, m.failure = at, long, failure })
 					if err != nil {
 						t.Fatalf("power %v, %v from call %d for %d: %v", power, failure, at, long, err)
 					}
@@ -106,13 +107,17 @@
 
 func (n *noSync) Create(path string) (File, error) {
 	f, err := n.model.Create(path)
-	switch {
-	case err != nil:
+	if err != nil {
 		return nil, err
+	}
+	file, ok := f.(*modelFile)
+	switch {
+	case !ok:
+		return nil, fmt.Errorf("a file of type %T", f)
 	case n.late:
-		return &syncedLate{modelFile: f.(*modelFile)}, nil
+		return &syncedLate{modelFile: file}, nil
 	}
-	return unsynced{f.(*modelFile)}, nil
+	return unsynced{file}, nil
 }
 
 // syncedLate leaves its first sync out: the content of a segment is durable only with the commit after its rename.
@@ -137,7 +142,7 @@
 	}{
 		"no sync":                {func(m *model) FS { return &noSync{model: m} }, false},
 		"rename before the sync": {func(m *model) FS { return &noSync{model: m, late: true} }, false},
-		"answer before commit":   {plain, true},
+		"answer before commit":   {unchanged, true},
 	} {
 		var found error
 		for seed := uint64(0); seed < 12 && found == nil; seed++ {
--- a/internal/journal/prefix_test.go
+++ b/internal/journal/prefix_test.go
@@ -74,9 +74,9 @@
 	return raw
 }
 
-func writeFile(t *testing.T, path string, raw []byte) {
-	t.Helper()
+func writeFile(tb testing.TB, path string, raw []byte) {
+	tb.Helper()
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
--- a/internal/journal/stored_test.go
+++ b/internal/journal/stored_test.go
@@ -131,8 +131,8 @@
 	name  string
 	write func(t *testing.T, dir string)
 }{
-	{storedLog, func(t *testing.T, dir string) { writeStoredLog(t, dir, false) }},
-	{storedSnapshot, func(t *testing.T, dir string) { writeStoredSnapshot(t, dir, false) }},
+	{storedLog, func(t *testing.T, dir string) { t.Helper(); writeStoredLog(t, dir, false) }},
+	{storedSnapshot, func(t *testing.T, dir string) { t.Helper(); writeStoredSnapshot(t, dir, false) }},
 	{storedSeveral, writeStoredSeveral},
 	{storedFormat1, writeStoredFormat1},
 }
--- a/internal/journal/timescale_test.go
+++ b/internal/journal/timescale_test.go
@@ -13,9 +13,9 @@
 	"milletsail/internal/instant"
 )
 
-// clockError is how far two readings of both clocks may lie apart: the form of before knows the wall clock alone, so its
+// clockTolerance is how far two readings of both clocks may lie apart: the form of before knows the wall clock alone, so its
 // times go from one clock to the other and back.
-const clockError = time.Millisecond
+const clockTolerance = time.Millisecond
 
 // sameV1 tells whether two files of the form of before hold the same records, times but for clockError.
 func sameV1(a, b []byte) bool {
@@ -29,7 +29,7 @@
 			return false
 		}
 		for _, pair := range timesV1(&one, &two) {
-			if pair[0].Sub(*pair[1]).Abs() > clockError {
+			if pair[0].Sub(*pair[1]).Abs() > clockTolerance {
 				return false
 			}
 			*pair[0] = *pair[1]
--- a/internal/journal/workload_test.go
+++ b/internal/journal/workload_test.go
@@ -13,105 +13,140 @@
 
 // promises is what a workload was told, whatever a journal makes of it.
 type promises struct {
-	power    bool
-	answered map[string]bool // 202 was sent
-	over     map[string]bool // its end was committed
-	ending   map[string]bool // its end was noted, committed or not
-	ran      map[string]bool // an attempt went out that may have run
-	owed     map[string]bool
+	power               bool
+	answered            map[string]bool // 202 was sent
+	completed           map[string]bool // its end was committed
+	ending              map[string]bool // its end was noted, committed or not
+	ran                 map[string]bool // an attempt went out that may have run
+	pendingNotification map[string]bool
 }
 
 func newPromises(power bool) *promises {
 	return &promises{power, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}}
 }
 
-// kept tells whether what a start finds keeps the promises.
-func (p *promises) kept(j *Journal) error {
+// check tells whether what a start finds keeps the promises.
+func (p *promises) check(j *Journal) error {
 	for id := range p.answered {
 		e := j.Get(id)
 		if e == nil && p.power && !p.ending[id] {
 			return fmt.Errorf("%s was answered 202 and is gone", id)
 		}
-		if e != nil && p.power && p.owed[id] && e.PendingNotification == nil {
+		if e != nil && p.power && p.pendingNotification[id] && e.PendingNotification == nil {
 			return fmt.Errorf("%s ended by a notice and may be sent again", id)
 		}
 	}
 	for _, e := range j.Entries() {
-		if p.over[e.ID] && p.power {
+		if p.completed[e.ID] && p.power {
 			return fmt.Errorf("%s is over and comes back", e.ID)
 		}
 		mayHaveRun := e.PendingNotification != nil || slices.ContainsFunc(e.Attempts, func(a Attempt) bool { return !a.Ended || !a.NotExecuted })
-		if (p.ran[e.ID] || p.over[e.ID]) && !mayHaveRun {
+		if (p.ran[e.ID] || p.completed[e.ID]) && !mayHaveRun {
 			return fmt.Errorf("%s may have run, and that is forgotten", e.ID)
 		}
 	}
 	return nil
 }
 
-// workload runs a journal through a short life, and notes what was promised. answerEarly plants a fault.
+// workload runs a journal through some rounds, and notes what was promised. answerEarly plants a fault.
 func workload(files FS, p *promises, answerEarly bool, rounds int) {
 	at := instant.Boot.Add(1000 * time.Second)
-	clocks := Clocks{Now: func() instant.Time { at = at.Add(time.Second); return at }, Wall: func() clock.Wall { return clock.Wall(at - instant.Boot) },
-		Uptime: func() time.Duration { return 0 }}
+	clocks := Clocks{
+		Now:    func() instant.Time { at = at.Add(time.Second); return at },
+		Wall:   func() clock.Wall { return clock.Wall(at - instant.Boot) },
+		Uptime: func() time.Duration { return 0 },
+	}
 	j, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: p.power, Files: files, Boot: "one", Clocks: clocks})
 	if err != nil {
 		return
 	}
 	for i := range rounds {
-		var fresh, sent, ended []string
-		for k := range 2 {
-			e := &Entry{ID: fmt.Sprintf("m%d-%d", i, k), Class: "order", Body: bytes.Repeat([]byte{byte(i)}, 300)}
-			if j.Reserve(e) {
-				j.Accept(e)
-				fresh = append(fresh, e.ID)
-				if answerEarly {
-					p.answered[e.ID] = true
-				}
-			}
-		}
-		for _, e := range j.Entries() {
-			switch {
-			case e.PendingNotification != nil, len(e.Attempts) == 1 && !e.Attempts[0].NotExecuted && i%2 == 0:
-				j.Complete(e)
-				p.ending[e.ID] = true
-				ended = append(ended, e.ID)
-			case len(e.Attempts) == 1 && !e.Attempts[0].Ended && i%3 == 1:
-				j.EndAttempt(e, false)
-			case len(e.Attempts) == 0 && p.answered[e.ID]:
-				j.StartAttempt(e, "h1", at)
-				sent = append(sent, e.ID)
-			}
-		}
-		var owed *Entry
-		if i%3 == 2 {
-			for _, e := range j.Entries() {
-				if p.answered[e.ID] && e.PendingNotification == nil {
-					owed = e
-				}
-			}
-			if owed != nil {
-				j.RecordPendingNotification(owed, Notification{ID: owed.ID, Status: "undeliverable"})
-			}
-		}
+		round := workloadRound{journal: j, promises: p, number: i}
+		round.accept(answerEarly)
+		round.advanceAttempts(&at)
+		round.notify()
 		if i%4 == 3 {
 			j.segmentSize = 1 << 30 // the next segment is due
 		}
-		if j.Commit() != nil {
-			continue
+		if j.Commit() == nil {
+			round.committed()
 		}
-		for _, id := range fresh {
-			p.answered[id] = true
+	}
+}
+
+// workloadRound is what a workload does between two commits.
+type workloadRound struct {
+	journal  *Journal
+	promises *promises
+	number   int
+
+	accepted []string
+	sent     []string
+	ended    []string
+	notified *Entry
+}
+
+// accept accepts two messages, as far as there is room.
+func (r *workloadRound) accept(answerEarly bool) {
+	for k := range 2 {
+		e := &Entry{ID: fmt.Sprintf("m%d-%d", r.number, k), Class: "order", Body: bytes.Repeat([]byte{byte(r.number)}, 300)}
+		if !r.journal.Reserve(e) {
+			continue
 		}
-		for _, id := range sent {
-			p.ran[id] = true
+		r.journal.Accept(e)
+		r.accepted = append(r.accepted, e.ID)
+		if answerEarly {
+			r.promises.answered[e.ID] = true
 		}
-		for _, id := range ended {
-			p.over[id] = true
+	}
+}
+
+// advanceAttempts starts, ends and completes what is due.
+func (r *workloadRound) advanceAttempts(at *instant.Time) {
+	for _, e := range r.journal.Entries() {
+		switch {
+		case e.PendingNotification != nil, len(e.Attempts) == 1 && !e.Attempts[0].NotExecuted && r.number%2 == 0:
+			r.journal.Complete(e)
+			r.promises.ending[e.ID] = true
+			r.ended = append(r.ended, e.ID)
+		case len(e.Attempts) == 1 && !e.Attempts[0].Ended && r.number%3 == 1:
+			r.journal.EndAttempt(e, false)
+		case len(e.Attempts) == 0 && r.promises.answered[e.ID]:
+			r.journal.StartAttempt(e, "h1", *at)
+			r.sent = append(r.sent, e.ID)
 		}
-		if owed != nil {
-			p.owed[owed.ID] = true
+	}
+}
+
+// notify ends the last answered message by a notification, in each third round.
+func (r *workloadRound) notify() {
+	if r.number%3 != 2 {
+		return
+	}
+	for _, e := range r.journal.Entries() {
+		if r.promises.answered[e.ID] && e.PendingNotification == nil {
+			r.notified = e
 		}
 	}
+	if r.notified != nil {
+		r.journal.RecordPendingNotification(r.notified, Notification{ID: r.notified.ID, Status: "undeliverable"})
+	}
+}
+
+// committed notes the promises that a successful commit makes.
+func (r *workloadRound) committed() {
+	for _, id := range r.accepted {
+		r.promises.answered[id] = true
+	}
+	for _, id := range r.sent {
+		r.promises.ran[id] = true
+	}
+	for _, id := range r.ended {
+		r.promises.completed[id] = true
+	}
+	if r.notified != nil {
+		r.promises.pendingNotification[r.notified.ID] = true
+	}
 }
 
 // restart opens what a crash left, and looks at it; where the start itself may be cut short, it is, and once more.
@@ -121,7 +156,7 @@
 	if err != nil {
 		return fmt.Errorf("the start fails: %w", err)
 	}
-	if err := p.kept(j); err != nil {
+	if err := p.check(j); err != nil {
 		return err
 	}
 	if !again {
