--- a/internal/endpoints/arena.go
+++ b/internal/endpoints/arena.go
@@ -8,8 +8,8 @@
 	// chunkUnits is the number of units of one chunk of an arena: 64 KiB.
 	chunkUnits     = 1 << chunkUnitsBits
 	chunkUnitsBits = 14
-	// noText ends a list of free blocks.
-	noText textRef = 1<<32 - 1
+	// noTextRef ends a list of free blocks.
+	noTextRef textRef = 1<<32 - 1
 )
 
 // textRef is the place of a text in an arena: a chunk and a unit in it.
@@ -18,14 +18,14 @@
 // arena holds pairs of short texts in large chunks without pointers, and reuses the blocks of freed ones. A pair is
 // stored as the two lengths (uvarint) followed by the two texts.
 type arena struct {
-	chunks [][]byte
-	used   int             // units used of the last regular chunk
-	last   int             // index of that chunk, -1 for none
-	free   map[int]textRef // heads of the lists of free blocks, by size in units
-	spare  []int           // indices of chunks that are gone
+	chunks       [][]byte
+	usedUnits    int             // units used of the last regular chunk
+	currentChunk int             // index of that chunk, -1 for none
+	freeBlocks   map[int]textRef // heads of the lists of free blocks, by size in units
+	freeChunks   []int           // indices of chunks that are gone
 }
 
-func newArena() arena { return arena{last: -1, free: map[int]textRef{}} }
+func newArena() arena { return arena{currentChunk: -1, freeBlocks: map[int]textRef{}} }
 
 // pairUnits is the size of a stored pair in units.
 func pairUnits(first, second string) int {
@@ -64,15 +64,15 @@
 	if units > chunkUnits {
 		index := int(ref >> chunkUnitsBits)
 		a.chunks[index] = nil
-		a.spare = append(a.spare, index)
+		a.freeChunks = append(a.freeChunks, index)
 		return
 	}
-	next, ok := a.free[units]
+	next, ok := a.freeBlocks[units]
 	if !ok {
-		next = noText
+		next = noTextRef
 	}
 	binary.LittleEndian.PutUint32(a.block(ref), uint32(next))
-	a.free[units] = ref
+	a.freeBlocks[units] = ref
 }
 
 // block gives the bytes of a chunk from a place on.
@@ -84,25 +84,25 @@
 	if units > chunkUnits {
 		return textRef(a.addChunk(units)) << chunkUnitsBits
 	}
-	if ref, ok := a.free[units]; ok && ref != noText {
-		a.free[units] = textRef(binary.LittleEndian.Uint32(a.block(ref)))
+	if ref, ok := a.freeBlocks[units]; ok && ref != noTextRef {
+		a.freeBlocks[units] = textRef(binary.LittleEndian.Uint32(a.block(ref)))
 		return ref
 	}
-	if a.last < 0 || a.used+units > chunkUnits {
-		a.last = a.addChunk(chunkUnits)
-		a.used = 0
+	if a.currentChunk < 0 || a.usedUnits+units > chunkUnits {
+		a.currentChunk = a.addChunk(chunkUnits)
+		a.usedUnits = 0
 	}
-	ref := textRef(a.last)<<chunkUnitsBits | textRef(a.used)
-	a.used += units
+	ref := textRef(a.currentChunk)<<chunkUnitsBits | textRef(a.usedUnits)
+	a.usedUnits += units
 	return ref
 }
 
 // addChunk adds a chunk and gives its index.
 func (a *arena) addChunk(units int) int {
 	chunk := make([]byte, units*arenaUnit)
-	if n := len(a.spare); n > 0 {
-		index := a.spare[n-1]
-		a.spare = a.spare[:n-1]
+	if n := len(a.freeChunks); n > 0 {
+		index := a.freeChunks[n-1]
+		a.freeChunks = a.freeChunks[:n-1]
 		a.chunks[index] = chunk
 		return index
 	}
--- a/internal/endpoints/bench_test.go
+++ b/internal/endpoints/bench_test.go
@@ -22,7 +22,7 @@
 	if err := s.Commit(1); err != nil {
 		b.Fatal(err)
 	}
-	s.begin()
+	s.startCompaction()
 	for s.compaction != nil {
 		s.CompactStep(table)
 	}
@@ -57,7 +57,7 @@
 	b.ResetTimer()
 	for range b.N {
 		if s.compaction == nil {
-			s.begin()
+			s.startCompaction()
 		}
 		s.CompactStep(table)
 	}
--- a/internal/endpoints/budget_test.go
+++ b/internal/endpoints/budget_test.go
@@ -53,7 +53,7 @@
 				errs++
 			}
 			if i%2000 == 1999 && s.compaction == nil && s.disabled == nil {
-				s.begin()
+				s.startCompaction()
 			}
 			s.CompactStep(table)
 		}
--- a/internal/endpoints/compaction.go
+++ b/internal/endpoints/compaction.go
@@ -11,15 +11,15 @@
 // compaction is a snapshot in the making. The table goes on changing meanwhile, and the changes go to the log of the
 // same number: the snapshot together with all of that log is the table, whatever of a change the snapshot has seen.
 type compaction struct {
-	number uint64
-	file   journal.File
-	size   int64
-	sum    uint32
-	from   int   // the next place of the table
-	count  int64 // entries written
-	repair bool  // makes up for what could not be written before it
-	text   []byte
-	done   chan error // set once all is written: gives one value when the snapshot is in its place
+	number   uint64
+	file     journal.File
+	size     int64
+	checksum uint32
+	nextSlot int   // the next place of the table
+	entries  int64 // entries written
+	recovery bool  // makes up for what could not be written before it
+	buffer   []byte
+	done     chan error // set once all is written: gives one value when the snapshot is in its place
 }
 
 // CompactStep does a bounded part of a compaction, or begins one if it is due. It tells whether there is more to do now. Every
@@ -28,15 +28,15 @@
 	c := s.compaction
 	switch {
 	case s.disabled != nil:
-	case c == nil && s.due():
-		s.begin()
+	case c == nil && s.compactionDue():
+		s.startCompaction()
 	case c == nil:
 	case c.done == nil:
-		s.advance(t)
+		s.writeSnapshotEntries(t)
 	default:
 		select {
 		case err := <-c.done:
-			s.finish(err)
+			s.finishCompaction(err)
 		default:
 			return false
 		}
@@ -44,8 +44,8 @@
 	return s.compaction != nil
 }
 
-// due tells whether a snapshot should be made.
-func (s *Store) due() bool {
+// compactionDue tells whether a snapshot should be made.
+func (s *Store) compactionDue() bool {
 	if s.now().Before(s.retryAt) {
 		return false
 	}
@@ -54,7 +54,7 @@
 	}
 	var snapshot, logBytes int64
 	logs := 0
-	for _, f := range s.files {
+	for _, f := range s.stored {
 		if f.kind == kindSnapshot {
 			snapshot += f.size
 			continue
@@ -62,18 +62,18 @@
 		logs++
 		logBytes += f.size
 	}
-	return logBytes >= s.longLog(snapshot) || logs > maxLogs
+	return logBytes >= s.compactionThreshold(snapshot) || logs > maxLogs
 }
 
-// longLog is the length of the logs beside a snapshot from which a compaction is due: early enough that the next
+// compactionThreshold is the length of the logs beside a snapshot from which a compaction is due: early enough that the next
 // snapshot and the logs meanwhile fit into the budget, as far as that can be had.
-func (s *Store) longLog(snapshot int64) int64 {
+func (s *Store) compactionThreshold(snapshot int64) int64 {
 	room := s.budget - 2*snapshot
 	return min(max(minLogBytes, snapshot/logShare), max(room/2, s.budget/budgetShare))
 }
 
-// begin begins a snapshot and the log that goes with it.
-func (s *Store) begin() {
+// startCompaction begins a snapshot and the log that goes with it.
+func (s *Store) startCompaction() {
 	repair := s.failure != nil
 	next := header{kind: kindLog}
 	if !repair {
@@ -82,64 +82,64 @@
 			return
 		}
 		next.previous = s.nextLog.number
-		next.sum = s.sum
+		next.sum = s.checksum
 	}
 	_ = s.closeLog()
-	s.highest++
-	next.number = s.highest
+	s.highestNumber++
+	next.number = s.highestNumber
 	s.nextLog = next
-	s.stored = s.seq
-	s.compaction = &compaction{number: next.number, repair: repair}
-	s.beginSnapshot()
+	s.storedSequence = s.sequence
+	s.compaction = &compaction{number: next.number, recovery: repair}
+	s.createSnapshot()
 }
 
-func (s *Store) beginSnapshot() {
+func (s *Store) createSnapshot() {
 	c := s.compaction
-	file, err := s.fsys.Create(s.newPath(c))
+	file, err := s.files.Create(s.unfinishedSnapshotPath(c))
 	if err != nil {
-		s.snapshotFailed(err)
+		s.failCompaction(err)
 		return
 	}
 	c.file = file
-	h := header{kind: kindSnapshot, number: c.number, seq: s.seq}
-	c.text = h.encode()
-	c.sum = headerSum(c.text)
+	h := header{kind: kindSnapshot, number: c.number, seq: s.sequence}
+	c.buffer = h.encode()
+	c.checksum = headerSum(c.buffer)
 }
 
-// advance writes the next entries of the snapshot.
-func (s *Store) advance(t *Table) {
+// writeSnapshotEntries writes the next entries of the snapshot.
+func (s *Store) writeSnapshotEntries(t *Table) {
 	c := s.compaction
-	entries, next, done := t.All(c.from, CompactionStepEntries)
+	entries, next, done := t.All(c.nextSlot, CompactionStepEntries)
 	for e := range entries {
-		c.text = appendPut(c.text, &c.sum, e)
-		c.count++
+		c.buffer = appendPut(c.buffer, &c.checksum, e)
+		c.entries++
 	}
-	c.from = next
+	c.nextSlot = next
 	if done {
-		c.text = appendNumber(c.text, &c.sum, opEnd, c.count)
+		c.buffer = appendNumber(c.buffer, &c.checksum, opEnd, c.entries)
 	}
-	if s.reserve(len(c.text)) != nil {
+	if s.reserve(len(c.buffer)) != nil {
 		return
 	}
-	n, err := c.file.Write(c.text)
+	n, err := c.file.Write(c.buffer)
 	c.size += int64(n)
-	if err == nil && n < len(c.text) {
+	if err == nil && n < len(c.buffer) {
 		err = io.ErrShortWrite
 	}
-	c.text = c.text[:0]
+	c.buffer = c.buffer[:0]
 	if err != nil {
-		s.snapshotFailed(err)
+		s.failCompaction(err)
 		return
 	}
 	if done {
-		s.place(c)
+		s.publishSnapshot(c)
 	}
 }
 
-// place has a complete snapshot synced and put in its place.
-func (s *Store) place(c *compaction) {
+// publishSnapshot has a complete snapshot synced and put in its place.
+func (s *Store) publishSnapshot(c *compaction) {
 	c.done = make(chan error, 1)
-	fsys, dir, from, to := s.fsys, s.dir, s.newPath(c), s.placePath(c)
+	fsys, dir, from, to := s.files, s.dir, s.unfinishedSnapshotPath(c), s.snapshotPath(c)
 	s.background(func() {
 		if err := errors.Join(c.file.Sync(), c.file.Close()); err != nil {
 			c.done <- err
@@ -153,34 +153,34 @@
 	})
 }
 
-// finish ends a compaction whose snapshot is in its place, or failed to get there.
-func (s *Store) finish(err error) {
+// finishCompaction ends a compaction whose snapshot is in its place, or failed to get there.
+func (s *Store) finishCompaction(err error) {
 	c := s.compaction
 	if err != nil {
-		s.snapshotFailed(err)
+		s.failCompaction(err)
 		return
 	}
 	s.compaction = nil
 	snapshot := storedFile{name: fileName(snapshotPrefix, c.number), kind: kindSnapshot, number: c.number, size: c.size}
-	s.files = append([]storedFile{snapshot}, s.files...)
-	s.removeBefore(c.number)
-	if c.repair {
+	s.stored = append([]storedFile{snapshot}, s.stored...)
+	s.removeReplaced(c.number)
+	if c.recovery {
 		s.failure = nil
 	}
 }
 
-// snapshotFailed gives up a snapshot. The logs go on, except where the snapshot was to repair them.
-func (s *Store) snapshotFailed(err error) {
-	repair := s.compaction.repair
-	s.abandon()
+// failCompaction gives up a snapshot. The logs go on, except where the snapshot was to repair them.
+func (s *Store) failCompaction(err error) {
+	repair := s.compaction.recovery
+	s.abortCompaction()
 	if repair {
-		_ = s.fail(err)
+		_ = s.failWrite(err)
 	}
-	s.retryAt = s.now().Add(retryAfter)
+	s.retryAt = s.now().Add(retryInterval)
 }
 
-// abandon removes a snapshot in the making.
-func (s *Store) abandon() {
+// abortCompaction removes a snapshot in the making.
+func (s *Store) abortCompaction() {
 	c := s.compaction
 	if c == nil {
 		return
@@ -189,15 +189,15 @@
 	if c.done == nil && c.file != nil {
 		_ = c.file.Close()
 	}
-	_ = s.fsys.Remove(s.newPath(c))
-	_ = s.fsys.Remove(s.placePath(c)) // where the folder could not be synced
+	_ = s.files.Remove(s.unfinishedSnapshotPath(c))
+	_ = s.files.Remove(s.snapshotPath(c)) // where the folder could not be synced
 }
 
-// placePath is where a snapshot goes once it is complete and synced.
-func (s *Store) placePath(c *compaction) string {
+// snapshotPath is where a snapshot goes once it is complete and synced.
+func (s *Store) snapshotPath(c *compaction) string {
 	return filepath.Join(s.dir, fileName(snapshotPrefix, c.number))
 }
 
-func (s *Store) newPath(c *compaction) string {
-	return s.placePath(c) + newSuffix
+func (s *Store) unfinishedSnapshotPath(c *compaction) string {
+	return s.snapshotPath(c) + unfinishedSuffix
 }
--- a/internal/endpoints/decode.go
+++ b/internal/endpoints/decode.go
@@ -12,21 +12,21 @@
 
 // recordReader reads the records of a file as long as they are whole.
 type recordReader struct {
-	from    *bufio.Reader
-	sum     uint32 // of the last whole record
-	payload []byte
+	source   *bufio.Reader
+	checksum uint32 // of the last whole record
+	payload  []byte
 }
 
 func newRecordReader(r io.Reader) (*recordReader, header, error) {
 	from := bufio.NewReaderSize(r, readBuffer)
 	h, sum, err := readHeader(from)
-	return &recordReader{from: from, sum: sum}, h, err
+	return &recordReader{source: from, checksum: sum}, h, err
 }
 
 // next gives the next record: io.EOF behind the last one, errDamaged where the file is torn or corrupt.
 func (r *recordReader) next() (change, error) {
-	var head [headSize]byte
-	n, err := io.ReadFull(r.from, head[:])
+	var head [recordHeaderSize]byte
+	n, err := io.ReadFull(r.source, head[:])
 	if n == 0 && err == io.EOF {
 		return change{}, io.EOF
 	}
@@ -34,17 +34,17 @@
 		return change{}, corrupt("torn record")
 	}
 	size := binary.LittleEndian.Uint32(head[:])
-	if size == 0 || size > maxPayload {
+	if size == 0 || size > maxPayloadSize {
 		return change{}, corrupt("impossible length")
 	}
 	if cap(r.payload) < int(size) {
 		r.payload = make([]byte, size)
 	}
 	r.payload = r.payload[:size]
-	if _, err := io.ReadFull(r.from, r.payload); err != nil {
+	if _, err := io.ReadFull(r.source, r.payload); err != nil {
 		return change{}, corrupt("torn record")
 	}
-	sum := recordSum(r.sum, head[:4], r.payload)
+	sum := recordSum(r.checksum, head[:4], r.payload)
 	if sum != binary.LittleEndian.Uint32(head[4:]) {
 		return change{}, corrupt("wrong checksum")
 	}
@@ -52,68 +52,68 @@
 	if !ok {
 		return change{}, corrupt("wrong fields")
 	}
-	r.sum = sum
+	r.checksum = sum
 	return c, nil
 }
 
 // decodeChange reads a payload.
 func decodeChange(payload []byte) (c change, ok bool) {
-	in := fields{rest: payload[1:]}
+	in := payloadReader{unread: payload[1:]}
 	c.operation = payload[0]
 	switch c.operation {
 	case opPut:
 		e := &c.entry
 		for _, field := range []*string{&e.Host, &e.Dial, &e.Site, &e.Class, &e.Health} {
-			*field = in.text()
+			*field = in.str()
 		}
-		e.Block = int(in.signed())
+		e.Block = int(in.varint())
 		e.Share = in.float()
-		e.BornMS = in.signed()
+		e.BornMS = in.varint()
 	case opDelete:
-		c.entry.Host = in.text()
+		c.entry.Host = in.str()
 	case opCommit, opEnd:
-		c.number = in.signed()
+		c.number = in.varint()
 	default:
 		return c, false
 	}
-	return c, !in.bad && len(in.rest) == 0
+	return c, !in.malformed && len(in.unread) == 0
 }
 
-// fields is a payload that is being read. After a failure its values mean nothing.
-type fields struct {
-	rest []byte
-	bad  bool
+// payloadReader is a payload that is being read. After a failure its values mean nothing.
+type payloadReader struct {
+	unread    []byte
+	malformed bool
 }
 
-func (f *fields) fail() { f.bad, f.rest = true, nil }
+func (f *payloadReader) fail() { f.malformed, f.unread = true, nil }
 
-func (f *fields) signed() int64 {
-	v, n := binary.Varint(f.rest)
+func (f *payloadReader) varint() int64 {
+	v, n := binary.Varint(f.unread)
 	if n <= 0 {
 		f.fail()
 		return 0
 	}
-	f.rest = f.rest[n:]
+	f.unread = f.unread[n:]
 	return v
 }
 
-func (f *fields) float() float64 {
-	if len(f.rest) < 8 {
+func (f *payloadReader) float() float64 {
+	if len(f.unread) < 8 {
 		f.fail()
 		return 0
 	}
-	v := math.Float64frombits(binary.LittleEndian.Uint64(f.rest))
-	f.rest = f.rest[8:]
+	v := math.Float64frombits(binary.LittleEndian.Uint64(f.unread))
+	f.unread = f.unread[8:]
 	return v
 }
 
-func (f *fields) text() string {
-	size, n := binary.Uvarint(f.rest)
-	if n <= 0 || size > uint64(len(f.rest)-n) {
+func (f *payloadReader) str() string {
+	size, n := binary.Uvarint(f.unread)
+	if n <= 0 || size > uint64(len(f.unread)-n) {
 		f.fail()
 		return ""
 	}
-	text := string(f.rest[n : n+int(size)])
-	f.rest = f.rest[n+int(size):]
+	text := string(f.unread[n : n+int(size)])
+	f.unread = f.unread[n+int(size):]
 	return text
 }
--- a/internal/endpoints/failure_test.go
+++ b/internal/endpoints/failure_test.go
@@ -114,8 +114,8 @@
 	if err := h.store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if h.store.files[0].kind != kindSnapshot {
-		t.Errorf("files %+v", h.store.files)
+	if h.store.stored[0].kind != kindSnapshot {
+		t.Errorf("files %+v", h.store.stored)
 	}
 	h.check(t, fsys.killed(), len(h.commits)-1, "closed")
 }
@@ -151,7 +151,7 @@
 func splitRecords(text []byte) (parts [][]byte) {
 	parts = append(parts, text[:headerSize])
 	for rest := text[headerSize:]; len(rest) > 0; {
-		size := headSize + int(rest[0]) + int(rest[1])<<8
+		size := recordHeaderSize + int(rest[0]) + int(rest[1])<<8
 		parts = append(parts, rest[:size])
 		rest = rest[size:]
 	}
@@ -196,7 +196,7 @@
 	}
 	h.compact()
 	durable, before := h.durable, fsys.killed()
-	fsys.stuck = "folder/" + h.store.files[0].name
+	fsys.stuck = "folder/" + h.store.stored[0].name
 	if _, _, _, _, err := OpenFS("folder", testBudget, fsys); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("it can't be read, and the error is %v", err)
 	}
@@ -206,8 +206,8 @@
 		t.Fatal(err)
 	}
 	h.store.background = func(f func()) { f() }
-	if h.table.Len() != 0 || h.store.seq != 0 {
-		t.Fatalf("%d entries, sequence %d", h.table.Len(), h.store.seq)
+	if h.table.Len() != 0 || h.store.sequence != 0 {
+		t.Fatalf("%d entries, sequence %d", h.table.Len(), h.store.sequence)
 	}
 	h.beginAnew()
 	h.change()
--- a/internal/endpoints/format.go
+++ b/internal/endpoints/format.go
@@ -22,13 +22,13 @@
 const (
 	magic = "MSAILEPT"
 	// formatVersion is the version of the format that is written and read.
-	formatVersion = 1
-	headerSize    = 44
-	headSize      = 8
-	// maxPayload bounds a record: an entry that the Reader has let pass can grow in UTF-8, but not that much.
-	maxPayload = 8 * MaxEntrySize
-	// versionAt is the place of the version in a header.
-	versionAt = len(magic)
+	formatVersion    = 1
+	headerSize       = 44
+	recordHeaderSize = 8
+	// maxPayloadSize bounds a record: an entry that the Reader has let pass can grow in UTF-8, but not that much.
+	maxPayloadSize = 8 * MaxEntrySize
+	// versionOffset is the place of the version in a header.
+	versionOffset = len(magic)
 )
 
 // The kinds of files.
@@ -47,9 +47,9 @@
 
 // The names of files are a prefix and a number. A snapshot in the making has a suffix.
 const (
-	snapshotPrefix = "snapshot-"
-	logPrefix      = "log-"
-	newSuffix      = ".new"
+	snapshotPrefix   = "snapshot-"
+	logPrefix        = "log-"
+	unfinishedSuffix = ".new"
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -73,7 +73,7 @@
 func (h header) encode() []byte {
 	text := append([]byte(magic), formatVersion, h.kind, 0, 0)
 	if h.base {
-		text[versionAt+2] = 1
+		text[versionOffset+2] = 1
 	}
 	text = binary.LittleEndian.AppendUint64(text, h.number)
 	text = binary.LittleEndian.AppendUint64(text, uint64(h.seq))
@@ -86,7 +86,7 @@
 func readHeader(r io.Reader) (h header, sum uint32, err error) {
 	var text [headerSize]byte
 	n, err := io.ReadFull(r, text[:])
-	if n > versionAt && string(text[:len(magic)]) == magic && text[versionAt] > formatVersion {
+	if n > versionOffset && string(text[:len(magic)]) == magic && text[versionOffset] > formatVersion {
 		return h, 0, errNewer
 	}
 	if err != nil {
@@ -97,8 +97,8 @@
 		return h, 0, errDamaged
 	}
 	h = header{
-		kind:     text[versionAt+1],
-		base:     text[versionAt+2] == 1,
+		kind:     text[versionOffset+1],
+		base:     text[versionOffset+2] == 1,
 		number:   binary.LittleEndian.Uint64(text[12:]),
 		seq:      int64(binary.LittleEndian.Uint64(text[20:])),
 		previous: binary.LittleEndian.Uint64(text[28:]),
@@ -117,10 +117,10 @@
 // appendRecord appends a record whose payload is made by fill, and moves the checksum on.
 func appendRecord(text []byte, sum *uint32, operation byte, fill func([]byte) []byte) []byte {
 	start := len(text)
-	text = append(text, make([]byte, headSize)...)
+	text = append(text, make([]byte, recordHeaderSize)...)
 	text = fill(append(text, operation))
-	binary.LittleEndian.PutUint32(text[start:], uint32(len(text)-start-headSize))
-	*sum = recordSum(*sum, text[start:start+4], text[start+headSize:])
+	binary.LittleEndian.PutUint32(text[start:], uint32(len(text)-start-recordHeaderSize))
+	*sum = recordSum(*sum, text[start:start+4], text[start+recordHeaderSize:])
 	binary.LittleEndian.PutUint32(text[start+4:], *sum)
 	return text
 }
@@ -174,7 +174,7 @@
 
 // ours tells whether a file of the folder is one that a store may remove.
 func ours(name string) bool {
-	_, _, ok := parseName(strings.TrimSuffix(name, newSuffix))
+	_, _, ok := parseName(strings.TrimSuffix(name, unfinishedSuffix))
 	return ok
 }
 
--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -38,7 +38,7 @@
 
 // beginAnew takes what the store has found for the truth.
 func (h *harness) beginAnew() {
-	h.commits = []int64{h.store.seq}
+	h.commits = []int64{h.store.sequence}
 	h.durable = 0
 	h.history = map[string][]version{}
 	for host, e := range contents(h.table) {
@@ -77,7 +77,7 @@
 func (h *harness) compact() {
 	h.store.retryAt = time.Time{}
 	if h.store.compaction == nil {
-		h.store.begin()
+		h.store.startCompaction()
 	}
 	begun := len(h.commits) - 1
 	for h.store.CompactStep(h.table) {
--- a/internal/endpoints/index.go
+++ b/internal/endpoints/index.go
@@ -4,8 +4,8 @@
 	// shardBits is the logarithm of the number of shards of an index. Each grows alone, so that no insertion moves more
 	// than a few thousand slots.
 	shardBits = 8
-	// leastShard is the number of places of a shard that is in use; it doubles.
-	leastShard = 8
+	// minShardSize is the number of places of a shard that is in use; it doubles.
+	minShardSize = 8
 	// none is the slot of nothing.
 	none = 1<<32 - 1
 )
@@ -54,7 +54,7 @@
 
 func (x *index) grow(s *shard) {
 	old := s.places
-	s.places = make([]uint32, max(leastShard, 2*len(old)))
+	s.places = make([]uint32, max(minShardSize, 2*len(old)))
 	for _, place := range old {
 		if place != 0 {
 			s.insert(x.hashOf(place-1), place-1)
--- a/internal/endpoints/reader.go
+++ b/internal/endpoints/reader.go
@@ -51,7 +51,7 @@
 	// not count: the rest of it will not come.
 	Alive func()
 
-	input   *window
+	input   *inputLimiter
 	decoder *json.Decoder
 	object  *objectReader // the object that is being read
 	err     error         // what has ended the reading
@@ -60,7 +60,7 @@
 // NewReader gives a reader of an answer.
 func NewReader(r io.Reader) *Reader {
 	reader := &Reader{}
-	reader.input = &window{from: r, alive: func() {
+	reader.input = &inputLimiter{source: r, alive: func() {
 		if reader.Alive != nil {
 			reader.Alive()
 		}
@@ -85,7 +85,7 @@
 	}
 	if batch.End {
 		r.object = nil
-		r.input.open = r.moreBuffered()
+		r.input.inObject = r.moreBuffered()
 	}
 	return batch, nil
 }
@@ -121,12 +121,12 @@
 
 // objectReader reads one object.
 type objectReader struct {
-	decoder *json.Decoder
-	started bool
-	inHosts bool // between the brackets of hosts
-	hosts   bool // they have come
-	batches int
-	head    struct {
+	decoder   *json.Decoder
+	started   bool
+	inHosts   bool // between the brackets of hosts
+	seenHosts bool // they have come
+	delivered int
+	head      struct {
 		seq        int64
 		whole      bool
 		wholeKnown bool
@@ -138,14 +138,14 @@
 	var entries []Entry
 	ended, err := o.read(&entries)
 	if err != nil {
-		return Batch{}, o.failure(err)
+		return Batch{}, o.typedError(err)
 	}
-	batch := Batch{Entries: entries, First: o.batches == 0, End: ended, Complete: o.head.whole,
+	batch := Batch{Entries: entries, First: o.delivered == 0, End: ended, Complete: o.head.whole,
 		CompleteKnown: o.head.wholeKnown || ended}
 	if ended {
 		batch.Seq = o.head.seq
 	}
-	o.batches++
+	o.delivered++
 	return batch, nil
 }
 
@@ -170,14 +170,14 @@
 		if token == json.Delim('}') {
 			return true, nil
 		}
-		if err := o.field(token.(string)); err != nil {
+		if err := o.readField(token.(string)); err != nil {
 			return false, err
 		}
 	}
 }
 
-// field reads the value of a field, or the beginning of hosts. Names are compared as encoding/json does it.
-func (o *objectReader) field(name string) error {
+// readField reads the value of a field, or the beginning of hosts. Names are compared as encoding/json does it.
+func (o *objectReader) readField(name string) error {
 	switch {
 	case strings.EqualFold(name, "seq"):
 		return o.decoder.Decode(&o.head.seq)
@@ -185,16 +185,16 @@
 		o.head.wholeKnown = true
 		return o.decoder.Decode(&o.head.whole)
 	case strings.EqualFold(name, "hosts"):
-		return o.beginHosts()
+		return o.startHosts()
 	}
-	return skip(o.decoder)
+	return skipValue(o.decoder)
 }
 
-func (o *objectReader) beginHosts() error {
-	if o.hosts {
+func (o *objectReader) startHosts() error {
+	if o.seenHosts {
 		return &UnreadableError{Err: errors.New("hosts given twice")}
 	}
-	o.hosts = true
+	o.seenHosts = true
 	token, err := o.decoder.Token()
 	switch {
 	case err != nil:
@@ -234,8 +234,8 @@
 	return err
 }
 
-// failure turns an error into one of the types that the callers tell apart.
-func (o *objectReader) failure(err error) error {
+// typedError turns an error into one of the types that the callers tell apart.
+func (o *objectReader) typedError(err error) error {
 	if unreadable := new(UnreadableError); errors.As(err, &unreadable) {
 		unreadable.Offset = o.decoder.InputOffset()
 		return unreadable
@@ -253,8 +253,8 @@
 	return &UnreadableError{Err: fmt.Errorf("unexpected %v", token)}
 }
 
-// skip passes over a value of any length.
-func skip(decoder *json.Decoder) error {
+// skipValue passes over a value of any length.
+func skipValue(decoder *json.Decoder) error {
 	for depth := 0; ; {
 		token, err := decoder.Token()
 		if err != nil {
--- a/internal/endpoints/replacement.go
+++ b/internal/endpoints/replacement.go
@@ -5,7 +5,7 @@
 func (t *Table) BeginReplacement() {
 	t.generation++
 	t.replacing = true
-	t.swept = 0
+	t.sweepSlot = 0
 }
 
 // AbortReplacement gives up a whole list that was cut off or could not be read: nothing is removed, or nothing more.
@@ -18,14 +18,14 @@
 	if !t.replacing {
 		return nil, true
 	}
-	end := min(int(t.swept)+max, t.records.len())
-	for slot := t.swept; slot < uint32(end); slot++ {
+	end := min(int(t.sweepSlot)+max, t.records.len())
+	for slot := t.sweepSlot; slot < uint32(end); slot++ {
 		r := t.records.at(slot)
 		if r.destination != none && r.generation != t.generation {
 			removed = append(removed, t.remove(slot))
 		}
 	}
-	t.swept = uint32(end)
+	t.sweepSlot = uint32(end)
 	t.replacing = end < t.records.len()
 	return removed, !t.replacing
 }
--- a/internal/endpoints/replay.go
+++ b/internal/endpoints/replay.go
@@ -29,19 +29,19 @@
 
 // replay is the reading of a folder.
 type replay struct {
-	dir     string
-	fsys    journal.FS
-	salvage bool // what the file system fails to read counts as damaged
-	table   *Table
-	found   LoadReport
-	seq     int64
-	failure error // of the file system, which says nothing of what the files hold
+	dir      string
+	fsys     journal.FS
+	salvage  bool // what the file system fails to read counts as damaged
+	table    *Table
+	report   LoadReport
+	sequence int64
+	ioError  error // of the file system, which says nothing of what the files hold
 
 	files    []storedFile // by number
-	last     uint64       // the last log that was replayed, 0 for none
-	sum      uint32       // at the end of what was replayed of it
+	lastLog  uint64       // the last log that was replayed, 0 for none
+	checksum uint32       // at the end of what was replayed of it
 	snapshot storedFile   // that was replayed; its name is empty if none was
-	useful   []storedFile // that hold what the table now holds
+	used     []storedFile // that hold what the table now holds
 }
 
 // run reads the newest snapshot that is whole, and the logs that continue it without a gap.
@@ -56,47 +56,47 @@
 		}
 	}
 	slices.SortFunc(r.files, func(a, b storedFile) int { return cmp.Compare(a.number, b.number) })
-	r.found.Files = len(r.files)
+	r.report.Files = len(r.files)
 	r.readSnapshots()
 	r.readLogs()
-	r.found.Entries = r.table.Len()
-	return r.failure
+	r.report.Entries = r.table.Len()
+	return r.ioError
 }
 
-// reading is a file that is being read. It keeps the error of the file system that ended that.
-type reading struct {
+// trackedFile is a file that is being read. It keeps the error of the file system that ended that.
+type trackedFile struct {
 	io.ReadCloser
-	err error
+	ioError error
 }
 
-func (f *reading) Read(b []byte) (int, error) {
+func (f *trackedFile) Read(b []byte) (int, error) {
 	n, err := f.ReadCloser.Read(b)
 	if err != nil && err != io.EOF {
-		f.err = err
+		f.ioError = err
 	}
 	return n, err
 }
 
 // open opens a file of the folder.
-func (r *replay) open(file storedFile) (*reading, int64, error) {
+func (r *replay) open(file storedFile) (*trackedFile, int64, error) {
 	in, size, err := r.fsys.Open(filepath.Join(r.dir, file.name))
 	if err != nil {
-		r.failed(err)
+		r.recordIOError(err)
 		return nil, 0, err
 	}
-	return &reading{ReadCloser: in}, size, nil
+	return &trackedFile{ReadCloser: in}, size, nil
 }
 
 // close closes a file that was read.
-func (r *replay) close(f *reading) {
+func (r *replay) close(f *trackedFile) {
 	_ = f.Close()
-	r.failed(f.err)
+	r.recordIOError(f.ioError)
 }
 
-// failed notes that the file system failed.
-func (r *replay) failed(err error) {
+// recordIOError notes that the file system failed.
+func (r *replay) recordIOError(err error) {
 	if err != nil && !r.salvage && !errors.Is(err, fs.ErrNotExist) {
-		r.failure = errors.Join(r.failure, err)
+		r.ioError = errors.Join(r.ioError, err)
 	}
 }
 
@@ -113,8 +113,8 @@
 			continue
 		}
 		file.size = size
-		r.table, r.seq, r.snapshot = table, seq, file
-		r.useful = append(r.useful, file)
+		r.table, r.sequence, r.snapshot = table, seq, file
+		r.used = append(r.used, file)
 		return
 	}
 }
@@ -177,13 +177,13 @@
 		return corrupt("does not continue what could be read")
 	}
 	if h.base {
-		r.restart()
+		r.reset()
 	}
 	file.size = size
-	r.useful = append(r.useful, file)
-	r.last = file.number
+	r.used = append(r.used, file)
+	r.lastLog = file.number
 	for {
-		r.sum = records.sum
+		r.checksum = records.checksum
 		c, err := records.next()
 		if err == io.EOF {
 			return nil
@@ -200,18 +200,18 @@
 	switch {
 	case h.base:
 		return true
-	case r.last != 0:
-		return h.previous == r.last && h.sum == r.sum
+	case r.lastLog != 0:
+		return h.previous == r.lastLog && h.sum == r.checksum
 	}
 	return r.snapshot.name != "" && h.number == r.snapshot.number
 }
 
-// restart forgets what was read: a log says that there was nothing before it. What is older could not be read when the
+// reset forgets what was read: a log says that there was nothing before it. What is older could not be read when the
 // log was begun, nor be removed.
-func (r *replay) restart() {
+func (r *replay) reset() {
 	r.table = NewTable()
-	r.seq = 0
-	r.useful = nil
+	r.sequence = 0
+	r.used = nil
 	r.snapshot = storedFile{}
 }
 
@@ -222,27 +222,27 @@
 	case opDelete:
 		r.table.Delete(c.entry.Host)
 	case opCommit:
-		r.seq = c.number
+		r.sequence = c.number
 	}
 }
 
 func (r *replay) reportDamage(file storedFile, err error) {
 	if errors.Is(err, errNewer) {
-		r.found.Newer++
+		r.report.Newer++
 		return
 	}
-	r.found.Damage = append(r.found.Damage, &FileError{Name: file.name, Err: err})
+	r.report.Damage = append(r.report.Damage, &FileError{Name: file.name, Err: err})
 }
 
-// tidy removes the files that were of no use.
-func (r *replay) tidy() error {
+// removeUnused removes the files that were of no use.
+func (r *replay) removeUnused() error {
 	names, err := r.fsys.List(r.dir)
 	if err != nil {
 		return err
 	}
 	var failures []error
 	for _, name := range names {
-		useful := slices.ContainsFunc(r.useful, func(f storedFile) bool { return f.name == name })
+		useful := slices.ContainsFunc(r.used, func(f storedFile) bool { return f.name == name })
 		if ours(name) && !useful {
 			failures = append(failures, r.fsys.Remove(filepath.Join(r.dir, name)))
 		}
@@ -250,8 +250,8 @@
 	return errors.Join(failures...)
 }
 
-// highest is the highest number of a file in the folder.
-func (r *replay) highest() uint64 {
+// highestNumber is the highest number of a file in the folder.
+func (r *replay) highestNumber() uint64 {
 	if len(r.files) == 0 {
 		return 0
 	}
@@ -260,11 +260,11 @@
 
 // nextLog gives the header of the log that continues what was read.
 func (r *replay) nextLog() header {
-	h := header{kind: kindLog, number: r.highest() + 1}
+	h := header{kind: kindLog, number: r.highestNumber() + 1}
 	switch {
-	case r.last != 0:
-		h.previous = r.last
-		h.sum = r.sum
+	case r.lastLog != 0:
+		h.previous = r.lastLog
+		h.sum = r.checksum
 	case r.snapshot.name != "":
 		h.number = r.snapshot.number
 	default:
--- a/internal/endpoints/storage.go
+++ b/internal/endpoints/storage.go
@@ -26,10 +26,10 @@
 
 // attributeSet keeps one copy of each combination of attributes in use.
 type attributeSet struct {
-	ids    map[attributes]uint32
-	values []attributes
-	counts []int // uses
-	spare  []uint32
+	ids       map[attributes]uint32
+	values    []attributes
+	useCounts []int // uses
+	freeIDs   []uint32
 }
 
 func newAttributeSet() attributeSet { return attributeSet{ids: map[attributes]uint32{}} }
@@ -42,20 +42,20 @@
 	if !ok {
 		id = s.add(a)
 	}
-	s.counts[id]++
+	s.useCounts[id]++
 	return id
 }
 
 func (s *attributeSet) add(a attributes) uint32 {
 	var id uint32
-	if n := len(s.spare); n > 0 {
-		id = s.spare[n-1]
-		s.spare = s.spare[:n-1]
+	if n := len(s.freeIDs); n > 0 {
+		id = s.freeIDs[n-1]
+		s.freeIDs = s.freeIDs[:n-1]
 		s.values[id] = a
 	} else {
 		id = uint32(len(s.values))
 		s.values = append(s.values, a)
-		s.counts = append(s.counts, 0)
+		s.useCounts = append(s.useCounts, 0)
 	}
 	s.ids[a] = id
 	return id
@@ -63,10 +63,10 @@
 
 // release counts a use less, and forgets a combination without any.
 func (s *attributeSet) release(id uint32) {
-	s.counts[id]--
-	if s.counts[id] == 0 {
+	s.useCounts[id]--
+	if s.useCounts[id] == 0 {
 		delete(s.ids, s.values[id])
 		s.values[id] = attributes{}
-		s.spare = append(s.spare, id)
+		s.freeIDs = append(s.freeIDs, id)
 	}
 }
--- a/internal/endpoints/store.go
+++ b/internal/endpoints/store.go
@@ -14,8 +14,8 @@
 const (
 	// CompactionStepEntries is the most places of the table that a Step looks at, and so the most entries that it writes.
 	CompactionStepEntries = 512
-	// flushBytes is how much Append keeps in memory before it writes.
-	flushBytes = 64 << 10
+	// bufferSize is how much Append keeps in memory before it writes.
+	bufferSize = 64 << 10
 	// minLogBytes is the least length of the logs that is worth a compaction.
 	minLogBytes = 1 << 20
 	// logShare is the part of the snapshot's length, as a divisor, that the logs may have before a compaction.
@@ -24,9 +24,9 @@
 	budgetShare = 16
 	// maxLogs is the number of logs, one for each start, before a compaction.
 	maxLogs = 8
-	// retryAfter is how long a store waits after a failure before it tries to write again: what it keeps has to be on disk
+	// retryInterval is how long a store waits after a failure before it tries to write again: what it keeps has to be on disk
 	// again within 3 s of the trouble's end.
-	retryAfter = 2 * time.Second
+	retryInterval = 2 * time.Second
 )
 
 // Store keeps a table on disk: a snapshot, and logs of the changes since. It belongs to the table's owner. Nothing but a
@@ -38,24 +38,24 @@
 type Store struct {
 	dir        string
 	budget     int64
-	fsys       journal.FS
+	files      journal.FS
 	now        func() time.Time
 	background func(func()) // runs what waits for the disk
 
-	files   []storedFile // snapshots and logs, the current log last
-	log     journal.File // nil before its first record
-	nextLog header       // of the log to create, or of the current one
-	highest uint64       // the highest number used
-	sum     uint32       // checksum at the end of the log and the buffer
-	buffer  []byte       // records not written yet
-	seq     int64        // of the table
-	stored  int64        // the last sequence in the log or the buffer
+	stored         []storedFile // snapshots and logs, the current log last
+	log            journal.File // nil before its first record
+	nextLog        header       // of the log to create, or of the current one
+	highestNumber  uint64       // the highest number used
+	checksum       uint32       // checksum at the end of the log and the buffer
+	buffer         []byte       // records not written yet
+	sequence       int64        // of the table
+	storedSequence int64        // the last sequence in the log or the buffer
 
-	compaction *compaction // nil while there is none
-	failure    error       // why nothing is kept at present
-	retryAt    time.Time
-	disabled   error
-	reported   bool // Commit has given disabled
+	compaction       *compaction // nil while there is none
+	failure          error       // why nothing is kept at present
+	retryAt          time.Time
+	disabled         error
+	disabledReported bool // Commit has given disabled
 }
 
 // Open opens the store in a folder, which is made if need be, and gives the table and the sequence that it held. What is
@@ -88,13 +88,13 @@
 	if err := r.run(); err != nil {
 		return nil, nil, 0, LoadReport{}, err
 	}
-	if err := r.tidy(); err != nil {
-		r.found.Damage = append(r.found.Damage, err)
+	if err := r.removeUnused(); err != nil {
+		r.report.Damage = append(r.report.Damage, err)
 	}
-	s := &Store{dir: r.dir, budget: budgetBytes, fsys: r.fsys, now: time.Now, background: func(f func()) { go f() },
-		files: r.useful, nextLog: r.nextLog(), seq: r.seq, stored: r.seq}
-	s.highest = max(r.highest(), s.nextLog.number)
-	return s, r.table, r.seq, r.found, nil
+	s := &Store{dir: r.dir, budget: budgetBytes, files: r.fsys, now: time.Now, background: func(f func()) { go f() },
+		stored: r.used, nextLog: r.nextLog(), sequence: r.sequence, storedSequence: r.sequence}
+	s.highestNumber = max(r.highestNumber(), s.nextLog.number)
+	return s, r.table, r.sequence, r.report, nil
 }
 
 // Append records changes that were made to the table: entries put, then hosts deleted. They need not be on disk before
@@ -104,14 +104,14 @@
 		return
 	}
 	for _, e := range puts {
-		s.buffer = appendPut(s.buffer, &s.sum, e)
-		if s.flushLong() != nil {
+		s.buffer = appendPut(s.buffer, &s.checksum, e)
+		if s.flushIfFull() != nil {
 			return
 		}
 	}
 	for _, host := range deletes {
-		s.buffer = appendDelete(s.buffer, &s.sum, host)
-		if s.flushLong() != nil {
+		s.buffer = appendDelete(s.buffer, &s.checksum, host)
+		if s.flushIfFull() != nil {
 			return
 		}
 	}
@@ -121,15 +121,15 @@
 // the whole list has to be asked for. Without an error a process that starts later finds the sequence, or a later one,
 // unless the store is disabled. An error that disables it is given once.
 func (s *Store) Commit(seq int64) error {
-	s.seq = seq
+	s.sequence = seq
 	s.commit(seq)
 	if s.disabled == nil {
 		return s.failure // until a snapshot has made up for what was not written
 	}
-	if s.reported {
+	if s.disabledReported {
 		return nil
 	}
-	s.reported = true
+	s.disabledReported = true
 	return s.disabled
 }
 
@@ -138,12 +138,12 @@
 	if !s.writable() {
 		return
 	}
-	if seq != s.stored {
+	if seq != s.storedSequence {
 		if s.prepareLog() != nil {
 			return
 		}
-		s.buffer = appendNumber(s.buffer, &s.sum, opCommit, seq)
-		s.stored = seq
+		s.buffer = appendNumber(s.buffer, &s.checksum, opCommit, seq)
+		s.storedSequence = seq
 	}
 	_ = s.flush()
 }
@@ -157,7 +157,7 @@
 // Bytes is the size of all files of the store.
 func (s *Store) Bytes() int64 {
 	var total int64
-	for _, f := range s.files {
+	for _, f := range s.stored {
 		total += f.size
 	}
 	if s.compaction != nil {
@@ -171,20 +171,20 @@
 func (s *Store) Close() error {
 	err := s.flush()
 	if c := s.compaction; c != nil && c.done != nil {
-		s.finish(<-c.done)
+		s.finishCompaction(<-c.done)
 	}
-	s.abandon()
+	s.abortCompaction()
 	return errors.Join(err, s.closeLog())
 }
 
 // writable tells whether changes can be kept at present.
 func (s *Store) writable() bool {
-	return s.disabled == nil && (s.failure == nil || s.compaction != nil && s.compaction.repair)
+	return s.disabled == nil && (s.failure == nil || s.compaction != nil && s.compaction.recovery)
 }
 
-// flushLong writes the buffer once it is long.
-func (s *Store) flushLong() error {
-	if len(s.buffer) < flushBytes {
+// flushIfFull writes the buffer once it is long.
+func (s *Store) flushIfFull() error {
+	if len(s.buffer) < bufferSize {
 		return nil
 	}
 	return s.flush()
@@ -197,10 +197,10 @@
 	}
 	text := s.buffer
 	s.buffer = s.buffer[:0]
-	if err := s.write(text); err != nil {
+	if err := s.writeLog(text); err != nil {
 		return err
 	}
-	if cap(s.buffer) > 2*flushBytes {
+	if cap(s.buffer) > 2*bufferSize {
 		s.buffer = nil
 	}
 	return nil
@@ -212,19 +212,19 @@
 		return nil
 	}
 	name := fileName(logPrefix, s.nextLog.number)
-	log, err := s.fsys.Create(filepath.Join(s.dir, name))
+	log, err := s.files.Create(filepath.Join(s.dir, name))
 	if err != nil {
-		return s.fail(err)
+		return s.failWrite(err)
 	}
 	s.log = log
-	s.files = append(s.files, storedFile{name: name, kind: kindLog, number: s.nextLog.number})
+	s.stored = append(s.stored, storedFile{name: name, kind: kindLog, number: s.nextLog.number})
 	text := s.nextLog.encode()
-	s.sum = headerSum(text)
-	return s.write(text)
+	s.checksum = headerSum(text)
+	return s.writeLog(text)
 }
 
-// write writes whole records to the log.
-func (s *Store) write(text []byte) error {
+// writeLog writes whole records to the log.
+func (s *Store) writeLog(text []byte) error {
 	if err := s.reserve(len(text)); err != nil {
 		return err
 	}
@@ -232,12 +232,12 @@
 		return s.failure
 	}
 	n, err := s.log.Write(text)
-	s.files[len(s.files)-1].size += int64(n)
+	s.stored[len(s.stored)-1].size += int64(n)
 	if err == nil && n < len(text) {
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		return s.fail(err)
+		return s.failWrite(err)
 	}
 	return nil
 }
@@ -253,35 +253,35 @@
 		return nil
 	}
 	if c := s.compaction; c != nil && c.done != nil {
-		s.finish(<-c.done)
+		s.finishCompaction(<-c.done)
 		return s.reserve(size)
 	}
 	s.disable(&BudgetError{Budget: s.budget, Needed: needed})
 	return s.disabled
 }
 
-// fail records that a write failed: the log can't be continued.
-func (s *Store) fail(err error) error {
+// failWrite records that a write failed: the log can't be continued.
+func (s *Store) failWrite(err error) error {
 	s.failure = err
-	s.retryAt = s.now().Add(retryAfter)
+	s.retryAt = s.now().Add(retryInterval)
 	s.buffer = nil
 	_ = s.closeLog()
 	if c := s.compaction; c != nil && c.done == nil {
-		s.abandon()
+		s.abortCompaction()
 	} else if c != nil {
-		c.repair = false // it is whole, but what comes behind it is not
+		c.recovery = false // it is whole, but what comes behind it is not
 	}
 	return err
 }
 
 // disable gives up for good and removes all files.
 func (s *Store) disable(reason error) {
-	s.abandon()
+	s.abortCompaction()
 	failures := []error{reason, s.closeLog()}
-	for _, f := range s.files {
-		failures = append(failures, s.fsys.Remove(filepath.Join(s.dir, f.name)))
+	for _, f := range s.stored {
+		failures = append(failures, s.files.Remove(filepath.Join(s.dir, f.name)))
 	}
-	s.files = nil
+	s.stored = nil
 	s.buffer = nil
 	s.failure = nil
 	s.disabled = errors.Join(failures...)
@@ -296,9 +296,9 @@
 	return log.Close()
 }
 
-// removeBefore removes the files that a snapshot has replaced. One that can't be removed is tried again after the next.
-func (s *Store) removeBefore(number uint64) {
-	s.files = slices.DeleteFunc(s.files, func(f storedFile) bool {
-		return f.number < number && s.fsys.Remove(filepath.Join(s.dir, f.name)) == nil
+// removeReplaced removes the files that a snapshot has replaced. One that can't be removed is tried again after the next.
+func (s *Store) removeReplaced(number uint64) {
+	s.stored = slices.DeleteFunc(s.stored, func(f storedFile) bool {
+		return f.number < number && s.files.Remove(filepath.Join(s.dir, f.name)) == nil
 	})
 }
--- a/internal/endpoints/store_test.go
+++ b/internal/endpoints/store_test.go
@@ -61,8 +61,8 @@
 			}
 		}
 	}
-	if s.files[0].kind != kindSnapshot {
-		t.Errorf("no snapshot among %+v", s.files)
+	if s.stored[0].kind != kindSnapshot {
+		t.Errorf("no snapshot among %+v", s.stored)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -165,7 +165,7 @@
 	if s == nil || s.log == nil {
 		return ""
 	}
-	return filepath.Join(s.dir, s.files[len(s.files)-1].name)
+	return filepath.Join(s.dir, s.stored[len(s.stored)-1].name)
 }
 
 // After a power loss the sequence may be an earlier one, but none before that of the last snapshot that was put in its
@@ -254,7 +254,7 @@
 	h.change()
 	h.compact()
 	for _, f := range fsys.files {
-		f.data[versionAt] = formatVersion + 1
+		f.data[versionOffset] = formatVersion + 1
 	}
 	count := len(fsys.files)
 	s, table, seq, found := open(t, fsys, testBudget)
@@ -283,7 +283,7 @@
 	if err := s.Commit(1); err != nil {
 		t.Fatal(err)
 	}
-	s.begin()
+	s.startCompaction()
 	steps := 0
 	for more := true; more; steps++ {
 		before := fsys.written
--- a/internal/endpoints/stored_test.go
+++ b/internal/endpoints/stored_test.go
@@ -102,10 +102,10 @@
 func writeStoredSnapshot(t *testing.T, dir, during string) {
 	t.Helper()
 	w := writeStoredLog(t, dir)
-	w.store.begin()
+	w.store.startCompaction()
 	w.remove("late")
 	w.commit(1<<33 + 1)
-	w.store.advance(w.table)
+	w.store.writeSnapshotEntries(w.table)
 	if w.store.compaction.done == nil {
 		t.Fatal("the snapshot is not written in one step")
 	}
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -33,25 +33,25 @@
 // Table holds the entries of the list by host and by destination. It belongs to one goroutine, and must not change while
 // an iteration over it is on. Its memory grows with the most entries it has held, and with the destinations ever named.
 type Table struct {
-	records      chunked[record]
-	destinations chunked[destination]
-	texts        arena
-	attributes   attributeSet
-	hosts        *index
-	numbers      *index
-	free         uint32 // first free record
-	count        int
-	draining     int
-	generation   uint32
-	replacing    bool   // a whole list is coming, or entries that it did not name are being removed
-	swept        uint32 // records that the sweep has passed
+	records          chunked[record]
+	destinations     chunked[destination]
+	texts            arena
+	attributes       attributeSet
+	hostIndex        *index
+	destinationIndex *index
+	freeRecord       uint32 // first free record
+	count            int
+	draining         int
+	generation       uint32
+	replacing        bool   // a whole list is coming, or entries that it did not name are being removed
+	sweepSlot        uint32 // records that the sweep has passed
 }
 
 // NewTable gives an empty table.
 func NewTable() *Table {
-	t := &Table{texts: newArena(), attributes: newAttributeSet(), free: none}
-	t.hosts = newIndex(t.hostHash)
-	t.numbers = newIndex(func(slot uint32) uint64 { return numberHash(t.destinations.at(slot).number) })
+	t := &Table{texts: newArena(), attributes: newAttributeSet(), freeRecord: none}
+	t.hostIndex = newIndex(t.hostHash)
+	t.destinationIndex = newIndex(func(slot uint32) uint64 { return numberHash(t.destinations.at(slot).number) })
 	return t
 }
 
@@ -135,16 +135,16 @@
 }
 
 func (t *Table) insert(e Entry) {
-	slot := t.free
+	slot := t.freeRecord
 	if slot != none {
-		t.free = t.records.at(slot).next
+		t.freeRecord = t.records.at(slot).next
 	} else {
 		slot = t.records.add()
 	}
 	r := t.records.at(slot)
 	*r = record{text: t.texts.put(e.Host, e.Dial), attributes: none}
 	t.setAttributes(r, e)
-	t.hosts.add(xxhash.Sum64String(e.Host), slot)
+	t.hostIndex.add(xxhash.Sum64String(e.Host), slot)
 	t.link(slot, t.destination(e.Block))
 	t.count++
 }
@@ -179,12 +179,12 @@
 func (t *Table) remove(slot uint32) Entry {
 	old := t.entry(slot)
 	r := t.records.at(slot)
-	t.hosts.remove(t.hostHash(slot), slot)
+	t.hostIndex.remove(t.hostHash(slot), slot)
 	t.unlink(slot)
 	t.dropAttributes(r)
 	t.texts.release(r.text)
-	*r = record{destination: none, next: t.free}
-	t.free = slot
+	*r = record{destination: none, next: t.freeRecord}
+	t.freeRecord = slot
 	t.count--
 	return old
 }
@@ -230,7 +230,7 @@
 }
 
 func (t *Table) find(host string) uint32 {
-	return t.hosts.find(xxhash.Sum64String(host), func(slot uint32) bool {
+	return t.hostIndex.find(xxhash.Sum64String(host), func(slot uint32) bool {
 		stored, _ := t.texts.get(t.records.at(slot).text)
 		return string(stored) == host
 	})
@@ -242,7 +242,7 @@
 }
 
 func (t *Table) findDestination(number int) uint32 {
-	return t.numbers.find(numberHash(number), func(slot uint32) bool { return t.destinations.at(slot).number == number })
+	return t.destinationIndex.find(numberHash(number), func(slot uint32) bool { return t.destinations.at(slot).number == number })
 }
 
 // destination gives the slot of a destination, and adds it if need be.
@@ -251,7 +251,7 @@
 	if slot == none {
 		slot = t.destinations.add()
 		*t.destinations.at(slot) = destination{number: number, first: none, last: none}
-		t.numbers.add(numberHash(number), slot)
+		t.destinationIndex.add(numberHash(number), slot)
 	}
 	return slot
 }
