--- a/internal/endpoints/arena.go
+++ b/internal/endpoints/arena.go
@@ -12,17 +12,17 @@
 	noTextRef textRef = 1<<32 - 1
 )
 
-// textRef is the place of a text in an arena: a chunk and a unit in it.
+// textRef locates a pair of texts in an arena: the index of a chunk and of a unit in it.
 type textRef uint32
 
-// arena holds pairs of short texts in large chunks without pointers, and reuses the blocks of freed ones. A pair is
-// stored as the two lengths (uvarint) followed by the two texts.
+// arena stores pairs of short texts in large chunks, which the garbage collector need not scan, and reuses the blocks of
+// released pairs. A pair is stored as the two lengths (uvarint) followed by the two texts.
 type arena struct {
 	chunks       [][]byte
 	usedUnits    int             // units used of the last regular chunk
 	currentChunk int             // index of that chunk, -1 for none
 	freeBlocks   map[int]textRef // heads of the lists of free blocks, by size in units
-	freeChunks   []int           // indices of chunks that are gone
+	freeChunks   []int           // indices of released chunks
 }
 
 func newArena() arena { return arena{currentChunk: -1, freeBlocks: map[int]textRef{}} }
@@ -35,7 +35,7 @@
 	return (len(head) + len(first) + len(second) + arenaUnit - 1) / arenaUnit
 }
 
-// put stores a pair of texts.
+// put stores a pair of texts and returns its reference.
 func (a *arena) put(first, second string) textRef {
 	units := pairUnits(first, second)
 	ref := a.allocate(units)
@@ -47,7 +47,7 @@
 	return ref
 }
 
-// get gives the two texts of a pair. The slices are valid until the pair is freed.
+// get returns the two texts of a pair. The slices are valid until the pair is released.
 func (a *arena) get(ref textRef) (first, second []byte) {
 	block := a.block(ref)
 	firstLen, n := binary.Uvarint(block)
@@ -75,7 +75,7 @@
 	a.freeBlocks[units] = ref
 }
 
-// block gives the bytes of a chunk from a place on.
+// block returns the bytes of a chunk from a reference on.
 func (a *arena) block(ref textRef) []byte {
 	return a.chunks[ref>>chunkUnitsBits][int(ref&(chunkUnits-1))*arenaUnit:]
 }
@@ -97,7 +97,7 @@
 	return ref
 }
 
-// addChunk adds a chunk and gives its index.
+// addChunk adds a chunk and returns its index.
 func (a *arena) addChunk(units int) int {
 	chunk := make([]byte, units*arenaUnit)
 	if n := len(a.freeChunks); n > 0 {
--- a/internal/endpoints/compaction.go
+++ b/internal/endpoints/compaction.go
@@ -8,22 +8,23 @@
 	"milletsail/internal/journal"
 )
 
-// compaction is a snapshot in the making. The table goes on changing meanwhile, and the changes go to the log of the
-// same number: the snapshot together with all of that log is the table, whatever of a change the snapshot has seen.
+// compaction is a snapshot that is being written. The table changes meanwhile, and the changes go to the log of the same
+// number. Replaying the snapshot and then all of that log gives the table, whichever of the changes the snapshot contains:
+// puts and deletes are idempotent.
 type compaction struct {
 	number   uint64
 	file     journal.File
 	size     int64
 	checksum uint32
-	nextSlot int   // the next place of the table
+	nextSlot int   // next slot of the table to write
 	entries  int64 // entries written
-	recovery bool  // makes up for what could not be written before it
+	recovery bool  // it recovers from a failed write
 	buffer   []byte
-	done     chan error // set once all is written: gives one value when the snapshot is in its place
+	done     chan error // receives the result of publishing; nil before all entries are written
 }
 
-// CompactStep does a bounded part of a compaction, or begins one if it is due. It tells whether there is more to do now. Every
-// change of the table must have been appended.
+// CompactStep does a bounded part of a compaction, or begins one if it is due. It reports whether another step can be done
+// now. All changes of the table must have been appended.
 func (s *Store) CompactStep(t *Table) (more bool) {
 	c := s.compaction
 	switch {
@@ -44,7 +45,7 @@
 	return s.compaction != nil
 }
 
-// compactionDue tells whether a snapshot should be made.
+// compactionDue reports whether a compaction should begin.
 func (s *Store) compactionDue() bool {
 	if s.now().Before(s.retryAt) {
 		return false
@@ -65,19 +66,19 @@
 	return logBytes >= s.compactionThreshold(snapshot) || logs > maxLogs
 }
 
-// compactionThreshold is the length of the logs beside a snapshot from which a compaction is due: early enough that the next
-// snapshot and the logs meanwhile fit into the budget, as far as that can be had.
+// compactionThreshold is the size of the logs, beside a snapshot of the given size, from which a compaction is due: early
+// enough for the next snapshot and the logs written meanwhile to fit into the budget, as far as possible.
 func (s *Store) compactionThreshold(snapshot int64) int64 {
-	room := s.budget - 2*snapshot
-	return min(max(minLogBytes, snapshot/logShare), max(room/2, s.budget/budgetShare))
+	headroom := s.budget - 2*snapshot
+	return min(max(minLogBytes, snapshot/logShare), max(headroom/2, s.budget/budgetShare))
 }
 
-// startCompaction begins a snapshot and the log that goes with it.
+// startCompaction begins a snapshot and the log that continues it.
 func (s *Store) startCompaction() {
 	repair := s.failure != nil
 	next := header{kind: kindLog}
 	if !repair {
-		// The logs so far are continued as long as the snapshot is not in its place.
+		// Until the snapshot is published, a replay uses the previous one and all logs: the new log continues them.
 		if s.prepareLog() != nil || s.flush() != nil {
 			return
 		}
@@ -93,6 +94,7 @@
 	s.createSnapshot()
 }
 
+// createSnapshot creates the unfinished snapshot file.
 func (s *Store) createSnapshot() {
 	c := s.compaction
 	file, err := s.files.Create(s.unfinishedSnapshotPath(c))
@@ -136,7 +138,8 @@
 	}
 }
 
-// publishSnapshot has a complete snapshot synced and put in its place.
+// publishSnapshot syncs a complete snapshot and renames it to its final name, in a goroutine that ends by sending the result
+// to c.done.
 func (s *Store) publishSnapshot(c *compaction) {
 	c.done = make(chan error, 1)
 	fsys, dir, from, to := s.files, s.dir, s.unfinishedSnapshotPath(c), s.snapshotPath(c)
@@ -153,7 +156,7 @@
 	})
 }
 
-// finishCompaction ends a compaction whose snapshot is in its place, or failed to get there.
+// finishCompaction ends a compaction after its snapshot was published, or failed to be.
 func (s *Store) finishCompaction(err error) {
 	c := s.compaction
 	if err != nil {
@@ -169,7 +172,7 @@
 	}
 }
 
-// failCompaction gives up a snapshot. The logs go on, except where the snapshot was to repair them.
+// failCompaction aborts a compaction after an error. The logs are continued, unless the compaction was a recovery.
 func (s *Store) failCompaction(err error) {
 	repair := s.compaction.recovery
 	s.abortCompaction()
@@ -179,7 +182,7 @@
 	s.retryAt = s.now().Add(retryInterval)
 }
 
-// abortCompaction removes a snapshot in the making.
+// abortCompaction removes an unfinished snapshot.
 func (s *Store) abortCompaction() {
 	c := s.compaction
 	if c == nil {
@@ -190,14 +193,15 @@
 		_ = c.file.Close()
 	}
 	_ = s.files.Remove(s.unfinishedSnapshotPath(c))
-	_ = s.files.Remove(s.snapshotPath(c)) // where the folder could not be synced
+	_ = s.files.Remove(s.snapshotPath(c)) // it has its name if the directory could not be synced
 }
 
-// snapshotPath is where a snapshot goes once it is complete and synced.
+// snapshotPath is the path of a compaction's snapshot once it is published.
 func (s *Store) snapshotPath(c *compaction) string {
 	return filepath.Join(s.dir, fileName(snapshotPrefix, c.number))
 }
 
+// unfinishedSnapshotPath is its path before that.
 func (s *Store) unfinishedSnapshotPath(c *compaction) string {
 	return s.snapshotPath(c) + unfinishedSuffix
 }
--- a/internal/endpoints/index.go
+++ b/internal/endpoints/index.go
@@ -1,17 +1,17 @@
 package endpoints
 
 const (
-	// shardBits is the logarithm of the number of shards of an index. Each grows alone, so that no insertion moves more
-	// than a few thousand slots.
+	// shardBits is the binary logarithm of the number of shards of an index. Each shard grows by itself, so that an
+	// insertion moves at most a few thousand slots.
 	shardBits = 8
-	// minShardSize is the number of places of a shard that is in use; it doubles.
+	// minShardSize is the initial number of places of a shard in use; it doubles when the shard grows.
 	minShardSize = 8
-	// none is the slot of nothing.
+	// none is not a slot.
 	none = 1<<32 - 1
 )
 
-// index finds slots by a 64-bit hash: a hash table with open addressing and linear probing that holds nothing but slot
-// numbers. Whoever uses it keeps the keys: hashOf gives the hash of the key at a slot.
+// index finds slots by a 64-bit hash: a hash table with open addressing and linear probing that stores slot
+// numbers alone. The keys are stored by its user: hashOf returns the hash of the key at a slot.
 type index struct {
 	shards [1 << shardBits]shard
 	hashOf func(slot uint32) uint64
@@ -27,7 +27,7 @@
 
 func (x *index) shard(hash uint64) *shard { return &x.shards[hash>>(64-shardBits)] }
 
-// find gives the first slot with a hash for which same holds, or none.
+// find returns the first slot with a hash for which same returns true, or none.
 func (x *index) find(hash uint64, same func(slot uint32) bool) uint32 {
 	s := x.shard(hash)
 	if len(s.places) == 0 {
@@ -42,7 +42,7 @@
 	return none
 }
 
-// add adds a slot that is not there yet.
+// add adds a slot that the index does not contain.
 func (x *index) add(hash uint64, slot uint32) {
 	s := x.shard(hash)
 	if (s.count+1)*4 > len(s.places)*3 {
@@ -71,7 +71,8 @@
 	s.places[at] = slot + 1
 }
 
-// remove takes a slot out that is there, and closes the gap that it leaves in the run of places.
+// remove removes a slot that the index contains, and moves later slots of its probe sequence back (backward shift
+// deletion), so that no tombstone is needed.
 func (x *index) remove(hash uint64, slot uint32) {
 	s := x.shard(hash)
 	mask := uint64(len(s.places) - 1)
--- a/internal/endpoints/window.go
+++ b/internal/endpoints/inputlimiter.go
@@ -5,21 +5,21 @@
 	"io"
 )
 
-// blanks are the bytes of JSON's white space.
+// blanks is the white space of JSON.
 const blanks = " \t\r\n"
 
-// inputLimiter is a Reader's input. It bounds what the decoder holds, drops what is blank between objects, and notes that the
-// other side is alive.
+// inputLimiter is the input of a Reader's decoder. It bounds the decoder's buffer, drops white space between objects, and
+// reports that the sender is alive.
 type inputLimiter struct {
 	source    io.Reader
 	alive     func()
-	consumed  func() int64 // bytes that the decoder has taken
-	delivered int64        // bytes given to the decoder
-	inObject  bool         // in the middle of an object, as far as is known
-	err       error        // what has ended the input; the decoder does not keep it
+	consumed  func() int64 // bytes that the decoder has consumed
+	delivered int64        // bytes that were passed to the decoder
+	inObject  bool         // an object has begun and, as far as is known, not ended
+	err       error        // end of the input; the decoder does not keep it
 }
 
-// Read gives the next bytes that are not blank lines between objects.
+// Read reads from the source, without white space between objects.
 func (w *inputLimiter) Read(b []byte) (int, error) {
 	if w.delivered-w.consumed() > MaxEntrySize {
 		return 0, &UnreadableError{Err: errTooLong}
@@ -36,8 +36,7 @@
 			w.alive()
 		}
 		if !w.inObject {
-			kept := bytes.TrimLeft(got, blanks)
-			n = copy(b, kept)
+			n = copy(b, bytes.TrimLeft(got, blanks))
 		}
 		w.inObject = w.inObject || solid
 		w.delivered += int64(n)
--- a/internal/endpoints/reader.go
+++ b/internal/endpoints/reader.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// BatchSize is the most entries of a batch.
+	// BatchSize is the maximum number of entries of a batch.
 	BatchSize = 256
-	// MaxEntrySize bounds one entry of the list in bytes, and all else between two tokens.
+	// MaxEntrySize bounds one entry of the list, and anything else between two tokens, in bytes.
 	MaxEntrySize = 64 << 10
 	// maxDepth bounds the nesting of fields that are skipped.
 	maxDepth = 64
 )
 
-// Batch is a part of an object of discovery's answer.
+// Batch is a part of an object of discovery's response.
 type Batch struct {
 	Entries       []Entry // at most BatchSize; those without a host are left out
-	First         bool    // the object begins with it
-	End           bool    // the object ends with it
+	First         bool    // the first batch of its object
+	End           bool    // the last batch of its object
 	Seq           int64   // set at End
-	Complete      bool    // the object is a whole list; set if WholeKnown
-	CompleteKnown bool    // the object has said whether it is a whole list, or has ended
+	Complete      bool    // the object is a complete list and not an update; valid if CompleteKnown
+	CompleteKnown bool    // it is known whether the list is complete: the object has said so, or has ended
 }
 
-// UnreadableError says that the answer is not what it should be: what the object held is lost, and the whole list has to
-// be asked for. Other errors of a Reader are those of its input: io.EOF between objects, io.ErrUnexpectedEOF within one.
+// UnreadableError says that the response is malformed: the object is lost, and a complete list has to be requested. Other
+// errors of a Reader are those of its input: io.EOF between objects, io.ErrUnexpectedEOF within one.
 type UnreadableError struct {
-	Offset int64 // bytes of input before
+	Offset int64 // bytes of input in front of the error
 	Err    error
 }
 
@@ -39,25 +39,26 @@
 	return fmt.Sprintf("unreadable list at byte %d: %v", e.Offset, e.Err)
 }
 
+// Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// errTooLong is why an answer is unreadable that holds an entry, or anything else, of more than MaxEntry bytes.
+// errTooLong says that an entry, or anything else between two tokens, exceeds MaxEntrySize.
 var errTooLong = fmt.Errorf("an entry of more than %d bytes", MaxEntrySize)
 
-// Reader reads discovery's answer: JSON objects with the fields seq, whole and hosts in any order, over one line or
-// many, with empty lines between. It holds no more than a batch and one entry of it.
+// Reader decodes discovery's response stream: JSON objects with the fields seq, whole and hosts in any order, separated by
+// white space. Its memory is bounded by one batch and one entry.
 type Reader struct {
-	// Alive, if set, is called when more of an object has come, or empty lines between objects. Those within an object do
-	// not count: the rest of it will not come.
+	// Alive, if set, is called when a part of an object was received, or white space between objects. White space within
+	// an object does not count: a sender that stalls there does not complete the object.
 	Alive func()
 
 	input   *inputLimiter
 	decoder *json.Decoder
 	object  *objectReader // the object that is being read
-	err     error         // what has ended the reading
+	err     error         // the error that ended the stream
 }
 
-// NewReader gives a reader of an answer.
+// NewReader returns a reader of a response.
 func NewReader(r io.Reader) *Reader {
 	reader := &Reader{}
 	reader.input = &inputLimiter{source: r, alive: func() {
@@ -70,7 +71,8 @@
 	return reader
 }
 
-// Next gives the next batch. It waits for a full one, or the end of the object. After an error there is no other batch.
+// Next returns the next batch. It blocks until the batch is full or its object has ended. All calls after an error return
+// the same error.
 func (r *Reader) Next() (Batch, error) {
 	if r.err != nil {
 		return Batch{}, r.err
@@ -90,7 +92,7 @@
 	return batch, nil
 }
 
-// moreBuffered tells whether a further object has begun to come.
+// moreBuffered reports whether the decoder has buffered the beginning of another object.
 func (r *Reader) moreBuffered() bool {
 	rest := r.decoder.Buffered()
 	var part [64]byte
@@ -105,8 +107,8 @@
 	}
 }
 
-// ReadObject reads one object of the list from a decoder that is in front of it, as within a configuration, and hands
-// its batches on. Its bounds on one entry are those of the decoder's input.
+// ReadObject decodes one object at the position of a decoder, such as a list within a configuration, and passes its batches
+// to deliver. The size of an entry is bounded only by the decoder's input.
 func ReadObject(decoder *json.Decoder, deliver func(Batch) error) error {
 	for object := (&objectReader{decoder: decoder}); ; {
 		batch, err := object.next()
@@ -119,12 +121,12 @@
 	}
 }
 
-// objectReader reads one object.
+// objectReader decodes one object.
 type objectReader struct {
 	decoder   *json.Decoder
 	started   bool
 	inHosts   bool // between the brackets of hosts
-	seenHosts bool // they have come
+	seenHosts bool // the field hosts has occurred
 	delivered int
 	head      struct {
 		seq        int64
@@ -133,7 +135,7 @@
 	}
 }
 
-// next gives the next batch of the object.
+// next returns the next batch of the object.
 func (o *objectReader) next() (Batch, error) {
 	var entries []Entry
 	ended, err := o.read(&entries)
@@ -170,7 +172,11 @@
 		if token == json.Delim('}') {
 			return true, nil
 		}
-		if err := o.readField(token.(string)); err != nil {
+		name, ok := token.(string)
+		if !ok {
+			return false, unexpected(token)
+		}
+		if err := o.readField(name); err != nil {
 			return false, err
 		}
 	}
@@ -234,7 +240,7 @@
 	return err
 }
 
-// typedError turns an error into one of the types that the callers tell apart.
+// typedError converts an error of the decoder to one of those that Reader documents.
 func (o *objectReader) typedError(err error) error {
 	if unreadable := new(UnreadableError); errors.As(err, &unreadable) {
 		unreadable.Offset = o.decoder.InputOffset()
@@ -243,7 +249,7 @@
 	switch {
 	case errors.As(err, new(*json.SyntaxError)), errors.As(err, new(*json.UnmarshalTypeError)):
 		return &UnreadableError{Offset: o.decoder.InputOffset(), Err: err}
-	case err == io.EOF && o.started:
+	case errors.Is(err, io.EOF) && o.started:
 		return io.ErrUnexpectedEOF
 	}
 	return err
@@ -253,7 +259,7 @@
 	return &UnreadableError{Err: fmt.Errorf("unexpected %v", token)}
 }
 
-// skipValue passes over a value of any length.
+// skipValue skips a value of any length.
 func skipValue(decoder *json.Decoder) error {
 	for depth := 0; ; {
 		token, err := decoder.Token()
--- a/internal/endpoints/decode.go
+++ b/internal/endpoints/recordreader.go
@@ -3,17 +3,18 @@
 import (
 	"bufio"
 	"encoding/binary"
+	"errors"
 	"io"
 	"math"
 )
 
-// readBuffer is the size of the buffer through which a file is read.
+// readBuffer is the size of the buffer through which a file is read, in bytes.
 const readBuffer = 256 << 10
 
-// recordReader reads the records of a file as long as they are whole.
+// recordReader reads the records of a file up to the first torn or corrupt one.
 type recordReader struct {
 	source   *bufio.Reader
-	checksum uint32 // of the last whole record
+	checksum uint32 // of the last valid record
 	payload  []byte
 }
 
@@ -23,11 +24,12 @@
 	return &recordReader{source: from, checksum: sum}, h, err
 }
 
-// next gives the next record: io.EOF behind the last one, errDamaged where the file is torn or corrupt.
+// next returns the next record. It returns io.EOF behind the last one, and an error that wraps errDamaged if the file is torn
+// or corrupt.
 func (r *recordReader) next() (change, error) {
 	var head [recordHeaderSize]byte
 	n, err := io.ReadFull(r.source, head[:])
-	if n == 0 && err == io.EOF {
+	if n == 0 && errors.Is(err, io.EOF) {
 		return change{}, io.EOF
 	}
 	if err != nil {
@@ -56,7 +58,7 @@
 	return c, nil
 }
 
-// decodeChange reads a payload.
+// decodeChange decodes a payload. It reports false if the payload is malformed.
 func decodeChange(payload []byte) (c change, ok bool) {
 	in := payloadReader{unread: payload[1:]}
 	c.operation = payload[0]
@@ -79,7 +81,7 @@
 	return c, !in.malformed && len(in.unread) == 0
 }
 
-// payloadReader is a payload that is being read. After a failure its values mean nothing.
+// payloadReader decodes the fields of a payload. Once malformed is set, the values that it returns are meaningless.
 type payloadReader struct {
 	unread    []byte
 	malformed bool
--- a/internal/endpoints/replay.go
+++ b/internal/endpoints/replay.go
@@ -11,15 +11,15 @@
 	"milletsail/internal/journal"
 )
 
-// LoadReport says what a store has found in its folder.
+// LoadReport says what Open has found in a directory.
 type LoadReport struct {
-	Entries int     // in the table that Open gives
+	Entries int     // in the table that Open returns
 	Files   int     // snapshots and logs
-	Newer   int     // files of a newer version, which are ignored and removed
-	Damage  []error // one for each file of which some or all could not be used
+	Newer   int     // files of a newer format, which are ignored and removed
+	Damage  []error // a *FileError for each file that could not be used, or only in part
 }
 
-// storedFile is a snapshot or a log in the folder.
+// storedFile is a snapshot or a log in the directory.
 type storedFile struct {
 	name   string
 	kind   byte
@@ -27,24 +27,24 @@
 	size   int64
 }
 
-// replay is the reading of a folder.
+// replay rebuilds a table from the files of a directory.
 type replay struct {
 	dir      string
 	fsys     journal.FS
-	salvage  bool // what the file system fails to read counts as damaged
+	salvage  bool // files that can't be read count as damaged
 	table    *Table
 	report   LoadReport
 	sequence int64
-	ioError  error // of the file system, which says nothing of what the files hold
+	ioError  error // of the file system: it says nothing about the content of the files
 
 	files    []storedFile // by number
-	lastLog  uint64       // the last log that was replayed, 0 for none
-	checksum uint32       // at the end of what was replayed of it
-	snapshot storedFile   // that was replayed; its name is empty if none was
-	used     []storedFile // that hold what the table now holds
+	lastLog  uint64       // number of the last log that was replayed, 0 for none
+	checksum uint32       // of the last record that was replayed
+	snapshot storedFile   // the snapshot that was replayed; its name is empty if none was
+	used     []storedFile // the files that the table was rebuilt from
 }
 
-// run reads the newest snapshot that is whole, and the logs that continue it without a gap.
+// run replays the newest complete snapshot and the logs that continue it without a gap.
 func (r *replay) run() error {
 	names, err := r.fsys.List(r.dir)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return r.ioError
 }
 
-// trackedFile is a file that is being read. It keeps the error of the file system that ended that.
+// trackedFile is an open file that remembers the error of the file system that ended its reading.
 type trackedFile struct {
 	io.ReadCloser
 	ioError error
@@ -71,13 +71,13 @@
 
 func (f *trackedFile) Read(b []byte) (int, error) {
 	n, err := f.ReadCloser.Read(b)
-	if err != nil && err != io.EOF {
+	if err != nil && !errors.Is(err, io.EOF) {
 		f.ioError = err
 	}
 	return n, err
 }
 
-// open opens a file of the folder.
+// open opens a file of the directory.
 func (r *replay) open(file storedFile) (*trackedFile, int64, error) {
 	in, size, err := r.fsys.Open(filepath.Join(r.dir, file.name))
 	if err != nil {
@@ -87,20 +87,20 @@
 	return &trackedFile{ReadCloser: in}, size, nil
 }
 
-// close closes a file that was read.
+// close closes a file and records an error of its reading.
 func (r *replay) close(f *trackedFile) {
 	_ = f.Close()
 	r.recordIOError(f.ioError)
 }
 
-// recordIOError notes that the file system failed.
+// recordIOError records an error of the file system, unless the file was removed meanwhile or salvage is on.
 func (r *replay) recordIOError(err error) {
 	if err != nil && !r.salvage && !errors.Is(err, fs.ErrNotExist) {
 		r.ioError = errors.Join(r.ioError, err)
 	}
 }
 
-// readSnapshots fills the table from the newest snapshot that is whole.
+// readSnapshots fills the table from the newest complete snapshot.
 func (r *replay) readSnapshots() {
 	for _, file := range slices.Backward(r.files) {
 		if file.kind != kindSnapshot {
@@ -135,7 +135,7 @@
 	for count := int64(0); ; count++ {
 		c, err := records.next()
 		switch {
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return 0, 0, corrupt("no end")
 		case err != nil:
 			return 0, 0, err
@@ -149,7 +149,7 @@
 	}
 }
 
-// readLogs applies the logs that continue what has been read.
+// readLogs applies the logs that continue the snapshot.
 func (r *replay) readLogs() {
 	for _, file := range r.files {
 		if file.kind == kindLog && file.number >= r.snapshot.number {
@@ -185,7 +185,7 @@
 	for {
 		r.checksum = records.checksum
 		c, err := records.next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -195,7 +195,7 @@
 	}
 }
 
-// continues tells whether a log begins where what was read so far ends.
+// continues reports whether a log begins at the record that was replayed last.
 func (r *replay) continues(h header) bool {
 	switch {
 	case h.base:
@@ -206,8 +206,8 @@
 	return r.snapshot.name != "" && h.number == r.snapshot.number
 }
 
-// reset forgets what was read: a log says that there was nothing before it. What is older could not be read when the
-// log was begun, nor be removed.
+// reset discards what was replayed, for a log whose header says that it begins with an empty table. Older files that
+// remain could neither be read nor removed when that log was begun.
 func (r *replay) reset() {
 	r.table = NewTable()
 	r.sequence = 0
@@ -234,7 +234,7 @@
 	r.report.Damage = append(r.report.Damage, &FileError{Name: file.name, Err: err})
 }
 
-// removeUnused removes the files that were of no use.
+// removeUnused removes the files that the table was not rebuilt from.
 func (r *replay) removeUnused() error {
 	names, err := r.fsys.List(r.dir)
 	if err != nil {
@@ -250,7 +250,7 @@
 	return errors.Join(failures...)
 }
 
-// highestNumber is the highest number of a file in the folder.
+// highestNumber is the highest number of a file in the directory.
 func (r *replay) highestNumber() uint64 {
 	if len(r.files) == 0 {
 		return 0
@@ -258,7 +258,7 @@
 	return r.files[len(r.files)-1].number
 }
 
-// nextLog gives the header of the log that continues what was read.
+// nextLog returns the header of the log that continues what was replayed.
 func (r *replay) nextLog() header {
 	h := header{kind: kindLog, number: r.highestNumber() + 1}
 	switch {
--- a/internal/endpoints/storage.go
+++ b/internal/endpoints/storage.go
@@ -1,6 +1,6 @@
 package endpoints
 
-// chunked is an array that grows by chunks, so that it never moves what it holds and has little unused room.
+// chunked is an array that grows by chunks: it never moves its elements, and wastes at most one chunk.
 type chunked[T any] struct {
 	chunks [][]T
 	count  int
@@ -12,7 +12,7 @@
 	return &c.chunks[slot>>chunkRecordsBits][slot&(chunkRecords-1)]
 }
 
-// add gives the slot of a further element.
+// add appends an element and returns its slot.
 func (c *chunked[T]) add() uint32 {
 	if c.count == len(c.chunks)*chunkRecords {
 		c.chunks = append(c.chunks, make([]T, chunkRecords))
@@ -21,22 +21,22 @@
 	return uint32(c.count - 1)
 }
 
-// attributes are what many entries have in common.
+// attributes are the fields that many entries have in common.
 type attributes struct{ site, class, health string }
 
-// attributeSet keeps one copy of each combination of attributes in use.
+// attributeSet interns attributes: it stores one copy of each combination in use, counted by its users.
 type attributeSet struct {
 	ids       map[attributes]uint32
 	values    []attributes
-	useCounts []int // uses
-	freeIDs   []uint32
+	useCounts []int    // by ID
+	freeIDs   []uint32 // to reuse
 }
 
 func newAttributeSet() attributeSet { return attributeSet{ids: map[attributes]uint32{}} }
 
 func (s *attributeSet) get(id uint32) attributes { return s.values[id] }
 
-// acquire gives the number of a combination, and counts a use of it.
+// acquire returns the ID of a combination, and counts a use of it.
 func (s *attributeSet) acquire(a attributes) uint32 {
 	id, ok := s.ids[a]
 	if !ok {
@@ -61,7 +61,7 @@
 	return id
 }
 
-// release counts a use less, and forgets a combination without any.
+// release ends a use of a combination, and removes a combination without uses.
 func (s *attributeSet) release(id uint32) {
 	s.useCounts[id]--
 	if s.useCounts[id] == 0 {
