--- a/internal/endpoints/entry.go
+++ b/internal/endpoints/entry.go
@@ -1,15 +1,16 @@
-// Package endpoints keeps discovery's list of endpoints: it reads the list as it comes (Reader), holds it in little
-// memory (Table), and keeps it on disk (Store). What a change costs does not depend on the length of the list.
+// Package endpoints implements the relay's copy of discovery's endpoint list: a streaming decoder of list and watch
+// responses (Reader), a compact in-memory table (Table), and its persistence as snapshots and logs (Store). The cost of a
+// change does not depend on the length of the list.
 //
-// A Table and its Store belong to one goroutine. That goroutine changes the Table first, then hands the change to
-// Store.Append, and calls Store.Step only when every change of the Table has been appended. Store.Commit follows the last
-// entry of an object; for a whole list, it follows the last deletion that Table.Sweep has reported.
+// A Table and its Store belong to one goroutine. That goroutine changes the Table first, then passes the change to
+// Store.Append, and calls Store.CompactStep only when all changes of the Table have been appended. Store.Commit follows the
+// last entry of an object or, for a complete list, the last deletion that Table.Sweep has returned.
 //
-// A caller need not know whether an object is a whole list before its end: Table.BeginReplacement at Batch.First, and
-// then Table.Sweep at Batch.End if the list is whole, or Table.AbortReplacement if it is not or could not be read.
+// Whether an object is a complete list may be unknown before its end: call Table.BeginReplacement at Batch.First, and at
+// Batch.End either Table.Sweep if the list is complete, or Table.AbortReplacement if it is not or an error occurred.
 package endpoints
 
-// Entry is one entry of discovery's list.
+// Entry is one endpoint of discovery's list.
 type Entry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -18,13 +19,13 @@
 	Block  int     `json:"block"`
 	Health string  `json:"health"`
 	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms,omitempty"` // when it last started, in milliseconds since 1970; 0 for long ago
+	BornMS int64   `json:"born_ms,omitempty"` // last start, in milliseconds since 1970; 0 for long ago
 }
 
-// The values of Entry.Health that the package and its callers tell apart.
+// The values of Entry.Health that have a meaning to this package or its callers.
 const (
-	// Draining endpoints finish what they have and want nothing new.
+	// Draining endpoints complete their requests in flight and accept no new ones.
 	Draining = "DRAINING"
-	// Deleted appears among changes only: the entry has to be removed from the table.
+	// Deleted occurs in updates only: the entry has to be removed from the table.
 	Deleted = "DELETED"
 )
--- a/internal/endpoints/store.go
+++ b/internal/endpoints/store.go
@@ -12,55 +12,55 @@
 )
 
 const (
-	// CompactionStepEntries is the most places of the table that a Step looks at, and so the most entries that it writes.
+	// CompactionStepEntries bounds the table slots that a CompactStep examines, and so the entries that it writes.
 	CompactionStepEntries = 512
-	// bufferSize is how much Append keeps in memory before it writes.
+	// bufferSize is how much Append buffers before it writes, in bytes.
 	bufferSize = 64 << 10
-	// minLogBytes is the least length of the logs that is worth a compaction.
+	// minLogBytes is the minimum size of the logs for a compaction.
 	minLogBytes = 1 << 20
-	// logShare is the part of the snapshot's length, as a divisor, that the logs may have before a compaction.
+	// logShare divides the snapshot's size: the quotient is the size of the logs at which a compaction is due.
 	logShare = 2
-	// budgetShare is the part of the budget, as a divisor, that the logs may have whatever the snapshot leaves.
+	// budgetShare divides the budget: the logs may reach the quotient even if the snapshot leaves less headroom.
 	budgetShare = 16
-	// maxLogs is the number of logs, one for each start, before a compaction.
+	// maxLogs is the number of logs at which a compaction is due. Each start of a process adds one.
 	maxLogs = 8
-	// retryInterval is how long a store waits after a failure before it tries to write again: what it keeps has to be on disk
-	// again within 3 s of the trouble's end.
+	// retryInterval is the delay between a failed write and the next attempt. The list has to be on disk again within 3 s
+	// of the end of a fault.
 	retryInterval = 2 * time.Second
 )
 
-// Store keeps a table on disk: a snapshot, and logs of the changes since. It belongs to the table's owner. Nothing but a
-// new snapshot is synced, in a goroutine of its own: a process that is killed loses nothing committed, and after a power
-// loss the table may be that of an earlier sequence.
+// Store persists a table as a snapshot and logs of later changes. It belongs to the goroutine that owns the table. Only
+// snapshots are synced, in a goroutine of their own: a killed process loses nothing committed, and after a power loss the
+// table may be that of an earlier sequence.
 //
-// After a failed write the store keeps nothing until Step has made a new snapshot; what is on disk stays as it was. Where
-// the budget is too small it is disabled for good.
+// After a failed write nothing is persisted until CompactStep has written a new snapshot; the files stay as they were. A
+// store whose budget is too small is disabled permanently.
 type Store struct {
 	dir        string
 	budget     int64
 	files      journal.FS
 	now        func() time.Time
-	background func(func()) // runs what waits for the disk
+	background func(func()) // runs a function that blocks on the disk
 
 	stored         []storedFile // snapshots and logs, the current log last
 	log            journal.File // nil before its first record
 	nextLog        header       // of the log to create, or of the current one
 	highestNumber  uint64       // the highest number used
-	checksum       uint32       // checksum at the end of the log and the buffer
-	buffer         []byte       // records not written yet
+	checksum       uint32       // checksum of the last record in the log and the buffer
+	buffer         []byte       // records that are not written yet
 	sequence       int64        // of the table
-	storedSequence int64        // the last sequence in the log or the buffer
+	storedSequence int64        // last sequence committed to the log or the buffer
 
-	compaction       *compaction // nil while there is none
-	failure          error       // why nothing is kept at present
+	compaction       *compaction // nil if none is in progress
+	failure          error       // why nothing is persisted at present
 	retryAt          time.Time
 	disabled         error
-	disabledReported bool // Commit has given disabled
+	disabledReported bool // Commit has returned disabled
 }
 
-// Open opens the store in a folder, which is made if need be, and gives the table and the sequence that it held. What is
-// damaged is left out; where the rest is not a whole list the table is empty, or the sequence is 0, and the whole list
-// has to be asked for. The error is of the file system: nothing is changed then, and a later Open may find all that is there.
+// Open opens the store in a directory, which is created if it does not exist, and returns the persisted table and sequence.
+// Damaged files are skipped; if the rest is not a complete list, the table is empty or the sequence is 0, and a complete list
+// has to be requested. An error is one of the file system: then nothing was changed, and a later Open may succeed.
 func Open(dir string, budgetBytes int64) (*Store, *Table, int64, LoadReport, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, 0, LoadReport{}, err
@@ -68,22 +68,22 @@
 	return OpenFS(dir, budgetBytes, journal.Disk)
 }
 
-// Salvage is Open for a folder with files that can't be read at all: these count as damaged, and go.
+// Salvage is Open for a directory with files that can't be read at all: they count as damaged and are removed.
 func Salvage(dir string, budgetBytes int64) (*Store, *Table, int64, LoadReport, error) {
 	return SalvageFS(dir, budgetBytes, journal.Disk)
 }
 
-// SalvageFS is Salvage in another file system.
+// SalvageFS is Salvage for a given file system.
 func SalvageFS(dir string, budgetBytes int64, fsys journal.FS) (*Store, *Table, int64, LoadReport, error) {
 	return openReplay(&replay{dir: dir, fsys: fsys, table: NewTable(), salvage: true}, budgetBytes)
 }
 
-// OpenFS is Open in another file system.
+// OpenFS is Open for a given file system.
 func OpenFS(dir string, budgetBytes int64, fsys journal.FS) (*Store, *Table, int64, LoadReport, error) {
 	return openReplay(&replay{dir: dir, fsys: fsys, table: NewTable()}, budgetBytes)
 }
 
-// openReplay reads a folder and opens its store.
+// openReplay replays a directory and opens its store.
 func openReplay(r *replay, budgetBytes int64) (*Store, *Table, int64, LoadReport, error) {
 	if err := r.run(); err != nil {
 		return nil, nil, 0, LoadReport{}, err
@@ -97,8 +97,7 @@
 	return s, r.table, r.sequence, r.report, nil
 }
 
-// Append records changes that were made to the table: entries put, then hosts deleted. They need not be on disk before
-// Commit.
+// Append records changes of the table: entries put, then hosts deleted. They may be buffered until Commit.
 func (s *Store) Append(puts []Entry, deletes []string) {
 	if !s.writable() || len(puts)+len(deletes) == 0 || s.prepareLog() != nil {
 		return
@@ -117,14 +116,14 @@
 	}
 }
 
-// Commit records that the table has all entries up to a sequence, and writes what was appended. A sequence of 0 says that
-// the whole list has to be asked for. Without an error a process that starts later finds the sequence, or a later one,
-// unless the store is disabled. An error that disables it is given once.
+// Commit records that the table contains all changes up to a sequence, and writes the buffered records. A sequence of 0 says
+// that a complete list has to be requested. After a nil error a later process finds this sequence or a later one, unless the
+// store is disabled. The error that disables the store is returned once.
 func (s *Store) Commit(seq int64) error {
 	s.sequence = seq
 	s.commit(seq)
 	if s.disabled == nil {
-		return s.failure // until a snapshot has made up for what was not written
+		return s.failure // until a snapshot has replaced the log
 	}
 	if s.disabledReported {
 		return nil
@@ -133,7 +132,7 @@
 	return s.disabled
 }
 
-// commit writes what a commit takes; a failure stays in failure or disabled.
+// commit writes the buffered records and the sequence. It leaves an error in failure or disabled.
 func (s *Store) commit(seq int64) {
 	if !s.writable() {
 		return
@@ -148,13 +147,13 @@
 	_ = s.flush()
 }
 
-// Disabled tells whether the store has given up, and why: a *BudgetError.
+// Disabled reports whether the store is disabled permanently, and why: the reason wraps a *BudgetError.
 func (s *Store) Disabled() (reason error, disabled bool) { return s.disabled, s.disabled != nil }
 
-// Failure is why nothing is kept at present, though the store tries again; nil if all is well.
+// Failure returns why nothing is persisted at present, while the store keeps retrying; nil if it does persist.
 func (s *Store) Failure() error { return s.failure }
 
-// Bytes is the size of all files of the store.
+// Bytes returns the size of all files of the store.
 func (s *Store) Bytes() int64 {
 	var total int64
 	for _, f := range s.stored {
@@ -166,8 +165,8 @@
 	return total
 }
 
-// Close writes what was appended and closes the files. It waits for a snapshot that is complete, and gives up one that
-// is not.
+// Close writes the buffered records and closes the files. It waits for a complete snapshot to be published, and aborts an
+// incomplete one.
 func (s *Store) Close() error {
 	err := s.flush()
 	if c := s.compaction; c != nil && c.done != nil {
@@ -177,12 +176,12 @@
 	return errors.Join(err, s.closeLog())
 }
 
-// writable tells whether changes can be kept at present.
+// writable reports whether changes can be persisted at present.
 func (s *Store) writable() bool {
 	return s.disabled == nil && (s.failure == nil || s.compaction != nil && s.compaction.recovery)
 }
 
-// flushIfFull writes the buffer once it is long.
+// flushIfFull writes the buffer once it has reached its size.
 func (s *Store) flushIfFull() error {
 	if len(s.buffer) < bufferSize {
 		return nil
@@ -206,7 +205,7 @@
 	return nil
 }
 
-// prepareLog creates the log if there is none yet.
+// prepareLog creates the log if it does not exist yet.
 func (s *Store) prepareLog() error {
 	if s.log != nil {
 		return nil
@@ -223,7 +222,7 @@
 	return s.writeLog(text)
 }
 
-// writeLog writes whole records to the log.
+// writeLog writes complete records to the log.
 func (s *Store) writeLog(text []byte) error {
 	if err := s.reserve(len(text)); err != nil {
 		return err
@@ -242,8 +241,8 @@
 	return nil
 }
 
-// reserve disables the store if it has no room for some more bytes, even without the files that a complete snapshot
-// replaces.
+// reserve returns an error, and disables the store, if its budget does not allow some more bytes. It first waits for a
+// complete snapshot to replace older files.
 func (s *Store) reserve(size int) error {
 	if s.disabled != nil {
 		return s.disabled
@@ -260,7 +259,7 @@
 	return s.disabled
 }
 
-// failWrite records that a write failed: the log can't be continued.
+// failWrite records a failed write: the log can't be continued, and a new snapshot has to replace it.
 func (s *Store) failWrite(err error) error {
 	s.failure = err
 	s.retryAt = s.now().Add(retryInterval)
@@ -269,12 +268,12 @@
 	if c := s.compaction; c != nil && c.done == nil {
 		s.abortCompaction()
 	} else if c != nil {
-		c.recovery = false // it is whole, but what comes behind it is not
+		c.recovery = false // the snapshot is complete, but the log that continues it is not
 	}
 	return err
 }
 
-// disable gives up for good and removes all files.
+// disable disables the store permanently and removes its files.
 func (s *Store) disable(reason error) {
 	s.abortCompaction()
 	failures := []error{reason, s.closeLog()}
@@ -287,6 +286,7 @@
 	s.disabled = errors.Join(failures...)
 }
 
+// closeLog closes the log, if there is one.
 func (s *Store) closeLog() error {
 	if s.log == nil {
 		return nil
@@ -296,7 +296,8 @@
 	return log.Close()
 }
 
-// removeReplaced removes the files that a snapshot has replaced. One that can't be removed is tried again after the next.
+// removeReplaced removes the files that a snapshot has replaced. Files that can't be removed are tried again after the next
+// snapshot.
 func (s *Store) removeReplaced(number uint64) {
 	s.stored = slices.DeleteFunc(s.stored, func(f storedFile) bool {
 		return f.number < number && s.files.Remove(filepath.Join(s.dir, f.name)) == nil
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// chunkRecords is the number of records of one chunk of a table, and of destinations.
+	// chunkRecords is the number of records, or of destinations, in a chunk of a table.
 	chunkRecords     = 1 << chunkRecordsBits
 	chunkRecordsBits = 11
 )
 
-// record is an entry as a table holds it, 40 bytes without pointers. A free record has no destination.
+// record is an entry as a table stores it: 40 bytes without pointers, so that the garbage collector need not scan it. A free
+// record has no destination.
 type record struct {
 	share       float64
 	born        int64
 	text        textRef // host and dial
 	attributes  uint32
-	destination uint32 // slot; none for a free record
-	next        uint32 // record of the same destination, or the next free one
-	previous    uint32 // record of the same destination
-	generation  uint32 // of the replacement that last named it
+	destination uint32 // slot of the destination; none for a free record
+	next        uint32 // next record of the same destination, or next free one
+	previous    uint32 // previous record of the same destination
+	generation  uint32 // of the replacement that last put it
 }
 
-// destination is one that some entry has named.
+// destination is a destination of the list, with the linked list of its records.
 type destination struct {
 	number      int
 	first, last uint32 // records
 }
 
-// Table holds the entries of the list by host and by destination. It belongs to one goroutine, and must not change while
-// an iteration over it is on. Its memory grows with the most entries it has held, and with the destinations ever named.
+// Table stores the entries of the list by host and by destination. It is not safe for concurrent use, and must not be changed
+// during an iteration. Its memory grows with the maximum number of its entries, and with the destinations it has ever had.
 type Table struct {
 	records          chunked[record]
 	destinations     chunked[destination]
@@ -43,11 +44,11 @@
 	count            int
 	draining         int
 	generation       uint32
-	replacing        bool   // a whole list is coming, or entries that it did not name are being removed
-	sweepSlot        uint32 // records that the sweep has passed
+	replacing        bool   // a replacement is in progress, up to the end of its sweep
+	sweepSlot        uint32 // next slot to sweep
 }
 
-// NewTable gives an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	t := &Table{texts: newArena(), attributes: newAttributeSet(), freeRecord: none}
 	t.hostIndex = newIndex(t.hostHash)
@@ -61,7 +62,7 @@
 // Draining is the number of entries whose health is Draining.
 func (t *Table) Draining() int { return t.draining }
 
-// Get gives the entry of a host.
+// Get returns the entry of a host.
 func (t *Table) Get(host string) (Entry, bool) {
 	slot := t.find(host)
 	if slot == none {
@@ -70,8 +71,8 @@
 	return t.entry(slot), true
 }
 
-// Put adds an entry, or puts it in the place of that of the same host, which it returns. An entry whose destination
-// changes moves to the end of those of the new one.
+// Put adds an entry, or replaces the one of the same host, which it returns. An entry whose destination changes moves to the
+// end of the new destination's entries.
 func (t *Table) Put(e Entry) (old Entry, existed bool) {
 	slot := t.find(e.Host)
 	if slot == none {
@@ -92,7 +93,7 @@
 	return old, true
 }
 
-// Delete removes the entry of a host, and returns it.
+// Delete removes the entry of a host and returns it.
 func (t *Table) Delete(host string) (old Entry, existed bool) {
 	slot := t.find(host)
 	if slot == none {
@@ -101,8 +102,8 @@
 	return t.remove(slot), true
 }
 
-// ByDestination gives the entries of a destination in the order in which they were put first, which stays the same while the
-// table lives. A table that a Store has restored may have another order.
+// ByDestination returns the entries of a destination in the order in which they were first put. The order is stable for the
+// table's lifetime, but a table that a Store has restored may have another one.
 func (t *Table) ByDestination(destination int) iter.Seq[Entry] {
 	return func(yield func(Entry) bool) {
 		slot := t.findDestination(destination)
@@ -117,13 +118,14 @@
 	}
 }
 
-// Named tells whether any entry has named a destination since the table was made, though none may be left.
+// Named reports whether the table has ever had an entry of a destination.
 func (t *Table) Named(destination int) bool { return t.findDestination(destination) != none }
 
-// All gives the entries at the next max places from a place on, beginning with 0, and the place to go on from; done says
-// that this was the last part. An entry that stays while the parts are read is in exactly one of them.
-func (t *Table) All(from, max int) (entries iter.Seq[Entry], next int, done bool) {
-	next = min(from+max, t.records.len())
+// All iterates over the table in parts: it returns the entries in the next maxSlots slots from the slot from on, which is 0
+// for the first part, and the slot at which the next part begins; done is true for the last part. An entry that stays while
+// the parts are read is in exactly one of them.
+func (t *Table) All(from, maxSlots int) (entries iter.Seq[Entry], next int, done bool) {
+	next = min(from+maxSlots, t.records.len())
 	entries = func(yield func(Entry) bool) {
 		for slot := from; slot < next; slot++ {
 			if t.records.at(uint32(slot)).destination != none && !yield(t.entry(uint32(slot))) {
@@ -134,6 +136,7 @@
 	return entries, next, next == t.records.len()
 }
 
+// insert adds the entry of a new host.
 func (t *Table) insert(e Entry) {
 	slot := t.freeRecord
 	if slot != none {
@@ -149,7 +152,7 @@
 	t.count++
 }
 
-// setAttributes takes over all of an entry but its host, dial and destination.
+// setAttributes sets all of a record but its host, dial and destination.
 func (t *Table) setAttributes(r *record, e Entry) {
 	wanted := attributes{site: e.Site, class: e.Class, health: e.Health}
 	if r.attributes == none || t.attributes.get(r.attributes) != wanted {
@@ -164,6 +167,7 @@
 	r.generation = t.generation
 }
 
+// dropAttributes releases the attributes of a record.
 func (t *Table) dropAttributes(r *record) {
 	if r.attributes == none {
 		return
@@ -175,7 +179,7 @@
 	r.attributes = none
 }
 
-// remove frees the record at a slot.
+// remove frees the record at a slot and returns its entry.
 func (t *Table) remove(slot uint32) Entry {
 	old := t.entry(slot)
 	r := t.records.at(slot)
@@ -189,7 +193,7 @@
 	return old
 }
 
-// link adds a record at the end of those of a destination.
+// link appends a record to the list of a destination.
 func (t *Table) link(slot, destination uint32) {
 	r := t.records.at(slot)
 	d := t.destinations.at(destination)
@@ -204,7 +208,7 @@
 	d.last = slot
 }
 
-// unlink takes a record from those of its destination.
+// unlink removes a record from the list of its destination.
 func (t *Table) unlink(slot uint32) {
 	r := t.records.at(slot)
 	d := t.destinations.at(r.destination)
@@ -220,7 +224,7 @@
 	}
 }
 
-// entry gives the entry at a slot.
+// entry returns the entry at a slot.
 func (t *Table) entry(slot uint32) Entry {
 	r := t.records.at(slot)
 	host, dial := t.texts.get(r.text)
@@ -229,6 +233,7 @@
 		Block: t.destinations.at(r.destination).number, Share: r.share, BornMS: r.born}
 }
 
+// find returns the slot of a host, or none.
 func (t *Table) find(host string) uint32 {
 	return t.hostIndex.find(xxhash.Sum64String(host), func(slot uint32) bool {
 		stored, _ := t.texts.get(t.records.at(slot).text)
@@ -236,16 +241,18 @@
 	})
 }
 
+// hostHash is the hash of the host at a slot.
 func (t *Table) hostHash(slot uint32) uint64 {
 	host, _ := t.texts.get(t.records.at(slot).text)
 	return xxhash.Sum64(host)
 }
 
+// findDestination returns the slot of a destination, or none.
 func (t *Table) findDestination(number int) uint32 {
 	return t.destinationIndex.find(numberHash(number), func(slot uint32) bool { return t.destinations.at(slot).number == number })
 }
 
-// destination gives the slot of a destination, and adds it if need be.
+// destination returns the slot of a destination, which it adds if it is new.
 func (t *Table) destination(number int) uint32 {
 	slot := t.findDestination(number)
 	if slot == none {
@@ -256,7 +263,7 @@
 	return slot
 }
 
-// numberHash spreads the numbers of destinations, which are often consecutive (the finalizer of MurmurHash3).
+// numberHash is the finalizer of MurmurHash3. It spreads the numbers of destinations, which are often consecutive.
 func numberHash(number int) uint64 {
 	h := uint64(number)
 	h ^= h >> 33
