--- a/policy/circuit_test.go
+++ b/policy/circuit_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -142,3 +143,51 @@
 		}
 	}
 }
+
+func TestCircuitBreakerCountsRejections(t *testing.T) {
+	var circuit circuitBreaker
+	if circuit.countRejection(0, 0) {
+		t.Error("down after one rejection")
+	}
+	for _, at := range []time.Duration{time.Second, 2 * time.Second, circuitOpenAfter} {
+		if circuit.countRejection(moment(at), 0) {
+			t.Errorf("down after rejections for %v", at)
+		}
+	}
+	if !circuit.countRejection(moment(circuitOpenAfter+ms), 0) {
+		t.Error("not down after rejections for longer")
+	}
+	if again := new(circuitBreaker); !again.countRejection(0, circuitOpenAfter+ms) {
+		t.Error("not down with a long Retry-After")
+	}
+}
+
+func TestCircuitBreakerPauses(t *testing.T) {
+	var circuit circuitBreaker
+	circuit.extendRetryAfter(0, time.Second)
+	circuit.extendRetryAfter(0, 500*ms) // a shorter one ends no longer one
+	if !circuit.paused(moment(999*ms)) || circuit.paused(moment(time.Second)) {
+		t.Errorf("paused until %v", circuit.pausedUntil())
+	}
+	circuit.extendRetryAfter(moment(time.Second), time.Duration(1<<63-1))
+	if circuit.retryAfterUntil != never {
+		t.Errorf("the longest Retry-After ends at %v", circuit.retryAfterUntil)
+	}
+}
+
+func TestCircuitBreakerBackoff(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 1))
+	var circuit circuitBreaker
+	now := time.Second
+	for _, base := range []time.Duration{initialBackoff, 2 * initialBackoff, 4 * initialBackoff} {
+		pause := circuit.nextBackoff(moment(now), random)
+		if pause < base/2 || pause > base*3/2 {
+			t.Errorf("backoff of %v, want %v with jitter", pause, base)
+		}
+		now += pause
+		circuit.backoffUntil = moment(now)
+	}
+	if circuit.nextBackoff(moment(now+time.Minute), random); circuit.backoff != initialBackoff {
+		t.Errorf("backoff of %v a minute after the last one", circuit.backoff)
+	}
+}
--- a/policy/connection_limit_test.go
+++ b/policy/connection_limit_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"testing"
 	"time"
 )
@@ -96,3 +97,31 @@
 		t.Errorf("%d relays of 300 told it", broadcasts)
 	}
 }
+
+func TestConnectionLimiter(t *testing.T) {
+	var limiter connectionLimiter
+	if !limiter.allows(1000) || limiter.full(0, time.Minute) {
+		t.Errorf("%+v limits without an error", limiter)
+	}
+	limiter.raiseLimit()
+	if limiter.limit != 0 {
+		t.Error("a success sets a limit")
+	}
+	if !limiter.recordError(moment(2*rateWindow)) || limiter.recordError(moment(2*rateWindow+ms)) {
+		t.Error("want the first error of a window alone to be reported")
+	}
+	limiter.recordSuccess(moment(3*time.Second), moment(time.Second))
+	if !limiter.full(moment(4*time.Second), time.Minute) || limiter.full(moment(2*time.Minute), time.Minute) {
+		t.Errorf("%+v after a success beside an error", limiter)
+	}
+	limiter.lowerLimit(0)
+	if !limiter.allows(0) || limiter.allows(1) {
+		t.Errorf("limit of %v without a call out", limiter.limit)
+	}
+	for range int(math.Ceil(1 / connectionLimitIncrease)) {
+		limiter.raiseLimit()
+	}
+	if !limiter.allows(1) {
+		t.Errorf("limit of %v after many successes", limiter.limit)
+	}
+}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -111,3 +111,19 @@
 		t.Errorf("%d avoided, want the one that is out and the one that drains", n)
 	}
 }
+
+func TestOutlierDetectorCountsFailures(t *testing.T) {
+	detector := newOutlierDetector(2)
+	failed := &call{sentAt: moment(time.Second), messages: []*message{{}, {Arrived: Arrived{Class: 1}}}}
+	if !detector.countFailure(moment(2*time.Second), failed, errorResponseWeight) {
+		t.Error("a failure doesn't count")
+	}
+	if detector.consecutiveFailures != errorResponseWeight || detector.lastFailureAt != moment(2*time.Second) ||
+		detector.classFailures[0] != errorResponseWeight/2 || detector.classFailures[1] != errorResponseWeight/2 {
+		t.Errorf("%+v after an error response", detector)
+	}
+	detector.lastSuccessAt = moment(3 * time.Second)
+	if detector.countFailure(moment(4*time.Second), failed, 1) || detector.consecutiveFailures != errorResponseWeight {
+		t.Error("a failure of a call from before the last success counts")
+	}
+}
--- a/policy/resource_backoff_test.go
+++ b/policy/resource_backoff_test.go
@@ -92,3 +92,16 @@
 		t.Errorf("%d of 20 messages are served", served)
 	}
 }
+
+func TestResourceBackoff(t *testing.T) {
+	var backoff resourceBackoff
+	now := time.Second
+	for _, want := range []time.Duration{20 * ms, 40 * ms, 80 * ms, 160 * ms, 320 * ms, 320 * ms} {
+		backoff.extend(moment(now))
+		backoff.extend(moment(now + ms)) // several calls fail together
+		if backoff.delay != want || backoff.until != moment(now+want) {
+			t.Errorf("%+v, want a pause of %v", backoff, want)
+		}
+		now += want
+	}
+}
--- a/policy/sendrate_test.go
+++ b/policy/sendrate_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"math"
 	"testing"
 	"time"
 )
@@ -62,3 +63,29 @@
 		}
 	}
 }
+
+func TestSendRateLimiter(t *testing.T) {
+	var limiter sendRateLimiter
+	limiter.start(100, 10, 0)
+	if limiter.refill(0) != 10 || limiter.mayDecrease(moment(rateWindow-ms)) || !limiter.mayDecrease(moment(rateWindow)) {
+		t.Errorf("%+v as it starts", limiter)
+	}
+	limiter.decrease(moment(time.Second), 10)
+	if want := 10 * rateDecreaseFactor; limiter.rate != want || limiter.decreasedAt != moment(time.Second) {
+		t.Errorf("rate %v after a decrease, want %v", limiter.rate, want)
+	}
+	for range 100 {
+		limiter.decrease(moment(time.Second), 10)
+	}
+	if want := 10 * minRateShare; limiter.rate != want {
+		t.Errorf("rate %v after many decreases, want %v", limiter.rate, want)
+	}
+	limiter.increase(moment(2*time.Second), moment(time.Second), moment(time.Second), 100)
+	if want := 10 * minRateShare * math.Exp(rateIncreaseGain); math.Abs(limiter.rate-want) > 1e-9 {
+		t.Errorf("rate %v after a quiet second, want %v", limiter.rate, want)
+	}
+	limiter.increase(moment(time.Hour), moment(time.Second), moment(time.Second), 20)
+	if limiter.rate != 20 {
+		t.Errorf("rate %v, above the limit", limiter.rate)
+	}
+}
