--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,5 +1,5 @@
-// Package atomicfile writes small files atomically and durably: a reader sees the old content or the new one, and what
-// was written survives a power loss.
+// Package atomicfile writes small files atomically and durably: a reader sees either the old or the new content, and the new
+// content survives a power loss.
 package atomicfile
 
 import (
@@ -8,16 +8,19 @@
 	"path/filepath"
 )
 
-// Replace atomically replaces the content of the file at path; the new content is on disk when it returns. The temporary
-// file is path + ".new", so a file may have only one writer at a time.
+// temporarySuffix ends the name of the file that Replace writes before it renames it.
+const temporarySuffix = ".new"
+
+// Replace atomically replaces the content of the file at path, or creates it. The new content is durable when Replace returns
+// nil. It writes path + ".new" first, so a file must have only one writer at a time.
 func Replace(path string, content []byte) error {
-	temporary := path + ".new"
-	f, err := os.OpenFile(temporary, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	temporary := path + temporarySuffix
+	file, err := os.OpenFile(temporary, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(content)
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
+	_, err = file.Write(content)
+	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return errors.Join(err, os.Remove(temporary))
 	}
 	if err := os.Rename(temporary, path); err != nil {
@@ -26,11 +29,11 @@
 	return SyncDir(filepath.Dir(path))
 }
 
-// SyncDir flushes a directory, so that files created, renamed or removed in it stay so after a power loss.
+// SyncDir makes the creations, renames and removals of files in a directory durable.
 func SyncDir(dir string) error {
-	d, err := os.Open(dir)
+	directory, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,4 @@
-// Package clock reads the machine's clocks, and sleeps under a context. It is the one place of the relay where a wall time
-// is read.
+// Package clock reads the machine's clocks and sleeps with a context. No other package of the relay reads the wall clock.
 package clock
 
 import (
@@ -14,86 +13,95 @@
 	"milletsail/internal/instant"
 )
 
-// process ties the clock of this process to the machine's: both were read together at its start.
-var process = readProcess()
+// reference relates the standard library's monotonic readings to the machine's monotonic clock.
+var reference = readReference()
 
-type processStart struct {
+// clockReference is a reading of both clocks at the start of the process.
+type clockReference struct {
 	started time.Time
 	at      instant.Time
-	shared  bool // at is the machine's, and so means the same in other processes
+	shared  bool // at was read from the machine's clock, so that it is comparable between processes
 }
 
-func readProcess() processStart {
+// readReference reads both clocks. If the machine's can't be read, the process gets a scale of its own.
+func readReference() clockReference {
 	started := time.Now()
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
-		return processStart{started: started, at: instant.Boot}
+		return clockReference{started: started, at: instant.Boot}
 	}
-	return processStart{started: started, at: instant.Boot.Add(time.Duration(now.Nano())), shared: true}
+	return clockReference{started: started, at: instant.Boot.Add(time.Duration(now.Nano())), shared: true}
 }
 
-// Now reads the machine's monotonic clock.
-func Now() instant.Time { return process.at.Add(time.Since(process.started)) }
+// Now returns the current reading of the machine's monotonic clock.
+func Now() instant.Time { return reference.at.Add(time.Since(reference.started)) }
 
-// Since is the time since a moment.
+// Since returns the time elapsed since t.
 func Since(t instant.Time) time.Duration { return Now().Sub(t) }
 
-// Until is the time until a moment.
+// Until returns the duration until t.
 func Until(t instant.Time) time.Duration { return t.Sub(Now()) }
 
-// Deadline gives a moment as the standard library takes it. Its timers and deadlines go by the monotonic reading in it.
-func Deadline(t instant.Time) time.Time { return process.started.Add(t.Sub(process.at)) }
+// Deadline converts a moment for the deadlines of the standard library. The result has a monotonic reading, so that steps of
+// the wall clock do not move it.
+func Deadline(t instant.Time) time.Time { return reference.started.Add(t.Sub(reference.at)) }
 
-// Uptime is how long the machine has run, as far as the monotonic clock tells; 0 where it does not.
+// Uptime returns the time since the machine's boot, or 0 if the monotonic clock can't be read.
 func Uptime() time.Duration {
-	if !process.shared {
+	if !reference.shared {
 		return 0
 	}
 	return Now().Sub(instant.Boot)
 }
 
-// BootID tells one boot of the machine from another: moments of processes with the same one may be compared. It is empty
-// where the system does not say, and then nothing may be.
+// BootID identifies the machine's current boot. Moments are comparable between processes with the same ID. It is empty if the
+// ID is unknown; then they are not comparable.
 func BootID() string { return bootID() }
 
 const (
-	// bootIDLength is the length of a boot's identity: a UUID.
+	// bootIDPath is where Linux provides the boot ID.
+	bootIDPath = "/proc/sys/kernel/random/boot_id"
+	// bootIDLength is the length of a boot ID, a UUID, in bytes.
 	bootIDLength = 36
-	// bootIDTries and bootIDRetry bound the reading of it, which may fail for a moment for want of descriptors.
-	bootIDTries, bootIDRetry = 50, 20 * time.Millisecond
+	// bootIDAttempts bounds how often it is read: that may fail temporarily, for example for lack of file descriptors.
+	bootIDAttempts = 50
+	// bootIDRetryInterval is the delay between two attempts.
+	bootIDRetryInterval = 20 * time.Millisecond
 )
 
+// bootID reads the boot ID once.
 var bootID = sync.OnceValue(func() string {
-	if !process.shared {
+	if !reference.shared {
 		return ""
 	}
-	for range bootIDTries {
-		text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
+	for range bootIDAttempts {
+		text, err := os.ReadFile(bootIDPath)
 		if err == nil && len(text) >= bootIDLength {
 			return string(text[:bootIDLength])
 		}
 		if errors.Is(err, os.ErrNotExist) || errors.Is(err, os.ErrPermission) {
 			return ""
 		}
-		time.Sleep(bootIDRetry)
+		time.Sleep(bootIDRetryInterval)
 	}
 	return ""
 })
 
-// Wall is a wall time, in nanoseconds since 1970. It is for logs and for what outlasts a boot: operators and time servers
-// may step the clock that it is read from.
+// Wall is a wall time, in nanoseconds since 1970. Use it for logs and for data that outlives a boot only: operators and NTP
+// may step the wall clock.
 type Wall int64
 
-// ReadWall reads the wall clock.
+// ReadWall returns the current reading of the wall clock.
 func ReadWall() Wall { return Wall(time.Now().UnixNano()) }
 
-// Time gives a wall time as the standard library formats it.
+// Time converts a wall time for formatting by the standard library.
 func (w Wall) Time() time.Time { return time.Unix(0, int64(w)) }
 
-// Seconds gives a wall time in whole seconds since 1970.
+// Seconds returns a wall time in whole seconds since 1970.
 func (w Wall) Seconds() int64 { return int64(w) / int64(time.Second) }
 
-// Pair is both clocks, read together: it translates moments into wall times and back, as the wall clock stood then.
+// Pair is a simultaneous reading of both clocks. It converts moments to wall times and back, as the wall clock was set at
+// that reading.
 type Pair struct {
 	At   instant.Time `json:"At"`
 	Wall Wall         `json:"Wall"`
@@ -102,7 +110,7 @@
 // ReadPair reads both clocks.
 func ReadPair() Pair { return Pair{At: Now(), Wall: ReadWall()} }
 
-// WallOf gives the wall time of a moment; the zero Time gives 0.
+// WallOf converts a moment to a wall time. The zero Time becomes 0.
 func (p Pair) WallOf(t instant.Time) Wall {
 	if t.IsZero() {
 		return 0
@@ -110,7 +118,7 @@
 	return p.Wall + Wall(t.Sub(p.At))
 }
 
-// InstantOf gives the moment of a wall time; 0 gives the zero Time.
+// InstantOf converts a wall time to a moment. 0 becomes the zero Time.
 func (p Pair) InstantOf(w Wall) instant.Time {
 	if w == 0 {
 		return 0
@@ -118,12 +126,13 @@
 	return p.At.Add(time.Duration(w - p.Wall))
 }
 
-// SteppedBy is how far the wall clock was stepped between two readings, and what it drifted.
+// SteppedBy returns by how much the wall clock was stepped between two readings, its drift included.
 func (p Pair) SteppedBy(later Pair) time.Duration {
 	return time.Duration(later.Wall-p.Wall) - later.At.Sub(p.At)
 }
 
-// Sleep waits for d or until ctx is done, and reports whether ctx is still active. It returns at once if d is 0 or less.
+// Sleep blocks for d or until ctx is done, and reports whether ctx is still active. It returns immediately if d is not
+// positive.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
