--- a/internal/endpoints/bench_test.go
+++ b/internal/endpoints/bench_test.go
@@ -83,7 +83,7 @@
 
 func BenchmarkReader(b *testing.B) {
 	const entries = 490_000
-	text, _ := json.Marshal(object{Seq: 1, Whole: true, Hosts: exampleEntries(entries)})
+	text, _ := json.Marshal(object{Seq: 1, Complete: true, Hosts: exampleEntries(entries)})
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/endpoints/failure_test.go
+++ b/internal/endpoints/failure_test.go
@@ -53,10 +53,10 @@
 	return failed
 }
 
-// heldBack is what a store has handed to its background and nobody has run yet.
-type heldBack []func()
+// deferredWork is what a store has handed to its background and nobody has run yet.
+type deferredWork []func()
 
-func (b *heldBack) run() {
+func (b *deferredWork) run() {
 	for _, f := range *b {
 		f()
 	}
@@ -69,7 +69,7 @@
 	for _, repair := range []bool{false, true} {
 		fsys := newModelFS()
 		h := newHarness(t, fsys, 5, 20)
-		held := &heldBack{}
+		held := &deferredWork{}
 		h.change()
 		if repair {
 			fsys.failAt, fsys.failFor = fsys.calls+1, 1
@@ -105,7 +105,7 @@
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 5, 20)
 	h.change()
-	held := &heldBack{}
+	held := &deferredWork{}
 	h.store.background = func(f func()) { *held = append(*held, f) }
 	h.compact()
 	h.change()
--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -87,12 +87,12 @@
 	if h.store.compaction == nil {
 		h.store.startCompaction()
 	}
-	begun := len(h.commits) - 1
+	startCommit := len(h.commits) - 1
 	for h.store.CompactStep(h.table) {
 		h.change()
 	}
 	if h.store.compaction == nil && h.store.failure == nil {
-		h.synced = begun
+		h.synced = startCommit
 	}
 }
 
--- a/internal/endpoints/reader.go
+++ b/internal/endpoints/reader.go
@@ -94,10 +94,10 @@
 
 // moreBuffered reports whether the decoder has buffered the beginning of another object.
 func (r *Reader) moreBuffered() bool {
-	rest := r.decoder.Buffered()
+	buffered := r.decoder.Buffered()
 	var part [64]byte
 	for {
-		n, err := rest.Read(part[:])
+		n, err := buffered.Read(part[:])
 		if len(bytes.Trim(part[:n], blanks)) > 0 {
 			return true
 		}
@@ -129,9 +129,9 @@
 	seenHosts bool // the field hosts has occurred
 	delivered int
 	head      struct {
-		seq        int64
-		whole      bool
-		wholeKnown bool
+		seq           int64
+		complete      bool
+		completeKnown bool
 	}
 }
 
@@ -142,8 +142,8 @@
 	if err != nil {
 		return Batch{}, o.typedError(err)
 	}
-	batch := Batch{Entries: entries, First: o.delivered == 0, End: ended, Complete: o.head.whole,
-		CompleteKnown: o.head.wholeKnown || ended}
+	batch := Batch{Entries: entries, First: o.delivered == 0, End: ended, Complete: o.head.complete,
+		CompleteKnown: o.head.completeKnown || ended}
 	if ended {
 		batch.Seq = o.head.seq
 	}
@@ -188,8 +188,8 @@
 	case strings.EqualFold(name, "seq"):
 		return o.decoder.Decode(&o.head.seq)
 	case strings.EqualFold(name, "whole"):
-		o.head.wholeKnown = true
-		return o.decoder.Decode(&o.head.whole)
+		o.head.completeKnown = true
+		return o.decoder.Decode(&o.head.complete)
 	case strings.EqualFold(name, "hosts"):
 		return o.startHosts()
 	}
--- a/internal/endpoints/reader_test.go
+++ b/internal/endpoints/reader_test.go
@@ -18,9 +18,9 @@
 
 // object is one object of an answer, as encoding/json reads it.
 type object struct {
-	Seq   int64   `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []Entry `json:"hosts"`
+	Seq      int64   `json:"seq"`
+	Complete bool    `json:"whole"`
+	Hosts    []Entry `json:"hosts"`
 }
 
 // reporter is what testing.T and rapid.T have in common.
@@ -47,7 +47,7 @@
 		}
 		current.Hosts = append(current.Hosts, batch.Entries...)
 		if batch.CompleteKnown {
-			current.Whole = batch.Complete
+			current.Complete = batch.Complete
 		}
 		if batch.End {
 			if !batch.CompleteKnown {
@@ -79,7 +79,7 @@
 func TestReaderForms(t *testing.T) {
 	a, b := exampleEntry(1), exampleEntry(2)
 	entryA, entryB := string(encode(t, a)), string(encode(t, b))
-	want := []object{{Seq: 7, Whole: true, Hosts: []Entry{a, b}}}
+	want := []object{{Seq: 7, Complete: true, Hosts: []Entry{a, b}}}
 	for name, text := range map[string]string{
 		"usual order":    `{"seq":7,"whole":true,"hosts":[` + entryA + `,` + entryB + `]}`,
 		"hosts first":    `{"hosts":[` + entryA + `,` + entryB + `],"whole":true,"seq":7}`,
@@ -139,7 +139,7 @@
 // An answer cut off anywhere is no fault of its form: what had come whole before is delivered, and no object ends.
 func TestReaderCutOff(t *testing.T) {
 	first := append(encode(t, object{Seq: 1, Hosts: exampleEntries(1)}), "\n\n"...)
-	second := encode(t, object{Seq: 2, Whole: true, Hosts: exampleEntries(3)})
+	second := encode(t, object{Seq: 2, Complete: true, Hosts: exampleEntries(3)})
 	text := append(first, second...)
 	broken := errors.New("connection reset")
 	for cut := range len(text) {
@@ -165,7 +165,7 @@
 		var text []byte
 		for seq := range rapid.IntRange(1, 4).Draw(t, "objects") {
 			n := rapid.SampledFrom([]int{0, 1, 2, BatchSize - 1, BatchSize, BatchSize + 1, 3 * BatchSize}).Draw(t, "entries")
-			o, _ := json.Marshal(object{Seq: int64(seq), Whole: rapid.Bool().Draw(t, "whole"), Hosts: exampleEntries(n)})
+			o, _ := json.Marshal(object{Seq: int64(seq), Complete: rapid.Bool().Draw(t, "whole"), Hosts: exampleEntries(n)})
 			text = append(append(text, o...), strings.Repeat("\n", rapid.IntRange(0, 3).Draw(t, "blank"))...)
 		}
 		if rapid.Bool().Draw(t, "corrupt") {
@@ -178,7 +178,7 @@
 			t.Fatalf("%d objects, want %d; %v", len(got), len(want), err)
 		}
 		for i := range got {
-			if got[i].Seq != want[i].Seq || got[i].Whole != want[i].Whole || fmt.Sprint(got[i].Hosts) != fmt.Sprint(want[i].Hosts) {
+			if got[i].Seq != want[i].Seq || got[i].Complete != want[i].Complete || fmt.Sprint(got[i].Hosts) != fmt.Sprint(want[i].Hosts) {
 				t.Fatalf("object %d: got %+v, want %+v", i, got[i], want[i])
 			}
 		}
@@ -226,7 +226,7 @@
 }
 
 func TestReaderAlive(t *testing.T) {
-	whole := `{"seq":1,"hosts":[]}`
+	response := `{"seq":1,"hosts":[]}`
 	for _, c := range []struct {
 		name  string
 		parts []string
@@ -235,8 +235,8 @@
 		{"blank lines only", []string{"\n", "\n", "\r\n"}, 3},
 		{"parts of an object", []string{`{"seq":1,`, `"hosts":[]`, `}`}, 3},
 		{"blank lines behind half an object", []string{`{"seq":1,`, "\n", "\n", "\n"}, 1},
-		{"blank lines behind half an object and a whole one", []string{whole + `{"seq`, "\n", "\n"}, 1},
-		{"blank lines behind an object", []string{whole, "\n", "\n", whole + "\n", "\n"}, 5},
+		{"blank lines behind half an object and a whole one", []string{response + `{"seq`, "\n", "\n"}, 1},
+		{"blank lines behind an object", []string{response, "\n", "\n", response + "\n", "\n"}, 5},
 		{"the object goes on after blank lines", []string{`{"seq":1,`, "\n", `"hosts":[]}`, "\n"}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -277,7 +277,7 @@
 }
 
 func TestReadObjectWithinAnother(t *testing.T) {
-	want := object{Seq: 3, Whole: true, Hosts: exampleEntries(BatchSize + 1)}
+	want := object{Seq: 3, Complete: true, Hosts: exampleEntries(BatchSize + 1)}
 	text := append(append([]byte(`{"before":1,"known":`), encode(t, want)...), `,"after":2}`...)
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	for range 4 { // the bracket, before, 1, known
@@ -288,7 +288,7 @@
 	var got object
 	err := ReadObject(decoder, func(b Batch) error {
 		got.Hosts = append(got.Hosts, b.Entries...)
-		got.Seq, got.Whole = b.Seq, b.Complete
+		got.Seq, got.Complete = b.Seq, b.Complete
 		return nil
 	})
 	if err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/endpoints/store_test.go
+++ b/internal/endpoints/store_test.go
@@ -23,7 +23,7 @@
 	return s, table, seq, found
 }
 
-func TestStoreEmptyFolder(t *testing.T) {
+func TestStoreEmptyDirectory(t *testing.T) {
 	for _, dir := range []string{t.TempDir(), filepath.Join(t.TempDir(), "new")} {
 		s, table, seq, found, err := Open(dir, testBudget)
 		if err != nil || table.Len() != 0 || seq != 0 || found.Files != 0 || found.Damage != nil {
@@ -94,7 +94,7 @@
 const maxChangeBytes = 80
 
 // A change of one host is one short write, the same for a short list and for a long one.
-func TestStoreChangeWritesFewBytes(t *testing.T) {
+func TestStoreChangeWriteSize(t *testing.T) {
 	written := map[int]int64{}
 	for _, entries := range []int{300, 300_000} {
 		fsys := newModelFS()
@@ -189,7 +189,7 @@
 }
 
 // Each bit of each file is turned once: what is read is a state that goes with the sequence, or the sequence is 0.
-func TestStoreTurnedBits(t *testing.T) {
+func TestStoreBitFlips(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 3, 12)
 	for range 6 {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -94,7 +94,7 @@
 	j := openJournal(t, dir, 3)
 	j.Accept(&Entry{ID: "a", Body: []byte("1")})
 	commit(t, j)
-	whole := j.segmentSize
+	completeSize := j.segmentSize
 	j.Accept(&Entry{ID: "b", Body: []byte("2")})
 	commit(t, j)
 	path := segmentOf(t, dir)
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := whole; end <= len(raw); end++ {
+	for end := completeSize; end <= len(raw); end++ {
 		damaged := [][]byte{raw[:end]}
 		if end < len(raw) {
 			noise := bytes.Clone(raw)
@@ -276,7 +276,7 @@
 }
 
 // A folder of a newer program or of another relay is refused, and nothing in it is touched.
-func TestRefusedFolders(t *testing.T) {
+func TestRejectedDirectories(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := Open(dir, Options{DiskMB: 3, Relay: "n1"})
 	if err != nil {
@@ -339,11 +339,11 @@
 	const mb = 1
 	dir := t.TempDir()
 	j := openJournal(t, dir, mb)
-	refused := 0
+	rejected := 0
 	for i := range 100 {
 		e := &Entry{ID: fmt.Sprint("m", i), Body: make([]byte, maxBody)}
 		if !j.Reserve(e) {
-			refused++
+			rejected++
 			j.Complete(j.Entries()[0])
 			commit(t, j)
 			continue
@@ -362,7 +362,7 @@
 			t.Fatalf("file of %v bytes (%v), %d counted", st, err, j.segmentSize)
 		}
 	}
-	if refused == 0 {
+	if rejected == 0 {
 		t.Error("nothing was refused")
 	}
 }
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -32,11 +32,11 @@
 }
 
 // exhaust tries all ways to choose, in the order of an odometer; a choice among many is one among nine spread over them.
-func exhaust(try func(pick func(int) int) error) (ways int, err error) {
+func exhaust(attempt func(pick func(int) int) error) (ways int, err error) {
 	var chosen, among []int
 	for {
 		at := 0
-		err := try(func(n int) int {
+		err := attempt(func(n int) int {
 			few := min(n, 9)
 			if at == len(chosen) {
 				chosen, among = append(chosen, 0), append(among, few)
--- a/internal/journal/prefix_test.go
+++ b/internal/journal/prefix_test.go
@@ -20,25 +20,25 @@
 	}
 	j.StartAttempt(j.Get("before"), "h1", SystemClocks.Now())
 	commit(t, j)
-	whole := readAll(t, path)
+	complete := readAll(t, path)
 	_ = j.Close()
-	for n := len(committed); n <= len(whole); n++ {
+	for n := len(committed); n <= len(complete); n++ {
 		cut := t.TempDir()
-		writeFile(t, filepath.Join(cut, filepath.Base(path)), whole[:n])
+		writeFile(t, filepath.Join(cut, filepath.Base(path)), complete[:n])
 		after, r, err := Open(cut, Options{DiskMB: 3})
 		if err != nil {
-			t.Fatalf("%d of %d bytes: %v", n, len(whole), err)
+			t.Fatalf("%d of %d bytes: %v", n, len(complete), err)
 		}
 		before, one, two := after.Get("before"), after.Get("one"), after.Get("two")
 		if before == nil || two != nil && one == nil || len(r.Damage) > 0 {
-			t.Fatalf("%d of %d bytes: %v, %v, %v, damage %v", n, len(whole), before, one, two, r.Damage)
+			t.Fatalf("%d of %d bytes: %v, %v, %v, damage %v", n, len(complete), before, one, two, r.Damage)
 		}
-		if n == len(whole) && (two == nil || len(before.Attempts) != 1) {
+		if n == len(complete) && (two == nil || len(before.Attempts) != 1) {
 			t.Fatalf("all of it: %v, attempts %v", two, before.Attempts)
 		}
 		after.Accept(&Entry{ID: "next"})
 		if err := after.Commit(); err != nil {
-			t.Fatalf("%d of %d bytes: %v", n, len(whole), err)
+			t.Fatalf("%d of %d bytes: %v", n, len(complete), err)
 		}
 		_ = after.Close()
 	}
--- a/internal/journal/refused_test.go
+++ b/internal/journal/revoked_test.go
@@ -8,9 +8,9 @@
 // A message whose Commit failed was refused, and a process that reads the folder after a kill must not find it: not after a
 // short write, nor after a sync that failed, be it of a record or of a new segment and its folder.
 func TestRefusedMessagesDoNotComeBack(t *testing.T) {
-	const mostCalls = 6 // of a Commit that begins a segment: create, write, sync, rename, sync of the folder, remove
+	const maxCalls = 6 // of a Commit that begins a segment: create, write, sync, rename, sync of the folder, remove
 	for _, compaction := range []bool{false, true} {
-		for call := 1; call <= mostCalls; call++ {
+		for call := 1; call <= maxCalls; call++ {
 			m := newModel()
 			j, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: true, Files: m, Boot: "one"})
 			if err != nil {
--- a/internal/journal/stored_describe_test.go
+++ b/internal/journal/stored_describe_test.go
@@ -52,9 +52,9 @@
 
 // describeMessage tells one message.
 func describeMessage(out *strings.Builder, entry *Entry, base instant.Time) {
-	taken, expires := spanFrom(base, entry.AcceptedAt), spanFrom(base, entry.ExpiresAt)
+	accepted, expires := spanFrom(base, entry.AcceptedAt), spanFrom(base, entry.ExpiresAt)
 	fmt.Fprintf(out, "message %s: class %s, destination %d, key %s, taken %s, expires %s, body %q\n",
-		entry.ID, entry.Class, entry.Dest, entry.Key, taken, expires, entry.Body)
+		entry.ID, entry.Class, entry.Dest, entry.Key, accepted, expires, entry.Body)
 	for _, attempt := range entry.Attempts {
 		fmt.Fprintf(out, "  attempt at %s, begun %s", attempt.Host, spanFrom(base, attempt.StartedAt))
 		for _, mark := range []struct {
@@ -109,8 +109,8 @@
 	return names
 }
 
-// copyFolder copies the files of a folder into another.
-func copyFolder(t *testing.T, from, to string) {
+// copyDir copies the files of a folder into another.
+func copyDir(t *testing.T, from, to string) {
 	t.Helper()
 	for _, name := range fileNames(t, from) {
 		putFile(t, filepath.Join(to, name), fileBytes(t, filepath.Join(from, name)))
--- a/internal/journal/stored_format1_test.go
+++ b/internal/journal/stored_format1_test.go
@@ -49,7 +49,7 @@
 // A journal of format 1 gives all that it tells, carried over by the wall clock.
 func TestReadsStoredFormat1(t *testing.T) {
 	dir := t.TempDir()
-	copyFolder(t, filepath.Join(storedDir, storedFormat1), dir)
+	copyDir(t, filepath.Join(storedDir, storedFormat1), dir)
 	const later = 20 * time.Second
 	m := &machine{now: instant.Boot.Add(3 * time.Second), wall: storedWall + clock.Wall(later), boot: "another"}
 	journal, report := openStored(t, dir, m, false)
--- a/internal/journal/stored_test.go
+++ b/internal/journal/stored_test.go
@@ -116,7 +116,7 @@
 	t.Helper()
 	writeStoredSnapshot(t, dir, true)
 	newer := t.TempDir()
-	copyFolder(t, dir, newer)
+	copyDir(t, dir, newer)
 	journal, _ := openStored(t, newer, storedMachine(20*time.Second), true)
 	if err := journal.Close(); err != nil {
 		t.Fatal(err)
@@ -148,7 +148,7 @@
 				if err := os.MkdirAll(stored, 0o755); err != nil {
 					t.Fatal(err)
 				}
-				copyFolder(t, written, stored)
+				copyDir(t, written, stored)
 			}
 			want, got := fileNames(t, stored), fileNames(t, written)
 			if !slices.Equal(got, want) {
@@ -199,7 +199,7 @@
 	} {
 		t.Run(folder.name, func(t *testing.T) {
 			dir := t.TempDir()
-			copyFolder(t, filepath.Join(storedDir, folder.name), dir)
+			copyDir(t, filepath.Join(storedDir, folder.name), dir)
 			journal, report := openStored(t, dir, storedMachine(30*time.Second), false)
 			sameText(t, describe(journal, report, storedStart), folder.want)
 		})
@@ -225,7 +225,7 @@
 	m := &machine{now: instant.Boot.Add(3 * time.Second), wall: storedWall + clock.Wall(later), boot: "another"}
 	base := m.now.Add(-later)
 	dir := t.TempDir()
-	copyFolder(t, filepath.Join(storedDir, storedSeveral), dir)
+	copyDir(t, filepath.Join(storedDir, storedSeveral), dir)
 	journal, report := openStored(t, dir, m, true)
 	sameText(t, describe(journal, report, base),
 		"format 2, relay relay-3, power true, records 9, last 28, torn 0, whole false, rebooted true, by wall true\n"+
@@ -234,7 +234,7 @@
 		t.Errorf("files %q are left", left)
 	}
 	dir = t.TempDir()
-	copyFolder(t, filepath.Join(storedDir, storedSnapshot), dir)
+	copyDir(t, filepath.Join(storedDir, storedSnapshot), dir)
 	journal, _ = openStored(t, dir, m, false)
 	doubts := 0
 	for _, entry := range journal.Entries() {
--- a/internal/journal/timescale_test.go
+++ b/internal/journal/timescale_test.go
@@ -140,7 +140,7 @@
 }
 
 // A folder of a program that kept no clocks is read by the wall clock.
-func TestFolderWithoutClocks(t *testing.T) {
+func TestDirectoryWithoutClocks(t *testing.T) {
 	m, dir := &machine{now: instant.Boot.Add(time.Hour), wall: 1.7e18, boot: "one"}, t.TempDir()
 	j := m.open(t, dir)
 	e := &Entry{ID: "m", ExpiresAt: m.now.Add(10 * time.Second)}
