--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Messages for destinations that are out leave a part of the holding room to those for others.
+// Messages for destinations that are out leave a part of the queue capacity to those for others.
 func TestCapacityBesideAnOutage(t *testing.T) {
 	s := plain()
 	s.QueueCapacity = 8
@@ -23,7 +23,7 @@
 		all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: fmt.Sprint(i), Destination: i % 3, TimeLeft: time.Hour}})...)
 	}
 	all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: "other", Destination: 3, TimeLeft: time.Hour}})...)
-	expect(t, "the last quarter is for the other", all, "refuse 6 refuse 7 refuse 8 other>d")
+	expect(t, "the last quarter is for the other", all, "reject 6 reject 7 reject 8 other>d")
 }
 
 func TestDelayBound(t *testing.T) {
@@ -118,12 +118,12 @@
 		q.admission.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
 		d.admit(m)
 		if m.done != tt.rejected {
-			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.waiting, m.done)
+			t.Errorf("class %d, overload %v, %d held: rejected %v", tt.class, tt.overload, tt.waiting, m.done)
 		}
 	}
 }
 
-// TestOverloaded guards against one queue that fills the holding room.
+// TestOverloaded guards against one queue that fills the queue capacity.
 func TestOverloaded(t *testing.T) {
 	s := plain()
 	s.QueueCapacity = 20
@@ -131,17 +131,17 @@
 	rejected := 0
 	for i := range 20 {
 		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), TimeLeft: 10 * time.Second}})
-		if strings.HasPrefix(summary(got), "refuse") {
+		if strings.HasPrefix(summary(got), "reject") {
 			rejected++
 		}
 	}
 	if rejected != 5 {
-		t.Errorf("%d of 20 refused, want those past three quarters of the room", rejected)
+		t.Errorf("%d of 20 rejected, want those past three quarters of the capacity", rejected)
 	}
 	expect(t, "another destination", d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}}), "n>b")
 }
 
-// TestImpatientClients guards against taking little time left for age: under overload all were refused.
+// TestImpatientClients guards against taking little time left for age: under overload all were rejected.
 func TestImpatientClients(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
--- a/policy/canary_test.go
+++ b/policy/canary_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// canaryFleet is a fleet of relays in virtual time whose destination has two older endpoints and new ones. Notes
-// are carried to all others, but those that lose drops.
+// canaryFleet is a fleet of relays in virtual time whose destination has two older endpoints and new ones.
+// Notes are carried to all others, but those that lose drops.
 type canaryFleet struct {
 	*testing.T
 	relays    []*Dispatcher
@@ -184,7 +184,8 @@
 	}
 }
 
-// A version that fails is suspended by nearly all relays with few of the calls; one that is as good comes to its share.
+// A version that fails is suspended by nearly all relays with few of the calls; one that is as good comes to
+// its share.
 func TestCanaries(t *testing.T) {
 	const allClasses = -1
 	allFail := func(string, int) Outcome { return Failed }
@@ -247,9 +248,9 @@
 	}
 }
 
-// A hold ends by itself, and what follows begins small again; a copy of a note counts once; a relay whose own
-// calls fail everywhere speaks against nobody; notes that are cut off or name what is not there change
-// nothing.
+// A hold ends by itself, and what follows begins small again; a copy of a gossip message counts once; a relay
+// whose own calls fail everywhere speaks against nobody; gossip messages that are cut off or name what is not
+// there change nothing.
 func TestCanaryEvidence(t *testing.T) {
 	p := newCanaryFleet(t, 1)
 	p.run(3*time.Second, 5)
@@ -261,22 +262,22 @@
 		p.handle(0, GossipReceived{Message: bad})
 	}
 	if ep.canary.suspendedUntil > 0 || ep.canary.outcomes != 1 {
-		t.Errorf("ten copies of a note count %d times", ep.canary.outcomes)
+		t.Errorf("ten copies of a gossip message count %d times", ep.canary.outcomes)
 	}
 	for _, message := range [][]byte{bad[:1], bad[:2], {}, canaryMessage{"none", 0, true, 1}.encode(), canaryMessage{"new", 99, true, 1}.encode(), canaryMessage{"old-a", 0, true, 1}.encode()} {
 		p.handle(0, GossipReceived{Message: message})
 	}
 	if ep.canary.outcomes != 1 {
-		t.Errorf("%d outcomes after notes that say nothing", ep.canary.outcomes)
+		t.Errorf("%d outcomes after gossip messages that say nothing", ep.canary.outcomes)
 	}
 	for no := range uint64(3) {
 		p.handle(0, GossipReceived{Message: canaryMessage{"new", 0, true, no}.encode()})
 	}
 	if suspended := ep.canary.suspendedUntil.Sub(moment(p.now)); suspended != initialSuspension || ep.canary.stage != 0 {
-		t.Errorf("held for %v", suspended)
+		t.Errorf("suspended for %v", suspended)
 	}
 	if share := p.canaryShare(time.Duration(ep.canary.suspendedUntil.Add(-50*ms)), 5); share > 0 {
-		t.Errorf("%.3f of the calls while it is held back", share)
+		t.Errorf("%.3f of the calls while it is suspended", share)
 	}
 	if share := p.canaryShare(p.now+time.Second, 5); share > 0.25 || d.canaryWithheld(ep) && ep.canary.credit >= 1 {
 		t.Errorf("%.3f of the calls at once after a hold", share)
@@ -300,6 +301,6 @@
 		}
 	}
 	if broadcasts > 0 {
-		t.Errorf("a relay whose calls all fail speaks %d times against a newcomer", broadcasts)
+		t.Errorf("a relay whose calls all fail speaks %d times against a canary", broadcasts)
 	}
 }
--- a/policy/circuit_test.go
+++ b/policy/circuit_test.go
@@ -10,7 +10,7 @@
 	"milletsail/internal/instant"
 )
 
-// A wait that comes with a delivery binds as one that comes with a refusal.
+// A wait that comes with a delivery binds as one that comes with a rejection.
 func TestRetryAfterWithDelivery(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
@@ -52,14 +52,14 @@
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	expect(t, "one call", d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}), "m>a n>a")
 	if d.slots.inUse != 1 {
-		t.Errorf("%d calls out, want one bundle", d.slots.inUse)
+		t.Errorf("%d calls out, want one batch", d.slots.inUse)
 	}
 	got := d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, arrive("o", 0)})
 	expect(t, "in the wait", got, "")
 }
 
-// TestOpenCircuitEndsInSlowStart guards against relays that wait as told while a destination is shut, and come back all at
-// once as to a warm one; and against an answer to a call from before that ends the outage.
+// TestOpenCircuitEndsInSlowStart guards against relays that wait as told while a destination is down, and
+// come back all at once as to a warm one; and against an answer to a call from before that ends the outage.
 func TestOpenCircuitEndsInSlowStart(t *testing.T) {
 	s := plain()
 	s.Weights, s.Slots = WeightsNominal, 8
@@ -75,7 +75,7 @@
 	d.Handle(moment(3600*ms), []Event{AttemptEnded{ID: "o", Endpoint: "a", Outcome: Rejected, RetryAfter: 6 * time.Second}})
 	d.Handle(moment(3700*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 	if !ep.outlier.ejected {
-		t.Error("a destination that told a wait of 6 s is not taken for shut")
+		t.Error("a destination that sent a Retry-After of 6 s is not taken for down")
 	}
 	sent := 0
 	for at := 9300 * ms; at < 11600*ms; at += 100 * ms {
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestRelaysDoNotProbeInStep guards against relays that are refused together and come back together.
+// TestRelaysDoNotProbeInStep guards against relays that are rejected together and come back together.
 func TestRelaysDoNotProbeInStep(t *testing.T) {
 	s := plain()
 	s.FleetSize, s.Weights = 400, WeightsNominal
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestProbesOfALargeFleet guards against hundreds of relays whose further knocks push over a destination that
-// comes back cold: the even share of 4 calls a second is 0.01 for one of 400, and 2 for one of 2.
+// TestProbesOfALargeFleet guards against hundreds of relays whose further probes push over a destination that
+// comes back in slow start: the even share of 4 calls a second is 0.01 for one of 400, and 2 for one of 2.
 func TestProbesOfALargeFleet(t *testing.T) {
 	for _, tt := range []struct {
 		relays          int
@@ -135,11 +135,11 @@
 			}
 			d.recordRejection(d.queues[0], limitMessage{})
 			if d.recordRejection(d.queues[0], limitMessage{}); tt.relays > 2 && !d.endpoints["a"].outlier.ejected {
-				t.Errorf("%d relays, outcome %d: not sick after more", tt.relays, tt.outcome)
+				t.Errorf("%d relays, outcome %d: not ejected after more", tt.relays, tt.outcome)
 			}
 		}
 		if ejected < tt.lowest || ejected > tt.highest {
-			t.Errorf("%d relays, outcome %d, wait %v: %d of 40 sick", tt.relays, tt.outcome, tt.wait, ejected)
+			t.Errorf("%d relays, outcome %d, wait %v: %d of 40 ejected", tt.relays, tt.outcome, tt.wait, ejected)
 		}
 	}
 }
--- a/policy/connection_limit_test.go
+++ b/policy/connection_limit_test.go
@@ -15,7 +15,7 @@
 	d.Handle(moment(20*ms), []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
 	ep := d.endpoints["a"]
 	if ep.outlier.ejected || ep.outlier.consecutiveFailures > 0 || ep.connections.limit != 1 {
-		t.Errorf("sick %v, failures %v, cap %v", ep.outlier.ejected, ep.outlier.consecutiveFailures, ep.connections.limit)
+		t.Errorf("ejected %v, failures %v, cap %v", ep.outlier.ejected, ep.outlier.consecutiveFailures, ep.connections.limit)
 	}
 	for range 20 {
 		d.recordSuccess(ep, true)
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestIdleConnectionsAreClosedWhenFull guards against many relays whose idle connections fill an endpoint, and against
-// connections closed where nothing speaks for that.
+// TestIdleConnectionsAreClosedWhenFull guards against many relays whose idle connections fill an endpoint,
+// and against connections closed where nothing speaks for that.
 func TestIdleConnectionsAreClosedWhenFull(t *testing.T) {
 	rejected := []Event{GossipReceived{Message: encodeEndpointMessage(connectErrorType, "a")}}
 	for _, tt := range []struct {
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestConnectErrorIsBroadcast guards against a relay that alone knows of an endpoint without room, and
-// against a note for each of its connections.
+// TestConnectErrorIsBroadcast guards against a relay that alone knows of an endpoint without capacity, and
+// against a gossip message for each of its connections.
 func TestConnectErrorIsBroadcast(t *testing.T) {
 	d := fleet(t, connectErrorReporters, 400)[0]
 	broadcasts := 0
@@ -78,11 +78,12 @@
 		}
 	}
 	if broadcasts != 1 {
-		t.Errorf("%d notes within a second", broadcasts)
+		t.Errorf("%d gossip messages within a second", broadcasts)
 	}
 }
 
-// TestConnectErrorReporters guards against a note from each relay of a fleet that meets the same outage.
+// TestConnectErrorReporters guards against a gossip message from each relay of a fleet that meets the same
+// outage.
 func TestConnectErrorReporters(t *testing.T) {
 	broadcasts := 0
 	for _, d := range fleet(t, 300, 3000) {
--- a/policy/expiry_test.go
+++ b/policy/expiry_test.go
@@ -30,6 +30,6 @@
 		t.Errorf("timer after %v", at)
 	}
 	expect(t, "before its end", d.Handle(moment(at-ms), []Event{TimerFired{}}), "")
-	expect(t, "at its end", d.Handle(moment(at), []Event{TimerFired{}}), "refuse m")
+	expect(t, "at its end", d.Handle(moment(at), []Event{TimerFired{}}), "reject m")
 	expect(t, "late outcome", d.Handle(moment(at+ms), []Event{AttemptEnded{ID: "m", Outcome: OK}}), "")
 }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -33,19 +33,19 @@
 	return all
 }
 
-// TestFleetDecreasesRatesAtOnce guards against a fleet of which each relay has to meet a refusal itself, and
-// against one that comes back in step once the wait is over.
+// TestFleetDecreasesRatesAtOnce guards against a fleet of which each relay has to meet a rejection itself,
+// and against one that comes back in step once the wait is over.
 func TestFleetDecreasesRatesAtOnce(t *testing.T) {
 	all := fleet(t, 80, 40)
 	at := 2 * time.Second
 	messages := broadcasts(all[0], at, "m")
 	if len(messages) != 1 {
-		t.Fatalf("%d notes of a refusal", len(messages))
+		t.Fatalf("%d gossip messages of a rejection", len(messages))
 	}
 	for _, d := range all[1:] {
 		d.Handle(moment(at+10*ms), []Event{GossipReceived{Message: messages[0]}, arrive("m", 0)})
 		if q := d.queues[0]; q.limiter.rate >= d.evenShare(q)*1.3 || len(q.calls) > 0 {
-			t.Fatalf("pace %v and %d calls out after a note", q.limiter.rate, len(q.calls))
+			t.Fatalf("send rate %v and %d calls out after a gossip message", q.limiter.rate, len(q.calls))
 		}
 	}
 	back := 0
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestRatesRiseWhileGossipArrives guards against a large fleet that no refusal reaches any more and whose paces
-// all climb as if there were none.
+// TestRatesRiseWhileGossipArrives guards against a large fleet that no rejection reaches any more and whose
+// send rates all climb as if there were none.
 func TestRatesRiseWhileGossipArrives(t *testing.T) {
 	for _, tt := range []struct {
 		relays   int
@@ -87,12 +87,12 @@
 			d.sendTokens(q)
 		}
 		if above := q.limiter.rate > d.evenShare(q); above != tt.above || q.limiter.rate < 0.9*d.evenShare(q) {
-			t.Errorf("%d relays, notes %v: pace %v, even share %v", tt.relays, tt.received, q.limiter.rate, d.evenShare(q))
+			t.Errorf("%d relays, gossip messages %v: send rate %v, even share %v", tt.relays, tt.received, q.limiter.rate, d.evenShare(q))
 		}
 	}
 }
 
-// TestGossipIsNotRepeated guards against a note from each relay that is refused.
+// TestGossipIsNotRepeated guards against a gossip message from each relay that is rejected.
 func TestGossipIsNotRepeated(t *testing.T) {
 	all := fleet(t, 2, 400)
 	at := 2 * time.Second
@@ -101,21 +101,21 @@
 	all[1].Handle(moment(at+ms), []Event{GossipReceived{Message: messages[0]}})
 	for _, a := range all[1].Handle(moment(at+20*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 990 * ms}}) {
 		if _, ok := a.(Broadcast); ok {
-			t.Error("a relay told again what it had heard")
+			t.Error("a relay told again what it had received")
 		}
 	}
 	if again := broadcasts(all[1], at+3*time.Second, "o"); len(again) != 1 {
-		t.Errorf("%d notes of a later refusal", len(again))
+		t.Errorf("%d gossip messages of a later rejection", len(again))
 	}
 	silent := fleet(t, 2, 400)[0]
 	silent.settings.Gossip = false
 	if messages := broadcasts(silent, at, "m"); len(messages) != 0 {
-		t.Error("a note where none is allowed")
+		t.Error("a gossip message where none is allowed")
 	}
 }
 
-// TestGossipDoesNotEject guards against notes that decide alone: garbled ones, of places that nobody
-// listed, and a flood of them.
+// TestGossipDoesNotEject guards against gossip messages that decide alone: garbled ones, of places that
+// nobody listed, and a flood of them.
 func TestGossipDoesNotEject(t *testing.T) {
 	d := fleet(t, 80, 40)[0]
 	q := d.queues[0]
@@ -129,17 +129,17 @@
 		d.Handle(moment(time.Second+time.Duration(i)*ms), []Event{GossipReceived{Message: limitMessage{retryAfter: time.Hour}.encode()}})
 	}
 	if q.limiter.rate < 0.8*d.evenShare(q) || q.circuit.backoffUntil > moment(4*time.Second) || q.circuit.retryAfterUntil != 0 || d.endpoints["a"].outlier.ejected {
-		t.Errorf("pace %v of %v, hold until %v, wait until %v, sick %v after a second of notes", q.limiter.rate, d.evenShare(q),
+		t.Errorf("send rate %v of %v, hold until %v, wait until %v, ejected %v after a second of gossip messages", q.limiter.rate, d.evenShare(q),
 			q.circuit.backoffUntil, q.circuit.retryAfterUntil, d.endpoints["a"].outlier.ejected)
 	}
 	d.Handle(moment(10*time.Second), []Event{arrive("m", 0)})
 	if len(q.calls) != 1 {
-		t.Error("nothing is sent once the notes have aged")
+		t.Error("nothing is sent once the gossip messages have aged")
 	}
 }
 
-// TestBackoffEndsWithASuccess guards against a fleet that sits out a told wait although the destination goes on
-// taking calls, and against one that takes an answer to an earlier call for that.
+// TestBackoffEndsWithASuccess guards against a fleet that sits out a Retry-After although the destination
+// goes on taking calls, and against one that takes an answer to an earlier call for that.
 func TestBackoffEndsWithASuccess(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -160,7 +160,7 @@
 			}
 		}
 		if len(broadcasts) > 0 != tt.ends || all[1].queues[0].circuit.backoffUntil > moment(2200*ms) == tt.ends {
-			t.Fatalf("%s: %d notes, pause until %v", tt.name, len(broadcasts), all[1].queues[0].circuit.backoffUntil)
+			t.Fatalf("%s: %d gossip messages, pause until %v", tt.name, len(broadcasts), all[1].queues[0].circuit.backoffUntil)
 		}
 		if !tt.ends {
 			continue
@@ -172,13 +172,13 @@
 			t.Errorf("the others pause until %v", q.circuit.backoffUntil)
 		}
 		if q := all[0].queues[0]; q.circuit.retryAfterUntil < moment(3*time.Second) {
-			t.Errorf("a told wait ends at %v", q.circuit.retryAfterUntil)
+			t.Errorf("a Retry-After ends at %v", q.circuit.retryAfterUntil)
 		}
 	}
 }
 
 // TestRecoveryIsBroadcast guards against relays that each wait for a success of their own while an endpoint
-// is back, and against all of them knocking at once when they hear of one.
+// is back, and against all of them probing at once when they hear of one.
 func TestRecoveryIsBroadcast(t *testing.T) {
 	all := fleet(t, 80, 40)
 	for _, d := range all {
@@ -193,7 +193,7 @@
 		}
 	}
 	if len(messages) != 1 {
-		t.Fatalf("%d notes of a return", len(messages))
+		t.Fatalf("%d gossip messages of a return", len(messages))
 	}
 	sent := 0
 	for _, d := range all[1:] {
@@ -201,7 +201,7 @@
 		d.Handle(moment(back+10*ms), []Event{GossipReceived{Message: messages[0]}, GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, "unlisted")}, arrive("n", 0)})
 		ep := d.endpoints["a"]
 		if ep.outlier.ejected || !ep.slowStart.active || ep.slowStart.recoveredAt != moment(back+10*ms) || len(d.endpoints) != 1 {
-			t.Fatalf("sick %v, ramping %v, back since %v, %d endpoints", ep.outlier.ejected, ep.slowStart.active, ep.slowStart.recoveredAt, len(d.endpoints))
+			t.Fatalf("ejected %v, in slow start %v, back since %v, %d endpoints", ep.outlier.ejected, ep.slowStart.active, ep.slowStart.recoveredAt, len(d.endpoints))
 		}
 		d.Handle(moment(back+d.settings.OverloadWindow), []Event{TimerFired{}})
 		sent += len(d.queues[0].calls)
@@ -210,6 +210,6 @@
 	share := s.SlowStartInitialShare + (1-s.SlowStartInitialShare)*float64(s.OverloadWindow/2)/float64(s.SlowStartWindow)
 	highest := int(s.OverloadFactor * share * 40 * s.OverloadWindow.Seconds()) // that the rule allows
 	if sent == 0 || sent > highest {
-		t.Errorf("%d relays sent to a cold endpoint within the rule's span, want some and %d at most", sent, highest)
+		t.Errorf("%d relays sent to an endpoint in slow start within the rule's span, want some and %d at most", sent, highest)
 	}
 }
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -51,9 +51,9 @@
 	expect(t, "and still", d.Handle(moment(2*time.Second), nil), "")
 	expect(t, "after it", d.Handle(moment(2200*ms), nil), "m>a")
 	if !d.endpoints["b"].outlier.ejected || d.endpoints["b"].queue.latency.mean != 0.7 {
-		t.Errorf("b: sick %v, mean %v", d.endpoints["b"].outlier.ejected, d.endpoints["b"].queue.latency.mean)
+		t.Errorf("b: ejected %v, mean %v", d.endpoints["b"].outlier.ejected, d.endpoints["b"].queue.latency.mean)
 	}
 	if got, want := d.endpoints["a"].queue.limiter.rate, old.endpoints["a"].queue.limiter.rate; got != want {
-		t.Errorf("pace %v, want %v", got, want)
+		t.Errorf("send rate %v, want %v", got, want)
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -56,7 +56,7 @@
 		case Send:
 			out = append(out, a.ID+">"+a.Endpoint)
 		case Reject:
-			out = append(out, "refuse "+a.ID)
+			out = append(out, "reject "+a.ID)
 		case Fail:
 			out = append(out, "fail "+a.ID)
 		case Cancel:
--- a/policy/locality_test.go
+++ b/policy/locality_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Over any zones, all of each zone's messages go somewhere, no zone gets more than it has capacity for beyond its own, what has
-// capacity stays at home, as much is served as can be, and the order of the zones does not matter.
+// Over any zones, all of each zone's messages go somewhere, no zone gets more than it has capacity for beyond
+// its own, what has capacity stays at home, as much is served as can be, and the order of the zones does not
+// matter.
 func TestSpilloverShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rates := rapid.SliceOfN(rapid.Float64Range(0, 100), 2, 6)
@@ -93,7 +94,7 @@
 	}
 }
 
-// What other relays of the zone send counts: where the zones together have less room here, a part goes
+// What other relays of the zone send counts: where the zones together have less capacity here, a part goes
 // elsewhere.
 func TestSpilloverByPeerRates(t *testing.T) {
 	z := newZonedRelay(t, 3, 1, func(s *Settings) { s.Weights, s.FleetSize = WeightsNominal, 1 })
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -21,7 +21,7 @@
 			d.Handle(moment(time.Duration(i+1)*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
 		}
 		if got := d.endpoints["a"].outlier.ejected; got != tt.ejected {
-			t.Errorf("%d of outcome %d: sick %v", tt.n, tt.outcome, got)
+			t.Errorf("%d of outcome %d: ejected %v", tt.n, tt.outcome, got)
 		}
 	}
 }
@@ -33,11 +33,11 @@
 	d.eject(a)
 	d.eject(b)
 	if d.acceptsCall(b) {
-		t.Error("a trial at once")
+		t.Error("a probe at once")
 	}
 	d.recordSuccess(a, true)
 	if !d.acceptsCall(b) {
-		t.Error("no trial after the sibling's return")
+		t.Error("no probe after the sibling's return")
 	}
 }
 
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -28,8 +28,8 @@
 	return n
 }
 
-// A destination counts as shut where several relays have met nothing but refusals, though this one has met
-// none; not where too few have, not before it would count as shut to one of them, and not against an own
+// A destination counts as down where several relays have met nothing but rejections, though this one has met
+// none; not where too few have, not before it would count as down to one of them, and not against an own
 // success since.
 func TestEjectedByPeerReports(t *testing.T) {
 	for _, c := range []struct {
@@ -69,7 +69,7 @@
 }
 
 // What the fleet finds bad is tried by one relay at a time: the first in rank, the others where that one does
-// not, and by their own budgets alone once the word is past its bound.
+// not, and by their own budgets alone once the report is past its bound.
 func TestOneRelayProbes(t *testing.T) {
 	probed := func(rank int, until time.Duration) time.Duration {
 		d := largeFleetRelay(t, 300, 60, "a")
@@ -88,17 +88,17 @@
 	for _, rank := range []int{0, 1, 7, 100} {
 		at, want := probed(rank, 10*time.Second), time.Duration((1+math.Log2(1+float64(rank)))*float64(probeInterval))-100*ms
 		if at < want || at > want+200*ms || at <= last {
-			t.Errorf("rank %d tries after %v, want about %v", rank, at, want)
+			t.Errorf("rank %d probes after %v, want about %v", rank, at, want)
 		}
 		last = at
 	}
 	if at := probed(100, 50*ms); moment(at) != never && at < time.Second {
-		t.Errorf("past its bound, the word still has rank 100 try after %v", at)
+		t.Errorf("past its bound, the report still has rank 100 try after %v", at)
 	}
 }
 
-// A relay that tried in vain does not try again before the next turn, whether it has heard of its own try or
-// not.
+// A relay that tried in vain does not try again before the next turn, whether it has learned of its own try
+// or not.
 func TestProbeTurnsAreApart(t *testing.T) {
 	d := largeFleetRelay(t, 300, 60, "a")
 	d.Handle(moment(10*time.Second), []Event{PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: time.Second, ValidFor: 10 * time.Second}})
@@ -119,10 +119,10 @@
 	}
 	for i := 1; i < len(at); i++ {
 		if at[i]-at[i-1] < probeInterval {
-			t.Errorf("tried at %v and again at %v", at[i-1], at[i])
+			t.Errorf("probed at %v and again at %v", at[i-1], at[i])
 		}
 	}
 	if len(at) < 8 {
-		t.Errorf("tried %d times in 5 s", len(at))
+		t.Errorf("probed %d times in 5 s", len(at))
 	}
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -31,7 +31,8 @@
 	active        bool // among Dispatcher.active
 	index         int  // in Dispatcher.queues
 
-	// dispatch reads the circuit of every active queue, so it stands near the waiting messages (in one cache line).
+	// dispatch reads the circuit of every active queue, so it stands near the waiting messages (in one cache
+	// line).
 	circuit            circuitBreaker
 	limiter            sendRateLimiter
 	admission          admissionController
--- a/policy/queueing_delay_test.go
+++ b/policy/queueing_delay_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Held messages that travel together take the time of their calls, not a call's time each.
+// Waiting messages that travel together take the time of their calls, not a call's time each.
 func TestBacklogCountsCalls(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	d.Handle(moment(ms), []Event{arrive("first", 0)})
@@ -23,8 +23,8 @@
 	for i := range 100 {
 		events = append(events, arrive(fmt.Sprint("n", i), 0))
 	}
-	if got := summary(d.Handle(moment(2300*ms), events)); !strings.Contains(got, "refuse") {
-		t.Error("twenty calls ahead: nothing refused")
+	if got := summary(d.Handle(moment(2300*ms), events)); !strings.Contains(got, "reject") {
+		t.Error("twenty calls ahead: nothing rejected")
 	}
 }
 
--- a/policy/rate_sharing_test.go
+++ b/policy/rate_sharing_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A relay that has just started begins with the fleet's pace, one that has learned its own does not; and no
-// pace is taken that is beyond what a relay comes to by itself.
+// A relay that has just started begins with the fleet's send rate, one that has learned its own does not; and
+// no send rate is taken that is beyond what a relay comes to by itself.
 func TestStartsWithTheFleetsRate(t *testing.T) {
 	for _, c := range []struct{ reported, want float64 }{{0.4, 0.4}, {0.01, minRateShare}, {50, probingRateShare}} {
 		d := largeFleetRelay(t, 10, 100, "a")
@@ -21,12 +21,12 @@
 	d.Handle(moment(2*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 	d.Handle(moment(3*ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: 0.4, ArrivalRate: 1, ValidFor: time.Minute}})
 	if got := d.queues[0].limiter.rate; got < 9.9 {
-		t.Errorf("a relay at work comes to %v a second by the word of others", got)
+		t.Errorf("a relay at work comes to %v a second by the reports of others", got)
 	}
 }
 
-// Over a fleet with uneven traffic, the parts of a cold destination's budget add up to no more than even ones
-// do, and a relay without the others' word takes an even one.
+// Over a fleet with uneven traffic, the parts of the budget of a destination in slow start add up to no more
+// than even ones do, and a relay without the others' reports takes an even one.
 func TestTrafficSharesAddUp(t *testing.T) {
 	sum, traffic := 0.0, []float64{0.2, 0.2, 0.5, 1, 1, 1.5, 2, 3, 3, 6}
 	mean := 0.0
@@ -48,7 +48,7 @@
 	}
 }
 
-// A pace is shared for one destination after the other, as seldom as relays tell of themselves.
+// A send rate is shared for one destination after the other, as seldom as relays tell of themselves.
 func TestPublishRate(t *testing.T) {
 	d := largeFleetRelay(t, 60, 60, "a")
 	n := 0
--- a/policy/resource_backoff_test.go
+++ b/policy/resource_backoff_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// A call to a cold endpoint that could not be begun gives its part of the budget back.
+// A call to an endpoint in slow start that could not be begun gives its part of the budget back.
 func TestCallsNotStartedCostNoBudget(t *testing.T) {
 	s := plain()
 	s.SlowStartWindow, s.SlowStartInitialShare, s.OverloadFactor, s.OverloadWindow, s.Weights = 10*time.Second, 0.2, 2.5, 1500*ms, WeightsNominal
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -30,12 +30,12 @@
 		{"never tried", resumed("m", unsafe), "m>a"},
 		{"safe, may have run", resumed("m", safe, ran(time.Second)), "m>a"},
 		{"keyed within its memory", resumed("m", keyed, ran(3*time.Second)), "m>a"},
-		{"keyed past its memory", resumed("m", keyed, ran(4*time.Second)), "refuse m"},
-		{"keyed, counted from the first that may have run", resumed("m", keyed, ran(4*time.Second), ran(ms)), "refuse m"},
+		{"keyed past its memory", resumed("m", keyed, ran(4*time.Second)), "reject m"},
+		{"keyed, counted from the first that may have run", resumed("m", keyed, ran(4*time.Second), ran(ms)), "reject m"},
 		{"unsafe, may have run", resumed("m", unsafe, ran(time.Second)), "fail m"},
 		{"unsafe, never ran", resumed("m", unsafe, notExecuted, notExecuted), "m>a"},
 		{"all attempts made", resumed("m", safe, spent...), ""},
-		{"its time is up", Arrived{ID: "m", Resumed: true, TimeLeft: -time.Second}, "refuse m"},
+		{"its time is up", Arrived{ID: "m", Resumed: true, TimeLeft: -time.Second}, "reject m"},
 	}
 	for _, tt := range tests {
 		d := start(t, plain(), Endpoint{ID: "a"})
@@ -47,11 +47,11 @@
 func TestResumedIsNotRejectedForBacklog(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.destination(0).queues[0].latency.mean, d.destination(0).queues[0].circuit.retryAfterUntil = 1, moment(60*time.Second)
-	expect(t, "a fresh one", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "refuse n")
+	expect(t, "a fresh one", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "reject n")
 	expect(t, "a resumed one", d.Handle(moment(time.Second), []Event{resumed("m", 0)}), "")
 }
 
-// A restart in an outage, or in the ramp after one, goes on as the process before it would have.
+// A restart in an outage, or in slow start after one, goes on as the process before it would have.
 func TestStateRestored(t *testing.T) {
 	s := plain()
 	s.Weights, s.Slots = WeightsNominal, 16
@@ -73,10 +73,10 @@
 		t.Errorf("in an outage: %d calls at once, %d when healthy", out, healthy)
 	}
 	if slowStart := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Second)}); slowStart >= healthy {
-		t.Errorf("in a ramp: %d calls at once, %d when healthy", slowStart, healthy)
+		t.Errorf("in slow start: %d calls at once, %d when healthy", slowStart, healthy)
 	}
 	if warm := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Minute)}); warm != healthy {
-		t.Errorf("after a ramp: %d calls at once, want %d", warm, healthy)
+		t.Errorf("after slow start: %d calls at once, want %d", warm, healthy)
 	}
 	if unknown := sends(StateRestored{Endpoint: "z", Ejected: true}); unknown != healthy {
 		t.Errorf("an endpoint that left: %d calls at once, want %d", unknown, healthy)
@@ -117,7 +117,7 @@
 	d := start(t, plain(), Endpoint{ID: "a"})
 	expect(t, "sent", d.Handle(moment(time.Second), []Event{arrive("m", 2)}), "m>a")
 	expect(t, "ended", d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotSent, AttemptsExhausted: true}}),
-		"refuse m")
+		"reject m")
 }
 
 func TestQueueCapacity(t *testing.T) {
@@ -128,7 +128,7 @@
 	for i, id := range []string{"l", "m", "n"} {
 		events = append(events, Arrived{ID: id, Destination: i, TimeLeft: 10 * time.Second})
 	}
-	expect(t, "a third where two may be held", d.Handle(moment(time.Second), events), "refuse l m>b")
+	expect(t, "a third where two may be held", d.Handle(moment(time.Second), events), "reject l m>b")
 }
 
 // While attempts leave no record, only what a later process may send again goes out; the rest waits, and goes
@@ -150,9 +150,9 @@
 	}
 }
 
-// What a restart finds untried is tried: before what arrives afresh, and a told wait, be it that of a
-// destination that is shut and comes back cold, delays it without ending it while time is left, though
-// nothing is known yet of latencies.
+// What a restart finds untried is tried: before what arrives afresh, and a Retry-After, be it that of a
+// destination that is down and comes back in slow start, delays it without ending it while time is left,
+// though nothing is known yet of latencies.
 func TestOtherEndpointFirst(t *testing.T) {
 	for _, wait := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		s := plain()
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -30,7 +30,7 @@
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m", 1)})
 	got := d.Handle(moment(3995*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}})
-	expect(t, "memory gone", got, "refuse m")
+	expect(t, "memory gone", got, "reject m")
 }
 
 // A call that brings a message again has to be written while the receiver knows it: its connection may take
@@ -71,5 +71,5 @@
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.queues[0].latency.record(0, 0.5)
 	expect(t, "0.6 s left, 0.5 s needed", d.Handle(moment(9400*ms), []Event{TimerFired{}}), "")
-	expect(t, "0.4 s left, 0.5 s needed", d.Handle(moment(9600*ms), []Event{TimerFired{}}), "refuse m")
+	expect(t, "0.4 s left, 0.5 s needed", d.Handle(moment(9600*ms), []Event{TimerFired{}}), "reject m")
 }
--- a/policy/rule_checker_test.go
+++ b/policy/rule_checker_test.go
@@ -227,8 +227,9 @@
 	return nil
 }
 
-// outage holds the sends to endpoints that only fail to this relay's part of what a cold destination can
-// take, with room for one call an endpoint, one that a sibling's return brings forward and two of chance.
+// outage holds the sends to endpoints that only fail to this relay's part of what a destination in slow start
+// can take, with capacity for one call an endpoint, one that a sibling's return brings forward and two of
+// chance.
 func (c *checker) outage(p *observedEndpoint) error {
 	const sure = 5 // failures in a row that no chance explains
 	if c.consecutiveFailures[p.ID] < sure {
--- a/policy/sendrate_test.go
+++ b/policy/sendrate_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// TestSendRate guards against a pace that is cut by refusals and never comes back, one that rises although
-// the destination reports that its allowance is used up, and one that a limit far below the listed rate does
-// not reach.
+// TestSendRate guards against a send rate that is cut by rejections and never comes back, one that rises
+// although the destination reports that its allowance is used up, and one that a limit far below the listed
+// rate does not reach.
 func TestSendRate(t *testing.T) {
 	s := plain()
 	s.Weights, s.FleetSize = WeightsNominal, 4
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
 	q := d.queues[0]
 	if q.limiter.rate != 2 {
-		t.Fatalf("pace %v, want 8 / 4", q.limiter.rate)
+		t.Fatalf("send rate %v, want 8 / 4", q.limiter.rate)
 	}
 	reject := func(at time.Duration) {
 		d.now = moment(at)
@@ -24,7 +24,7 @@
 	reject(time.Second)
 	cut := q.limiter.rate
 	if reject(1100 * ms); !(cut < 2) || q.limiter.rate != cut {
-		t.Errorf("pace %v after a refusal, %v after another of the same moment", cut, q.limiter.rate)
+		t.Errorf("send rate %v after a rejection, %v after another of the same moment", cut, q.limiter.rate)
 	}
 	q.waiting = []*message{{}}
 	d.now = moment(4 * time.Second)
@@ -32,24 +32,24 @@
 	slow := d.now
 	d.sendTokens(q)
 	if d.now = d.now.Add(500 * ms); d.now.Sub(q.limiter.decreasedAt) > 1500*ms || q.limiter.decreasedAt >= slow {
-		t.Errorf("calm since %v, without room at %v", q.limiter.decreasedAt, slow)
+		t.Errorf("calm since %v, without capacity at %v", q.limiter.decreasedAt, slow)
 	}
 	for range 40 {
 		d.now = d.now.Add(500 * ms)
 		d.sendTokens(q)
 	}
 	if q.limiter.rate < 2 {
-		t.Errorf("pace %v after 20 s in calm, want the even share back", q.limiter.rate)
+		t.Errorf("send rate %v after 20 s in calm, want the even share back", q.limiter.rate)
 	}
 	for i := range 30 {
 		reject(time.Duration(d.now.Add(time.Duration(1+i%2) * time.Second)))
 	}
 	if q.limiter.rate > 0.5 {
-		t.Errorf("pace %v after refusals for 45 s: a quarter of the listed rate is not reached", q.limiter.rate)
+		t.Errorf("send rate %v after rejections for 45 s: a quarter of the listed rate is not reached", q.limiter.rate)
 	}
 }
 
-// TestEvenShares guards against paces that add up to more than the listed rate.
+// TestEvenShares guards against send rates that add up to more than the listed rate.
 func TestEvenShares(t *testing.T) {
 	for _, tt := range []struct {
 		relays int
@@ -59,7 +59,7 @@
 		s.FleetSize, s.Weights = tt.relays, WeightsNominal
 		d := start(t, s, Endpoint{ID: "a", Weight: 4})
 		if got := d.queues[0].limiter.rate; got != tt.want {
-			t.Errorf("%d relays: pace %v, want %v", tt.relays, got, tt.want)
+			t.Errorf("%d relays: send rate %v, want %v", tt.relays, got, tt.want)
 		}
 	}
 }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -50,12 +50,12 @@
 		d := start(t, s, Endpoint{ID: "a", Weight: weight})
 		d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrive("m", 0)})
 		if q := d.queues[0]; q.limiter.rate != 5 || len(q.calls) != 1 {
-			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.limiter.rate, len(q.calls))
+			t.Errorf("after weight %v: send rate %v, %d calls out", weight, q.limiter.rate, len(q.calls))
 		}
 	}
 	d := start(t, s, Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: math.MaxInt64}})
-	expect(t, "an endless wait is kept", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "refuse n")
-	expect(t, "no time left", d.Handle(moment(time.Second), []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "refuse o")
+	expect(t, "an endless wait is kept", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "reject n")
+	expect(t, "no time left", d.Handle(moment(time.Second), []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "reject o")
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestSlowStart plays each kind of outage: trials stay within the rule's budget, and a success starts a ramp.
+// TestSlowStart plays each kind of outage: probes stay within the rule's budget, and a success starts slow
+// start.
 func TestSlowStart(t *testing.T) {
 	s := plain()
 	s.Weights = WeightsNominal
@@ -32,7 +33,7 @@
 				}
 			}
 		}
-		// In 4 s a cold destination may take 2 × 0.2 × 5 × 4 = 8 calls.
+		// In 4 s a destination in slow start may take 2 × 0.2 × 5 × 4 = 8 calls.
 		if sends > 8 || sends == 0 {
 			t.Errorf("outcome %d: %d calls in 4 s of an outage", outcome, sends)
 		}
@@ -55,7 +56,7 @@
 	}
 	d.now = moment(12 * time.Second)
 	if d.slowStartTokens(ep); ep.slowStart.active {
-		t.Error("still ramping after the ramp time")
+		t.Error("still in slow start after slow start time")
 	}
 }
 
--- a/policy/stalled_calls_test.go
+++ b/policy/stalled_calls_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// TestLostAnswerOfNotIdempotentFreesItsSlot guards against answers lost at unsafe calls, which filled all slots.
+// TestLostAnswerOfNotIdempotentFreesItsSlot guards against answers lost at unsafe calls, which filled all
+// slots.
 func TestLostAnswerOfNotIdempotentFreesItsSlot(t *testing.T) {
 	s := plain()
 	s.Slots = 1
--- a/policy/state_store_test.go
+++ b/policy/state_store_test.go
@@ -183,7 +183,7 @@
 			for now := time.Minute; now < min(tt.until, 2*long); now += time.Minute {
 				d.Handle(moment(now), nil)
 				if needed == nil || d.destinations[7] != needed || d.endpoints["e7"] == nil {
-					t.Fatalf("at %v its state is gone", now)
+					t.Fatalf("at %v its state is removed", now)
 				}
 			}
 			if tt.until == forever {
@@ -310,7 +310,8 @@
 	}
 }
 
-// The counters and the pace of a queue that is loaded late are those of one that was there from the start.
+// The counters and the send rate of a queue that is loaded late are those of one that was there from the
+// start.
 func TestLoadedLateCountsFromTheStart(t *testing.T) {
 	eager := start(t, onDemandSettings(), many(1)...)
 	lazy, _ := startOnDemand(t, onDemandSettings(), many(1)...)
@@ -319,7 +320,7 @@
 	}
 	want, got := eager.destinations[0].queues[0], lazy.destinations[0].queues[0]
 	if got.admission.arrivals != want.admission.arrivals || got.limiter.rate != want.limiter.rate || got.limiter.bucket != want.limiter.bucket || got.limiter.decreasedAt != want.limiter.decreasedAt {
-		t.Errorf("arrivals %+v, pace %v, bucket %+v, cut at %v, want %+v, %v, %+v, %v", got.admission.arrivals, got.limiter.rate, got.limiter.bucket, got.limiter.decreasedAt,
+		t.Errorf("arrivals %+v, send rate %v, bucket %+v, cut at %v, want %+v, %v, %+v, %v", got.admission.arrivals, got.limiter.rate, got.limiter.bucket, got.limiter.decreasedAt,
 			want.admission.arrivals, want.limiter.rate, want.limiter.bucket, want.limiter.decreasedAt)
 	}
 	if rate := got.admission.arrivals.rate(moment(time.Minute)); rate > 0.11 {
--- a/policy/timer_test.go
+++ b/policy/timer_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A message waits for a destination that several relays found to refuse, and that has lost its last endpoint.
+// A message waits for a destination that several relays found to reject, and that has lost its last endpoint.
 func TestPeerReportOnADestinationWithoutEndpoints(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Destination: 7})
 	const now = 10 * time.Second
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -86,7 +86,7 @@
 func (z *zonedRelay) state(no int) ZoneState { return z.d.zones.get(no).state }
 
 // A zone that fails as a whole is left at once, with endpoints that have not failed yet, and returned to
-// after it is back: one evacuation and one return, and the ramp's time to full use.
+// after it is back: one evacuation and one return, and slow start's time to full use.
 func TestZoneEvacuation(t *testing.T) {
 	z := newZonedRelay(t, 4, 8, func(s *Settings) { s.Zone = 3 })
 	down := false
@@ -121,7 +121,7 @@
 	}
 }
 
-// A zone that comes and goes every few seconds is left once and not returned to; what it costs is trials.
+// A zone that comes and goes every few seconds is left once and not returned to; what it costs is probes.
 func TestFlapping(t *testing.T) {
 	z := newZonedRelay(t, 4, 8, func(s *Settings) { s.SlowStartWindow = 8 * time.Second })
 	z.fails = func(_ string, _, zone int) Outcome {
@@ -146,8 +146,8 @@
 }
 
 // What is not a zone's failure is not taken for one: a bad destination, bad endpoints here and there, trouble
-// everywhere, refusals, slow calls, and the relay itself cut off from all zones but its own, when it accuses
-// nobody.
+// everywhere, rejections, slow calls, and the relay itself cut off from all zones but its own, when it
+// accuses nobody.
 func TestNoFalseEvacuation(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -211,7 +211,7 @@
 }
 
 // An order has a zone left until its end, whatever its health, but for destinations that are nowhere else; it
-// returns on the ramp; and orders that make no sense are refused.
+// returns on slow start; and orders that make no sense are rejected.
 func TestZoneOrder(t *testing.T) {
 	z := newZonedRelay(t, 3, 4, nil)
 	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "9-0", Destination: 9}}}})
@@ -262,7 +262,7 @@
 	}
 	z.run(16 * time.Second)
 	if z.state(0) != Serving || z.sent["0"] == before {
-		t.Errorf("after the ramp: %v", z.zoneChanges)
+		t.Errorf("after slow start: %v", z.zoneChanges)
 	}
 }
 
