--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -20,9 +20,11 @@
 	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "d", Destination: 3}}}})
 	var all []Action
 	for i := range 9 {
-		all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: fmt.Sprint(i), Destination: i % 3, TimeLeft: time.Hour}})...)
+		all = append(all, d.Handle(moment(ms),
+			[]Event{Arrived{ID: fmt.Sprint(i), Destination: i % 3, TimeLeft: time.Hour}})...)
 	}
-	all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: "other", Destination: 3, TimeLeft: time.Hour}})...)
+	all = append(all, d.Handle(moment(ms),
+		[]Event{Arrived{ID: "other", Destination: 3, TimeLeft: time.Hour}})...)
 	expect(t, "the last quarter is for the other", all, "reject 6 reject 7 reject 8 other>d")
 }
 
@@ -78,7 +80,8 @@
 func TestFreshDispatcherUsesTheBasicRuleAlone(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	expect(t, "first message", d.Handle(0, []Event{arrive("m", 0)}), "m>a")
-	if λ, r := d.queues[0].admission.arrivals.rate(0), d.queues[0].admission.misses.rate(0); λ <= 0 || r != 0 {
+	if λ, r := d.queues[0].admission.arrivals.rate(0), d.queues[0].admission.misses.rate(0); λ <= 0 ||
+		r != 0 {
 		t.Errorf("λ = %v, r = %v", λ, r)
 	}
 }
@@ -88,9 +91,13 @@
 func TestLateRuleUnderOverload(t *testing.T) {
 	s := plain()
 	s.Classes = []Class{
-		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},                           // four fifths left at 1.8 s
-		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 1, LateValueShare: 0.5}, // and at 8.8 s
-		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 4, LateValueShare: 0.5},
+		// four fifths left at 1.8 s
+		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},
+		// and at 8.8 s
+		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 1,
+			LateValueShare: 0.5},
+		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 4,
+			LateValueShare: 0.5},
 	}
 	tests := []struct {
 		class    int
@@ -107,7 +114,8 @@
 		q := d.queues[0]
 		q.latency.mean = 0.5
 		for range tt.waiting {
-			q.waiting = append(q.waiting, &message{class: &s.Classes[1], expiresAt: moment(time.Hour), queue: q})
+			q.waiting = append(q.waiting,
+				&message{class: &s.Classes[1], expiresAt: moment(time.Hour), queue: q})
 		}
 		if tt.overload {
 			q.admission.arrivals.add(0, 100)
@@ -138,7 +146,8 @@
 	if rejected != 5 {
 		t.Errorf("%d of 20 rejected, want those past three quarters of the capacity", rejected)
 	}
-	expect(t, "another destination", d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}}), "n>b")
+	expect(t, "another destination",
+		d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}}), "n>b")
 }
 
 // TestImpatientClients guards against taking little time left for age: under overload all were rejected.
@@ -148,5 +157,6 @@
 	q.latency.mean = 0.5
 	q.admission.arrivals.add(0, 100)
 	q.admission.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
-	expect(t, "2 s of 10 left, nothing held", d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
+	expect(t, "2 s of 10 left, nothing held",
+		d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -22,9 +22,11 @@
 	for i := 0; b.Loop(); i++ {
 		id := fmt.Sprint("m", i)
 		now += 10 * ms
-		for _, a := range d.Handle(moment(now), []Event{Arrived{ID: id, Destination: i % 500, TimeLeft: 10 * time.Second}}) {
+		for _, a := range d.Handle(moment(now),
+			[]Event{Arrived{ID: id, Destination: i % 500, TimeLeft: 10 * time.Second}}) {
 			if a, ok := a.(Send); ok {
-				d.Handle(moment(now+5*ms), []Event{AttemptEnded{ID: id, Endpoint: a.Endpoint, Outcome: OK, Completed: true}})
+				d.Handle(moment(now+5*ms),
+					[]Event{AttemptEnded{ID: id, Endpoint: a.Endpoint, Outcome: OK, Completed: true}})
 			}
 		}
 	}
--- a/policy/canary_test.go
+++ b/policy/canary_test.go
@@ -25,8 +25,10 @@
 
 func newCanaryFleet(t *testing.T, relays int) *canaryFleet {
 	t.Helper()
-	p := &canaryFleet{T: t, sent: map[string]int{}, suspended: map[string]int{}, rng: rand.New(rand.NewPCG(2, 2)), now: time.Second,
-		fails: func(string, int) Outcome { return OK }, took: func(string) time.Duration { return 30 * ms }, lose: func() bool { return false }}
+	p := &canaryFleet{T: t, sent: map[string]int{}, suspended: map[string]int{},
+		rng: rand.New(rand.NewPCG(2, 2)), now: time.Second,
+		fails: func(string, int) Outcome { return OK }, took: func(string) time.Duration { return 30 * ms },
+		lose: func() bool { return false }}
 	for no := range relays {
 		s := plain()
 		s.CanaryAnalysis, s.Gossip, s.FleetSize, s.Slots, s.QueueCapacity = true, true, relays, 20, 1000
@@ -34,7 +36,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "old-a"}, {ID: "old-b"}}}})
+		d.Handle(0, []Event{EndpointsUpdated{Complete: true,
+			Endpoints: []Endpoint{{ID: "old-a"}, {ID: "old-b"}}}})
 		p.relays, p.out = append(p.relays, d), append(p.out, nil)
 	}
 	return p
@@ -54,12 +57,14 @@
 			p.sent[a.Endpoint]++
 			m := p.relays[no].messages.byID[a.ID]
 			took := p.took(a.Endpoint)
-			p.out[no] = append(p.out[no], due{p.now + took, AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(m.attempts) - 1,
-				Outcome: p.fails(a.Endpoint, m.Class), Latency: took}})
+			p.out[no] = append(p.out[no],
+				due{p.now + took, AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(m.attempts) - 1,
+					Outcome: p.fails(a.Endpoint, m.Class), Latency: took}})
 		case Broadcast:
 			for other := range p.relays {
 				if other != no && !p.lose() {
-					p.out[other] = append(p.out[other], due{p.now + 5*ms, AttemptEnded{ID: "", Endpoint: string(a.Message)}})
+					p.out[other] = append(p.out[other],
+						due{p.now + 5*ms, AttemptEnded{ID: "", Endpoint: string(a.Message)}})
 				}
 			}
 		case CanaryStageChanged:
@@ -194,7 +199,8 @@
 		{name: "good, half of the notes lost", served: 1, lose: 0.5, through: 20},
 		{name: "good beside errors of all", fails: allFail, served: 1, through: 1},
 		{name: "bad", fails: newFails(Failed, allClasses), suspended: true, served: 0.03},
-		{name: "bad, half of the notes lost", fails: newFails(Reset, allClasses), lose: 0.5, suspended: true, served: 0.04},
+		{name: "bad, half of the notes lost", fails: newFails(Reset, allClasses), lose: 0.5, suspended: true,
+			served: 0.04},
 		{name: "bad for one class", fails: newFails(Failed, 1), suspended: true, served: 0.15},
 		{name: "slow", slow: true, suspended: true, served: 0.03},
 	} {
@@ -206,10 +212,12 @@
 func TestCanariesWithoutBaseline(t *testing.T) {
 	for name, change := range map[string]func(*canaryFleet) []Endpoint{
 		"all are new": func(p *canaryFleet) []Endpoint {
-			return []Endpoint{{ID: "old-a", Removed: true}, {ID: "old-b", Removed: true}, {ID: "new", StartedAt: moment(p.now)}}
+			return []Endpoint{{ID: "old-a", Removed: true}, {ID: "old-b", Removed: true},
+				{ID: "new", StartedAt: moment(p.now)}}
 		},
 		"the older ones drain": func(p *canaryFleet) []Endpoint {
-			return []Endpoint{{ID: "old-a", Draining: true}, {ID: "old-b", Draining: true}, {ID: "new", StartedAt: moment(p.now)}}
+			return []Endpoint{{ID: "old-a", Draining: true}, {ID: "old-b", Draining: true},
+				{ID: "new", StartedAt: moment(p.now)}}
 		},
 		"the older ones are out": func(p *canaryFleet) []Endpoint {
 			for _, d := range p.relays {
@@ -217,7 +225,9 @@
 					d.eject(ep)
 				}
 			}
-			p.fails = func(ep string, _ int) Outcome { return map[bool]Outcome{true: ConnectError}[ep != "new"] }
+			p.fails = func(ep string, _ int) Outcome {
+				return map[bool]Outcome{true: ConnectError}[ep != "new"]
+			}
 			return []Endpoint{{ID: "new", StartedAt: moment(p.now)}}
 		},
 		"long ago": func(p *canaryFleet) []Endpoint {
@@ -264,7 +274,8 @@
 	if ep.canary.suspendedUntil > 0 || ep.canary.outcomes != 1 {
 		t.Errorf("ten copies of a gossip message count %d times", ep.canary.outcomes)
 	}
-	for _, message := range [][]byte{bad[:1], bad[:2], {}, canaryMessage{"none", 0, true, 1}.encode(), canaryMessage{"new", 99, true, 1}.encode(), canaryMessage{"old-a", 0, true, 1}.encode()} {
+	for _, message := range [][]byte{bad[:1], bad[:2], {}, canaryMessage{"none", 0, true, 1}.encode(),
+		canaryMessage{"new", 99, true, 1}.encode(), canaryMessage{"old-a", 0, true, 1}.encode()} {
 		p.handle(0, GossipReceived{Message: message})
 	}
 	if ep.canary.outcomes != 1 {
@@ -273,13 +284,15 @@
 	for no := range uint64(3) {
 		p.handle(0, GossipReceived{Message: canaryMessage{"new", 0, true, no}.encode()})
 	}
-	if suspended := ep.canary.suspendedUntil.Sub(moment(p.now)); suspended != initialSuspension || ep.canary.stage != 0 {
+	if suspended := ep.canary.suspendedUntil.Sub(moment(p.now)); suspended != initialSuspension ||
+		ep.canary.stage != 0 {
 		t.Errorf("suspended for %v", suspended)
 	}
 	if share := p.canaryShare(time.Duration(ep.canary.suspendedUntil.Add(-50*ms)), 5); share > 0 {
 		t.Errorf("%.3f of the calls while it is suspended", share)
 	}
-	if share := p.canaryShare(p.now+time.Second, 5); share > 0.25 || d.canaryWithheld(ep) && ep.canary.credit >= 1 {
+	if share := p.canaryShare(p.now+time.Second, 5); share > 0.25 || d.canaryWithheld(ep) &&
+		ep.canary.credit >= 1 {
 		t.Errorf("%.3f of the calls at once after a hold", share)
 	}
 
@@ -291,7 +304,8 @@
 	for range 50 {
 		lone.now += 50 * ms
 		d := lone.relays[0]
-		d.analyzeOutcome(d.endpoints["new"], &message{Arrived: Arrived{Class: 0}}, AttemptEnded{Outcome: Failed}, false)
+		d.analyzeOutcome(d.endpoints["new"], &message{Arrived: Arrived{Class: 0}},
+			AttemptEnded{Outcome: Failed}, false)
 		for _, a := range d.actions {
 			if broadcast, ok := a.(Broadcast); ok {
 				if _, trial := decodeCanaryMessage(broadcast.Message); trial {
--- a/policy/circuit_test.go
+++ b/policy/circuit_test.go
@@ -14,7 +14,8 @@
 func TestRetryAfterWithDelivery(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
-	d.Handle(moment(100*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true, RetryAfter: time.Second}})
+	d.Handle(moment(100*ms),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true, RetryAfter: time.Second}})
 	expect(t, "while it waits", d.Handle(moment(200*ms), []Event{arrive("n", 0)}), "")
 	expect(t, "after it", d.Handle(moment(1100*ms), []Event{TimerFired{}}), "n>a")
 }
@@ -26,7 +27,8 @@
 	}{{0, ""}, {2, "n>b"}} { // a shared limit binds the destination, a route only itself
 		d := start(t, plain(), Endpoint{ID: "a", Kind: tt.kind}, Endpoint{ID: "b", Kind: tt.kind})
 		d.Handle(0, []Event{arrive("m", 0)})
-		d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, Withdrawn{ID: "m"}})
+		d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected,
+			RetryAfter: time.Second}, Withdrawn{ID: "m"}})
 		expect(t, fmt.Sprint("kind ", tt.kind), d.Handle(moment(500*ms), []Event{arrive("n", 0)}), tt.want)
 	}
 }
@@ -38,7 +40,8 @@
 	other := Arrived{ID: "m3", Destination: 1, TimeLeft: 10 * time.Second}
 	expect(t, "sent", d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0), other}), "m1>a m3>c m2>b")
 	var canceled []string
-	for _, a := range d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}}) {
+	for _, a := range d.Handle(moment(time.Second),
+		[]Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}}) {
 		if a, ok := a.(CancelUnwritten); ok {
 			canceled = append(canceled, a.Endpoint)
 		}
@@ -54,7 +57,9 @@
 	if d.slots.inUse != 1 {
 		t.Errorf("%d calls out, want one batch", d.slots.inUse)
 	}
-	got := d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, arrive("o", 0)})
+	got := d.Handle(moment(ms),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second},
+			arrive("o", 0)})
 	expect(t, "in the wait", got, "")
 }
 
@@ -66,13 +71,15 @@
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
 	ep := d.endpoints["a"]
 	d.Handle(moment(500*ms), []Event{arrive("n", 0)})
-	d.Handle(moment(600*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 2 * time.Second}})
+	d.Handle(moment(600*ms),
+		[]Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 2 * time.Second}})
 	if ep.outlier.ejected {
 		t.Error("a wait as long as a span of counting is taken for an outage")
 	}
 	d.Handle(moment(3400*ms), []Event{arrive("m", 0)})
 	d.Handle(moment(3500*ms), []Event{arrive("o", 0)})
-	d.Handle(moment(3600*ms), []Event{AttemptEnded{ID: "o", Endpoint: "a", Outcome: Rejected, RetryAfter: 6 * time.Second}})
+	d.Handle(moment(3600*ms),
+		[]Event{AttemptEnded{ID: "o", Endpoint: "a", Outcome: Rejected, RetryAfter: 6 * time.Second}})
 	d.Handle(moment(3700*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 	if !ep.outlier.ejected {
 		t.Error("a destination that sent a Retry-After of 6 s is not taken for down")
@@ -101,7 +108,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
+		d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}},
+			arrive("m", 0)})
 		d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected}})
 		seen[d.queues[0].circuit.backoffUntil] = true
 	}
@@ -128,18 +136,22 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
-			d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, RetryAfter: tt.wait}})
+			d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}},
+				arrive("m", 0)})
+			d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome,
+				RetryAfter: tt.wait}})
 			if d.endpoints["a"].outlier.ejected {
 				ejected++
 			}
 			d.recordRejection(d.queues[0], limitMessage{})
-			if d.recordRejection(d.queues[0], limitMessage{}); tt.relays > 2 && !d.endpoints["a"].outlier.ejected {
+			if d.recordRejection(d.queues[0], limitMessage{}); tt.relays > 2 &&
+				!d.endpoints["a"].outlier.ejected {
 				t.Errorf("%d relays, outcome %d: not ejected after more", tt.relays, tt.outcome)
 			}
 		}
 		if ejected < tt.lowest || ejected > tt.highest {
-			t.Errorf("%d relays, outcome %d, wait %v: %d of 40 ejected", tt.relays, tt.outcome, tt.wait, ejected)
+			t.Errorf("%d relays, outcome %d, wait %v: %d of 40 ejected", tt.relays, tt.outcome, tt.wait,
+				ejected)
 		}
 	}
 }
--- a/policy/connection_limit_test.go
+++ b/policy/connection_limit_test.go
@@ -11,11 +11,13 @@
 func TestConnectionLimit(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0)})
-	d.Handle(moment(10*ms), []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: OK, Completed: true}, arrive("m3", 0)})
+	d.Handle(moment(10*ms),
+		[]Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: OK, Completed: true}, arrive("m3", 0)})
 	d.Handle(moment(20*ms), []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
 	ep := d.endpoints["a"]
 	if ep.outlier.ejected || ep.outlier.consecutiveFailures > 0 || ep.connections.limit != 1 {
-		t.Errorf("ejected %v, failures %v, cap %v", ep.outlier.ejected, ep.outlier.consecutiveFailures, ep.connections.limit)
+		t.Errorf("ejected %v, failures %v, cap %v", ep.outlier.ejected, ep.outlier.consecutiveFailures,
+			ep.connections.limit)
 	}
 	for range 20 {
 		d.recordSuccess(ep, true)
@@ -30,8 +32,9 @@
 func TestIdleConnectionsAreClosedWhenFull(t *testing.T) {
 	rejected := []Event{GossipReceived{Message: encodeEndpointMessage(connectErrorType, "a")}}
 	for _, tt := range []struct {
-		name    string
-		at      time.Duration // of a note that another relay got no connection; the call lasts from 1 s to 2 s
+		name string
+		// of a note that another relay got no connection; the call lasts from 1 s to 2 s
+		at      time.Duration
 		connCap float64
 		last    time.Duration // end of a later call
 		closes  bool
@@ -49,11 +52,13 @@
 		if tt.at > time.Second {
 			d.Handle(moment(tt.at), rejected)
 		}
-		d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
+		d.Handle(moment(2*time.Second),
+			[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 		d.endpoints["a"].connections.limit = tt.connCap
 		d.Handle(moment(tt.last-500*ms), []Event{arrive("n", 0)})
 		closes := false
-		for _, a := range d.Handle(moment(tt.last), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true}}) {
+		for _, a := range d.Handle(moment(tt.last),
+			[]Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true}}) {
 			closes = closes || a == CloseIdleConnections{Endpoint: "a"}
 		}
 		if closes != tt.closes {
@@ -71,8 +76,10 @@
 		at, id := time.Duration(10+3*i)*100*ms, fmt.Sprint("m", i)
 		d.endpoints["a"].outlier.ejected, d.endpoints["a"].outlier.consecutiveFailures = false, 0
 		d.Handle(moment(at), []Event{arrive(id, 0)})
-		for _, a := range d.Handle(moment(at+10*ms), []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
-			if broadcast, ok := a.(Broadcast); ok && decodeEndpointMessage(connectErrorType, broadcast.Message) == "a" {
+		for _, a := range d.Handle(moment(at+10*ms),
+			[]Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
+			if broadcast, ok := a.(Broadcast); ok &&
+				decodeEndpointMessage(connectErrorType, broadcast.Message) == "a" {
 				broadcasts++
 			}
 		}
@@ -88,8 +95,10 @@
 	broadcasts := 0
 	for _, d := range fleet(t, 300, 3000) {
 		d.Handle(moment(time.Second), []Event{arrive("m", 0)})
-		for _, a := range d.Handle(moment(1010*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
-			if broadcast, ok := a.(Broadcast); ok && decodeEndpointMessage(connectErrorType, broadcast.Message) == "a" {
+		for _, a := range d.Handle(moment(1010*ms),
+			[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}}) {
+			if broadcast, ok := a.(Broadcast); ok &&
+				decodeEndpointMessage(connectErrorType, broadcast.Message) == "a" {
 				broadcasts++
 			}
 		}
--- a/policy/decisions_cases_test.go
+++ b/policy/decisions_cases_test.go
@@ -11,16 +11,22 @@
 func ordinaryScenario() scenario {
 	second := time.Second
 	return scenario{load: 2.5, faults: 1, settings: policy.Settings{
-		FleetSize: 3, Slots: 8, QueueCapacity: 80, MaxAttempts: 5, CanCancel: true, Weights: policy.WeightsNominal,
-		BatchInterval: 5 * time.Millisecond, MaxRetryAfter: 3 * second, SlowStartInitialShare: 0.2, SlowStartWindow: 9 * second,
-		OverloadFactor: 2.5, OverloadWindow: 2 * second, OrderedKeyDelay: 200 * time.Millisecond,
+		FleetSize: 3, Slots: 8, QueueCapacity: 80, MaxAttempts: 5, CanCancel: true,
+		Weights:       policy.WeightsNominal,
+		BatchInterval: 5 * time.Millisecond, MaxRetryAfter: 3 * second, SlowStartInitialShare: 0.2,
+		SlowStartWindow: 9 * second,
+		OverloadFactor:  2.5, OverloadWindow: 2 * second, OrderedKeyDelay: 200 * time.Millisecond,
 		Kinds: []policy.Kind{{MaxBatch: 1}, {MaxBatch: 5}, {MaxBatch: 2, SeparateRoutes: true}},
 		Classes: []policy.Class{
-			{LatencyObjective: second, Deadline: 4 * second, PriorityWeight: 3, LateValueShare: 0.5, Effect: policy.Idempotent},
-			{LatencyObjective: second, Deadline: 12 * second, PriorityWeight: 1, LateValueShare: 0.4, Effect: policy.IdempotentWithKey, KeysPerZone: true,
+			{LatencyObjective: second, Deadline: 4 * second, PriorityWeight: 3, LateValueShare: 0.5,
+				Effect: policy.Idempotent},
+			{LatencyObjective: second, Deadline: 12 * second, PriorityWeight: 1, LateValueShare: 0.4,
+				Effect: policy.IdempotentWithKey, KeysPerZone: true,
 				IdempotencyWindow: 4 * second},
-			{LatencyObjective: 2 * second, Deadline: 9 * second, PriorityWeight: 2, Effect: policy.NotIdempotent, Ordered: true},
-			{LatencyObjective: second, Deadline: 8 * second, PriorityWeight: 2, ExponentialDecay: true, Effect: policy.IdempotentWithKey, IdempotencyWindow: 3 * second},
+			{LatencyObjective: 2 * second, Deadline: 9 * second, PriorityWeight: 2,
+				Effect: policy.NotIdempotent, Ordered: true},
+			{LatencyObjective: second, Deadline: 8 * second, PriorityWeight: 2, ExponentialDecay: true,
+				Effect: policy.IdempotentWithKey, IdempotencyWindow: 3 * second},
 		}}}
 }
 
@@ -73,8 +79,9 @@
 		{name: "long outages", change: func(c *scenario) { c.faults = 0.3 }, shows: usual},
 		{name: "many faults", change: func(c *scenario) { c.faults = 5 }, shows: usual},
 		{name: "strict overload", change: strictOverload, shows: usual},
-		{name: "connection limits", change: func(c *scenario) { c.settings.IdleConnTimeout, c.faults = 3*time.Second, 3 },
-			shows: []string{"send", "close idle"}},
+		{name: "connection limits",
+			change: func(c *scenario) { c.settings.IdleConnTimeout, c.faults = 3*time.Second, 3 },
+			shows:  []string{"send", "close idle"}},
 		{name: "lack at the relay", change: func(c *scenario) { c.unsent = true },
 			shows: []string{"send", "withhold"}},
 		{name: "load reports", change: func(c *scenario) { c.reports = true }, shows: usual},
@@ -119,15 +126,18 @@
 		{name: "peers of 12", change: func(c *scenario) {
 			c.settings.Gossip, c.settings.FleetSize, c.faults = true, 12, 4
 		}, shows: usual},
-		{name: "peers of 60", change: func(c *scenario) { c.settings.Gossip, c.settings.FleetSize = true, 60 },
-			shows: usual},
-		{name: "peers of 300", change: func(c *scenario) { c.settings.Gossip, c.settings.FleetSize = true, 300 },
-			shows: usual},
+		{name: "peers of 60",
+			change: func(c *scenario) { c.settings.Gossip, c.settings.FleetSize = true, 60 },
+			shows:  usual},
+		{name: "peers of 300",
+			change: func(c *scenario) { c.settings.Gossip, c.settings.FleetSize = true, 300 },
+			shows:  usual},
 		{name: "shares", change: func(c *scenario) { sharing(c, 3) }, shows: shared},
 		{name: "shares of 60", change: func(c *scenario) { sharing(c, 60) }, shows: shared},
 		{name: "shares of 300", change: func(c *scenario) { sharing(c, 300) }, shows: shared},
-		{name: "accused alone", change: func(c *scenario) { c.suspicions, c.settings.PublishRates = true, true },
-			shows: []string{"share"}},
+		{name: "accused alone",
+			change: func(c *scenario) { c.suspicions, c.settings.PublishRates = true, true },
+			shows:  []string{"share"}},
 		{name: "paced alone", change: func(c *scenario) { c.peerRates, c.settings.PublishRates = true, true },
 			shows: []string{"share"}},
 	}
@@ -202,10 +212,12 @@
 		{name: "all together", change: func(c *scenario) {
 			sharing(c, 4)
 			c.settings.Zones, c.settings.CanaryAnalysis, c.settings.Subscribe = true, true, true
-			c.settings.HedgedRequests, c.settings.IdleConnTimeout, c.settings.MaxBatchBytes = true, 3*time.Second, 3000
+			c.settings.HedgedRequests, c.settings.IdleConnTimeout, c.settings.MaxBatchBytes = true,
+				3*time.Second, 3000
 			c.outages, c.orders, c.byZone, c.joining, c.reports = true, true, true, true, true
 			c.restarts, c.handovers, c.stops, c.unwritten, c.withdrawn = true, true, true, true, true
 		},
-			shows: []string{"proved", "share", "tell", "subscribe", "zone seen ordered", "zoned evacuated", "close idle"}},
+			shows: []string{"proved", "share", "tell", "subscribe", "zone seen ordered", "zoned evacuated",
+				"close idle"}},
 	}
 }
--- a/policy/decisions_record_test.go
+++ b/policy/decisions_record_test.go
@@ -236,7 +236,8 @@
 }
 
 func (r *decisionRecord) learned(queue policy.StateInherited) {
-	r.moments(queue.RetryAfterUntil, queue.BackoffUntil, queue.TokensAt, queue.FirstRejectionAt, queue.LastSuccessAt)
+	r.moments(queue.RetryAfterUntil, queue.BackoffUntil, queue.TokensAt, queue.FirstRejectionAt,
+		queue.LastSuccessAt)
 	r.integers(queue.Outcomes, queue.ConsecutiveRejections, len(queue.ClassLatency))
 	r.numbers(queue.MeanLatency, queue.Concurrency, queue.SendRate, queue.Tokens)
 	r.numbers(queue.ClassLatency...)
--- a/policy/decisions_scene_events_test.go
+++ b/policy/decisions_scene_events_test.go
@@ -70,8 +70,10 @@
 		for i := range message.attempts {
 			attempt := &message.attempts[i]
 			attempt.open = attempt.open && keepOut
-			arrived.PriorAttempts = append(arrived.PriorAttempts, policy.PriorAttempt{Endpoint: attempt.endpoint,
-				SentAt: instant.Time(attempt.sent), NotExecuted: attempt.notExecuted, InFlight: attempt.open, Call: attempt.call})
+			arrived.PriorAttempts = append(arrived.PriorAttempts,
+				policy.PriorAttempt{Endpoint: attempt.endpoint,
+					SentAt: instant.Time(attempt.sent), NotExecuted: attempt.notExecuted, InFlight: attempt.open,
+					Call: attempt.call})
 		}
 		message.hasOpen = message.hasOpen && keepOut
 		relay.inbox = append(relay.inbox, arrived)
@@ -170,12 +172,15 @@
 	}
 	if s.scenario.peerRates && len(s.shares) > 0 && s.chance(6) {
 		share := s.shares[s.random.Intn(len(s.shares))]
-		rates := policy.PeerRateReceived{Destination: share.Destination, LiveRelays: 1 + s.random.Intn(relay.settings.FleetSize),
-			Reporters: 1 + s.random.Intn(8), RateShare: share.RateShare * (0.6 + s.random.Float64()),
-			ArrivalRate: share.ArrivalRate * (0.5 + s.random.Float64()), ArrivalRateError: 0.1 * share.ArrivalRate, ValidFor: 5 * time.Second}
+		rates := policy.PeerRateReceived{Destination: share.Destination,
+			LiveRelays: 1 + s.random.Intn(relay.settings.FleetSize),
+			Reporters:  1 + s.random.Intn(8), RateShare: share.RateShare * (0.6 + s.random.Float64()),
+			ArrivalRate:      share.ArrivalRate * (0.5 + s.random.Float64()),
+			ArrivalRateError: 0.1 * share.ArrivalRate, ValidFor: 5 * time.Second}
 		if s.scenario.byZone {
 			for range simulatedZones {
-				rates.ArrivalRateByZone = append(rates.ArrivalRateByZone, share.ArrivalRate*2*s.random.Float64())
+				rates.ArrivalRateByZone = append(rates.ArrivalRateByZone,
+					share.ArrivalRate*2*s.random.Float64())
 			}
 		}
 		events = append(events, rates)
--- a/policy/decisions_scene_test.go
+++ b/policy/decisions_scene_test.go
@@ -145,7 +145,8 @@
 		}
 	}
 	for number := range simulatedRelays {
-		relay := &simulatedRelay{number: number, settings: plan.settings, messages: map[string]*notification{},
+		relay := &simulatedRelay{number: number, settings: plan.settings,
+			messages:   map[string]*notification{},
 			remembered: map[string]policy.PersistHealth{}}
 		relay.settings.Zone = number % simulatedZones
 		if plan.onDemand {
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -34,14 +34,20 @@
 		d := start(t, plain())
 		for i := range 200 {
 			now := time.Duration(i) * time.Second
-			d.Handle(moment(now), []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: fmt.Sprint("a", i), Kind: kind},
-				{ID: fmt.Sprint("b", i), Kind: kind}}}, arrive(fmt.Sprint("m", i), 0)})
+			d.Handle(moment(now),
+				[]Event{EndpointsUpdated{Complete: true,
+					Endpoints: []Endpoint{{ID: fmt.Sprint("a", i), Kind: kind},
+						{ID: fmt.Sprint("b", i), Kind: kind}}}, arrive(fmt.Sprint("m", i), 0)})
 			for id, m := range d.messages.byID {
-				d.Handle(moment(now+100*ms), []Event{AttemptEnded{ID: id, Endpoint: m.attempts[0].call.endpoint.ID, Outcome: OK, Completed: true}})
+				d.Handle(moment(now+100*ms),
+					[]Event{AttemptEnded{ID: id, Endpoint: m.attempts[0].call.endpoint.ID, Outcome: OK,
+						Completed: true}})
 			}
 		}
-		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.destinations) != 1 || len(d.active)+len(d.messages.byID)+len(d.messages.unfinished) != 0 {
-			t.Errorf("kind %d: %d endpoints, %d queues, %d active, %d messages", kind, len(d.endpoints), len(d.queues),
+		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.destinations) != 1 ||
+			len(d.active)+len(d.messages.byID)+len(d.messages.unfinished) != 0 {
+			t.Errorf("kind %d: %d endpoints, %d queues, %d active, %d messages", kind, len(d.endpoints),
+				len(d.queues),
 				len(d.active), len(d.messages.byID))
 		}
 	}
@@ -55,12 +61,16 @@
 		s.Weights = WeightsNominal
 		d := start(t, s, Endpoint{ID: "a", Kind: kind, Weight: 5})
 		expect(t, "sent", d.Handle(moment(time.Second), []Event{arrive("m", 0)}), "m>a")
-		expect(t, "held", d.Handle(moment(2*time.Second), []Event{EndpointsUpdated{Complete: true}, arrive("n", 0)}), "")
-		expect(t, "its outcome", d.Handle(0, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}}), "")
+		expect(t, "held", d.Handle(moment(2*time.Second),
+			[]Event{EndpointsUpdated{Complete: true}, arrive("n", 0)}), "")
+		expect(t, "its outcome",
+			d.Handle(0, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}}), "")
 		expect(t, "back", d.Handle(moment(3*time.Second), []Event{EndpointsUpdated{Endpoints: []Endpoint{
 			{ID: "a", Kind: kind, Weight: 7, Zone: 1}}}}), "n>a")
-		expect(t, "far ahead", d.Handle(moment(1000*time.Hour), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true},
-			arrive("o", 0)}), "o>a")
+		expect(t, "far ahead",
+			d.Handle(moment(1000*time.Hour),
+				[]Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true},
+					arrive("o", 0)}), "o>a")
 		if d.slots.inUse != 1 || len(d.messages.byID) != 1 {
 			t.Errorf("kind %d: %d calls out, %d messages", kind, d.slots.inUse, len(d.messages.byID))
 		}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,8 +10,9 @@
 func Example() {
 	d, err := policy.New(policy.Settings{
 		FleetSize: 1, Slots: 8, QueueCapacity: 100, MaxAttempts: 8, BatchInterval: 5 * time.Millisecond,
-		Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, Effect: policy.Idempotent}},
-		Kinds:   []policy.Kind{{MaxBatch: 1}},
+		Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1,
+			Effect: policy.Idempotent}},
+		Kinds: []policy.Kind{{MaxBatch: 1}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
--- a/policy/expiry_test.go
+++ b/policy/expiry_test.go
@@ -9,7 +9,8 @@
 func TestAbandonedMessageHasRetryAfter(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
-	d.Handle(moment(8600*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: 2400 * ms}})
+	d.Handle(moment(8600*ms),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: 2400 * ms}})
 	for _, a := range d.Handle(moment(10*time.Second), []Event{TimerFired{}}) {
 		if a, ok := a.(Reject); ok {
 			if a.RetryAfter != time.Second {
--- a/policy/gossip_codec_test.go
+++ b/policy/gossip_codec_test.go
@@ -7,16 +7,20 @@
 )
 
 func TestLimitMessages(t *testing.T) {
-	for _, l := range []limitMessage{{}, {destination: 7, retryAfter: 1500 * ms, callAge: 90 * ms}, {accepted: true, destination: 7, callAge: 90 * ms},
+	for _, l := range []limitMessage{{}, {destination: 7, retryAfter: 1500 * ms, callAge: 90 * ms},
+		{accepted: true, destination: 7, callAge: 90 * ms},
 		{destination: maxGossipNumber, retryAfter: maxGossipNumber * ms, callAge: maxGossipNumber * ms}} {
 		if got, ok := decodeLimitMessage(l.encode()); !ok || got != l {
 			t.Errorf("%v was read as %v, %v", l, got, ok)
 		}
 	}
 	complete := limitMessage{destination: 300, retryAfter: 700 * ms, callAge: 300 * ms}.encode()
-	for _, bad := range [][]byte{nil, {}, {circuitOpenType}, complete[:2], complete[:len(complete)-1], append(bytes.Clone(complete), 0),
-		append([]byte{'x'}, complete[1:]...), append([]byte{circuitOpenType}, bytes.Repeat([]byte{0xff}, 200)...),
-		limitMessage{destination: maxGossipNumber + 1}.encode(), limitMessage{retryAfter: (maxGossipNumber + 1) * ms}.encode()} {
+	for _, bad := range [][]byte{nil, {}, {circuitOpenType}, complete[:2], complete[:len(complete)-1],
+		append(bytes.Clone(complete), 0),
+		append([]byte{'x'}, complete[1:]...),
+		append([]byte{circuitOpenType}, bytes.Repeat([]byte{0xff}, 200)...),
+		limitMessage{destination: maxGossipNumber + 1}.encode(),
+		limitMessage{retryAfter: (maxGossipNumber + 1) * ms}.encode()} {
 		if l, ok := decodeLimitMessage(bad); ok {
 			t.Errorf("%x was read as %v", bad, l)
 		}
@@ -25,7 +29,8 @@
 
 // fleet gives the dispatchers of a fleet, all with one endpoint listed at a rate.
 func TestObserved(t *testing.T) {
-	for _, o := range []Observed{{Closed: true, Destination: 7, Wait: time.Second, Age: 30 * ms}, {Open: true, Destination: 7, Age: ms},
+	for _, o := range []Observed{{Closed: true, Destination: 7, Wait: time.Second, Age: 30 * ms},
+		{Open: true, Destination: 7, Age: ms},
 		{Back: true, Endpoint: "h"}, {NoRoom: true, Endpoint: "h"}} {
 		if got, ok := ReadNote(o.Note()); !ok || got != o {
 			t.Errorf("%+v is read as %+v", o, got)
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -16,7 +16,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: weight}}}})
+		d.Handle(0, []Event{EndpointsUpdated{Complete: true,
+			Endpoints: []Endpoint{{ID: "a", Weight: weight}}}})
 		all = append(all, d)
 	}
 	return all
@@ -25,7 +26,8 @@
 // broadcasts returns what a relay broadcasts when its call is rejected with a Retry-After of a second.
 func broadcasts(d *Dispatcher, at time.Duration, id string) (all [][]byte) {
 	d.Handle(moment(at), []Event{arrive(id, 0)})
-	for _, a := range d.Handle(moment(at+ms), []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}}) {
+	for _, a := range d.Handle(moment(at+ms),
+		[]Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}}) {
 		if broadcast, ok := a.(Broadcast); ok {
 			all = append(all, broadcast.Message)
 		}
@@ -86,8 +88,10 @@
 			d.Handle(moment(at), append(events, arrive(fmt.Sprint(at), 0)))
 			d.sendTokens(q)
 		}
-		if above := q.limiter.rate > d.evenShare(q); above != tt.above || q.limiter.rate < 0.9*d.evenShare(q) {
-			t.Errorf("%d relays, gossip messages %v: send rate %v, even share %v", tt.relays, tt.received, q.limiter.rate, d.evenShare(q))
+		if above := q.limiter.rate > d.evenShare(q); above != tt.above ||
+			q.limiter.rate < 0.9*d.evenShare(q) {
+			t.Errorf("%d relays, gossip messages %v: send rate %v, even share %v", tt.relays, tt.received,
+				q.limiter.rate, d.evenShare(q))
 		}
 	}
 }
@@ -99,7 +103,8 @@
 	messages := broadcasts(all[0], at, "m")
 	all[1].Handle(moment(at), []Event{arrive("n", 0)})
 	all[1].Handle(moment(at+ms), []Event{GossipReceived{Message: messages[0]}})
-	for _, a := range all[1].Handle(moment(at+20*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 990 * ms}}) {
+	for _, a := range all[1].Handle(moment(at+20*ms),
+		[]Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 990 * ms}}) {
 		if _, ok := a.(Broadcast); ok {
 			t.Error("a relay told again what it had received")
 		}
@@ -119,16 +124,20 @@
 func TestGossipDoesNotEject(t *testing.T) {
 	d := fleet(t, 80, 40)[0]
 	q := d.queues[0]
-	for _, message := range [][]byte{nil, []byte("hello"), limitMessage{destination: 5, retryAfter: time.Second}.encode()} {
+	for _, message := range [][]byte{nil, []byte("hello"),
+		limitMessage{destination: 5, retryAfter: time.Second}.encode()} {
 		d.Handle(moment(time.Second), []Event{GossipReceived{Message: message}})
 	}
 	if q.circuit.backoffUntil != 0 || len(d.destinations) != 1 || len(d.endpoints) != 1 {
-		t.Errorf("hold until %v, %d destinations, %d endpoints", q.circuit.backoffUntil, len(d.destinations), len(d.endpoints))
+		t.Errorf("hold until %v, %d destinations, %d endpoints", q.circuit.backoffUntil, len(d.destinations),
+			len(d.endpoints))
 	}
 	for i := range 1000 {
-		d.Handle(moment(time.Second+time.Duration(i)*ms), []Event{GossipReceived{Message: limitMessage{retryAfter: time.Hour}.encode()}})
+		d.Handle(moment(time.Second+time.Duration(i)*ms),
+			[]Event{GossipReceived{Message: limitMessage{retryAfter: time.Hour}.encode()}})
 	}
-	if q.limiter.rate < 0.8*d.evenShare(q) || q.circuit.backoffUntil > moment(4*time.Second) || q.circuit.retryAfterUntil != 0 || d.endpoints["a"].outlier.ejected {
+	if q.limiter.rate < 0.8*d.evenShare(q) || q.circuit.backoffUntil > moment(4*time.Second) ||
+		q.circuit.retryAfterUntil != 0 || d.endpoints["a"].outlier.ejected {
 		t.Errorf("send rate %v of %v, hold until %v, wait until %v, ejected %v after a second of gossip messages", q.limiter.rate, d.evenShare(q),
 			q.circuit.backoffUntil, q.circuit.retryAfterUntil, d.endpoints["a"].outlier.ejected)
 	}
@@ -154,13 +163,16 @@
 		var broadcasts [][]byte
 		all[1].Handle(moment(2100*ms), []Event{GossipReceived{Message: rejection}})
 		all[2].Handle(moment(2100*ms), []Event{GossipReceived{Message: rejection}})
-		for _, a := range all[1].Handle(moment(2200*ms), []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true}}) {
+		for _, a := range all[1].Handle(moment(2200*ms),
+			[]Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true}}) {
 			if broadcast, ok := a.(Broadcast); ok {
 				broadcasts = append(broadcasts, broadcast.Message)
 			}
 		}
-		if len(broadcasts) > 0 != tt.ends || all[1].queues[0].circuit.backoffUntil > moment(2200*ms) == tt.ends {
-			t.Fatalf("%s: %d gossip messages, pause until %v", tt.name, len(broadcasts), all[1].queues[0].circuit.backoffUntil)
+		if len(broadcasts) > 0 != tt.ends ||
+			all[1].queues[0].circuit.backoffUntil > moment(2200*ms) == tt.ends {
+			t.Fatalf("%s: %d gossip messages, pause until %v", tt.name, len(broadcasts),
+				all[1].queues[0].circuit.backoffUntil)
 		}
 		if !tt.ends {
 			continue
@@ -187,7 +199,8 @@
 	}
 	var messages [][]byte
 	back := 10 * time.Second
-	for _, a := range all[0].Handle(moment(back), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}}) {
+	for _, a := range all[0].Handle(moment(back),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}}) {
 		if broadcast, ok := a.(Broadcast); ok {
 			messages = append(messages, broadcast.Message)
 		}
@@ -197,11 +210,17 @@
 	}
 	sent := 0
 	for _, d := range all[1:] {
-		d.Handle(moment(back), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}})
-		d.Handle(moment(back+10*ms), []Event{GossipReceived{Message: messages[0]}, GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, "unlisted")}, arrive("n", 0)})
+		d.Handle(moment(back),
+			[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}})
+		d.Handle(moment(back+10*ms),
+			[]Event{GossipReceived{Message: messages[0]},
+				GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, "unlisted")},
+				arrive("n", 0)})
 		ep := d.endpoints["a"]
-		if ep.outlier.ejected || !ep.slowStart.active || ep.slowStart.recoveredAt != moment(back+10*ms) || len(d.endpoints) != 1 {
-			t.Fatalf("ejected %v, in slow start %v, back since %v, %d endpoints", ep.outlier.ejected, ep.slowStart.active, ep.slowStart.recoveredAt, len(d.endpoints))
+		if ep.outlier.ejected || !ep.slowStart.active || ep.slowStart.recoveredAt != moment(back+10*ms) ||
+			len(d.endpoints) != 1 {
+			t.Fatalf("ejected %v, in slow start %v, back since %v, %d endpoints", ep.outlier.ejected,
+				ep.slowStart.active, ep.slowStart.recoveredAt, len(d.endpoints))
 		}
 		d.Handle(moment(back+d.settings.OverloadWindow), []Event{TimerFired{}})
 		sent += len(d.queues[0].calls)
--- a/policy/locality_test.go
+++ b/policy/locality_test.go
@@ -21,7 +21,8 @@
 		totalDemand, totalCapacity, served := 0.0, 0.0, 0.0
 		for zone := range demand {
 			totalDemand, totalCapacity = totalDemand+demand[zone], totalCapacity+capacity[zone]
-			served += checkZoneShares(t, zone, demand, capacity, shares) + math.Min(capacity[zone], demand[zone])
+			served += checkZoneShares(t, zone, demand, capacity, shares) + math.Min(capacity[zone],
+				demand[zone])
 		}
 		if served < math.Min(totalDemand, totalCapacity)-1e-6 {
 			t.Fatalf("%v is served of %v, with capacity for %v", served, totalDemand, totalCapacity)
@@ -31,7 +32,8 @@
 }
 
 // checkZoneShares checks the shares of a zone, and returns what it gets from others.
-func checkZoneShares(t *rapid.T, zone int, demand, capacity []float64, shares [][]float64) (received float64) {
+func checkZoneShares(t *rapid.T, zone int, demand, capacity []float64,
+	shares [][]float64) (received float64) {
 	sum := 0.0
 	for other := range demand {
 		if shares[zone][other] < -1e-9 {
@@ -46,7 +48,8 @@
 		t.Fatalf("the shares of zone %d come to %v", zone, sum)
 	}
 	if received > math.Max(0, capacity[zone]-demand[zone])+1e-6 {
-		t.Fatalf("zone %d with capacity for %v and %v of its own gets %v", zone, capacity[zone], demand[zone], received)
+		t.Fatalf("zone %d with capacity for %v and %v of its own gets %v", zone, capacity[zone], demand[zone],
+			received)
 	}
 	if demand[zone] <= capacity[zone] && shares[zone][zone] < 1-1e-9 {
 		t.Fatalf("zone %d has capacity and keeps %v", zone, shares[zone][zone])
@@ -98,8 +101,10 @@
 // elsewhere.
 func TestSpilloverByPeerRates(t *testing.T) {
 	z := newZonedRelay(t, 3, 1, func(s *Settings) { s.Weights, s.FleetSize = WeightsNominal, 1 })
-	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "0-0", Weight: 300}, {ID: "0-1", Zone: 1, Weight: 300}, {ID: "0-2", Zone: 2, Weight: 300}}},
-		PeerRateReceived{LiveRelays: 3, Reporters: 5, RateShare: 1, ArrivalRate: 100, ArrivalRateByZone: []float64{160, 50, 80}, ValidFor: time.Minute}})
+	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "0-0", Weight: 300},
+		{ID: "0-1", Zone: 1, Weight: 300}, {ID: "0-2", Zone: 2, Weight: 300}}},
+		PeerRateReceived{LiveRelays: 3, Reporters: 5, RateShare: 1, ArrivalRate: 100,
+			ArrivalRateByZone: []float64{160, 50, 80}, ValidFor: time.Minute}})
 	z.run(20 * time.Second)
 	for zone, want := range []float64{100.0 / 160, 60.0 / 160 * 50 / 70, 60.0 / 160 * 20 / 70} {
 		if got := float64(z.sent[fmt.Sprint(zone)]) / float64(z.sent["all"]); math.Abs(got-want) > 0.05 {
--- a/policy/messages_capacity_bench_test.go
+++ b/policy/messages_capacity_bench_test.go
@@ -30,13 +30,15 @@
 	var events []Event
 	for no := range destinations {
 		endpoint := InheritedEndpoint{ID: fmt.Sprint("e", no)}
-		events = append(events, StateInherited{Endpoints: []InheritedEndpoint{endpoint}, RetryAfterUntil: moment(day)})
+		events = append(events,
+			StateInherited{Endpoints: []InheritedEndpoint{endpoint}, RetryAfterUntil: moment(day)})
 	}
 	d.Handle(0, events)
 	events = nil
 	for i := range messages {
 		id := fmt.Sprintf("%016x", i)
-		events = append(events, Arrived{ID: id, Destination: i % destinations, TimeLeft: day, Size: 200, Resumed: true})
+		events = append(events,
+			Arrived{ID: id, Destination: i % destinations, TimeLeft: day, Size: 200, Resumed: true})
 	}
 	d.Handle(0, events)
 	if len(d.messages.unfinished) != messages || d.slots.inUse > 0 {
@@ -72,7 +74,8 @@
 	parts := []struct {
 		name string
 		work func()
-	}{{"expire", d.expireMessages}, {"dispatch", d.dispatch}, {"reap", d.cancelStalledCalls}, {"rest", d.deactivateIdle}, {"arm", d.armTimer}}
+	}{{"expire", d.expireMessages}, {"dispatch", d.dispatch}, {"reap", d.cancelStalledCalls},
+		{"rest", d.deactivateIdle}, {"arm", d.armTimer}}
 	for _, part := range parts {
 		b.Run(part.name, func(b *testing.B) {
 			for b.Loop() {
@@ -104,7 +107,8 @@
 				d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: list}})
 			}
 			b.ReportMetric((heap()-before)/float64(destinations), "B/destination")
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(destinations), "ns/destination")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(destinations),
+				"ns/destination")
 			runtime.KeepAlive(d)
 			runtime.KeepAlive(list)
 		})
--- a/policy/ordered_keys_test.go
+++ b/policy/ordered_keys_test.go
@@ -10,7 +10,8 @@
 	s.OrderedKeyDelay = 300 * ms
 	d := start(t, s, Endpoint{ID: "a"})
 	expect(t, "one of a key at a time", d.Handle(0, []Event{arrive("m", 2), arrive("n", 2)}), "m>a")
-	expect(t, "a time-out rests the key", d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}}),
+	expect(t, "a time-out rests the key",
+		d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}}),
 		"fail m")
 	expect(t, "still resting", d.Handle(moment(1299*ms), []Event{TimerFired{}}), "")
 	expect(t, "rested", d.Handle(moment(1300*ms), []Event{TimerFired{}}), "n>a")
@@ -19,8 +20,10 @@
 func TestOrderedKeysOfSeveralMessages(t *testing.T) {
 	ordered := &Class{Ordered: true}
 	keys := orderedKeys{waiting: map[string][]*message{}}
-	first, second := &message{Arrived: Arrived{Key: "k"}, class: ordered}, &message{Arrived: Arrived{Key: "k"}, class: ordered}
-	other, unordered := &message{Arrived: Arrived{Key: "o"}, class: ordered}, &message{Arrived: Arrived{Key: "k"}, class: &Class{}}
+	first, second := &message{Arrived: Arrived{Key: "k"}, class: ordered},
+		&message{Arrived: Arrived{Key: "k"}, class: ordered}
+	other, unordered := &message{Arrived: Arrived{Key: "o"}, class: ordered},
+		&message{Arrived: Arrived{Key: "k"}, class: &Class{}}
 	for _, m := range []*message{first, second, other, unordered} {
 		keys.add(m)
 	}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -15,18 +15,18 @@
 // handleAttemptEnded takes in the end of an attempt: first what it says of the endpoint, then what becomes of
 // the message.
 func (d *Dispatcher) handleAttemptEnded(ended AttemptEnded) {
-	sent, c := d.closeAttempt(ended)
-	if c == nil {
+	sent, endedCall := d.closeAttempt(ended)
+	if endedCall == nil {
 		return
 	}
 	if ended.RetryAfter > 0 {
-		d.handleRetryAfter(c.endpoint.queue, ended.RetryAfter)
+		d.handleRetryAfter(endedCall.endpoint.queue, ended.RetryAfter)
 	}
 	switch {
 	case ended.Outcome == NotStarted:
-		d.recordNotStarted(c)
-	case c.openAttempts == 0:
-		d.handleCallEnded(c, sent, ended)
+		d.recordNotStarted(endedCall)
+	case endedCall.openAttempts == 0:
+		d.handleCallEnded(endedCall, sent, ended)
 	}
 	if ended.Outcome == TimedOut || ended.Outcome == Reset || ended.Outcome == Canceled {
 		sent.keyBlockedUntil = d.now.Add(d.settings.OrderedKeyDelay)
@@ -39,24 +39,28 @@
 // trace.
 func (d *Dispatcher) closeAttempt(ended AttemptEnded) (*message, *call) {
 	sent := d.messages.byID[ended.ID]
-	if sent == nil || ended.Attempt < 0 || ended.Attempt >= len(sent.attempts) || !sent.attempts[ended.Attempt].open {
+	if sent == nil || ended.Attempt < 0 || ended.Attempt >= len(sent.attempts) {
 		return nil, nil
 	}
 	closed := &sent.attempts[ended.Attempt]
-	c := closed.call
+	if !closed.open {
+		return nil, nil
+	}
+	closedCall := closed.call
 	closed.open = false
 	closed.notExecuted = ended.Outcome.ProvesNotExecuted()
 	sent.openAttempts--
-	if ended.Outcome == NotStarted && ended.Attempt == len(sent.attempts)-1 { // its number goes to the next one
+	isLast := ended.Attempt == len(sent.attempts)-1
+	if ended.Outcome == NotStarted && isLast { // its number goes to the next one
 		sent.attempts = sent.attempts[:ended.Attempt]
 	}
-	c.openAttempts--
-	if c.openAttempts == 0 {
+	closedCall.openAttempts--
+	if closedCall.openAttempts == 0 {
 		d.slots.inUse--
-		ep := c.endpoint
-		ep.calls, ep.queue.calls = remove(ep.calls, c), remove(ep.queue.calls, c)
+		ep := closedCall.endpoint
+		ep.calls, ep.queue.calls = remove(ep.calls, closedCall), remove(ep.queue.calls, closedCall)
 	}
-	return sent, c
+	return sent, closedCall
 }
 
 // handleRetryAfter keeps to a Retry-After, whatever became of the message, also with calls that are not
@@ -106,23 +110,28 @@
 // a relay that was suspended learns late of the end.
 func (d *Dispatcher) recordOutcome(outcome callOutcome) {
 	ep, queue := outcome.call.endpoint, outcome.call.endpoint.queue
-	d.slots.recordLateness(outcome.Outcome, outcome.call.sentAt.Add(outcome.Latency) >= d.overdueAt(outcome.call, stalledFactor))
+	endedAt := outcome.call.sentAt.Add(outcome.Latency)
+	d.slots.recordLateness(outcome.Outcome, endedAt >= d.overdueAt(outcome.call, stalledFactor))
 	d.recordLocalLoad(ep, outcome.AttemptEnded)
 	usual := queue.latency.byClass[outcome.message.Class]
-	d.analyzeOutcome(ep, outcome.message, outcome.AttemptEnded, usual > 0 && outcome.seconds > stalledFactor*usual)
+	late := usual > 0 && outcome.seconds > stalledFactor*usual
+	d.analyzeOutcome(ep, outcome.message, outcome.AttemptEnded, late)
 	switch outcome.Outcome {
 	case OK:
 		d.recordDelivery(outcome)
 	case Rejected:
-		d.recordRejection(queue, limitMessage{destination: queue.destination.number, retryAfter: outcome.RetryAfter,
-			callAge: d.now.Sub(outcome.call.sentAt)})
+		d.recordRejection(queue, limitMessage{
+			destination: queue.destination.number,
+			retryAfter:  outcome.RetryAfter,
+			callAge:     d.now.Sub(outcome.call.sentAt),
+		})
 	case ConnectError:
 		d.recordConnectError(ep, outcome.call)
 	case Failed, Reset:
 		d.recordFailure(ep, outcome.call, errorResponseWeight)
 	case TimedOut, Canceled:
-		late := outcome.seconds > stalledFactor*queue.latency.mean
-		if late && (outcome.Outcome == TimedOut || outcome.call.canceled) {
+		lateForQueue := outcome.seconds > stalledFactor*queue.latency.mean
+		if lateForQueue && (outcome.Outcome == TimedOut || outcome.call.canceled) {
 			d.recordFailure(ep, outcome.call, 1)
 		}
 	case NotSent, NotStarted:
@@ -131,7 +140,8 @@
 
 // recordDelivery takes in a delivered call.
 func (d *Dispatcher) recordDelivery(outcome callOutcome) {
-	ep, queue, class, sentAt := outcome.call.endpoint, outcome.call.endpoint.queue, outcome.message.Class, outcome.call.sentAt
+	ep, queue := outcome.call.endpoint, outcome.call.endpoint.queue
+	class, sentAt := outcome.message.Class, outcome.call.sentAt
 	ep.connections.recordSuccess(d.now, sentAt)
 	ep.succeededCallAt, ep.lastLatency = max(ep.succeededCallAt, sentAt), outcome.seconds
 	queue.latency.record(class, outcome.seconds)
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -13,12 +13,14 @@
 		outcome Outcome
 		n       int
 		ejected bool
-	}{{Reset, 3, false}, {Reset, 4, true}, {Failed, 3, false}, {ConnectError, 1, false}, {ConnectError, 2, true}}
+	}{{Reset, 3, false}, {Reset, 4, true}, {Failed, 3, false}, {ConnectError, 1, false},
+		{ConnectError, 2, true}}
 	for _, tt := range tests {
 		d := start(t, plain(), Endpoint{ID: "a"})
 		d.Handle(0, []Event{arrive("m", 0)})
 		for i := range tt.n {
-			d.Handle(moment(time.Duration(i+1)*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
+			d.Handle(moment(time.Duration(i+1)*ms),
+				[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
 		}
 		if got := d.endpoints["a"].outlier.ejected; got != tt.ejected {
 			t.Errorf("%d of outcome %d: ejected %v", tt.n, tt.outcome, got)
@@ -46,8 +48,10 @@
 	s := plain()
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	d.Handle(0, []Event{arrive("m", 0)})
-	expect(t, "a retry goes to the sibling", d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Failed}}), "m>b")
-	d.Handle(moment(2*ms), []Event{AttemptEnded{ID: "m", Endpoint: "b", Attempt: 1, Outcome: OK, Completed: true}})
+	expect(t, "a retry goes to the sibling",
+		d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Failed}}), "m>b")
+	d.Handle(moment(2*ms),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "b", Attempt: 1, Outcome: OK, Completed: true}})
 	expect(t, "so does its class", d.Handle(moment(3*ms), []Event{arrive("n", 0)}), "n>b")
 	d.Handle(moment(4*ms), []Event{AttemptEnded{ID: "n", Endpoint: "b", Outcome: OK, Completed: true}})
 	d.endpoints["a"].lastUsedAt = moment(4 * ms)
@@ -71,7 +75,8 @@
 			for _, x := range actions {
 				if send, ok := x.(Send); ok {
 					first = cmp.Or(first, send.Endpoint)
-					e := AttemptEnded{ID: id, Endpoint: send.Endpoint, Attempt: n, Outcome: OK, Latency: 10 * ms}
+					e := AttemptEnded{ID: id, Endpoint: send.Endpoint, Attempt: n, Outcome: OK,
+						Latency: 10 * ms}
 					if send.Endpoint == "a" {
 						e.Outcome = atA
 					}
@@ -101,7 +106,8 @@
 
 // Endpoints that are out or on their way out count as avoided, the others do not.
 func TestAvoided(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a", Destination: 1}, Endpoint{ID: "b", Destination: 2}, Endpoint{ID: "c", Destination: 2})
+	d := start(t, plain(), Endpoint{ID: "a", Destination: 1}, Endpoint{ID: "b", Destination: 2},
+		Endpoint{ID: "c", Destination: 2})
 	if n := d.Avoided(); n != 0 {
 		t.Errorf("%d avoided at the start", n)
 	}
@@ -118,12 +124,15 @@
 	if !detector.countFailure(moment(2*time.Second), failed, errorResponseWeight) {
 		t.Error("a failure doesn't count")
 	}
-	if detector.consecutiveFailures != errorResponseWeight || detector.lastFailureAt != moment(2*time.Second) ||
-		detector.classFailures[0] != errorResponseWeight/2 || detector.classFailures[1] != errorResponseWeight/2 {
+	if detector.consecutiveFailures != errorResponseWeight ||
+		detector.lastFailureAt != moment(2*time.Second) ||
+		detector.classFailures[0] != errorResponseWeight/2 ||
+		detector.classFailures[1] != errorResponseWeight/2 {
 		t.Errorf("%+v after an error response", detector)
 	}
 	detector.lastSuccessAt = moment(3 * time.Second)
-	if detector.countFailure(moment(4*time.Second), failed, 1) || detector.consecutiveFailures != errorResponseWeight {
+	if detector.countFailure(moment(4*time.Second), failed, 1) ||
+		detector.consecutiveFailures != errorResponseWeight {
 		t.Error("a failure of a call from before the last success counts")
 	}
 }
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -38,16 +38,30 @@
 		success bool
 		want    int
 	}{
-		{"three relays for 3 s", PeerSuspected{Observers: 3, OldestAge: 3 * time.Second, ValidFor: time.Second}, false, 2},
-		{"two relays", PeerSuspected{Observers: 2, OldestAge: 3 * time.Second, ValidFor: time.Second}, false, 0},
+		{"three relays for 3 s",
+			PeerSuspected{Observers: 3, OldestAge: 3 * time.Second, ValidFor: time.Second}, false, 2},
+		{"two relays", PeerSuspected{Observers: 2, OldestAge: 3 * time.Second, ValidFor: time.Second}, false,
+			0},
 		{"for 2 s", PeerSuspected{Observers: 9, OldestAge: 2 * time.Second, ValidFor: time.Second}, false, 0},
-		{"against a success since", PeerSuspected{Observers: 9, OldestAge: 3 * time.Second, ValidFor: time.Second}, true, 0},
-		{"another destination", PeerSuspected{Destination: 7, Observers: 9, OldestAge: 3 * time.Second, ValidFor: time.Second}, false, 0},
-		{"an endpoint", PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 3, OldestAge: 10 * ms, ValidFor: time.Second}, false, 0},
-		{"an endpoint, three relays, of which two not just now", PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 1, OldestAge: 10 * ms, ValidFor: time.Second}, false, 0},
-		{"an endpoint, one relay", PeerSuspected{Endpoint: "a", Observers: 1, RecentObservers: 1, OldestAge: 10 * ms, ValidFor: time.Second}, false, 0},
-		{"an endpoint that serves here", PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 3, OldestAge: 2 * time.Second, ValidFor: time.Second}, true, 0},
-		{"an endpoint that is not listed", PeerSuspected{Endpoint: "x", Observers: 9, RecentObservers: 9, OldestAge: 3 * time.Second, ValidFor: time.Second}, false, 0},
+		{"against a success since",
+			PeerSuspected{Observers: 9, OldestAge: 3 * time.Second, ValidFor: time.Second}, true, 0},
+		{"another destination",
+			PeerSuspected{Destination: 7, Observers: 9, OldestAge: 3 * time.Second, ValidFor: time.Second},
+			false, 0},
+		{"an endpoint", PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 3, OldestAge: 10 * ms,
+			ValidFor: time.Second}, false, 0},
+		{"an endpoint, three relays, of which two not just now",
+			PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 1, OldestAge: 10 * ms,
+				ValidFor: time.Second}, false, 0},
+		{"an endpoint, one relay",
+			PeerSuspected{Endpoint: "a", Observers: 1, RecentObservers: 1, OldestAge: 10 * ms,
+				ValidFor: time.Second}, false, 0},
+		{"an endpoint that serves here",
+			PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 3, OldestAge: 2 * time.Second,
+				ValidFor: time.Second}, true, 0},
+		{"an endpoint that is not listed",
+			PeerSuspected{Endpoint: "x", Observers: 9, RecentObservers: 9, OldestAge: 3 * time.Second,
+				ValidFor: time.Second}, false, 0},
 	} {
 		d := largeFleetRelay(t, 60, 60, "a", "b")
 		if c.success {
@@ -55,7 +69,8 @@
 				id := fmt.Sprint(i)
 				for _, a := range d.Handle(moment(9*time.Second), []Event{arrive(id, 0)}) {
 					if a, ok := a.(Send); ok {
-						d.Handle(moment(9100*ms), []Event{AttemptEnded{ID: id, Endpoint: a.Endpoint, Outcome: OK, Completed: true}})
+						d.Handle(moment(9100*ms),
+							[]Event{AttemptEnded{ID: id, Endpoint: a.Endpoint, Outcome: OK, Completed: true}})
 					}
 				}
 				d.endpoints["a"].lastUsedAt = 0
@@ -73,10 +88,12 @@
 func TestOneRelayProbes(t *testing.T) {
 	probed := func(rank int, until time.Duration) time.Duration {
 		d := largeFleetRelay(t, 300, 60, "a")
-		report := PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: 100 * ms, ValidFor: until, Rank: rank}
+		report := PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: 100 * ms,
+			ValidFor: until, Rank: rank}
 		d.Handle(moment(10*time.Second), []Event{report})
 		for now := 10 * time.Second; now < 30*time.Second; now += 10 * ms {
-			for _, a := range d.Handle(moment(now), []Event{Arrived{ID: now.String(), TimeLeft: 9 * time.Second}}) {
+			for _, a := range d.Handle(moment(now),
+				[]Event{Arrived{ID: now.String(), TimeLeft: 9 * time.Second}}) {
 				if _, ok := a.(Send); ok {
 					return now - 10*time.Second
 				}
@@ -86,7 +103,8 @@
 	}
 	last := time.Duration(0)
 	for _, rank := range []int{0, 1, 7, 100} {
-		at, want := probed(rank, 10*time.Second), time.Duration((1+math.Log2(1+float64(rank)))*float64(probeInterval))-100*ms
+		at, want := probed(rank, 10*time.Second),
+			time.Duration((1+math.Log2(1+float64(rank)))*float64(probeInterval))-100*ms
 		if at < want || at > want+200*ms || at <= last {
 			t.Errorf("rank %d probes after %v, want about %v", rank, at, want)
 		}
@@ -101,7 +119,9 @@
 // or not.
 func TestProbeTurnsAreApart(t *testing.T) {
 	d := largeFleetRelay(t, 300, 60, "a")
-	d.Handle(moment(10*time.Second), []Event{PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: time.Second, ValidFor: 10 * time.Second}})
+	d.Handle(moment(10*time.Second),
+		[]Event{PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: time.Second,
+			ValidFor: 10 * time.Second}})
 	var at []time.Duration
 	attempts := map[string]int{}
 	for now := 10 * time.Second; now < 15*time.Second; now += 10 * ms {
@@ -112,7 +132,9 @@
 		for _, a := range d.Handle(moment(now), append(events, TimerFired{})) {
 			if a, ok := a.(Send); ok {
 				at = append(at, now)
-				d.Handle(moment(now), []Event{AttemptEnded{ID: a.ID, Endpoint: "a", Attempt: attempts[a.ID], Outcome: Rejected}})
+				d.Handle(moment(now),
+					[]Event{AttemptEnded{ID: a.ID, Endpoint: "a", Attempt: attempts[a.ID],
+						Outcome: Rejected}})
 				attempts[a.ID]++
 			}
 		}
--- a/policy/queueing_delay_test.go
+++ b/policy/queueing_delay_test.go
@@ -12,9 +12,12 @@
 func TestBacklogCountsCalls(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	d.Handle(moment(ms), []Event{arrive("first", 0)})
-	d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "first", Endpoint: "a", Outcome: OK, Latency: time.Second, Completed: true}})
+	d.Handle(moment(time.Second),
+		[]Event{AttemptEnded{ID: "first", Endpoint: "a", Outcome: OK, Latency: time.Second, Completed: true}})
 	d.Handle(moment(2*time.Second), []Event{arrive("refused", 0)})
-	d.Handle(moment(2100*ms), []Event{AttemptEnded{ID: "refused", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second, Latency: 100 * ms}})
+	d.Handle(moment(2100*ms),
+		[]Event{AttemptEnded{ID: "refused", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second,
+			Latency: 100 * ms}})
 	var events []Event
 	for i := range 7 { // with the one held that are two calls of a second
 		events = append(events, arrive(fmt.Sprint("m", i), 0))
@@ -51,8 +54,10 @@
 		d.Handle(moment(now), round(8, AttemptEnded{Outcome: OK, Latency: time.Second, Completed: true}))
 		now += 9 * time.Second
 	}
-	d.Handle(moment(now), round(10, AttemptEnded{Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: time.Second}))
-	expect(t, "10 held, 2 s to wait, some calls of a second at once", d.Handle(moment(now+ms), []Event{arrive("m", 0)}), "")
+	d.Handle(moment(now),
+		round(10, AttemptEnded{Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: time.Second}))
+	expect(t, "10 held, 2 s to wait, some calls of a second at once",
+		d.Handle(moment(now+ms), []Event{arrive("m", 0)}), "")
 }
 
 func TestBacklog(t *testing.T) {
@@ -85,8 +90,9 @@
 func TestLatencyPrior(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.Handle(0, []Event{arrive("m", 0)})
-	d.Handle(moment(400*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 400 * ms, Completed: true},
-		Arrived{ID: "n", Destination: 1, TimeLeft: 10 * time.Second}})
+	d.Handle(moment(400*ms),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 400 * ms, Completed: true},
+			Arrived{ID: "n", Destination: 1, TimeLeft: 10 * time.Second}})
 	q := d.queues[1]
 	if q.latency.byClass[0] != 0.4 || q.latency.mean != 0.4 {
 		t.Errorf("b borrows %v, %v, want what a took", q.latency.byClass[0], q.latency.mean)
--- a/policy/rate_sharing_test.go
+++ b/policy/rate_sharing_test.go
@@ -9,9 +9,11 @@
 // A relay that has just started begins with the fleet's send rate, one that has learned its own does not; and
 // no send rate is taken that is beyond what a relay comes to by itself.
 func TestStartsWithTheFleetsRate(t *testing.T) {
-	for _, c := range []struct{ reported, want float64 }{{0.4, 0.4}, {0.01, minRateShare}, {50, probingRateShare}} {
+	for _, c := range []struct{ reported, want float64 }{{0.4, 0.4}, {0.01, minRateShare},
+		{50, probingRateShare}} {
 		d := largeFleetRelay(t, 10, 100, "a")
-		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: c.reported, ArrivalRate: 1, ValidFor: time.Minute}})
+		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: c.reported,
+			ArrivalRate: 1, ValidFor: time.Minute}})
 		if got := d.queues[0].limiter.rate; math.Abs(got-10*c.want) > 1e-9 {
 			t.Errorf("told %v, it begins with %v a second, want %v", c.reported, got, 10*c.want)
 		}
@@ -19,7 +21,9 @@
 	d := largeFleetRelay(t, 10, 100, "a")
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
 	d.Handle(moment(2*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
-	d.Handle(moment(3*ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: 0.4, ArrivalRate: 1, ValidFor: time.Minute}})
+	d.Handle(moment(3*ms),
+		[]Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: 0.4, ArrivalRate: 1,
+			ValidFor: time.Minute}})
 	if got := d.queues[0].limiter.rate; got < 9.9 {
 		t.Errorf("a relay at work comes to %v a second by the reports of others", got)
 	}
@@ -36,8 +40,10 @@
 	for _, v := range traffic {
 		d := largeFleetRelay(t, len(traffic), 100, "a")
 		q := d.queues[0]
-		q.admission.arrivals = decayingCounter{value: v * counterTimeConstant.Seconds(), updatedAt: 0, startedAt: moment(-time.Hour)}
-		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 8, RateShare: 1, ArrivalRate: mean, ArrivalRateError: 0.5, ValidFor: time.Second}})
+		q.admission.arrivals = decayingCounter{value: v * counterTimeConstant.Seconds(), updatedAt: 0,
+			startedAt: moment(-time.Hour)}
+		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 8, RateShare: 1,
+			ArrivalRate: mean, ArrivalRateError: 0.5, ValidFor: time.Second}})
 		sum += d.trafficShare(q)
 		if d.now = moment(2 * time.Second); d.trafficShare(q) != 1 {
 			t.Errorf("past its bound: %v", d.trafficShare(q))
--- a/policy/resource_backoff_test.go
+++ b/policy/resource_backoff_test.go
@@ -18,7 +18,10 @@
 			t.Fatal(err)
 		}
 		now := time.Second
-		expect(t, "the first try", d.Handle(moment(now), []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a"}}}, arrive("m", class)}), "m>a")
+		expect(t, "the first try",
+			d.Handle(moment(now),
+				[]Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a"}}},
+					arrive("m", class)}), "m>a")
 		for i := range 10 {
 			unsent := AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: NotStarted}
 			expect(t, "at once", d.Handle(moment(now+ms), []Event{unsent}), "")
@@ -28,13 +31,18 @@
 			expect(t, "behind it", d.Handle(moment(now), []Event{TimerFired{}}), "m>a")
 		}
 		ep := d.endpoints["a"]
-		if m := d.messages.byID["m"]; len(m.attempts) != 1 || m.firstPossibleExecution() == nil || ep.outlier.consecutiveFailures != 0 || ep.outlier.ejected || ep.outlier.classFailures[class] != 0 {
-			t.Errorf("class %d: %d attempts, %v failures", class, len(m.attempts), ep.outlier.consecutiveFailures)
+		if m := d.messages.byID["m"]; len(m.attempts) != 1 || m.firstPossibleExecution() == nil ||
+			ep.outlier.consecutiveFailures != 0 || ep.outlier.ejected ||
+			ep.outlier.classFailures[class] != 0 {
+			t.Errorf("class %d: %d attempts, %v failures", class, len(m.attempts),
+				ep.outlier.consecutiveFailures)
 		}
 		if q := d.queues[0]; q.limiter.rate > 0 && d.sendTokens(q) < 0 {
 			t.Errorf("class %d: %v tokens", class, q.limiter.bucket.tokens)
 		}
-		expect(t, "delivered", d.Handle(moment(now+ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: OK, Completed: true}}), "")
+		expect(t, "delivered",
+			d.Handle(moment(now+ms),
+				[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: OK, Completed: true}}), "")
 		if ep.resourceBackoff != (resourceBackoff{}) {
 			t.Errorf("class %d: still a pause of %v", class, ep.resourceBackoff.delay)
 		}
@@ -44,14 +52,16 @@
 // A call to an endpoint in slow start that could not be begun gives its part of the budget back.
 func TestCallsNotStartedCostNoBudget(t *testing.T) {
 	s := plain()
-	s.SlowStartWindow, s.SlowStartInitialShare, s.OverloadFactor, s.OverloadWindow, s.Weights = 10*time.Second, 0.2, 2.5, 1500*ms, WeightsNominal
+	s.SlowStartWindow, s.SlowStartInitialShare, s.OverloadFactor, s.OverloadWindow,
+		s.Weights = 10*time.Second, 0.2, 2.5, 1500*ms, WeightsNominal
 	d, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := moment(time.Hour)
-	expect(t, "to a cold endpoint", d.Handle(now, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 50}}},
-		StateRestored{Endpoint: "a", At: now.Add(-ms)}, arrive("m", 0)}), "m>a")
+	expect(t, "to a cold endpoint",
+		d.Handle(now, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 50}}},
+			StateRestored{Endpoint: "a", At: now.Add(-ms)}, arrive("m", 0)}), "m>a")
 	ep := d.endpoints["a"]
 	spent := ep.slowStart.bucket.tokens
 	d.Handle(now, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotStarted}})
@@ -78,7 +88,8 @@
 					ends = append(ends, AttemptEnded{ID: send.ID, Endpoint: "a", Outcome: NotStarted})
 				default:
 					served++
-					ends = append(ends, AttemptEnded{ID: send.ID, Endpoint: "b", Outcome: OK, Completed: true, Latency: ms})
+					ends = append(ends, AttemptEnded{ID: send.ID, Endpoint: "b", Outcome: OK, Completed: true,
+						Latency: ms})
 				}
 			}
 			if len(ends) == 0 {
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -31,7 +31,8 @@
 		{"safe, may have run", resumed("m", safe, ran(time.Second)), "m>a"},
 		{"keyed within its memory", resumed("m", keyed, ran(3*time.Second)), "m>a"},
 		{"keyed past its memory", resumed("m", keyed, ran(4*time.Second)), "reject m"},
-		{"keyed, counted from the first that may have run", resumed("m", keyed, ran(4*time.Second), ran(ms)), "reject m"},
+		{"keyed, counted from the first that may have run", resumed("m", keyed, ran(4*time.Second), ran(ms)),
+			"reject m"},
 		{"unsafe, may have run", resumed("m", unsafe, ran(time.Second)), "fail m"},
 		{"unsafe, never ran", resumed("m", unsafe, notExecuted, notExecuted), "m>a"},
 		{"all attempts made", resumed("m", safe, spent...), ""},
@@ -46,7 +47,8 @@
 // A message that was taken on before is not up for admission again.
 func TestResumedIsNotRejectedForBacklog(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	d.destination(0).queues[0].latency.mean, d.destination(0).queues[0].circuit.retryAfterUntil = 1, moment(60*time.Second)
+	d.destination(0).queues[0].latency.mean, d.destination(0).queues[0].circuit.retryAfterUntil = 1,
+		moment(60*time.Second)
 	expect(t, "a fresh one", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "reject n")
 	expect(t, "a resumed one", d.Handle(moment(time.Second), []Event{resumed("m", 0)}), "")
 }
@@ -69,10 +71,12 @@
 		return n
 	}
 	healthy := sends()
-	if out := sends(StateRestored{Endpoint: "a", Ejected: true, At: moment(time.Hour - time.Minute)}); out > maxUnhealthyCalls || out >= healthy {
+	if out := sends(StateRestored{Endpoint: "a", Ejected: true,
+		At: moment(time.Hour - time.Minute)}); out > maxUnhealthyCalls || out >= healthy {
 		t.Errorf("in an outage: %d calls at once, %d when healthy", out, healthy)
 	}
-	if slowStart := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Second)}); slowStart >= healthy {
+	if slowStart := sends(StateRestored{Endpoint: "a",
+		At: moment(time.Hour - time.Second)}); slowStart >= healthy {
 		t.Errorf("in slow start: %d calls at once, %d when healthy", slowStart, healthy)
 	}
 	if warm := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Minute)}); warm != healthy {
@@ -95,13 +99,16 @@
 		return list
 	}
 	d.Handle(moment(time.Second), []Event{arrive("m", 0)})
-	d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: ConnectError}})
-	got := persisted(d.Handle(moment(3*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: ConnectError}}))
+	d.Handle(moment(2*time.Second),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: ConnectError}})
+	got := persisted(d.Handle(moment(3*time.Second),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: ConnectError}}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", Ejected: true, At: moment(3 * time.Second)}) {
 		t.Errorf("an outage: %v", got)
 	}
 	expect(t, "the next knock", d.Handle(moment(7*time.Second), []Event{TimerFired{}}), "m>a")
-	got = persisted(d.Handle(moment(8*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 2, Outcome: OK, Completed: true}}))
+	got = persisted(d.Handle(moment(8*time.Second),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 2, Outcome: OK, Completed: true}}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", At: moment(8 * time.Second)}) {
 		t.Errorf("the return: %v", got)
 	}
@@ -109,14 +116,16 @@
 
 func TestShutdownStarted(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	expect(t, "nothing is sent", d.Handle(moment(time.Second), []Event{ShutdownStarted{}, arrive("m", 0)}), "")
+	expect(t, "nothing is sent", d.Handle(moment(time.Second), []Event{ShutdownStarted{}, arrive("m", 0)}),
+		"")
 	expect(t, "nor later", d.Handle(moment(2*time.Second), []Event{TimerFired{}}), "")
 }
 
 func TestAttemptsExhausted(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	expect(t, "sent", d.Handle(moment(time.Second), []Event{arrive("m", 2)}), "m>a")
-	expect(t, "ended", d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotSent, AttemptsExhausted: true}}),
+	expect(t, "ended", d.Handle(moment(2*time.Second),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotSent, AttemptsExhausted: true}}),
 		"reject m")
 }
 
@@ -136,8 +145,13 @@
 func TestStorageReadOnly(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{StorageChanged{Writable: false}})
-	expect(t, "no record", d.Handle(moment(time.Second), []Event{resumed("safe", 0), resumed("keyed", 1), resumed("unsafe", 2)}), "safe>a")
-	expect(t, "records again", d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "safe", Endpoint: "a", Completed: true}, StorageChanged{Writable: true}}), "keyed>a unsafe>a")
+	expect(t, "no record",
+		d.Handle(moment(time.Second), []Event{resumed("safe", 0), resumed("keyed", 1), resumed("unsafe", 2)}),
+		"safe>a")
+	expect(t, "records again",
+		d.Handle(moment(2*time.Second),
+			[]Event{AttemptEnded{ID: "safe", Endpoint: "a", Completed: true},
+				StorageChanged{Writable: true}}), "keyed>a unsafe>a")
 }
 
 // An attempt whose endpoint is not known any more was in no zone that another shares its memory with.
@@ -146,7 +160,9 @@
 	s.Classes[1].KeysPerZone = true
 	for _, zone := range []int{0, 1} {
 		d := start(t, s, Endpoint{ID: "a", Zone: zone})
-		expect(t, "keyed by zone", d.Handle(moment(time.Hour), []Event{resumed("m", 1, PriorAttempt{SentAt: moment(time.Hour - time.Second)})}), "")
+		expect(t, "keyed by zone",
+			d.Handle(moment(time.Hour),
+				[]Event{resumed("m", 1, PriorAttempt{SentAt: moment(time.Hour - time.Second)})}), "")
 	}
 }
 
@@ -159,10 +175,13 @@
 		s.Slots = 1
 		d := start(t, s, Endpoint{ID: "a"})
 		untried := func(id string) Event { return Arrived{ID: id, TimeLeft: 9 * time.Second, Resumed: true} }
-		expect(t, "the oldest first", d.Handle(moment(ms), []Event{untried("old1"), untried("old2"), arrive("fresh", 0)}), "old1>a")
+		expect(t, "the oldest first",
+			d.Handle(moment(ms), []Event{untried("old1"), untried("old2"), arrive("fresh", 0)}), "old1>a")
 		var events []Event
 		end := func(id string, n int, o Outcome, wait time.Duration) {
-			events = append(events, AttemptEnded{ID: id, Endpoint: "a", Attempt: n, Outcome: o, RetryAfter: wait, Latency: 90 * ms, Completed: o == OK})
+			events = append(events,
+				AttemptEnded{ID: id, Endpoint: "a", Attempt: n, Outcome: o, RetryAfter: wait,
+					Latency: 90 * ms, Completed: o == OK})
 		}
 		end("old1", 0, Rejected, wait)
 		var order []string
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -15,13 +15,15 @@
 		{0, OK, ""}, {0, Failed, "m>a"}, {0, TimedOut, "m>a"}, {0, Reset, "m>a"}, {0, Canceled, "m>a"},
 		{0, ConnectError, "m>a"}, {0, NotSent, "m>a"}, {0, Rejected, ""},
 		{1, OK, ""}, {1, Failed, "m>a"}, {1, TimedOut, "m>a"}, {1, ConnectError, "m>a"},
-		{2, OK, ""}, {2, Failed, "fail m"}, {2, TimedOut, "fail m"}, {2, Reset, "fail m"}, {2, Canceled, "fail m"},
+		{2, OK, ""}, {2, Failed, "fail m"}, {2, TimedOut, "fail m"}, {2, Reset, "fail m"},
+		{2, Canceled, "fail m"},
 		{2, ConnectError, "m>a"}, {2, NotSent, "m>a"},
 	}
 	for _, tt := range tests {
 		d := start(t, plain(), Endpoint{ID: "a"})
 		expect(t, "arrival", d.Handle(0, []Event{arrive("m", tt.class)}), "m>a")
-		got := d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, Completed: tt.outcome == OK}})
+		got := d.Handle(moment(time.Second),
+			[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, Completed: tt.outcome == OK}})
 		expect(t, fmt.Sprintf("class %d, outcome %d", tt.class, tt.outcome), got, tt.want)
 	}
 }
@@ -41,16 +43,19 @@
 	if got := within(d.Handle(0, []Event{arrive("m", 1)})); got != 0 {
 		t.Errorf("first attempt: within %v", got)
 	}
-	if got := within(d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError}})); got != 0 {
+	if got := within(d.Handle(moment(time.Second),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError}})); got != 0 {
 		t.Errorf("after one that never ran: within %v", got)
 	}
-	again := d.Handle(moment(3*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: Reset}})
+	again := d.Handle(moment(3*time.Second),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: Reset}})
 	if got := within(again); got != 2*time.Second-10*ms {
 		t.Errorf("after one that may have run: within %v", got)
 	}
 	safe := start(t, plain(), Endpoint{ID: "a"})
 	safe.Handle(0, []Event{arrive("m", 0)})
-	if got := within(safe.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Reset}})); got != 0 {
+	if got := within(safe.Handle(moment(time.Second),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Reset}})); got != 0 {
 		t.Errorf("a safe class: within %v", got)
 	}
 }
--- a/policy/rule_checker_test.go
+++ b/policy/rule_checker_test.go
@@ -49,9 +49,11 @@
 }
 
 func newChecker(s policy.Settings) *checker {
-	return &checker{settings: s, messages: map[string]*observedMessage{}, endpoints: map[string]*observedEndpoint{}, waits: map[string]time.Duration{},
-		consecutiveFailures: map[string]int{}, lastSuccess: map[string]time.Duration{}, lastFailedCall: map[string]time.Duration{},
-		sends: map[string][]time.Duration{}}
+	return &checker{settings: s, messages: map[string]*observedMessage{},
+		endpoints: map[string]*observedEndpoint{}, waits: map[string]time.Duration{},
+		consecutiveFailures: map[string]int{}, lastSuccess: map[string]time.Duration{},
+		lastFailedCall: map[string]time.Duration{},
+		sends:          map[string][]time.Duration{}}
 }
 
 func (c *checker) list(e policy.EndpointsUpdated) {
@@ -82,7 +84,8 @@
 	}
 	t := &m.attempts[e.Attempt]
 	t.open = false
-	t.notExecuted = e.Outcome == policy.Rejected || e.Outcome == policy.ConnectError || e.Outcome == policy.NotSent
+	t.notExecuted = e.Outcome == policy.Rejected || e.Outcome == policy.ConnectError ||
+		e.Outcome == policy.NotSent
 	if e.Outcome == policy.TimedOut || e.Outcome == policy.Reset || e.Outcome == policy.Canceled {
 		m.keyBlockedUntil = c.now + c.settings.OrderedKeyDelay
 	}
@@ -90,7 +93,8 @@
 	case e.Outcome == policy.OK:
 		m.completed = true
 		c.consecutiveFailures[t.ep], c.lastSuccess[t.ep] = 0, c.now
-	case t.sent <= max(c.lastSuccess[t.ep], c.lastFailedCall[t.ep]): // tells nothing new: an old call, or a bundle's next
+	// tells nothing new: an old call, or a bundle's next
+	case t.sent <= max(c.lastSuccess[t.ep], c.lastFailedCall[t.ep]):
 	case e.Outcome == policy.Failed || e.Outcome == policy.Reset || e.Outcome == policy.ConnectError:
 		c.consecutiveFailures[t.ep]++
 		c.lastFailedCall[t.ep] = t.sent
@@ -107,7 +111,8 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case policy.Arrived:
-			m := &observedMessage{Arrived: e, class: c.settings.Classes[e.Class], expires: now + e.TimeLeft, withdrawnAt: -1}
+			m := &observedMessage{Arrived: e, class: c.settings.Classes[e.Class], expires: now + e.TimeLeft,
+				withdrawnAt: -1}
 			c.messages[e.ID] = m
 			c.order = append(c.order, m)
 		case policy.AttemptEnded:
@@ -165,7 +170,9 @@
 		return fmt.Errorf("rule 1: %s refused, but it is over", a.ID)
 	}
 	m.completed = true
-	if m.mayHaveRun() != nil && (m.class.Effect == policy.NotIdempotent || m.class.Effect == policy.IdempotentWithKey && m.class.KeysPerZone) {
+	if m.mayHaveRun() != nil &&
+		(m.class.Effect == policy.NotIdempotent || m.class.Effect == policy.IdempotentWithKey &&
+			m.class.KeysPerZone) {
 		return fmt.Errorf("rule 2: %s refused, but it may have run", a.ID)
 	}
 	return nil
@@ -194,14 +201,16 @@
 			return fmt.Errorf("rule 2: unsafe %s sent again", a.ID)
 		case m.class.Effect == policy.IdempotentWithKey && c.now > t.sent+m.class.IdempotencyWindow:
 			return fmt.Errorf("rule 2: keyed %s sent after its memory", a.ID)
-		case m.class.Effect == policy.IdempotentWithKey && m.class.KeysPerZone && c.endpoints[t.ep].Zone != p.Zone:
+		case m.class.Effect == policy.IdempotentWithKey && m.class.KeysPerZone &&
+			c.endpoints[t.ep].Zone != p.Zone:
 			return fmt.Errorf("rule 2: keyed %s sent to another zone", a.ID)
 		}
 	}
 	if err := c.inTurn(m); err != nil {
 		return err
 	}
-	m.attempts = append(m.attempts, observedAttempt{ep: a.Endpoint, sent: c.now, open: true, timeout: a.Timeout})
+	m.attempts = append(m.attempts,
+		observedAttempt{ep: a.Endpoint, sent: c.now, open: true, timeout: a.Timeout})
 	return c.outage(p)
 }
 
@@ -256,7 +265,8 @@
 	}
 	all := c.settings.OverloadFactor * c.settings.SlowStartInitialShare * weight * c.settings.OverloadWindow.Seconds()
 	if budget := all/float64(c.settings.FleetSize) + float64(eps+3); float64(len(list)) > budget {
-		return fmt.Errorf("rule 4: %d sends to %s within %v, %.1f allowed, %d eps %v %+v", len(list), p.ID, c.settings.OverloadWindow, budget, eps, list, c.settings)
+		return fmt.Errorf("rule 4: %d sends to %s within %v, %.1f allowed, %d eps %v %+v", len(list), p.ID,
+			c.settings.OverloadWindow, budget, eps, list, c.settings)
 	}
 	return nil
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -51,8 +51,9 @@
 			}
 		}
 		for n := range 3 {
-			events = append(events, policy.Arrived{ID: fmt.Sprint("m", i, "-", n), Class: n, Destination: (i + n) % 4,
-				TimeLeft: s.Classes[n].Deadline, Key: "k"})
+			events = append(events,
+				policy.Arrived{ID: fmt.Sprint("m", i, "-", n), Class: n, Destination: (i + n) % 4,
+					TimeLeft: s.Classes[n].Deadline, Key: "k"})
 		}
 		return d.Handle(instant.Time(time.Duration(i)*50*time.Millisecond), events)
 	}
@@ -84,7 +85,8 @@
 		{Deadline: 9 * time.Second, Effect: policy.IdempotentWithKey, IdempotencyWindow: 2 * time.Second},
 		{Deadline: 9 * time.Second, Effect: policy.NotIdempotent, Ordered: true},
 	}
-	list := policy.EndpointsUpdated{Complete: true, Endpoints: []policy.Endpoint{{ID: "a", Weight: 3}, {ID: "b", Weight: 3}}}
+	list := policy.EndpointsUpdated{Complete: true,
+		Endpoints: []policy.Endpoint{{ID: "a", Weight: 3}, {ID: "b", Weight: 3}}}
 	arrive := func(id string, class int) policy.Event {
 		return policy.Arrived{ID: id, Class: class, TimeLeft: s.Classes[class].Deadline, Key: "k"}
 	}
@@ -105,23 +107,28 @@
 			step{at, []policy.Event{ended(id, 0, policy.ConnectError)}, nil})
 	}
 	tests := map[string][]step{
-		"1: no answer":      {{0, []policy.Event{list, arrive("m", 0)}, nil}, {6 * time.Second, nil, nil}},
-		"1: two answers":    {{0, []policy.Event{arrive("m", 0)}, []policy.Action{policy.Fail{ID: "m"}, policy.Reject{ID: "m"}}}},
-		"1: sent after end": {{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{policy.Fail{ID: "m"}, send("m")}}},
-		"2: two out":        {{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{send("m"), send("m")}}},
+		"1: no answer": {{0, []policy.Event{list, arrive("m", 0)}, nil}, {6 * time.Second, nil, nil}},
+		"1: two answers": {{0, []policy.Event{arrive("m", 0)},
+			[]policy.Action{policy.Fail{ID: "m"}, policy.Reject{ID: "m"}}}},
+		"1: sent after end": {{0, []policy.Event{list, arrive("m", 0)},
+			[]policy.Action{policy.Fail{ID: "m"}, send("m")}}},
+		"2: two out": {{0, []policy.Event{list, arrive("m", 0)},
+			[]policy.Action{send("m"), send("m")}}},
 		"2: unsafe again": {{0, []policy.Event{list, arrive("m", 2)}, []policy.Action{send("m")}},
 			{1, []policy.Event{ended("m", 0, policy.Failed)}, []policy.Action{send("m")}}},
 		"2: unsafe refused": {{0, []policy.Event{list, arrive("m", 2)}, []policy.Action{send("m")}},
 			{1, []policy.Event{ended("m", 0, policy.Reset)}, []policy.Action{policy.Reject{ID: "m"}}}},
 		"2: memory over": {{0, []policy.Event{list, arrive("m", 1)}, []policy.Action{send("m")}},
 			{3 * time.Second, []policy.Event{ended("m", 0, policy.TimedOut)}, []policy.Action{send("m")}}},
-		"3: drained": {{0, []policy.Event{list, arrive("m", 0), policy.EndpointsUpdated{Endpoints: []policy.Endpoint{
-			{ID: "a", Draining: true}}}}, []policy.Action{send("m")}}},
+		"3: drained": {{0, []policy.Event{list, arrive("m", 0),
+			policy.EndpointsUpdated{Endpoints: []policy.Endpoint{
+				{ID: "a", Draining: true}}}}, []policy.Action{send("m")}}},
 		"4: knocking": probes,
 		"5: out of turn": {{0, []policy.Event{list, arrive("m", 2), arrive("n", 2)},
 			[]policy.Action{send("m"), send("n")}}},
 		"6: in a wait": {{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{send("m")}},
-			{1, []policy.Event{policy.AttemptEnded{ID: "m", Endpoint: "a", Outcome: policy.Rejected, RetryAfter: time.Second}},
+			{1, []policy.Event{policy.AttemptEnded{ID: "m", Endpoint: "a", Outcome: policy.Rejected,
+				RetryAfter: time.Second}},
 				[]policy.Action{send("m")}}},
 	}
 	names := make([]string, 0, len(tests))
--- a/policy/rules_world_test.go
+++ b/policy/rules_world_test.go
@@ -12,18 +12,23 @@
 // variant draws settings from a seed.
 func variant(r *rand.Rand) policy.Settings {
 	s := policy.Settings{
-		FleetSize: []int{1, 2, 3, 4, 40, 400}[r.Intn(6)], Slots: 1 + r.Intn(12), QueueCapacity: 20 + r.Intn(80), MaxAttempts: 2 + r.Intn(10),
+		FleetSize: []int{1, 2, 3, 4, 40, 400}[r.Intn(6)], Slots: 1 + r.Intn(12),
+		QueueCapacity: 20 + r.Intn(80), MaxAttempts: 2 + r.Intn(10),
 		HedgedRequests: r.Intn(2) == 0, CanCancel: r.Intn(4) > 0, Subscribe: r.Intn(2) == 0,
 		Weights: policy.Weights(r.Intn(3)), BatchInterval: 5 * time.Millisecond,
-		MaxRetryAfter: 3 * time.Second, SlowStartInitialShare: 0.14 + 0.2*r.Float64(), SlowStartWindow: 9 * time.Second,
-		OverloadFactor: 2 + r.Float64(), OverloadWindow: 2 * time.Second, ZoneCost: []float64{0.06, 0},
+		MaxRetryAfter: 3 * time.Second, SlowStartInitialShare: 0.14 + 0.2*r.Float64(),
+		SlowStartWindow: 9 * time.Second,
+		OverloadFactor:  2 + r.Float64(), OverloadWindow: 2 * time.Second, ZoneCost: []float64{0.06, 0},
 		OrderedKeyDelay: time.Duration(r.Intn(3)) * 200 * time.Millisecond,
-		Kinds:           []policy.Kind{{MaxBatch: 1}, {MaxBatch: 5}, {MaxBatch: 1 + r.Intn(8), SeparateRoutes: true}},
+		Kinds: []policy.Kind{{MaxBatch: 1}, {MaxBatch: 5},
+			{MaxBatch: 1 + r.Intn(8), SeparateRoutes: true}},
 	}
 	for i := range 4 {
-		s.Classes = append(s.Classes, policy.Class{LatencyObjective: time.Second, Deadline: time.Duration(3+r.Intn(15)) * time.Second,
-			PriorityWeight: 1 + float64(r.Intn(4)), LateValueShare: 0.5, Effect: policy.Effect(i % 3), KeysPerZone: r.Intn(2) == 0,
-			IdempotencyWindow: 4 * time.Second, Ordered: i == 2 || i == 3 && r.Intn(2) == 0})
+		s.Classes = append(s.Classes,
+			policy.Class{LatencyObjective: time.Second, Deadline: time.Duration(3+r.Intn(15)) * time.Second,
+				PriorityWeight: 1 + float64(r.Intn(4)), LateValueShare: 0.5, Effect: policy.Effect(i % 3),
+				KeysPerZone:       r.Intn(2) == 0,
+				IdempotencyWindow: 4 * time.Second, Ordered: i == 2 || i == 3 && r.Intn(2) == 0})
 	}
 	return s
 }
@@ -139,7 +144,8 @@
 			if !ended {
 				continue
 			}
-			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.ep, Attempt: i, Outcome: outcome, Latency: w.now - t.sent}
+			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.ep, Attempt: i, Outcome: outcome,
+				Latency: w.now - t.sent}
 			if outcome == policy.Rejected && w.random.Intn(2) == 0 {
 				e.RetryAfter = w.retryAfter()
 			}
@@ -201,7 +207,8 @@
 // runIn does so with a world that has its settings.
 func runIn(w *world, seed int64, steps int) ([]policy.Action, error) {
 	r, s := w.random, w.settings
-	w.checker, w.now, w.mood, w.fates = newChecker(s), time.Hour, make([]policy.Outcome, 5), map[string]policy.Outcome{}
+	w.checker, w.now, w.mood, w.fates = newChecker(s), time.Hour, make([]policy.Outcome, 5),
+		map[string]policy.Outcome{}
 	d, err := policy.New(s, seed)
 	if err != nil {
 		return nil, err
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -34,7 +34,8 @@
 func TestNearDeadlineInABatch(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	d.Handle(moment(ms), []Event{arrive("first", 0)})
-	d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "first", Endpoint: "a", Outcome: OK, Latency: time.Second, Completed: true}})
+	d.Handle(moment(time.Second),
+		[]Event{AttemptEnded{ID: "first", Endpoint: "a", Outcome: OK, Latency: time.Second, Completed: true}})
 	var events []Event
 	for _, m := range []struct {
 		id   string
@@ -58,7 +59,8 @@
 	s.Slots = 3
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	other := Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}
-	expect(t, "fewest calls out first", d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0), arrive("m3", 0), other}),
+	expect(t, "fewest calls out first",
+		d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0), arrive("m3", 0), other}),
 		"m1>a n>b m2>a")
 }
 
--- a/policy/sendrate_test.go
+++ b/policy/sendrate_test.go
@@ -31,7 +31,8 @@
 	d.recordSuccess(d.endpoints["a"], false)
 	slow := d.now
 	d.sendTokens(q)
-	if d.now = d.now.Add(500 * ms); d.now.Sub(q.limiter.decreasedAt) > 1500*ms || q.limiter.decreasedAt >= slow {
+	if d.now = d.now.Add(500 * ms); d.now.Sub(q.limiter.decreasedAt) > 1500*ms ||
+		q.limiter.decreasedAt >= slow {
 		t.Errorf("calm since %v, without capacity at %v", q.limiter.decreasedAt, slow)
 	}
 	for range 40 {
@@ -45,7 +46,8 @@
 		reject(time.Duration(d.now.Add(time.Duration(1+i%2) * time.Second)))
 	}
 	if q.limiter.rate > 0.5 {
-		t.Errorf("send rate %v after rejections for 45 s: a quarter of the listed rate is not reached", q.limiter.rate)
+		t.Errorf("send rate %v after rejections for 45 s: a quarter of the listed rate is not reached",
+			q.limiter.rate)
 	}
 }
 
@@ -67,7 +69,8 @@
 func TestSendRateLimiter(t *testing.T) {
 	var limiter sendRateLimiter
 	limiter.start(100, 10, 0)
-	if limiter.refill(0) != 10 || limiter.mayDecrease(moment(rateWindow-ms)) || !limiter.mayDecrease(moment(rateWindow)) {
+	if limiter.refill(0) != 10 || limiter.mayDecrease(moment(rateWindow-ms)) ||
+		!limiter.mayDecrease(moment(rateWindow)) {
 		t.Errorf("%+v as it starts", limiter)
 	}
 	limiter.decrease(moment(time.Second), 10)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -9,9 +9,11 @@
 		case class.Deadline <= 0:
 			return fmt.Errorf("settings: Classes[%d].Deadline: %v is not above 0", i, class.Deadline)
 		case class.LatencyObjective < 0:
-			return fmt.Errorf("settings: Classes[%d].LatencyObjective: %v is negative", i, class.LatencyObjective)
+			return fmt.Errorf("settings: Classes[%d].LatencyObjective: %v is negative",
+				i, class.LatencyObjective)
 		case class.IdempotencyWindow < 0:
-			return fmt.Errorf("settings: Classes[%d].IdempotencyWindow: %v is negative", i, class.IdempotencyWindow)
+			return fmt.Errorf("settings: Classes[%d].IdempotencyWindow: %v is negative",
+				i, class.IdempotencyWindow)
 		case class.Effect < Idempotent || class.Effect > NotIdempotent:
 			return fmt.Errorf("settings: Classes[%d].Effect: %d is unknown", i, class.Effect)
 		}
@@ -34,8 +36,8 @@
 	case s.OrderedKeyDelay < 0:
 		return fmt.Errorf("settings: OrderedKeyDelay: %v is negative", s.OrderedKeyDelay)
 	case s.SlowStartWindow < 0 || s.OverloadWindow < 0 || s.OverloadFactor < 0 || s.SlowStartInitialShare < 0:
-		return fmt.Errorf("settings: SlowStartWindow, OverloadWindow, OverloadFactor, SlowStartInitialShare: " +
-			"one is negative")
+		return fmt.Errorf("settings: one of SlowStartWindow, OverloadWindow, OverloadFactor and " +
+			"SlowStartInitialShare is negative")
 	}
 	return nil
 }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -55,7 +55,9 @@
 	}
 	d := start(t, s, Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m", 0)})
-	d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: math.MaxInt64}})
+	d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected,
+		RetryAfter: math.MaxInt64}})
 	expect(t, "an endless wait is kept", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "reject n")
-	expect(t, "no time left", d.Handle(moment(time.Second), []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "reject o")
+	expect(t, "no time left",
+		d.Handle(moment(time.Second), []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "reject o")
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -65,7 +65,8 @@
 	for _, removed := range []bool{false, true} { // the old endpoint stays, or is replaced
 		d := start(t, plain(), Endpoint{ID: "a"})
 		d.eject(d.endpoints["a"])
-		d.Handle(moment(ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Removed: removed}, {ID: "b"}}}})
+		d.Handle(moment(ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Removed: removed},
+			{ID: "b"}}}})
 		if !d.endpoints["b"].outlier.ejected {
 			t.Errorf("old one gone %v: the new one is not on its budget", removed)
 		}
--- a/policy/stalled_calls_test.go
+++ b/policy/stalled_calls_test.go
@@ -17,7 +17,9 @@
 	expect(t, "nothing overtook it", d.Handle(moment(140*ms), []Event{TimerFired{}}), "")
 	d.Handle(moment(150*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 	expect(t, "overtaken and late", d.Handle(moment(700*ms), []Event{TimerFired{}}), "cancel lost/0")
-	expect(t, "sent again", d.Handle(moment(705*ms), []Event{AttemptEnded{ID: "lost", Endpoint: "a", Outcome: Canceled}}), "lost>a")
+	expect(t, "sent again",
+		d.Handle(moment(705*ms), []Event{AttemptEnded{ID: "lost", Endpoint: "a", Outcome: Canceled}}),
+		"lost>a")
 }
 
 // TestSlotOfAStalledCallIsFreed guards against hangs that fill the slots.
@@ -27,7 +29,10 @@
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	d.queues[0].latency.record(0, 0.1)
 	d.queues[1].latency.record(0, 0.1)
-	at := func(id string, dest int) Event { return Arrived{ID: id, Destination: dest, TimeLeft: 10 * time.Second} }
+	at := func(id string,
+		dest int) Event {
+		return Arrived{ID: id, Destination: dest, TimeLeft: 10 * time.Second}
+	}
 	d.Handle(0, []Event{at("m", 0)})
 	d.Handle(moment(100*ms), []Event{at("n", 1)})
 	expect(t, "no slot is wanted", d.Handle(moment(900*ms), []Event{TimerFired{}}), "")
@@ -56,8 +61,12 @@
 	d.slots.unansweredShare = 0.9
 	d.Handle(0, []Event{Arrived{ID: "m", Class: 2, TimeLeft: 20 * time.Second}})
 	expect(t, "no slot is wanted", d.Handle(moment(3*time.Second), []Event{TimerFired{}}), "")
-	expect(t, "one is wanted", d.Handle(moment(3100*ms), []Event{Arrived{ID: "n", Destination: 1, TimeLeft: 9 * time.Second}}), "cancel m/0")
-	expect(t, "never twice", d.Handle(moment(3105*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Canceled}}), "fail m n>b")
+	expect(t, "one is wanted",
+		d.Handle(moment(3100*ms), []Event{Arrived{ID: "n", Destination: 1, TimeLeft: 9 * time.Second}}),
+		"cancel m/0")
+	expect(t, "never twice",
+		d.Handle(moment(3105*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Canceled}}),
+		"fail m n>b")
 }
 
 // TestOwnStall guards against holding a relay's own pause against its destinations.
@@ -66,7 +75,8 @@
 	q := d.queues[0]
 	q.latency.record(0, 0.1)
 	d.Handle(0, []Event{arrive("m", 0)})
-	d.Handle(moment(2*time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 100 * ms, Completed: true}})
+	d.Handle(moment(2*time.Second),
+		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 100 * ms, Completed: true}})
 	if math.Abs(q.latency.mean-0.1) > 1e-9 || d.slots.unansweredShare != 0 {
 		t.Errorf("mean %v, unanswered %v after a pause of our own", q.latency.mean, d.slots.unansweredShare)
 	}
--- a/policy/state_store_pair_test.go
+++ b/policy/state_store_pair_test.go
@@ -55,7 +55,8 @@
 	if no >= sharedDestinations {
 		kind = 2
 	}
-	return Endpoint{ID: fmt.Sprint("e", no, "-", i), Destination: no, Kind: kind, Weight: float64(1 + 5*no), Zone: i}
+	return Endpoint{ID: fmt.Sprint("e", no, "-", i), Destination: no, Kind: kind, Weight: float64(1 + 5*no),
+		Zone: i}
 }
 
 // handle gives both the same batch, and compares what they do.
@@ -71,7 +72,8 @@
 	}
 	for _, a := range got {
 		if s, ok := a.(Send); ok {
-			p.attempts = append(p.attempts, AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Attempt: p.attemptCounts[s.ID]})
+			p.attempts = append(p.attempts,
+				AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Attempt: p.attemptCounts[s.ID]})
 			p.attemptCounts[s.ID]++
 		}
 	}
@@ -89,7 +91,8 @@
 			avoided++
 		}
 	}
-	if got, otherwise := p.lazy.Avoided()+draining, p.eager.Avoided(); got != avoided || otherwise != avoided {
+	if got, otherwise := p.lazy.Avoided()+draining, p.eager.Avoided(); got != avoided ||
+		otherwise != avoided {
 		p.t.Fatalf("at %v: %d avoided on demand, %d otherwise, want %d", p.now, got, otherwise, avoided)
 	}
 }
@@ -119,7 +122,8 @@
 	i := rapid.IntRange(0, len(p.attempts)-1).Draw(p.t, "attempt")
 	e := p.attempts[i]
 	p.attempts = slices.Delete(p.attempts, i, i+1)
-	e.Outcome = rapid.SampledFrom([]Outcome{OK, OK, OK, Failed, Rejected, TimedOut, ConnectError, Reset}).Draw(p.t, "outcome")
+	e.Outcome = rapid.SampledFrom([]Outcome{OK, OK, OK, Failed, Rejected, TimedOut, ConnectError,
+		Reset}).Draw(p.t, "outcome")
 	if e.Outcome == Rejected {
 		e.RetryAfter = time.Duration(rapid.SampledFrom([]int{0, 0, 700, 4000}).Draw(p.t, "wait")) * ms
 	}
@@ -139,31 +143,39 @@
 		return GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, p.anyEndpoint().ID)}
 	case 3:
 		return PeerSuspected{Destination: no, Observers: rapid.IntRange(0, 5).Draw(p.t, "origins"),
-			OldestAge: age, NewestAge: age / 2, ValidFor: 5 * time.Second, Rank: rapid.IntRange(0, 2).Draw(p.t, "rank")}
+			OldestAge: age, NewestAge: age / 2, ValidFor: 5 * time.Second,
+			Rank: rapid.IntRange(0, 2).Draw(p.t, "rank")}
 	case 4:
-		return PeerSuspected{Endpoint: p.anyEndpoint().ID, Observers: rapid.IntRange(0, 5).Draw(p.t, "origins"),
+		return PeerSuspected{Endpoint: p.anyEndpoint().ID,
+			Observers: rapid.IntRange(0, 5).Draw(p.t, "origins"),
 			OldestAge: age, NewestAge: age / 2, ValidFor: 5 * time.Second}
 	case 5:
-		return PeerRateReceived{Destination: no, LiveRelays: p.s.FleetSize, Reporters: 5, RateShare: rapid.Float64Range(0, 2).Draw(p.t, "pace"),
+		return PeerRateReceived{Destination: no, LiveRelays: p.s.FleetSize, Reporters: 5,
+			RateShare:   rapid.Float64Range(0, 2).Draw(p.t, "pace"),
 			ArrivalRate: 3, ValidFor: 10 * time.Second}
 	case 6:
-		return StateRestored{Endpoint: p.anyEndpoint().ID, Ejected: rapid.Bool().Draw(p.t, "sick"), At: moment(p.now - age)}
+		return StateRestored{Endpoint: p.anyEndpoint().ID, Ejected: rapid.Bool().Draw(p.t, "sick"),
+			At: moment(p.now - age)}
 	}
 	e := p.anyEndpoint()
-	return StateInherited{Endpoints: []InheritedEndpoint{{ID: e.ID, ConsecutiveFailures: 0.5, LastSuccessAt: moment(p.now)}}, Outcomes: 9, MeanLatency: 0.2,
-		ClassLatency: []float64{0.2, 0.2, 0.2}, Concurrency: 2, SendRate: e.Weight / float64(p.s.FleetSize), Tokens: 1, TokensAt: moment(p.now)}
+	return StateInherited{Endpoints: []InheritedEndpoint{{ID: e.ID, ConsecutiveFailures: 0.5,
+		LastSuccessAt: moment(p.now)}}, Outcomes: 9, MeanLatency: 0.2,
+		ClassLatency: []float64{0.2, 0.2, 0.2}, Concurrency: 2, SendRate: e.Weight / float64(p.s.FleetSize),
+		Tokens: 1, TokensAt: moment(p.now)}
 }
 
 // arrival draws a message: new, or accepted by an earlier process that has tried an endpoint.
 func (p *pair) arrival() Event {
 	p.next++
 	a := Arrived{ID: fmt.Sprint("m", p.next), Class: rapid.IntRange(0, 2).Draw(p.t, "class"),
-		Destination: rapid.IntRange(0, usedDestinations-1).Draw(p.t, "destination"), TimeLeft: 10 * time.Second,
-		Key: rapid.SampledFrom([]string{"", "k", "l"}).Draw(p.t, "key")}
+		Destination: rapid.IntRange(0, usedDestinations-1).Draw(p.t, "destination"),
+		TimeLeft:    10 * time.Second,
+		Key:         rapid.SampledFrom([]string{"", "k", "l"}).Draw(p.t, "key")}
 	eps := p.list.lists[a.Destination]
 	if len(eps) > 0 && rapid.IntRange(0, 9).Draw(p.t, "resumed") == 0 {
 		a.Resumed = true
-		a.PriorAttempts = []PriorAttempt{{Endpoint: eps[0].ID, SentAt: moment(p.now - 300*ms), NotExecuted: rapid.Bool().Draw(p.t, "not run")}}
+		a.PriorAttempts = []PriorAttempt{{Endpoint: eps[0].ID, SentAt: moment(p.now - 300*ms),
+			NotExecuted: rapid.Bool().Draw(p.t, "not run")}}
 		p.attemptCounts[a.ID]++
 	}
 	return a
--- a/policy/state_store_test.go
+++ b/policy/state_store_test.go
@@ -84,11 +84,14 @@
 	tb.Helper()
 	for _, no := range destinations {
 		id := fmt.Sprint("m", no, "-", now)
-		sent := summary(d.Handle(moment(now), []Event{Arrived{ID: id, Destination: no, TimeLeft: 10 * time.Second}}))
+		sent := summary(d.Handle(moment(now),
+			[]Event{Arrived{ID: id, Destination: no, TimeLeft: 10 * time.Second}}))
 		if want := fmt.Sprint(id, ">e", no); sent != want {
 			tb.Fatalf("at %v: %q, want %q", now, sent, want)
 		}
-		d.Handle(moment(now), []Event{AttemptEnded{ID: id, Endpoint: fmt.Sprint("e", no), Outcome: OK, Completed: true, Latency: 20 * ms}})
+		d.Handle(moment(now),
+			[]Event{AttemptEnded{ID: id, Endpoint: fmt.Sprint("e", no), Outcome: OK, Completed: true,
+				Latency: 20 * ms}})
 	}
 }
 
@@ -122,7 +125,8 @@
 		}
 	}
 	for i, q := range d.queues {
-		if q.index != i || d.destinations[q.destination.number] != q.destination || d.endpoints[q.endpoints[0].ID] != q.endpoints[0] {
+		if q.index != i || d.destinations[q.destination.number] != q.destination ||
+			d.endpoints[q.endpoints[0].ID] != q.endpoints[0] {
 			t.Errorf("queue %d, of destination %d, is not where it should be", i, q.destination.number)
 		}
 	}
@@ -139,7 +143,8 @@
 	failed := func(o Outcome, wait time.Duration) func(*Dispatcher) {
 		return func(d *Dispatcher) {
 			d.Handle(0, []Event{Arrived{ID: "m", Destination: 7, TimeLeft: time.Second}})
-			d.Handle(moment(10*ms), []Event{AttemptEnded{ID: "m", Endpoint: "e7", Outcome: o, RetryAfter: wait, Completed: true}})
+			d.Handle(moment(10*ms),
+				[]Event{AttemptEnded{ID: "m", Endpoint: "e7", Outcome: o, RetryAfter: wait, Completed: true}})
 		}
 	}
 	event := func(e Event) func(*Dispatcher) { return func(d *Dispatcher) { d.Handle(0, []Event{e}) } }
@@ -153,7 +158,8 @@
 		cause func(*Dispatcher)
 		until time.Duration // forever: time alone does not end it
 	}{
-		"wait":              {learned(StateInherited{RetryAfterUntil: moment(long)}, InheritedEndpoint{}), long},
+		"wait": {learned(StateInherited{RetryAfterUntil: moment(long)}, InheritedEndpoint{}),
+			long},
 		"pause":             {learned(StateInherited{BackoffUntil: moment(long)}, InheritedEndpoint{}), long},
 		"wait of an answer": {failed(Rejected, 3*time.Minute), forever},
 		"refusal":           {failed(Rejected, 0), forever},
@@ -164,9 +170,12 @@
 			serve(t, d, 0, 7)
 			d.endpoints["e7"].connections.limit = 1
 		}, long},
-		"finding on the destination": {event(PeerSuspected{Destination: 7, Observers: 1, ValidFor: long}), long},
-		"finding on the endpoint":    {event(PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: long}), long},
-		"rate of the fleet":          {event(PeerRateReceived{Destination: 7, Reporters: 3, RateShare: 1, ValidFor: long}), long},
+		"finding on the destination": {event(PeerSuspected{Destination: 7, Observers: 1, ValidFor: long}),
+			long},
+		"finding on the endpoint": {event(PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: long}),
+			long},
+		"rate of the fleet": {event(PeerRateReceived{Destination: 7, Reporters: 3, RateShare: 1,
+			ValidFor: long}), long},
 		"used allowance": {func(d *Dispatcher) {
 			serve(t, d, 0, 7)
 			q := d.destinations[7].queues[0]
@@ -204,22 +213,25 @@
 		event Event
 		loads bool
 	}{
-		"message":               {Arrived{ID: "m", Destination: 7, TimeLeft: time.Second}, true},
-		"listed again":          {EndpointsUpdated{Endpoints: []Endpoint{{ID: "e7", Destination: 7, Weight: 100, Draining: true}}}, false},
-		"gone":                  {EndpointsUpdated{Endpoints: []Endpoint{{ID: "e7", Destination: 7, Removed: true}}}, false},
-		"outage recalled":       {StateRestored{Endpoint: "e7", Ejected: true}, true},
-		"return recalled":       {StateRestored{Endpoint: "e7", At: moment(55 * time.Second)}, true},
-		"old return recalled":   {StateRestored{Endpoint: "e7", At: 0}, false},
-		"learned":               {StateInherited{Endpoints: []InheritedEndpoint{{ID: "e7"}}}, true},
-		"refusal elsewhere":     {received(limitMessage{destination: 7}.encode()), true},
-		"success elsewhere":     {received(limitMessage{destination: 7, accepted: true}.encode()), false},
-		"return elsewhere":      {received(encodeEndpointMessage(endpointRecoveredType, "e7")), false},
-		"no connection":         {received(encodeEndpointMessage(connectErrorType, "e7")), false},
-		"bad note":              {received([]byte("c")), false},
-		"finding":               {PeerSuspected{Destination: 7, Observers: 1, ValidFor: time.Second}, true},
-		"finding on endpoint":   {PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: time.Second}, true},
-		"finding withdrawn":     {PeerSuspected{Destination: 7}, false},
-		"finding on no one":     {PeerSuspected{Endpoint: "none", Observers: 1, ValidFor: time.Second}, false},
+		"message": {Arrived{ID: "m", Destination: 7, TimeLeft: time.Second}, true},
+		"listed again": {EndpointsUpdated{Endpoints: []Endpoint{{ID: "e7", Destination: 7,
+			Weight: 100, Draining: true}}}, false},
+		"gone": {EndpointsUpdated{Endpoints: []Endpoint{{ID: "e7", Destination: 7,
+			Removed: true}}}, false},
+		"outage recalled":     {StateRestored{Endpoint: "e7", Ejected: true}, true},
+		"return recalled":     {StateRestored{Endpoint: "e7", At: moment(55 * time.Second)}, true},
+		"old return recalled": {StateRestored{Endpoint: "e7", At: 0}, false},
+		"learned":             {StateInherited{Endpoints: []InheritedEndpoint{{ID: "e7"}}}, true},
+		"refusal elsewhere":   {received(limitMessage{destination: 7}.encode()), true},
+		"success elsewhere":   {received(limitMessage{destination: 7, accepted: true}.encode()), false},
+		"return elsewhere":    {received(encodeEndpointMessage(endpointRecoveredType, "e7")), false},
+		"no connection":       {received(encodeEndpointMessage(connectErrorType, "e7")), false},
+		"bad note":            {received([]byte("c")), false},
+		"finding":             {PeerSuspected{Destination: 7, Observers: 1, ValidFor: time.Second}, true},
+		"finding on endpoint": {PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: time.Second}, true},
+		"finding withdrawn":   {PeerSuspected{Destination: 7}, false},
+		"finding on no one": {PeerSuspected{Endpoint: "none", Observers: 1, ValidFor: time.Second},
+			false},
 		"rate":                  {PeerRateReceived{Destination: 7, ValidFor: time.Second}, true},
 		"rate of an unlisted":   {PeerRateReceived{Destination: 99, ValidFor: time.Second}, false},
 		"refusal of an unknown": {received(limitMessage{destination: 99}.encode()), false},
@@ -247,7 +259,8 @@
 	s := onDemandSettings()
 	s.CanaryAnalysis = true
 	d, list := startOnDemand(t, s, many(10)...)
-	joining := EndpointsUpdated{Endpoints: []Endpoint{{ID: "new", Destination: 7, Weight: 100, StartedAt: moment(time.Hour)},
+	joining := EndpointsUpdated{Endpoints: []Endpoint{{ID: "new", Destination: 7, Weight: 100,
+		StartedAt: moment(time.Hour)},
 		{ID: "alone", Destination: 20, Weight: 100, StartedAt: moment(time.Hour)}}}
 	list.change(joining)
 	d.Handle(moment(time.Hour), []Event{joining})
@@ -257,7 +270,8 @@
 	if got := d.stateCounts(); got != [4]int{1, 1, 2, 1} {
 		t.Errorf("%v in state", got)
 	}
-	d.endpoints["new"].canary.scores[0] = math.Log(regressionLikelihoodRatio) // it keeps the trial from going on
+	// it keeps the trial from going on
+	d.endpoints["new"].canary.scores[0] = math.Log(regressionLikelihoodRatio)
 	d.Handle(moment(time.Hour+3*stateIdleTimeout), nil)
 	if len(d.Canaries()) != 1 {
 		t.Error("a trial that is not over has been forgotten")
@@ -305,7 +319,8 @@
 	for _, inState := range []int{1_000, 10_000} {
 		large, largeAllocations := work(20_000, inState)
 		if small != 1 || large != 1 || largeAllocations > smallAllocations+growth {
-			t.Errorf("%d look-ups and %v allocations with 10 in state, %d and %v with %d", small, smallAllocations, large, largeAllocations, inState)
+			t.Errorf("%d look-ups and %v allocations with 10 in state, %d and %v with %d", small,
+				smallAllocations, large, largeAllocations, inState)
 		}
 	}
 }
@@ -319,8 +334,10 @@
 		d.Handle(moment(time.Minute), []Event{Arrived{ID: "m", TimeLeft: time.Second}})
 	}
 	want, got := eager.destinations[0].queues[0], lazy.destinations[0].queues[0]
-	if got.admission.arrivals != want.admission.arrivals || got.limiter.rate != want.limiter.rate || got.limiter.bucket != want.limiter.bucket || got.limiter.decreasedAt != want.limiter.decreasedAt {
-		t.Errorf("arrivals %+v, send rate %v, bucket %+v, cut at %v, want %+v, %v, %+v, %v", got.admission.arrivals, got.limiter.rate, got.limiter.bucket, got.limiter.decreasedAt,
+	if got.admission.arrivals != want.admission.arrivals || got.limiter.rate != want.limiter.rate ||
+		got.limiter.bucket != want.limiter.bucket || got.limiter.decreasedAt != want.limiter.decreasedAt {
+		t.Errorf("arrivals %+v, send rate %v, bucket %+v, cut at %v, want %+v, %v, %+v, %v",
+			got.admission.arrivals, got.limiter.rate, got.limiter.bucket, got.limiter.decreasedAt,
 			want.admission.arrivals, want.limiter.rate, want.limiter.bucket, want.limiter.decreasedAt)
 	}
 	if rate := got.admission.arrivals.rate(moment(time.Minute)); rate > 0.11 {
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -32,7 +32,8 @@
 func newZonedRelay(t *testing.T, zones, dests int, change func(*Settings)) *zonedRelay {
 	t.Helper()
 	s := plain()
-	s.Zones, s.Slots, s.QueueCapacity, s.SlowStartWindow, s.SlowStartInitialShare = true, 60, 1000, 4*time.Second, 0.5
+	s.Zones, s.Slots, s.QueueCapacity, s.SlowStartWindow, s.SlowStartInitialShare = true, 60, 1000,
+		4*time.Second, 0.5
 	s.Classes = s.Classes[:1]
 	if change != nil {
 		change(&s)
@@ -57,7 +58,9 @@
 		}
 		if z.now%(10*ms) == 0 {
 			z.n++
-			events = append(events, Arrived{ID: fmt.Sprint(z.n), Destination: z.n % len(z.d.destinations), TimeLeft: 5 * time.Second})
+			events = append(events,
+				Arrived{ID: fmt.Sprint(z.n), Destination: z.n % len(z.d.destinations),
+					TimeLeft: 5 * time.Second})
 		}
 		for _, a := range z.d.Handle(moment(z.now), append(events, TimerFired{})) {
 			switch a := a.(type) {
@@ -68,7 +71,9 @@
 				}
 				z.sent[fmt.Sprint(zone)]++
 				z.sent["all"]++
-				e := AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(z.d.messages.byID[a.ID].attempts) - 1, Outcome: z.fails(a.Endpoint, dest, zone)}
+				e := AttemptEnded{ID: a.ID, Endpoint: a.Endpoint,
+					Attempt: len(z.d.messages.byID[a.ID].attempts) - 1,
+					Outcome: z.fails(a.Endpoint, dest, zone)}
 				e.Completed = e.Outcome == OK
 				z.out = append(z.out, due{z.now + 30*ms + time.Duration(z.rng.IntN(10))*ms, e})
 				slices.SortStableFunc(z.out, func(a, b due) int { return int(a.at - b.at) })
@@ -153,7 +158,8 @@
 		name  string
 		fails func(dest, zone, n int) Outcome
 	}{
-		{"a bad destination", func(dest, _, _ int) Outcome { return []Outcome{ConnectError, OK}[min(1, dest)] }},
+		{"a bad destination",
+			func(dest, _, _ int) Outcome { return []Outcome{ConnectError, OK}[min(1, dest)] }},
 		{"two bad endpoints", func(dest, zone, _ int) Outcome {
 			return []Outcome{ConnectError, OK}[min(1, dest/2+2*max(zone-1, 1-zone))]
 		}},
@@ -177,7 +183,8 @@
 		if len(z.zoneChanges) > 0 {
 			t.Errorf("%s: %v", c.name, z.zoneChanges)
 		}
-		if want := c.name == "cut off" || c.name == "all fails"; ever != want && c.name != "a third fails everywhere" {
+		if want := c.name == "cut off" || c.name == "all fails"; ever != want &&
+			c.name != "a third fails everywhere" {
 			t.Errorf("%s: cut off: %v", c.name, ever)
 		}
 		if c.name == "cut off" && z.ownEjections > 4 { // those of the first moments, before it can tell
@@ -196,7 +203,8 @@
 		for n := range 3 {
 			eps = append(eps, Endpoint{ID: fmt.Sprintf("%d-1-%d", dest, n), Destination: dest, Zone: 1})
 		}
-		eps = append(eps, Endpoint{ID: fmt.Sprintf("%d-0", dest), Destination: dest}, Endpoint{ID: fmt.Sprintf("%d-2", dest), Destination: dest, Zone: 2})
+		eps = append(eps, Endpoint{ID: fmt.Sprintf("%d-0", dest), Destination: dest},
+			Endpoint{ID: fmt.Sprintf("%d-2", dest), Destination: dest, Zone: 2})
 	}
 	d := start(t, s, eps...)
 	for _, ep := range d.endpoints {
@@ -248,7 +256,8 @@
 		return OK
 	}
 	for i := range 5 {
-		z.d.Handle(moment(z.now), []Event{Arrived{ID: fmt.Sprint("only", i), Destination: 9, TimeLeft: 5 * time.Second}})
+		z.d.Handle(moment(z.now),
+			[]Event{Arrived{ID: fmt.Sprint("only", i), Destination: 9, TimeLeft: 5 * time.Second}})
 	}
 	z.run(11 * time.Second)
 	if z.sent["0"]-before-only > 0 {
