--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Messages for destinations that are out leave a part of the holding room to those for others.
+// Messages for destinations that are out leave a part of the queue capacity to those for others.
 func TestCapacityBesideAnOutage(t *testing.T) {
 	s := plain()
 	s.QueueCapacity = 8
@@ -20,10 +20,12 @@
 	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "d", Destination: 3}}}})
 	var all []Action
 	for i := range 9 {
-		all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: fmt.Sprint(i), Destination: i % 3, TimeLeft: time.Hour}})...)
+		all = append(all, d.Handle(moment(ms),
+			[]Event{Arrived{ID: fmt.Sprint(i), Destination: i % 3, TimeLeft: time.Hour}})...)
 	}
-	all = append(all, d.Handle(moment(ms), []Event{Arrived{ID: "other", Destination: 3, TimeLeft: time.Hour}})...)
-	expect(t, "the last quarter is for the other", all, "refuse 6 refuse 7 refuse 8 other>d")
+	all = append(all, d.Handle(moment(ms),
+		[]Event{Arrived{ID: "other", Destination: 3, TimeLeft: time.Hour}})...)
+	expect(t, "the last quarter is for the other", all, "reject 6 reject 7 reject 8 other>d")
 }
 
 func TestDelayBound(t *testing.T) {
@@ -78,7 +80,8 @@
 func TestFreshDispatcherUsesTheBasicRuleAlone(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	expect(t, "first message", d.Handle(0, []Event{arrive("m", 0)}), "m>a")
-	if λ, r := d.queues[0].admission.arrivals.rate(0), d.queues[0].admission.misses.rate(0); λ <= 0 || r != 0 {
+	if λ, r := d.queues[0].admission.arrivals.rate(0), d.queues[0].admission.misses.rate(0); λ <= 0 ||
+		r != 0 {
 		t.Errorf("λ = %v, r = %v", λ, r)
 	}
 }
@@ -88,9 +91,13 @@
 func TestLateRuleUnderOverload(t *testing.T) {
 	s := plain()
 	s.Classes = []Class{
-		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},                           // four fifths left at 1.8 s
-		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 1, LateValueShare: 0.5}, // and at 8.8 s
-		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 4, LateValueShare: 0.5},
+		// four fifths left at 1.8 s
+		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},
+		// and at 8.8 s
+		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 1,
+			LateValueShare: 0.5},
+		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 4,
+			LateValueShare: 0.5},
 	}
 	tests := []struct {
 		class    int
@@ -107,7 +114,8 @@
 		q := d.queues[0]
 		q.latency.mean = 0.5
 		for range tt.waiting {
-			q.waiting = append(q.waiting, &message{class: &s.Classes[1], expiresAt: moment(time.Hour), queue: q})
+			q.waiting = append(q.waiting,
+				&message{class: &s.Classes[1], expiresAt: moment(time.Hour), queue: q})
 		}
 		if tt.overload {
 			q.admission.arrivals.add(0, 100)
@@ -118,12 +126,12 @@
 		q.admission.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
 		d.admit(m)
 		if m.done != tt.rejected {
-			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.waiting, m.done)
+			t.Errorf("class %d, overload %v, %d held: rejected %v", tt.class, tt.overload, tt.waiting, m.done)
 		}
 	}
 }
 
-// TestOverloaded guards against one queue that fills the holding room.
+// TestOverloaded guards against one queue that fills the queue capacity.
 func TestOverloaded(t *testing.T) {
 	s := plain()
 	s.QueueCapacity = 20
@@ -131,22 +139,24 @@
 	rejected := 0
 	for i := range 20 {
 		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), TimeLeft: 10 * time.Second}})
-		if strings.HasPrefix(summary(got), "refuse") {
+		if strings.HasPrefix(summary(got), "reject") {
 			rejected++
 		}
 	}
 	if rejected != 5 {
-		t.Errorf("%d of 20 refused, want those past three quarters of the room", rejected)
+		t.Errorf("%d of 20 rejected, want those past three quarters of the capacity", rejected)
 	}
-	expect(t, "another destination", d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}}), "n>b")
+	expect(t, "another destination",
+		d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}}), "n>b")
 }
 
-// TestImpatientClients guards against taking little time left for age: under overload all were refused.
+// TestImpatientClients guards against taking little time left for age: under overload all were rejected.
 func TestImpatientClients(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.mean = 0.5
 	q.admission.arrivals.add(0, 100)
 	q.admission.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
-	expect(t, "2 s of 10 left, nothing held", d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
+	expect(t, "2 s of 10 left, nothing held",
+		d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
 }
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -32,7 +32,8 @@
 func newZonedRelay(t *testing.T, zones, dests int, change func(*Settings)) *zonedRelay {
 	t.Helper()
 	s := plain()
-	s.Zones, s.Slots, s.QueueCapacity, s.SlowStartWindow, s.SlowStartInitialShare = true, 60, 1000, 4*time.Second, 0.5
+	s.Zones, s.Slots, s.QueueCapacity, s.SlowStartWindow, s.SlowStartInitialShare = true, 60, 1000,
+		4*time.Second, 0.5
 	s.Classes = s.Classes[:1]
 	if change != nil {
 		change(&s)
@@ -57,7 +58,9 @@
 		}
 		if z.now%(10*ms) == 0 {
 			z.n++
-			events = append(events, Arrived{ID: fmt.Sprint(z.n), Destination: z.n % len(z.d.destinations), TimeLeft: 5 * time.Second})
+			events = append(events,
+				Arrived{ID: fmt.Sprint(z.n), Destination: z.n % len(z.d.destinations),
+					TimeLeft: 5 * time.Second})
 		}
 		for _, a := range z.d.Handle(moment(z.now), append(events, TimerFired{})) {
 			switch a := a.(type) {
@@ -68,7 +71,9 @@
 				}
 				z.sent[fmt.Sprint(zone)]++
 				z.sent["all"]++
-				e := AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(z.d.messages.byID[a.ID].attempts) - 1, Outcome: z.fails(a.Endpoint, dest, zone)}
+				e := AttemptEnded{ID: a.ID, Endpoint: a.Endpoint,
+					Attempt: len(z.d.messages.byID[a.ID].attempts) - 1,
+					Outcome: z.fails(a.Endpoint, dest, zone)}
 				e.Completed = e.Outcome == OK
 				z.out = append(z.out, due{z.now + 30*ms + time.Duration(z.rng.IntN(10))*ms, e})
 				slices.SortStableFunc(z.out, func(a, b due) int { return int(a.at - b.at) })
@@ -86,7 +91,7 @@
 func (z *zonedRelay) state(no int) ZoneState { return z.d.zones.get(no).state }
 
 // A zone that fails as a whole is left at once, with endpoints that have not failed yet, and returned to
-// after it is back: one evacuation and one return, and the ramp's time to full use.
+// after it is back: one evacuation and one return, and slow start's time to full use.
 func TestZoneEvacuation(t *testing.T) {
 	z := newZonedRelay(t, 4, 8, func(s *Settings) { s.Zone = 3 })
 	down := false
@@ -121,7 +126,7 @@
 	}
 }
 
-// A zone that comes and goes every few seconds is left once and not returned to; what it costs is trials.
+// A zone that comes and goes every few seconds is left once and not returned to; what it costs is probes.
 func TestFlapping(t *testing.T) {
 	z := newZonedRelay(t, 4, 8, func(s *Settings) { s.SlowStartWindow = 8 * time.Second })
 	z.fails = func(_ string, _, zone int) Outcome {
@@ -146,14 +151,15 @@
 }
 
 // What is not a zone's failure is not taken for one: a bad destination, bad endpoints here and there, trouble
-// everywhere, refusals, slow calls, and the relay itself cut off from all zones but its own, when it accuses
-// nobody.
+// everywhere, rejections, slow calls, and the relay itself cut off from all zones but its own, when it
+// accuses nobody.
 func TestNoFalseEvacuation(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fails func(dest, zone, n int) Outcome
 	}{
-		{"a bad destination", func(dest, _, _ int) Outcome { return []Outcome{ConnectError, OK}[min(1, dest)] }},
+		{"a bad destination",
+			func(dest, _, _ int) Outcome { return []Outcome{ConnectError, OK}[min(1, dest)] }},
 		{"two bad endpoints", func(dest, zone, _ int) Outcome {
 			return []Outcome{ConnectError, OK}[min(1, dest/2+2*max(zone-1, 1-zone))]
 		}},
@@ -177,7 +183,8 @@
 		if len(z.zoneChanges) > 0 {
 			t.Errorf("%s: %v", c.name, z.zoneChanges)
 		}
-		if want := c.name == "cut off" || c.name == "all fails"; ever != want && c.name != "a third fails everywhere" {
+		if want := c.name == "cut off" || c.name == "all fails"; ever != want &&
+			c.name != "a third fails everywhere" {
 			t.Errorf("%s: cut off: %v", c.name, ever)
 		}
 		if c.name == "cut off" && z.ownEjections > 4 { // those of the first moments, before it can tell
@@ -196,7 +203,8 @@
 		for n := range 3 {
 			eps = append(eps, Endpoint{ID: fmt.Sprintf("%d-1-%d", dest, n), Destination: dest, Zone: 1})
 		}
-		eps = append(eps, Endpoint{ID: fmt.Sprintf("%d-0", dest), Destination: dest}, Endpoint{ID: fmt.Sprintf("%d-2", dest), Destination: dest, Zone: 2})
+		eps = append(eps, Endpoint{ID: fmt.Sprintf("%d-0", dest), Destination: dest},
+			Endpoint{ID: fmt.Sprintf("%d-2", dest), Destination: dest, Zone: 2})
 	}
 	d := start(t, s, eps...)
 	for _, ep := range d.endpoints {
@@ -211,7 +219,7 @@
 }
 
 // An order has a zone left until its end, whatever its health, but for destinations that are nowhere else; it
-// returns on the ramp; and orders that make no sense are refused.
+// returns on slow start; and orders that make no sense are rejected.
 func TestZoneOrder(t *testing.T) {
 	z := newZonedRelay(t, 3, 4, nil)
 	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "9-0", Destination: 9}}}})
@@ -248,7 +256,8 @@
 		return OK
 	}
 	for i := range 5 {
-		z.d.Handle(moment(z.now), []Event{Arrived{ID: fmt.Sprint("only", i), Destination: 9, TimeLeft: 5 * time.Second}})
+		z.d.Handle(moment(z.now),
+			[]Event{Arrived{ID: fmt.Sprint("only", i), Destination: 9, TimeLeft: 5 * time.Second}})
 	}
 	z.run(11 * time.Second)
 	if z.sent["0"]-before-only > 0 {
@@ -262,7 +271,7 @@
 	}
 	z.run(16 * time.Second)
 	if z.state(0) != Serving || z.sent["0"] == before {
-		t.Errorf("after the ramp: %v", z.zoneChanges)
+		t.Errorf("after slow start: %v", z.zoneChanges)
 	}
 }
 
