--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -30,9 +30,7 @@
 	meanPriority  float64                  // mean priority weight of the classes
 	watch         endpointWatch
 	timer         timerState
-	publisher     ratePublisher
-	liveRelays    int          // that share the traffic now; 0 for unknown
-	lastGossipAt  instant.Time // when the last gossip message was received
+	fleet         fleetState
 	zones         zoneTable
 	canaryCount   int
 	store         stateStore
--- a/policy/peer_report.go
+++ b/policy/peer_report.go
@@ -59,7 +59,7 @@
 // an ejected endpoint may have recovered, or one may not have accepted a connection; or a canary has had an
 // outcome.
 func (d *Dispatcher) handleGossip(message []byte) {
-	d.lastGossipAt = d.now
+	d.fleet.lastGossipAt = d.now
 	recovered := d.endpoints[decodeEndpointMessage(endpointRecoveredType, message)]
 	if recovered != nil && recovered.outlier.ejected && d.mayRecover(recovered) {
 		// All relays receive it at once, so saved tokens would be a call of each.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,15 +1,29 @@
 // Package policy decides what a relay does with its messages: which it admits, where and when it sends them,
-// when it retries, and when it gives up. It has no I/O, no clock and no goroutines: [Dispatcher.Handle] takes
-// a batch of events and returns actions. The interface (settings, events, actions) is in policy/api.go.
+// when it retries, and when it gives up. It has no I/O, no clock and no goroutines: [Dispatcher.Handle] takes a
+// batch of events and returns actions. The interface is in policy/api.go (settings), policy/event.go and
+// policy/action.go.
 //
-// Admission control is the core: Hyytiä's value-function bound for parallel first-come queues (admission.go).
-// The other files treat what that model leaves out, one concern each: outlier detection, circuit state, slow
-// start, send rate, scheduling, retries, canary analysis, zones and the exchange with other relays.
+// Admission control is the core: Hyytiä's value-function bound for parallel first-come queues (admission.go,
+// queueing_delay.go). The rest treats what that model leaves out, one mechanism a file:
+//
+//   - Messages: classes and their value (value.go), order by key (ordered_keys.go), retries and timeouts
+//     (retry.go), expiry (expiry.go), handover to the next process (handover.go).
+//   - Calls: choice of a route and an endpoint (routing.go, endpoint_selection.go), slots (scheduler.go),
+//     stalled calls (stalled_calls.go), outcomes (outcome.go).
+//   - Limits of a destination: send rate (sendrate.go), circuit state and backoff (circuit.go).
+//   - Health of an endpoint: outlier detection (outlier.go), slow start (slowstart.go), connection limit
+//     (connection_limit.go), shortage of local resources (resource_backoff.go).
+//   - New versions: canaries and their analysis (canary.go, canary_analysis.go).
+//   - Zones: locality and spillover (locality.go), evacuation and recovery (zone_evacuation.go).
+//   - Other relays: their reports (peer_report.go), turns to probe (probing.go), shared rates
+//     (rate_sharing.go), gossip messages (gossip_codec.go).
+//   - State on demand (state_store.go), and the timer (timer.go).
+//
+// A destination has one queue, or one for each separate route. An endpoint belongs to one queue. A call carries
+// one message or a batch to an endpoint, and an attempt is one message's part in a call.
 package policy
 
-import (
-	"milletsail/internal/instant"
-)
+import "milletsail/internal/instant"
 
 // Handle takes in the events of one batch and returns what is to be done, in order.
 func (d *Dispatcher) Handle(now instant.Time, events []Event) []Action {
--- a/policy/rate_sharing.go
+++ b/policy/rate_sharing.go
@@ -35,6 +35,13 @@
 	return p.rate.ArrivalRate + p.rate.ArrivalRateError, true
 }
 
+// fleetState is what is known of the fleet as a whole.
+type fleetState struct {
+	liveRelays   int          // that share the traffic now; 0 for unknown
+	lastGossipAt instant.Time // when the last gossip message was received
+	publisher    ratePublisher
+}
+
 // ratePublisher publishes this relay's rates, one destination after the other.
 type ratePublisher struct {
 	nextAt    instant.Time
@@ -48,7 +55,7 @@
 	if queue == nil {
 		return
 	}
-	d.liveRelays = received.LiveRelays
+	d.fleet.liveRelays = received.LiveRelays
 	queue.peers = peerTraffic{rate: received, rateUntil: d.now.Add(received.ValidFor)}
 	if d.settings.Zones {
 		d.updateZoneShares(queue, received.ArrivalRateByZone)
@@ -63,8 +70,8 @@
 
 // relayCount is the number of relays that share the traffic.
 func (d *Dispatcher) relayCount() float64 {
-	if d.liveRelays > 0 {
-		return float64(min(d.liveRelays, d.settings.FleetSize))
+	if d.fleet.liveRelays > 0 {
+		return float64(min(d.fleet.liveRelays, d.settings.FleetSize))
 	}
 	return float64(d.settings.FleetSize)
 }
@@ -82,13 +89,13 @@
 
 // publishRate publishes this relay's send rate for one destination after the other.
 func (d *Dispatcher) publishRate() {
-	if !d.settings.PublishRates || d.now < d.publisher.nextAt || len(d.queues) == 0 {
+	if !d.settings.PublishRates || d.now < d.fleet.publisher.nextAt || len(d.queues) == 0 {
 		return
 	}
 	interval := max(minPublishInterval, time.Duration(d.settings.FleetSize)*publishIntervalPerRelay)
-	d.publisher.nextAt = d.now.Add(interval)
-	d.publisher.nextQueue++
-	queue := d.queues[d.publisher.nextQueue%len(d.queues)]
+	d.fleet.publisher.nextAt = d.now.Add(interval)
+	d.fleet.publisher.nextQueue++
+	queue := d.queues[d.fleet.publisher.nextQueue%len(d.queues)]
 	if queue.separateRoute || queue.limiter.listedRate <= 0 {
 		return
 	}
--- a/policy/sendrate.go
+++ b/policy/sendrate.go
@@ -86,7 +86,7 @@
 	from := max(limiter.increasedAt, quietSince)
 	limiter.increasedAt = d.now
 	limit := limiter.listedRate
-	if d.hasLowRate(q) && d.now > d.lastGossipAt.Add(rateWindow) {
+	if d.hasLowRate(q) && d.now > d.fleet.lastGossipAt.Add(rateWindow) {
 		limit = d.evenShare(q) // without gossip, the others' rejections are not known
 	}
 	if d.now <= from || limiter.rate >= limit || q.allEjected() {
