--- a/internal/endpoints/reader_test.go
+++ b/internal/endpoints/reader_test.go
@@ -81,10 +81,11 @@
 	entryA, entryB := string(encode(t, a)), string(encode(t, b))
 	want := []object{{Seq: 7, Complete: true, Hosts: []Entry{a, b}}}
 	for name, text := range map[string]string{
-		"usual order":    `{"seq":7,"whole":true,"hosts":[` + entryA + `,` + entryB + `]}`,
-		"hosts first":    `{"hosts":[` + entryA + `,` + entryB + `],"whole":true,"seq":7}`,
-		"hosts between":  `{"whole":true,"hosts":[` + entryA + `,` + entryB + `],"seq":7}`,
-		"unknown fields": `{"x":{"y":[1,{"z":null}]},"seq":7,"hosts":[` + entryA + `,` + strings.Replace(entryB, "{", `{"more":[1,{}],`, 1) + `],"whole":true,"z":"}"}`,
+		"usual order":   `{"seq":7,"whole":true,"hosts":[` + entryA + `,` + entryB + `]}`,
+		"hosts first":   `{"hosts":[` + entryA + `,` + entryB + `],"whole":true,"seq":7}`,
+		"hosts between": `{"whole":true,"hosts":[` + entryA + `,` + entryB + `],"seq":7}`,
+		"unknown fields": `{"x":{"y":[1,{"z":null}]},"seq":7,"hosts":[` + entryA + `,` +
+			strings.Replace(entryB, "{", `{"more":[1,{}],`, 1) + `],"whole":true,"z":"}"}`,
 		"upper case":     `{"Seq":7,"WHOLE":true,"Hosts":[` + entryA + `,` + entryB + `]}`,
 		"blank lines":    "\n\n \r\n\t" + `{"seq":7,"whole":true,"hosts":[` + entryA + `,` + entryB + "]}\n\n\n",
 		"an empty entry": `{"seq":7,"whole":true,"hosts":[null,` + entryA + `,{},` + entryB + `]}`,
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -283,8 +283,8 @@
 		t.Fatal(err)
 	}
 	_ = j.Close()
-	if _, _, err := Open(dir, Options{DiskMB: 3, Relay: "n2"}); err == nil {
-		t.Error("another relay's folder is taken")
+	if _, _, err := Open(dir, Options{DiskMB: 3, Relay: "n2"}); !errors.As(err, new(*ForeignDirError)) {
+		t.Errorf("another relay's folder is taken: %v", err)
 	}
 	path := filepath.Join(dir, segmentFileName(7))
 	newer := header{format: Format + 1, segment: 7, firstSequence: 1}.encode()
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -78,7 +78,11 @@
 // The same with a file system that fails: at each call, for one call or for some, by an error or a short write.
 func TestPowerLossOnFailingDisk(t *testing.T) {
 	calls := 0
-	if _, err := lose(true, func(m *model) FS { m.stopped = func(m *model, _ string) { calls = m.calls }; return m }, false, 1, 0, nil); err != nil {
+	countCalls := func(m *model) FS {
+		m.stopped = func(m *model, _ string) { calls = m.calls }
+		return m
+	}
+	if _, err := lose(true, countCalls, false, 1, 0, nil); err != nil {
 		t.Fatal(err)
 	}
 	for _, power := range []bool{false, true} {
--- a/internal/journal/repair_test.go
+++ b/internal/journal/repair_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -26,7 +27,8 @@
 		t.Fatal(err)
 	}
 	s, err := Summarize(dir, at)
-	if err != nil || s.Complete || s.Live != 1 || s.PendingNotifications != 1 || len(s.Damage) != 1 || s.Damage[0].LastRecord != "taken" {
+	if err != nil || s.Complete || s.Live != 1 || s.PendingNotifications != 1 ||
+		len(s.Damage) != 1 || s.Damage[0].LastRecord != "taken" {
 		t.Errorf("%v: %+v", err, s)
 	}
 	to := filepath.Join(t.TempDir(), "new")
@@ -39,11 +41,12 @@
 	if s, err := Summarize(to, at); err != nil || !s.Complete || s.Live != 1 || s.PendingNotifications != 1 {
 		t.Errorf("%v: %+v", err, s)
 	}
-	if _, err := Repair(dir, to); err == nil {
-		t.Error("a folder that is not empty is written over")
+	if _, err := Repair(dir, to); !errors.As(err, new(*NotEmptyError)) {
+		t.Errorf("a folder that is not empty is written over: %v", err)
 	}
 	var out strings.Builder
-	if err := Dump(to, &out, true); err != nil || strings.Count(out.String(), "\n") != 1 || !strings.Contains(out.String(), `"owed":{"id":"owing"`) {
+	if err := Dump(to, &out, true); err != nil || strings.Count(out.String(), "\n") != 1 ||
+		!strings.Contains(out.String(), `"owed":{"id":"owing"`) {
 		t.Errorf("%v: %s", err, out.String())
 	}
 }
@@ -74,8 +77,8 @@
 			t.Errorf("format %d: %v\n%q\n%q", format, err, now, want)
 		}
 	}
-	if _, err := Convert(dir, 3); err == nil {
-		t.Error("there is no format 3")
+	if _, err := Convert(dir, 3); !errors.As(err, new(*UnknownFormatError)) {
+		t.Errorf("there is no format 3: %v", err)
 	}
 }
 
--- a/internal/journal/revoked_test.go
+++ b/internal/journal/revoked_test.go
@@ -30,7 +30,8 @@
 				t.Fatal(err)
 			}
 			if after.Get("before") == nil || (after.Get("fresh") != nil) == failed {
-				t.Errorf("compaction %v, call %d: commit failed %v, before %v, fresh %v", compaction, call, failed, after.Get("before"), after.Get("fresh"))
+				t.Errorf("compaction %v, call %d: commit failed %v, before %v, fresh %v",
+					compaction, call, failed, after.Get("before"), after.Get("fresh"))
 			}
 		}
 	}
--- a/internal/journal/timescale_test.go
+++ b/internal/journal/timescale_test.go
@@ -91,11 +91,11 @@
 	const deadline, sentAfter, gone = 10 * time.Second, time.Second, 3 * time.Second
 	const left, sentAgo = deadline - sentAfter - gone, gone
 	for _, c := range []struct {
-		name   string
-		after  func(m *machine) // beside gone, which passes
-		left   time.Duration
-		ago    time.Duration // since the attempt
-		sickAt time.Duration // ago
+		name      string
+		after     func(m *machine) // beside gone, which passes
+		left      time.Duration
+		ago       time.Duration // since the attempt
+		ejectedAt time.Duration // ago
 	}{
 		{"no step", func(*machine) {}, left, sentAgo, sentAgo},
 		{"an hour forward", func(m *machine) { m.steps(time.Hour) }, left, sentAgo, sentAgo},
@@ -103,8 +103,10 @@
 		{"a second back", func(m *machine) { m.steps(-time.Second) }, left, sentAgo, sentAgo},
 		{"there and back", func(m *machine) { m.steps(time.Hour); m.steps(-time.Hour) }, left, sentAgo, sentAgo},
 		{"another boot", func(m *machine) { m.boots(time.Second) }, left, sentAgo, sentAgo},
-		{"another boot, forward", func(m *machine) { m.boots(time.Second); m.steps(5 * time.Second) }, left - 5*time.Second, sentAgo + 5*time.Second, sentAgo + 5*time.Second},
-		{"another boot, back by less than it was gone", func(m *machine) { m.boots(2 * time.Second); m.steps(-2 * time.Second) }, left + time.Second, sentAgo - time.Second, sentAgo - time.Second},
+		{"another boot, forward", func(m *machine) { m.boots(time.Second); m.steps(5 * time.Second) },
+			left - 5*time.Second, sentAgo + 5*time.Second, sentAgo + 5*time.Second},
+		{"another boot, back by less than it was gone", func(m *machine) { m.boots(2 * time.Second); m.steps(-2 * time.Second) },
+			left + time.Second, sentAgo - time.Second, sentAgo - time.Second},
 		{"another boot, an hour back", func(m *machine) { m.boots(time.Second); m.steps(-time.Hour) }, 0, 1 << 40, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -130,8 +132,8 @@
 				if got := m.now.Sub(e.Attempts[0].StartedAt); got < c.ago {
 					t.Errorf("the attempt was %v ago, want %v", got, c.ago)
 				}
-				if got := m.now.Sub(j.Health()["h"].ChangedAt); got < c.sickAt || got > c.sickAt+time.Millisecond {
-					t.Errorf("the outage began %v ago, want %v", got, c.sickAt)
+				if got := m.now.Sub(j.Health()["h"].ChangedAt); got < c.ejectedAt || got > c.ejectedAt+time.Millisecond {
+					t.Errorf("the outage began %v ago, want %v", got, c.ejectedAt)
 				}
 				_ = j.Close()
 			}
--- a/internal/journal/workload_test.go
+++ b/internal/journal/workload_test.go
@@ -40,7 +40,8 @@
 		if p.completed[e.ID] && p.power {
 			return fmt.Errorf("%s is over and comes back", e.ID)
 		}
-		mayHaveRun := e.PendingNotification != nil || slices.ContainsFunc(e.Attempts, func(a Attempt) bool { return !a.Ended || !a.NotExecuted })
+		mayHaveRun := e.PendingNotification != nil ||
+			slices.ContainsFunc(e.Attempts, func(a Attempt) bool { return !a.Ended || !a.NotExecuted })
 		if (p.ran[e.ID] || p.completed[e.ID]) && !mayHaveRun {
 			return fmt.Errorf("%s may have run, and that is forgotten", e.ID)
 		}
@@ -177,7 +178,8 @@
 }
 
 // lose runs a workload and has the power fail at each call, in so many ways each; it gives what is broken first.
-func lose(power bool, wrap func(*model) FS, answerEarly bool, ways int, seed uint64, prepare func(*model)) (states int, err error) {
+func lose(power bool, wrap func(*model) FS, answerEarly bool, ways int, seed uint64,
+	prepare func(*model)) (states int, err error) {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	m, p := newModel(), newPromises(power)
 	if prepare != nil {
