--- a/internal/endpoints/failure_test.go
+++ b/internal/endpoints/failure_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// runFailure runs changes and compactions whose calls fail from one on, and tells whether it got there.
+// runFailure runs changes and compactions whose calls fail from one on, and reports whether it got there.
 func runFailure(t *testing.T, disk failingDisk, failAt int) bool {
 	t.Helper()
 	fsys := newModelFS()
@@ -147,7 +147,7 @@
 	}
 }
 
-// splitRecords gives the header and the records of a file.
+// splitRecords returns the header and the records of a file.
 func splitRecords(text []byte) (parts [][]byte) {
 	parts = append(parts, text[:headerSize])
 	for rest := text[headerSize:]; len(rest) > 0; {
--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// trueSince tells whether a host was as given at or after a commit.
+// trueSince reports whether a host was as given at or after a commit.
 func trueSince(versions []version, commit int, got Entry, ok bool) bool {
 	current := version{absent: true}
 	for _, v := range versions {
--- a/internal/endpoints/model_test.go
+++ b/internal/endpoints/model_test.go
@@ -41,7 +41,7 @@
 	return &modelFS{files: map[string]*modelFile{}, synced: map[string]*modelFile{}}
 }
 
-// fails counts a call, and tells whether it fails.
+// fails counts a call, and reports whether it fails.
 func (m *modelFS) fails() bool {
 	m.calls++
 	if m.onCall != nil {
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// killed gives what a process that is killed now leaves.
+// killed returns what a process that is killed now leaves.
 func (m *modelFS) killed() *modelFS {
 	left := newModelFS()
 	for path, f := range m.files {
@@ -152,7 +152,7 @@
 	return left
 }
 
-// powerLoss gives what a power loss may leave: pick draws which files are back as of the last SyncDir, and which blocks
+// powerLoss returns what a power loss may leave: pick draws which files are back as of the last SyncDir, and which blocks
 // that were not synced are there, are zero, or are cut off.
 func (m *modelFS) powerLoss(pick func(n int) int) *modelFS {
 	left := newModelFS()
--- a/internal/endpoints/reader_test.go
+++ b/internal/endpoints/reader_test.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// pieces gives a text in pieces of random length.
+// pieces returns a text in pieces of random length.
 type pieces struct {
 	from   *bytes.Reader
 	random *rand.Rand
@@ -214,7 +214,7 @@
 	return p.from.Read(b[:min(len(b), 1+p.random.IntN(1<<p.random.IntN(14)))])
 }
 
-// steps gives one part of a text with each call.
+// steps returns one part of a text with each call.
 type steps struct{ parts []string }
 
 func (s *steps) Read(b []byte) (int, error) {
@@ -252,7 +252,7 @@
 	}
 }
 
-// blankLines gives empty lines without an end, and counts them.
+// blankLines returns empty lines without an end, and counts them.
 type blankLines struct{ left int }
 
 func (l *blankLines) Read(b []byte) (int, error) {
@@ -300,7 +300,7 @@
 	}
 }
 
-// listText is a whole list, made without holding it.
+// listText is a complete list, made without holding it.
 func listText(entries int) io.Reader {
 	r, w := io.Pipe()
 	go func() {
--- a/internal/endpoints/store_test.go
+++ b/internal/endpoints/store_test.go
@@ -297,7 +297,7 @@
 	}
 }
 
-// Sequence 0 is kept as any other: the whole list has to be asked for.
+// Sequence 0 is persisted like any other: a complete list has to be requested.
 func TestStoreForgetsSequence(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 1, 20)
--- a/internal/endpoints/stored_test.go
+++ b/internal/endpoints/stored_test.go
@@ -21,12 +21,12 @@
 const (
 	// storedDir holds the files of commit 569f7cf.
 	storedDir = "testdata/569f7cf"
-	// storedLog is the folder of a first log, which has nothing before it.
+	// storedLog is the directory of a first log, which has nothing before it.
 	storedLog = "log"
-	// storedCompaction is a folder within a compaction: the log, the one that continues it, a snapshot without its
+	// storedCompaction is a directory within a compaction: the log, the one that continues it, a snapshot without its
 	// name.
 	storedCompaction = "compaction"
-	// storedSnapshot is the folder after it: the snapshot, its log, and the log of the next process.
+	// storedSnapshot is the directory after it: the snapshot, its log, and the log of the next process.
 	storedSnapshot = "snapshot"
 	// storedBudget is more than any of these files needs.
 	storedBudget = 1 << 20
@@ -38,7 +38,7 @@
 	versionPlace = 8
 )
 
-// storedWriter makes changes in a folder as its owner does: first in the table, then in the store.
+// storedWriter makes changes in a directory as its owner does: first in the table, then in the store.
 type storedWriter struct {
 	t     *testing.T
 	store *Store
@@ -127,7 +127,7 @@
 	next.close()
 }
 
-// storedFolders are the folders of storedDir, and what writes each.
+// storedFolders are the directories of storedDir, and what writes each.
 var storedFolders = []struct {
 	name  string
 	write func(t *testing.T, dir string)
@@ -211,7 +211,7 @@
 	sameText(t, describeStored(t, dir), "sequence 0, files 1, newer 1, damaged 0, draining 0\n")
 }
 
-// describeStored tells all that a later process finds in a folder, in words of this test's own.
+// describeStored tells all that a later process finds in a directory, in words of this test's own.
 func describeStored(t *testing.T, dir string) string {
 	t.Helper()
 	store, table, sequence, found, err := Open(dir, storedBudget)
@@ -241,7 +241,7 @@
 	}
 }
 
-// fileNames lists a folder.
+// fileNames lists a directory.
 func fileNames(t *testing.T, dir string) (names []string) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
@@ -254,7 +254,7 @@
 	return names
 }
 
-// copyStored copies the files of a folder into another.
+// copyStored copies the files of a directory into another.
 func copyStored(t *testing.T, from, to string) {
 	t.Helper()
 	for _, name := range fileNames(t, from) {
--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// BenchmarkOpen opens a folder with so many live messages and an attempt each, in both formats. It reports the largest
+// BenchmarkOpen opens a directory with so many live messages and an attempt each, in both formats. It reports the largest
 // heap meanwhile as a multiple of the state's size.
 func BenchmarkOpen(b *testing.B) {
 	for _, live := range []int{0, 5000, 100_000, 500_000} {
--- a/internal/journal/crashfs_test.go
+++ b/internal/journal/crashfs_test.go
@@ -19,7 +19,7 @@
 	synced []byte
 }
 
-// dirOp is a change of the folder that no SyncDir has made durable yet.
+// dirOp is a change of the directory that no SyncDir has made durable yet.
 type dirOp struct {
 	kind     string // create, rename, remove
 	from, to string
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// after gives a file system as a power loss may leave it: which pending changes of the folder happened, and which
+// after returns a file system as a power loss may leave it: which pending changes of the directory happened, and which
 // blocks of what was never synced, are drawn by pick.
 func (m *model) after(pick func(n int) int) *model {
 	left := newModel()
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -75,7 +75,7 @@
 	})
 }
 
-// So do any bytes in the form of before, and they can be given back in it.
+// So do any bytes in format 1, and they can be given back in it.
 func FuzzFormat1(f *testing.F) {
 	s, _, _, err := readSegment(bytes.NewReader(sampleSegment(f)), 1<<20, "x", "")
 	if err != nil {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// segmentOf gives the only segment of a folder.
+// segmentOf returns the only segment of a directory.
 func segmentOf(t *testing.T, dir string) string {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join(dir, segmentPrefix+"*"))
@@ -87,7 +87,7 @@
 	return found[0]
 }
 
-// A file that ends anywhere gives all whole records before that, and so does one whose last record is spoilt; what is
+// A file that ends anywhere gives all whole records before that, and so does one whose last record is corrupted; what is
 // noted after it is found again.
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
@@ -134,8 +134,8 @@
 	}
 }
 
-// Any one turned bit in a log costs the record that it is in and no other; where that record began an attempt, the
-// message counts as one that may have run, and where it ended a message, that stays over.
+// Any single flipped bit in a log costs the record that it is in and no other; where that record began an attempt, the
+// message counts as one that may have executed, and where it completed a message, that stays completed.
 func TestTurnedBit(t *testing.T) {
 	const n = 40
 	dir := t.TempDir()
@@ -209,7 +209,7 @@
 	return true
 }
 
-// A range of several records that can't be read puts all that was live in doubt, is set aside, and what follows it
+// A range of several records that can't be read makes all live entries uncertain, is quarantined, and what follows it
 // counts.
 func TestDamagedRange(t *testing.T) {
 	dir := t.TempDir()
@@ -275,7 +275,7 @@
 	}
 }
 
-// A folder of a newer program or of another relay is refused, and nothing in it is touched.
+// A directory of a newer program or of another relay is rejected, and nothing in it is touched.
 func TestRejectedDirectories(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := Open(dir, Options{DiskMB: 3, Relay: "n1"})
@@ -312,7 +312,7 @@
 	_ = j.Close()
 }
 
-// The form of before is carried over and can be given back.
+// Format 1 is carried over and can be given back.
 func TestFormat1(t *testing.T) {
 	dir, at := t.TempDir(), clock.Now().Add(-time.Second)
 	old := openJournal(t, t.TempDir(), 3)
@@ -334,7 +334,7 @@
 	}
 }
 
-// Bodies of the largest size never fill the folder beyond its limit, a compaction's new file counted in.
+// Bodies of the largest size never fill the directory beyond its limit, a compaction's new file counted in.
 func TestStaysUnderDiskLimit(t *testing.T) {
 	const mb = 1
 	dir := t.TempDir()
@@ -381,7 +381,7 @@
 	}
 }
 
-// After a failed write nothing is taken on until a new file could be written, and that holds all.
+// After a failed write nothing is accepted until a new file could be written, and that holds all.
 func TestFailedWrite(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
--- a/internal/journal/live_capacity_bench_test.go
+++ b/internal/journal/live_capacity_bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // BenchmarkLiveMessages measures what live messages cost a journal, each with a body of 200 bytes and one attempt: memory and
-// bytes on disk by the message, the room that is set aside, and the time in which a new segment is written with all of them.
+// bytes on disk by the message, the space that is reserved, and the time in which a new segment is written with all of them.
 func BenchmarkLiveMessages(b *testing.B) {
 	for _, live := range []int{1_000, 10_000, 100_000, 500_000} {
 		b.Run(fmt.Sprint(live), func(b *testing.B) {
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// A short life, with every state that a power loss may leave at any of its calls.
+// A few rounds, with every state that a power loss may leave at any of its calls.
 func TestPowerLossExhaustively(t *testing.T) {
 	for _, power := range []bool{false, true} {
 		states, m, p := 0, newModel(), newPromises(power)
--- a/internal/journal/repair_test.go
+++ b/internal/journal/repair_test.go
@@ -12,7 +12,7 @@
 	"milletsail/internal/clock"
 )
 
-// A folder whose log is damaged is told so, is left as it is by a repair, and what comes of that is whole.
+// A directory whose log is damaged is told so, is left as it is by a repair, and what comes of that is whole.
 func TestRepair(t *testing.T) {
 	dir, at := t.TempDir(), clock.Now().Add(-time.Second)
 	fill(t, openJournal(t, dir, 3), at)
@@ -51,7 +51,7 @@
 	}
 }
 
-// A folder goes to the form of before and back with nothing lost, and nothing of the other form stays.
+// A directory goes to format 1 and back with nothing lost, and nothing of the other form stays.
 func TestConvert(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
--- a/internal/journal/revoked_test.go
+++ b/internal/journal/revoked_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A message whose Commit failed was refused, and a process that reads the folder after a kill must not find it: not after a
-// short write, nor after a sync that failed, be it of a record or of a new segment and its folder.
+// A message whose Commit failed was rejected, and a process that reads the directory after a kill must not find it: not after a
+// short write, nor after a sync that failed, be it of a record or of a new segment and its directory.
 func TestRefusedMessagesDoNotComeBack(t *testing.T) {
 	const maxCalls = 6 // of a Commit that begins a segment: create, write, sync, rename, sync of the folder, remove
 	for _, compaction := range []bool{false, true} {
--- a/internal/journal/stored_describe_test.go
+++ b/internal/journal/stored_describe_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// fileNames lists a folder.
+// fileNames lists a directory.
 func fileNames(t *testing.T, dir string) (names []string) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
@@ -109,7 +109,7 @@
 	return names
 }
 
-// copyDir copies the files of a folder into another.
+// copyDir copies the files of a directory into another.
 func copyDir(t *testing.T, from, to string) {
 	t.Helper()
 	for _, name := range fileNames(t, from) {
--- a/internal/journal/stored_format1_test.go
+++ b/internal/journal/stored_format1_test.go
@@ -73,7 +73,7 @@
 // timeInText is a time within the JSON of a record of format 1.
 var timeInText = regexp.MustCompile(`"\d{4}-\d\d-\d\dT[^"]*"`)
 
-// A folder that goes back to format 1 has the bytes of that form, as Convert writes them for a rollback. It reads
+// A directory that goes back to format 1 has the bytes of that form, as Convert writes them for a rollback. It reads
 // the machine's clocks, so times are masked: each is told as its span, in whole seconds, from when the segment was
 // begun. Lengths and checksums are checked by reading the frames by hand.
 func TestWritesFormat1(t *testing.T) {
--- a/internal/journal/stored_test.go
+++ b/internal/journal/stored_test.go
@@ -26,20 +26,20 @@
 const (
 	// storedDir holds the files of commit 569f7cf.
 	storedDir = "testdata/569f7cf"
-	// storedLog is the folder of a first segment: an empty snapshot, and a log with every operation.
+	// storedLog is the directory of a first segment: an empty snapshot, and a log with every operation.
 	storedLog = "log"
-	// storedSnapshot is the folder of that log's compaction: a segment with a snapshot, and one record behind it.
+	// storedSnapshot is the directory of that log's compaction: a segment with a snapshot, and one record behind it.
 	storedSnapshot = "snapshot"
-	// storedSeveral is a folder after a power loss: a whole segment, a newer one whose snapshot is torn, one in the
+	// storedSeveral is a directory after a power loss: a whole segment, a newer one whose snapshot is torn, one in the
 	// making.
 	storedSeveral = "several"
-	// storedFormat1 is the folder of a journal of format 1.
+	// storedFormat1 is the directory of a journal of format 1.
 	storedFormat1 = "format1"
 	// storedBoot is the identity of the boot in which the files were written.
 	storedBoot = "569f7cf0-0000-4000-8000-000000000001"
-	// storedRelay is the relay whose folders they are.
+	// storedRelay is the relay whose directories they are.
 	storedRelay = "relay-3"
-	// storedDiskMB is a limit of the folder that no test here comes near.
+	// storedDiskMB is a limit of the directory that no test here comes near.
 	storedDiskMB = 3
 	// storedStart is when the first segment was begun, by the monotonic clock.
 	storedStart = instant.Boot + instant.Time(1000*time.Second)
@@ -54,7 +54,7 @@
 	return &machine{now: storedStart.Add(later), wall: storedWall + clock.Wall(later), boot: storedBoot}
 }
 
-// openStored opens a folder as the relay of the stored files does.
+// openStored opens a directory as the relay of the stored files does.
 func openStored(t *testing.T, dir string, m *machine, power bool) (*Journal, *Report) {
 	t.Helper()
 	journal, report, err := Open(dir, Options{DiskMB: storedDiskMB, Relay: storedRelay, SurvivesPowerLoss: power, Boot: m.boot,
@@ -126,7 +126,7 @@
 	putFile(t, filepath.Join(dir, "segment-4.new"), whole[:len(whole)/4])
 }
 
-// storedFolders are the folders of storedDir, and what writes each.
+// storedFolders are the directories of storedDir, and what writes each.
 var storedFolders = []struct {
 	name  string
 	write func(t *testing.T, dir string)
@@ -177,7 +177,7 @@
 message bare: class , destination -1, key , taken +1s, expires never, body ""
 `
 
-// What the stored folders hold beside these.
+// What the stored directories hold beside these.
 const (
 	// storedList is the list that each of them holds.
 	storedList = "list of 2 hosts: {\"hosts\":[\"h1\",\"h2\"]}\n"
@@ -185,7 +185,7 @@
 	storedHealth = "health of h2: sick true, at +6s\n"
 	// laterMessage is the message that came behind the compaction.
 	laterMessage = "message later: class audit, destination 0, key , taken +10s, expires never, body \"later\"\n"
-	// sameBoot is how a folder is found that is whole and of this boot.
+	// sameBoot is how a directory is found that is whole and of this boot.
 	sameBoot = " whole true, rebooted false, by wall false\n"
 )
 
@@ -206,7 +206,7 @@
 	}
 }
 
-// A log that ends within its last record gives all that came before it, and nothing is in doubt.
+// A log that ends within its last record gives all that came before it, and nothing is uncertain.
 func TestReadsStoredTornLog(t *testing.T) {
 	dir := t.TempDir()
 	whole := fileBytes(t, filepath.Join(storedDir, storedLog, "segment-1"))
@@ -219,7 +219,7 @@
 
 // After another boot the newest segment whose snapshot is whole counts, with its moments carried over by the wall
 // clock: 20 s after the first segment was begun, by its own scale. Where only the process was to be outlasted, all
-// is in doubt.
+// is uncertain.
 func TestReadsStoredSegmentsAfterAnotherBoot(t *testing.T) {
 	const later = 20 * time.Second
 	m := &machine{now: instant.Boot.Add(3 * time.Second), wall: storedWall + clock.Wall(later), boot: "another"}
--- a/internal/journal/timescale_test.go
+++ b/internal/journal/timescale_test.go
@@ -13,11 +13,11 @@
 	"milletsail/internal/instant"
 )
 
-// clockTolerance is how far two readings of both clocks may lie apart: the form of before knows the wall clock alone, so its
+// clockTolerance is how far two readings of both clocks may lie apart: format 1 knows the wall clock alone, so its
 // times go from one clock to the other and back.
 const clockTolerance = time.Millisecond
 
-// sameV1 tells whether two files of the form of before hold the same records, times but for clockError.
+// sameV1 reports whether two files of format 1 hold the same records, times within clockTolerance.
 func sameV1(a, b []byte) bool {
 	for len(a) > 0 && len(b) > 0 {
 		one, oneBody, oneLength, err := decodeV1(a)
@@ -141,7 +141,7 @@
 	}
 }
 
-// A folder of a program that kept no clocks is read by the wall clock.
+// A directory of a program that kept no clocks is read by the wall clock.
 func TestDirectoryWithoutClocks(t *testing.T) {
 	m, dir := &machine{now: instant.Boot.Add(time.Hour), wall: 1.7e18, boot: "one"}, t.TempDir()
 	j := m.open(t, dir)
--- a/internal/journal/workload_test.go
+++ b/internal/journal/workload_test.go
@@ -25,7 +25,7 @@
 	return &promises{power, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}}
 }
 
-// check tells whether what a start finds keeps the promises.
+// check reports whether what a start finds keeps the promises.
 func (p *promises) check(j *Journal) error {
 	for id := range p.answered {
 		e := j.Get(id)
