--- a/internal/endpoints/reader_test.go
+++ b/internal/endpoints/reader_test.go
@@ -81,10 +81,11 @@
 	entryA, entryB := string(encode(t, a)), string(encode(t, b))
 	want := []object{{Seq: 7, Complete: true, Hosts: []Entry{a, b}}}
 	for name, text := range map[string]string{
-		"usual order":    `{"seq":7,"whole":true,"hosts":[` + entryA + `,` + entryB + `]}`,
-		"hosts first":    `{"hosts":[` + entryA + `,` + entryB + `],"whole":true,"seq":7}`,
-		"hosts between":  `{"whole":true,"hosts":[` + entryA + `,` + entryB + `],"seq":7}`,
-		"unknown fields": `{"x":{"y":[1,{"z":null}]},"seq":7,"hosts":[` + entryA + `,` + strings.Replace(entryB, "{", `{"more":[1,{}],`, 1) + `],"whole":true,"z":"}"}`,
+		"usual order":   `{"seq":7,"whole":true,"hosts":[` + entryA + `,` + entryB + `]}`,
+		"hosts first":   `{"hosts":[` + entryA + `,` + entryB + `],"whole":true,"seq":7}`,
+		"hosts between": `{"whole":true,"hosts":[` + entryA + `,` + entryB + `],"seq":7}`,
+		"unknown fields": `{"x":{"y":[1,{"z":null}]},"seq":7,"hosts":[` + entryA + `,` +
+			strings.Replace(entryB, "{", `{"more":[1,{}],`, 1) + `],"whole":true,"z":"}"}`,
 		"upper case":     `{"Seq":7,"WHOLE":true,"Hosts":[` + entryA + `,` + entryB + `]}`,
 		"blank lines":    "\n\n \r\n\t" + `{"seq":7,"whole":true,"hosts":[` + entryA + `,` + entryB + "]}\n\n\n",
 		"an empty entry": `{"seq":7,"whole":true,"hosts":[null,` + entryA + `,{},` + entryB + `]}`,
@@ -203,7 +204,7 @@
 	}
 }
 
-// pieces gives a text in pieces of random length.
+// pieces returns a text in pieces of random length.
 type pieces struct {
 	from   *bytes.Reader
 	random *rand.Rand
@@ -213,7 +214,7 @@
 	return p.from.Read(b[:min(len(b), 1+p.random.IntN(1<<p.random.IntN(14)))])
 }
 
-// steps gives one part of a text with each call.
+// steps returns one part of a text with each call.
 type steps struct{ parts []string }
 
 func (s *steps) Read(b []byte) (int, error) {
@@ -251,7 +252,7 @@
 	}
 }
 
-// blankLines gives empty lines without an end, and counts them.
+// blankLines returns empty lines without an end, and counts them.
 type blankLines struct{ left int }
 
 func (l *blankLines) Read(b []byte) (int, error) {
@@ -299,7 +300,7 @@
 	}
 }
 
-// listText is a whole list, made without holding it.
+// listText is a complete list, made without holding it.
 func listText(entries int) io.Reader {
 	r, w := io.Pipe()
 	go func() {
--- a/internal/journal/timescale_test.go
+++ b/internal/journal/timescale_test.go
@@ -13,11 +13,11 @@
 	"milletsail/internal/instant"
 )
 
-// clockTolerance is how far two readings of both clocks may lie apart: the form of before knows the wall clock alone, so its
+// clockTolerance is how far two readings of both clocks may lie apart: format 1 knows the wall clock alone, so its
 // times go from one clock to the other and back.
 const clockTolerance = time.Millisecond
 
-// sameV1 tells whether two files of the form of before hold the same records, times but for clockError.
+// sameV1 reports whether two files of format 1 hold the same records, times within clockTolerance.
 func sameV1(a, b []byte) bool {
 	for len(a) > 0 && len(b) > 0 {
 		one, oneBody, oneLength, err := decodeV1(a)
@@ -91,11 +91,11 @@
 	const deadline, sentAfter, gone = 10 * time.Second, time.Second, 3 * time.Second
 	const left, sentAgo = deadline - sentAfter - gone, gone
 	for _, c := range []struct {
-		name   string
-		after  func(m *machine) // beside gone, which passes
-		left   time.Duration
-		ago    time.Duration // since the attempt
-		sickAt time.Duration // ago
+		name      string
+		after     func(m *machine) // beside gone, which passes
+		left      time.Duration
+		ago       time.Duration // since the attempt
+		ejectedAt time.Duration // ago
 	}{
 		{"no step", func(*machine) {}, left, sentAgo, sentAgo},
 		{"an hour forward", func(m *machine) { m.steps(time.Hour) }, left, sentAgo, sentAgo},
@@ -103,8 +103,10 @@
 		{"a second back", func(m *machine) { m.steps(-time.Second) }, left, sentAgo, sentAgo},
 		{"there and back", func(m *machine) { m.steps(time.Hour); m.steps(-time.Hour) }, left, sentAgo, sentAgo},
 		{"another boot", func(m *machine) { m.boots(time.Second) }, left, sentAgo, sentAgo},
-		{"another boot, forward", func(m *machine) { m.boots(time.Second); m.steps(5 * time.Second) }, left - 5*time.Second, sentAgo + 5*time.Second, sentAgo + 5*time.Second},
-		{"another boot, back by less than it was gone", func(m *machine) { m.boots(2 * time.Second); m.steps(-2 * time.Second) }, left + time.Second, sentAgo - time.Second, sentAgo - time.Second},
+		{"another boot, forward", func(m *machine) { m.boots(time.Second); m.steps(5 * time.Second) },
+			left - 5*time.Second, sentAgo + 5*time.Second, sentAgo + 5*time.Second},
+		{"another boot, back by less than it was gone", func(m *machine) { m.boots(2 * time.Second); m.steps(-2 * time.Second) },
+			left + time.Second, sentAgo - time.Second, sentAgo - time.Second},
 		{"another boot, an hour back", func(m *machine) { m.boots(time.Second); m.steps(-time.Hour) }, 0, 1 << 40, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -130,8 +132,8 @@
 				if got := m.now.Sub(e.Attempts[0].StartedAt); got < c.ago {
 					t.Errorf("the attempt was %v ago, want %v", got, c.ago)
 				}
-				if got := m.now.Sub(j.Health()["h"].ChangedAt); got < c.sickAt || got > c.sickAt+time.Millisecond {
-					t.Errorf("the outage began %v ago, want %v", got, c.sickAt)
+				if got := m.now.Sub(j.Health()["h"].ChangedAt); got < c.ejectedAt || got > c.ejectedAt+time.Millisecond {
+					t.Errorf("the outage began %v ago, want %v", got, c.ejectedAt)
 				}
 				_ = j.Close()
 			}
@@ -139,7 +141,7 @@
 	}
 }
 
-// A folder of a program that kept no clocks is read by the wall clock.
+// A directory of a program that kept no clocks is read by the wall clock.
 func TestDirectoryWithoutClocks(t *testing.T) {
 	m, dir := &machine{now: instant.Boot.Add(time.Hour), wall: 1.7e18, boot: "one"}, t.TempDir()
 	j := m.open(t, dir)
