--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -135,15 +135,15 @@
 }
 
 // applyEnvironment takes over what environment variables say.
-func (config *Config) applyEnvironment() error {
+func (c *Config) applyEnvironment() error {
 	if admin := os.Getenv(adminVariable); admin != "" {
-		config.Admin = admin
+		c.Admin = admin
 	}
-	config.InheritedSocket = os.Getenv(socketVariable)
+	c.InheritedSocket = os.Getenv(socketVariable)
 	if durability := os.Getenv(durabilityVariable); durability != "" {
-		config.Durability = durability
+		c.Durability = durability
 	}
-	for name, on := range map[string]*bool{fleetVariable: &config.Fleet, zonesVariable: &config.Zones, canaryVariable: &config.CanaryAnalysis} {
+	for name, on := range map[string]*bool{fleetVariable: &c.Fleet, zonesVariable: &c.Zones, canaryVariable: &c.CanaryAnalysis} {
 		switch value := os.Getenv(name); value {
 		case "":
 		case "on", "off":
