--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -143,7 +143,8 @@
 	if durability := os.Getenv(durabilityVariable); durability != "" {
 		c.Durability = durability
 	}
-	for name, on := range map[string]*bool{fleetVariable: &c.Fleet, zonesVariable: &c.Zones, canaryVariable: &c.CanaryAnalysis} {
+	for name, on := range map[string]*bool{fleetVariable: &c.Fleet, zonesVariable: &c.Zones,
+		canaryVariable: &c.CanaryAnalysis} {
 		switch value := os.Getenv(name); value {
 		case "":
 		case "on", "off":
