--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -45,8 +45,7 @@
 	RetryAfterMS int64  `json:"again_ms,omitempty"`
 }
 
-// LegacyEndpointList is an endpoint list in the encoding of its owner. Programs up to format 2's first releases stored
-// it in the journal.
+// LegacyEndpointList is an endpoint list in the encoding of its owner. Older programs stored it in the journal.
 type LegacyEndpointList struct {
 	Text      []byte
 	Endpoints int // number of endpoints in Text
