--- a/policy/admission.go
+++ b/policy/admission.go
@@ -77,7 +77,7 @@
 	queue.admission.recordVirtualArrival(d.now, timeLeft-latency, interval)
 	if λ*interval > 1 {
 		// The bound is on the age: little time left need not come from it.
-		timeLeft = math.Min(timeLeft, d.overloadAgeLimit(arrived.class).Seconds())
+		timeLeft = math.Min(timeLeft, d.settings.overloadAgeLimit(arrived.class).Seconds())
 	}
 	excess := delay + 2*latency - timeLeft
 	switch {
@@ -102,10 +102,10 @@
 // overloadAgeLimit is the age at which a class, or one of the same or a higher priority weight that would
 // wait behind it, falls below minDeliveryValue: patient messages of low value must not fill a queue against
 // urgent ones.
-func (d *Dispatcher) overloadAgeLimit(class *Class) time.Duration {
+func (s *Settings) overloadAgeLimit(class *Class) time.Duration {
 	age := class.ageAt(minDeliveryValue)
-	for i := range d.settings.Classes {
-		if other := &d.settings.Classes[i]; other.PriorityWeight >= class.PriorityWeight {
+	for i := range s.Classes {
+		if other := &s.Classes[i]; other.PriorityWeight >= class.PriorityWeight {
 			age = min(age, other.ageAt(minDeliveryValue))
 		}
 	}
--- a/policy/availability.go
+++ b/policy/availability.go
@@ -6,7 +6,7 @@
 	avoided := d.unavailableCount
 	for _, q := range d.active { // only an endpoint with a call out can be unresponsive
 		for _, ep := range q.endpoints {
-			if !ep.outlier.ejected && !ep.Draining && d.unresponsive(ep) {
+			if !ep.outlier.ejected && !ep.Draining && ep.unresponsive(d.now) {
 				avoided++
 			}
 		}
--- a/policy/canary.go
+++ b/policy/canary.go
@@ -102,7 +102,7 @@
 			SuspendedUntil:  canary.suspendedUntil,
 			Suspensions:     canary.suspensions,
 			RegressionScore: canary.maxScore() / math.Log(regressionLikelihoodRatio),
-			HasBaseline:     d.hasBaseline(ep),
+			HasBaseline:     ep.hasBaseline(d.now),
 		})
 	}
 	return all
@@ -155,15 +155,15 @@
 
 // hasBaseline reports whether an endpoint on trial has a baseline: a healthy endpoint of its queue that is no
 // canary. Without one it serves as any other.
-func (d *Dispatcher) hasBaseline(ep *endpoint) bool {
+func (ep *endpoint) hasBaseline(now instant.Time) bool {
 	return ep.canary != nil && slices.ContainsFunc(ep.queue.endpoints, func(other *endpoint) bool {
-		return other.canary == nil && !other.outlier.ejected && !other.Draining && !d.unresponsive(other)
+		return other.canary == nil && !other.outlier.ejected && !other.Draining && !other.unresponsive(now)
 	})
 }
 
 // canaryWithheld reports whether an endpoint on trial gets no call now.
-func (d *Dispatcher) canaryWithheld(ep *endpoint) bool {
-	return ep.canary != nil && (ep.canary.suspended(d.now) || ep.canary.credit < 1) && d.hasBaseline(ep)
+func (ep *endpoint) canaryWithheld(now instant.Time) bool {
+	return ep.canary != nil && (ep.canary.suspended(now) || ep.canary.credit < 1) && ep.hasBaseline(now)
 }
 
 // addCanaryCredit gives the canaries of a queue their shares of a call, which one of its endpoints gets.
--- a/policy/canary_test.go
+++ b/policy/canary_test.go
@@ -291,7 +291,7 @@
 	if share := p.canaryShare(time.Duration(ep.canary.suspendedUntil.Add(-50*ms)), 5); share > 0 {
 		t.Errorf("%.3f of the calls while it is suspended", share)
 	}
-	if share := p.canaryShare(p.now+time.Second, 5); share > 0.25 || d.canaryWithheld(ep) &&
+	if share := p.canaryShare(p.now+time.Second, 5); share > 0.25 || ep.canaryWithheld(d.now) &&
 		ep.canary.credit >= 1 {
 		t.Errorf("%.3f of the calls at once after a hold", share)
 	}
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -26,8 +26,8 @@
 	messages      messageTable
 	keys          orderedKeys
 	slots         slotScheduler
-	latencyPriors map[int]*latencyEstimate // by kind of destination
-	meanPriority  float64                  // mean priority weight of the classes
+	latencyPriors latencyPriors
+	meanPriority  float64 // mean priority weight of the classes
 	watch         endpointWatch
 	timer         timerState
 	fleet         fleetState
@@ -52,7 +52,7 @@
 		endpoints:     map[string]*endpoint{},
 		messages:      messageTable{byID: map[string]*message{}},
 		keys:          orderedKeys{waiting: map[string][]*message{}},
-		latencyPriors: map[int]*latencyEstimate{},
+		latencyPriors: latencyPriors{byKind: map[int]*latencyEstimate{}, classes: len(settings.Classes)},
 		watch:         endpointWatch{subscribeAt: never, firstListedAt: never},
 	}
 	if settings.Subscribe {
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -11,7 +11,7 @@
 	for _, ep := range q.endpoints {
 		// An ejected endpoint is probed with a message's first attempt, unless it is the only one.
 		retryAtEjected := ep.outlier.ejected && len(m.attempts) > 0 && len(q.endpoints) > 1
-		if retryAtEjected || d.canaryWithheld(ep) || !d.acceptsCall(ep) ||
+		if retryAtEjected || ep.canaryWithheld(d.now) || !d.acceptsCall(ep) ||
 			d.avoidsZone(ep, m) || !d.retryAllowed(m, ep) {
 			continue
 		}
@@ -25,9 +25,9 @@
 // preferred reports whether a is to be chosen before b for a message.
 func (d *Dispatcher) preferred(m *message, zone int, a, b *endpoint) bool {
 	return cmp.Or(
-		compareBools(a.outlier.ejected, b.outlier.ejected), // its probe is due
-		compareBools(d.hasBaseline(a), d.hasBaseline(b)),   // a canary's share is due
-		compareBools(d.unresponsive(b), d.unresponsive(a)),
+		compareBools(a.outlier.ejected, b.outlier.ejected),       // its probe is due
+		compareBools(a.hasBaseline(d.now), b.hasBaseline(d.now)), // a canary's share is due
+		compareBools(b.unresponsive(d.now), a.unresponsive(d.now)),
 		cmp.Compare(m.failureScore(b), m.failureScore(a)),
 		compareBools(d.settings.Zones && a.Zone == zone, d.settings.Zones && b.Zone == zone),
 		cmp.Compare(len(b.calls), len(a.calls)),
@@ -70,7 +70,7 @@
 	if ep.slowStart.active && d.slowStartTokens(ep) < 1 {
 		return false
 	}
-	return !d.unresponsive(ep) || len(ep.calls) < maxUnhealthyCalls
+	return !ep.unresponsive(d.now) || len(ep.calls) < maxUnhealthyCalls
 }
 
 // mayProbe reports whether an ejected endpoint may get a probe now: in this relay's turn, where the fleet
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -33,8 +33,8 @@
 
 // nearDeadline reports whether a message may expire before a call with it ends, which would end the call for
 // all its messages. Such messages share calls with each other only.
-func (d *Dispatcher) nearDeadline(q *queue, m *message) bool {
-	return m.expiresAt.Sub(d.now).Seconds() < stalledFactor*q.latency.byClass[m.Class]
+func (q *queue) nearDeadline(m *message, now instant.Time) bool {
+	return m.expiresAt.Sub(now).Seconds() < stalledFactor*q.latency.byClass[m.Class]
 }
 
 // abandon ends a message undelivered: it is rejected, with the time until its queue may send next, if the
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -202,7 +202,7 @@
 		return
 	}
 	queue.latency = state.latencyEstimate()
-	if prior := d.latencyPrior(queue.kind); prior.outcomes < state.Outcomes {
+	if prior := d.latencyPriors.get(queue.kind); prior.outcomes < state.Outcomes {
 		*prior = state.latencyEstimate()
 	}
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -39,10 +39,16 @@
 	}
 }
 
-// latencyPrior returns the estimate over all destinations of a kind.
-func (d *Dispatcher) latencyPrior(kind int) *latencyEstimate {
-	if d.latencyPriors[kind] == nil {
-		d.latencyPriors[kind] = &latencyEstimate{byClass: make([]float64, len(d.settings.Classes))}
+// latencyPriors holds the estimates over all destinations of each kind.
+type latencyPriors struct {
+	byKind  map[int]*latencyEstimate
+	classes int
+}
+
+// get returns the estimate of a kind.
+func (p *latencyPriors) get(kind int) *latencyEstimate {
+	if p.byKind[kind] == nil {
+		p.byKind[kind] = &latencyEstimate{byClass: make([]float64, p.classes)}
 	}
-	return d.latencyPriors[kind]
+	return p.byKind[kind]
 }
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -105,22 +105,22 @@
 	if !d.settings.Zones || m.class.KeysPerZone && m.firstPossibleExecution() != nil {
 		return false
 	}
-	return d.evacuatedByOrder(ep)
+	return d.zones.evacuatedByOrder(ep)
 }
 
 // evacuatedByOrder reports whether operators have evacuated an endpoint's zone and its destination is served
 // elsewhere.
-func (d *Dispatcher) evacuatedByOrder(ep *endpoint) bool {
-	return d.zones.state(ep.Zone) == EvacuatedByOrder && d.servedElsewhere(ep)
+func (t *zoneTable) evacuatedByOrder(ep *endpoint) bool {
+	return t.state(ep.Zone) == EvacuatedByOrder && t.servedElsewhere(ep)
 }
 
 // servedElsewhere reports whether a destination has an endpoint that serves in another zone that isn't
 // evacuated by order.
-func (d *Dispatcher) servedElsewhere(ep *endpoint) bool {
+func (t *zoneTable) servedElsewhere(ep *endpoint) bool {
 	for _, q := range ep.queue.destination.queues {
 		for _, other := range q.endpoints {
 			serves := !other.outlier.ejected && !other.Draining
-			if other.Zone != ep.Zone && serves && d.zones.state(other.Zone) != EvacuatedByOrder {
+			if other.Zone != ep.Zone && serves && t.state(other.Zone) != EvacuatedByOrder {
 				return true
 			}
 		}
@@ -157,7 +157,7 @@
 	}
 	capacity := make([]float64, len(demand))
 	for _, ep := range q.endpoints {
-		serves := !ep.outlier.ejected && !ep.Draining && !d.evacuatedByOrder(ep)
+		serves := !ep.outlier.ejected && !ep.Draining && !d.zones.evacuatedByOrder(ep)
 		if ep.Zone >= 0 && ep.Zone < len(capacity) && serves {
 			capacity[ep.Zone] += q.limiter.listedRate / float64(len(q.endpoints))
 		}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -111,7 +111,7 @@
 func (d *Dispatcher) recordOutcome(outcome callOutcome) {
 	ep, queue := outcome.call.endpoint, outcome.call.endpoint.queue
 	endedAt := outcome.call.sentAt.Add(outcome.Latency)
-	d.slots.recordLateness(outcome.Outcome, endedAt >= d.overdueAt(outcome.call, stalledFactor))
+	d.slots.recordLateness(outcome.Outcome, endedAt >= outcome.call.overdueAt(stalledFactor))
 	d.recordLocalLoad(ep, outcome.AttemptEnded)
 	usual := queue.latency.byClass[outcome.message.Class]
 	late := usual > 0 && outcome.seconds > stalledFactor*usual
@@ -146,7 +146,7 @@
 	ep.succeededCallAt, ep.lastLatency = max(ep.succeededCallAt, sentAt), outcome.seconds
 	queue.latency.record(class, outcome.seconds)
 	queue.typicalConcurrency += latencyWeight * (float64(len(queue.calls)+1) - queue.typicalConcurrency)
-	d.latencyPrior(queue.kind).record(class, outcome.seconds)
+	d.latencyPriors.get(queue.kind).record(class, outcome.seconds)
 	ep.outlier.classFailures[class] = 0
 	if ep.outlier.ejected && sentAt < ep.outlier.ejectedAt && d.now < queue.circuit.retryAfterUntil {
 		return // sent before the destination asked for a pause: it says nothing of its recovery
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -20,15 +20,15 @@
 // singleProber reports whether several relays were rejected by a destination and this one has not been served
 // since. It isn't known to be down yet, but the calls of one relay at a time find out as well as those of
 // all.
-func (d *Dispatcher) singleProber(q *queue) bool {
+func (q *queue) singleProber(now instant.Time) bool {
 	report := q.peerReport
-	return report.observers >= minObservers && d.now < report.validUntil && q.lastSuccessAt < report.oldestAt
+	return report.observers >= minObservers && now < report.validUntil && q.lastSuccessAt < report.oldestAt
 }
 
 // isProber reports whether a destination is down, or nearly known to be, and this relay is the next of the
 // fleet to probe it: regardless of its own send rate and pauses, since it probes for all.
 func (d *Dispatcher) isProber(q *queue) bool {
-	if !q.allEjected() && !d.singleProber(q) || len(q.endpoints) == 0 {
+	if !q.allEjected() && !q.singleProber(d.now) || len(q.endpoints) == 0 {
 		return false
 	}
 	turn := d.probeTurn(q.endpoints[0])
--- a/policy/queueing_delay.go
+++ b/policy/queueing_delay.go
@@ -35,16 +35,16 @@
 // at least what pauses, the send rate and slow start imply. It is zero while a slot is free and nothing
 // waits.
 func (d *Dispatcher) queueingDelay(q *queue) float64 {
-	byLatency := q.callsFor(len(q.waiting)) * d.currentLatency(q) / q.concurrency(d.now)
+	byLatency := q.callsFor(len(q.waiting)) * q.currentLatency(d.now) / q.concurrency(d.now)
 	return math.Max(byLatency, d.timeToNextCall(q, len(q.waiting)))
 }
 
 // currentLatency is the mean latency of a queue, in seconds, with the ages of the calls out counted in, so
 // that a hang shows before any outcome.
-func (d *Dispatcher) currentLatency(q *queue) float64 {
+func (q *queue) currentLatency(now instant.Time) float64 {
 	mean := q.latency.mean
 	for _, c := range q.calls {
-		if age := d.now.Sub(c.sentAt).Seconds(); age > mean {
+		if age := now.Sub(c.sentAt).Seconds(); age > mean {
 			mean += latencyWeight * (age - mean)
 		}
 	}
--- a/policy/queueing_delay_test.go
+++ b/policy/queueing_delay_test.go
@@ -76,7 +76,7 @@
 		t.Errorf("six held, two out: u = %v, want 6 × 0.5 / 2", u)
 	}
 	d.now = moment(5500 * ms) // both calls have been out for 5.5 s: 0.5 + 0.1×5, then 1 + 0.1×4.5
-	if got := d.currentLatency(q); math.Abs(got-1.45) > 1e-9 {
+	if got := q.currentLatency(d.now); math.Abs(got-1.45) > 1e-9 {
 		t.Errorf("calls out count with their age: %v, want 1.45", got)
 	}
 	q.circuit.retryAfterUntil = d.now.Add(8 * time.Second)
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -14,7 +14,7 @@
 	destination := d.destination(m.Destination)
 	best, lowest := destination.queues[0], math.Inf(1)
 	for _, candidate := range destination.queues {
-		candidate.latency.applyPrior(d.latencyPrior(candidate.kind))
+		candidate.latency.applyPrior(d.latencyPriors.get(candidate.kind))
 		if !candidate.separateRoute || !candidate.acceptsCalls() {
 			continue
 		}
@@ -29,7 +29,7 @@
 // lost by lateness, the price of the zone, and the work left (priced so that a whole deadline of it costs one
 // message).
 func (d *Dispatcher) routeCost(route *queue, m *message) float64 {
-	delay := d.queueingDelay(route) + math.Max(route.latency.byClass[m.Class], d.currentLatency(route))
+	delay := d.queueingDelay(route) + math.Max(route.latency.byClass[m.Class], route.currentLatency(d.now))
 	timeLeft := m.expiresAt.Sub(d.now) - time.Duration(math.Min(delay, maxRoutingDelay)*float64(time.Second))
 	cost := m.class.PriorityWeight*(1-m.class.valueAt(m.class.Deadline-timeLeft)) +
 		d.meanPriority*delay/m.class.Deadline.Seconds()
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -39,7 +39,7 @@
 			}
 			ep, m := d.nextSendable(candidate)
 			if m != nil && (best == nil || len(candidate.calls) < len(best.calls) ||
-				d.valueDeadline(m) < d.valueDeadline(first)) {
+				m.valueDeadline(d.now) < first.valueDeadline(d.now)) {
 				best, target, first = candidate, ep, m
 			}
 		}
@@ -52,9 +52,9 @@
 
 // valueDeadline is when the value of a message falls below minDeliveryValue. A message below that comes after
 // all others.
-func (d *Dispatcher) valueDeadline(m *message) instant.Time {
+func (m *message) valueDeadline(now instant.Time) instant.Time {
 	at := m.expiresAt.Add(-m.class.Deadline).Add(m.class.ageAt(minDeliveryValue))
-	if at < d.now {
+	if at < now {
 		at = at.Add(time.Hour)
 	}
 	return at
@@ -86,7 +86,7 @@
 	if (d.now < q.circuit.backoffUntil || q.limiter.rate > 0 && d.sendTokens(q) < 1) && !isProber {
 		return false
 	}
-	return !d.singleProber(q) || isProber && d.now >= d.probeTurn(q.endpoints[0])
+	return !q.singleProber(d.now) || isProber && d.now >= d.probeTurn(q.endpoints[0])
 }
 
 // startCall starts a call with a message and, where the kind of destination allows it, others of the queue.
@@ -107,7 +107,7 @@
 	if ep.limitedBySlowStart() {
 		ep.slowStart.bucket.tokens = math.Max(0, d.slowStartTokens(ep)-1)
 	}
-	if ep.outlier.ejected || d.singleProber(queue) {
+	if ep.outlier.ejected || queue.singleProber(d.now) {
 		queue.probedAt = d.now
 	}
 	d.startAttempt(first, started)
@@ -123,7 +123,7 @@
 		m := queue.waiting[i]
 		fits := d.settings.MaxBatchBytes == 0 || batch.size+m.Size <= d.settings.MaxBatchBytes
 		if fits && d.attemptAllowed(m) && d.retryAllowed(m, batch.endpoint) &&
-			d.nearDeadline(queue, m) == d.nearDeadline(queue, first) {
+			queue.nearDeadline(m, d.now) == queue.nearDeadline(first, d.now) {
 			d.startAttempt(m, batch) // which dequeues it
 			continue
 		}
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -75,18 +75,18 @@
 func (d *Dispatcher) callStalled(c *call, slotWanted bool) (stalled, overtaken bool) {
 	retryable := d.callRetryable(c)
 	overtaken = retryable && c.endpoint.succeededCallAt > c.sentAt
-	factor := d.stalledCallFactor()
+	factor := d.slots.stalledCallFactor()
 	if !retryable {
 		factor *= finalAttemptFactor
 	}
-	lost := overtaken && d.now >= d.overdueAt(c, unresponsiveFactor)
-	return lost || slotWanted && d.now >= d.overdueAt(c, factor), overtaken
+	lost := overtaken && d.now >= c.overdueAt(unresponsiveFactor)
+	return lost || slotWanted && d.now >= c.overdueAt(factor), overtaken
 }
 
 // stalledCallFactor is the number of mean latencies after which a wanted slot is taken back: sooner where
 // late calls mostly had no success at all (loss, hangs) than where they had (slowness, heavy work).
-func (d *Dispatcher) stalledCallFactor() float64 {
-	if d.slots.unansweredShare > unansweredThreshold {
+func (s *slotScheduler) stalledCallFactor() float64 {
+	if s.unansweredShare > unansweredThreshold {
 		return stalledFactor
 	}
 	return unresponsiveFactor
@@ -94,7 +94,7 @@
 
 // overdueAt is when a call has been out for a multiple of its usual latency, which doubles with each attempt
 // of its first message, or never where the latency is unknown.
-func (d *Dispatcher) overdueAt(c *call, factor float64) instant.Time {
+func (c *call) overdueAt(factor float64) instant.Time {
 	latency := &c.endpoint.queue.latency
 	usual := math.Max(latency.mean, c.endpoint.lastLatency)
 	for _, m := range c.messages {
@@ -109,10 +109,10 @@
 
 // unresponsive reports whether an endpoint has a call out for far longer than usual and no success since it
 // was sent.
-func (d *Dispatcher) unresponsive(ep *endpoint) bool {
+func (ep *endpoint) unresponsive(now instant.Time) bool {
 	if len(ep.calls) == 0 || ep.queue.latency.mean == 0 {
 		return false
 	}
 	oldest := ep.calls[0]
-	return ep.outlier.lastSuccessAt <= oldest.sentAt && d.now >= d.overdueAt(oldest, unresponsiveFactor)
+	return ep.outlier.lastSuccessAt <= oldest.sentAt && now >= oldest.overdueAt(unresponsiveFactor)
 }
--- a/policy/stalled_calls_test.go
+++ b/policy/stalled_calls_test.go
@@ -42,11 +42,11 @@
 // TestStalledCallFactor guards against slots lost to calls that will never be answered.
 func TestStalledCallFactor(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	if got := d.stalledCallFactor(); got != unresponsiveFactor {
+	if got := d.slots.stalledCallFactor(); got != unresponsiveFactor {
 		t.Errorf("at the start: %v", got)
 	}
 	d.slots.unansweredShare = 0.9
-	if got := d.stalledCallFactor(); got != stalledFactor {
+	if got := d.slots.stalledCallFactor(); got != stalledFactor {
 		t.Errorf("with late calls unanswered: %v", got)
 	}
 }
--- a/policy/state_store_pair_test.go
+++ b/policy/state_store_pair_test.go
@@ -87,7 +87,7 @@
 	}
 	avoided := 0
 	for _, ep := range p.eager.endpoints {
-		if ep.outlier.ejected || ep.Draining || p.eager.unresponsive(ep) {
+		if ep.outlier.ejected || ep.Draining || ep.unresponsive(p.eager.now) {
 			avoided++
 		}
 	}
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -50,7 +50,7 @@
 func (d *Dispatcher) addStallTimes(next *earliestTime, q *queue) {
 	for _, c := range q.calls {
 		for _, factor := range stallFactors {
-			if at := d.overdueAt(c, factor); at > d.now && !c.canceled {
+			if at := c.overdueAt(factor); at > d.now && !c.canceled {
 				next.add(at)
 			}
 		}
@@ -83,7 +83,7 @@
 	if q.limiter.rate > 0 && d.sendTokens(q) < 1 && !d.isProber(q) {
 		at = max(at, d.now.Add(tokenDelay(1-q.limiter.bucket.tokens, q.limiter.rate)))
 	}
-	if d.singleProber(q) && len(q.endpoints) > 0 {
+	if q.singleProber(d.now) && len(q.endpoints) > 0 {
 		at = max(at, d.probeTurn(q.endpoints[0]))
 	}
 	return at
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -34,7 +34,7 @@
 		return
 	}
 	surveys, listed := d.surveyZones()
-	d.zones.isolated = d.detectIsolation(surveys)
+	d.zones.isolated = detectIsolation(d.settings.Zone, surveys)
 	evacuated := 0
 	for number, survey := range surveys {
 		if d.zones.get(number).state != Serving {
@@ -43,7 +43,7 @@
 	}
 	for number, survey := range surveys {
 		record := d.zones.get(number)
-		fails := survey.failsAlone(surveys) && d.reachesOtherZone(number, surveys)
+		fails := survey.failsAlone(surveys) && d.zones.reachesOtherZone(number, d.settings.Zone, surveys)
 		tooMany := float64(evacuated+survey.listed) > panicThreshold*float64(listed)
 		switch {
 		case record.state == EvacuatedByOrder && d.now >= record.deadline:
@@ -79,10 +79,10 @@
 
 // reachesOtherZone reports whether a zone that is neither the own nor the one that fails has answered a call
 // that was sent after the failures started: only then it isn't this relay that is isolated.
-func (d *Dispatcher) reachesOtherZone(number int, surveys []zoneSurvey) bool {
+func (t *zoneTable) reachesOtherZone(number, ownZone int, surveys []zoneSurvey) bool {
 	for other, survey := range surveys {
-		bystander := other != number && other != d.settings.Zone
-		if bystander && survey.lastAnsweredAt > d.zones.get(number).failingSince {
+		bystander := other != number && other != ownZone
+		if bystander && survey.lastAnsweredAt > t.get(number).failingSince {
 			return true
 		}
 	}
@@ -91,10 +91,10 @@
 
 // detectIsolation reports whether this relay is isolated: all zones but its own fail, of which there are two
 // at least. Its observations then count as second-hand, and it goes on with what it reaches.
-func (d *Dispatcher) detectIsolation(surveys []zoneSurvey) bool {
+func detectIsolation(ownZone int, surveys []zoneSurvey) bool {
 	others := 0
 	for number, survey := range surveys {
-		if number == d.settings.Zone || survey.known == 0 {
+		if number == ownZone || survey.known == 0 {
 			continue
 		}
 		if others++; !survey.fails() {
@@ -109,14 +109,14 @@
 func (d *Dispatcher) evacuate(number int, state ZoneState) {
 	d.setZoneState(number, state)
 	for _, ep := range d.endpointsInZone(number) {
-		if !d.servedElsewhere(ep) {
+		if !d.zones.servedElsewhere(ep) {
 			continue
 		}
 		if state == Evacuated {
 			d.ejectEndpoint(ep, secondHand)
 		}
 		for _, c := range ep.calls {
-			if !c.canceled && d.settings.CanCancel && d.callRetryable(c) && d.now >= d.overdueAt(c, 1) {
+			if !c.canceled && d.settings.CanCancel && d.callRetryable(c) && d.now >= c.overdueAt(1) {
 				d.cancelCall(c)
 			}
 		}
@@ -128,7 +128,7 @@
 func (d *Dispatcher) startRecovery(number int) {
 	d.setZoneState(number, Recovering)
 	for _, ep := range d.endpointsInZone(number) {
-		if d.servedElsewhere(ep) && ep.outlier.lastFailureAt <= ep.outlier.lastSuccessAt {
+		if d.zones.servedElsewhere(ep) && ep.outlier.lastFailureAt <= ep.outlier.lastSuccessAt {
 			d.startSlowStart(ep, d.initialTokens(ep), secondHand)
 		}
 	}
--- a/policy/zone_survey.go
+++ b/policy/zone_survey.go
@@ -60,15 +60,15 @@
 )
 
 // health returns the health of an endpoint for the survey of its zone.
-func (d *Dispatcher) health(ep *endpoint) endpointHealth {
-	outlier, zone := &ep.outlier, d.zones.get(ep.Zone)
+func (t *zoneTable) health(ep *endpoint, now instant.Time) endpointHealth {
+	outlier, zone := &ep.outlier, t.get(ep.Zone)
 	failedLast := outlier.lastFailureAt > outlier.lastSuccessAt
-	current := outlier.ejected || d.now.Sub(outlier.lastFailureAt) < healthObservationWindow
+	current := outlier.ejected || now.Sub(outlier.lastFailureAt) < healthObservationWindow
 	beforeRecovery := zone.state == Recovering && outlier.lastFailureAt <= zone.enteredAt
 	switch {
-	case failedLast && current && !beforeRecovery || d.unresponsive(ep):
+	case failedLast && current && !beforeRecovery || ep.unresponsive(now):
 		return healthFailing
-	case outlier.lastSuccessAt > 0 && d.now.Sub(outlier.lastSuccessAt) < healthObservationWindow:
+	case outlier.lastSuccessAt > 0 && now.Sub(outlier.lastSuccessAt) < healthObservationWindow:
 		return healthServing
 	}
 	return healthUnknown
@@ -85,7 +85,7 @@
 				surveys = append(surveys, zoneSurvey{})
 			}
 			listed++
-			surveys[ep.Zone].add(ep, d.health(ep))
+			surveys[ep.Zone].add(ep, d.zones.health(ep, d.now))
 		}
 	}
 	for number, survey := range surveys {
--- a/policy/zone_table.go
+++ b/policy/zone_table.go
@@ -105,7 +105,7 @@
 		d.startRecovery(number)
 	case record.state == EvacuatedByOrder:
 		return errors.New("it is evacuated by order already")
-	case !d.otherZoneRemains(number, surveys):
+	case !d.zones.otherZoneRemains(number, surveys):
 		return errors.New("it is the last zone that is left")
 	default:
 		record.deadline = until
@@ -116,9 +116,9 @@
 }
 
 // otherZoneRemains reports whether endpoints are listed in another zone that is not evacuated by order.
-func (d *Dispatcher) otherZoneRemains(number int, surveys []zoneSurvey) bool {
+func (t *zoneTable) otherZoneRemains(number int, surveys []zoneSurvey) bool {
 	for other, survey := range surveys {
-		if other != number && survey.listed > 0 && d.zones.get(other).state != EvacuatedByOrder {
+		if other != number && survey.listed > 0 && t.get(other).state != EvacuatedByOrder {
 			return true
 		}
 	}
