--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,6 @@
 // Package policy decides what a relay does with its messages: which it admits, where and when it sends them,
-// when it retries, and when it gives up. It has no I/O, no clock and no goroutines: [Dispatcher.Handle] takes a
-// batch of events and returns actions. The interface is in policy/api.go (settings), policy/event.go and
+// when it retries, and when it gives up. It has no I/O, no clock and no goroutines: [Dispatcher.Handle] takes
+// a batch of events and returns actions. The interface is in policy/api.go (settings), policy/event.go and
 // policy/action.go.
 //
 // Admission control is the core: Hyytiä's value-function bound for parallel first-come queues (admission.go,
@@ -19,8 +19,8 @@
 //     (rate_sharing.go), gossip messages (gossip_codec.go).
 //   - State on demand (state_store.go), and the timer (timer.go).
 //
-// A destination has one queue, or one for each separate route. An endpoint belongs to one queue. A call carries
-// one message or a batch to an endpoint, and an attempt is one message's part in a call.
+// A destination has one queue, or one for each separate route. An endpoint belongs to one queue. A call
+// carries one message or a batch to an endpoint, and an attempt is one message's part in a call.
 package policy
 
 import "milletsail/internal/instant"
