--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
 // callOutcome is the end of a call, as reported with the last of its attempts.
 type callOutcome struct {
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
 const (
 	// minFailingEndpoints is the number of endpoints that must fail in a zone for it to count as failing.
