--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -135,16 +135,16 @@
 }
 
 // applyEnvironment takes over what environment variables say.
-func (c *Config) applyEnvironment() error {
+func (config *Config) applyEnvironment() error {
 	if admin := os.Getenv(adminVariable); admin != "" {
-		c.Admin = admin
+		config.Admin = admin
 	}
-	c.InheritedSocket = os.Getenv(socketVariable)
+	config.InheritedSocket = os.Getenv(socketVariable)
 	if durability := os.Getenv(durabilityVariable); durability != "" {
-		c.Durability = durability
+		config.Durability = durability
 	}
-	for name, on := range map[string]*bool{fleetVariable: &c.Fleet, zonesVariable: &c.Zones,
-		canaryVariable: &c.CanaryAnalysis} {
+	for name, on := range map[string]*bool{fleetVariable: &config.Fleet, zonesVariable: &config.Zones,
+		canaryVariable: &config.CanaryAnalysis} {
 		switch value := os.Getenv(name); value {
 		case "":
 		case "on", "off":
