--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -26,13 +26,11 @@
 	messages      messageTable
 	keys          orderedKeys
 	slots         slotScheduler
-	latencyPriors map[int]*latencyEstimate // by kind of destination
-	meanPriority  float64                  // mean priority weight of the classes
+	latencyPriors latencyPriors
+	meanPriority  float64 // mean priority weight of the classes
 	watch         endpointWatch
 	timer         timerState
-	publisher     ratePublisher
-	liveRelays    int          // that share the traffic now; 0 for unknown
-	lastGossipAt  instant.Time // when the last gossip message was received
+	fleet         fleetState
 	zones         zoneTable
 	canaryCount   int
 	store         stateStore
@@ -54,7 +52,7 @@
 		endpoints:     map[string]*endpoint{},
 		messages:      messageTable{byID: map[string]*message{}},
 		keys:          orderedKeys{waiting: map[string][]*message{}},
-		latencyPriors: map[int]*latencyEstimate{},
+		latencyPriors: latencyPriors{byKind: map[int]*latencyEstimate{}, classes: len(settings.Classes)},
 		watch:         endpointWatch{subscribeAt: never, firstListedAt: never},
 	}
 	if settings.Subscribe {
