--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -19,37 +19,38 @@
 const responseMargin = 50 * time.Millisecond
 
 // execute carries out one action other than an end.
-func (l *loop) execute(now instant.Time, a policy.Action) {
-	switch a := a.(type) {
+func (l *loop) execute(now instant.Time, action policy.Action) {
+	switch action := action.(type) {
 	case policy.Send:
-		l.send(now, a)
+		l.send(now, action)
 	case policy.Cancel:
-		if m := l.inFlight(a.ID, a.Attempt); m != nil {
+		if m := l.inFlight(action.ID, action.Attempt); m != nil {
 			l.batch.afterCommit = append(l.batch.afterCommit, m.cancel)
 		}
 	case policy.CancelUnwritten:
-		if h, ok := l.endpoints.table.Get(a.Endpoint); ok {
+		if h, ok := l.endpoints.table.Get(action.Endpoint); ok {
 			l.batch.afterCommit = append(l.batch.afterCommit, func() { l.pool.CancelUnwritten(h.Dial) })
 		}
 	case policy.CloseIdleConnections:
-		if h, ok := l.endpoints.table.Get(a.Endpoint); ok {
+		if h, ok := l.endpoints.table.Get(action.Endpoint); ok {
 			l.batch.afterCommit = append(l.batch.afterCommit, func() { l.pool.CloseIdle(h.Dial) })
 		}
 	case policy.SetTimer:
 		// The policy has one timer and sets it anew only where the one it has is no use to it any more.
-		l.timerAt = now.Add(a.After)
+		l.timerAt = now.Add(action.After)
 	case policy.Subscribe:
 		l.watcher.Request()
 	case policy.Broadcast:
-		l.batch.afterCommit = append(l.batch.afterCommit, func() { l.broadcast(a.Message) })
+		l.batch.afterCommit = append(l.batch.afterCommit, func() { l.broadcast(action.Message) })
 	case policy.PersistHealth:
-		l.persistHealth(a)
+		l.persistHealth(action)
 	case policy.ZoneStateChanged:
-		slog.Info("zone state changed", "zone", a.Zone, "state", a.State)
+		slog.Info("zone state changed", "zone", action.Zone, "state", action.State)
 	case policy.CanaryStageChanged:
-		slog.Info("canary stage changed", "endpoint", a.Endpoint, "share", a.Share, "suspended_for", max(0, a.SuspendedUntil.Sub(now)))
+		slog.Info("canary stage changed", "endpoint", action.Endpoint, "share", action.Share,
+			"suspended_for", max(0, action.SuspendedUntil.Sub(now)))
 	case policy.PublishRate:
-		l.fleet.ObserveRate(a.Destination, a.RateShare, a.ArrivalRate)
+		l.fleet.ObserveRate(action.Destination, action.RateShare, action.ArrivalRate)
 	}
 }
 
@@ -76,22 +77,22 @@
 }
 
 // send records an attempt and adds it to the batch.
-func (l *loop) send(now instant.Time, a policy.Send) {
-	m := l.messages[a.ID]
-	if m == nil || m.ended {
+func (l *loop) send(now instant.Time, wanted policy.Send) {
+	msg := l.messages[wanted.ID]
+	if msg == nil || msg.ended {
 		return
 	}
-	endpoint, listed := l.endpoints.table.Get(a.Endpoint)
-	timeLeft := m.ExpiresAt.Sub(now)
-	s := send{message: m, call: a.Call, attempt: len(m.Attempts), endpoint: endpoint, timeout: timeLeft,
-		writeTimeout: a.WriteTimeout, expiresAt: m.ExpiresAt}
-	if a.Timeout > 0 {
-		s.timeout = min(timeLeft, a.Timeout)
+	endpoint, listed := l.endpoints.table.Get(wanted.Endpoint)
+	timeLeft := msg.ExpiresAt.Sub(now)
+	s := send{message: msg, call: wanted.Call, attempt: len(msg.Attempts), endpoint: endpoint, timeout: timeLeft,
+		writeTimeout: wanted.WriteTimeout, expiresAt: msg.ExpiresAt}
+	if wanted.Timeout > 0 {
+		s.timeout = min(timeLeft, wanted.Timeout)
 	}
-	l.journal.StartAttempt(m.Entry, a.Endpoint, now)
-	if !listed || endpoint.Block != m.Dest {
+	l.journal.StartAttempt(msg.Entry, wanted.Endpoint, now)
+	if !listed || endpoint.Block != msg.Dest {
 		// Guards the protocol's rule that a message goes only to a listed endpoint of its destination.
-		slog.Error("send to an endpoint of another destination", "endpoint", a.Endpoint, "destination", m.Dest)
+		slog.Error("send to an endpoint of another destination", "endpoint", wanted.Endpoint, "destination", msg.Dest)
 		l.completeUnsent(s, policy.NotSent)
 		return
 	}
--- a/internal/relay/admin/server.go
+++ b/internal/relay/admin/server.go
@@ -68,9 +68,9 @@
 }
 
 // Handle has commands answered by their first word. It is safe for concurrent use with Serve.
-func (s *Server) Handle(word string, handler Handler) {
+func (s *Server) Handle(name string, handler Handler) {
 	if s != nil {
-		s.handlers.Store(word, handler)
+		s.handlers.Store(name, handler)
 	}
 }
 
@@ -142,30 +142,30 @@
 }
 
 // answer reads a session's command and replies.
-func (s *Server) answer(c *session) {
-	defer s.leave(c)
-	_ = c.SetDeadline(time.Now().Add(ioTimeout))
-	line, err := bufio.NewReader(io.LimitReader(c, maxCommandSize)).ReadString('\n')
-	if !s.markReceived(c) {
+func (s *Server) answer(caller *session) {
+	defer s.leave(caller)
+	_ = caller.SetDeadline(time.Now().Add(ioTimeout))
+	line, err := bufio.NewReader(io.LimitReader(caller, maxCommandSize)).ReadString('\n')
+	if !s.markReceived(caller) {
 		return
 	}
-	_ = c.SetDeadline(time.Now().Add(ioTimeout))
+	_ = caller.SetDeadline(time.Now().Add(ioTimeout))
 	// The caller may end its line by ending its side.
 	complete := err == nil || errors.Is(err, io.EOF) && len(line) < maxCommandSize
 	reply := []byte(malformedCommand)
 	if complete {
 		reply = s.reply(strings.TrimSpace(line))
 	}
-	if _, err := c.Write(reply); err != nil {
+	if _, err := caller.Write(reply); err != nil {
 		slog.Debug("admin reply not written", "error", err)
 	}
 	// Closing with bytes unread would reset the connection, and the reply with it: the sending side ends first, and what the
 	// caller has sent behind its command is read off.
-	if half, ok := c.Conn.(*net.TCPConn); ok {
+	if half, ok := caller.Conn.(*net.TCPConn); ok {
 		_ = half.CloseWrite()
 	}
-	_ = c.SetDeadline(time.Now().Add(drainTimeout))
-	_, _ = io.CopyN(io.Discard, c, protocol.MaxBodySize)
+	_ = caller.SetDeadline(time.Now().Add(drainTimeout))
+	_, _ = io.CopyN(io.Discard, caller, protocol.MaxBodySize)
 }
 
 // reply answers one command.
--- a/internal/relay/canaries.go
+++ b/internal/relay/canaries.go
@@ -27,9 +27,9 @@
 
 // canaryStatus returns the reply to "servers".
 func (l *loop) canaryStatus() string {
-	s, now := CanaryStatus{Self: l.cfg.Settings.Ordinal, Endpoints: []CanaryReport{}}, clock.Now()
+	status, now := CanaryStatus{Self: l.cfg.Settings.Ordinal, Endpoints: []CanaryReport{}}, clock.Now()
 	for _, n := range l.dispatcher.Canaries() {
-		s.Endpoints = append(s.Endpoints, CanaryReport{
+		status.Endpoints = append(status.Endpoints, CanaryReport{
 			Endpoint:         n.Endpoint,
 			Destination:      n.Destination,
 			Stage:            n.Stage,
@@ -41,7 +41,7 @@
 			RegressionScore:  n.RegressionScore,
 		})
 	}
-	text, err := json.Marshal(s)
+	text, err := json.Marshal(status)
 	if err != nil {
 		return "ERR " + err.Error()
 	}
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -15,11 +15,11 @@
 	s := &l.cfg.Settings
 	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(),
 		Zone: s.Az, Seed: uint64(l.cfg.RandomSeed),
-		Send: func(to int, note []byte) {
+		Send: func(to int, message []byte) {
 			if to == fleet.Everyone {
-				l.gossip.Broadcast(note)
+				l.gossip.Broadcast(message)
 			} else {
-				l.gossip.Send(to, note)
+				l.gossip.Send(to, message)
 			}
 		},
 		OnAssessment: func(a live.PeerAssessment) { l.offerEvent(fleetAssessed{a}) },
@@ -67,25 +67,25 @@
 }
 
 // observation returns what a fact says to the policy, if it is of the kinds that gossip messages carry.
-func observation(f fleet.Fact, age time.Duration) (observed policy.Observed, ok bool) {
+func observation(fact fleet.Fact, age time.Duration) (observed policy.Observed, ok bool) {
 	observed = policy.Observed{
-		Closed: f.Kind == fleet.KindDestinationClosed,
-		Open:   f.Kind == fleet.KindDestinationOpen,
-		Back:   f.Kind == fleet.KindEndpointRecovered,
-		NoRoom: f.Kind == fleet.KindConnectionRejected,
+		Closed: fact.Kind == fleet.KindDestinationClosed,
+		Open:   fact.Kind == fleet.KindDestinationOpen,
+		Back:   fact.Kind == fleet.KindEndpointRecovered,
+		NoRoom: fact.Kind == fleet.KindConnectionRejected,
 		Age:    age,
 	}
 	if observed.Back || observed.NoRoom {
-		observed.Endpoint = f.Key
+		observed.Endpoint = fact.Key
 		return observed, true
 	}
-	dest, err := strconv.Atoi(f.Key)
+	dest, err := strconv.Atoi(fact.Key)
 	if err != nil || !observed.Closed && !observed.Open {
 		return observed, false
 	}
 	observed.Destination = dest
 	if observed.Closed {
-		observed.Wait = time.Duration(min(f.Value, uint64(time.Hour/time.Millisecond))) * time.Millisecond
+		observed.Wait = time.Duration(min(fact.Value, uint64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
 	return observed, true
 }
