--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -15,11 +15,11 @@
 	s := &l.cfg.Settings
 	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(),
 		Zone: s.Az, Seed: uint64(l.cfg.RandomSeed),
-		Send: func(to int, note []byte) {
+		Send: func(to int, message []byte) {
 			if to == fleet.Everyone {
-				l.gossip.Broadcast(note)
+				l.gossip.Broadcast(message)
 			} else {
-				l.gossip.Send(to, note)
+				l.gossip.Send(to, message)
 			}
 		},
 		OnAssessment: func(a live.PeerAssessment) { l.offerEvent(fleetAssessed{a}) },
@@ -67,21 +67,25 @@
 }
 
 // observation returns what a fact says to the policy, if it is of the kinds that gossip messages carry.
-func observation(f fleet.Fact, age time.Duration) (observed policy.Observed, ok bool) {
-	observed = policy.Observed{Closed: f.Kind == fleet.KindDestinationClosed, Open: f.Kind == fleet.KindDestinationOpen,
-		Back:   f.Kind == fleet.KindEndpointRecovered,
-		NoRoom: f.Kind == fleet.KindConnectionRejected, Age: age}
+func observation(fact fleet.Fact, age time.Duration) (observed policy.Observed, ok bool) {
+	observed = policy.Observed{
+		Closed: fact.Kind == fleet.KindDestinationClosed,
+		Open:   fact.Kind == fleet.KindDestinationOpen,
+		Back:   fact.Kind == fleet.KindEndpointRecovered,
+		NoRoom: fact.Kind == fleet.KindConnectionRejected,
+		Age:    age,
+	}
 	if observed.Back || observed.NoRoom {
-		observed.Endpoint = f.Key
+		observed.Endpoint = fact.Key
 		return observed, true
 	}
-	dest, err := strconv.Atoi(f.Key)
+	dest, err := strconv.Atoi(fact.Key)
 	if err != nil || !observed.Closed && !observed.Open {
 		return observed, false
 	}
 	observed.Destination = dest
 	if observed.Closed {
-		observed.Wait = time.Duration(min(f.Value, uint64(time.Hour/time.Millisecond))) * time.Millisecond
+		observed.Wait = time.Duration(min(fact.Value, uint64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
 	return observed, true
 }
@@ -89,13 +93,11 @@
 // assessmentEvents translates an assessment of the fleet into the policy's events.
 func assessmentEvents(s live.PeerAssessment) []policy.Event {
 	events := []policy.Event{policy.PeerSuspected{Destination: s.Dest, Endpoint: s.Endpoint, Observers: s.Observers,
-		RecentObservers: s.RecentObservers, OldestAge: s.OldestAge,
-		NewestAge: s.NewestAge, ValidFor: s.ValidFor, Rank: s.Rank}}
+		RecentObservers: s.RecentObservers, OldestAge: s.OldestAge, NewestAge: s.NewestAge, ValidFor: s.ValidFor, Rank: s.Rank}}
 	if s.Rates.Reporters > 0 {
 		events = append(events, policy.PeerRateReceived{Destination: s.Dest, LiveRelays: s.LiveRelays, Reporters: s.Rates.Reporters,
-			RateShare:   s.Rates.RateShare,
-			ArrivalRate: s.Rates.ArrivalRate, ArrivalRateError: s.Rates.ArrivalRateError, ArrivalRateByZone: s.ArrivalRateByZone,
-			ValidFor: s.Rates.ValidFor})
+			RateShare: s.Rates.RateShare, ArrivalRate: s.Rates.ArrivalRate, ArrivalRateError: s.Rates.ArrivalRateError,
+			ArrivalRateByZone: s.ArrivalRateByZone, ValidFor: s.Rates.ValidFor})
 	}
 	return events
 }
