--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -25,7 +25,7 @@
 		OnAssessment: func(a live.PeerAssessment) { l.offerEvent(fleetAssessed{a}) },
 		OnFact: func(f fleet.Fact, age time.Duration) {
 			if o, ok := observation(f, age); ok {
-				l.offerEvent(gossipReceived{o.Note()})
+				l.offerEvent(gossipReceived{o.Encode()})
 			}
 		}})
 }
@@ -49,43 +49,43 @@
 
 // broadcast sends a gossip message of the policy to all other relays: as a fact where the fleet shares what it learns.
 func (l *loop) broadcast(message []byte) {
-	observed, ok := policy.ReadNote(message)
+	observed, ok := policy.DecodeObservation(message)
 	if l.fleet == nil || !ok {
 		l.gossip.Broadcast(message)
 		return
 	}
-	kind, key, value := fleet.KindDestinationClosed, strconv.Itoa(observed.Destination), uint64(observed.Wait.Milliseconds())
+	kind, key, value := fleet.KindDestinationClosed, strconv.Itoa(observed.Destination), uint64(observed.RetryAfter.Milliseconds())
 	switch {
-	case observed.Open:
+	case observed.CircuitClosed:
 		kind = fleet.KindDestinationOpen
-	case observed.Back:
+	case observed.Recovered:
 		return // PersistHealth says the same
-	case observed.NoRoom:
+	case observed.ConnectError:
 		kind, key, value = fleet.KindConnectionRejected, observed.Endpoint, 0
 	}
-	l.fleet.Observe(kind, key, value, false, observed.Age) // the policy limits how many relays report it
+	l.fleet.Observe(kind, key, value, false, observed.CallAge) // the policy limits how many relays report it
 }
 
 // observation returns what a fact says to the policy, if it is of the kinds that gossip messages carry.
-func observation(fact fleet.Fact, age time.Duration) (observed policy.Observed, ok bool) {
-	observed = policy.Observed{
-		Closed: fact.Kind == fleet.KindDestinationClosed,
-		Open:   fact.Kind == fleet.KindDestinationOpen,
-		Back:   fact.Kind == fleet.KindEndpointRecovered,
-		NoRoom: fact.Kind == fleet.KindConnectionRejected,
-		Age:    age,
+func observation(fact fleet.Fact, age time.Duration) (observed policy.Observation, ok bool) {
+	observed = policy.Observation{
+		CircuitOpen:   fact.Kind == fleet.KindDestinationClosed,
+		CircuitClosed: fact.Kind == fleet.KindDestinationOpen,
+		Recovered:     fact.Kind == fleet.KindEndpointRecovered,
+		ConnectError:  fact.Kind == fleet.KindConnectionRejected,
+		CallAge:       age,
 	}
-	if observed.Back || observed.NoRoom {
+	if observed.Recovered || observed.ConnectError {
 		observed.Endpoint = fact.Key
 		return observed, true
 	}
 	dest, err := strconv.Atoi(fact.Key)
-	if err != nil || !observed.Closed && !observed.Open {
+	if err != nil || !observed.CircuitOpen && !observed.CircuitClosed {
 		return observed, false
 	}
 	observed.Destination = dest
-	if observed.Closed {
-		observed.Wait = time.Duration(min(fact.Value, uint64(time.Hour/time.Millisecond))) * time.Millisecond
+	if observed.CircuitOpen {
+		observed.RetryAfter = time.Duration(min(fact.Value, uint64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
 	return observed, true
 }
--- a/policy/decisions_record_test.go
+++ b/policy/decisions_record_test.go
@@ -155,13 +155,13 @@
 // message writes a note byte for byte, as relays of another version read it, and how it is read.
 func (r *decisionRecord) message(message []byte) {
 	r.text(string(message))
-	observed, ok := policy.ReadNote(message)
-	r.flag(ok, observed.Closed, observed.Open, observed.Back, observed.NoRoom)
+	observed, ok := policy.DecodeObservation(message)
+	r.flag(ok, observed.CircuitOpen, observed.CircuitClosed, observed.Recovered, observed.ConnectError)
 	r.integers(observed.Destination)
 	r.text(observed.Endpoint)
-	r.durations(observed.Wait, observed.Age)
+	r.durations(observed.RetryAfter, observed.CallAge)
 	if ok {
-		r.text(string(observed.Note()))
+		r.text(string(observed.Encode()))
 	}
 }
 
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -35,46 +35,47 @@
 	id       uint64
 }
 
-// Observed is what the message of a Broadcast reports, for callers that combine the reports of several
-// relays: one of Closed (a destination has rejected a call), Open (it has accepted one), Back (an endpoint
-// has recovered) and NoRoom (it has not accepted a connection).
-type Observed struct {
-	Closed, Open, Back, NoRoom bool
-	Destination                int           // of Closed and Open
-	Endpoint                   string        // of Back and NoRoom
-	Wait                       time.Duration // Retry-After of a rejection, or 0
-	Age                        time.Duration // since the call was sent
+// Observation is what the message of a Broadcast reports, for callers that combine the reports of several
+// relays: one of CircuitOpen (a destination has rejected a call), CircuitClosed (it has accepted one),
+// Recovered (an endpoint has recovered) and ConnectError (it has not accepted a connection).
+type Observation struct {
+	CircuitOpen, CircuitClosed, Recovered, ConnectError bool
+	Destination                                         int           // of CircuitOpen and CircuitClosed
+	Endpoint                                            string        // of Recovered and ConnectError
+	RetryAfter                                          time.Duration // Retry-After of a rejection, or 0
+	CallAge                                             time.Duration // since the call was sent
 }
 
-// ReadNote decodes the message of a Broadcast. It returns false for one that is malformed or of another type.
-func ReadNote(message []byte) (observed Observed, ok bool) {
+// DecodeObservation decodes the message of a Broadcast. It returns false for one that is malformed or of
+// another type.
+func DecodeObservation(message []byte) (observed Observation, ok bool) {
 	if limit, ok := decodeLimitMessage(message); ok {
-		return Observed{
-			Closed:      !limit.accepted,
-			Open:        limit.accepted,
-			Destination: limit.destination,
-			Wait:        limit.retryAfter,
-			Age:         limit.callAge,
+		return Observation{
+			CircuitOpen:   !limit.accepted,
+			CircuitClosed: limit.accepted,
+			Destination:   limit.destination,
+			RetryAfter:    limit.retryAfter,
+			CallAge:       limit.callAge,
 		}, true
 	}
 	if recovered := decodeEndpointMessage(endpointRecoveredType, message); recovered != "" {
-		return Observed{Back: true, Endpoint: recovered}, true
+		return Observation{Recovered: true, Endpoint: recovered}, true
 	}
 	if full := decodeEndpointMessage(connectErrorType, message); full != "" {
-		return Observed{NoRoom: true, Endpoint: full}, true
+		return Observation{ConnectError: true, Endpoint: full}, true
 	}
-	return Observed{}, false
+	return Observation{}, false
 }
 
-// Note encodes an observation as the message of a Broadcast.
-func (o Observed) Note() []byte {
+// Encode encodes an observation as the message of a Broadcast.
+func (o Observation) Encode() []byte {
 	switch {
-	case o.Back:
+	case o.Recovered:
 		return encodeEndpointMessage(endpointRecoveredType, o.Endpoint)
-	case o.NoRoom:
+	case o.ConnectError:
 		return encodeEndpointMessage(connectErrorType, o.Endpoint)
 	}
-	limit := limitMessage{accepted: o.Open, destination: o.Destination, retryAfter: o.Wait, callAge: o.Age}
+	limit := limitMessage{accepted: o.CircuitClosed, destination: o.Destination, retryAfter: o.RetryAfter, callAge: o.CallAge}
 	return limit.encode()
 }
 
--- a/policy/gossip_codec_test.go
+++ b/policy/gossip_codec_test.go
@@ -29,15 +29,15 @@
 
 // fleet gives the dispatchers of a fleet, all with one endpoint listed at a rate.
 func TestObserved(t *testing.T) {
-	for _, o := range []Observed{{Closed: true, Destination: 7, Wait: time.Second, Age: 30 * ms},
-		{Open: true, Destination: 7, Age: ms},
-		{Back: true, Endpoint: "h"}, {NoRoom: true, Endpoint: "h"}} {
-		if got, ok := ReadNote(o.Note()); !ok || got != o {
+	for _, o := range []Observation{{CircuitOpen: true, Destination: 7, RetryAfter: time.Second, CallAge: 30 * ms},
+		{CircuitClosed: true, Destination: 7, CallAge: ms},
+		{Recovered: true, Endpoint: "h"}, {ConnectError: true, Endpoint: "h"}} {
+		if got, ok := DecodeObservation(o.Encode()); !ok || got != o {
 			t.Errorf("%+v is read as %+v", o, got)
 		}
 	}
 	for _, message := range []string{"", "x", "c", "b", "n", "c\x01"} {
-		if got, ok := ReadNote([]byte(message)); ok {
+		if got, ok := DecodeObservation([]byte(message)); ok {
 			t.Errorf("%q is read as %+v", message, got)
 		}
 	}
