--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -22,7 +22,8 @@
 	Reads  []int `json:"reads"`
 }
 
-// FormatVersions is what a version of the relay reads and writes.
+// FormatVersions is what a version of the relay reads and writes. Versions query one another in a rollout, so the JSON keys and
+// the flag keep the spelling of earlier ones.
 type FormatVersions struct {
 	Journal Format `json:"journal"`
 	Gossip  Format `json:"notes"` // datagrams between relays; one that can't be decoded is ignored
--- a/internal/relay/admin/server.go
+++ b/internal/relay/admin/server.go
@@ -31,7 +31,7 @@
 	maxCommandSize = 128
 )
 
-// The replies that commands share.
+// The replies that commands share. Operators' scripts match the texts of replies, so they stay as they are.
 const (
 	unknownCommand   = "ERR unknown call"
 	malformedCommand = "ERR no call in one line of at most 128 bytes\n"
--- a/internal/relay/discovery/timing.go
+++ b/internal/relay/discovery/timing.go
@@ -9,12 +9,12 @@
 )
 
 // The protocol has a change of the list count as received 6 s after discovery had it and could be reached, and 4 s after a
-// reload. Until then it has to arrive, whatever went before. The policy waits 0.5 s before it requests another watch, and a
-// response has what is left:
+// reload. The policy waits 0.5 s before it requests another watch. The longest times until a request is sent are then, in
+// seconds:
 //
 //	a watch stalls:            SilenceTimeout 2.5 + 0.5 + maxJitter 2.5              = 5.5
 //	a request gets no answer:  SilenceTimeout 2.5 + 0.5 + maxJitter 2.5              = 5.5
-//	a request is rejected:     0.5 + discovery's Retry-After and a random delay, 2 maxJitter = 5.5
+//	a request is rejected:     0.5 + (Retry-After and jitter, together at most 2 maxJitter) 5.0 = 5.5
 //	after a reload:            maxJitter                                                    = 2.5
 //
 // Where a relay is alone at discovery, or has an agent of its own to ask, a change counts at once: then responseTimeout 1 + 0.5
--- a/internal/relay/frontend/limiter.go
+++ b/internal/relay/frontend/limiter.go
@@ -24,7 +24,7 @@
 	UpstreamShare = 0.25
 	// clientShare of the descriptors is for client connections at most.
 	clientShare = 0.5
-	// guaranteedClientDivisor of the descriptors gives those that the platform lets clients use in any case.
+	// guaranteedClientDivisor divides the descriptors: the platform lets clients use that many in any case.
 	guaranteedClientDivisor = 3
 	// fixedDescriptors is what a process has open whatever its load: files, listeners, discovery, operators, the runtime, the
 	// posts of notifications.
@@ -127,7 +127,7 @@
 func (l *ConnectionLimiter) evictOrWait() bool {
 	candidate := l.evictionCandidate(clock.Now())
 	if candidate == nil {
-		// None may be evicted now: one that is silent may in a moment.
+		// No connection may be evicted yet. One that falls silent may be, after stallTimeout.
 		retry := time.AfterFunc(stallTimeout, l.changed.Broadcast)
 		l.changed.Wait()
 		retry.Stop()
@@ -144,10 +144,10 @@
 	return true
 }
 
-// evictionCandidate returns the connection to close for a new one: one that has sent nothing before one whose last response is
-// out, this before one that stopped in the middle of a request, and of these the one silent longest. One with a request that
-// waits for its response stays, and so does one that was active within the time that a request at an honest pace needs, or
-// whose response may still be on its way. The caller holds the lock.
+// evictionCandidate returns the connection to close for a new one, or nil. Idle ones (nothing of a request has come) go before
+// lingering ones (the last response is out), and these before ones that stalled in the middle of a request; of the same state
+// the one that was silent longest goes. One whose response is pending is never evicted, nor is one that was active within
+// stallTimeout, or whose response may still be on its way (minLinger). The caller holds the lock.
 func (l *ConnectionLimiter) evictionCandidate(now instant.Time) (candidate *Connection) {
 	for c := range l.connections {
 		silent := now.Sub(c.lastActive)
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -31,7 +31,7 @@
 )
 
 // drainAfterHandover ends a relay that has handed over: it stays for as long as clients keep its connections or calls are in
-// flight, but after a signal to end no longer than shutDown does.
+// flight, but after a signal to end no longer than shutdownGracefully does.
 func (l *loop) drainAfterHandover(ctx context.Context, server *frontend.Server) {
 	server.StartDraining()
 	_ = l.clients.Close()
@@ -50,8 +50,8 @@
 	l.closeConnections(ctx, server, clock.Now().Add(responseWriteTimeout))
 }
 
-// shutdownGracefully shuts a relay down gracefully. No request that was read goes unanswered: responses close their
-// connections, and those that stay unused are closed last.
+// shutdownGracefully ends a relay in phases. No request that was read goes unanswered: each response closes its connection, and
+// connections that stay unused are closed last.
 func (l *loop) shutdownGracefully(ctx context.Context, server *frontend.Server) {
 	started := clock.Now()
 	until := func(phase time.Duration) time.Duration { return clock.Until(started.Add(phase)) }
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// circuitOpenAfter is the time of nothing but rejections, or the Retry-After, from which on a destination
-	// counts as down rather than at its limit: longer than the windows in which receivers commonly count
-	// calls.
+	// circuitOpenAfter is how long a destination has to reject every call before it counts as down rather
+	// than at its limit; a longer Retry-After has the same effect. It is longer than the windows in which
+	// receivers commonly count calls.
 	circuitOpenAfter = 2500 * time.Millisecond
 	// initialBackoff is the pause after a first rejection without Retry-After.
 	initialBackoff = 100 * time.Millisecond
@@ -25,8 +25,8 @@
 // circuitBreaker pauses the calls of one queue after rejections. It belongs to one queue and is not safe for
 // concurrent use.
 type circuitBreaker struct {
-	retryAfterUntil       instant.Time  // end of a Retry-After, which always binds
-	backoffUntil          instant.Time  // end of the relay's own pause
+	retryAfterUntil       instant.Time  // end of the Retry-After: nothing is sent before it
+	backoffUntil          instant.Time  // end of a pause of at most maxBackoff; a success may end it
 	announcedUntil        instant.Time  // other relays know of a pause up to then
 	rejectedCallAt        instant.Time  // when the last call was sent that a pause is for
 	backoff               time.Duration // last pause after a rejection without Retry-After
@@ -55,8 +55,9 @@
 	return retryAfter > circuitOpenAfter || c.consecutiveRejections > ejectionThreshold && lasting
 }
 
-// nextBackoff is the pause after a rejection without Retry-After, with jitter: short, since a destination
-// that limits a steady rate has capacity again at once; twice as long if the last one was not enough.
+// nextBackoff returns the pause after a rejection without Retry-After, with jitter. It starts short, since a
+// destination that limits a steady rate has capacity again at once, and doubles with each rejection, until
+// twice the last pause has passed since its end.
 func (c *circuitBreaker) nextBackoff(now instant.Time, random *rand.Rand) time.Duration {
 	if c.backoff *= 2; now > c.backoffUntil.Add(c.backoff) {
 		c.backoff = initialBackoff
@@ -121,11 +122,11 @@
 	return true
 }
 
-// probeBudgetSpent reports whether n failures or rejections in a row are all that a relay with a low rate may
-// see before it keeps to the slow start budget. Where the destination was only at its limit, this leaves
-// capacity to relays that were not rejected. Half of the relays, by chance, may probe once more; but not
-// after a Retry-After, when all would, and not in an outage that began just after a success, which won't end
-// yet.
+// probeBudgetSpent reports whether a relay with a low rate has to keep to the slow start budget after n
+// failures or rejections in a row. Where the destination was only at its limit, that leaves capacity to
+// relays that were not rejected. The budget is spent after ejectionThreshold of them, or during a
+// Retry-After; else half of the relays, by chance, may probe once more. It is never spent within
+// circuitOpenAfter of a success.
 func (d *Dispatcher) probeBudgetSpent(queue *queue, n int) bool {
 	if !d.hasLowRate(queue) || queue.lastSuccessAt > 0 && d.now.Sub(queue.lastSuccessAt) <= circuitOpenAfter {
 		return false
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -75,7 +75,12 @@
 	case o.ConnectError:
 		return encodeEndpointMessage(connectErrorType, o.Endpoint)
 	}
-	limit := limitMessage{accepted: o.CircuitClosed, destination: o.Destination, retryAfter: o.RetryAfter, callAge: o.CallAge}
+	limit := limitMessage{
+		accepted:    o.CircuitClosed,
+		destination: o.Destination,
+		retryAfter:  o.RetryAfter,
+		callAge:     o.CallAge,
+	}
 	return limit.encode()
 }
 
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -92,7 +92,7 @@
 }
 
 // recordFailure takes in a failed call, and ejects its endpoint after ejectionThreshold of them. A relay with
-// a low rate may not wait for that many.
+// a low rate whose probe budget is spent after one failure ejects it at half of the threshold.
 func (d *Dispatcher) recordFailure(ep *endpoint, failed *call, weight float64) {
 	if !ep.outlier.countFailure(d.now, failed, weight) {
 		return
