--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -26,14 +26,6 @@
 	goFileReference = regexp.MustCompile(`^(?:policy|internal|cmd)/\S*\.go$`)
 )
 
-// pageName is a name as it stands on one page.
-type pageName struct{ page, name string }
-
-// removedGoFiles are the only Go files that a page may name though they are gone, since the page tells what was done to them.
-var removedGoFiles = map[pageName]bool{
-	{"ROADMAP.md", "policy/state.go"}: true, // the sentence on what was split in an earlier session
-}
-
 // TestPagesNameExistingTests checks that each test, fuzz target and benchmark that a page names in backquotes is declared in a
 // test file, and in the package that the page gives.
 func TestPagesNameExistingTests(t *testing.T) {
@@ -63,7 +55,7 @@
 				t.Errorf("%s: %s is no path: %v", page, name, err)
 				continue
 			}
-			if len(matches) == 0 && !removedGoFiles[pageName{page, name}] {
+			if len(matches) == 0 {
 				t.Errorf("%s: no file is at %s", page, name)
 			}
 		}
