--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -12,7 +12,7 @@
 func (d *Dispatcher) expireMessages() {
 	var expired []*message
 	for _, m := range d.messages.unfinished {
-		if m.queue != nil && (d.now >= d.finalAttemptAt(m) || !d.retryAllowed(m, nil)) {
+		if m.queue != nil && (d.now >= d.latestAttemptStart(m) || !d.retryAllowed(m, nil)) {
 			expired = append(expired, m)
 		}
 	}
@@ -25,8 +25,8 @@
 	}
 }
 
-// finalAttemptAt is when a waiting message expires: its time left is then its expected latency.
-func (d *Dispatcher) finalAttemptAt(m *message) instant.Time {
+// latestAttemptStart is when a waiting message expires: its time left is then its expected latency.
+func (d *Dispatcher) latestAttemptStart(m *message) instant.Time {
 	latency := time.Duration(m.queue.latency.byClass[m.Class] * float64(time.Second))
 	return m.expiresAt.Add(-max(2*d.settings.BatchInterval, latency))
 }
--- a/policy/message.go
+++ b/policy/message.go
@@ -50,9 +50,9 @@
 	t.unfinished = append(t.unfinished, m)
 }
 
-// accept adds an arriving message, and returns it if it is up for admission. One that makes no sense is
+// addArrival adds an arriving message, and returns it if it is up for admission. One that makes no sense is
 // ignored.
-func (d *Dispatcher) accept(arrived Arrived) *message {
+func (d *Dispatcher) addArrival(arrived Arrived) *message {
 	if arrived.Class < 0 || arrived.Class >= len(d.settings.Classes) || d.messages.byID[arrived.ID] != nil {
 		return nil
 	}
--- a/policy/messages_capacity_bench_test.go
+++ b/policy/messages_capacity_bench_test.go
@@ -134,7 +134,7 @@
 					draw := destinationSizes(destinations, exponent)
 					step := time.Second / time.Duration(factor*mean)
 					for now := step; now < span; now += step {
-						serve(b, d, now, draw())
+						deliverMessages(b, d, now, draw())
 					}
 					b.ReportMetric(float64(len(d.destinations)), "destinations")
 					b.ReportMetric((heap()-before)/1e6, "MB")
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -69,7 +69,7 @@
 func (d *Dispatcher) handleEvent(event Event) *message {
 	switch event := event.(type) {
 	case Arrived:
-		return d.accept(event)
+		return d.addArrival(event)
 	case AttemptEnded:
 		d.handleAttemptEnded(event)
 	case Withdrawn:
--- a/policy/queueing_delay.go
+++ b/policy/queueing_delay.go
@@ -64,7 +64,7 @@
 		if !ep.limitedBySlowStart() {
 			return delay
 		}
-		warmUp = math.Min(warmUp, d.timeThroughSlowStart(ep, calls))
+		warmUp = math.Min(warmUp, d.slowStartDelay(ep, calls))
 	}
 	if len(q.endpoints) == 0 {
 		return delay
@@ -72,10 +72,10 @@
 	return math.Max(delay, warmUp)
 }
 
-// timeThroughSlowStart is the time, in seconds, in which an endpoint that is ejected or warms up could get a
+// slowStartDelay is the time, in seconds, in which an endpoint that is ejected or warms up could get a
 // number of calls: until its next probe, and if that succeeds the others at the budget of an endpoint halfway
 // through slow start.
-func (d *Dispatcher) timeThroughSlowStart(ep *endpoint, calls float64) float64 {
+func (d *Dispatcher) slowStartDelay(ep *endpoint, calls float64) float64 {
 	recovered := d.timeSinceRecovery(ep)
 	firstCall := math.Max(0, 1-d.slowStartTokens(ep)) / math.Max(minRate, d.slowStartBudget(ep, recovered))
 	if d.isProber(ep.queue) {
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -14,9 +14,9 @@
 type slotScheduler struct {
 	inUse    int
 	lastCall int // number of the last call
-	// unansweredShare is the moving average of the share of late calls (by stalledFactor) that had no
+	// lateFailureShare is the moving average of the share of late calls (by stalledFactor) that had no
 	// success.
-	unansweredShare float64
+	lateFailureShare float64
 }
 
 // acquire takes a slot for the next call, and returns the call's number.
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -18,9 +18,9 @@
 	// finalAttemptFactor multiplies these for a call whose message fails with it: a slot serves a message of
 	// the same value in each mean latency.
 	finalAttemptFactor = 2
-	// unansweredThreshold is the share of late calls without a success above which they count as mostly
+	// lateFailureThreshold is the share of late calls without a success above which they count as mostly
 	// unanswered.
-	unansweredThreshold = 0.5
+	lateFailureThreshold = 0.5
 )
 
 // recordLateness takes in the outcome of a call that was late by stalledFactor.
@@ -28,9 +28,9 @@
 	if !late {
 		return
 	}
-	s.unansweredShare *= 1 - latencyWeight
+	s.lateFailureShare *= 1 - latencyWeight
 	if outcome != OK {
-		s.unansweredShare += latencyWeight
+		s.lateFailureShare += latencyWeight
 	}
 }
 
@@ -86,7 +86,7 @@
 // stalledCallFactor is the number of mean latencies after which a wanted slot is taken back: sooner where
 // late calls mostly had no success at all (loss, hangs) than where they had (slowness, heavy work).
 func (s *slotScheduler) stalledCallFactor() float64 {
-	if s.unansweredShare > unansweredThreshold {
+	if s.lateFailureShare > lateFailureThreshold {
 		return stalledFactor
 	}
 	return unresponsiveFactor
--- a/policy/stalled_calls_test.go
+++ b/policy/stalled_calls_test.go
@@ -45,7 +45,7 @@
 	if got := d.slots.stalledCallFactor(); got != unresponsiveFactor {
 		t.Errorf("at the start: %v", got)
 	}
-	d.slots.unansweredShare = 0.9
+	d.slots.lateFailureShare = 0.9
 	if got := d.slots.stalledCallFactor(); got != stalledFactor {
 		t.Errorf("with late calls unanswered: %v", got)
 	}
@@ -58,7 +58,7 @@
 	s.Slots = 1
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.queues[0].latency.record(2, 0.1)
-	d.slots.unansweredShare = 0.9
+	d.slots.lateFailureShare = 0.9
 	d.Handle(0, []Event{Arrived{ID: "m", Class: 2, TimeLeft: 20 * time.Second}})
 	expect(t, "no slot is wanted", d.Handle(moment(3*time.Second), []Event{TimerFired{}}), "")
 	expect(t, "one is wanted",
@@ -77,7 +77,7 @@
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.Handle(moment(2*time.Second),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 100 * ms, Completed: true}})
-	if math.Abs(q.latency.mean-0.1) > 1e-9 || d.slots.unansweredShare != 0 {
-		t.Errorf("mean %v, unanswered %v after a pause of our own", q.latency.mean, d.slots.unansweredShare)
+	if math.Abs(q.latency.mean-0.1) > 1e-9 || d.slots.lateFailureShare != 0 {
+		t.Errorf("mean %v, unanswered %v after a pause of our own", q.latency.mean, d.slots.lateFailureShare)
 	}
 }
--- a/policy/state_store_bench_test.go
+++ b/policy/state_store_bench_test.go
@@ -40,7 +40,7 @@
 			for b.Loop() {
 				now += time.Second / 208
 				no = (no + 7919) % tt.used
-				serve(b, d, now, no)
+				deliverMessages(b, d, now, no)
 				highest = max(highest, len(d.destinations))
 			}
 			b.ReportMetric(float64(highest), "destinations")
--- a/policy/state_store_pair_test.go
+++ b/policy/state_store_pair_test.go
@@ -63,7 +63,7 @@
 func (p *pair) handle(events []Event) {
 	for _, e := range events {
 		if l, ok := e.(EndpointsUpdated); ok {
-			p.list.change(l)
+			p.list.apply(l)
 		}
 	}
 	want, got := p.eager.Handle(moment(p.now), events), p.lazy.Handle(moment(p.now), events)
@@ -78,7 +78,7 @@
 		}
 	}
 	draining := 0
-	for _, eps := range p.list.lists {
+	for _, eps := range p.list.endpointsOf {
 		for _, e := range eps {
 			if e.Draining {
 				draining++
@@ -100,16 +100,16 @@
 // anyEndpoint draws a listed endpoint.
 func (p *pair) anyEndpoint() Endpoint {
 	no := rapid.IntRange(0, listedDestinations-1).Draw(p.t, "destination")
-	return rapid.SampledFrom(p.list.lists[no]).Draw(p.t, "endpoint")
+	return rapid.SampledFrom(p.list.endpointsOf[no]).Draw(p.t, "endpoint")
 }
 
 // change draws a change of the list: an endpoint drains or not, or one comes or goes.
 func (p *pair) change() EndpointsUpdated {
 	no := rapid.IntRange(0, sharedDestinations-1).Draw(p.t, "destination")
 	e := p.endpoint(no, rapid.IntRange(0, 3).Draw(p.t, "endpoint"))
-	_, listed := p.list.of[e.ID]
+	_, listed := p.list.destinationOf[e.ID]
 	switch {
-	case listed && len(p.list.lists[no]) > 1 && rapid.Bool().Draw(p.t, "gone"):
+	case listed && len(p.list.endpointsOf[no]) > 1 && rapid.Bool().Draw(p.t, "gone"):
 		e.Removed = true
 	case listed:
 		e.Draining = rapid.Bool().Draw(p.t, "draining")
@@ -171,7 +171,7 @@
 		Destination: rapid.IntRange(0, usedDestinations-1).Draw(p.t, "destination"),
 		TimeLeft:    10 * time.Second,
 		Key:         rapid.SampledFrom([]string{"", "k", "l"}).Draw(p.t, "key")}
-	eps := p.list.lists[a.Destination]
+	eps := p.list.endpointsOf[a.Destination]
 	if len(eps) > 0 && rapid.IntRange(0, 9).Draw(p.t, "resumed") == 0 {
 		a.Resumed = true
 		a.PriorAttempts = []PriorAttempt{{Endpoint: eps[0].ID, SentAt: moment(p.now - 300*ms),
@@ -197,7 +197,7 @@
 				case kind == 8:
 					updated := p.change()
 					events = append(events, updated)
-					p.list.change(updated)
+					p.list.apply(updated)
 				default:
 					events = append(events, p.fromOthers())
 				}
--- a/policy/state_store_test.go
+++ b/policy/state_store_test.go
@@ -10,42 +10,42 @@
 
 // directory is a Directory in memory that counts how often it is asked.
 type directory struct {
-	lists   map[int][]Endpoint
-	of      map[string]int
-	lookUps int
+	endpointsOf   map[int][]Endpoint
+	destinationOf map[string]int
+	lookups       int
 }
 
 func newDirectory(eps ...Endpoint) *directory {
-	l := &directory{lists: map[int][]Endpoint{}, of: map[string]int{}}
-	l.change(EndpointsUpdated{Endpoints: eps})
+	l := &directory{endpointsOf: map[int][]Endpoint{}, destinationOf: map[string]int{}}
+	l.apply(EndpointsUpdated{Endpoints: eps})
 	return l
 }
 
 func (l *directory) Endpoints(destination int) []Endpoint {
-	l.lookUps++
-	return l.lists[destination]
+	l.lookups++
+	return l.endpointsOf[destination]
 }
 
 func (l *directory) Destination(endpoint string) (int, bool) {
-	l.lookUps++
-	no, ok := l.of[endpoint]
+	l.lookups++
+	no, ok := l.destinationOf[endpoint]
 	return no, ok
 }
 
-// change takes in changes of the list.
-func (l *directory) change(changes EndpointsUpdated) {
+// apply takes in changes of the list.
+func (l *directory) apply(changes EndpointsUpdated) {
 	for _, e := range changes.Endpoints {
-		i := slices.IndexFunc(l.lists[e.Destination], func(o Endpoint) bool { return o.ID == e.ID })
+		i := slices.IndexFunc(l.endpointsOf[e.Destination], func(o Endpoint) bool { return o.ID == e.ID })
 		switch {
 		case e.Removed && i >= 0:
-			l.lists[e.Destination] = slices.Delete(l.lists[e.Destination], i, i+1)
-			delete(l.of, e.ID)
+			l.endpointsOf[e.Destination] = slices.Delete(l.endpointsOf[e.Destination], i, i+1)
+			delete(l.destinationOf, e.ID)
 		case e.Removed:
 		case i >= 0:
-			l.lists[e.Destination][i] = e
+			l.endpointsOf[e.Destination][i] = e
 		default:
-			l.lists[e.Destination] = append(l.lists[e.Destination], e)
-			l.of[e.ID] = e.Destination
+			l.endpointsOf[e.Destination] = append(l.endpointsOf[e.Destination], e)
+			l.destinationOf[e.ID] = e.Destination
 		}
 	}
 }
@@ -70,8 +70,8 @@
 	return d, list
 }
 
-// many lists n destinations of one endpoint each.
-func many(n int) []Endpoint {
+// singleEndpointDestinations lists n destinations of one endpoint each.
+func singleEndpointDestinations(n int) []Endpoint {
 	all := make([]Endpoint, n)
 	for no := range all {
 		all[no] = Endpoint{ID: fmt.Sprint("e", no), Destination: no, Weight: 100}
@@ -79,8 +79,8 @@
 	return all
 }
 
-// serve has messages for destinations sent and delivered.
-func serve(tb testing.TB, d *Dispatcher, now time.Duration, destinations ...int) {
+// deliverMessages has messages for destinations sent and delivered.
+func deliverMessages(tb testing.TB, d *Dispatcher, now time.Duration, destinations ...int) {
 	tb.Helper()
 	for _, no := range destinations {
 		id := fmt.Sprint("m", no, "-", now)
@@ -100,7 +100,7 @@
 }
 
 func TestStateIsBoundedByTraffic(t *testing.T) {
-	d, _ := startOnDemand(t, onDemandSettings(), many(100_000)...)
+	d, _ := startOnDemand(t, onDemandSettings(), singleEndpointDestinations(100_000)...)
 	if got := d.stateCounts(); got != [4]int{} {
 		t.Fatalf("%v in state after the list alone", got)
 	}
@@ -108,11 +108,11 @@
 	for i := range used {
 		used[i] = 997 * i
 	}
-	serve(t, d, time.Second, used...)
+	deliverMessages(t, d, time.Second, used...)
 	if got := d.stateCounts(); got != [4]int{100, 100, 100, 100} {
 		t.Fatalf("%v in state after messages for 100", got)
 	}
-	serve(t, d, time.Minute, used[:10]...)
+	deliverMessages(t, d, time.Minute, used[:10]...)
 	d.Handle(moment(time.Second+stateIdleTimeout-1), nil)
 	if got := d.stateCounts(); got != [4]int{100, 100, 100, 100} {
 		t.Fatalf("%v in state before the time", got)
@@ -134,7 +134,7 @@
 	if got := d.stateCounts(); got != [4]int{} {
 		t.Errorf("%v in state at the end", got)
 	}
-	serve(t, d, time.Hour, used...)
+	deliverMessages(t, d, time.Hour, used...)
 }
 
 // What binds keeps state for as long as it binds.
@@ -167,7 +167,7 @@
 		"outage":            {event(StateRestored{Endpoint: "e7", Ejected: true}), forever},
 		"slow start":        {event(StateRestored{Endpoint: "e7", At: 0}), long},
 		"few connections": {func(d *Dispatcher) {
-			serve(t, d, 0, 7)
+			deliverMessages(t, d, 0, 7)
 			d.endpoints["e7"].connections.limit = 1
 		}, long},
 		"finding on the destination": {event(PeerSuspected{Destination: 7, Observers: 1, ValidFor: long}),
@@ -177,7 +177,7 @@
 		"rate of the fleet": {event(PeerRateReceived{Destination: 7, Reporters: 3, RateShare: 1,
 			ValidFor: long}), long},
 		"used allowance": {func(d *Dispatcher) {
-			serve(t, d, 0, 7)
+			deliverMessages(t, d, 0, 7)
 			q := d.destinations[7].queues[0]
 			q.limiter.rate, q.limiter.bucket.tokens = 1/long.Seconds(), 0
 		}, long},
@@ -186,7 +186,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := onDemandSettings()
 			s.SlowStartWindow, s.IdleConnTimeout = long, long
-			d, _ := startOnDemand(t, s, many(10)...)
+			d, _ := startOnDemand(t, s, singleEndpointDestinations(10)...)
 			tt.cause(d)
 			needed := d.destinations[7]
 			for now := time.Minute; now < min(tt.until, 2*long); now += time.Minute {
@@ -238,9 +238,9 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			d, list := startOnDemand(t, onDemandSettings(), many(10)...)
+			d, list := startOnDemand(t, onDemandSettings(), singleEndpointDestinations(10)...)
 			if l, ok := tt.event.(EndpointsUpdated); ok {
-				list.change(l)
+				list.apply(l)
 			}
 			d.Handle(moment(time.Minute), []Event{tt.event})
 			want := [4]int{}
@@ -258,11 +258,11 @@
 func TestNewEndpointOnDemand(t *testing.T) {
 	s := onDemandSettings()
 	s.CanaryAnalysis = true
-	d, list := startOnDemand(t, s, many(10)...)
+	d, list := startOnDemand(t, s, singleEndpointDestinations(10)...)
 	joining := EndpointsUpdated{Endpoints: []Endpoint{{ID: "new", Destination: 7, Weight: 100,
 		StartedAt: moment(time.Hour)},
 		{ID: "alone", Destination: 20, Weight: 100, StartedAt: moment(time.Hour)}}}
-	list.change(joining)
+	list.apply(joining)
 	d.Handle(moment(time.Hour), []Event{joining})
 	if all := d.Canaries(); len(all) != 1 || all[0].Endpoint != "new" || !all[0].HasBaseline {
 		t.Fatalf("on trial: %+v", all)
@@ -289,27 +289,27 @@
 func TestZonesNeedAllState(t *testing.T) {
 	s := onDemandSettings()
 	s.Zones = true
-	d, list := startOnDemand(t, s, many(10)...)
+	d, list := startOnDemand(t, s, singleEndpointDestinations(10)...)
 	d.Handle(moment(time.Hour), nil)
-	if got := d.stateCounts(); got != [4]int{10, 10, 10, 0} || list.lookUps != 0 {
-		t.Errorf("%v in state, %d look-ups", got, list.lookUps)
+	if got := d.stateCounts(); got != [4]int{10, 10, 10, 0} || list.lookups != 0 {
+		t.Errorf("%v in state, %d look-ups", got, list.lookups)
 	}
 }
 
 // A batch does no work for destinations that it does not concern, be they listed alone or in state.
 func TestWorkOfABatch(t *testing.T) {
 	work := func(listed, inState int) (lookUps int, allocations float64) {
-		d, list := startOnDemand(t, onDemandSettings(), many(listed)...)
+		d, list := startOnDemand(t, onDemandSettings(), singleEndpointDestinations(listed)...)
 		for no := range inState {
-			serve(t, d, 0, no)
+			deliverMessages(t, d, 0, no)
 		}
-		list.lookUps = 0
+		list.lookups = 0
 		now := time.Second
-		serve(t, d, now, listed-1)
-		lookUps = list.lookUps
+		deliverMessages(t, d, now, listed-1)
+		lookUps = list.lookups
 		return lookUps, testing.AllocsPerRun(100, func() {
 			now += 100 * ms
-			serve(t, d, now, listed-1)
+			deliverMessages(t, d, now, listed-1)
 		})
 	}
 	// Maps and slices grow now and then, which is no work for destinations: one allocation for each ten would
@@ -328,8 +328,8 @@
 // The counters and the send rate of a queue that is loaded late are those of one that was there from the
 // start.
 func TestLoadedLateCountsFromTheStart(t *testing.T) {
-	eager := start(t, onDemandSettings(), many(1)...)
-	lazy, _ := startOnDemand(t, onDemandSettings(), many(1)...)
+	eager := start(t, onDemandSettings(), singleEndpointDestinations(1)...)
+	lazy, _ := startOnDemand(t, onDemandSettings(), singleEndpointDestinations(1)...)
 	for _, d := range []*Dispatcher{eager, lazy} {
 		d.Handle(moment(time.Minute), []Event{Arrived{ID: "m", TimeLeft: time.Second}})
 	}
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -13,20 +13,20 @@
 // earliestTime is the earliest of several times, but no earlier than a bound.
 type earliestTime struct {
 	at        instant.Time
-	noEarlier instant.Time
+	notBefore instant.Time
 }
 
 // add takes a time into account.
-func (e *earliestTime) add(at instant.Time) { e.at = min(e.at, max(at, e.noEarlier)) }
+func (e *earliestTime) add(at instant.Time) { e.at = min(e.at, max(at, e.notBefore)) }
 
 // armTimer asks for a timer for when something is next due by time alone.
 func (d *Dispatcher) armTimer() {
 	soonest := d.now.Add(d.settings.BatchInterval)
-	next := earliestTime{at: never, noEarlier: soonest}
+	next := earliestTime{at: never, notBefore: soonest}
 	next.add(d.watch.subscribeAt)
 	for _, m := range d.messages.unfinished {
 		if m.queue != nil {
-			next.add(d.finalAttemptAt(m))
+			next.add(d.latestAttemptStart(m))
 			next.add(d.idempotencyExpiry(m))
 		}
 	}
