--- a/policy/action.go
+++ b/policy/action.go
@@ -6,73 +6,76 @@
 	"milletsail/internal/instant"
 )
 
-// Action is something that a dispatcher wants done.
+// Action is an instruction that [Dispatcher.Handle] returns for the caller to carry out.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send starts the next attempt of a message. Messages that are sent with the same Call travel together.
+	// Send starts the next attempt of a message. Messages with the same Call number are sent in one call.
 	Send struct {
 		ID       string
 		Endpoint string
-		Timeout  time.Duration // of the response; 0 for the message's deadline
-		// WriteTimeout is the time in which the call must be written completely or not at all (NotSent),
-		// however long the connection takes; 0 for any.
+		// Timeout is the time to wait for the response; 0 means until the message's deadline.
+		Timeout time.Duration
+		// WriteTimeout is the time within which the request must be written completely. If it cannot be, for
+		// example because connecting takes too long, nothing may be written and the attempt ends as NotSent.
+		// 0 means no limit.
 		WriteTimeout time.Duration
 		Call         int
 	}
-	// Reject ends a message undelivered; the client may safely send it again.
+	// Reject ends a message that was certainly not delivered, or that is safe to repeat: the client may send
+	// it again after RetryAfter.
 	Reject struct {
 		ID         string
 		RetryAfter time.Duration
 		Reason     Reason
 	}
-	// Fail ends a message; the client doesn't learn whether it was executed.
+	// Fail ends a message that may or may not have been executed, and that the client cannot safely repeat.
 	Fail struct {
 		ID     string
 		Reason Reason
 	}
-	// Cancel ends the wait for an attempt.
+	// Cancel abandons an attempt whose response is still outstanding.
 	Cancel struct {
 		ID      string
 		Attempt int
 	}
-	// CancelUnwritten ends the calls to an endpoint of which nothing is written yet (NotSent).
+	// CancelUnwritten cancels the calls to an endpoint whose requests are not yet being written. Their
+	// attempts end as NotSent.
 	CancelUnwritten struct{ Endpoint string }
 	// CloseIdleConnections closes the idle connections of this relay to an endpoint.
 	CloseIdleConnections struct{ Endpoint string }
-	// SetTimer asks for TimerFired, in place of what was asked for before.
+	// SetTimer requests a TimerFired event, and replaces the timer that was requested before.
 	SetTimer struct{ After time.Duration }
-	// Subscribe starts the watch of the endpoint list.
+	// Subscribe starts a watch of the endpoint list.
 	Subscribe struct{}
-	// Broadcast sends a gossip message to all other relays. It may come late or not at all.
+	// Broadcast sends a gossip message to all other relays. Delivery may be late and is not guaranteed.
 	Broadcast struct{ Message []byte }
-	// PersistHealth records the health of an endpoint for a later process of this relay: that it is ejected,
-	// or when it recovered.
+	// PersistHealth records that an endpoint was ejected, or that it recovered, so that a later process of
+	// this relay can restore it with StateRestored.
 	PersistHealth struct {
 		Endpoint   string
-		Ejected    bool
-		At         instant.Time
-		SecondHand bool // this relay has not observed it itself
+		Ejected    bool         // false after a recovery
+		At         instant.Time // time of the ejection or recovery
+		SecondHand bool         // the change was reported by other relays, or inferred for a whole zone
 	}
 	// ZoneStateChanged reports the new state of a zone, for logs.
 	ZoneStateChanged struct {
 		Zone  int
 		State ZoneState
 	}
-	// CanaryStageChanged reports, for logs, that a canary starts a stage or is suspended, or, with a Share of
-	// 0, that its trial is over.
+	// CanaryStageChanged reports, for logs, that a canary starts a stage or is suspended. A Share of 0 means
+	// that the endpoint is no longer a canary.
 	CanaryStageChanged struct {
 		Endpoint       string
-		Share          float64
+		Share          float64 // share of the destination's calls, together with its other canaries
 		SuspendedUntil instant.Time
 	}
-	// PublishRate reports this relay's send rate for a destination to the other relays, as a multiple of an
-	// even share of the listed rate, and the messages a second that arrive for it.
+	// PublishRate reports this relay's send and arrival rates for a destination to the other relays.
 	PublishRate struct {
 		Destination int
-		RateShare   float64
-		ArrivalRate float64
+		RateShare   float64 // send rate as a multiple of an even share of the listed rate
+		ArrivalRate float64 // messages a second that arrive at this relay for the destination
 	}
 )
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// minDeliveryValue is the share of its value that a message must still have at delivery while its queue
-	// is overloaded: one that is admitted later takes the place of one that would be on time.
+	// minDeliveryValue is the share of its full value that a message must still have at delivery to be
+	// admitted to an overloaded queue. A message that would be worth less takes a slot that a later message
+	// could use in time.
 	minDeliveryValue = 0.8
-	// overloadThreshold is the share of Settings.QueueCapacity above which queues that hold much of it shed
-	// load, so that no queue takes all of it.
+	// overloadThreshold is the share of Settings.QueueCapacity above which queues that hold much of the
+	// capacity stop admitting messages, so that one queue cannot use all of it.
 	overloadThreshold = 0.75
 )
 
-// admissionController estimates what admission control needs to know of one queue: λ, the rate of the
-// messages that arrive, and r, the rate of those that the basic rule alone would reject. It belongs to one
-// queue and is not safe for concurrent use.
+// admissionController estimates the inputs of admission control for one queue: λ, the arrival rate, and r,
+// the rate of messages that the basic rule alone would reject, both in messages a second. It is not safe
+// for concurrent use.
 //
-// The rule is the value-function bound of Hyytiä's admission control for parallel first-come queues, with the
-// paper's symbols: u is the time until a new message would be sent, x its expected latency, and τ the time
-// that it may wait: its time left less x. All are in seconds.
+// Admission follows the value-function bound of Hyytiä's admission control for parallel first-come queues,
+// and uses the paper's symbols: u is the time until a new message would be sent, x the expected latency of
+// its call, and τ the longest time that it may wait, which is the time left to its deadline minus x. All
+// three are in seconds.
 type admissionController struct {
 	arrivals decayingCounter // λ
 	misses   decayingCounter // r
-	// virtualBacklog is the work, in seconds, in a virtual copy of the queue that admits by the basic rule
-	// alone.
+	// virtualBacklog is the work, in seconds, waiting in a simulated copy of the queue that admits messages
+	// by the basic rule alone. The copy's rejections are counted in misses.
 	virtualBacklog   float64
 	virtualUpdatedAt instant.Time
 }
 
-// newAdmissionController returns a controller that counts since a moment.
+// newAdmissionController returns a controller whose counters start at the given time.
 func newAdmissionController(since instant.Time) admissionController {
 	return admissionController{
 		arrivals: decayingCounter{startedAt: since},
@@ -45,7 +47,8 @@
 	return a.arrivals.rate(now), a.misses.rate(now)
 }
 
-// recordVirtualArrival feeds an arrival that may wait for τ to the virtual queue, where it takes serviceTime.
+// recordVirtualArrival simulates the basic rule for a message that may wait for at most τ: the virtual queue
+// rejects it, or its backlog grows by serviceTime. Both are in seconds.
 func (a *admissionController) recordVirtualArrival(now instant.Time, τ, serviceTime float64) {
 	a.virtualBacklog = math.Max(0, a.virtualBacklog-now.Sub(a.virtualUpdatedAt).Seconds())
 	a.virtualUpdatedAt = now
@@ -56,9 +59,9 @@
 	a.virtualBacklog += serviceTime
 }
 
-// exceedsDelayBound reports whether a message has to be rejected: by the basic rule u > τ, and where others
-// wait by the value-function bound (λ−r)(u+x−τ) ≥ 1, which holds for every u once x ≥ τ + 1/(λ−r). netRate is
-// λ−r.
+// exceedsDelayBound reports whether a message has to be rejected: by the basic rule u > τ, or, if other
+// messages are waiting, by the value-function bound (λ−r)(u+x−τ) ≥ 1. For x ≥ τ + 1/(λ−r) the bound is met
+// whatever u is. netRate is λ−r.
 func exceedsDelayBound(u, x, τ, netRate float64, othersWait bool) bool {
 	if u > τ {
 		return true
@@ -66,7 +69,7 @@
 	return netRate > 0 && othersWait && u > 0 && (netRate*(u+x-τ) >= 1 || x >= τ+1/netRate)
 }
 
-// admit rejects an arriving message at once or puts it into a queue.
+// admit puts an arriving message into a queue, or rejects it at once.
 func (d *Dispatcher) admit(arrived *message) {
 	queue := d.selectQueue(arrived)
 	queue.admission.arrivals.add(d.now, 1)
@@ -76,7 +79,8 @@
 	λ, r := queue.admission.rates(d.now)
 	queue.admission.recordVirtualArrival(d.now, timeLeft-latency, interval)
 	if λ*interval > 1 {
-		// The bound is on the age: little time left need not come from it.
+		// Under overload, the wait must not make the message too old. The limit applies to the wait alone: a
+		// client may give a short deadline without the message being old.
 		timeLeft = math.Min(timeLeft, d.settings.overloadAgeLimit(arrived.class).Seconds())
 	}
 	excess := delay + 2*latency - timeLeft
@@ -90,8 +94,9 @@
 	}
 }
 
-// overloaded reports whether a queue may not have another message: the capacity is used up, or nearly so with
-// much of it by this queue. A queue whose endpoints are all ejected leaves the rest to the others.
+// overloaded reports whether a queue must not admit another message. That is so when the queue capacity is
+// exceeded, or when overloadThreshold of it is exceeded and this queue either holds more than half of that
+// many messages or has only ejected endpoints.
 func (d *Dispatcher) overloaded(q *queue) bool {
 	threshold := overloadThreshold * float64(d.settings.QueueCapacity)
 	unfinished := len(d.messages.unfinished)
@@ -99,9 +104,9 @@
 	return float64(unfinished) > threshold && fillsThreshold || unfinished > d.settings.QueueCapacity
 }
 
-// overloadAgeLimit is the age at which a class, or one of the same or a higher priority weight that would
-// wait behind it, falls below minDeliveryValue: patient messages of low value must not fill a queue against
-// urgent ones.
+// overloadAgeLimit returns the age at which the value of a message falls below minDeliveryValue, as the
+// lowest over its class and all classes of the same or a higher priority weight. Otherwise messages of
+// little value that can wait longer would fill the queue, and urgent messages of more value would be late.
 func (s *Settings) overloadAgeLimit(class *Class) time.Duration {
 	age := class.ageAt(minDeliveryValue)
 	for i := range s.Classes {
--- a/policy/api.go
+++ b/policy/api.go
@@ -6,44 +6,45 @@
 	"milletsail/internal/instant"
 )
 
-// Effect says what a second execution of a message would do.
+// Effect describes what happens if a message is executed twice.
 type Effect int
 
 // The effects of a class.
 const (
-	// Idempotent messages may be repeated at will.
+	// Idempotent messages may be executed any number of times.
 	Idempotent Effect = iota
-	// IdempotentWithKey messages carry an idempotency key: the destination drops a repeat while it remembers
-	// the key.
+	// IdempotentWithKey messages carry an idempotency key. The destination ignores a repeat for as long as it
+	// remembers the key.
 	IdempotentWithKey
-	// NotIdempotent messages must never run twice.
+	// NotIdempotent messages must never be executed twice.
 	NotIdempotent
 )
 
-// Outcome says how one attempt ended.
+// Outcome is the way in which one attempt ended.
 type Outcome int
 
 // The outcomes of an attempt; see [Outcome.ProvesNotExecuted].
 const (
-	// OK is a delivery.
+	// OK means that the endpoint accepted the message.
 	OK Outcome = iota
-	// Failed is an error response.
+	// Failed means that the endpoint answered with an error.
 	Failed
-	// Rejected is a response that says that the endpoint is above its limit, has a full queue, or drains.
+	// Rejected means that the endpoint refused the call because it is above its limit, has a full queue, or
+	// is draining.
 	Rejected
-	// TimedOut is the lack of a response in time.
+	// TimedOut means that no response arrived in time.
 	TimedOut
-	// ConnectError is a connection that was not established.
+	// ConnectError means that no connection could be established.
 	ConnectError
-	// Reset is a connection that broke while the attempt was out.
+	// Reset means that the connection broke during the attempt.
 	Reset
-	// Canceled is an attempt that this dispatcher canceled.
+	// Canceled means that this dispatcher canceled the attempt.
 	Canceled
-	// NotSent is an attempt that was not written, or that its endpoint did not start: no time, slot or
-	// attempt was left.
+	// NotSent means that the request was not written, or that its endpoint did not start to execute it, for
+	// want of time, a slot or a remaining attempt.
 	NotSent
-	// NotStarted is an attempt that a shortage of local resources prevented, which says nothing of the
-	// endpoint. It doesn't count as an attempt.
+	// NotStarted means that a shortage of local resources prevented the attempt. It says nothing about the
+	// endpoint and does not count as an attempt.
 	NotStarted
 )
 
@@ -59,8 +60,8 @@
 	NotStarted:   "not begun",
 }
 
-// ProvesNotExecuted reports whether an attempt with this outcome certainly never ran at the endpoint, so that
-// a retry cannot execute the message twice.
+// ProvesNotExecuted reports whether the outcome proves that the endpoint did not execute the message, so that
+// a retry cannot execute it twice.
 func (o Outcome) ProvesNotExecuted() bool {
 	switch o {
 	case Rejected, ConnectError, NotSent, NotStarted:
@@ -73,17 +74,17 @@
 // String returns the name of an outcome for logs and diagnostics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Weights says what the weight of an endpoint means.
+// Weights is the meaning of [Endpoint.Weight].
 type Weights int
 
 // The meanings of a weight.
 const (
-	// WeightsOff means that weights say nothing.
+	// WeightsOff means that weights are ignored.
 	WeightsOff Weights = iota
-	// WeightsNominal means that a weight is the calls a second that the destination (or route) takes from all
-	// relays.
+	// WeightsNominal means that a weight is the number of calls a second that the destination (or the route)
+	// accepts from all relays together.
 	WeightsNominal
-	// WeightsRough means the same, but up to half too high or too low.
+	// WeightsRough has the same meaning as WeightsNominal, but a weight may be up to 50% too high or too low.
 	WeightsRough
 )
 
@@ -92,13 +93,13 @@
 
 // The states of a zone.
 const (
-	// Serving zones get calls as their endpoints allow.
+	// Serving zones get calls as the state of their endpoints allows.
 	Serving ZoneState = iota
-	// Evacuated zones failed as a whole, as this relay observed.
+	// Evacuated zones get no calls, since this relay observed that the whole zone fails.
 	Evacuated
-	// EvacuatedByOrder zones get no calls, by an operator's order.
+	// EvacuatedByOrder zones get no calls, since an operator ordered it.
 	EvacuatedByOrder
-	// Recovering zones are in slow start.
+	// Recovering zones are in slow start after an evacuation.
 	Recovering
 )
 
@@ -112,83 +113,88 @@
 // String returns the name of a state for logs and operators.
 func (s ZoneState) String() string { return zoneNames[s] }
 
-// ZoneStatus is the status of a zone.
+// ZoneStatus is the status of a zone at one relay.
 type ZoneStatus struct {
 	Zone           int
 	State          ZoneState
-	EnteredAt      instant.Time // the state
-	OrderExpiresAt instant.Time // of a zone that is EvacuatedByOrder
-	Endpoints      int          // listed there
-	Evacuations    int          // so far
-	Recoveries     int          // so far
+	EnteredAt      instant.Time // time at which the zone entered State
+	OrderExpiresAt instant.Time // end of the operator's order, if State is EvacuatedByOrder
+	Endpoints      int          // number of listed endpoints in the zone
+	Evacuations    int          // number of evacuations since the dispatcher was created
+	Recoveries     int          // number of recoveries since the dispatcher was created
 }
 
 // Class is one class of messages.
 type Class struct {
 	Name              string
-	LatencyObjective  time.Duration // a message has its full value up to here
-	Deadline          time.Duration // a message expires after this
+	LatencyObjective  time.Duration // age up to which a message keeps its full value
+	Deadline          time.Duration // age at which a message expires
 	PriorityWeight    float64       // full value of a message
-	LateValueShare    float64       // share of the value that is left at the deadline
-	ExponentialDecay  bool          // the value halves each further LatencyObjective; else it falls linearly
+	LateValueShare    float64       // share of the full value that is left at the deadline
+	ExponentialDecay  bool          // whether a late value halves per LatencyObjective, or falls linearly
 	Effect            Effect
-	KeysPerZone       bool          // IdempotentWithKey: only endpoints of one zone share the keys
-	IdempotencyWindow time.Duration // IdempotentWithKey: how long a destination remembers a key
-	Ordered           bool          // messages with the same key are sent one at a time, in order
+	KeysPerZone       bool          // whether only endpoints of the same zone share idempotency keys
+	IdempotencyWindow time.Duration // time for which a destination remembers an idempotency key
+	Ordered           bool          // whether messages of one key are sent one at a time, in order
 }
 
 // Kind is one kind of destination.
 type Kind struct {
-	SeparateRoutes bool // each endpoint is a route of its own, with its own limit, send rate and health
-	MaxBatch       int  // messages in one call at most
+	SeparateRoutes bool // whether each endpoint is a route with its own limit, send rate and health
+	MaxBatch       int  // largest number of messages in one call
 }
 
 // Settings is the configuration of a dispatcher.
 type Settings struct {
-	FleetSize             int // relays that share the traffic, this one included
-	Zone                  int // of this relay, as in Endpoint
-	Classes               []Class
-	Kinds                 []Kind
-	ZoneCost              []float64 // by zone: cost of sending all messages there, in mean priority weights
-	Slots                 int       // calls out at once
-	QueueCapacity         int       // unfinished messages, sent or not
-	MaxBatchBytes         int       // bytes in a call with several messages at most; 0 for any number
-	MaxAttempts           int       // of a message
-	Gossip                bool      // broadcasts to other relays are allowed
-	Zones                 bool      // evacuate failing zones, and balance by locality
-	CanaryAnalysis        bool      // put endpoints that are new on the list on trial
-	PublishRates          bool      // PublishRate has a use: relays share what they observe
-	HedgedRequests        bool      // two attempts of a message may be out at once
-	CanCancel             bool      // Cancel is supported
-	Subscribe             bool      // list changes come only after Subscribe
-	Weights               Weights
-	BatchInterval         time.Duration // least time between batches
-	MaxRetryAfter         time.Duration // longest Retry-After that a client honours
-	SlowStartInitialShare float64       // share of its capacity that a destination has after an outage
-	SlowStartWindow       time.Duration // and all of it after this
-	OverloadFactor        float64       // calls at more than this multiple of the present capacity
-	OverloadWindow        time.Duration // for this long overload a destination in slow start
-	IdleConnTimeout       time.Duration // idle connections close by themselves after this; 0 for never
-	OrderedKeyDelay       time.Duration // how long a key stays blocked after an attempt that may still run
-	Directory             Directory     // nil: state is kept for all endpoints of EndpointsUpdated
+	FleetSize int // number of relays that share the traffic, including this one
+	Zone      int // zone of this relay, numbered as in Endpoint
+	Classes   []Class
+	Kinds     []Kind
+	// ZoneCost is, for each zone, the cost of sending a message there, as a multiple of the mean
+	// PriorityWeight.
+	ZoneCost              []float64
+	Slots                 int           // largest number of simultaneous calls
+	QueueCapacity         int           // largest number of unfinished messages, whether sent or waiting
+	MaxBatchBytes         int           // largest size of a call with several messages; 0 for no limit
+	MaxAttempts           int           // largest number of attempts of one message
+	Gossip                bool          // whether Broadcast may be used
+	Zones                 bool          // whether to evacuate failing zones and balance load by locality
+	CanaryAnalysis        bool          // whether newly listed endpoints start as canaries
+	PublishRates          bool          // whether PublishRate is used, since relays share their observations
+	HedgedRequests        bool          // whether a message may have two attempts in flight; not used here
+	CanCancel             bool          // whether Cancel is supported
+	Subscribe             bool          // whether EndpointsUpdated is received only after Subscribe
+	Weights               Weights       // meaning of Endpoint.Weight
+	BatchInterval         time.Duration // shortest time between two calls of Handle
+	MaxRetryAfter         time.Duration // longest Retry-After that is returned to a client
+	SlowStartInitialShare float64       // share of its capacity that a destination has right after an outage
+	SlowStartWindow       time.Duration // time after an outage until a destination has its full capacity
+	// A destination in slow start is overloaded by calls at more than OverloadFactor times its present
+	// capacity for OverloadWindow.
+	OverloadFactor  float64
+	OverloadWindow  time.Duration
+	IdleConnTimeout time.Duration // time after which idle connections are closed; 0 for never
+	OrderedKeyDelay time.Duration // time for which a key stays blocked after an attempt that may still run
+	Directory       Directory     // source of state on demand; nil to keep state for all listed endpoints
 }
 
-// Directory looks listed endpoints up. The caller owns it, and changes it only between calls of Handle:
-// before the EndpointsUpdated that reports the change.
+// Directory looks up listed endpoints. The caller owns it and changes it only between calls of Handle, before
+// the EndpointsUpdated that reports the change.
 //
-// With a Directory, a Dispatcher keeps state only for the destinations in use. State is loaded with the first
-// message for a destination, or the first event that limits it: StateRestored or StateInherited, a rejection
-// that another relay reports, PeerSuspected, PeerRateReceived, or an endpoint that is on trial beside an
-// older one. Entries of EndpointsUpdated that concern no state are ignored; removals have to be listed as
-// Removed, Complete is not needed. State is dropped when its destination has been idle for two minutes and
-// nothing that is known of it limits it. PublishRate then names such destinations alone.
+// With a Directory, a Dispatcher keeps state only for the destinations in use. It loads the state of a
+// destination with the first message for it, or with the first event that limits it: StateRestored or
+// StateInherited, a rejection reported by another relay, PeerSuspected, PeerRateReceived, or the listing of a
+// canary beside an older endpoint. Entries of EndpointsUpdated that concern no loaded state are ignored.
+// Removals must be listed as Removed entries; Complete is not needed. The state of a destination is dropped
+// after two idle minutes, unless it still limits the destination. PublishRate covers only destinations with
+// loaded state.
 //
-// With Settings.Zones, which compares the endpoints of all destinations, the Directory is not used: state is
-// kept as without one.
+// With Settings.Zones, the endpoints of all destinations are compared, so the Directory is not used and state
+// is kept for all of them.
 type Directory interface {
-	// Endpoints returns the endpoints of a destination that are listed now, in a stable order.
+	// Endpoints returns the endpoints that are listed now for a destination, in a stable order.
 	Endpoints(destination int) []Endpoint
-	// Destination returns the destination of a listed endpoint.
+	// Destination returns the destination of an endpoint, and whether the endpoint is listed.
 	Destination(endpoint string) (destination int, listed bool)
 }
 
@@ -196,41 +202,42 @@
 type Endpoint struct {
 	ID          string
 	Destination int
-	Kind        int // in Settings.Kinds
+	Kind        int // index in Settings.Kinds
 	Zone        int
 	Weight      float64      // see Settings.Weights
-	StartedAt   instant.Time // when it last started; 0 for long ago
-	Draining    bool         // it gets no new calls
-	Removed     bool         // it is no longer listed
+	StartedAt   instant.Time // time of the last start; 0 if that was long ago
+	Draining    bool         // whether the endpoint takes no new calls
+	Removed     bool         // whether the endpoint is no longer listed
 }
 
-// Canary is the status of an endpoint on trial.
+// Canary is the status of an endpoint that is a canary.
 type Canary struct {
 	Endpoint        string
 	Destination     int
-	Stage           int          // from 0
-	Share           float64      // of its destination's calls, together with the other canaries there
-	StageStartedAt  instant.Time // may lie ahead, at the end of a suspension
-	SuspendedUntil  instant.Time // until when it gets nothing; past or 0 if it isn't suspended
+	Stage           int          // index of the stage, from 0
+	Share           float64      // share of the destination's calls, together with its other canaries
+	StageStartedAt  instant.Time // start of the stage; in the future during a suspension
+	SuspendedUntil  instant.Time // end of the suspension; 0 or in the past if the canary is not suspended
 	Suspensions     int
-	RegressionScore float64 // of the class that speaks most for a regression; 1 suspends it
-	HasBaseline     bool    // a healthy older endpoint serves beside it, so that it is limited to its share
+	RegressionScore float64 // highest score of any class; the canary is suspended at 1
+	HasBaseline     bool    // whether a healthy older endpoint serves beside it; else Share does not limit it
 }
 
 // LoadReport is the load report of a destination.
 type LoadReport struct {
 	Remaining float64 `json:"Left"`  // share of the allowance that is left
-	Limit     float64 `json:"Limit"` // calls a second; 0 where there is no limit
+	Limit     float64 `json:"Limit"` // limit in calls a second; 0 for none
 }
 
 // PriorAttempt is an attempt that an earlier process of this relay made.
 type PriorAttempt struct {
 	Endpoint    string
 	SentAt      instant.Time
-	NotExecuted bool // proved never to have run
-	// InFlight says that it is still out, in the process that hands over: AttemptEnded reports its end.
+	NotExecuted bool // whether the message was certainly not executed
+	// InFlight means that the earlier process, which hands over to this one, still waits for the response.
+	// AttemptEnded reports the outcome.
 	InFlight bool
-	Call     int // of an attempt in flight; attempts of one call share it
+	Call     int // call number of an attempt in flight, shared by the attempts of one call
 }
 
 // InheritedEndpoint is the part of StateInherited that concerns one endpoint.
@@ -247,9 +254,9 @@
 	TokensAt            instant.Time `json:"TokensAt"`
 }
 
-// DecayingCount is the state of a decaying counter.
+// DecayingCount is the state of a counter whose counts decay over time.
 type DecayingCount struct {
-	Count     float64      `json:"N"`
-	UpdatedAt instant.Time `json:"At"`
-	StartedAt instant.Time `json:"Since"`
+	Count     float64      `json:"N"`     // decayed count at UpdatedAt
+	UpdatedAt instant.Time `json:"At"`    // time of the last update
+	StartedAt instant.Time `json:"Since"` // time at which the counter started
 }
--- a/policy/call.go
+++ b/policy/call.go
@@ -2,13 +2,13 @@
 
 import "milletsail/internal/instant"
 
-// call is one call that is out, with one message or a batch.
+// call is one call in flight, with a single message or a batch.
 type call struct {
 	endpoint     *endpoint
 	number       int
 	sentAt       instant.Time
-	openAttempts int // messages without an outcome
-	size         int // of its messages
+	openAttempts int // number of messages without an outcome
+	size         int // total size of its messages, in bytes
 	messages     []*message
-	canceled     bool // by cancelCall
+	canceled     bool // whether cancelCall has canceled it
 }
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -7,27 +7,27 @@
 	"milletsail/internal/instant"
 )
 
-// Dispatcher decides for one relay. It is not safe for concurrent use.
+// Dispatcher makes the decisions of one relay. It is not safe for concurrent use.
 //
-// What concerns a destination or an endpoint is in the parts of its queue and endpoint; here are the parts
-// that concern the whole relay.
+// The state that concerns one destination or endpoint is in queue and endpoint; the fields here concern the
+// whole relay.
 type Dispatcher struct {
 	settings Settings
-	now      instant.Time
-	actions  []Action // of the batch that is handled
+	now      instant.Time // time of the current batch of events
+	actions  []Action     // actions of the current batch so far
 	random   *rand.Rand
 
 	destinations     map[int]*destination
 	endpoints        map[string]*endpoint
-	queues           []*queue // in the order in which they were first seen
-	active           []*queue // those with messages waiting or calls out
-	unavailableCount int      // endpoints for which isUnavailable holds
+	queues           []*queue // all queues; in the order of creation, unless state is kept on demand
+	active           []*queue // queues with waiting messages or calls in flight
+	unavailableCount int      // number of endpoints for which isUnavailable holds
 
 	messages      messageTable
 	keys          orderedKeys
 	slots         slotScheduler
 	latencyPriors latencyPriors
-	meanPriority  float64 // mean priority weight of the classes
+	meanPriority  float64 // mean PriorityWeight of the classes
 	watch         endpointWatch
 	timer         timerState
 	fleet         fleetState
@@ -35,12 +35,12 @@
 	canaryCount   int
 	store         stateStore
 
-	stopping        bool // send nothing more
-	storageReadOnly bool // attempts leave no record for a later process
+	stopping        bool // whether the process is about to end, so that nothing more is sent
+	storageReadOnly bool // whether attempts cannot be recorded for a later process
 }
 
-// New returns a dispatcher that knows nothing yet, or an error for settings that make no sense. The seed is
-// that of its random decisions.
+// New returns a dispatcher without endpoints or messages, or an error if a setting is invalid. The seed
+// determines its random decisions.
 func New(settings Settings, seed int64) (*Dispatcher, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 		watch:         endpointWatch{subscribeAt: never, firstListedAt: never},
 	}
 	if settings.Subscribe {
-		dispatcher.watch.subscribeAt = 0 // at once
+		dispatcher.watch.subscribeAt = 0 // in the first call of Handle
 	}
 	for _, class := range settings.Classes {
 		dispatcher.meanPriority += class.PriorityWeight / float64(len(settings.Classes))
@@ -64,13 +64,13 @@
 	return dispatcher, nil
 }
 
-// never is later than every other time.
+// never is the latest possible time, and means that something does not happen at all.
 const never = instant.Never
 
-// emit adds an action to those of the batch.
+// emit adds an action to those that the current call of Handle returns.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// remove takes an element out of a slice and keeps the order.
+// remove removes the first occurrence of an element from a slice and keeps the order of the others.
 func remove[T comparable](list []T, element T) []T {
 	if i := slices.Index(list, element); i >= 0 {
 		return append(list[:i], list[i+1:]...)
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -7,16 +7,16 @@
 	"milletsail/internal/instant"
 )
 
-// resubscribeDelay is the time before a failed watch of the endpoint list is started again.
+// resubscribeDelay is the delay before a new watch of the endpoint list after one has failed.
 const resubscribeDelay = 500 * time.Millisecond
 
-// endpointWatch is the watch of the endpoint list.
+// endpointWatch is the state of the watch of the endpoint list.
 type endpointWatch struct {
-	subscribeAt   instant.Time // when to subscribe next
-	firstListedAt instant.Time // when the first entries came; never before that
+	subscribeAt   instant.Time // time at which to emit Subscribe; never while a watch is active
+	firstListedAt instant.Time // time of the first EndpointsUpdated; never before that
 }
 
-// renewWatch subscribes to the endpoint list when that is due.
+// renewWatch subscribes to the endpoint list if there is no watch and the delay after a failure has passed.
 func (d *Dispatcher) renewWatch() {
 	if d.now >= d.watch.subscribeAt {
 		d.watch.subscribeAt = never
@@ -24,7 +24,8 @@
 	}
 }
 
-// updateEndpoints takes in a change of the endpoint list.
+// updateEndpoints applies a change of the endpoint list, and moves messages away from routes without usable
+// endpoints.
 func (d *Dispatcher) updateEndpoints(updated EndpointsUpdated) {
 	d.watch.firstListedAt = min(d.watch.firstListedAt, d.now)
 	for _, listed := range updated.Endpoints {
@@ -57,7 +58,7 @@
 	}
 }
 
-// updateEndpoint takes in one entry of the list, which is listed since a moment.
+// updateEndpoint applies one entry of the list, which is valid since the given time.
 func (d *Dispatcher) updateEndpoint(listed Endpoint, since instant.Time) {
 	ep := d.endpoints[listed.ID]
 	if listed.Removed {
@@ -69,7 +70,7 @@
 	joinsOutage := false
 	if ep == nil {
 		dest := d.destination(listed.Destination)
-		if ep = d.endpoints[listed.ID]; ep == nil { // loading the destination may have brought it
+		if ep = d.endpoints[listed.ID]; ep == nil { // else destination loaded it from the directory
 			ep = d.addEndpoint(dest, listed, since)
 			joinsOutage = ep.queue.outageSuspected
 		}
@@ -77,12 +78,12 @@
 	d.startCanary(ep, listed)
 	d.updateAvailability(ep, func() { ep.Endpoint = listed })
 	d.setListedRate(ep.queue, listed.Weight, since)
-	if joinsOutage { // at a destination that is down, it needs a slow start like the others
+	if joinsOutage { // the whole destination is down, so a new endpoint needs a slow start as well
 		d.eject(ep)
 	}
 }
 
-// addEndpoint adds an endpoint that is listed since a moment to its destination.
+// addEndpoint adds an endpoint, listed since the given time, to its destination.
 func (d *Dispatcher) addEndpoint(dest *destination, listed Endpoint, since instant.Time) *endpoint {
 	ep := &endpoint{outlier: newOutlierDetector(len(d.settings.Classes)), queue: dest.queues[0]}
 	d.endpoints[listed.ID] = ep
@@ -99,7 +100,7 @@
 	return ep
 }
 
-// removeEndpoint removes an endpoint that is no longer listed. Calls that are out there still end.
+// removeEndpoint removes an endpoint that is no longer listed. Its calls in flight still get their outcomes.
 func (d *Dispatcher) removeEndpoint(ep *endpoint) {
 	d.updateAvailability(ep, func() { ep.Removed = true })
 	if ep.canary != nil {
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-func TestDrains(t *testing.T) {
+func TestDrainingOrRemovedEndpointGetsNoCalls(t *testing.T) {
 	s := plain()
 	s.Slots = 8
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Draining: true}}}})
 	expect(t, "draining", d.Handle(1, []Event{arrive("m", 0), arrive("n", 0)}), "m>b n>b")
 	d.Handle(2, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "c"}}}})
-	expect(t, "gone", d.Handle(3, []Event{arrive("o", 0)}), "o>c")
+	expect(t, "removed from the list", d.Handle(3, []Event{arrive("o", 0)}), "o>c")
 }
 
-func TestSubscribe(t *testing.T) {
+func TestSubscribeAgainAfterWatchFailed(t *testing.T) {
 	s := plain()
 	s.Subscribe = true
 	d, err := New(s, 1)
@@ -24,12 +24,13 @@
 		t.Fatal(err)
 	}
 	expect(t, "at the start", d.Handle(0, nil), "subscribe")
-	expect(t, "failed", d.Handle(moment(ms), []Event{WatchFailed{}}), "")
-	expect(t, "again", d.Handle(moment(ms+resubscribeDelay), []Event{TimerFired{}}), "subscribe")
+	expect(t, "watch failed", d.Handle(moment(ms), []Event{WatchFailed{}}), "")
+	expect(t, "after the delay", d.Handle(moment(ms+resubscribeDelay), []Event{TimerFired{}}), "subscribe")
 }
 
-// TestReplacedEndpointsAreForgotten guards against routes and endpoints that left and are walked for ever.
-func TestReplacedEndpointsAreForgotten(t *testing.T) {
+// Endpoints and routes that are replaced again and again must be removed from the state; otherwise it grows
+// without bound, and each batch iterates over all of it.
+func TestReplacedEndpointsAreRemoved(t *testing.T) {
 	for kind := range 3 {
 		d := start(t, plain())
 		for i := range 200 {
@@ -46,33 +47,35 @@
 		}
 		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.destinations) != 1 ||
 			len(d.active)+len(d.messages.byID)+len(d.messages.unfinished) != 0 {
-			t.Errorf("kind %d: %d endpoints, %d queues, %d active, %d messages", kind, len(d.endpoints),
+			t.Errorf("kind %d: %d endpoints (want 2), %d queues (want 3 at most), %d active, %d messages (want 0)",
+				kind, len(d.endpoints),
 				len(d.queues),
 				len(d.active), len(d.messages.byID))
 		}
 	}
 }
 
-// TestListThatEmptiesAndComesBack guards against state that stays spoilt: calls are out while the list
-// empties, the weight and the zone change, and the clock jumps back and far ahead.
-func TestListThatEmptiesAndComesBack(t *testing.T) {
+// The state must stay usable when the list becomes empty while calls are in flight, an endpoint comes back
+// with another weight and zone, and the clock jumps back or far ahead.
+func TestEndpointListEmptyAndFilledAgain(t *testing.T) {
 	for kind := range 3 {
 		s := plain()
 		s.Weights = WeightsNominal
 		d := start(t, s, Endpoint{ID: "a", Kind: kind, Weight: 5})
 		expect(t, "sent", d.Handle(moment(time.Second), []Event{arrive("m", 0)}), "m>a")
-		expect(t, "held", d.Handle(moment(2*time.Second),
+		expect(t, "no endpoint listed", d.Handle(moment(2*time.Second),
 			[]Event{EndpointsUpdated{Complete: true}, arrive("n", 0)}), "")
-		expect(t, "its outcome",
+		expect(t, "outcome of the call in flight",
 			d.Handle(0, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}}), "")
-		expect(t, "back", d.Handle(moment(3*time.Second), []Event{EndpointsUpdated{Endpoints: []Endpoint{
+		expect(t, "relisted", d.Handle(moment(3*time.Second), []Event{EndpointsUpdated{Endpoints: []Endpoint{
 			{ID: "a", Kind: kind, Weight: 7, Zone: 1}}}}), "n>a")
-		expect(t, "far ahead",
+		expect(t, "clock far ahead",
 			d.Handle(moment(1000*time.Hour),
 				[]Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true},
 					arrive("o", 0)}), "o>a")
 		if d.slots.inUse != 1 || len(d.messages.byID) != 1 {
-			t.Errorf("kind %d: %d calls out, %d messages", kind, d.slots.inUse, len(d.messages.byID))
+			t.Errorf("kind %d: %d calls in flight and %d messages, want 1 of each", kind, d.slots.inUse,
+				len(d.messages.byID))
 		}
 	}
 }
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -2,14 +2,15 @@
 
 import "cmp"
 
-// selectEndpoint chooses the endpoint of a queue that gets a message, or nil: an ejected one whose probe is
-// due; else a healthy one in the zone that is due, with the fewest calls out, used last (so that its
-// connection is idle).
+// selectEndpoint returns the endpoint of a queue that a message is sent to, or nil if none may get a call. An
+// ejected endpoint that may be probed comes first. Among the healthy ones, those in the target zone are
+// preferred, then those with the fewest calls in flight, and then the one that was used last, since its
+// connection is open. See preferred for the full order.
 func (d *Dispatcher) selectEndpoint(q *queue, m *message) *endpoint {
 	var best *endpoint
 	zone := d.targetZone(q)
 	for _, ep := range q.endpoints {
-		// An ejected endpoint is probed with a message's first attempt, unless it is the only one.
+		// A retry is not used as a probe of an ejected endpoint, unless the queue has no other endpoint.
 		retryAtEjected := ep.outlier.ejected && len(m.attempts) > 0 && len(q.endpoints) > 1
 		if retryAtEjected || ep.canaryWithheld(d.now) || !d.acceptsCall(ep) ||
 			d.avoidsZone(ep, m) || !d.retryAllowed(m, ep) {
@@ -22,11 +23,11 @@
 	return best
 }
 
-// preferred reports whether a is to be chosen before b for a message.
+// preferred reports whether a message is sent to endpoint a rather than to b.
 func (d *Dispatcher) preferred(m *message, zone int, a, b *endpoint) bool {
 	return cmp.Or(
-		compareBools(a.outlier.ejected, b.outlier.ejected),       // its probe is due
-		compareBools(a.hasBaseline(d.now), b.hasBaseline(d.now)), // a canary's share is due
+		compareBools(a.outlier.ejected, b.outlier.ejected),       // an ejected one that passed mayProbe
+		compareBools(a.hasBaseline(d.now), b.hasBaseline(d.now)), // a canary that has credit for a call
 		compareBools(b.unresponsive(d.now), a.unresponsive(d.now)),
 		cmp.Compare(m.failureScore(b), m.failureScore(a)),
 		compareBools(d.settings.Zones && a.Zone == zone, d.settings.Zones && b.Zone == zone),
@@ -35,7 +36,7 @@
 		cmp.Compare(a.lastUsedAt, b.lastUsedAt)) > 0
 }
 
-// compareBools orders false before true.
+// compareBools compares two values, with false before true.
 func compareBools(a, b bool) int {
 	switch {
 	case a == b:
@@ -46,8 +47,9 @@
 	return -1
 }
 
-// failureScore counts what speaks against an endpoint for a message: consecutive failures of its class there,
-// and that the message's last attempt was made there. An endpoint may fail one class and serve the others.
+// failureScore returns a penalty for sending a message to an endpoint: the consecutive failures of the
+// message's class there, plus one if the message's last attempt was made there. Classes are counted apart
+// because an endpoint may fail one class and serve the others.
 func (m *message) failureScore(ep *endpoint) float64 {
 	score := ep.outlier.classFailures[m.Class]
 	if last := len(m.attempts) - 1; last >= 0 && m.attempts[last].call.endpoint == ep {
@@ -56,7 +58,7 @@
 	return score
 }
 
-// acceptsCall reports whether an endpoint may get a call now.
+// acceptsCall reports whether an endpoint may get another call now.
 func (d *Dispatcher) acceptsCall(ep *endpoint) bool {
 	if ep.Draining || ep.Removed || d.now < ep.resourceBackoff.until {
 		return false
--- a/policy/event.go
+++ b/policy/event.go
@@ -6,72 +6,71 @@
 	"milletsail/internal/instant"
 )
 
-// Event is something that happened to a dispatcher.
+// Event is an input to [Dispatcher.Handle].
 type Event interface{ event() }
 
 // The events.
 type (
-	// Arrived hands in a message. It has to end exactly once.
+	// Arrived adds a message, which ends with exactly one final answer.
 	Arrived struct {
 		ID          string
 		Class       int
 		Destination int
-		TimeLeft    time.Duration // until it expires
-		Size        int           // bytes that it takes up in a call with others
-		Key         string        // of ordered classes, or empty
-		// Resumed says that an earlier process of this relay admitted the message: it is not up for admission
-		// again.
+		TimeLeft    time.Duration // time until the message expires
+		Size        int           // bytes that the message adds to a batch
+		Key         string        // ordering key, for ordered classes; may be empty
+		// Resumed means that an earlier process of this relay admitted the message, so that it skips
+		// admission control.
 		Resumed bool
-		// PriorAttempts are that process's attempts, which count as this one's.
+		// PriorAttempts are the attempts that the earlier process made. They count as this process's own.
 		PriorAttempts []PriorAttempt
-		// Completed says that the message has its final answer, and is named only for its attempt that is in
-		// flight.
+		// Completed means that the message already has its final answer. It is resumed only because one of
+		// its attempts is still in flight.
 		Completed bool
 	}
-	// AttemptEnded reports how an attempt ended.
+	// AttemptEnded reports the outcome of an attempt.
 	AttemptEnded struct {
 		ID                string
 		Endpoint          string
-		Attempt           int
+		Attempt           int // index of the attempt, from 0
 		Outcome           Outcome
-		RetryAfter        time.Duration // as the destination asks for, or 0
+		RetryAfter        time.Duration // Retry-After of the response, or 0
 		Latency           time.Duration
-		Completed         bool        // the message has its final answer
-		AttemptsExhausted bool        // the message has had all its attempts
-		LoadReport        *LoadReport // or nil
+		Completed         bool        // whether the message has its final answer
+		AttemptsExhausted bool        // whether the message may have no further attempts
+		LoadReport        *LoadReport // load report in the response, or nil
 	}
-	// Withdrawn says that nobody wants a message any more; it needs no answer.
+	// Withdrawn means that a message is no longer wanted and needs no answer.
 	Withdrawn struct{ ID string }
-	// EndpointsUpdated changes the endpoint list, or replaces it if Complete. See Directory for what is
-	// ignored.
+	// EndpointsUpdated changes entries of the endpoint list, or replaces the whole list if Complete is set.
+	// With a Directory, some entries are ignored; see there.
 	EndpointsUpdated struct {
 		Complete  bool
 		Endpoints []Endpoint
 	}
-	// WatchFailed says that the watch of the endpoint list failed or was dropped.
+	// WatchFailed reports that the watch of the endpoint list failed or was closed.
 	WatchFailed struct{}
 	// StateRestored is the health of a listed endpoint as an earlier process of this relay recorded it.
 	StateRestored PersistHealth
-	// StateInherited is the state of a queue as the process that hands over knows it. Latencies are in
-	// seconds, the send rate in calls a second.
+	// StateInherited is the state of a queue in the process that hands over to this one. Latencies are in
+	// seconds.
 	StateInherited struct {
 		Endpoints             []InheritedEndpoint `json:"Endpoints"`
-		RetryAfterUntil       instant.Time        `json:"Wait"` // end of a Retry-After
-		BackoffUntil          instant.Time        `json:"Hold"` // end of the relay's own pause
-		Outcomes              int                 `json:"Outcomes"`
+		RetryAfterUntil       instant.Time        `json:"Wait"`     // end of a Retry-After
+		BackoffUntil          instant.Time        `json:"Hold"`     // end of a backoff after a rejection
+		Outcomes              int                 `json:"Outcomes"` // number of recorded latencies
 		MeanLatency           float64             `json:"Mean"`
-		ClassLatency          []float64           `json:"Class"`
-		Concurrency           float64             `json:"Width"`
-		SendRate              float64             `json:"Pace"`
+		ClassLatency          []float64           `json:"Class"` // mean latency of each class
+		Concurrency           float64             `json:"Width"` // mean number of calls in flight
+		SendRate              float64             `json:"Pace"`  // calls a second; 0 for unlimited
 		Tokens                float64             `json:"Tokens"`
 		TokensAt              instant.Time        `json:"TokensAt"`
 		ConsecutiveRejections int                 `json:"Fulls"`
 		FirstRejectionAt      instant.Time        `json:"FirstFull"`
 		LastSuccessAt         instant.Time        `json:"LastOK"`
-		Arrivals              DecayingCount       `json:"Arrivals"`
-		Misses                DecayingCount       `json:"Misses"`
+		Arrivals              DecayingCount       `json:"Arrivals"` // arrived messages
+		Misses                DecayingCount       `json:"Misses"`   // rejections by the basic rule alone
 	}
-	// GossipReceived brings the message of another relay's Broadcast.
 	GossipReceived struct{ Message []byte }
 	// PeerSuspected reports what other relays of the fleet observe of a destination (a run of rejections) or
 	// of an endpoint (it is down). It replaces the last report of the same.
--- a/policy/expiry_test.go
+++ b/policy/expiry_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The client of a message that is given up learns when its destination may get messages again.
-func TestAbandonedMessageHasRetryAfter(t *testing.T) {
+// The rejection of an expired message must tell the client when its destination may get calls again.
+func TestExpiredMessageHasRetryAfter(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
 	d.Handle(moment(8600*ms),
@@ -14,12 +14,12 @@
 	for _, a := range d.Handle(moment(10*time.Second), []Event{TimerFired{}}) {
 		if a, ok := a.(Reject); ok {
 			if a.RetryAfter != time.Second {
-				t.Errorf("told to come again after %v, want the rest of the wait", a.RetryAfter)
+				t.Errorf("RetryAfter is %v, want 1s, the rest of the destination's Retry-After", a.RetryAfter)
 			}
 			return
 		}
 	}
-	t.Error("not given up")
+	t.Error("message not rejected at its deadline")
 }
 
 func TestWaitingMessagesExpire(t *testing.T) {
@@ -28,9 +28,9 @@
 	expect(t, "no endpoint listed", got, "")
 	at := actionAs[SetTimer](t, got[len(got)-1]).After
 	if at > 10*time.Second || at < 9900*ms {
-		t.Errorf("timer after %v", at)
+		t.Errorf("timer is set to %v, want it within 100ms before the 10s deadline", at)
 	}
-	expect(t, "before its end", d.Handle(moment(at-ms), []Event{TimerFired{}}), "")
-	expect(t, "at its end", d.Handle(moment(at), []Event{TimerFired{}}), "reject m")
+	expect(t, "before its expiry", d.Handle(moment(at-ms), []Event{TimerFired{}}), "")
+	expect(t, "at its expiry", d.Handle(moment(at), []Event{TimerFired{}}), "reject m")
 	expect(t, "late outcome", d.Handle(moment(at+ms), []Event{AttemptEnded{ID: "m", Outcome: OK}}), "")
 }
--- a/policy/message.go
+++ b/policy/message.go
@@ -10,24 +10,24 @@
 type message struct {
 	Arrived
 	class           *Class
-	sequence        int // order of arrival
+	sequence        int // position in the order of arrival
 	expiresAt       instant.Time
-	queue           *queue // in which it waits, or nil
+	queue           *queue // queue in which the message waits, or nil
 	attempts        []attempt
-	openAttempts    int          // attempts without an outcome
-	done            bool         // it has its final answer
-	keyBlockedUntil instant.Time // until when no other message of its key may be sent
+	openAttempts    int          // number of attempts without an outcome
+	done            bool         // whether the message has its final answer
+	keyBlockedUntil instant.Time // time until which no other message with the same key may be sent
 }
 
 // attempt is one attempt of a message.
 type attempt struct {
 	call        *call
 	sentAt      instant.Time
-	open        bool // without an outcome
-	notExecuted bool // proved never to have run
+	open        bool // whether the outcome is still outstanding
+	notExecuted bool // whether the outcome proves that the message was not executed
 }
 
-// dequeue takes a message out of its queue.
+// dequeue removes a message from the queue in which it waits, if any.
 func (m *message) dequeue() {
 	if m.queue != nil {
 		m.queue.waiting = remove(m.queue.waiting, m)
@@ -35,14 +35,14 @@
 	}
 }
 
-// messageTable holds the messages whose keys are not released.
+// messageTable holds the messages of a dispatcher from arrival until their keys are released.
 type messageTable struct {
 	byID         map[string]*message
-	unfinished   []*message // in the order of arrival
+	unfinished   []*message // messages without a final answer, in the order of arrival
 	lastSequence int
 }
 
-// add adds a message.
+// add adds a message and gives it the next sequence number.
 func (t *messageTable) add(m *message) {
 	t.lastSequence++
 	m.sequence = t.lastSequence
@@ -50,8 +50,8 @@
 	t.unfinished = append(t.unfinished, m)
 }
 
-// addArrival adds an arriving message, and returns it if it is up for admission. One that makes no sense is
-// ignored.
+// addArrival adds an arriving message, and returns it if it needs an admission decision. It returns nil for a
+// resumed message, and ignores one with an unknown class or a known ID.
 func (d *Dispatcher) addArrival(arrived Arrived) *message {
 	if arrived.Class < 0 || arrived.Class >= len(d.settings.Classes) || d.messages.byID[arrived.ID] != nil {
 		return nil
@@ -70,7 +70,7 @@
 	return m
 }
 
-// withdraw completes a message that nobody wants any more, and cancels its attempts.
+// withdraw ends a message that is no longer wanted, and cancels its attempts.
 func (d *Dispatcher) withdraw(id string) {
 	m := d.messages.byID[id]
 	if m == nil || m.done {
@@ -84,7 +84,7 @@
 	}
 }
 
-// complete notes that a message has its final answer.
+// complete marks a message as done: it has its final answer and needs no further attempts.
 func (d *Dispatcher) complete(m *message) {
 	if !m.done {
 		m.done = true
@@ -94,8 +94,8 @@
 	d.releaseKey(m)
 }
 
-// releaseKey removes a message that is done and has no attempt out, once its key is no longer blocked, and so
-// lets the next message of its key be sent.
+// releaseKey removes a message that is done and has no attempt in flight, so that the next message with the
+// same key can be sent. While the key has to stay blocked, the message is kept until then.
 func (d *Dispatcher) releaseKey(m *message) {
 	if !m.done || m.openAttempts > 0 {
 		return
@@ -108,7 +108,7 @@
 	delete(d.messages.byID, m.ID)
 }
 
-// releaseBlockedKeys releases the keys that need no longer be blocked.
+// releaseBlockedKeys releases the keys whose blocking time is over.
 func (d *Dispatcher) releaseBlockedKeys() {
 	for _, m := range slices.Clone(d.keys.blocked) {
 		d.releaseKey(m)
--- a/policy/moment_test.go
+++ b/policy/moment_test.go
@@ -6,5 +6,5 @@
 	"milletsail/internal/instant"
 )
 
-// moment gives the moment so long after the zero one.
+// moment returns the time that lies d after the zero time.
 func moment(d time.Duration) instant.Time { return instant.Time(d) }
--- a/policy/ordered_keys_test.go
+++ b/policy/ordered_keys_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-func TestOrderedKeys(t *testing.T) {
+func TestOrderedKeyStaysBlockedAfterTimeout(t *testing.T) {
 	s := plain()
 	s.OrderedKeyDelay = 300 * ms
 	d := start(t, s, Endpoint{ID: "a"})
-	expect(t, "one of a key at a time", d.Handle(0, []Event{arrive("m", 2), arrive("n", 2)}), "m>a")
-	expect(t, "a time-out rests the key",
+	expect(t, "two messages with one key", d.Handle(0, []Event{arrive("m", 2), arrive("n", 2)}), "m>a")
+	expect(t, "time-out blocks the key",
 		d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}}),
 		"fail m")
-	expect(t, "still resting", d.Handle(moment(1299*ms), []Event{TimerFired{}}), "")
-	expect(t, "rested", d.Handle(moment(1300*ms), []Event{TimerFired{}}), "n>a")
+	expect(t, "before OrderedKeyDelay", d.Handle(moment(1299*ms), []Event{TimerFired{}}), "")
+	expect(t, "after OrderedKeyDelay", d.Handle(moment(1300*ms), []Event{TimerFired{}}), "n>a")
 }
 
-func TestOrderedKeysOfSeveralMessages(t *testing.T) {
+func TestOrderedKeysAllowFirstMessageOfEachKey(t *testing.T) {
 	ordered := &Class{Ordered: true}
 	keys := orderedKeys{waiting: map[string][]*message{}}
 	first, second := &message{Arrived: Arrived{Key: "k"}, class: ordered},
@@ -28,19 +28,19 @@
 		keys.add(m)
 	}
 	if !keys.allows(first) || keys.allows(second) || !keys.allows(other) || !keys.allows(unordered) {
-		t.Error("want the first of each key, and what isn't ordered")
+		t.Error("want only the first message of each key and the unordered message to be allowed")
 	}
 	keys.block(first)
 	if keys.block(first); len(keys.blocked) != 1 || keys.allows(second) {
-		t.Error("a blocked key lets the next one go")
+		t.Error("want the key blocked once, and the next message not allowed")
 	}
 	keys.release(first)
 	if len(keys.blocked) != 0 || !keys.allows(second) {
-		t.Error("a released key holds the next one back")
+		t.Error("want the key released, and the next message allowed")
 	}
 	keys.release(second)
 	keys.release(unordered)
 	if keys.release(other); len(keys.waiting) != 0 {
-		t.Errorf("%d keys are left", len(keys.waiting))
+		t.Errorf("%d keys left after all messages are released, want 0", len(keys.waiting))
 	}
 }
