--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// callOutcome is the end of a call, as reported with the last of its attempts.
+// callOutcome is the outcome of a call, reported with the last of its attempts to end.
 type callOutcome struct {
 	AttemptEnded
 	call    *call
-	message *message // of the last attempt
-	seconds float64  // latency, as far as it matters for the message's class
+	message *message // message of the last attempt to end
+	seconds float64  // latency in seconds, at most the deadline of the message's class
 }
 
-// handleAttemptEnded takes in the end of an attempt: first what it says of the endpoint, then what becomes of
-// the message.
+// handleAttemptEnded processes the outcome of an attempt: it first updates the state of the endpoint and its
+// queue, and then decides how the message continues.
 func (d *Dispatcher) handleAttemptEnded(ended AttemptEnded) {
 	sent, endedCall := d.closeAttempt(ended)
 	if endedCall == nil {
@@ -32,9 +32,9 @@
 	d.continueMessage(sent, ended)
 }
 
-// closeAttempt marks an attempt as ended, and returns its message and its call, or nil if it is unknown or
-// has ended before. A call frees its slot with the last of its messages. One that was not started leaves no
-// trace.
+// closeAttempt marks an attempt as ended, and returns its message and its call, or nil if the attempt is
+// unknown or had ended before. The call frees its slot with the last of its attempts. An attempt that was not
+// started is removed, so that the next one reuses its number.
 func (d *Dispatcher) closeAttempt(ended AttemptEnded) (*message, *call) {
 	sent := d.messages.byID[ended.ID]
 	if sent == nil || ended.Attempt < 0 || ended.Attempt >= len(sent.attempts) {
@@ -49,7 +49,7 @@
 	closed.notExecuted = ended.Outcome.ProvesNotExecuted()
 	sent.openAttempts--
 	isLast := ended.Attempt == len(sent.attempts)-1
-	if ended.Outcome == NotStarted && isLast { // its number goes to the next one
+	if ended.Outcome == NotStarted && isLast { // the next attempt reuses the number
 		sent.attempts = sent.attempts[:ended.Attempt]
 	}
 	closedCall.openAttempts--
@@ -61,8 +61,8 @@
 	return sent, closedCall
 }
 
-// handleRetryAfter keeps to a Retry-After, whatever became of the message, also with calls that are not
-// written yet.
+// handleRetryAfter pauses a queue for a Retry-After, whatever the outcome of the attempt. Calls that are not
+// written yet are canceled, as they would reach the destination during the pause.
 func (d *Dispatcher) handleRetryAfter(q *queue, retryAfter time.Duration) {
 	q.circuit.extendRetryAfter(d.now, retryAfter)
 	for _, ep := range q.endpoints {
@@ -70,7 +70,7 @@
 	}
 }
 
-// handleCallEnded takes in the end of a whole call.
+// handleCallEnded processes the end of a call, after the last of its attempts has ended.
 func (d *Dispatcher) handleCallEnded(c *call, m *message, ended AttemptEnded) {
 	ep := c.endpoint
 	ep.resourceBackoff = resourceBackoff{}
@@ -84,8 +84,8 @@
 	}
 }
 
-// continueMessage decides what becomes of a message after an attempt: it is complete, waits for another
-// attempt, or ends undelivered.
+// continueMessage decides how a message continues after an attempt: it is complete, it waits for another
+// attempt, or it ends without delivery.
 func (d *Dispatcher) continueMessage(m *message, ended AttemptEnded) {
 	switch {
 	case ended.Completed || ended.Outcome == OK:
@@ -104,8 +104,8 @@
 	}
 }
 
-// recordOutcome updates what is known of an endpoint and its queue. It goes by the call's own latency, since
-// a relay that was suspended learns late of the end.
+// recordOutcome updates the state of an endpoint and its queue after a call. It uses the latency reported for
+// the call rather than the present time, since a relay that was suspended is told of the outcome late.
 func (d *Dispatcher) recordOutcome(outcome callOutcome) {
 	ep, queue := outcome.call.endpoint, outcome.call.endpoint.queue
 	endedAt := outcome.call.sentAt.Add(outcome.Latency)
@@ -136,7 +136,7 @@
 	}
 }
 
-// recordDelivery takes in a delivered call.
+// recordDelivery updates the state of an endpoint and its queue after a successful call.
 func (d *Dispatcher) recordDelivery(outcome callOutcome) {
 	ep, queue := outcome.call.endpoint, outcome.call.endpoint.queue
 	class, sentAt := outcome.message.Class, outcome.call.sentAt
@@ -147,7 +147,7 @@
 	d.latencyPriors.get(queue.kind).record(class, outcome.seconds)
 	ep.outlier.classFailures[class] = 0
 	if ep.outlier.ejected && sentAt < ep.outlier.ejectedAt && d.now < queue.circuit.retryAfterUntil {
-		return // sent before the destination asked for a pause: it says nothing of its recovery
+		return // the call was sent before the Retry-After, so its success does not show a recovery
 	}
 	d.recordSuccess(ep, outcome.LoadReport == nil || outcome.LoadReport.Remaining >= minRemainingAllowance)
 	callAge := d.now.Sub(sentAt)
@@ -158,8 +158,9 @@
 	}
 }
 
-// recordConnectError takes in that an endpoint did not accept a connection. If calls that were sent later
-// succeed there, it has no more connections to give; else it is down.
+// recordConnectError handles a connection that was not established. If a call that was sent later has
+// succeeded at the endpoint, the endpoint accepts no more connections than this relay has open; otherwise the
+// error counts as a failure.
 func (d *Dispatcher) recordConnectError(ep *endpoint, c *call) {
 	if d.settings.Gossip && ep.connections.recordError(d.now) &&
 		d.random.Float64()*float64(d.settings.FleetSize) < connectErrorReporters {
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-// TestProvesNotExecuted lists every outcome: only those that come before the endpoint can have accepted the
-// call prove that it never ran.
+// Only outcomes that occur before the endpoint can have accepted a call prove that it was not executed. A new
+// outcome must be added here, so that it is not classified by default.
 func TestProvesNotExecuted(t *testing.T) {
 	want := map[Outcome]bool{OK: false, Failed: false, Rejected: true, TimedOut: false, ConnectError: true,
 		Reset:    false,
 		Canceled: false, NotSent: true, NotStarted: true}
 	if len(want) != len(outcomeNames) {
-		t.Fatalf("%d outcomes tested, %d exist", len(want), len(outcomeNames))
+		t.Fatalf("test covers %d outcomes, want all %d", len(want), len(outcomeNames))
 	}
 	for outcome, proves := range want {
 		if got := outcome.ProvesNotExecuted(); got != proves {
-			t.Errorf("%v: %v, want %v", outcome, got, proves)
+			t.Errorf("%v: ProvesNotExecuted returned %v, want %v", outcome, got, proves)
 		}
 	}
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -8,47 +8,47 @@
 	"milletsail/internal/instant"
 )
 
-// destination is where messages go: one queue, or one for each route.
+// destination holds the queues of one destination: a single queue, or one for each separate route.
 type destination struct {
 	number int
-	queues []*queue // routes, or the one shared queue; queues[0] also serves while nothing is listed
-	// idleElement is the destination's place in stateStore.idle, or nil.
+	queues []*queue // never empty; queues[0] also holds messages while no endpoint is listed
+	// idleElement is the element of stateStore.idle that holds the destination, or nil.
 	idleElement *list.Element
-	idleSince   instant.Time // when it was put there
+	idleSince   instant.Time // time at which the destination became idle
 }
 
-// queue is one first-come queue of the paper: the messages that wait for a destination, or for one of its
-// routes, and what each mechanism knows of it.
+// queue is one first-come queue: the messages that wait for a destination, or for one of its routes, and the
+// state of the mechanisms that limit it.
 type queue struct {
 	destination *destination
 	endpoints   []*endpoint
-	waiting     []*message // in the order of arrival
-	calls       []*call    // out, in the order of sending
+	waiting     []*message // waiting messages, in the order of arrival
+	calls       []*call    // calls in flight, in the order of sending
 
 	kind          int
-	maxBatch      int  // messages in one call
-	separateRoute bool // its one endpoint is a route with a limit of its own
-	active        bool // among Dispatcher.active
-	index         int  // in Dispatcher.queues
+	maxBatch      int  // largest number of messages in one call
+	separateRoute bool // whether the only endpoint is a route with a limit of its own
+	active        bool // whether the queue is in Dispatcher.active
+	index         int  // index in Dispatcher.queues
 
-	// dispatch reads the circuit of every active queue, so it stands near the waiting messages (in one cache
-	// line).
+	// The circuit is kept next to the waiting messages, in the same cache line, because dispatch reads it for
+	// every active queue.
 	circuit            circuitBreaker
 	limiter            sendRateLimiter
 	admission          admissionController
 	latency            latencyEstimate
-	typicalConcurrency float64      // mean number of calls out at a success
-	peerReport         peerReport   // on the destination
-	probedAt           instant.Time // when the ejected or rejecting destination last got a call
+	typicalConcurrency float64      // mean number of calls in flight, sampled at each success
+	peerReport         peerReport   // report of other relays on the destination
+	probedAt           instant.Time // time of the last call while ejected, or while singleProber held
 	peers              peerTraffic
 	locality           localityBalancer
-	baseline           []failureRate // of endpoints that are no canaries, by class
+	baseline           []failureRate // failure rate of endpoints that are not canaries, by class
 
 	lastSuccessAt   instant.Time // 0 for never
-	outageSuspected bool         // the last that is known of an endpoint's health is bad
+	outageSuspected bool         // whether an endpoint was ejected and none has succeeded or recovered since
 }
 
-// enqueue puts a message into a queue, by its order of arrival.
+// enqueue inserts a message into a queue at its place in the order of arrival.
 func (d *Dispatcher) enqueue(q *queue, m *message) {
 	i := sort.Search(len(q.waiting), func(i int) bool { return q.waiting[i].sequence > m.sequence })
 	q.waiting = append(q.waiting, nil)
@@ -58,7 +58,7 @@
 	d.activate(q)
 }
 
-// activate adds a queue with messages waiting or calls out to the active ones.
+// activate adds a queue that has waiting messages or calls in flight to the active queues.
 func (d *Dispatcher) activate(q *queue) {
 	if !q.active {
 		q.active = true
@@ -66,8 +66,8 @@
 	}
 }
 
-// deactivateIdle removes the queues without messages and calls from the active ones, and those of removed
-// routes altogether.
+// deactivateIdle removes queues without waiting messages or calls from the active queues. Those that have no
+// endpoint either are removed altogether.
 func (d *Dispatcher) deactivateIdle() {
 	d.active = slices.DeleteFunc(d.active, func(q *queue) bool {
 		q.active = len(q.waiting) > 0 || len(q.calls) > 0
@@ -79,8 +79,8 @@
 	})
 }
 
-// removeUnusedQueue removes a queue without endpoints, messages and calls, unless it is its destination's
-// only one.
+// removeUnusedQueue removes a queue without endpoints, messages and calls, unless it is the only queue of its
+// destination.
 func (d *Dispatcher) removeUnusedQueue(q *queue) {
 	if len(q.endpoints) > 0 || q.active || q.destination.queues[0] == q && len(q.destination.queues) == 1 {
 		return
@@ -89,8 +89,9 @@
 	d.removeQueue(q)
 }
 
-// removeQueue takes a queue out of the list of all queues, which keeps its order. Where state is kept on
-// demand, many come and go and the order has no meaning: there the last one takes its place.
+// removeQueue removes a queue from the list of all queues and keeps their order. With state on demand,
+// queues come and go often and their order has no meaning; there the last queue moves into the gap, in
+// constant time.
 func (d *Dispatcher) removeQueue(q *queue) {
 	if d.onDemand() {
 		last := len(d.queues) - 1
@@ -106,7 +107,7 @@
 	}
 }
 
-// destination returns a destination, which has one queue at least.
+// destination returns the state of a destination, which it creates or loads if necessary.
 func (d *Dispatcher) destination(no int) *destination {
 	if dest := d.destinations[no]; dest != nil {
 		return dest
@@ -121,7 +122,7 @@
 	return dest
 }
 
-// addQueue adds a queue to a destination, whose counters start at a moment.
+// addQueue adds a queue, whose counters start at the given time, to a destination.
 func (d *Dispatcher) addQueue(dest *destination, since instant.Time) *queue {
 	classes := len(d.settings.Classes)
 	q := &queue{
@@ -138,7 +139,7 @@
 	return q
 }
 
-// acceptsCalls reports whether a queue has an endpoint that gets new calls.
+// acceptsCalls reports whether a queue has an endpoint that is listed and not draining.
 func (q *queue) acceptsCalls() bool {
 	for _, ep := range q.endpoints {
 		if !ep.Draining && !ep.Removed {
--- a/policy/queueing_delay.go
+++ b/policy/queueing_delay.go
@@ -6,11 +6,11 @@
 	"milletsail/internal/instant"
 )
 
-// minRate bounds rates from below where something is divided by them, in calls a second.
+// minRate is a lower bound, in calls a second, for rates that are used as divisors.
 const minRate = 1e-9
 
-// concurrency is the number of calls of a queue that are out at once: in a pause or an outage, as many as
-// there were before.
+// concurrency returns the number of simultaneous calls to expect of a queue: those in flight, or during a
+// pause or an outage at least the mean number before it.
 func (q *queue) concurrency(now instant.Time) float64 {
 	out := math.Max(1, float64(len(q.calls)))
 	if q.circuit.paused(now) || q.resourcesExhausted(now) || q.allEjected() {
@@ -19,7 +19,7 @@
 	return out
 }
 
-// sendInterval is the time, in seconds, between messages that a queue sends one after another.
+// sendInterval returns the mean time, in seconds, between two messages that a queue sends one after another.
 func (q *queue) sendInterval(now instant.Time) float64 {
 	interval := q.callsFor(1) * q.latency.mean / q.concurrency(now)
 	if q.limiter.rate > 0 {
@@ -28,19 +28,19 @@
 	return interval
 }
 
-// callsFor is the number of calls that carry n messages of a queue.
+// callsFor returns the number of calls, or the fraction of one, that carry n messages of a queue.
 func (q *queue) callsFor(n int) float64 { return float64(n) / float64(q.maxBatch) }
 
-// queueingDelay is u, in seconds: the calls that carry the waiting messages × mean latency ÷ concurrency, and
-// at least what pauses, the send rate and slow start imply. It is zero while a slot is free and nothing
-// waits.
+// queueingDelay returns u, the time in seconds until a new message would be sent: the number of calls for the
+// waiting messages × mean latency ÷ concurrency, or a longer time that follows from a pause, the send rate or
+// slow start. It is 0 for an empty queue that nothing limits.
 func (d *Dispatcher) queueingDelay(q *queue) float64 {
 	byLatency := q.callsFor(len(q.waiting)) * q.currentLatency(d.now) / q.concurrency(d.now)
 	return math.Max(byLatency, d.timeToNextCall(q, len(q.waiting)))
 }
 
-// currentLatency is the mean latency of a queue, in seconds, with the ages of the calls out counted in, so
-// that a hang shows before any outcome.
+// currentLatency returns the mean latency of a queue, in seconds. Calls in flight that have already taken
+// longer raise it, so that a destination that hangs is noticed before any call ends.
 func (q *queue) currentLatency(now instant.Time) float64 {
 	mean := q.latency.mean
 	for _, c := range q.calls {
@@ -51,8 +51,8 @@
 	return mean
 }
 
-// timeToNextCall is the time, in seconds, until a queue may send its next call with n messages ahead of it,
-// as far as pauses, send rate and health tell.
+// timeToNextCall returns the time, in seconds, until pauses, the send rate and slow start let a queue send
+// the next call after n waiting messages.
 func (d *Dispatcher) timeToNextCall(q *queue, n int) float64 {
 	delay := math.Max(0, (d.blockedUntil(q).Sub(d.now)).Seconds())
 	calls := q.callsFor(n)
@@ -72,9 +72,9 @@
 	return math.Max(delay, warmUp)
 }
 
-// slowStartDelay is the time, in seconds, in which an endpoint that is ejected or warms up could get a
-// number of calls: until its next probe, and if that succeeds the others at the budget of an endpoint halfway
-// through slow start.
+// slowStartDelay returns the time, in seconds, until an endpoint that is ejected or in slow start could have
+// got a number of calls. It assumes that the next probe succeeds, and that the other calls follow at the
+// budget that the queue has halfway through slow start.
 func (d *Dispatcher) slowStartDelay(ep *endpoint, calls float64) float64 {
 	recovered := d.timeSinceRecovery(ep)
 	firstCall := math.Max(0, 1-d.slowStartTokens(ep)) / math.Max(minRate, d.slowStartBudget(ep, recovered))
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// timeoutShare is the share of the time left after which an attempt of a retryable message times out.
+	// timeoutShare is the share of the time left after which an attempt of a retryable message times out, so
+	// that time remains for retries.
 	timeoutShare = 1.0 / 3
-	// minTimeoutLatencies is the least timeout, in mean latencies, so that slow receivers don't time out for
-	// nothing.
+	// minTimeoutLatencies is the shortest timeout, as a multiple of the mean latency. Shorter timeouts would
+	// cancel calls to slow destinations that are about to succeed.
 	minTimeoutLatencies = 8
 )
 
-// firstPossibleExecution is the first attempt that may have run, or nil.
+// firstPossibleExecution returns the first attempt of a message that may have executed it, or nil.
 func (m *message) firstPossibleExecution() *attempt {
 	for i := range m.attempts {
 		if !m.attempts[i].notExecuted {
@@ -25,9 +26,9 @@
 	return nil
 }
 
-// idempotencyExpiry is when a destination that may have run a message may have dropped its idempotency key,
-// or never where that doesn't matter. It is two batch intervals early, since a decision's time is that of its
-// batch.
+// idempotencyExpiry returns the time from which a destination that may have executed a message may have
+// forgotten its idempotency key, or never if that does not matter. It is early by two batch intervals, since
+// a decision is made with the time of its batch and its call is written later.
 func (d *Dispatcher) idempotencyExpiry(m *message) instant.Time {
 	if first := m.firstPossibleExecution(); first != nil && m.class.Effect == IdempotentWithKey {
 		return first.sentAt.Add(m.class.IdempotencyWindow).Add(-(2 * d.settings.BatchInterval))
@@ -35,7 +36,8 @@
 	return never
 }
 
-// retryAllowed reports whether the effect of a message allows another attempt, at ep unless that is nil.
+// retryAllowed reports whether the effect of a message allows another attempt: at ep, or at any endpoint if
+// ep is nil.
 func (d *Dispatcher) retryAllowed(m *message, ep *endpoint) bool {
 	first := m.firstPossibleExecution()
 	if first == nil || m.class.Effect == Idempotent {
@@ -50,7 +52,7 @@
 	return d.now < d.idempotencyExpiry(m)
 }
 
-// callRetryable reports whether every message of a call may be sent again after it.
+// callRetryable reports whether every message of a call may be sent again if the call fails.
 func (d *Dispatcher) callRetryable(c *call) bool {
 	for _, m := range c.messages {
 		exhausted := len(m.attempts) >= d.settings.MaxAttempts
@@ -61,19 +63,19 @@
 	return true
 }
 
-// attemptAllowed reports whether another attempt of a waiting message is allowed now.
+// attemptAllowed reports whether a waiting message may be sent now, apart from the state of its queue.
 func (d *Dispatcher) attemptAllowed(m *message) bool {
 	if len(m.attempts) >= d.settings.MaxAttempts || d.now >= m.expiresAt {
 		return false
 	}
-	if d.storageReadOnly && m.class.Effect != Idempotent { // a later process might send it again
+	if d.storageReadOnly && m.class.Effect != Idempotent { // a later process would not know of the attempt
 		return false
 	}
 	return d.keys.allows(m)
 }
 
-// attemptTimeout is how long an attempt of a message waits for its answer, or 0 for as long as the message
-// has: if it can't be retried, a timeout would only fail it.
+// attemptTimeout returns the response timeout of an attempt, or 0 for none but the message's deadline. A
+// message that cannot be retried gets none, since a timeout would only make it fail earlier.
 func (d *Dispatcher) attemptTimeout(m *message, c *call) time.Duration {
 	left := m.expiresAt.Sub(d.now)
 	if m.class.Effect == NotIdempotent || len(m.attempts) >= d.settings.MaxAttempts {
@@ -83,7 +85,8 @@
 	return min(left, time.Duration(timeout*float64(time.Second)))
 }
 
-// writeTimeout is the time in which the next attempt of a message must be written whole, or 0 for any.
+// writeTimeout returns the time within which the next attempt of a message must be written completely, or 0
+// for no limit.
 func (d *Dispatcher) writeTimeout(m *message) time.Duration {
 	expiry := d.idempotencyExpiry(m)
 	if expiry >= never {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestEffects(t *testing.T) {
+func TestRetryDependsOnEffectAndOutcome(t *testing.T) {
 	tests := []struct {
 		class   int
 		outcome Outcome
@@ -32,31 +32,31 @@
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m", 1)})
 	got := d.Handle(moment(3995*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}})
-	expect(t, "memory gone", got, "reject m")
+	expect(t, "idempotency key forgotten", got, "reject m")
 }
 
-// A call that brings a message again has to be written while the receiver knows it: its connection may take
-// long.
-func TestWrittenWithinIdempotencyWindow(t *testing.T) {
+// A retry must be written while the destination still remembers the idempotency key. Connecting can take
+// longer than that, and the message would be executed twice.
+func TestRetryIsWrittenWithinIdempotencyWindow(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	within := func(actions []Action) time.Duration { return actionAs[Send](t, actions[0]).WriteTimeout }
-	if got := within(d.Handle(0, []Event{arrive("m", 1)})); got != 0 {
-		t.Errorf("first attempt: within %v", got)
+	writeTimeout := func(actions []Action) time.Duration { return actionAs[Send](t, actions[0]).WriteTimeout }
+	if got := writeTimeout(d.Handle(0, []Event{arrive("m", 1)})); got != 0 {
+		t.Errorf("first attempt: write timeout %v, want none", got)
 	}
-	if got := within(d.Handle(moment(time.Second),
+	if got := writeTimeout(d.Handle(moment(time.Second),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError}})); got != 0 {
-		t.Errorf("after one that never ran: within %v", got)
+		t.Errorf("after an attempt that was not executed: write timeout %v, want none", got)
 	}
 	again := d.Handle(moment(3*time.Second),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: Reset}})
-	if got := within(again); got != 2*time.Second-10*ms {
-		t.Errorf("after one that may have run: within %v", got)
+	if got := writeTimeout(again); got != 2*time.Second-10*ms {
+		t.Errorf("after an attempt that may have been executed: write timeout %v, want 1.99s", got)
 	}
-	safe := start(t, plain(), Endpoint{ID: "a"})
-	safe.Handle(0, []Event{arrive("m", 0)})
-	if got := within(safe.Handle(moment(time.Second),
+	idempotent := start(t, plain(), Endpoint{ID: "a"})
+	idempotent.Handle(0, []Event{arrive("m", 0)})
+	if got := writeTimeout(idempotent.Handle(moment(time.Second),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Reset}})); got != 0 {
-		t.Errorf("a safe class: within %v", got)
+		t.Errorf("idempotent class: write timeout %v, want none", got)
 	}
 }
 
@@ -65,13 +65,13 @@
 		d := start(t, plain(), Endpoint{ID: "a"})
 		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), Class: i, TimeLeft: 10 * time.Second}})
 		if send := actionAs[Send](t, got[0]); (send.Timeout > 0) != want {
-			t.Errorf("class %d: time-out %v", i, send.Timeout)
+			t.Errorf("class %d: response timeout %v, want one only if retryable", i, send.Timeout)
 		}
 	}
 }
 
-// TestNoAttemptWithoutTime guards against attempts that take a slot and cannot end in time.
-func TestNoAttemptWithoutTime(t *testing.T) {
+// An attempt that cannot end before the deadline would only take a slot from other messages.
+func TestNoAttemptWithoutTimeLeft(t *testing.T) {
 	d := start(t, plain())
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.queues[0].latency.record(0, 0.5)
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// maxRoutingDelay bounds the delay, in seconds, that the cost of a route is estimated for.
+// maxRoutingDelay bounds the delay, in seconds, for which the cost of a route is computed, so that it can be
+// converted to a time.Duration.
 const maxRoutingDelay = 1e6
 
-// selectQueue chooses the queue of a message. Among separate routes it takes the one of least added cost.
+// selectQueue returns the queue for a message: among separate routes, the one with the lowest routeCost.
 func (d *Dispatcher) selectQueue(m *message) *queue {
 	destination := d.destination(m.Destination)
 	best, lowest := destination.queues[0], math.Inf(1)
@@ -25,9 +26,10 @@
 	return best
 }
 
-// routeCost is the added cost of a message on a route, in the manner of rule (25) of the paper: the value
-// lost by lateness, the price of the zone, and the work left (priced so that a whole deadline of it costs one
-// message).
+// routeCost returns the cost of sending a message on a route, similar to rule (25) of the paper that
+// admissionController follows: the value lost by late delivery, plus the cost of the zone, plus a charge for
+// the work waiting on the route. A delay as long as the message's deadline is charged as one message of mean
+// priority.
 func (d *Dispatcher) routeCost(route *queue, m *message) float64 {
 	delay := d.queueingDelay(route) + math.Max(route.latency.byClass[m.Class], route.currentLatency(d.now))
 	timeLeft := m.expiresAt.Sub(d.now) - time.Duration(math.Min(delay, maxRoutingDelay)*float64(time.Second))
@@ -39,7 +41,7 @@
 	return cost
 }
 
-// reroute lets the waiting messages of a queue choose their route again.
+// reroute lets every waiting message of a queue choose a route again.
 func (d *Dispatcher) reroute(q *queue) {
 	for _, m := range slices.Clone(q.waiting) {
 		m.dequeue()
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -7,27 +7,27 @@
 	"milletsail/internal/instant"
 )
 
-// maxQueueSlotShare is the share of the slots that one queue may have, so that no queue takes all of them.
+// maxQueueSlotShare is the largest share of the slots that one queue may use.
 const maxQueueSlotShare = 0.5
 
-// slotScheduler counts the slots, of which each call takes one.
+// slotScheduler counts the slots in use. Each call in flight takes one.
 type slotScheduler struct {
 	inUse    int
 	lastCall int // number of the last call
-	// lateFailureShare is the moving average of the share of late calls (by stalledFactor) that had no
-	// success.
+	// lateFailureShare is the moving average, over calls that took longer than stalledFactor times the usual
+	// latency, of the share that did not succeed.
 	lateFailureShare float64
 }
 
-// acquire takes a slot for the next call, and returns the call's number.
+// acquire takes a slot for a new call and returns the call's number.
 func (s *slotScheduler) acquire() int {
 	s.inUse++
 	s.lastCall++
 	return s.lastCall
 }
 
-// dispatch gives free slots in turn to the queues that can send: first those with the fewest calls out, and
-// among these the one whose message loses its value first.
+// dispatch gives the free slots, one at a time, to queues that can send. The queue with the fewest calls in
+// flight comes first; among equals, the one whose next message has the earliest valueDeadline.
 func (d *Dispatcher) dispatch() {
 	for d.slots.inUse < d.settings.Slots && !d.stopping {
 		var best *queue
@@ -50,8 +50,8 @@
 	}
 }
 
-// valueDeadline is when the value of a message falls below minDeliveryValue. A message below that comes after
-// all others.
+// valueDeadline returns the time at which the value of a message falls below minDeliveryValue. A message that
+// is already past it sorts after all others.
 func (m *message) valueDeadline(now instant.Time) instant.Time {
 	at := m.expiresAt.Add(-m.class.Deadline).Add(m.class.ageAt(minDeliveryValue))
 	if at < now {
@@ -60,7 +60,7 @@
 	return at
 }
 
-// nextSendable returns the message that a queue would send now and its endpoint, or nil.
+// nextSendable returns the first message of a queue that can be sent now, with the endpoint for it, or nil.
 func (d *Dispatcher) nextSendable(q *queue) (*endpoint, *message) {
 	if len(q.waiting) == 0 || d.now < q.circuit.retryAfterUntil || !d.maySend(q) {
 		return nil, nil
@@ -75,8 +75,8 @@
 	return nil, nil
 }
 
-// maySend reports whether slots, the relay's own pause, the send rate and probe turns let a queue send a call
-// now.
+// maySend reports whether a queue may send a call now, as far as its share of the slots, the backoff, the
+// send rate and the order in which relays probe the destination are concerned.
 func (d *Dispatcher) maySend(q *queue) bool {
 	maxCalls := max(1, int(math.Ceil(maxQueueSlotShare*float64(d.settings.Slots))))
 	if len(q.calls) >= maxCalls {
@@ -89,7 +89,8 @@
 	return !q.singleProber(d.now) || isProber && d.now >= d.probeTurn(q.endpoints[0])
 }
 
-// startCall starts a call with a message and, where the kind of destination allows it, others of the queue.
+// startCall starts a call with a message, and fills it with further messages of the queue if the kind of
+// destination takes batches.
 func (d *Dispatcher) startCall(queue *queue, ep *endpoint, first *message) {
 	started := &call{endpoint: ep, number: d.slots.acquire(), sentAt: d.now}
 	d.activate(queue)
@@ -111,12 +112,12 @@
 		queue.probedAt = d.now
 	}
 	d.startAttempt(first, started)
-	if !ep.outlier.ejected { // a probe carries one message
+	if !ep.outlier.ejected { // a probe carries a single message
 		d.fillBatch(started, first)
 	}
 }
 
-// fillBatch adds waiting messages to a call, as many as may travel with its first one.
+// fillBatch adds waiting messages to a call, up to the limits of its queue and its size.
 func (d *Dispatcher) fillBatch(batch *call, first *message) {
 	queue := batch.endpoint.queue
 	for i := 0; i < len(queue.waiting) && batch.openAttempts < queue.maxBatch; {
@@ -124,14 +125,14 @@
 		fits := d.settings.MaxBatchBytes == 0 || batch.size+m.Size <= d.settings.MaxBatchBytes
 		if fits && d.attemptAllowed(m) && d.retryAllowed(m, batch.endpoint) &&
 			queue.nearDeadline(m, d.now) == queue.nearDeadline(first, d.now) {
-			d.startAttempt(m, batch) // which dequeues it
+			d.startAttempt(m, batch) // removes m from queue.waiting
 			continue
 		}
 		i++
 	}
 }
 
-// startAttempt adds a message to a call.
+// startAttempt adds a message to a call and emits the Send action.
 func (d *Dispatcher) startAttempt(m *message, c *call) {
 	m.dequeue()
 	writeTimeout := d.writeTimeout(m)
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Messages of one call are marked as such, and a call holds no more than its number and its size allow.
-func TestBatch(t *testing.T) {
+// Messages that are sent in one call must have the same call number, and a call must not exceed the limits on
+// the number and the total size of its messages.
+func TestBatchLimits(t *testing.T) {
 	s := plain()
 	s.MaxBatchBytes = 100
 	d := start(t, s, Endpoint{ID: "a", Kind: 1})
@@ -25,13 +26,13 @@
 	}
 	got := slices.Sorted(maps.Values(calls))
 	if want := []string{"012", "3"}; !slices.Equal(got, want) {
-		t.Errorf("calls %q, want %q", got, want)
+		t.Errorf("messages by call: %q, want %q", got, want)
 	}
 }
 
-// The end of one message's time ends the call for all: those that may run out of time before a usual call
-// ends travel with their like, and the others are not given up with them.
-func TestNearDeadlineInABatch(t *testing.T) {
+// A call ends for all its messages when one of them expires. Messages that may expire before a usual call
+// ends must therefore not be batched with others.
+func TestBatchSeparatesMessagesNearDeadline(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	d.Handle(moment(ms), []Event{arrive("first", 0)})
 	d.Handle(moment(time.Second),
@@ -50,31 +51,32 @@
 		}
 	}
 	if got, want := slices.Sorted(maps.Values(calls)), []string{"l1l2", "s1s2"}; !slices.Equal(got, want) {
-		t.Errorf("calls %q, want %q", got, want)
+		t.Errorf("messages by call: %q, want %q", got, want)
 	}
 }
 
-func TestTurns(t *testing.T) {
+func TestDispatchPrefersQueueWithFewestCalls(t *testing.T) {
 	s := plain()
 	s.Slots = 3
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	other := Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}
-	expect(t, "fewest calls out first",
+	expect(t, "three slots, two destinations",
 		d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0), arrive("m3", 0), other}),
 		"m1>a n>b m2>a")
 }
 
-func TestRoutes(t *testing.T) {
+func TestRouteChoiceByZoneCostAndLatency(t *testing.T) {
 	s := plain()
 	s.ZoneCost = []float64{0.06, 0}
 	d := start(t, s, Endpoint{ID: "a", Kind: 2}, Endpoint{ID: "b", Kind: 2, Zone: 1})
-	expect(t, "the cheaper of two idle routes", d.Handle(0, []Event{arrive("m", 0)}), "m>b")
+	expect(t, "two idle routes, b in the cheaper zone", d.Handle(0, []Event{arrive("m", 0)}), "m>b")
 	d.queues[1].latency.mean, d.queues[1].latency.byClass[0] = 5, 5
-	expect(t, "the faster at a fee", d.Handle(0, []Event{arrive("n", 0)}), "n>a")
+	expect(t, "route b slow", d.Handle(0, []Event{arrive("n", 0)}), "n>a")
 }
 
-// TestUrgentFirst guards against slots given to what can wait, where few slots make every turn a tie.
-func TestUrgentFirst(t *testing.T) {
+// With few slots, all queues have equally few calls in flight; the slot must then go to the message that
+// loses its value first.
+func TestDispatchPrefersEarliestValueDeadline(t *testing.T) {
 	s := plain()
 	s.Slots = 1
 	s.Classes[1].LatencyObjective = 8 * time.Second
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	tests := []struct {
-		field string
-		spoil func(*Settings)
+		field      string
+		invalidate func(*Settings)
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
 		{"Classes[0].Deadline", func(s *Settings) { s.Classes[0].Deadline = -1 }},
@@ -24,40 +24,42 @@
 	}
 	for _, tt := range tests {
 		s := plain()
-		tt.spoil(&s)
+		tt.invalidate(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), tt.field) {
-			t.Errorf("%s: error %v", tt.field, err)
+			t.Errorf("invalid %s: got error %v, want one that names the setting", tt.field, err)
 		}
 	}
 }
 
-func TestUnknownThingsChangeNothing(t *testing.T) {
+func TestUnknownIDsAreIgnored(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	got := d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "x"}, Withdrawn{ID: "x"},
 		Arrived{ID: "y", Class: 99}, EndpointsUpdated{Endpoints: []Endpoint{{ID: "z", Removed: true}}}})
-	expect(t, "unknown", got, "")
-	d.Handle(0, []Event{TimerFired{}}) // a clock that goes back
+	expect(t, "events with unknown IDs or classes", got, "")
+	d.Handle(0, []Event{TimerFired{}}) // the time goes back
 	if d.now != moment(time.Second) {
-		t.Errorf("the clock went back to %v", d.now)
+		t.Errorf("the dispatcher's time went back to %v, want 1s", d.now)
 	}
 }
 
-// TestBadInput guards against values that make no sense: sensible events after them are decided as ever.
-func TestBadInput(t *testing.T) {
+// Invalid values in events, such as a NaN weight or an endless Retry-After, must not spoil the state: valid
+// events after them must be decided as usual.
+func TestInvalidEventValues(t *testing.T) {
 	s := plain()
 	s.Weights = WeightsNominal
 	for _, weight := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0} {
 		d := start(t, s, Endpoint{ID: "a", Weight: weight})
 		d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrive("m", 0)})
 		if q := d.queues[0]; q.limiter.rate != 5 || len(q.calls) != 1 {
-			t.Errorf("after weight %v: send rate %v, %d calls out", weight, q.limiter.rate, len(q.calls))
+			t.Errorf("weight 5 after weight %v: send rate %v, want 5; %d calls in flight, want 1", weight,
+				q.limiter.rate, len(q.calls))
 		}
 	}
 	d := start(t, s, Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected,
 		RetryAfter: math.MaxInt64}})
-	expect(t, "an endless wait is kept", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "reject n")
-	expect(t, "no time left",
+	expect(t, "endless Retry-After", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "reject n")
+	expect(t, "negative time left",
 		d.Handle(moment(time.Second), []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "reject o")
 }
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -9,21 +9,20 @@
 )
 
 const (
-	// unresponsiveFactor is the number of mean latencies without an outcome that makes an endpoint
+	// unresponsiveFactor is the number of mean latencies without an outcome after which an endpoint counts as
 	// unresponsive.
 	unresponsiveFactor = 6
-	// stalledFactor is the number of mean latencies after which a call may be canceled where its slot is
-	// wanted and late calls mostly remain unanswered.
+	// stalledFactor is the number of mean latencies after which a call may be canceled if its slot is wanted
+	// and late calls mostly fail.
 	stalledFactor = 3
-	// finalAttemptFactor multiplies these for a call whose message fails with it: a slot serves a message of
-	// the same value in each mean latency.
+	// finalAttemptFactor multiplies the other factors for a call that may not be retried, since canceling it
+	// fails its message. Its slot can serve one message of the same value in each further mean latency.
 	finalAttemptFactor = 2
-	// lateFailureThreshold is the share of late calls without a success above which they count as mostly
-	// unanswered.
+	// lateFailureThreshold is the lateFailureShare above which late calls are taken to mostly fail.
 	lateFailureThreshold = 0.5
 )
 
-// recordLateness takes in the outcome of a call that was late by stalledFactor.
+// recordLateness updates lateFailureShare with the outcome of a call, if it was late by stalledFactor.
 func (s *slotScheduler) recordLateness(outcome Outcome, late bool) {
 	if !late {
 		return
@@ -34,7 +33,7 @@
 	}
 }
 
-// cancelCall ends the wait for a call.
+// cancelCall cancels the open attempts of a call.
 func (d *Dispatcher) cancelCall(c *call) {
 	c.canceled = true
 	for _, m := range c.messages {
@@ -44,12 +43,14 @@
 	}
 }
 
-// cancelStalledCalls cancels calls that are out far longer than usual, so that their messages can be sent
-// again. It guards against lost calls and answers, and against hangs that take all slots, whatever the cause.
-// The price is the work of a call that was merely slow: so it waits longer with each attempt, and cancels a
-// call that no later one has overtaken only where a slot is wanted. A call that may not be retried is
-// canceled for a wanted slot alone, finalAttemptFactor times as late: its message fails, but the slot serves
-// others.
+// cancelStalledCalls cancels calls that take far longer than usual, so that their messages can be retried. It
+// guards against lost calls and answers, and against hangs that occupy all slots, whatever their cause. Where
+// a call was merely slow, its work is wasted, so:
+//
+//   - a call waits twice as long with each further attempt of its message;
+//   - a call that no later call has overtaken is canceled only if a slot is wanted;
+//   - a call that may not be retried is canceled only if a slot is wanted, and finalAttemptFactor times as
+//     late: its message fails, but the slot serves other messages.
 func (d *Dispatcher) cancelStalledCalls() {
 	if !d.settings.CanCancel {
 		return
@@ -70,8 +71,8 @@
 	}
 }
 
-// callStalled reports whether a call is to be canceled, and whether it may be retried and one that was sent
-// later to the same endpoint has succeeded.
+// callStalled reports whether a call should be canceled, and whether it was overtaken: it may be retried, and
+// a call that was sent to the same endpoint later has succeeded.
 func (d *Dispatcher) callStalled(c *call, slotWanted bool) (stalled, overtaken bool) {
 	retryable := d.callRetryable(c)
 	overtaken = retryable && c.endpoint.succeededCallAt > c.sentAt
@@ -83,8 +84,9 @@
 	return lost || slotWanted && d.now >= c.overdueAt(factor), overtaken
 }
 
-// stalledCallFactor is the number of mean latencies after which a wanted slot is taken back: sooner where
-// late calls mostly had no success at all (loss, hangs) than where they had (slowness, heavy work).
+// stalledCallFactor returns the number of mean latencies after which a call is canceled if its slot is
+// wanted. It is lower if late calls mostly fail, as with losses and hangs, than if they mostly succeed, as
+// with slow destinations and heavy work.
 func (s *slotScheduler) stalledCallFactor() float64 {
 	if s.lateFailureShare > lateFailureThreshold {
 		return stalledFactor
@@ -92,8 +94,8 @@
 	return unresponsiveFactor
 }
 
-// overdueAt is when a call has been out for a multiple of its usual latency, which doubles with each attempt
-// of its first message, or never where the latency is unknown.
+// overdueAt returns the time at which a call has taken a multiple of its usual latency. The usual latency
+// doubles with each further attempt of the call's first message. The result is never if no latency is known.
 func (c *call) overdueAt(factor float64) instant.Time {
 	latency := &c.endpoint.queue.latency
 	usual := math.Max(latency.mean, c.endpoint.lastLatency)
@@ -107,8 +109,8 @@
 	return c.sentAt.Add(time.Duration(factor * doubled * usual * float64(time.Second)))
 }
 
-// unresponsive reports whether an endpoint has a call out for far longer than usual and no success since it
-// was sent.
+// unresponsive reports whether the oldest call in flight to an endpoint takes far longer than usual and no
+// call has succeeded there since it was sent.
 func (ep *endpoint) unresponsive(now instant.Time) bool {
 	if len(ep.calls) == 0 || ep.queue.latency.mean == 0 {
 		return false
