--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -47,8 +47,9 @@
 		}
 		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.destinations) != 1 ||
 			len(d.active)+len(d.messages.byID)+len(d.messages.unfinished) != 0 {
-			t.Errorf("kind %d: %d endpoints, want 2; %d queues, want 3 at most; "+
-				"%d active and %d messages, want 0", kind, len(d.endpoints), len(d.queues),
+			t.Errorf(
+				"kind %d: %d endpoints, %d queues, %d active, %d messages; want 2, at most 3, 0 and 0",
+				kind, len(d.endpoints), len(d.queues),
 				len(d.active), len(d.messages.byID))
 		}
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -25,7 +25,8 @@
 
 import "milletsail/internal/instant"
 
-// Handle takes in the events of one batch and returns what is to be done, in order.
+// Handle processes one batch of events and returns the actions to carry out, in order. A time before that of
+// the last batch counts as that time.
 func (d *Dispatcher) Handle(now instant.Time, events []Event) []Action {
 	d.now, d.actions = max(now, d.now), nil
 	d.releaseBlockedKeys()
@@ -45,8 +46,8 @@
 	return d.actions
 }
 
-// handleListChanges takes in the changes of the endpoint list ahead of the other events: a Directory has them
-// already, and the rest of the batch has to meet the same list with one as without.
+// handleListChanges applies the changes of the endpoint list before all other events. A Directory reflects
+// them already, and the other events of the batch must find the same list with a Directory as without one.
 func (d *Dispatcher) handleListChanges(events []Event) {
 	for _, event := range events {
 		if updated, ok := event.(EndpointsUpdated); ok {
@@ -55,7 +56,7 @@
 	}
 }
 
-// handleEvents takes in the other events, and returns the messages that are up for admission.
+// handleEvents handles the other events, and returns the messages that need an admission decision.
 func (d *Dispatcher) handleEvents(events []Event) (arrived []*message) {
 	for _, event := range events {
 		if m := d.handleEvent(event); m != nil {
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -1,21 +1,23 @@
 package policy
 
-// Reason says why a message ended undelivered, for logs and metrics. It decides nothing.
+// Reason is the reason why a message ended without delivery. It is used only for logs and metrics.
 type Reason int
 
 // The reasons.
 const (
-	// ReasonNone is the reason of no message.
+	// ReasonNone is the zero value, and is not the reason of any message.
 	ReasonNone Reason = iota
-	// ReasonBacklog says that the queue leaves the message no time, or that it would make others late.
+	// ReasonBacklog means that the message would be delivered too late, or would make other messages late.
 	ReasonBacklog
-	// ReasonOverloaded says that the queue capacity is used up.
+	// ReasonOverloaded means that the queue capacity is used up, wholly or to the part that one queue may
+	// use.
 	ReasonOverloaded
-	// ReasonNoTimeLeft says that there is no time left for another attempt.
+	// ReasonNoTimeLeft means that there is no time left for another attempt.
 	ReasonNoTimeLeft
-	// ReasonAttemptsExhausted says that all attempts are used up.
+	// ReasonAttemptsExhausted means that the message has had all its attempts.
 	ReasonAttemptsExhausted
-	// ReasonNotRetryable says that the message may have run, and its class forbids a retry now.
+	// ReasonNotRetryable means that the message may have been executed and its class allows no retry, or none
+	// any more.
 	ReasonNotRetryable
 )
 
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -6,55 +6,55 @@
 	"time"
 )
 
-// resumed is a message that an earlier process took on, with the attempts that it made.
+// resumed returns the arrival of a message that an earlier process admitted, with its attempts there.
 func resumed(id string, class int, prior ...PriorAttempt) Event {
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Resumed: true, PriorAttempts: prior}
 }
 
-func TestResumed(t *testing.T) {
-	const safe, keyed, unsafe = 0, 1, 2
-	begin := time.Hour
-	ran := func(ago time.Duration) PriorAttempt {
-		return PriorAttempt{Endpoint: "gone", SentAt: moment(begin - ago)}
+func TestRetryOfResumedMessages(t *testing.T) {
+	const idempotent, withKey, notIdempotent = 0, 1, 2
+	now := time.Hour
+	executed := func(ago time.Duration) PriorAttempt {
+		return PriorAttempt{Endpoint: "gone", SentAt: moment(now - ago)}
 	}
-	notExecuted := PriorAttempt{Endpoint: "a", SentAt: moment(begin - time.Second), NotExecuted: true}
-	spent := make([]PriorAttempt, plain().MaxAttempts)
-	for i := range spent {
-		spent[i] = notExecuted
+	notExecuted := PriorAttempt{Endpoint: "a", SentAt: moment(now - time.Second), NotExecuted: true}
+	exhausted := make([]PriorAttempt, plain().MaxAttempts)
+	for i := range exhausted {
+		exhausted[i] = notExecuted
 	}
 	tests := []struct {
 		name  string
 		event Event
 		want  string
 	}{
-		{"never tried", resumed("m", unsafe), "m>a"},
-		{"safe, may have run", resumed("m", safe, ran(time.Second)), "m>a"},
-		{"keyed within its memory", resumed("m", keyed, ran(3*time.Second)), "m>a"},
-		{"keyed past its memory", resumed("m", keyed, ran(4*time.Second)), "reject m"},
-		{"keyed, counted from the first that may have run", resumed("m", keyed, ran(4*time.Second), ran(ms)),
-			"reject m"},
-		{"unsafe, may have run", resumed("m", unsafe, ran(time.Second)), "fail m"},
-		{"unsafe, never ran", resumed("m", unsafe, notExecuted, notExecuted), "m>a"},
-		{"all attempts made", resumed("m", safe, spent...), ""},
-		{"its time is up", Arrived{ID: "m", Resumed: true, TimeLeft: -time.Second}, "reject m"},
+		{"no attempt yet", resumed("m", notIdempotent), "m>a"},
+		{"idempotent, may have run", resumed("m", idempotent, executed(time.Second)), "m>a"},
+		{"within the idempotency window", resumed("m", withKey, executed(3*time.Second)), "m>a"},
+		{"after the idempotency window", resumed("m", withKey, executed(4*time.Second)), "reject m"},
+		{"window starts with the first attempt",
+			resumed("m", withKey, executed(4*time.Second), executed(ms)), "reject m"},
+		{"not idempotent, may have run", resumed("m", notIdempotent, executed(time.Second)), "fail m"},
+		{"not idempotent, not executed", resumed("m", notIdempotent, notExecuted, notExecuted), "m>a"},
+		{"no attempts left", resumed("m", idempotent, exhausted...), ""},
+		{"deadline passed", Arrived{ID: "m", Resumed: true, TimeLeft: -time.Second}, "reject m"},
 	}
 	for _, tt := range tests {
 		d := start(t, plain(), Endpoint{ID: "a"})
-		expect(t, tt.name, d.Handle(moment(begin), []Event{tt.event}), tt.want)
+		expect(t, tt.name, d.Handle(moment(now), []Event{tt.event}), tt.want)
 	}
 }
 
-// A message that was taken on before is not up for admission again.
+// A message that an earlier process admitted must not go through admission control again.
 func TestResumedIsNotRejectedForBacklog(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.destination(0).queues[0].latency.mean, d.destination(0).queues[0].circuit.retryAfterUntil = 1,
 		moment(60*time.Second)
-	expect(t, "a fresh one", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "reject n")
-	expect(t, "a resumed one", d.Handle(moment(time.Second), []Event{resumed("m", 0)}), "")
+	expect(t, "new message", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "reject n")
+	expect(t, "resumed message", d.Handle(moment(time.Second), []Event{resumed("m", 0)}), "")
 }
 
-// A restart in an outage, or in slow start after one, goes on as the process before it would have.
-func TestStateRestored(t *testing.T) {
+// After a restart, an endpoint that was ejected or in slow start must not get more calls than before it.
+func TestStateRestoredLimitsCalls(t *testing.T) {
 	s := plain()
 	s.Weights, s.Slots = WeightsNominal, 16
 	sends := func(events ...Event) int {
@@ -73,22 +73,22 @@
 	healthy := sends()
 	if out := sends(StateRestored{Endpoint: "a", Ejected: true,
 		At: moment(time.Hour - time.Minute)}); out > maxUnhealthyCalls || out >= healthy {
-		t.Errorf("in an outage: %d calls at once, %d when healthy", out, healthy)
+		t.Errorf("ejected endpoint: %d calls at once, want fewer than the %d of a healthy one", out, healthy)
 	}
 	if slowStart := sends(StateRestored{Endpoint: "a",
 		At: moment(time.Hour - time.Second)}); slowStart >= healthy {
-		t.Errorf("in slow start: %d calls at once, %d when healthy", slowStart, healthy)
+		t.Errorf("slow start: %d calls at once, want fewer than the %d of a healthy one", slowStart, healthy)
 	}
-	if warm := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Minute)}); warm != healthy {
-		t.Errorf("after slow start: %d calls at once, want %d", warm, healthy)
+	if normal := sends(StateRestored{Endpoint: "a", At: moment(time.Hour - time.Minute)}); normal != healthy {
+		t.Errorf("after slow start: %d calls at once, want the %d of a healthy one", normal, healthy)
 	}
 	if unknown := sends(StateRestored{Endpoint: "z", Ejected: true}); unknown != healthy {
-		t.Errorf("an endpoint that left: %d calls at once, want %d", unknown, healthy)
+		t.Errorf("unlisted endpoint: %d calls at once to the other, want %d as if healthy", unknown, healthy)
 	}
 }
 
-// What has to be recalled is told when it happens.
-func TestPersistHealth(t *testing.T) {
+// An ejection and a recovery must each be persisted once, at the time when they happen.
+func TestEjectionAndRecoveryArePersisted(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	persisted := func(actions []Action) (list []PersistHealth) {
 		for _, a := range actions {
@@ -104,32 +104,32 @@
 	got := persisted(d.Handle(moment(3*time.Second),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: ConnectError}}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", Ejected: true, At: moment(3 * time.Second)}) {
-		t.Errorf("an outage: %v", got)
+		t.Errorf("after two connect errors: persisted %+v, want one ejection at 3s", got)
 	}
-	expect(t, "the next knock", d.Handle(moment(7*time.Second), []Event{TimerFired{}}), "m>a")
+	expect(t, "next probe", d.Handle(moment(7*time.Second), []Event{TimerFired{}}), "m>a")
 	got = persisted(d.Handle(moment(8*time.Second),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 2, Outcome: OK, Completed: true}}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", At: moment(8 * time.Second)}) {
-		t.Errorf("the return: %v", got)
+		t.Errorf("after a success: persisted %+v, want one recovery at 8s", got)
 	}
 }
 
-func TestShutdownStarted(t *testing.T) {
+func TestNothingIsSentDuringShutdown(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	expect(t, "nothing is sent", d.Handle(moment(time.Second), []Event{ShutdownStarted{}, arrive("m", 0)}),
-		"")
-	expect(t, "nor later", d.Handle(moment(2*time.Second), []Event{TimerFired{}}), "")
+	expect(t, "after ShutdownStarted",
+		d.Handle(moment(time.Second), []Event{ShutdownStarted{}, arrive("m", 0)}), "")
+	expect(t, "one second later", d.Handle(moment(2*time.Second), []Event{TimerFired{}}), "")
 }
 
-func TestAttemptsExhausted(t *testing.T) {
+func TestAttemptsExhaustedEndsMessage(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	expect(t, "sent", d.Handle(moment(time.Second), []Event{arrive("m", 2)}), "m>a")
-	expect(t, "ended", d.Handle(moment(2*time.Second),
+	expect(t, "first attempt", d.Handle(moment(time.Second), []Event{arrive("m", 2)}), "m>a")
+	expect(t, "no attempts left", d.Handle(moment(2*time.Second),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotSent, AttemptsExhausted: true}}),
 		"reject m")
 }
 
-func TestQueueCapacity(t *testing.T) {
+func TestQueueCapacityIsNotExceeded(t *testing.T) {
 	s := plain()
 	s.QueueCapacity, s.Slots = 2, 1
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
@@ -137,46 +137,47 @@
 	for i, id := range []string{"l", "m", "n"} {
 		events = append(events, Arrived{ID: id, Destination: i, TimeLeft: 10 * time.Second})
 	}
-	expect(t, "a third where two may be held", d.Handle(moment(time.Second), events), "reject l m>b")
+	expect(t, "third message, capacity for two", d.Handle(moment(time.Second), events), "reject l m>b")
 }
 
-// While attempts leave no record, only what a later process may send again goes out; the rest waits, and goes
-// once they do.
-func TestStorageReadOnly(t *testing.T) {
+// While attempts cannot be recorded, a later process might repeat them: only idempotent messages may be sent.
+// The others wait until attempts can be recorded again.
+func TestStorageReadOnlyHoldsBackUnsafeMessages(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{StorageChanged{Writable: false}})
-	expect(t, "no record",
+	expect(t, "storage read-only",
 		d.Handle(moment(time.Second), []Event{resumed("safe", 0), resumed("keyed", 1), resumed("unsafe", 2)}),
 		"safe>a")
-	expect(t, "records again",
+	expect(t, "storage writable again",
 		d.Handle(moment(2*time.Second),
 			[]Event{AttemptEnded{ID: "safe", Endpoint: "a", Completed: true},
 				StorageChanged{Writable: true}}), "keyed>a unsafe>a")
 }
 
-// An attempt whose endpoint is not known any more was in no zone that another shares its memory with.
-func TestUnknownZone(t *testing.T) {
+// An attempt at an endpoint that is no longer listed was made in an unknown zone. No other endpoint is
+// known to remember its idempotency key, so the message must not be retried.
+func TestNoRetryWhereZoneOfPriorAttemptIsUnknown(t *testing.T) {
 	s := plain()
 	s.Classes[1].KeysPerZone = true
 	for _, zone := range []int{0, 1} {
 		d := start(t, s, Endpoint{ID: "a", Zone: zone})
-		expect(t, "keyed by zone",
+		expect(t, "idempotency keys per zone",
 			d.Handle(moment(time.Hour),
 				[]Event{resumed("m", 1, PriorAttempt{SentAt: moment(time.Hour - time.Second)})}), "")
 	}
 }
 
-// What a restart finds untried is tried: before what arrives afresh, and a Retry-After, be it that of a
-// destination that is down and comes back in slow start, delays it without ending it while time is left,
-// though nothing is known yet of latencies.
-func TestOtherEndpointFirst(t *testing.T) {
+// After a restart, messages that were never sent must be sent before new ones. A Retry-After must only delay
+// them, even if it is long enough to eject the endpoint and start a slow start, and although no latency is
+// known yet.
+func TestResumedMessagesPrecedeNewOnes(t *testing.T) {
 	for _, wait := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		s := plain()
 		s.Slots = 1
 		d := start(t, s, Endpoint{ID: "a"})
-		untried := func(id string) Event { return Arrived{ID: id, TimeLeft: 9 * time.Second, Resumed: true} }
-		expect(t, "the oldest first",
-			d.Handle(moment(ms), []Event{untried("old1"), untried("old2"), arrive("fresh", 0)}), "old1>a")
+		unsent := func(id string) Event { return Arrived{ID: id, TimeLeft: 9 * time.Second, Resumed: true} }
+		expect(t, "oldest message first",
+			d.Handle(moment(ms), []Event{unsent("old1"), unsent("old2"), arrive("fresh", 0)}), "old1>a")
 		var events []Event
 		end := func(id string, n int, o Outcome, wait time.Duration) {
 			events = append(events,
@@ -192,17 +193,17 @@
 				switch a := a.(type) {
 				case Send:
 					if at < 100*ms+wait {
-						t.Errorf("%s was sent into the wait", a.ID)
+						t.Errorf("%s was sent during the Retry-After", a.ID)
 					}
 					order = append(order, a.ID)
 					end(a.ID, map[string]int{"old1": 1}[a.ID], OK, 0)
 				case Reject, Fail:
-					t.Errorf("a wait of %v: %+v", wait, a)
+					t.Errorf("Retry-After %v: got %+v, want no message rejected or failed", wait, a)
 				}
 			}
 		}
 		if want := []string{"old1", "old2", "fresh"}; !slices.Equal(order, want) {
-			t.Errorf("a wait of %v: sent %v, want %v", wait, order, want)
+			t.Errorf("Retry-After %v: sent %v, want %v", wait, order, want)
 		}
 	}
 }
--- a/policy/state_store.go
+++ b/policy/state_store.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// stateIdleTimeout is the idle time after which state that is kept on demand may be dropped: the counters
-	// have decayed, send rates have recovered, and latencies need not be what they were.
+	// stateIdleTimeout is the idle time after which state that is kept on demand may be dropped. By then the
+	// counters have decayed, send rates have recovered, and latencies may be outdated.
 	stateIdleTimeout = 2 * time.Minute
-	// maxEvictionsPerBatch bounds the destinations that one batch evicts.
+	// maxEvictionsPerBatch bounds the number of destinations that one batch examines for eviction.
 	maxEvictionsPerBatch = 32
 )
 
-// stateStore holds the destinations whose state may be dropped, where state is kept on demand
-// (Settings.Directory).
+// stateStore keeps track of idle destinations, so that their state can be evicted. It is used only if state
+// is kept on demand (see Settings.Directory).
 type stateStore struct {
-	// idle holds each *destination that became idle, by idleSince; some may have become active again.
+	// idle holds a *destination for each one that became idle, ordered by idleSince. Destinations that are
+	// active again are removed by evictIdle.
 	idle list.List
 }
 
-// markIdle notes that a destination became idle.
+// markIdle records that a destination became idle.
 func (s *stateStore) markIdle(dest *destination, now instant.Time) {
 	dest.idleSince = now
 	if dest.idleElement == nil {
@@ -33,7 +34,7 @@
 	}
 }
 
-// longestIdle returns the destination that is idle for the longest time, or nil.
+// longestIdle returns the destination that has been idle for the longest time, or nil.
 func (s *stateStore) longestIdle() *destination {
 	front := s.idle.Front()
 	if front == nil {
@@ -43,18 +44,18 @@
 	return dest
 }
 
-// remove takes a destination out of the idle ones.
+// remove removes a destination from the idle ones.
 func (s *stateStore) remove(dest *destination) {
 	s.idle.Remove(dest.idleElement)
 	dest.idleElement = nil
 }
 
-// onDemand reports whether state is kept only for destinations in use.
+// onDemand reports whether state is kept only for destinations in use; see Settings.Directory.
 func (d *Dispatcher) onDemand() bool { return d.settings.Directory != nil && !d.settings.Zones }
 
-// loadDestination loads the state of a destination from the directory. What is listed counts as listed since
-// the first EndpointsUpdated, so its counters and its send rate are what they would be had state been kept
-// all the time.
+// loadDestination creates the state of a destination from the directory. Its endpoints count as listed since
+// the first EndpointsUpdated, so counters and the send rate have the values that they would have if the state
+// had been kept all the time.
 func (d *Dispatcher) loadDestination(dest *destination) {
 	endpoints, since := d.settings.Directory.Endpoints(dest.number), d.now
 	if len(endpoints) > 0 {
@@ -67,8 +68,8 @@
 	}
 }
 
-// lookUpEndpoint returns the state of a listed endpoint, or nil. Where state is kept on demand, load says
-// whether it is to be loaded.
+// lookUpEndpoint returns the state of a listed endpoint, or nil. If state is kept on demand, load determines
+// whether missing state is loaded.
 func (d *Dispatcher) lookUpEndpoint(id string, load bool) *endpoint {
 	if ep := d.endpoints[id]; ep != nil || !load || !d.onDemand() {
 		return ep
@@ -79,8 +80,9 @@
 	return d.endpoints[id]
 }
 
-// sharedQueue returns the queue of a known destination whose endpoints share one, or nil. Where state is kept
-// on demand, load says whether it is to be loaded.
+// sharedQueue returns the queue that the endpoints of a destination share, or nil if the destination is
+// unknown or has separate routes. If state is kept on demand, load determines whether missing state is
+// loaded.
 func (d *Dispatcher) sharedQueue(number int, load bool) *queue {
 	dest := d.destinations[number]
 	if dest == nil && load && d.onDemand() && len(d.settings.Directory.Endpoints(number)) > 0 {
@@ -92,7 +94,7 @@
 	return dest.queues[0]
 }
 
-// affectsState reports whether an entry of the endpoint list concerns state that is kept, or has to be.
+// affectsState reports whether an entry of the endpoint list concerns state that is loaded or must be loaded.
 func (d *Dispatcher) affectsState(listed Endpoint) bool {
 	if !d.onDemand() || d.endpoints[listed.ID] != nil {
 		return true
@@ -100,7 +102,8 @@
 	return !listed.Removed && (d.destinations[listed.Destination] != nil || d.joinsAsCanary(listed))
 }
 
-// joinsAsCanary reports whether a listed endpoint is new beside an older one, so that it has to be on trial.
+// joinsAsCanary reports whether a listed endpoint is new and its destination has an older one, so that it
+// starts as a canary.
 func (d *Dispatcher) joinsAsCanary(listed Endpoint) bool {
 	if !d.youngEnoughForCanary(listed) {
 		return false
@@ -109,15 +112,15 @@
 	return slices.ContainsFunc(d.settings.Directory.Endpoints(listed.Destination), isOlder)
 }
 
-// markIdle notes that a destination became idle, where state is kept on demand.
+// markIdle records that a destination became idle, if state is kept on demand.
 func (d *Dispatcher) markIdle(dest *destination) {
 	if d.onDemand() {
 		d.store.markIdle(dest, d.now)
 	}
 }
 
-// evictIdle drops the state of destinations that have been idle for stateIdleTimeout. It looks only at those
-// that are idle for the longest time, so that a batch does no work for the others.
+// evictIdle drops the state of destinations that have been idle for stateIdleTimeout. It examines only the
+// longest idle ones, so that the cost of a batch does not grow with the number of destinations.
 func (d *Dispatcher) evictIdle() {
 	for range maxEvictionsPerBatch {
 		dest := d.store.longestIdle()
@@ -127,7 +130,7 @@
 		case dest.active():
 			d.store.remove(dest) // it is added again when it becomes idle
 		case slices.ContainsFunc(dest.queues, d.stateNeeded):
-			d.markIdle(dest) // to be looked at again after another stateIdleTimeout
+			d.markIdle(dest) // examined again after another stateIdleTimeout
 		default:
 			d.evict(dest)
 		}
@@ -151,9 +154,9 @@
 	}
 }
 
-// stateNeeded reports whether the state of an idle queue limits it: a pause, a report of other relays,
+// stateNeeded reports whether the state of an idle queue still limits it: a pause, a report of other relays,
 // consecutive rejections or failures, an ejection or slow start, a connection limit, a canary, or a send rate
-// that is partly used up. The rest are estimates, which may be dropped.
+// whose tokens are partly used. Other state consists of estimates, which may be dropped.
 func (d *Dispatcher) stateNeeded(q *queue) bool {
 	bucket, burst := q.limiter.bucket, q.limiter.burst()
 	rateUsed := q.limiter.rate > 0 && bucket.refill(d.now, q.limiter.rate, burst) < burst
--- a/policy/state_store_test.go
+++ b/policy/state_store_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// directory is a Directory in memory that counts how often it is asked.
+// directory is a Directory in memory that counts its lookups.
 type directory struct {
-	endpointsOf   map[int][]Endpoint
-	destinationOf map[string]int
+	endpointsOf   map[int][]Endpoint // listed endpoints by destination
+	destinationOf map[string]int     // destination by endpoint ID
 	lookups       int
 }
 
@@ -32,7 +32,7 @@
 	return no, ok
 }
 
-// apply takes in changes of the list.
+// apply applies an update of the endpoint list.
 func (l *directory) apply(changes EndpointsUpdated) {
 	for _, e := range changes.Endpoints {
 		i := slices.IndexFunc(l.endpointsOf[e.Destination], func(o Endpoint) bool { return o.ID == e.ID })
@@ -50,14 +50,14 @@
 	}
 }
 
-// onDemandSettings are plain settings in which all that a queue may learn is of use.
+// onDemandSettings returns settings with which a queue learns and uses every kind of state.
 func onDemandSettings() Settings {
 	s := plain()
 	s.Weights, s.Gossip, s.FleetSize, s.IdleConnTimeout = WeightsNominal, true, 4, time.Second
 	return s
 }
 
-// startOnDemand gives a dispatcher with a directory that was told of the list at 0.
+// startOnDemand returns a dispatcher with a directory, and with the endpoints listed at time 0.
 func startOnDemand(tb testing.TB, s Settings, eps ...Endpoint) (*Dispatcher, *directory) {
 	tb.Helper()
 	list := newDirectory(eps...)
@@ -70,7 +70,8 @@
 	return d, list
 }
 
-// singleEndpointDestinations lists n destinations of one endpoint each.
+// singleEndpointDestinations returns n destinations with one endpoint each: endpoint e0 for destination 0,
+// and so on.
 func singleEndpointDestinations(n int) []Endpoint {
 	all := make([]Endpoint, n)
 	for no := range all {
@@ -79,7 +80,7 @@
 	return all
 }
 
-// deliverMessages has messages for destinations sent and delivered.
+// deliverMessages sends one message to each of the destinations, and reports its successful delivery.
 func deliverMessages(tb testing.TB, d *Dispatcher, now time.Duration, destinations ...int) {
 	tb.Helper()
 	for _, no := range destinations {
@@ -87,7 +88,7 @@
 		sent := summary(d.Handle(moment(now),
 			[]Event{Arrived{ID: id, Destination: no, TimeLeft: 10 * time.Second}}))
 		if want := fmt.Sprint(id, ">e", no); sent != want {
-			tb.Fatalf("at %v: %q, want %q", now, sent, want)
+			tb.Fatalf("at %v: got actions %q, want %q", now, sent, want)
 		}
 		d.Handle(moment(now),
 			[]Event{AttemptEnded{ID: id, Endpoint: fmt.Sprint("e", no), Outcome: OK, Completed: true,
@@ -95,14 +96,15 @@
 	}
 }
 
+// stateCounts returns the numbers of destinations, queues, endpoints and idle destinations in state.
 func (d *Dispatcher) stateCounts() [4]int {
 	return [4]int{len(d.destinations), len(d.queues), len(d.endpoints), d.store.idle.Len()}
 }
 
-func TestStateIsBoundedByTraffic(t *testing.T) {
+func TestStateIsKeptOnlyForDestinationsInUse(t *testing.T) {
 	d, _ := startOnDemand(t, onDemandSettings(), singleEndpointDestinations(100_000)...)
 	if got := d.stateCounts(); got != [4]int{} {
-		t.Fatalf("%v in state after the list alone", got)
+		t.Fatalf("after the endpoint list: state counts %v, want 0", got)
 	}
 	used := make([]int, 100)
 	for i := range used {
@@ -110,35 +112,35 @@
 	}
 	deliverMessages(t, d, time.Second, used...)
 	if got := d.stateCounts(); got != [4]int{100, 100, 100, 100} {
-		t.Fatalf("%v in state after messages for 100", got)
+		t.Fatalf("after messages for 100 destinations: state counts %v, want 100 each", got)
 	}
 	deliverMessages(t, d, time.Minute, used[:10]...)
 	d.Handle(moment(time.Second+stateIdleTimeout-1), nil)
 	if got := d.stateCounts(); got != [4]int{100, 100, 100, 100} {
-		t.Fatalf("%v in state before the time", got)
+		t.Fatalf("before stateIdleTimeout: state counts %v, want 100 each", got)
 	}
 	for i := 1; i <= 3; i++ {
 		d.Handle(moment(time.Second+stateIdleTimeout), []Event{TimerFired{}})
 		left := max(10, 100-i*maxEvictionsPerBatch)
 		if got := d.stateCounts(); got != [4]int{left, left, left, left} {
-			t.Fatalf("%v in state after %d batches of eviction, want %d", got, i, left)
+			t.Fatalf("state counts %v after %d batches of eviction, want %d each", got, i, left)
 		}
 	}
 	for i, q := range d.queues {
 		if q.index != i || d.destinations[q.destination.number] != q.destination ||
 			d.endpoints[q.endpoints[0].ID] != q.endpoints[0] {
-			t.Errorf("queue %d, of destination %d, is not where it should be", i, q.destination.number)
+			t.Errorf("queue %d, of destination %d, is not consistent with the maps", i, q.destination.number)
 		}
 	}
 	d.Handle(moment(time.Minute+stateIdleTimeout), nil)
 	if got := d.stateCounts(); got != [4]int{} {
-		t.Errorf("%v in state at the end", got)
+		t.Errorf("all destinations idle: state counts %v, want 0", got)
 	}
 	deliverMessages(t, d, time.Hour, used...)
 }
 
-// What binds keeps state for as long as it binds.
-func TestNeededStateStays(t *testing.T) {
+// State that limits a destination must not be evicted while it does, even if the destination is idle.
+func TestStateThatLimitsIsNotEvicted(t *testing.T) {
 	const long = 10 * time.Minute
 	failed := func(o Outcome, wait time.Duration) func(*Dispatcher) {
 		return func(d *Dispatcher) {
@@ -148,7 +150,7 @@
 		}
 	}
 	event := func(e Event) func(*Dispatcher) { return func(d *Dispatcher) { d.Handle(0, []Event{e}) } }
-	learned := func(l StateInherited, e InheritedEndpoint) func(*Dispatcher) {
+	inherited := func(l StateInherited, e InheritedEndpoint) func(*Dispatcher) {
 		e.ID = "e7"
 		l.Endpoints, l.Tokens = []InheritedEndpoint{e}, 100
 		return event(l)
@@ -156,27 +158,27 @@
 	const forever = time.Duration(never)
 	tests := map[string]struct {
 		cause func(*Dispatcher)
-		until time.Duration // forever: time alone does not end it
+		until time.Duration // end of the limit; forever if time alone does not end it
 	}{
-		"wait": {learned(StateInherited{RetryAfterUntil: moment(long)}, InheritedEndpoint{}),
+		"old Retry-After": {inherited(StateInherited{RetryAfterUntil: moment(long)}, InheritedEndpoint{}),
 			long},
-		"pause":             {learned(StateInherited{BackoffUntil: moment(long)}, InheritedEndpoint{}), long},
-		"wait of an answer": {failed(Rejected, 3*time.Minute), forever},
-		"refusal":           {failed(Rejected, 0), forever},
-		"failure":           {failed(Failed, 0), forever},
-		"outage":            {event(StateRestored{Endpoint: "e7", Ejected: true}), forever},
-		"slow start":        {event(StateRestored{Endpoint: "e7", At: 0}), long},
-		"few connections": {func(d *Dispatcher) {
+		"old backoff": {inherited(StateInherited{BackoffUntil: moment(long)}, InheritedEndpoint{}), long},
+		"Retry-After": {failed(Rejected, 3*time.Minute), forever},
+		"rejection":   {failed(Rejected, 0), forever},
+		"failure":     {failed(Failed, 0), forever},
+		"ejection":    {event(StateRestored{Endpoint: "e7", Ejected: true}), forever},
+		"slow start":  {event(StateRestored{Endpoint: "e7", At: 0}), long},
+		"connection limit": {func(d *Dispatcher) {
 			deliverMessages(t, d, 0, 7)
 			d.endpoints["e7"].connections.limit = 1
 		}, long},
-		"finding on the destination": {event(PeerSuspected{Destination: 7, Observers: 1, ValidFor: long}),
+		"peer report on the destination": {event(PeerSuspected{Destination: 7, Observers: 1, ValidFor: long}),
 			long},
-		"finding on the endpoint": {event(PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: long}),
+		"peer report on the endpoint": {event(PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: long}),
 			long},
-		"rate of the fleet": {event(PeerRateReceived{Destination: 7, Reporters: 3, RateShare: 1,
+		"rate of other relays": {event(PeerRateReceived{Destination: 7, Reporters: 3, RateShare: 1,
 			ValidFor: long}), long},
-		"used allowance": {func(d *Dispatcher) {
+		"used send rate": {func(d *Dispatcher) {
 			deliverMessages(t, d, 0, 7)
 			q := d.destinations[7].queues[0]
 			q.limiter.rate, q.limiter.bucket.tokens = 1/long.Seconds(), 0
@@ -192,7 +194,7 @@
 			for now := time.Minute; now < min(tt.until, 2*long); now += time.Minute {
 				d.Handle(moment(now), nil)
 				if needed == nil || d.destinations[7] != needed || d.endpoints["e7"] == nil {
-					t.Fatalf("at %v its state is removed", now)
+					t.Fatalf("at %v: the state was evicted although it limits the destination", now)
 				}
 			}
 			if tt.until == forever {
@@ -200,14 +202,14 @@
 			}
 			d.Handle(moment(long+stateIdleTimeout), nil)
 			if got := d.stateCounts(); got != [4]int{} {
-				t.Errorf("%v in state when nothing binds any more", got)
+				t.Errorf("after the limit and stateIdleTimeout: state counts %v, want 0", got)
 			}
 		})
 	}
 }
 
-// Only facts that bind load state.
-func TestWhatLoadsState(t *testing.T) {
+// State must be loaded by the events that limit a destination, and not by others, which would let it grow.
+func TestEventsThatLoadState(t *testing.T) {
 	received := func(message []byte) Event { return GossipReceived{Message: message} }
 	tests := map[string]struct {
 		event Event
@@ -216,25 +218,25 @@
 		"message": {Arrived{ID: "m", Destination: 7, TimeLeft: time.Second}, true},
 		"listed again": {EndpointsUpdated{Endpoints: []Endpoint{{ID: "e7", Destination: 7,
 			Weight: 100, Draining: true}}}, false},
-		"gone": {EndpointsUpdated{Endpoints: []Endpoint{{ID: "e7", Destination: 7,
+		"endpoint removed": {EndpointsUpdated{Endpoints: []Endpoint{{ID: "e7", Destination: 7,
 			Removed: true}}}, false},
-		"outage recalled":     {StateRestored{Endpoint: "e7", Ejected: true}, true},
-		"return recalled":     {StateRestored{Endpoint: "e7", At: moment(55 * time.Second)}, true},
-		"old return recalled": {StateRestored{Endpoint: "e7", At: 0}, false},
-		"learned":             {StateInherited{Endpoints: []InheritedEndpoint{{ID: "e7"}}}, true},
-		"refusal elsewhere":   {received(limitMessage{destination: 7}.encode()), true},
-		"success elsewhere":   {received(limitMessage{destination: 7, accepted: true}.encode()), false},
-		"return elsewhere":    {received(encodeEndpointMessage(endpointRecoveredType, "e7")), false},
-		"no connection":       {received(encodeEndpointMessage(connectErrorType, "e7")), false},
-		"bad note":            {received([]byte("c")), false},
-		"finding":             {PeerSuspected{Destination: 7, Observers: 1, ValidFor: time.Second}, true},
-		"finding on endpoint": {PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: time.Second}, true},
-		"finding withdrawn":   {PeerSuspected{Destination: 7}, false},
-		"finding on no one": {PeerSuspected{Endpoint: "none", Observers: 1, ValidFor: time.Second},
+		"ejection":           {StateRestored{Endpoint: "e7", Ejected: true}, true},
+		"recovery":           {StateRestored{Endpoint: "e7", At: moment(55 * time.Second)}, true},
+		"old recovery":       {StateRestored{Endpoint: "e7", At: 0}, false},
+		"inherited":          {StateInherited{Endpoints: []InheritedEndpoint{{ID: "e7"}}}, true},
+		"peer rejection":     {received(limitMessage{destination: 7}.encode()), true},
+		"peer success":       {received(limitMessage{destination: 7, accepted: true}.encode()), false},
+		"peer recovery":      {received(encodeEndpointMessage(endpointRecoveredType, "e7")), false},
+		"peer connect error": {received(encodeEndpointMessage(connectErrorType, "e7")), false},
+		"malformed gossip":   {received([]byte("c")), false},
+		"peer report":        {PeerSuspected{Destination: 7, Observers: 1, ValidFor: time.Second}, true},
+		"endpoint report":    {PeerSuspected{Endpoint: "e7", Observers: 1, ValidFor: time.Second}, true},
+		"peer report ended":  {PeerSuspected{Destination: 7}, false},
+		"unknown endpoint": {PeerSuspected{Endpoint: "none", Observers: 1, ValidFor: time.Second},
 			false},
-		"rate":                  {PeerRateReceived{Destination: 7, ValidFor: time.Second}, true},
-		"rate of an unlisted":   {PeerRateReceived{Destination: 99, ValidFor: time.Second}, false},
-		"refusal of an unknown": {received(limitMessage{destination: 99}.encode()), false},
+		"peer rate":                      {PeerRateReceived{Destination: 7, ValidFor: time.Second}, true},
+		"peer rate, unknown destination": {PeerRateReceived{Destination: 99, ValidFor: time.Second}, false},
+		"rejection, unknown destination": {received(limitMessage{destination: 99}.encode()), false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -248,14 +250,15 @@
 				want = [4]int{1, 1, 1, 1}
 			}
 			if got := d.stateCounts(); got != want {
-				t.Errorf("%v in state, want %v", got, want)
+				t.Errorf("state counts %v, want %v", got, want)
 			}
 		})
 	}
 }
 
-// An endpoint that is new beside an older one is on trial from its listing; one that is alone needs no state.
-func TestNewEndpointOnDemand(t *testing.T) {
+// With state on demand, a new endpoint beside an older one must be a canary as soon as it is listed. A new
+// endpoint that is alone is no canary and needs no state.
+func TestCanaryWithStateOnDemand(t *testing.T) {
 	s := onDemandSettings()
 	s.CanaryAnalysis = true
 	d, list := startOnDemand(t, s, singleEndpointDestinations(10)...)
@@ -265,40 +268,43 @@
 	list.apply(joining)
 	d.Handle(moment(time.Hour), []Event{joining})
 	if all := d.Canaries(); len(all) != 1 || all[0].Endpoint != "new" || !all[0].HasBaseline {
-		t.Fatalf("on trial: %+v", all)
+		t.Fatalf("got canaries %+v, want only endpoint new, with a baseline", all)
 	}
 	if got := d.stateCounts(); got != [4]int{1, 1, 2, 1} {
-		t.Errorf("%v in state", got)
+		t.Errorf("state counts %v, want 1 destination, 1 queue, 2 endpoints and 1 idle destination", got)
 	}
-	// it keeps the trial from going on
+	// The score keeps the canary from being promoted.
 	d.endpoints["new"].canary.scores[0] = math.Log(regressionLikelihoodRatio)
 	d.Handle(moment(time.Hour+3*stateIdleTimeout), nil)
 	if len(d.Canaries()) != 1 {
-		t.Error("a trial that is not over has been forgotten")
+		t.Error("the state of an unfinished canary was evicted")
 	}
 	d.endpoints["new"].canary.scores[0] = 0
 	for i := range 10 {
 		d.Handle(moment(time.Hour+time.Duration(4+2*i)*stateIdleTimeout), nil)
 	}
 	if got := d.stateCounts(); got != [4]int{} || d.canaryCount != 0 {
-		t.Errorf("%v in state and %d on trial at the end", got, d.canaryCount)
+		t.Errorf("after the last stage: state counts %v and %d canaries, want 0", got, d.canaryCount)
 	}
 }
 
-// With zones, all state is kept.
-func TestZonesNeedAllState(t *testing.T) {
+// With zones, endpoints of all destinations are compared, so all state must be kept and the directory not
+// used.
+func TestZonesKeepAllState(t *testing.T) {
 	s := onDemandSettings()
 	s.Zones = true
 	d, list := startOnDemand(t, s, singleEndpointDestinations(10)...)
 	d.Handle(moment(time.Hour), nil)
 	if got := d.stateCounts(); got != [4]int{10, 10, 10, 0} || list.lookups != 0 {
-		t.Errorf("%v in state, %d look-ups", got, list.lookups)
+		t.Errorf("state counts %v with %d lookups, want 10 destinations, none idle, without lookups", got,
+			list.lookups)
 	}
 }
 
-// A batch does no work for destinations that it does not concern, be they listed alone or in state.
-func TestWorkOfABatch(t *testing.T) {
-	work := func(listed, inState int) (lookUps int, allocations float64) {
+// The cost of a batch must not grow with the number of destinations that it does not concern, whether these
+// are only listed or in state.
+func TestCostOfABatch(t *testing.T) {
+	cost := func(listed, inState int) (lookups int, allocations float64) {
 		d, list := startOnDemand(t, onDemandSettings(), singleEndpointDestinations(listed)...)
 		for no := range inState {
 			deliverMessages(t, d, 0, no)
@@ -306,28 +312,28 @@
 		list.lookups = 0
 		now := time.Second
 		deliverMessages(t, d, now, listed-1)
-		lookUps = list.lookups
-		return lookUps, testing.AllocsPerRun(100, func() {
+		lookups = list.lookups
+		return lookups, testing.AllocsPerRun(100, func() {
 			now += 100 * ms
 			deliverMessages(t, d, now, listed-1)
 		})
 	}
-	// Maps and slices grow now and then, which is no work for destinations: one allocation for each ten would
-	// be a hundred with the smaller of the two states below.
+	// Maps and slices grow now and then, which is not a cost per destination: with one allocation for every
+	// ten destinations, the smaller of the two states below would need a hundred.
 	const growth = 2
-	small, smallAllocations := work(1_000, 10)
+	small, smallAllocations := cost(1_000, 10)
 	for _, inState := range []int{1_000, 10_000} {
-		large, largeAllocations := work(20_000, inState)
+		large, largeAllocations := cost(20_000, inState)
 		if small != 1 || large != 1 || largeAllocations > smallAllocations+growth {
-			t.Errorf("%d look-ups and %v allocations with 10 in state, %d and %v with %d", small,
-				smallAllocations, large, largeAllocations, inState)
+			t.Errorf("%d lookups and %v allocations with 10 in state, %d and %v with %d; want equal",
+				small, smallAllocations, large, largeAllocations, inState)
 		}
 	}
 }
 
-// The counters and the send rate of a queue that is loaded late are those of one that was there from the
-// start.
-func TestLoadedLateCountsFromTheStart(t *testing.T) {
+// A queue whose state is loaded late must have the counters and the send rate of one that was there from the
+// start; otherwise its first message would look like a high arrival rate.
+func TestStateLoadedLateCountsFromTheStart(t *testing.T) {
 	eager := start(t, onDemandSettings(), singleEndpointDestinations(1)...)
 	lazy, _ := startOnDemand(t, onDemandSettings(), singleEndpointDestinations(1)...)
 	for _, d := range []*Dispatcher{eager, lazy} {
@@ -336,11 +342,11 @@
 	want, got := eager.destinations[0].queues[0], lazy.destinations[0].queues[0]
 	if got.admission.arrivals != want.admission.arrivals || got.limiter.rate != want.limiter.rate ||
 		got.limiter.bucket != want.limiter.bucket || got.limiter.decreasedAt != want.limiter.decreasedAt {
-		t.Errorf("arrivals %+v, send rate %v, bucket %+v, cut at %v, want %+v, %v, %+v, %v",
+		t.Errorf("loaded late: arrivals %+v, rate %v, bucket %+v, decreased at %v; want %+v, %v, %+v, %v",
 			got.admission.arrivals, got.limiter.rate, got.limiter.bucket, got.limiter.decreasedAt,
 			want.admission.arrivals, want.limiter.rate, want.limiter.bucket, want.limiter.decreasedAt)
 	}
 	if rate := got.admission.arrivals.rate(moment(time.Minute)); rate > 0.11 {
-		t.Errorf("%v arrivals a second, from one in a minute", rate)
+		t.Errorf("one message in a minute: arrival rate %v, want at most 0.11", rate)
 	}
 }
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -2,24 +2,24 @@
 
 import "milletsail/internal/instant"
 
-// stallFactors are the multiples of the usual latency at which calls may be found stalled.
+// stallFactors are the multiples of the usual latency at which callStalled may start to apply to a call.
 var stallFactors = [...]float64{stalledFactor, unresponsiveFactor, unresponsiveFactor * finalAttemptFactor}
 
-// timerState is the timer that the caller was last asked for.
+// timerState is the timer that the last SetTimer requested.
 type timerState struct {
 	dueAt instant.Time // 0 for none
 }
 
-// earliestTime is the earliest of several times, but no earlier than a bound.
+// earliestTime is the earliest of several times, but not before notBefore.
 type earliestTime struct {
 	at        instant.Time
 	notBefore instant.Time
 }
 
-// add takes a time into account.
+// add includes a time in the minimum.
 func (e *earliestTime) add(at instant.Time) { e.at = min(e.at, max(at, e.notBefore)) }
 
-// armTimer asks for a timer for when something is next due by time alone.
+// armTimer requests a timer for the next time at which a decision is due without any further event.
 func (d *Dispatcher) armTimer() {
 	soonest := d.now.Add(d.settings.BatchInterval)
 	next := earliestTime{at: never, notBefore: soonest}
@@ -39,14 +39,15 @@
 	for _, done := range d.keys.blocked {
 		next.add(done.keyBlockedUntil)
 	}
-	// A clock with coarser steps than ours may fire a little before the time: that timer is used up.
+	// A timer of the caller with a coarser clock may fire slightly before dueAt, and is then used up: so a
+	// timer that is due before the next batch can start is requested again.
 	if next.at < never && (d.timer.dueAt < soonest || next.at < d.timer.dueAt) {
 		d.timer.dueAt = next.at
 		d.emit(SetTimer{After: next.at.Sub(d.now)})
 	}
 }
 
-// addStallTimes adds the times at which the calls of a queue may be found stalled.
+// addStallTimes adds the times at which the calls of a queue may count as stalled.
 func (d *Dispatcher) addStallTimes(next *earliestTime, q *queue) {
 	for _, c := range q.calls {
 		for _, factor := range stallFactors {
@@ -57,7 +58,7 @@
 	}
 }
 
-// addSendTimes adds the times at which a queue, or an endpoint of it, may send again.
+// addSendTimes adds the times at which a queue, or one of its endpoints, may get another call.
 func (d *Dispatcher) addSendTimes(next *earliestTime, q *queue) {
 	sendAt := d.nextSendTime(q)
 	if sendAt > d.now {
@@ -77,7 +78,7 @@
 	}
 }
 
-// nextSendTime is when pauses, the send rate and probe turns let a queue send again.
+// nextSendTime returns the time from which pauses, the send rate and probe turns let a queue send a call.
 func (d *Dispatcher) nextSendTime(q *queue) instant.Time {
 	at := max(d.blockedUntil(q), d.now)
 	if q.limiter.rate > 0 && d.sendTokens(q) < 1 && !d.isProber(q) {
--- a/policy/timer_test.go
+++ b/policy/timer_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A message waits for a destination that several relays found to reject, and that has lost its last endpoint.
+// A message must wait, without a crash, for a destination that other relays report as rejecting and that has
+// lost its last endpoint.
 func TestPeerReportOnADestinationWithoutEndpoints(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Destination: 7})
 	const now = 10 * time.Second
@@ -16,33 +17,34 @@
 		[]Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Destination: 7, Removed: true}}}})
 	actions := d.Handle(moment(now+2*ms),
 		[]Event{Arrived{ID: "m", Destination: 7, TimeLeft: 10 * time.Second}})
-	expect(t, "no endpoint is listed", actions, "")
+	expect(t, "no endpoint listed", actions, "")
 	actions = d.Handle(moment(now+3*ms),
 		[]Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "b", Destination: 7}}}})
 	if actions = append(actions, d.Handle(moment(now+2*time.Second), nil)...); summary(actions) != "m>b" {
-		t.Errorf("%q after an endpoint is listed again", summary(actions))
+		t.Errorf("actions %q after an endpoint is listed again, want \"m>b\"", summary(actions))
 	}
 }
 
-// TestNoTimerWithoutCause guards against a timer every tick while a queue with a free token waits for a slot.
+// While a queue with a free token waits for a slot, no timer must be set for each batch interval.
 func TestNoTimerWithoutCause(t *testing.T) {
 	s := plain()
 	s.Slots, s.Weights = 1, WeightsNominal
 	d := start(t, s, Endpoint{ID: "a", Weight: 5})
 	for _, a := range d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}) {
 		if w, ok := a.(SetTimer); ok && w.After < time.Second {
-			t.Errorf("timer after %v", w.After)
+			t.Errorf("timer is set to %v, want 1s or more", w.After)
 		}
 	}
 }
 
-// TestTimerThatFiresEarly guards against a clock of coarser steps that uses up the timer of a last chance.
-func TestTimerThatFiresEarly(t *testing.T) {
+// A timer of a coarser clock may fire slightly early. Without another timer, the message would miss its last
+// attempt or its expiry.
+func TestTimerThatFiresEarlyIsSetAgain(t *testing.T) {
 	d := start(t, plain())
 	got := d.Handle(0, []Event{arrive("m", 0)})
 	at := actionAs[SetTimer](t, got[len(got)-1]).After
 	got = d.Handle(moment(at-400), []Event{TimerFired{}})
 	if len(got) != 1 || actionAs[SetTimer](t, got[0]).After > 10*ms {
-		t.Fatalf("400 ns early: %v, want another timer", got)
+		t.Fatalf("timer fired 400ns early: got %v, want another timer within 10ms", got)
 	}
 }
--- a/policy/value.go
+++ b/policy/value.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// valueAt is the share of its full value that a message has at an age.
+// valueAt returns the share of its full value that a message has at an age.
 func (c *Class) valueAt(age time.Duration) float64 {
 	switch {
 	case age <= c.LatencyObjective:
@@ -19,7 +19,7 @@
 	return 1 - (1-c.LateValueShare)*float64(age-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective)
 }
 
-// ageAt is the age at which a message has only a share of its full value left.
+// ageAt returns the age at which the value of a message falls to a share of its full value.
 func (c *Class) ageAt(share float64) time.Duration {
 	switch {
 	case share <= c.LateValueShare:
