--- a/policy/action.go
+++ b/policy/action.go
@@ -17,9 +17,8 @@
 		Endpoint string
 		// Timeout is the time to wait for the response; 0 means until the message's deadline.
 		Timeout time.Duration
-		// WriteTimeout is the time within which the request must be written completely. If it cannot be, for
-		// example because connecting takes too long, nothing may be written and the attempt ends as NotSent.
-		// 0 means no limit.
+		// WriteTimeout is the time within which the request must be written, including the time to connect.
+		// If that is not possible, nothing may be written and the attempt ends as NotSent. 0 means no limit.
 		WriteTimeout time.Duration
 		Call         int
 	}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -56,13 +56,13 @@
 func TestArrivalRateAndVirtualQueue(t *testing.T) {
 	var a decayingCounter
 	if a.rate(0) != 0 {
-		t.Error("a counter without any counts has a rate above 0")
+		t.Error("counter without any counts: rate is not 0")
 	}
 	for i := range 400 {
 		a.add(moment(time.Duration(i)*100*ms), 1)
 	}
 	if got := a.rate(moment(40 * time.Second)); math.Abs(got-10) > 0.3 {
-		t.Errorf("10 arrivals a second: counter reports a rate of %v", got)
+		t.Errorf("10 arrivals a second: rate %v, want 10 within 0.3", got)
 	}
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -12,11 +12,12 @@
 
 // endpointWatch is the state of the watch of the endpoint list.
 type endpointWatch struct {
-	subscribeAt   instant.Time // time at which to emit Subscribe; never while a watch is active
+	subscribeAt   instant.Time // time at which to emit Subscribe; never if no Subscribe is due
 	firstListedAt instant.Time // time of the first EndpointsUpdated; never before that
 }
 
-// renewWatch subscribes to the endpoint list if there is no watch and the delay after a failure has passed.
+// renewWatch subscribes to the endpoint list at the start, and after a failed watch when the delay has
+// passed.
 func (d *Dispatcher) renewWatch() {
 	if d.now >= d.watch.subscribeAt {
 		d.watch.subscribeAt = never
@@ -70,7 +71,7 @@
 	joinsOutage := false
 	if ep == nil {
 		dest := d.destination(listed.Destination)
-		if ep = d.endpoints[listed.ID]; ep == nil { // else destination loaded it from the directory
+		if ep = d.endpoints[listed.ID]; ep == nil { // d.destination may have loaded it from the directory
 			ep = d.addEndpoint(dest, listed, since)
 			joinsOutage = ep.queue.outageSuspected
 		}
--- a/policy/event.go
+++ b/policy/event.go
@@ -71,36 +71,37 @@
 		Arrivals              DecayingCount       `json:"Arrivals"` // arrived messages
 		Misses                DecayingCount       `json:"Misses"`   // rejections by the basic rule alone
 	}
+	// GossipReceived delivers a message that another relay sent with Broadcast.
 	GossipReceived struct{ Message []byte }
-	// PeerSuspected reports what other relays of the fleet observe of a destination (a run of rejections) or
-	// of an endpoint (it is down). It replaces the last report of the same.
+	// PeerSuspected summarizes the reports of other relays that a destination rejects all calls, or that an
+	// endpoint is down. It replaces the last summary for the same destination or endpoint.
 	PeerSuspected struct {
-		Destination     int           // if Endpoint is empty
-		Endpoint        string        // or empty
-		Observers       int           // relays that found it bad, since the last one found it good
-		RecentObservers int           // of these, those that found so just now
-		OldestAge       time.Duration // of the first of these observations
-		NewestAge       time.Duration // of the last one
-		ValidFor        time.Duration // how long the report may be used
-		Rank            int           // this relay's turn to probe it, from 0
+		Destination     int           // destination that is reported, if Endpoint is empty
+		Endpoint        string        // endpoint that is reported, or empty
+		Observers       int           // number of relays that report it without a later recovery; 0 for none
+		RecentObservers int           // number of these relays whose reports are recent
+		OldestAge       time.Duration // age of the oldest report
+		NewestAge       time.Duration // age of the newest report
+		ValidFor        time.Duration // time for which the summary may be used
+		Rank            int           // position of this relay in the order of probing, from 0
 	}
-	// PeerRateReceived reports what other relays send a destination and get for it.
+	// PeerRateReceived summarizes the send and arrival rates of other relays for a destination.
 	PeerRateReceived struct {
 		Destination       int
-		LiveRelays        int       // that share the traffic, this one included
-		Reporters         int       // relays that the report is from
-		RateShare         float64   // median of their send rates, in even shares of the listed rate
-		ArrivalRate       float64   // messages a second at one relay
-		ArrivalRateError  float64   // standard error of ArrivalRate
-		ArrivalRateByZone []float64 // messages a second that arrive in each zone, over its relays; or nil
-		ValidFor          time.Duration
+		LiveRelays        int           // number of relays that share the traffic, including this one
+		Reporters         int           // number of relays that reported their rates
+		RateShare         float64       // median send rate, as a multiple of an even share of the listed rate
+		ArrivalRate       float64       // mean number of messages a second that arrive at one relay
+		ArrivalRateError  float64       // standard error of ArrivalRate
+		ArrivalRateByZone []float64     // messages a second that arrive at each zone's relays; nil if unknown
+		ValidFor          time.Duration // time for which the summary may be used
 	}
-	// StorageChanged says whether attempts can be recorded for a later process; they can until it says
-	// otherwise.
+	// StorageChanged reports whether attempts can be recorded for a later process. Until the first such
+	// event, the dispatcher assumes that they can.
 	StorageChanged struct{ Writable bool }
-	// ShutdownStarted says that this process is about to end: nothing more is sent.
+	// ShutdownStarted reports that this process is about to end. Nothing is sent after it.
 	ShutdownStarted struct{}
-	// TimerFired says that the timer of SetTimer fired.
+	// TimerFired reports that the timer requested with SetTimer has fired.
 	TimerFired struct{}
 )
 
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -62,7 +62,7 @@
 }
 
 // handleRetryAfter pauses a queue for a Retry-After, whatever the outcome of the attempt. Calls that are not
-// written yet are canceled, as they would reach the destination during the pause.
+// written yet are canceled, so that they do not reach the destination during the pause.
 func (d *Dispatcher) handleRetryAfter(q *queue, retryAfter time.Duration) {
 	q.circuit.extendRetryAfter(d.now, retryAfter)
 	for _, ep := range q.endpoints {
@@ -147,7 +147,7 @@
 	d.latencyPriors.get(queue.kind).record(class, outcome.seconds)
 	ep.outlier.classFailures[class] = 0
 	if ep.outlier.ejected && sentAt < ep.outlier.ejectedAt && d.now < queue.circuit.retryAfterUntil {
-		return // the call was sent before the Retry-After, so its success does not show a recovery
+		return // sent before the ejection: its success shows no recovery during the Retry-After
 	}
 	d.recordSuccess(ep, outcome.LoadReport == nil || outcome.LoadReport.Remaining >= minRemainingAllowance)
 	callAge := d.now.Sub(sentAt)
--- a/policy/queueing_delay.go
+++ b/policy/queueing_delay.go
@@ -9,8 +9,8 @@
 // minRate is a lower bound, in calls a second, for rates that are used as divisors.
 const minRate = 1e-9
 
-// concurrency returns the number of simultaneous calls to expect of a queue: those in flight, or during a
-// pause or an outage at least the mean number before it.
+// concurrency returns the number of simultaneous calls to expect of a queue: those in flight, and during a
+// pause, a shortage of local resources or an outage at least typicalConcurrency.
 func (q *queue) concurrency(now instant.Time) float64 {
 	out := math.Max(1, float64(len(q.calls)))
 	if q.circuit.paused(now) || q.resourcesExhausted(now) || q.allEjected() {
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -31,7 +31,7 @@
 		{"idempotent, may have run", resumed("m", idempotent, executed(time.Second)), "m>a"},
 		{"within the idempotency window", resumed("m", withKey, executed(3*time.Second)), "m>a"},
 		{"after the idempotency window", resumed("m", withKey, executed(4*time.Second)), "reject m"},
-		{"window starts with the first attempt",
+		{"window counted from the first attempt",
 			resumed("m", withKey, executed(4*time.Second), executed(ms)), "reject m"},
 		{"not idempotent, may have run", resumed("m", notIdempotent, executed(time.Second)), "fail m"},
 		{"not idempotent, not executed", resumed("m", notIdempotent, notExecuted, notExecuted), "m>a"},
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -7,7 +7,8 @@
 	"milletsail/internal/instant"
 )
 
-// maxQueueSlotShare is the largest share of the slots that one queue may use.
+// maxQueueSlotShare is the largest share of the slots that one queue may use, so that no queue takes them
+// all.
 const maxQueueSlotShare = 0.5
 
 // slotScheduler counts the slots in use. Each call in flight takes one.
@@ -117,7 +118,8 @@
 	}
 }
 
-// fillBatch adds waiting messages to a call, up to the limits of its queue and its size.
+// fillBatch adds waiting messages to a call, up to the limits on their number and total size. Messages near
+// their deadlines and others are not mixed (see nearDeadline).
 func (d *Dispatcher) fillBatch(batch *call, first *message) {
 	queue := batch.endpoint.queue
 	for i := 0; i < len(queue.waiting) && batch.openAttempts < queue.maxBatch; {
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -94,8 +94,10 @@
 	return unresponsiveFactor
 }
 
-// overdueAt returns the time at which a call has taken a multiple of its usual latency. The usual latency
-// doubles with each further attempt of the call's first message. The result is never if no latency is known.
+// overdueAt returns the time at which a call has taken a multiple of its usual latency: the highest of the
+// queue's mean latency, its mean for each class in the call, and the endpoint's last latency. The usual
+// latency doubles with each further attempt of the call's first message. The result is never if no latency
+// is known.
 func (c *call) overdueAt(factor float64) instant.Time {
 	latency := &c.endpoint.queue.latency
 	usual := math.Max(latency.mean, c.endpoint.lastLatency)
--- a/policy/state_store.go
+++ b/policy/state_store.go
@@ -19,8 +19,8 @@
 // stateStore keeps track of idle destinations, so that their state can be evicted. It is used only if state
 // is kept on demand (see Settings.Directory).
 type stateStore struct {
-	// idle holds a *destination for each one that became idle, ordered by idleSince. Destinations that are
-	// active again are removed by evictIdle.
+	// idle holds a *destination for each one that became idle, ordered by idleSince. It can
+	// contain destinations that are active again until evictIdle removes them.
 	idle list.List
 }
 
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -39,8 +39,8 @@
 	for _, done := range d.keys.blocked {
 		next.add(done.keyBlockedUntil)
 	}
-	// A timer of the caller with a coarser clock may fire slightly before dueAt, and is then used up: so a
-	// timer that is due before the next batch can start is requested again.
+	// A caller with a coarser clock may fire the timer slightly before dueAt, after which no timer is
+	// pending. So a pending timer that is due before the next batch can start does not count.
 	if next.at < never && (d.timer.dueAt < soonest || next.at < d.timer.dueAt) {
 		d.timer.dueAt = next.at
 		d.emit(SetTimer{After: next.at.Sub(d.now)})
