--- a/policy/action.go
+++ b/policy/action.go
@@ -22,7 +22,7 @@
 		WriteTimeout time.Duration
 		Call         int
 	}
-	// Reject ends a message that was certainly not delivered, or that is safe to repeat: the client may send
+	// Reject ends a message that was certainly not executed, or that is safe to repeat. The client may send
 	// it again after RetryAfter.
 	Reject struct {
 		ID         string
--- a/policy/api.go
+++ b/policy/api.go
@@ -95,9 +95,10 @@
 const (
 	// Serving zones get calls as the state of their endpoints allows.
 	Serving ZoneState = iota
-	// Evacuated zones get no calls, since this relay observed that the whole zone fails.
+	// Evacuated zones failed as a whole, as this relay observed. Endpoints whose
+	// destination is also served in another zone are ejected.
 	Evacuated
-	// EvacuatedByOrder zones get no calls, since an operator ordered it.
+	// EvacuatedByOrder zones get, by an operator's order, only messages that no other zone can take.
 	EvacuatedByOrder
 	// Recovering zones are in slow start after an evacuation.
 	Recovering
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -4,7 +4,8 @@
 // policy/action.go.
 //
 // Admission control is the core: Hyytiä's value-function bound for parallel first-come queues (admission.go,
-// queueing_delay.go). The rest treats what that model leaves out, one mechanism a file:
+// queueing_delay.go). The other files each implement one mechanism that this model does not
+// cover:
 //
 //   - Messages: classes and their value (value.go), order by key (ordered_keys.go), retries and timeouts
 //     (retry.go), expiry (expiry.go), handover to the next process (handover.go).
