--- a/internal/relay/endpointlist.go
+++ b/internal/relay/endpointlist.go
@@ -97,9 +97,9 @@
 // complete list, it does not count those that drain.
 func (l *loop) unavailableEndpoints() int {
 	if !l.usesDirectory() {
-		return l.dispatcher.Avoided()
+		return l.dispatcher.UnavailableEndpoints()
 	}
-	return l.dispatcher.Avoided() + l.endpoints.table.Draining()
+	return l.dispatcher.UnavailableEndpoints() + l.endpoints.table.Draining()
 }
 
 // begin prepares for the first batch of an object. Entries need marks unless the object is known to hold changes alone.
--- a/policy/availability.go
+++ b/policy/availability.go
@@ -1,8 +1,8 @@
 package policy
 
-// Avoided returns the number of listed endpoints that get nothing now but probes: ejected, unresponsive or
+// UnavailableEndpoints returns the number of listed endpoints that get nothing now but probes: ejected, unresponsive or
 // draining. With a Directory in use, draining ones are left out, since the caller knows of all of them.
-func (d *Dispatcher) Avoided() int {
+func (d *Dispatcher) UnavailableEndpoints() int {
 	avoided := d.unavailableCount
 	for _, q := range d.active { // only an endpoint with a call out can be unresponsive
 		for _, ep := range q.endpoints {
--- a/policy/decisions_record_test.go
+++ b/policy/decisions_record_test.go
@@ -204,7 +204,7 @@
 // queries writes what a dispatcher says of itself: all of it, or what is cheap.
 func (r *decisionRecord) queries(t *testing.T, dispatcher *policy.Dispatcher, all bool) {
 	t.Helper()
-	r.integers(dispatcher.Avoided())
+	r.integers(dispatcher.UnavailableEndpoints())
 	if !all {
 		return
 	}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -108,12 +108,12 @@
 func TestAvoided(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Destination: 1}, Endpoint{ID: "b", Destination: 2},
 		Endpoint{ID: "c", Destination: 2})
-	if n := d.Avoided(); n != 0 {
+	if n := d.UnavailableEndpoints(); n != 0 {
 		t.Errorf("%d avoided at the start", n)
 	}
 	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "b", Destination: 2, Draining: true}}}})
 	d.eject(d.endpoints["a"])
-	if n := d.Avoided(); n != 2 {
+	if n := d.UnavailableEndpoints(); n != 2 {
 		t.Errorf("%d avoided, want the one that is out and the one that drains", n)
 	}
 }
--- a/policy/state_store_pair_test.go
+++ b/policy/state_store_pair_test.go
@@ -91,7 +91,7 @@
 			avoided++
 		}
 	}
-	if got, otherwise := p.lazy.Avoided()+draining, p.eager.Avoided(); got != avoided ||
+	if got, otherwise := p.lazy.UnavailableEndpoints()+draining, p.eager.UnavailableEndpoints(); got != avoided ||
 		otherwise != avoided {
 		p.t.Fatalf("at %v: %d avoided on demand, %d otherwise, want %d", p.now, got, otherwise, avoided)
 	}
