--- a/policy/availability.go
+++ b/policy/availability.go
@@ -1,10 +1,11 @@
 package policy
 
-// UnavailableEndpoints returns the number of listed endpoints that get nothing now but probes: ejected, unresponsive or
-// draining. With a Directory in use, draining ones are left out, since the caller knows of all of them.
+// UnavailableEndpoints returns the number of listed endpoints that receive no calls other than probes,
+// because they are ejected, unresponsive or draining. With a Directory in use, draining endpoints are not
+// counted: the caller counts them itself, since the dispatcher may not hold state for all of them.
 func (d *Dispatcher) UnavailableEndpoints() int {
 	avoided := d.unavailableCount
-	for _, q := range d.active { // only an endpoint with a call out can be unresponsive
+	for _, q := range d.active { // only an endpoint with a call in flight can be unresponsive
 		for _, ep := range q.endpoints {
 			if !ep.outlier.ejected && !ep.Draining && ep.unresponsive(d.now) {
 				avoided++
@@ -14,7 +15,8 @@
 	return avoided
 }
 
-// isUnavailable reports whether Avoided counts an endpoint whatever the time is.
+// isUnavailable reports whether an endpoint belongs in unavailableCount: whether UnavailableEndpoints counts
+// it for a reason other than being unresponsive, which depends on the current time.
 func (d *Dispatcher) isUnavailable(ep *endpoint) bool {
 	if d.onDemand() {
 		return !ep.Removed && ep.outlier.ejected && !ep.Draining
@@ -22,7 +24,8 @@
 	return !ep.Removed && (ep.outlier.ejected || ep.Draining)
 }
 
-// updateAvailability makes a change to an endpoint that may change isUnavailable, and keeps the count.
+// updateAvailability calls change, which may alter the result of isUnavailable for the endpoint, and keeps
+// unavailableCount in step.
 func (d *Dispatcher) updateAvailability(ep *endpoint, change func()) {
 	if d.isUnavailable(ep) {
 		d.unavailableCount--
--- a/policy/canary.go
+++ b/policy/canary.go
@@ -8,48 +8,50 @@
 )
 
 const (
-	// failureRateDecay is what each outcome leaves of the earlier ones: about the last fifty count.
+	// failureRateDecay is the factor by which each outcome reduces the weight of the earlier ones, so that
+	// about the last fifty outcomes count.
 	failureRateDecay = 0.98
-	// maxReportsPerStage bounds the gossip messages of a stage that are told from copies of themselves.
+	// maxReportsPerStage bounds the report IDs that are kept per stage to recognize duplicate gossip
+	// messages. Further reports of the stage are not counted.
 	maxReportsPerStage = 256
-	// maxCanaryCredit is the number of calls that a canary may save up.
+	// maxCanaryCredit is the largest number of calls that a canary can accumulate as credit.
 	maxCanaryCredit = 2
 )
 
-// canaryStageShares are the shares of a destination's calls that its canaries get together, over all relays,
-// in each stage; none gets more than an endpoint that is no canary.
+// canaryStageShares holds, for each stage, the share of a destination's calls that its canaries receive
+// together, over all relays. In a queue with n endpoints, a canary never gets more than 1/n of the calls.
 var canaryStageShares = [...]float64{0.02, 0.06, 0.2, 0.5}
 
-// canaryState is the state of an endpoint on trial. It belongs to one endpoint and is not safe for concurrent
-// use.
+// canaryState is the state of a canary. It belongs to one endpoint and is not safe for concurrent use.
 type canaryState struct {
-	stage          int          // of canaryStageShares
-	stageStartedAt instant.Time // may lie ahead, at the end of a suspension
-	suspendedUntil instant.Time // until when it gets nothing
-	suspensions    int
-	outcomes       int             // in this stage, of all relays
-	credit         float64         // calls that it may get now
-	scores         []float64       // by class: the log-likelihood ratio of a regression
-	reportIDs      map[uint64]bool // of the gossip messages in this stage
+	stage          int             // index into canaryStageShares
+	stageStartedAt instant.Time    // in the future while the canary is suspended
+	suspendedUntil instant.Time    // end of the last suspension
+	suspensions    int             // number of suspensions so far
+	outcomes       int             // outcomes in this stage, here and at other relays
+	credit         float64         // calls that the canary may receive now
+	scores         []float64       // by class: log-likelihood ratio of a regression
+	reportIDs      map[uint64]bool // IDs of the reports from other relays in this stage
 }
 
-// suspended reports whether the canary gets nothing now.
+// suspended reports whether the canary is suspended, and so receives no calls.
 func (c *canaryState) suspended(now instant.Time) bool { return now < c.suspendedUntil }
 
-// startStage starts a stage at a moment, with part of a call as credit.
+// startStage starts a stage at the given time, with the given initial credit.
 func (c *canaryState) startStage(stage int, at instant.Time, credit float64) {
 	c.stage, c.stageStartedAt, c.outcomes, c.credit, c.reportIDs = stage, at, 0, credit, nil
 	clear(c.scores)
 }
 
-// suspend starts the next suspension.
+// suspend starts a suspension: initialSuspension for the first one, and twice as long for each further one,
+// up to maxSuspension.
 func (c *canaryState) suspend(now instant.Time) {
 	duration := min(maxSuspension, initialSuspension<<min(c.suspensions, maxSuspensionDoublings))
 	c.suspendedUntil = now.Add(duration)
 	c.suspensions++
 }
 
-// maxScore is the highest score of a class.
+// maxScore returns the highest regression score of all classes.
 func (c *canaryState) maxScore() float64 {
 	highest := 0.0
 	for _, score := range c.scores {
@@ -58,8 +60,8 @@
 	return highest
 }
 
-// addReport notes the gossip message with a random ID, and reports whether it is to be counted: not if it is
-// a copy.
+// addReport records the ID of another relay's report and returns whether the report counts. A duplicate does
+// not.
 func (c *canaryState) addReport(id uint64) bool {
 	if len(c.reportIDs) >= maxReportsPerStage || c.reportIDs[id] {
 		return false
@@ -71,10 +73,10 @@
 	return true
 }
 
-// failureRate estimates a share of failing calls; each outcome decays the earlier ones.
+// failureRate estimates the share of failing calls from exponentially decaying counts.
 type failureRate struct{ failed, total float64 }
 
-// add counts an outcome.
+// add counts one outcome.
 func (f *failureRate) add(failed bool) {
 	f.failed, f.total = failureRateDecay*f.failed, failureRateDecay*f.total+1
 	if failed {
@@ -82,14 +84,14 @@
 	}
 }
 
-// share is the failing share, with a prior of one outcome, and a standard error more, as few calls tell
-// little.
+// share returns an upper estimate of the failing share: the mean with a prior of one outcome, plus one
+// standard error, since a few calls say little.
 func (f *failureRate) share() float64 {
 	share := (f.failed + minFailureShare) / (f.total + 1)
 	return math.Min(1-minFailureShare, share+math.Sqrt(share*(1-share)/(f.total+1)))
 }
 
-// Canaries returns the endpoints on trial.
+// Canaries returns the status of all canaries.
 func (d *Dispatcher) Canaries() (all []Canary) {
 	for _, ep := range d.canaries() {
 		canary := ep.canary
@@ -108,7 +110,7 @@
 	return all
 }
 
-// canaries returns the endpoints on trial, in the order of the queues.
+// canaries returns the endpoints that are canaries, in the order of the queues.
 func (d *Dispatcher) canaries() (all []*endpoint) {
 	if d.canaryCount == 0 {
 		return nil
@@ -123,7 +125,7 @@
 	return all
 }
 
-// startCanary puts an endpoint on trial that was not listed before, or has restarted since.
+// startCanary makes an endpoint a canary if it is newly listed or has restarted since the last listing.
 func (d *Dispatcher) startCanary(ep *endpoint, listed Endpoint) {
 	if !d.youngEnoughForCanary(listed) || listed.StartedAt <= ep.StartedAt || listed.Draining {
 		return
@@ -138,7 +140,7 @@
 	}
 }
 
-// startCanaryStage starts a stage of a canary at a moment.
+// startCanaryStage starts a stage of a canary at the given time and reports the change.
 func (d *Dispatcher) startCanaryStage(ep *endpoint, stage int, at instant.Time) {
 	ep.canary.startStage(stage, at, d.random.Float64())
 	d.emit(CanaryStageChanged{
@@ -148,25 +150,28 @@
 	})
 }
 
-// youngEnoughForCanary reports whether a listed endpoint may be on trial by its age.
+// youngEnoughForCanary reports whether canary analysis is on and the listed endpoint started less than
+// canaryMaxAge ago.
 func (d *Dispatcher) youngEnoughForCanary(listed Endpoint) bool {
 	return d.settings.CanaryAnalysis && listed.StartedAt > 0 && d.now.Sub(listed.StartedAt) < canaryMaxAge
 }
 
-// hasBaseline reports whether an endpoint on trial has a baseline: a healthy endpoint of its queue that is no
-// canary. Without one it serves as any other.
+// hasBaseline reports whether an endpoint is a canary and has a baseline: a healthy endpoint of its queue
+// that is not a canary. A canary without a baseline receives calls like any other endpoint.
 func (ep *endpoint) hasBaseline(now instant.Time) bool {
 	return ep.canary != nil && slices.ContainsFunc(ep.queue.endpoints, func(other *endpoint) bool {
 		return other.canary == nil && !other.outlier.ejected && !other.Draining && !other.unresponsive(now)
 	})
 }
 
-// canaryWithheld reports whether an endpoint on trial gets no call now.
+// canaryWithheld reports whether a canary must not receive a call now, because it is suspended or has less
+// credit than one call. A canary without a baseline is never withheld.
 func (ep *endpoint) canaryWithheld(now instant.Time) bool {
 	return ep.canary != nil && (ep.canary.suspended(now) || ep.canary.credit < 1) && ep.hasBaseline(now)
 }
 
-// addCanaryCredit gives the canaries of a queue their shares of a call, which one of its endpoints gets.
+// addCanaryCredit counts a call of a queue: each canary that is not suspended gets its share of a call as
+// credit, and the endpoint that receives the call pays one call if it is a canary.
 func (d *Dispatcher) addCanaryCredit(q *queue, to *endpoint) {
 	eligible := 0.0
 	for _, ep := range q.endpoints {
--- a/policy/canary_analysis.go
+++ b/policy/canary_analysis.go
@@ -8,38 +8,40 @@
 )
 
 const (
-	// canaryMaxAge is the age up to which an endpoint that was not known before is a canary.
+	// canaryMaxAge is the age, since its process started, up to which a newly listed endpoint becomes a
+	// canary.
 	canaryMaxAge = time.Minute
-	// minStageDuration is the least duration of a stage.
+	// minStageDuration is the shortest duration of a stage.
 	minStageDuration = 2 * time.Second
-	// maxStageDuration ends a stage that has fewer than minStageOutcomes outcomes.
+	// maxStageDuration is when a stage ends that has had fewer than minStageOutcomes outcomes.
 	maxStageDuration = 4500 * time.Millisecond
-	// minStageOutcomes is the number of outcomes, of all relays together, that end a stage before
+	// minStageOutcomes is the number of outcomes, over all relays, with which a stage may end before
 	// maxStageDuration.
 	minStageOutcomes = 8
-	// maxPromotionScore is the regression score, as a share of the one that suspends a canary, above which it
-	// stays in its stage: one failure is enough where failures are rare.
+	// maxPromotionScore is the regression score above which a canary stays in its stage, as a share of the
+	// score that suspends it. Where failures are rare, a single failure exceeds it.
 	maxPromotionScore = 1.0 / 3
-	// minFailureShare is the least share of failing calls that the baseline is taken to have.
+	// minFailureShare is the smallest failure share that is assumed for the baseline.
 	minFailureShare = 0.02
-	// regressionLikelihoodRatio suspends a canary: its outcomes fit the baseline's failure share so many
-	// times less well than one halfway from there to 1 (Wald's sequential probability ratio test, restarted
-	// at 0 as in Page's CUSUM, since a canary may do well at first).
+	// regressionLikelihoodRatio is the likelihood ratio at which a canary is suspended: its outcomes are this
+	// many times more likely under a failure share halfway between the baseline's and 1 than under the
+	// baseline's. The test is Wald's sequential probability ratio test with the score floored at 0, as in
+	// Page's CUSUM, since a canary may do well at first.
 	regressionLikelihoodRatio = 1000.0
 	// initialSuspension is the duration of a canary's first suspension. It doubles with each further one.
 	initialSuspension = 15 * time.Second
 	// maxSuspension bounds the duration of a suspension.
 	maxSuspension = 4 * time.Minute
-	// maxBaselineFailureShare is the share of failing calls to older endpoints up to which a relay's
-	// observations count against canaries; above it, its own network may be the cause.
+	// maxBaselineFailureShare is the failure share of the baseline above which failures of a canary are
+	// ignored at this relay, since its own network may be the cause.
 	maxBaselineFailureShare = 0.25
-	// maxSuspensionDoublings bounds the shift that doubles a suspension; maxSuspension is reached long
-	// before.
+	// maxSuspensionDoublings bounds the shift that doubles a suspension, so that it cannot overflow.
+	// maxSuspension is reached with fewer doublings.
 	maxSuspensionDoublings = 8
 )
 
-// recordOutcome updates the score of a class by an outcome, with the baseline's share of failing calls, and
-// reports whether the canary is found to be worse than the baseline.
+// recordOutcome updates the regression score of a class with an outcome, given the baseline's failure share,
+// and reports whether the score reaches the suspension threshold.
 func (c *canaryState) recordOutcome(class int, failed bool, baselineShare float64) (regressed bool) {
 	c.outcomes++
 	usual := math.Max(minFailureShare, baselineShare)
@@ -61,7 +63,7 @@
 	return c.outcomes >= minStageOutcomes || age >= maxStageDuration
 }
 
-// evaluateCanaries promotes the canaries whose stages are complete: to the next stage, and after the last one
+// evaluateCanaries promotes each canary whose stage is complete: to the next stage, or after the last stage
 // to an ordinary endpoint.
 func (d *Dispatcher) evaluateCanaries() {
 	for _, ep := range d.canaries() {
@@ -78,8 +80,10 @@
 	}
 }
 
-// analyzeOutcome takes in what the end of a call says of a canary, or of the baseline beside one. An endpoint
-// that rejects may just be at its limit. A relay whose own network may be at fault observes nothing bad.
+// analyzeOutcome updates the canary analysis with the end of a call, either for the canary itself or for the
+// baseline of its queue. Rejections are ignored, since the endpoint may only be at its limit, and so are
+// calls that were not sent and canceled ones that were not late. Failures of a canary are ignored while the
+// baseline fails at this relay too (maxBaselineFailureShare).
 func (d *Dispatcher) analyzeOutcome(ep *endpoint, m *message, ended AttemptEnded, late bool) {
 	if !d.settings.CanaryAnalysis || ended.Outcome == Rejected || ended.Outcome == NotSent {
 		return
@@ -100,8 +104,8 @@
 	d.reportCanaryOutcome(ep, m.Class, failed)
 }
 
-// recordCanaryOutcome takes in an outcome of a canary, here or at another relay, and suspends it if it is
-// found to be worse than its baseline.
+// recordCanaryOutcome counts an outcome of a canary, observed here or at another relay, and suspends the
+// canary if it does worse than its baseline.
 func (d *Dispatcher) recordCanaryOutcome(ep *endpoint, class int, failed bool) {
 	canary := ep.canary
 	regressed := canary.recordOutcome(class, failed, ep.queue.baseline[class].share())
@@ -111,8 +115,9 @@
 	}
 }
 
-// reportCanaryOutcome broadcasts an outcome of a canary. In later stages outcomes come faster, and a random
-// part of them says as much, if it is the same of successes and failures.
+// reportCanaryOutcome broadcasts an outcome of a canary. In stages with larger shares there are more
+// outcomes, so only a random part is broadcast. That part is the same for successes and failures, so that the
+// failure share is not biased.
 func (d *Dispatcher) reportCanaryOutcome(ep *endpoint, class int, failed bool) {
 	reportedShare := canaryStageShares[1] / canaryStageShares[ep.canary.stage]
 	if !d.settings.Gossip || d.random.Float64() >= reportedShare {
@@ -123,7 +128,8 @@
 	d.emit(Broadcast{Message: message.encode()})
 }
 
-// handleCanaryMessage takes in a gossip message, if it reports an outcome of a canary.
+// handleCanaryMessage counts the canary outcome that a gossip message reports. Messages of other types are
+// ignored.
 func (d *Dispatcher) handleCanaryMessage(message []byte) {
 	report, ok := decodeCanaryMessage(message)
 	ep := d.endpoints[report.endpoint]
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -9,44 +9,44 @@
 
 const (
 	// circuitOpenAfter is how long a destination has to reject every call before it counts as down rather
-	// than at its limit; a longer Retry-After has the same effect. It is longer than the windows in which
-	// receivers commonly count calls.
+	// than as over its rate limit. A Retry-After longer than this counts as down too. It is longer than the
+	// windows in which receivers commonly count calls.
 	circuitOpenAfter = 2500 * time.Millisecond
 	// initialBackoff is the pause after a first rejection without Retry-After.
 	initialBackoff = 100 * time.Millisecond
-	// maxBackoff is the longest pause of the relay's own: about the longest window in which receivers count
-	// calls.
+	// maxBackoff is the longest backoff that the relay chooses itself, about the longest window in which
+	// receivers count calls.
 	maxBackoff = 2 * time.Second
-	// secondProbeProbability is the probability with which a relay with a low rate probes once more after a
-	// first failure.
+	// secondProbeProbability is the probability with which a relay with a low rate makes one more call after
+	// its first failed or rejected one, before it falls back to the slow start budget.
 	secondProbeProbability = 0.5
 )
 
 // circuitBreaker pauses the calls of one queue after rejections. It belongs to one queue and is not safe for
 // concurrent use.
 type circuitBreaker struct {
-	retryAfterUntil       instant.Time  // end of the Retry-After: nothing is sent before it
-	backoffUntil          instant.Time  // end of a pause of at most maxBackoff; a success may end it
-	announcedUntil        instant.Time  // other relays know of a pause up to then
-	rejectedCallAt        instant.Time  // when the last call was sent that a pause is for
-	backoff               time.Duration // last pause after a rejection without Retry-After
+	retryAfterUntil       instant.Time  // end of the last Retry-After; nothing is sent before it
+	backoffUntil          instant.Time  // end of the backoff, which a success may end early
+	announcedUntil        instant.Time  // end of the pause that the other relays know of
+	rejectedCallAt        instant.Time  // when the latest rejected call was sent, here or elsewhere
+	backoff               time.Duration // base of the last backoff, without jitter
 	consecutiveRejections int
-	firstRejectionAt      instant.Time // of the consecutive rejections
+	firstRejectionAt      instant.Time // when the consecutive rejections began
 }
 
-// paused reports whether the queue is in a pause.
+// paused reports whether the queue sends nothing now.
 func (c *circuitBreaker) paused(now instant.Time) bool { return now < c.pausedUntil() }
 
-// pausedUntil is the end of all pauses.
+// pausedUntil returns when both the Retry-After and the backoff are over.
 func (c *circuitBreaker) pausedUntil() instant.Time { return max(c.retryAfterUntil, c.backoffUntil) }
 
-// extendRetryAfter keeps to a Retry-After.
+// extendRetryAfter pauses the queue for a Retry-After, unless an earlier one ends later.
 func (c *circuitBreaker) extendRetryAfter(now instant.Time, retryAfter time.Duration) {
 	c.retryAfterUntil = max(c.retryAfterUntil, now.Add(min(retryAfter, never.Sub(now))))
 }
 
-// countRejection counts a rejection and reports whether the destination counts as down: it has rejected
-// everything for circuitOpenAfter, or asks for a longer pause than that.
+// countRejection counts a rejection and reports whether the destination now counts as down: it has rejected
+// every call for circuitOpenAfter, or asks for a Retry-After longer than that.
 func (c *circuitBreaker) countRejection(now instant.Time, retryAfter time.Duration) (down bool) {
 	if c.consecutiveRejections++; c.consecutiveRejections == 1 {
 		c.firstRejectionAt = now
@@ -55,9 +55,9 @@
 	return retryAfter > circuitOpenAfter || c.consecutiveRejections > ejectionThreshold && lasting
 }
 
-// nextBackoff returns the pause after a rejection without Retry-After, with jitter. It starts short, since a
-// destination that limits a steady rate has capacity again at once, and doubles with each rejection, until
-// twice the last pause has passed since its end.
+// nextBackoff returns the pause after a rejection without Retry-After, with jitter. The first pause is short,
+// since a destination that limits a steady rate accepts calls again at once. Each further rejection doubles
+// it; it starts over once twice the last pause has passed since that pause ended.
 func (c *circuitBreaker) nextBackoff(now instant.Time, random *rand.Rand) time.Duration {
 	if c.backoff *= 2; now > c.backoffUntil.Add(c.backoff) {
 		c.backoff = initialBackoff
@@ -65,8 +65,10 @@
 	return time.Duration((0.5 + random.Float64()) * float64(c.backoff))
 }
 
-// recordRejection takes in a rejection by the destination, and broadcasts what the other relays don't know of
-// it. A run of rejections ejects its endpoints.
+// recordRejection handles a rejection of a call of this relay. It pauses the queue and broadcasts the
+// rejection if the pause is news to the other relays or if this relay probes the destination for all of them.
+// It ejects the endpoints of the queue if the destination counts as down, or, without gossip, once the probe
+// budget is spent.
 func (d *Dispatcher) recordRejection(queue *queue, rejection limitMessage) {
 	down := queue.circuit.countRejection(d.now, rejection.retryAfter)
 	probedForAll := d.isProber(queue)
@@ -83,9 +85,9 @@
 	}
 }
 
-// openCircuit pauses a queue after a rejection here or at another relay, and returns the end of the pause.
-// All relays that learn of it stop together; they start again apart, each with a random part of a call saved
-// up.
+// openCircuit pauses a queue after a rejection here or at another relay, and returns when the pause ends. All
+// relays that learn of the rejection stop together. They resume at different times, because each starts with
+// a random fraction of a token.
 func (d *Dispatcher) openCircuit(queue *queue, rejection limitMessage) (until instant.Time) {
 	circuit := &queue.circuit
 	circuit.rejectedCallAt = max(circuit.rejectedCallAt, d.now.Add(-rejection.callAge))
@@ -108,9 +110,9 @@
 	return until
 }
 
-// closeCircuit ends a backoff, but no Retry-After, if a call was accepted that was sent well after the
-// rejected one: a destination that limits a rate has capacity again at once, one that counts calls has none
-// until its window ends. It reports whether there was a backoff to end.
+// closeCircuit ends a backoff if the accepted call was sent well after the rejected one: a destination that
+// limits a steady rate accepts calls again at once, while one that counts calls per window accepts none until
+// its window ends. A Retry-After is always waited out. It reports whether there was a backoff to end.
 func (d *Dispatcher) closeCircuit(q *queue, accepted limitMessage) bool {
 	circuit := &q.circuit
 	sentAt := d.now.Add(-accepted.callAge)
@@ -122,11 +124,11 @@
 	return true
 }
 
-// probeBudgetSpent reports whether a relay with a low rate has to keep to the slow start budget after n
-// failures or rejections in a row. Where the destination was only at its limit, that leaves capacity to
-// relays that were not rejected. The budget is spent after ejectionThreshold of them, or during a
-// Retry-After; else half of the relays, by chance, may probe once more. It is never spent within
-// circuitOpenAfter of a success.
+// probeBudgetSpent reports whether this relay, if its rate is low, has to keep to the slow start budget after
+// n failures or rejections in a row; this leaves capacity to the relays that were not rejected, should the
+// destination only be over its limit. The budget is spent after ejectionThreshold of them or during a
+// Retry-After; before that, each relay may probe once more with secondProbeProbability. It is never spent
+// within circuitOpenAfter of a success.
 func (d *Dispatcher) probeBudgetSpent(queue *queue, n int) bool {
 	if !d.hasLowRate(queue) || queue.lastSuccessAt > 0 && d.now.Sub(queue.lastSuccessAt) <= circuitOpenAfter {
 		return false
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The first byte of a gossip message is its type. The letters are the wire format.
+// The first byte of a gossip message is its type. The letters are part of the wire format.
 const (
 	circuitOpenType       = 'c' // a destination has rejected a call
 	circuitClosedType     = 'o' // a destination has accepted a call
@@ -15,19 +15,20 @@
 	canaryFailureType     = 'w' // a call to a canary has failed
 )
 
-// maxGossipNumber bounds the numbers of a gossip message, so that none overflows.
+// maxGossipNumber is the largest number that a gossip message may contain, so that conversions do not
+// overflow.
 const maxGossipNumber = 1 << 31
 
-// limitMessage reports that a destination has rejected or accepted a call.
+// limitMessage is the gossip message which reports that a destination has rejected or accepted a call.
 type limitMessage struct {
 	accepted    bool
 	destination int
-	retryAfter  time.Duration // of a rejection, or 0
-	callAge     time.Duration // since the call was sent
+	retryAfter  time.Duration // Retry-After of a rejection; 0 for none
+	callAge     time.Duration // time since the call was sent
 }
 
-// canaryMessage reports the outcome of a message of a class at a canary. Its random ID tells it from copies
-// of itself.
+// canaryMessage is the gossip message that reports the outcome of a message of the given class at a canary.
+// Receivers use the random ID to recognize duplicates.
 type canaryMessage struct {
 	endpoint string
 	class    int
@@ -35,19 +36,20 @@
 	id       uint64
 }
 
-// Observation is what the message of a Broadcast reports, for callers that combine the reports of several
-// relays: one of CircuitOpen (a destination has rejected a call), CircuitClosed (it has accepted one),
-// Recovered (an endpoint has recovered) and ConnectError (it has not accepted a connection).
+// Observation is the decoded content of a Broadcast, for callers that combine the reports of several relays.
+// Exactly one of these is set: CircuitOpen (a destination has rejected a call), CircuitClosed (a destination
+// has accepted a call), Recovered (an ejected endpoint has answered again) or ConnectError (an endpoint has
+// not accepted a connection).
 type Observation struct {
 	CircuitOpen, CircuitClosed, Recovered, ConnectError bool
 	Destination                                         int           // of CircuitOpen and CircuitClosed
 	Endpoint                                            string        // of Recovered and ConnectError
-	RetryAfter                                          time.Duration // Retry-After of a rejection, or 0
-	CallAge                                             time.Duration // since the call was sent
+	RetryAfter                                          time.Duration // of a rejection; 0 for none
+	CallAge                                             time.Duration // time since the call was sent
 }
 
-// DecodeObservation decodes the message of a Broadcast. It returns false for one that is malformed or of
-// another type.
+// DecodeObservation decodes the message of a Broadcast. It returns false for a message that is malformed or
+// that reports the outcome of a canary.
 func DecodeObservation(message []byte) (observed Observation, ok bool) {
 	if limit, ok := decodeLimitMessage(message); ok {
 		return Observation{
@@ -84,7 +86,8 @@
 	return limit.encode()
 }
 
-// encode returns the type, and the numbers as varints with durations in milliseconds.
+// encode returns the message type followed by the destination, the Retry-After and the age of the call as
+// varints, with durations in milliseconds.
 func (m limitMessage) encode() []byte {
 	encoded := []byte{circuitOpenType}
 	if m.accepted {
@@ -95,8 +98,8 @@
 	return binary.AppendUvarint(encoded, uint64(m.callAge.Milliseconds()))
 }
 
-// decodeLimitMessage decodes a limitMessage. It returns false for one that is malformed, longer, or of
-// another type.
+// decodeLimitMessage decodes a limitMessage. It returns false for a message that is malformed, of another
+// type, or followed by further bytes.
 func decodeLimitMessage(message []byte) (m limitMessage, ok bool) {
 	if len(message) == 0 || message[0] != circuitOpenType && message[0] != circuitClosedType {
 		return m, false
@@ -116,7 +119,7 @@
 	}, len(remaining) == 0
 }
 
-// encode returns the type, the class and the ID as varints, and the endpoint.
+// encode returns the message type, followed by the class and the ID as varints and by the ID of the endpoint.
 func (m canaryMessage) encode() []byte {
 	encoded := []byte{canarySuccessType}
 	if m.failed {
@@ -127,7 +130,8 @@
 	return append(encoded, m.endpoint...)
 }
 
-// decodeCanaryMessage decodes a canaryMessage. It returns false for one that is malformed or of another type.
+// decodeCanaryMessage decodes a canaryMessage. It returns false for a message that is malformed or of another
+// type.
 func decodeCanaryMessage(message []byte) (m canaryMessage, ok bool) {
 	if len(message) == 0 || message[0] != canarySuccessType && message[0] != canaryFailureType {
 		return m, false
@@ -144,7 +148,7 @@
 	return canaryMessage{endpoint: string(remaining), class: int(class), failed: failed, id: id}, true
 }
 
-// decodeNumber decodes a varint up to maxGossipNumber, and returns what follows it.
+// decodeNumber decodes a varint of at most maxGossipNumber, and returns the bytes that follow it.
 func decodeNumber(message []byte) (number uint64, remaining []byte, ok bool) {
 	number, length := binary.Uvarint(message)
 	if length <= 0 || number > maxGossipNumber {
@@ -153,12 +157,13 @@
 	return number, message[length:], true
 }
 
-// encodeEndpointMessage returns a message of a type that names an endpoint.
+// encodeEndpointMessage returns a gossip message of the given type, followed by the ID of an endpoint.
 func encodeEndpointMessage(messageType byte, endpoint string) []byte {
 	return append([]byte{messageType}, endpoint...)
 }
 
-// decodeEndpointMessage returns the endpoint that a message of a type names, or "" for another type.
+// decodeEndpointMessage returns the endpoint ID in a gossip message of the given type, or "" if the message
+// is of another type.
 func decodeEndpointMessage(messageType byte, message []byte) string {
 	if len(message) == 0 || message[0] != messageType {
 		return ""
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -10,8 +10,9 @@
 // unknownZone is the zone of an endpoint that is no longer listed.
 const unknownZone = -1
 
-// resumeMessage puts a message that an earlier process admitted back into its queue, with the attempts that
-// were made. One with an attempt in flight comes back to its queue with the end of that attempt.
+// resumeMessage takes over a message that an earlier process admitted, together with its attempts. It queues
+// the message at once, or, if an attempt is still in flight, when that attempt ends without a final answer. A
+// message that already has its final answer is only completed.
 func (d *Dispatcher) resumeMessage(resumed *message) {
 	for _, prior := range resumed.PriorAttempts {
 		d.resumeAttempt(resumed, prior)
@@ -49,8 +50,8 @@
 	}
 }
 
-// unlistedEndpoint stands for an endpoint that is no longer listed. Its zone is unknown, so no other endpoint
-// is known to share its idempotency keys.
+// unlistedEndpoint returns a placeholder for an endpoint that is no longer listed. Its zone is unknown, so
+// that no other endpoint is assumed to share its idempotency keys.
 func (d *Dispatcher) unlistedEndpoint(id string, destination int) *endpoint {
 	return &endpoint{
 		Endpoint: Endpoint{ID: id, Destination: destination, Zone: unknownZone, Removed: true},
@@ -59,8 +60,8 @@
 	}
 }
 
-// adoptCall returns the call of an attempt that an earlier process has in flight. It takes a slot here as
-// well.
+// adoptCall returns the call of an attempt that an earlier process has in flight, creating it for the first
+// of its messages. The call occupies a slot of this dispatcher until it ends.
 func (d *Dispatcher) adoptCall(ep *endpoint, prior PriorAttempt) *call {
 	queue := ep.queue
 	for _, adopted := range queue.calls {
@@ -79,7 +80,7 @@
 	return adopted
 }
 
-// ExportState returns what this dispatcher knows of its queues, for the process that takes over from it.
+// ExportState returns the state of all queues that have endpoints, for the successor process.
 func (d *Dispatcher) ExportState() (all []StateInherited) {
 	for _, q := range d.queues {
 		if len(q.endpoints) > 0 {
@@ -89,7 +90,7 @@
 	return all
 }
 
-// exportState returns the state of a queue.
+// exportState returns the state of a queue and its endpoints.
 func (q *queue) exportState() StateInherited {
 	state := StateInherited{
 		RetryAfterUntil:       q.circuit.retryAfterUntil,
@@ -134,12 +135,13 @@
 	return DecayingCount{Count: c.value, UpdatedAt: c.updatedAt, StartedAt: c.startedAt}
 }
 
-// restoreCounter returns the counter of an exported state.
+// restoreCounter returns the counter with the given exported state.
 func restoreCounter(state DecayingCount) decayingCounter {
 	return decayingCounter{value: state.Count, updatedAt: state.UpdatedAt, startedAt: state.StartedAt}
 }
 
-// Translate returns the state with its times converted to another clock.
+// Translate returns a copy of the state with all its times converted by the function to, for a process whose
+// clock has another origin.
 func (state StateInherited) Translate(to func(instant.Time) instant.Time) StateInherited {
 	state.Endpoints = slices.Clone(state.Endpoints)
 	times := []*instant.Time{
@@ -158,8 +160,8 @@
 	return state
 }
 
-// restoreInherited takes over the state of a queue from the process that hands over, but for endpoints that
-// are no longer listed.
+// restoreInherited restores the state of a queue that the predecessor exported. Endpoints that are no longer
+// listed are skipped.
 func (d *Dispatcher) restoreInherited(state StateInherited) {
 	var restored *queue
 	for _, inherited := range state.Endpoints {
@@ -173,7 +175,7 @@
 	}
 }
 
-// restoreEndpoint takes over the state of an endpoint.
+// restoreEndpoint restores the exported state of an endpoint.
 func (d *Dispatcher) restoreEndpoint(ep *endpoint, state InheritedEndpoint) {
 	d.setEjected(ep, state.Ejected)
 	ep.outlier.ejectedAt = state.EjectedAt
@@ -186,7 +188,8 @@
 	ep.queue.outageSuspected = ep.queue.outageSuspected || state.Ejected
 }
 
-// restoreQueue takes over the state of a queue.
+// restoreQueue restores the exported state of a queue. Latencies are skipped if the number of classes has
+// changed.
 func (d *Dispatcher) restoreQueue(queue *queue, state StateInherited) {
 	queue.circuit.retryAfterUntil = state.RetryAfterUntil
 	queue.circuit.backoffUntil = state.BackoffUntil
@@ -207,7 +210,7 @@
 	}
 }
 
-// latencyEstimate returns the latencies of a state.
+// latencyEstimate returns the latency estimate in an exported state.
 func (state *StateInherited) latencyEstimate() latencyEstimate {
 	return latencyEstimate{
 		outcomes: state.Outcomes,
@@ -216,8 +219,8 @@
 	}
 }
 
-// restoreHealth takes over an endpoint's ejection or slow start from an earlier process, so that a restart
-// during either doesn't overload the endpoint.
+// restoreHealth restores the ejection or the slow start of an endpoint that an earlier process recorded, so
+// that a restart during either does not overload the endpoint.
 func (d *Dispatcher) restoreHealth(restored StateRestored) {
 	slowStarting := d.now.Sub(restored.At) < d.settings.SlowStartWindow
 	ep := d.lookUpEndpoint(restored.Endpoint, restored.Ejected || slowStarting)
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -3,39 +3,44 @@
 import "math"
 
 const (
-	// slowCallFactor is the multiple of the usual latency from which on a call shows that the own zone is
-	// overloaded.
+	// slowCallFactor is the multiple of an endpoint's normal latency above which a call shows that the own
+	// zone is overloaded.
 	slowCallFactor = 2.0
-	// spilloverIncrease is what a slow or rejected call adds to the share of calls that leave the zone. With
-	// spilloverDecrease, the share settles where one call in ten is slow.
+	// spilloverIncrease is what a slow or rejected call adds to the spillover. Together with
+	// spilloverDecrease, the spillover settles where one call in ten is slow.
 	spilloverIncrease = 0.09
-	// spilloverDecrease is what a quick call takes from that share.
+	// spilloverDecrease is what a quick call subtracts from the spillover.
 	spilloverDecrease = 0.01
-	// maxSpillover bounds that share.
+	// maxSpillover bounds the spillover, so that the own zone still gets calls.
 	maxSpillover = 0.9
-	// maxZoneCredit is the number of calls that another zone may save up.
+	// maxZoneCredit is the largest number of calls that another zone can accumulate as credit.
 	maxZoneCredit = 2
 )
 
-// localityBalancer shares the calls of one queue between the relay's own zone and the others: calls stay in
+// localityBalancer divides the calls of one queue between the relay's own zone and the others: calls stay in
 // the own zone while it has capacity. It belongs to one queue and is not safe for concurrent use.
 type localityBalancer struct {
-	zoneShares  []float64       // share of the own zone's messages that each zone serves; nil for all at home
-	spillover   float64         // share of the calls that the own zone has no capacity for, as observed
-	zoneCredits map[int]float64 // calls that are to go to another zone
+	// zoneShares is the share of the own zone's messages that each zone should serve, by reported arrival
+	// rates and capacities; nil if they all stay in the own zone.
+	zoneShares []float64
+	// spillover is the observed share of the calls that the own zone has no capacity for.
+	spillover float64
+	// zoneCredits holds the calls, or parts of a call, that each other zone should still get.
+	zoneCredits map[int]float64
 }
 
-// recordQuickCall lowers the spillover.
+// recordQuickCall lowers the spillover after a call with normal latency.
 func (l *localityBalancer) recordQuickCall() {
 	l.spillover = math.Max(0, l.spillover-spilloverDecrease)
 }
 
-// recordSlowCall raises the spillover.
+// recordSlowCall raises the spillover after a slow or rejected call.
 func (l *localityBalancer) recordSlowCall() {
 	l.spillover = math.Min(maxSpillover, l.spillover+spilloverIncrease)
 }
 
-// share is the share of the calls that another zone should get, of a number of them that serve.
+// share returns the share of the calls that another zone should get, given the number of other zones that can
+// serve the destination.
 func (l *localityBalancer) share(zone, otherZones int) float64 {
 	share := l.spillover / float64(otherZones)
 	if zone < len(l.zoneShares) {
@@ -44,8 +49,8 @@
 	return share
 }
 
-// recordCall counts a call to a zone: it gives all other zones that serve their shares of it, and takes it
-// from the one that gets it.
+// recordCall counts a call: each of the other zones gets its share of a call as credit, and the zone that
+// receives the call pays one call, unless it is the own zone.
 func (l *localityBalancer) recordCall(to, ownZone int, otherZones map[int]bool) {
 	if l.zoneCredits == nil {
 		l.zoneCredits = map[int]float64{}
@@ -58,8 +63,8 @@
 	}
 }
 
-// target is the zone that the next call should go to: the one with the most credit, of a call at least, or
-// the own one.
+// target returns the zone that should get the next call: the other zone with the most credit, if it has
+// credit for at least one call, or else the own zone.
 func (l *localityBalancer) target(ownZone int) int {
 	best := ownZone
 	if len(l.zoneCredits) == 0 {
@@ -73,10 +78,10 @@
 	return best
 }
 
-// spilloverShares is how zones share a destination: the share of each zone's messages (rows) that each zone
-// (columns) serves, by what arrives and the capacities. Each zone serves its own messages first; the rest
-// goes to the others in proportion to the capacity that they have left, and what nobody has capacity for
-// stays.
+// spilloverShares returns, for each zone (row), the share of its messages that each zone (column) should
+// serve, given the demand and the capacity of each zone in messages a second. Each zone serves its own
+// messages first. The excess goes to the other zones in proportion to their free capacity, and what exceeds
+// the total capacity stays in its own zone.
 func spilloverShares(demand, capacity []float64) [][]float64 {
 	free, totalFree, totalExcess := make([]float64, len(demand)), 0.0, 0.0
 	for zone := range demand {
@@ -90,7 +95,7 @@
 		leaving := 0.0
 		if excess := demand[zone] - capacity[zone]; excess > 0 && totalFree > 0 {
 			leaving = excess / demand[zone] * math.Min(1, totalFree/totalExcess)
-			for other := range demand { // a zone without capacity left has a share of 0
+			for other := range demand { // a zone without free capacity gets a share of 0
 				shares[zone][other] = leaving * free[other] / totalFree
 			}
 		}
@@ -99,8 +104,9 @@
 	return shares
 }
 
-// avoidsZone reports whether a message keeps out of an endpoint's zone since operators have evacuated it; but
-// not one whose idempotency key only that zone may have.
+// avoidsZone reports whether a message must not go to an endpoint because operators have evacuated its zone.
+// A message that may already have been executed in one zone, with an idempotency key known only there, is
+// exempt.
 func (d *Dispatcher) avoidsZone(ep *endpoint, m *message) bool {
 	if !d.settings.Zones || m.class.KeysPerZone && m.firstPossibleExecution() != nil {
 		return false
@@ -108,14 +114,14 @@
 	return d.zones.evacuatedByOrder(ep)
 }
 
-// evacuatedByOrder reports whether operators have evacuated an endpoint's zone and its destination is served
-// elsewhere.
+// evacuatedByOrder reports whether operators have evacuated the zone of an endpoint and its destination can
+// be served from another zone.
 func (t *zoneTable) evacuatedByOrder(ep *endpoint) bool {
 	return t.state(ep.Zone) == EvacuatedByOrder && t.servedElsewhere(ep)
 }
 
-// servedElsewhere reports whether a destination has an endpoint that serves in another zone that isn't
-// evacuated by order.
+// servedElsewhere reports whether the destination of an endpoint has a healthy endpoint in another zone that
+// is not evacuated by order.
 func (t *zoneTable) servedElsewhere(ep *endpoint) bool {
 	for _, q := range ep.queue.destination.queues {
 		for _, other := range q.endpoints {
@@ -128,8 +134,9 @@
 	return false
 }
 
-// recordLocalLoad takes in what an outcome in the own zone says of its capacity. An endpoint in slow start
-// says nothing: it is slow for a while, whatever its capacity.
+// recordLocalLoad updates the spillover of a queue with an outcome in the own zone. Endpoints in slow start
+// are ignored, since they are slow for a while whatever their capacity is, and so are slow calls and
+// rejections that carry a Retry-After.
 func (d *Dispatcher) recordLocalLoad(ep *endpoint, ended AttemptEnded) {
 	if !d.settings.Zones || ep.Zone != d.settings.Zone || ep.slowStart.active {
 		return
@@ -149,7 +156,8 @@
 	}
 }
 
-// updateZoneShares takes in the messages a second that arrive for a destination in each zone.
+// updateZoneShares recomputes the zone shares of a queue from the messages a second that arrive for its
+// destination in each zone.
 func (d *Dispatcher) updateZoneShares(q *queue, demand []float64) {
 	q.locality.zoneShares = nil
 	if d.settings.Zone < 0 || d.settings.Zone >= len(demand) || q.limiter.listedRate == 0 {
@@ -165,7 +173,8 @@
 	q.locality.zoneShares = spilloverShares(demand, capacity)[d.settings.Zone]
 }
 
-// targetZone is the zone that the next call of a queue should go to.
+// targetZone returns the zone that the next call of a queue should go to: always the own zone if zones are
+// off in the settings.
 func (d *Dispatcher) targetZone(q *queue) int {
 	if !d.settings.Zones {
 		return d.settings.Zone
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,43 +7,43 @@
 )
 
 const (
-	// ejectionThreshold is the number of consecutive failures that ejects an endpoint: single errors are
-	// ordinary.
+	// ejectionThreshold is the number of consecutive failures that ejects an endpoint. It is above 1, since
+	// single errors are ordinary.
 	ejectionThreshold = 2
-	// errorResponseWeight is what an error response or a broken connection adds to the consecutive failures:
-	// a process is alive there, so it counts half.
+	// errorResponseWeight is what an error response or a broken connection adds to the consecutive failures.
+	// It counts half, because a process was running at the endpoint.
 	errorResponseWeight = 0.5
-	// maxUnhealthyCalls is the number of calls out at once to an ejected or unresponsive endpoint: one that
-	// may be stalled and one that probes.
+	// maxUnhealthyCalls is the largest number of calls in flight to an ejected or unresponsive endpoint: one
+	// that may be stalled and one that probes.
 	maxUnhealthyCalls = 2
 )
 
-// outlierDetector follows the health of one endpoint: consecutive failures eject it, as in Envoy's outlier
-// detection, and a success ends that. It belongs to one endpoint and is not safe for concurrent use.
+// outlierDetector tracks the health of one endpoint: consecutive failures eject it, as in Envoy's outlier
+// detection, and a success ends the ejection. It belongs to one endpoint and is not safe for concurrent use.
 type outlierDetector struct {
-	consecutiveFailures float64   // error responses count errorResponseWeight
-	classFailures       []float64 // consecutive failures by class, for the choice of endpoints
+	consecutiveFailures float64   // weighted: an error response adds errorResponseWeight
+	classFailures       []float64 // consecutive failures by class, used to select endpoints
 	ejected             bool
-	ejectedAt           instant.Time
-	lastFailureAt       instant.Time // of a call here, or as several relays report; 0 for never
-	lastSuccessAt       instant.Time // 0 for never
+	ejectedAt           instant.Time // start of the last ejection; 0 for never
+	lastFailureAt       instant.Time // last failure, here or as several relays report; 0 for never
+	lastSuccessAt       instant.Time // last success of a call of this relay; 0 for never
 }
 
-// healthSource says who observed the health of an endpoint.
+// healthSource says who observed a change in the health of an endpoint.
 type healthSource int
 
 const (
-	firstHand  healthSource = iota // this relay
-	secondHand                     // other relays, or what is known of the whole zone
+	firstHand  healthSource = iota // observed by this relay
+	secondHand                     // reported by other relays, or inferred from the state of the whole zone
 )
 
-// newOutlierDetector returns the detector of an endpoint that nothing is known of.
+// newOutlierDetector returns the detector of an endpoint without any known outcomes.
 func newOutlierDetector(classes int) outlierDetector {
 	return outlierDetector{classFailures: make([]float64, classes)}
 }
 
-// countFailure counts a failed call with a weight, and reports whether it says anything new of the endpoint:
-// not if it was sent before the last success.
+// countFailure counts a failed call with the given weight. It reports whether the failure counts towards an
+// ejection, which it does not if the call was sent before the last success.
 func (o *outlierDetector) countFailure(now instant.Time, failed *call, weight float64) (counts bool) {
 	for _, m := range failed.messages {
 		o.classFailures[m.Class] += weight / float64(len(failed.messages))
@@ -56,7 +56,7 @@
 	return true
 }
 
-// probesOut is the number of calls out that were sent after the ejection.
+// probesOut returns the number of calls in flight that were sent after the ejection.
 func (ep *endpoint) probesOut() int {
 	probes := 0
 	for _, c := range ep.calls {
@@ -67,8 +67,9 @@
 	return probes
 }
 
-// recordSuccess takes in a successful call: an ejected endpoint starts its slow start. Where the destination
-// reports little remaining capacity, the send rate's quiet time starts anew.
+// recordSuccess handles a successful call to an endpoint. An ejected endpoint enters slow start, unless its
+// zone may not recover yet. capacityRemains is false if the destination reported that little of its allowance
+// remains; the send rate then counts at most rateWindow of quiet time, and so rises slowly.
 func (d *Dispatcher) recordSuccess(ep *endpoint, capacityRemains bool) {
 	queue := ep.queue
 	ep.outlier.consecutiveFailures, ep.outlier.lastSuccessAt, queue.lastSuccessAt = 0, d.now, d.now
@@ -82,7 +83,8 @@
 		for _, other := range queue.endpoints {
 			other.peerReport = peerReport{}
 			bucket := &other.slowStart.bucket
-			bucket.tokens = math.Max(bucket.tokens, 1) // outages mostly end for a whole destination
+			// Most outages end for all endpoints of a destination at once.
+			bucket.tokens = math.Max(bucket.tokens, 1)
 		}
 	}
 	queue.circuit.consecutiveRejections, queue.outageSuspected = 0, false
@@ -91,8 +93,8 @@
 	}
 }
 
-// recordFailure takes in a failed call, and ejects its endpoint after ejectionThreshold of them. A relay with
-// a low rate whose probe budget is spent after one failure ejects it at half of the threshold.
+// recordFailure handles a failed call, and ejects its endpoint after ejectionThreshold consecutive failures.
+// A relay with a low rate whose probe budget is spent after one failure ejects it at half that threshold.
 func (d *Dispatcher) recordFailure(ep *endpoint, failed *call, weight float64) {
 	if !ep.outlier.countFailure(d.now, failed, weight) {
 		return
@@ -103,10 +105,11 @@
 	}
 }
 
-// eject ejects an endpoint that this relay observed to fail.
+// eject ejects an endpoint that failed in this relay's own observation.
 func (d *Dispatcher) eject(ep *endpoint) { d.ejectEndpoint(ep, firstHand) }
 
-// ejectEndpoint ejects an endpoint, and lets the messages of its route choose again.
+// ejectEndpoint ejects an endpoint and records that for a later process. If the endpoint is on a separate
+// route, the messages that wait for it select a route again.
 func (d *Dispatcher) ejectEndpoint(ep *endpoint, source healthSource) {
 	if ep.outlier.ejected {
 		return
@@ -122,7 +125,7 @@
 	}
 }
 
-// setEjected marks an endpoint as ejected or not.
+// setEjected sets or clears the ejection of an endpoint.
 func (d *Dispatcher) setEjected(ep *endpoint, ejected bool) {
 	d.updateAvailability(ep, func() { ep.outlier.ejected = ejected })
 }
--- a/policy/peer_report.go
+++ b/policy/peer_report.go
@@ -2,21 +2,21 @@
 
 import "milletsail/internal/instant"
 
-// peerReport is what other relays report of an endpoint or a destination, with the times by this relay's
-// clock.
+// peerReport is the latest report of what other relays observe of an endpoint or a destination. Its times are
+// by this relay's clock.
 type peerReport struct {
-	observers  int
-	rank       int          // this relay's turn to probe, from 0
-	oldestAt   instant.Time // first observation
-	newestAt   instant.Time // last observation
-	validUntil instant.Time
+	observers  int          // relays that report a problem; 0 for no report
+	rank       int          // position of this relay in the order of probing, from 0
+	oldestAt   instant.Time // time of the first observation
+	newestAt   instant.Time // time of the last observation
+	validUntil instant.Time // end of the time in which the report may be used
 }
 
-// valid reports whether there is a report that may still be used.
+// valid reports whether there is a report and it may still be used.
 func (r peerReport) valid(now instant.Time) bool { return r.observers > 0 && now < r.validUntil }
 
-// handlePeerSuspected takes in what other relays report. This relay's own observations take precedence if
-// they are younger than the first of the others.
+// handlePeerSuspected stores a report of other relays on an endpoint or a destination, and acts on it if it
+// concerns a destination.
 func (d *Dispatcher) handlePeerSuspected(suspected PeerSuspected) {
 	report := peerReport{
 		observers:  suspected.Observers,
@@ -27,7 +27,8 @@
 	}
 	valid := report.valid(d.now)
 	if ep := d.lookUpEndpoint(suspected.Endpoint, valid); ep != nil {
-		// Used for zones and probe turns alone: among many relays, single errors soon make minObservers.
+		// A report on an endpoint does not eject it: in a large fleet, unrelated single errors soon add up to
+		// minObservers. It only affects zone surveys and the turns to probe.
 		ep.peerReport = report
 		if suspected.RecentObservers >= minObservers {
 			ep.outlier.lastFailureAt = max(ep.outlier.lastFailureAt, report.newestAt)
@@ -40,8 +41,9 @@
 	}
 }
 
-// applyDestinationReport ejects the endpoints of a destination that enough relays have found to reject
-// everything for circuitOpenAfter.
+// applyDestinationReport ejects the endpoints of a destination if at least minObservers relays have had all
+// calls rejected for circuitOpenAfter. A success at this relay since the first of these observations takes
+// precedence.
 func (d *Dispatcher) applyDestinationReport(q *queue, report peerReport) {
 	q.peerReport = report
 	lasting := d.now.Sub(report.oldestAt) > circuitOpenAfter
@@ -55,14 +57,15 @@
 	}
 }
 
-// handleGossip takes in a message of another relay: a rejection counts like an own one, but not for health;
-// an ejected endpoint may have recovered, or one may not have accepted a connection; or a canary has had an
-// outcome.
+// handleGossip handles a message of another relay. A rejection pauses the queue like an own one, but does not
+// affect the health of its endpoints. The other messages report that an ejected endpoint has recovered, that
+// an endpoint has refused a connection, or the outcome of a call to a canary.
 func (d *Dispatcher) handleGossip(message []byte) {
 	d.fleet.lastGossipAt = d.now
 	recovered := d.endpoints[decodeEndpointMessage(endpointRecoveredType, message)]
 	if recovered != nil && recovered.outlier.ejected && d.mayRecover(recovered) {
-		// All relays receive it at once, so saved tokens would be a call of each.
+		// All relays receive this at about the same time: with a whole token each, they would all send at
+		// once.
 		d.startSlowStart(recovered, d.random.Float64(), secondHand)
 	}
 	if ep := d.endpoints[decodeEndpointMessage(connectErrorType, message)]; ep != nil {
@@ -74,7 +77,7 @@
 	}
 }
 
-// handleLimitMessage takes in that a destination has rejected or accepted a call of another relay.
+// handleLimitMessage handles the report that a destination has rejected or accepted a call of another relay.
 func (d *Dispatcher) handleLimitMessage(limit limitMessage) {
 	queue := d.sharedQueue(limit.destination, !limit.accepted)
 	switch {
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -8,25 +8,24 @@
 )
 
 const (
-	// minObservers is the number of relays that have to report an endpoint as down, or a destination as
-	// rejecting, before that stands for own observations: one relay may have a faulty network of its own, and
-	// two may share it.
+	// minObservers is the number of relays that have to report a problem before a report counts like this
+	// relay's own observations: a single relay may have a faulty network, and two may share it.
 	minObservers = 3
-	// probeInterval is the time between two probes of the whole fleet, and between the turns of two relays:
-	// half the window in which receivers commonly count calls.
+	// probeInterval is the shortest time between two probes of the whole fleet, and between the turns of two
+	// relays: half the window in which receivers commonly count calls.
 	probeInterval = rateWindow / 2
 )
 
-// singleProber reports whether several relays were rejected by a destination and this one has not been served
-// since. It isn't known to be down yet, but the calls of one relay at a time find out as well as those of
-// all.
+// singleProber reports whether several relays report rejections by a destination and this relay has had no
+// success there since. The destination is not yet known to be down, but one probing relay at a time finds
+// that out as well as all of them.
 func (q *queue) singleProber(now instant.Time) bool {
 	report := q.peerReport
 	return report.observers >= minObservers && now < report.validUntil && q.lastSuccessAt < report.oldestAt
 }
 
-// isProber reports whether a destination is down, or nearly known to be, and this relay is the next of the
-// fleet to probe it: regardless of its own send rate and pauses, since it probes for all.
+// isProber reports whether a destination is down or suspected to be, and it is this relay's turn to probe it
+// for the fleet. A prober ignores its own send rate and backoff.
 func (d *Dispatcher) isProber(q *queue) bool {
 	if !q.allEjected() && !q.singleProber(d.now) || len(q.endpoints) == 0 {
 		return false
@@ -35,9 +34,9 @@
 	return turn > 0 && turn <= d.now.Add(probeInterval)
 }
 
-// probeTurn is when this relay may probe what the fleet reports as down, or 0 where it reports nothing: the
-// first by rank an interval after anyone's last probe; and if that relay has nothing to send, after each
-// further interval twice as many relays.
+// probeTurn returns when this relay may probe an endpoint that the fleet reports as down, or 0 if there is no
+// valid report. The first relay by rank probes one interval after the fleet's last probe. In case that relay
+// has nothing to send, each further interval lets about twice as many relays probe.
 func (d *Dispatcher) probeTurn(ep *endpoint) instant.Time {
 	report := ep.peerReport
 	ofQueue := ep.queue.peerReport
@@ -55,8 +54,8 @@
 	return max(report.newestAt, ep.queue.probedAt).Add(time.Duration(intervals * float64(interval)))
 }
 
-// blockedUntil is until when a queue sends nothing. A Retry-After always binds, the relay's own pause not
-// while it probes for the fleet.
+// blockedUntil returns until when a queue sends nothing. A Retry-After always applies; the relay's own
+// backoff does not while it probes for the fleet.
 func (d *Dispatcher) blockedUntil(q *queue) instant.Time {
 	if d.isProber(q) {
 		return q.circuit.retryAfterUntil
--- a/policy/rate_sharing.go
+++ b/policy/rate_sharing.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// publishIntervalPerRelay is the part that each relay of the fleet adds to the time between two published
-	// rates.
+	// publishIntervalPerRelay is what each relay of the fleet adds to the time between two rates that a relay
+	// publishes.
 	publishIntervalPerRelay = 100 * time.Millisecond
-	// minPublishInterval is the least time between two published rates: the interval of the heartbeats that
-	// carry them.
+	// minPublishInterval is the shortest time between two published rates: the interval of the heartbeats
+	// that carry them.
 	minPublishInterval = 5 * time.Second
-	// minTrafficShare is the least multiple of an even share that a relay takes for having little traffic.
+	// minTrafficShare is the smallest traffic share of a relay, as a multiple of an even share.
 	minTrafficShare = 0.5
-	// maxTrafficShare is the greatest multiple of an even share that a relay takes for having much traffic.
+	// maxTrafficShare is the largest traffic share of a relay, as a multiple of an even share.
 	maxTrafficShare = 3
 )
 
-// peerTraffic is what the other relays send a destination.
+// peerTraffic is the last report of the rates at which the other relays send to a destination.
 type peerTraffic struct {
 	rate      PeerRateReceived
-	rateUntil instant.Time // until when it may be used
+	rateUntil instant.Time // end of the time in which the report may be used
 }
 
-// arrivalRate is the rate of messages at another relay, in messages a second, and whether it is known. As it
-// is known from few relays, a standard error is added.
+// arrivalRate returns the rate at which messages arrive at another relay on average, in messages a second,
+// and whether it is known. Since the mean is over a sample of the relays, one standard error is added.
 func (p *peerTraffic) arrivalRate(now instant.Time) (rate float64, known bool) {
 	if now >= p.rateUntil || p.rate.Reporters < minObservers {
 		return 0, false
@@ -35,21 +35,21 @@
 	return p.rate.ArrivalRate + p.rate.ArrivalRateError, true
 }
 
-// fleetState is what is known of the fleet as a whole.
+// fleetState holds what is known of the fleet as a whole.
 type fleetState struct {
-	liveRelays   int          // that share the traffic now; 0 for unknown
+	liveRelays   int          // relays that share the traffic now; 0 for unknown
 	lastGossipAt instant.Time // when the last gossip message was received
 	publisher    ratePublisher
 }
 
-// ratePublisher publishes this relay's rates, one destination after the other.
+// ratePublisher schedules the publication of this relay's rates, one destination at a time.
 type ratePublisher struct {
-	nextAt    instant.Time
-	nextQueue int // in Dispatcher.queues
+	nextAt    instant.Time // earliest time of the next publication
+	nextQueue int          // counter; its remainder is an index into Dispatcher.queues
 }
 
-// handlePeerRate takes in what other relays send a destination. A relay that has no experience with it starts
-// with the fleet's rate.
+// handlePeerRate handles a report of the rates of other relays for a destination. If this relay has had no
+// outcome there yet, it takes over the fleet's send rate.
 func (d *Dispatcher) handlePeerRate(received PeerRateReceived) {
 	queue := d.sharedQueue(received.Destination, true)
 	if queue == nil {
@@ -68,7 +68,8 @@
 	}
 }
 
-// relayCount is the number of relays that share the traffic.
+// relayCount returns the number of relays that share the traffic: the live ones if they are known, at most
+// FleetSize.
 func (d *Dispatcher) relayCount() float64 {
 	if d.fleet.liveRelays > 0 {
 		return float64(min(d.fleet.liveRelays, d.settings.FleetSize))
@@ -76,8 +77,9 @@
 	return float64(d.settings.FleetSize)
 }
 
-// trafficShare is this relay's part of what the fleet may send a destination, by the traffic that it has for
-// it, as a multiple of an even share.
+// trafficShare returns this relay's part of what the fleet may send to a destination, as a multiple of an
+// even share. It follows the arrival rate here relative to that of the other relays, and is 1 if theirs is
+// unknown.
 func (d *Dispatcher) trafficShare(q *queue) float64 {
 	usual, known := q.peers.arrivalRate(d.now)
 	if !known {
@@ -87,7 +89,7 @@
 	return math.Min(maxTrafficShare, math.Max(minTrafficShare, own/math.Max(minRate, usual)))
 }
 
-// publishRate publishes this relay's send rate for one destination after the other.
+// publishRate publishes the send rate and the arrival rate of the next destination, if it is time.
 func (d *Dispatcher) publishRate() {
 	if !d.settings.PublishRates || d.now < d.fleet.publisher.nextAt || len(d.queues) == 0 {
 		return
--- a/policy/resource_backoff.go
+++ b/policy/resource_backoff.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	// initialResourceBackoff is the pause of an endpoint after a call that could not be started. It doubles
-	// with each further one until a call starts.
+	// initialResourceBackoff is the pause of an endpoint after a call that could not be started. Each further
+	// such call doubles it, until a call starts.
 	initialResourceBackoff = 20 * time.Millisecond
-	// maxResourceBackoff bounds that pause: service has to be back within seconds of the shortage's end.
+	// maxResourceBackoff bounds that pause, so that calls resume soon after the shortage ends.
 	maxResourceBackoff = 320 * time.Millisecond
 )
 
-// resourceBackoff pauses one endpoint after a call that could not be started for want of a local resource:
-// file descriptors, ports, kernel memory, a route. That says nothing of the endpoint, and uses up no attempt.
+// resourceBackoff pauses one endpoint after a call that could not be started because a local resource is
+// exhausted: file descriptors, ports, kernel memory or a route. Such a call does not affect the health of the
+// endpoint and uses up no attempt.
 type resourceBackoff struct {
-	until instant.Time
-	delay time.Duration
+	until instant.Time  // end of the pause
+	delay time.Duration // duration of the last pause; 0 after a call that started
 }
 
-// extend starts the next pause, unless one lasts: several calls that were out may fail together.
+// extend starts the next, longer pause. It does nothing during a pause, since several calls in flight may
+// fail together.
 func (b *resourceBackoff) extend(now instant.Time) {
 	if now < b.until {
 		return
@@ -31,14 +33,15 @@
 	b.until = now.Add(b.delay)
 }
 
-// resourcesExhausted reports whether no call can be started to any endpoint of a queue.
+// resourcesExhausted reports whether all endpoints of a queue are paused because calls could not be started.
 func (q *queue) resourcesExhausted(now instant.Time) bool {
 	startable := func(ep *endpoint) bool { return now >= ep.resourceBackoff.until }
 	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, startable)
 }
 
-// recordNotStarted takes in that a call could not be started for one of its messages: its endpoint gets
-// nothing for a moment, and what the call took of the send rate and the slow start budget is returned.
+// recordNotStarted handles one attempt of a call that could not be started: it pauses the endpoint, and with
+// the last attempt of the call returns the tokens that the call took from the send rate and the slow start
+// budget.
 func (d *Dispatcher) recordNotStarted(c *call) {
 	ep := c.endpoint
 	if c.openAttempts == 0 && ep.queue.limiter.rate > 0 {
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -3,30 +3,36 @@
 import "time"
 
 const (
-	// minFailingEndpoints is the number of endpoints that must fail in a zone for it to count as failing.
+	// minFailingEndpoints is the number of endpoints that must fail in a zone for the zone to count as
+	// failing.
 	minFailingEndpoints = 3
-	// minFailingDestinations is the number of destinations that these must belong to.
+	// minFailingDestinations is the number of different destinations that the failing endpoints of a zone
+	// must belong to for the zone to count as failing.
 	minFailingDestinations = 2
-	// zoneFailureThreshold is the share of a zone's endpoints of known health that must fail.
+	// zoneFailureThreshold is the share of a zone's endpoints of known health that must fail for the zone to
+	// count as failing.
 	zoneFailureThreshold = 0.6
-	// maxOtherZonesFailureShare is the share of the other zones' endpoints that may fail: above it, the zone
-	// isn't the cause.
+	// maxOtherZonesFailureShare is the share of the other zones' endpoints of known health that may fail.
+	// Above it, the cause lies outside the zone, which is then not evacuated.
 	maxOtherZonesFailureShare = 0.25
-	// healthObservationWindow is the age up to which an outcome says something of an endpoint's health.
+	// healthObservationWindow is the age up to which an outcome counts for the health of an endpoint in a
+	// zone survey.
 	healthObservationWindow = 5 * time.Second
 	// panicThreshold is the share of the listed endpoints that may be evacuated at once: the rest could not
-	// carry more, and the observation is more likely to be wrong (the reason of Envoy's panic threshold).
+	// serve all traffic, and the failure is more likely to be one of observation (the reason of Envoy's panic
+	// threshold).
 	panicThreshold = 0.5
-	// initialRecoveryBackoff is the time before a zone whose recovery failed may recover again. It doubles
-	// with each further failure, up to the slow start window.
+	// initialRecoveryBackoff, doubled for each consecutive failed recovery of a zone, is the time before the
+	// zone may recover again. That time is at most the slow start window.
 	initialRecoveryBackoff = time.Second
 	// minIsolatingZones is the number of other zones that must all fail for this relay to count as isolated.
 	minIsolatingZones = 2
-	// maxRecoveryDoublings bounds the shift that doubles that time.
+	// maxRecoveryDoublings bounds the shift that doubles the recovery backoff, so that it cannot overflow.
 	maxRecoveryDoublings = 16
 )
 
-// evaluateZones evacuates the zones that fail as a whole, and ends orders and recoveries whose time is over.
+// evaluateZones evacuates zones that fail as a whole, starts the recovery of zones whose evacuation order has
+// expired, and ends recoveries that are complete or have failed.
 func (d *Dispatcher) evaluateZones() {
 	if !d.settings.Zones {
 		return
@@ -65,8 +71,9 @@
 	}
 }
 
-// recoverEvacuatedZones takes all evacuations back: if more than panicThreshold of the endpoints seem to
-// fail, the observation is more likely to be wrong.
+// recoverEvacuatedZones starts the recovery of all zones that this relay evacuated by itself. It is called
+// when more than panicThreshold of the endpoints would be evacuated, since the failures are then more likely
+// to be a fault of observation.
 func (d *Dispatcher) recoverEvacuatedZones(surveys []zoneSurvey) {
 	for number := range surveys {
 		if d.zones.get(number).state == Evacuated {
@@ -75,8 +82,8 @@
 	}
 }
 
-// reachesOtherZone reports whether a zone that is neither the own nor the one that fails has answered a call
-// that was sent after the failures started: only then it isn't this relay that is isolated.
+// reachesOtherZone reports whether a zone other than the failing one and the relay's own has answered a call
+// that was sent after the failures began. Otherwise the relay itself may be isolated.
 func (t *zoneTable) reachesOtherZone(number, ownZone int, surveys []zoneSurvey) bool {
 	for other, survey := range surveys {
 		bystander := other != number && other != ownZone
@@ -87,8 +94,9 @@
 	return false
 }
 
-// detectIsolation reports whether this relay is isolated: all zones but its own fail, of which there are two
-// at least. Its observations then count as second-hand, and it goes on with what it reaches.
+// detectIsolation reports whether this relay is isolated: all zones but its own fail, and there are at least
+// minIsolatingZones of them. An isolated relay still calls the endpoints that it reaches, but its
+// observations are recorded as second-hand.
 func detectIsolation(ownZone int, surveys []zoneSurvey) bool {
 	others := 0
 	for number, survey := range surveys {
@@ -102,8 +110,8 @@
 	return others >= minIsolatingZones
 }
 
-// evacuate moves what has endpoints elsewhere out of a zone, and cancels calls there that are later than
-// usual and may be retried.
+// evacuate sets the state of a zone and moves the traffic of destinations that can be served elsewhere out of
+// it. Calls to the zone that are later than usual are canceled if they may be retried.
 func (d *Dispatcher) evacuate(number int, state ZoneState) {
 	d.setZoneState(number, state)
 	for _, ep := range d.endpointsInZone(number) {
@@ -121,8 +129,8 @@
 	}
 }
 
-// startRecovery lets a zone serve again, with the slow start of endpoints that were ejected. Those that fail
-// recover by probes of their own.
+// startRecovery lets a zone serve again. Endpoints that have not failed since their last success enter slow
+// start; the others recover one by one, when a probe of their own succeeds.
 func (d *Dispatcher) startRecovery(number int) {
 	d.setZoneState(number, Recovering)
 	for _, ep := range d.endpointsInZone(number) {
@@ -132,8 +140,9 @@
 	}
 }
 
-// mayRecover reports whether an ejected endpoint that answers gets more than probes: not before its zone's
-// backoff is over, and one zone at a time. It starts the recovery of the zone.
+// mayRecover reports whether an ejected endpoint that has answered a probe may enter slow start. In an
+// evacuated zone it may not before the recovery backoff is over or while another zone recovers; otherwise
+// mayRecover starts the recovery of that zone.
 func (d *Dispatcher) mayRecover(ep *endpoint) bool {
 	if d.zones.state(ep.Zone) != Evacuated {
 		return true
--- a/policy/zone_survey.go
+++ b/policy/zone_survey.go
@@ -9,19 +9,20 @@
 // destinationBits is the number of bits of zoneSurvey.failingDestinations.
 const destinationBits = 64
 
-// maxZones bounds the numbers of zones: a wrong number in an endpoint list must not take memory.
+// maxZones is one more than the largest valid zone number. It keeps an invalid number in an endpoint list
+// from allocating memory.
 const maxZones = 64
 
-// zoneSurvey counts the endpoints of a zone.
+// zoneSurvey counts the endpoints of a zone by their health.
 type zoneSurvey struct {
-	listed              int
-	known               int          // of known health
-	failing             int          // of these
-	failingDestinations uint64       // a bit for each, by number
-	lastAnsweredAt      instant.Time // when the latest call that was answered was sent
+	listed              int          // endpoints that are listed and not draining
+	known               int          // listed endpoints whose health is known
+	failing             int          // listed endpoints that fail
+	failingDestinations uint64       // set of their destinations: bit n for number n modulo destinationBits
+	lastAnsweredAt      instant.Time // when the latest call to the zone that succeeded was sent
 }
 
-// add counts an endpoint.
+// add counts an endpoint of the given health.
 func (s *zoneSurvey) add(ep *endpoint, health endpointHealth) {
 	s.listed++
 	s.lastAnsweredAt = max(s.lastAnsweredAt, ep.succeededCallAt)
@@ -41,7 +42,7 @@
 		float64(s.failing) >= zoneFailureThreshold*float64(s.known)
 }
 
-// failsAlone reports whether the zone fails as a whole, and the others, taken together, don't.
+// failsAlone reports whether the zone fails as a whole while the other zones together do not.
 func (s *zoneSurvey) failsAlone(all []zoneSurvey) bool {
 	known, failing := -s.known, -s.failing
 	for _, survey := range all {
@@ -50,7 +51,7 @@
 	return s.fails() && float64(failing) <= maxOtherZonesFailureShare*float64(known)
 }
 
-// endpointHealth is the health of an endpoint as a survey counts it.
+// endpointHealth is the health of an endpoint in a zone survey.
 type endpointHealth int
 
 const (
@@ -59,7 +60,8 @@
 	healthFailing
 )
 
-// health returns the health of an endpoint for the survey of its zone.
+// health returns the health of an endpoint for a zone survey. Failures from before the recovery of its zone
+// do not count during that recovery.
 func (t *zoneTable) health(ep *endpoint, now instant.Time) endpointHealth {
 	outlier, zone := &ep.outlier, t.get(ep.Zone)
 	failedLast := outlier.lastFailureAt > outlier.lastSuccessAt
@@ -74,7 +76,8 @@
 	return healthUnknown
 }
 
-// surveyZones counts the endpoints by zone, and the listed ones of all zones.
+// surveyZones returns a survey of each zone and the number of listed endpoints in all zones. It also updates
+// failingSince of the zones.
 func (d *Dispatcher) surveyZones() (surveys []zoneSurvey, listed int) {
 	for _, q := range d.queues {
 		for _, ep := range q.endpoints {
--- a/policy/zone_table.go
+++ b/policy/zone_table.go
@@ -6,25 +6,25 @@
 	"milletsail/internal/instant"
 )
 
-// zoneTable holds the zones that endpoints are listed in. It belongs to one dispatcher and is not safe for
-// concurrent use.
+// zoneTable holds the state of the zones that have listed endpoints. It belongs to one dispatcher and is not
+// safe for concurrent use.
 type zoneTable struct {
 	byNumber map[int]*zoneRecord
-	isolated bool // this relay gets no answer from any zone but its own
+	isolated bool // all zones but this relay's own fail; see detectIsolation
 }
 
-// zoneRecord is the state of a zone.
+// zoneRecord is the state of a zone at this relay.
 type zoneRecord struct {
 	state            ZoneState
-	enteredAt        instant.Time // the state
-	deadline         instant.Time // the end of an order, or of the backoff after a failed recovery
-	failingSince     instant.Time // when endpoints there started to fail; 0 while none do
-	failedRecoveries int          // in a row
-	evacuations      int
-	recoveries       int
+	enteredAt        instant.Time // when the zone entered its state
+	deadline         instant.Time // end of an evacuation order, or of the backoff after a failed recovery
+	failingSince     instant.Time // when endpoints of the zone started to fail; 0 while none do
+	failedRecoveries int          // consecutive failed recoveries
+	evacuations      int          // evacuations so far, by order or not
+	recoveries       int          // completed recoveries so far
 }
 
-// get returns the record of a zone.
+// get returns the record of a zone, which it creates if needed.
 func (t *zoneTable) get(number int) *zoneRecord {
 	if t.byNumber[number] == nil {
 		if t.byNumber == nil {
@@ -35,7 +35,7 @@
 	return t.byNumber[number]
 }
 
-// state returns the state of a zone; Serving for one that is unknown.
+// state returns the state of a zone, or Serving for a zone without a record.
 func (t *zoneTable) state(number int) ZoneState {
 	if record := t.byNumber[number]; record != nil {
 		return record.state
@@ -43,7 +43,7 @@
 	return Serving
 }
 
-// anyRecovering reports whether a zone is recovering.
+// anyRecovering reports whether any zone is recovering.
 func (t *zoneTable) anyRecovering() bool {
 	for _, record := range t.byNumber {
 		if record.state == Recovering {
@@ -53,14 +53,14 @@
 	return false
 }
 
-// setZoneState sets the state of a zone.
+// setZoneState sets the state of a zone and reports the change.
 func (d *Dispatcher) setZoneState(number int, state ZoneState) {
 	record := d.zones.get(number)
 	record.state, record.enteredAt = state, d.now
 	d.emit(ZoneStateChanged{Zone: number, State: state})
 }
 
-// endpointsInZone returns the endpoints of a zone, in the order of the queues.
+// endpointsInZone returns the listed endpoints of a zone, in the order of the queues.
 func (d *Dispatcher) endpointsInZone(number int) (all []*endpoint) {
 	for _, q := range d.queues {
 		for _, ep := range q.endpoints {
@@ -72,7 +72,7 @@
 	return all
 }
 
-// Zones returns the status of all zones, and whether this relay takes itself for isolated.
+// Zones returns the status of all zones, and whether this relay is isolated: all zones but its own fail.
 func (d *Dispatcher) Zones() (all []ZoneStatus, isolated bool) {
 	surveys, _ := d.surveyZones()
 	for number, survey := range surveys {
@@ -90,8 +90,9 @@
 	return all, d.zones.isolated
 }
 
-// Order evacuates a zone by an operator's order until a moment, or ends the order if until is 0. It returns
-// an error for an order that makes no sense. Handle has to be called after it.
+// Order evacuates a zone on behalf of an operator until the given time, or ends such an order if until is 0.
+// It returns an error, and changes nothing, if the zone has no endpoints, is already in the requested state
+// or is the last one not evacuated by order. The caller has to call Handle afterwards.
 func (d *Dispatcher) Order(number int, until instant.Time) error {
 	surveys, _ := d.surveyZones()
 	if !d.settings.Zones || number < 0 || number >= len(surveys) || surveys[number].listed == 0 {
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// otherZoneRemains reports whether endpoints are listed in another zone that is not evacuated by order.
+// otherZoneRemains reports whether another zone that is not evacuated by order has listed endpoints.
 func (t *zoneTable) otherZoneRemains(number int, surveys []zoneSurvey) bool {
 	for other, survey := range surveys {
 		if other != number && survey.listed > 0 && t.get(other).state != EvacuatedByOrder {
