--- a/policy/canary_test.go
+++ b/policy/canary_test.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// canaryFleet is a fleet of relays in virtual time whose destination has two older endpoints and new ones.
-// Notes are carried to all others, but those that lose drops.
+// canaryFleet simulates a fleet of relays in virtual time. Its destination has two old endpoints, to which
+// tests add new ones. Broadcasts reach all other relays, except those for which lose returns true.
 type canaryFleet struct {
 	*testing.T
 	relays    []*Dispatcher
 	now       time.Duration
-	n         int
-	out       [][]due
-	sent      map[string]int
-	fails     func(ep string, class int) Outcome
-	took      func(ep string) time.Duration
-	lose      func() bool
-	suspended map[string]int // relays that held an endpoint back
+	n         int                                // messages that have arrived
+	out       [][]due                            // by relay: outcomes and gossip messages to come
+	sent      map[string]int                     // calls by endpoint
+	fails     func(ep string, class int) Outcome // outcome of a call
+	took      func(ep string) time.Duration      // latency of a call
+	lose      func() bool                        // whether a gossip message is lost
+	suspended map[string]int                     // suspensions by endpoint, over all relays
 	rng       *rand.Rand
 }
 
+// newCanaryFleet returns a fleet in which all calls succeed within 30 ms and no gossip message is lost.
 func newCanaryFleet(t *testing.T, relays int) *canaryFleet {
 	t.Helper()
 	p := &canaryFleet{T: t, sent: map[string]int{}, suspended: map[string]int{},
@@ -43,13 +44,14 @@
 	return p
 }
 
-// list tells all relays of endpoints.
+// list updates the endpoint list of all relays.
 func (p *canaryFleet) list(eps ...Endpoint) {
 	for no := range p.relays {
 		p.handle(no, EndpointsUpdated{Endpoints: eps})
 	}
 }
 
+// handle passes events to a relay and schedules the effects of its actions.
 func (p *canaryFleet) handle(no int, events ...Event) {
 	for _, a := range p.relays[no].Handle(moment(p.now), events) {
 		switch a := a.(type) {
@@ -75,7 +77,8 @@
 	}
 }
 
-// run has each relay get rate messages a second, one in five of them of the second class.
+// run simulates until the given time. Each relay receives rate messages a second, every fifth of them of
+// class 1 and the others of class 0.
 func (p *canaryFleet) run(until time.Duration, rate float64) {
 	for ; p.now < until; p.now += 10 * ms {
 		for no := range p.relays {
@@ -105,7 +108,8 @@
 	}
 }
 
-// canaryShare runs until a time, and returns the share of its calls that the endpoint "new" got.
+// canaryShare runs until the given time and returns the share of the calls in that time that went to the
+// endpoint "new".
 func (p *canaryFleet) canaryShare(until time.Duration, rate float64) float64 {
 	clear(p.sent)
 	p.run(until, rate)
@@ -116,25 +120,26 @@
 	return float64(p.sent["new"]) / float64(max(1, all))
 }
 
-// canaryCase is a new version of an endpoint, and what the relays have to make of it.
+// canaryCase describes the behaviour of the endpoints in one test case, and the expected result for the
+// endpoint "new".
 type canaryCase struct {
 	name      string
-	fails     func(ep string, class int) Outcome
-	slow      bool
-	lose      float64
-	suspended bool
-	served    float64 // share of the calls in the first 14 s, at most
-	through   int     // relays that are through with it after 30 s, at least
+	fails     func(ep string, class int) Outcome // outcome of a call; nil if all calls succeed
+	slow      bool                               // "new" answers in 400 ms rather than 30 ms
+	lose      float64                            // share of the gossip messages that are lost
+	suspended bool                               // whether the relays should suspend "new"
+	served    float64                            // largest allowed share of the calls in the first 14 s
+	through   int                                // fewest relays that complete the trial within 30 s
 }
 
-// fleet returns 20 relays whose endpoints behave as the case says.
+// fleet returns 20 relays whose endpoints behave as the case describes.
 func (c *canaryCase) fleet(t *testing.T) *canaryFleet {
 	t.Helper()
 	p := newCanaryFleet(t, 20)
 	p.lose = func() bool { return p.rng.Float64() < c.lose }
 	if c.fails != nil {
 		p.fails = func(ep string, class int) Outcome {
-			if c.name == "good beside errors of all" && p.rng.Float64() > 0.2 {
+			if c.name == "healthy, but one call in five fails at all endpoints" && p.rng.Float64() > 0.2 {
 				return OK
 			}
 			return c.fails(ep, class)
@@ -151,7 +156,7 @@
 	return p
 }
 
-// check checks what the relays make of the endpoint "new".
+// check runs the case and checks how many calls "new" receives and how many relays suspend or promote it.
 func (c *canaryCase) check(t *testing.T) {
 	t.Helper()
 	p := c.fleet(t)
@@ -159,10 +164,11 @@
 	p.list(Endpoint{ID: "new", StartedAt: moment(p.now)})
 	share := p.canaryShare(24*time.Second, 2)
 	if share > c.served {
-		t.Errorf("%.3f of the calls go there", share)
+		t.Errorf("the canary got a share of %.3f of the calls, more than the case allows", share)
 	}
 	if suspended := p.suspended["new"]; c.suspended && suspended < 15 || !c.suspended && suspended > 0 {
-		t.Errorf("suspended by %d of 20 relays", suspended)
+		t.Errorf("got %d suspensions by 20 relays, want at least 15 if the canary is worse, else 0",
+			suspended)
 	}
 	if c.suspended {
 		return
@@ -175,11 +181,12 @@
 		}
 	}
 	if through < c.through {
-		t.Errorf("after 30 s it is through at %d of 20 relays", through)
+		t.Errorf("only %d of 20 relays completed the trial of the canary within 30 s", through)
 	}
 }
 
-// newFails returns an outcome for calls to the endpoint "new", of one class or of all (-1); others succeed.
+// newFails returns a function that gives calls to the endpoint "new" the given outcome, for one class or for
+// all (-1). Calls to other endpoints succeed.
 func newFails(outcome Outcome, onlyClass int) func(string, int) Outcome {
 	return func(ep string, class int) Outcome {
 		if ep == "new" && (onlyClass < 0 || class == onlyClass) {
@@ -189,37 +196,39 @@
 	}
 }
 
-// A version that fails is suspended by nearly all relays with few of the calls; one that is as good comes to
-// its share.
+// Guards against a bad version that keeps receiving calls, and against a good one that is never promoted.
+// Nearly all relays have to suspend an endpoint that fails or is slow, after few calls.
 func TestCanaries(t *testing.T) {
 	const allClasses = -1
 	allFail := func(string, int) Outcome { return Failed }
 	for _, c := range []canaryCase{
 		{name: "good", served: 1, through: 20},
-		{name: "good, half of the notes lost", served: 1, lose: 0.5, through: 20},
-		{name: "good beside errors of all", fails: allFail, served: 1, through: 1},
+		{name: "healthy, half of the gossip messages lost", served: 1, lose: 0.5, through: 20},
+		{name: "healthy, but one call in five fails at all endpoints", fails: allFail, served: 1, through: 1},
 		{name: "bad", fails: newFails(Failed, allClasses), suspended: true, served: 0.03},
-		{name: "bad, half of the notes lost", fails: newFails(Reset, allClasses), lose: 0.5, suspended: true,
+		{name: "failing, half of the gossip messages lost",
+			fails: newFails(Reset, allClasses), lose: 0.5, suspended: true,
 			served: 0.04},
-		{name: "bad for one class", fails: newFails(Failed, 1), suspended: true, served: 0.15},
+		{name: "failing for one class only", fails: newFails(Failed, 1), suspended: true, served: 0.15},
 		{name: "slow", slow: true, suspended: true, served: 0.03},
 	} {
 		t.Run(c.name, c.check)
 	}
 }
 
-// What is new is never held to a share where no older endpoint serves beside it, nor where it is off.
+// Guards against a canary that is limited to its share when there is no healthy older endpoint to take the
+// other calls, and against a canary trial for an endpoint that started long ago or with canary analysis off.
 func TestCanariesWithoutBaseline(t *testing.T) {
 	for name, change := range map[string]func(*canaryFleet) []Endpoint{
-		"all are new": func(p *canaryFleet) []Endpoint {
+		"the older endpoints are removed": func(p *canaryFleet) []Endpoint {
 			return []Endpoint{{ID: "old-a", Removed: true}, {ID: "old-b", Removed: true},
 				{ID: "new", StartedAt: moment(p.now)}}
 		},
-		"the older ones drain": func(p *canaryFleet) []Endpoint {
+		"the older endpoints drain": func(p *canaryFleet) []Endpoint {
 			return []Endpoint{{ID: "old-a", Draining: true}, {ID: "old-b", Draining: true},
 				{ID: "new", StartedAt: moment(p.now)}}
 		},
-		"the older ones are out": func(p *canaryFleet) []Endpoint {
+		"the older endpoints are ejected": func(p *canaryFleet) []Endpoint {
 			for _, d := range p.relays {
 				for _, ep := range d.endpoints {
 					d.eject(ep)
@@ -230,7 +239,7 @@
 			}
 			return []Endpoint{{ID: "new", StartedAt: moment(p.now)}}
 		},
-		"long ago": func(p *canaryFleet) []Endpoint {
+		"started long ago": func(p *canaryFleet) []Endpoint {
 			return []Endpoint{{ID: "new", StartedAt: moment(p.now - 2*canaryMaxAge)}}
 		},
 		"off": func(p *canaryFleet) []Endpoint {
@@ -245,22 +254,23 @@
 			p.now = 5 * time.Minute
 			p.run(5*time.Minute+5*time.Second, 2)
 			p.list(change(p)...)
-			if ep := p.relays[0].endpoints["new"]; name == "long ago" || name == "off" {
+			if ep := p.relays[0].endpoints["new"]; name == "started long ago" || name == "off" {
 				if ep.canary != nil {
-					t.Error("it is on trial")
+					t.Error("the endpoint is a canary, want an ordinary endpoint")
 				}
-				return // calls gather at few endpoints while there is little to do, as they always did
+				return // at low load calls concentrate on few endpoints, so the share says nothing
 			}
 			if share := p.canaryShare(p.now+5*time.Second, 2); share < 0.25 {
-				t.Errorf("it gets %.2f of the calls", share)
+				t.Errorf("a canary without a baseline got a share of %.2f of the calls, want at least 0.25",
+					share)
 			}
 		})
 	}
 }
 
-// A hold ends by itself, and what follows begins small again; a copy of a gossip message counts once; a relay
-// whose own calls fail everywhere speaks against nobody; gossip messages that are cut off or name what is not
-// there change nothing.
+// Guards against suspensions that do not end or do not start again at the first stage, duplicate reports that
+// count more than once, malformed reports, and reports from a relay that sees all its calls fail, which may
+// be its own fault.
 func TestCanaryEvidence(t *testing.T) {
 	p := newCanaryFleet(t, 1)
 	p.run(3*time.Second, 5)
@@ -272,28 +282,31 @@
 		p.handle(0, GossipReceived{Message: bad})
 	}
 	if ep.canary.suspendedUntil > 0 || ep.canary.outcomes != 1 {
-		t.Errorf("ten copies of a gossip message count %d times", ep.canary.outcomes)
+		t.Errorf("ten copies of one report counted as %d outcomes, want 1 and no suspension",
+			ep.canary.outcomes)
 	}
 	for _, message := range [][]byte{bad[:1], bad[:2], {}, canaryMessage{"none", 0, true, 1}.encode(),
 		canaryMessage{"new", 99, true, 1}.encode(), canaryMessage{"old-a", 0, true, 1}.encode()} {
 		p.handle(0, GossipReceived{Message: message})
 	}
 	if ep.canary.outcomes != 1 {
-		t.Errorf("%d outcomes after gossip messages that say nothing", ep.canary.outcomes)
+		t.Errorf("malformed reports or reports on other endpoints counted: %d outcomes, want 1",
+			ep.canary.outcomes)
 	}
 	for no := range uint64(3) {
 		p.handle(0, GossipReceived{Message: canaryMessage{"new", 0, true, no}.encode()})
 	}
 	if suspended := ep.canary.suspendedUntil.Sub(moment(p.now)); suspended != initialSuspension ||
 		ep.canary.stage != 0 {
-		t.Errorf("suspended for %v", suspended)
+		t.Errorf("suspended for %v, want initialSuspension and stage 0", suspended)
 	}
 	if share := p.canaryShare(time.Duration(ep.canary.suspendedUntil.Add(-50*ms)), 5); share > 0 {
-		t.Errorf("%.3f of the calls while it is suspended", share)
+		t.Errorf("a suspended canary got a share of %.3f of the calls, want 0", share)
 	}
 	if share := p.canaryShare(p.now+time.Second, 5); share > 0.25 || ep.canaryWithheld(d.now) &&
 		ep.canary.credit >= 1 {
-		t.Errorf("%.3f of the calls at once after a hold", share)
+		t.Errorf("right after its suspension the canary got a share of %.3f of the calls, want at most 0.25",
+			share)
 	}
 
 	lone := newCanaryFleet(t, 2)
@@ -315,6 +328,6 @@
 		}
 	}
 	if broadcasts > 0 {
-		t.Errorf("a relay whose calls all fail speaks %d times against a canary", broadcasts)
+		t.Errorf("a relay whose calls all fail broadcast %d failures of a canary, want none", broadcasts)
 	}
 }
--- a/policy/circuit_test.go
+++ b/policy/circuit_test.go
@@ -10,21 +10,22 @@
 	"milletsail/internal/instant"
 )
 
-// A wait that comes with a delivery binds as one that comes with a rejection.
+// A Retry-After in a successful response has to pause the queue just as one in a rejection does.
 func TestRetryAfterWithDelivery(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
 	d.Handle(moment(100*ms),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true, RetryAfter: time.Second}})
-	expect(t, "while it waits", d.Handle(moment(200*ms), []Event{arrive("n", 0)}), "")
-	expect(t, "after it", d.Handle(moment(1100*ms), []Event{TimerFired{}}), "n>a")
+	expect(t, "during the Retry-After", d.Handle(moment(200*ms), []Event{arrive("n", 0)}), "")
+	expect(t, "after the Retry-After", d.Handle(moment(1100*ms), []Event{TimerFired{}}), "n>a")
 }
 
+// A Retry-After pauses all endpoints of a destination, but with separate routes only the rejecting one.
 func TestRetryAfter(t *testing.T) {
 	for _, tt := range []struct {
 		kind int
 		want string
-	}{{0, ""}, {2, "n>b"}} { // a shared limit binds the destination, a route only itself
+	}{{0, ""}, {2, "n>b"}} {
 		d := start(t, plain(), Endpoint{ID: "a", Kind: tt.kind}, Endpoint{ID: "b", Kind: tt.kind})
 		d.Handle(0, []Event{arrive("m", 0)})
 		d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected,
@@ -33,8 +34,9 @@
 	}
 }
 
-// TestWaitOfABundle guards against a wait that is told with the first of several outcomes of one call. A wait
-// binds calls that were decided before it and are not written yet, at all endpoints of the destination.
+// TestRetryAfterCancelsUnwrittenCalls guards against calls that are written after a Retry-After was received,
+// because they were decided before it. It applies to all endpoints of the destination, and to no other
+// destination.
 func TestRetryAfterCancelsUnwrittenCalls(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
 	other := Arrived{ID: "m3", Destination: 1, TimeLeft: 10 * time.Second}
@@ -47,24 +49,25 @@
 		}
 	}
 	if !slices.Equal(canceled, []string{"a", "b"}) {
-		t.Errorf("withheld: %v", canceled)
+		t.Errorf("canceled unwritten calls to %v, want those to a and b", canceled)
 	}
 }
 
+// A Retry-After in the first outcome of a batch has to apply before the other outcomes of its call arrive.
 func TestRetryAfterOfABatch(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	expect(t, "one call", d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}), "m>a n>a")
 	if d.slots.inUse != 1 {
-		t.Errorf("%d calls out, want one batch", d.slots.inUse)
+		t.Errorf("%d calls in flight, want one batch", d.slots.inUse)
 	}
 	got := d.Handle(moment(ms),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second},
 			arrive("o", 0)})
-	expect(t, "in the wait", got, "")
+	expect(t, "during the Retry-After", got, "")
 }
 
-// TestOpenCircuitEndsInSlowStart guards against relays that wait as told while a destination is down, and
-// come back all at once as to a warm one; and against an answer to a call from before that ends the outage.
+// TestOpenCircuitEndsInSlowStart guards against relays that send at full rate after the Retry-After of a
+// destination that was down, and against an outage that a success from before the Retry-After ends.
 func TestOpenCircuitEndsInSlowStart(t *testing.T) {
 	s := plain()
 	s.Weights, s.Slots = WeightsNominal, 8
@@ -74,7 +77,7 @@
 	d.Handle(moment(600*ms),
 		[]Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 2 * time.Second}})
 	if ep.outlier.ejected {
-		t.Error("a wait as long as a span of counting is taken for an outage")
+		t.Error("ejected after a Retry-After of 2 s, want an ejection only above circuitOpenAfter")
 	}
 	d.Handle(moment(3400*ms), []Event{arrive("m", 0)})
 	d.Handle(moment(3500*ms), []Event{arrive("o", 0)})
@@ -82,7 +85,7 @@
 		[]Event{AttemptEnded{ID: "o", Endpoint: "a", Outcome: Rejected, RetryAfter: 6 * time.Second}})
 	d.Handle(moment(3700*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
 	if !ep.outlier.ejected {
-		t.Error("a destination that sent a Retry-After of 6 s is not taken for down")
+		t.Error("not ejected after a Retry-After of 6 s")
 	}
 	sent := 0
 	for at := 9300 * ms; at < 11600*ms; at += 100 * ms {
@@ -94,11 +97,12 @@
 	}
 	budget := int(s.OverloadFactor * s.SlowStartInitialShare * 8 * s.OverloadWindow.Seconds())
 	if sent == 0 || sent > budget {
-		t.Errorf("%d calls as it opens, want some and %d at most", sent, budget)
+		t.Errorf("%d calls after the Retry-After, want at least 1 and at most %d", sent, budget)
 	}
 }
 
-// TestRelaysDoNotProbeInStep guards against relays that are rejected together and come back together.
+// TestRelaysDoNotProbeInStep guards against backoff without jitter: relays that are rejected together must
+// not resume at the same time.
 func TestRelaysDoNotProbeInStep(t *testing.T) {
 	s := plain()
 	s.FleetSize, s.Weights = 400, WeightsNominal
@@ -114,18 +118,19 @@
 		seen[d.queues[0].circuit.backoffUntil] = true
 	}
 	if len(seen) < 4 {
-		t.Errorf("five relays come back at %d moments", len(seen))
+		t.Errorf("five relays resume at %d different times, want at least 4", len(seen))
 	}
 }
 
-// TestProbesOfALargeFleet guards against hundreds of relays whose further probes push over a destination that
-// comes back in slow start: the even share of 4 calls a second is 0.01 for one of 400, and 2 for one of 2.
+// TestProbesOfALargeFleet guards against hundreds of relays whose further probes overload a destination that
+// is in slow start. With 4 calls a second listed, the even share is 0.01 for each of 400 relays and 2 for
+// each of 2.
 func TestProbesOfALargeFleet(t *testing.T) {
 	for _, tt := range []struct {
 		relays          int
 		outcome         Outcome
 		wait            time.Duration
-		lowest, highest int // of 40 relays are sick after one
+		lowest, highest int // bounds of the relays, of 40, that eject the endpoint after one failure
 	}{{400, Rejected, 0, 10, 30}, {400, ConnectError, 0, 10, 30}, {400, Rejected, time.Second, 40, 40},
 		{2, Rejected, 0, 0, 0}, {2, ConnectError, 0, 0, 0}} {
 		ejected := 0
@@ -146,12 +151,12 @@
 			d.recordRejection(d.queues[0], limitMessage{})
 			if d.recordRejection(d.queues[0], limitMessage{}); tt.relays > 2 &&
 				!d.endpoints["a"].outlier.ejected {
-				t.Errorf("%d relays, outcome %d: not ejected after more", tt.relays, tt.outcome)
+				t.Errorf("%d relays, outcome %d: not ejected after three failures", tt.relays, tt.outcome)
 			}
 		}
 		if ejected < tt.lowest || ejected > tt.highest {
-			t.Errorf("%d relays, outcome %d, wait %v: %d of 40 ejected", tt.relays, tt.outcome, tt.wait,
-				ejected)
+			t.Errorf("%d relays, outcome %d, Retry-After %v: %d of 40 ejected the endpoint after one failure",
+				tt.relays, tt.outcome, tt.wait, ejected)
 		}
 	}
 }
@@ -159,31 +164,32 @@
 func TestCircuitBreakerCountsRejections(t *testing.T) {
 	var circuit circuitBreaker
 	if circuit.countRejection(0, 0) {
-		t.Error("down after one rejection")
+		t.Error("counts as down after one rejection")
 	}
 	for _, at := range []time.Duration{time.Second, 2 * time.Second, circuitOpenAfter} {
 		if circuit.countRejection(moment(at), 0) {
-			t.Errorf("down after rejections for %v", at)
+			t.Errorf("counts as down after rejections for %v, want it only after more than circuitOpenAfter",
+				at)
 		}
 	}
 	if !circuit.countRejection(moment(circuitOpenAfter+ms), 0) {
-		t.Error("not down after rejections for longer")
+		t.Error("does not count as down after rejections for longer than circuitOpenAfter")
 	}
 	if again := new(circuitBreaker); !again.countRejection(0, circuitOpenAfter+ms) {
-		t.Error("not down with a long Retry-After")
+		t.Error("does not count as down with a Retry-After longer than circuitOpenAfter")
 	}
 }
 
 func TestCircuitBreakerPauses(t *testing.T) {
 	var circuit circuitBreaker
 	circuit.extendRetryAfter(0, time.Second)
-	circuit.extendRetryAfter(0, 500*ms) // a shorter one ends no longer one
+	circuit.extendRetryAfter(0, 500*ms) // must not shorten the first
 	if !circuit.paused(moment(999*ms)) || circuit.paused(moment(time.Second)) {
-		t.Errorf("paused until %v", circuit.pausedUntil())
+		t.Errorf("paused until %v, want 1s", circuit.pausedUntil())
 	}
 	circuit.extendRetryAfter(moment(time.Second), time.Duration(1<<63-1))
 	if circuit.retryAfterUntil != never {
-		t.Errorf("the longest Retry-After ends at %v", circuit.retryAfterUntil)
+		t.Errorf("the longest possible Retry-After ends at %v, want never", circuit.retryAfterUntil)
 	}
 }
 
@@ -194,12 +200,12 @@
 	for _, base := range []time.Duration{initialBackoff, 2 * initialBackoff, 4 * initialBackoff} {
 		pause := circuit.nextBackoff(moment(now), random)
 		if pause < base/2 || pause > base*3/2 {
-			t.Errorf("backoff of %v, want %v with jitter", pause, base)
+			t.Errorf("backoff of %v, want %v with at most 50 percent of jitter", pause, base)
 		}
 		now += pause
 		circuit.backoffUntil = moment(now)
 	}
 	if circuit.nextBackoff(moment(now+time.Minute), random); circuit.backoff != initialBackoff {
-		t.Errorf("backoff of %v a minute after the last one", circuit.backoff)
+		t.Errorf("backoff of %v a minute after the last one, want initialBackoff", circuit.backoff)
 	}
 }
--- a/policy/connection_limit_test.go
+++ b/policy/connection_limit_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestConnectionLimit guards against taking a connection limit for an outage.
+// TestConnectionLimit guards against an ejection of an endpoint that refuses a connection only because it has
+// reached its connection limit.
 func TestConnectionLimit(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0)})
@@ -16,32 +17,34 @@
 	d.Handle(moment(20*ms), []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
 	ep := d.endpoints["a"]
 	if ep.outlier.ejected || ep.outlier.consecutiveFailures > 0 || ep.connections.limit != 1 {
-		t.Errorf("ejected %v, failures %v, cap %v", ep.outlier.ejected, ep.outlier.consecutiveFailures,
+		t.Errorf("ejected %v, failures %v, connection limit %v; want false, 0 and 1",
+			ep.outlier.ejected, ep.outlier.consecutiveFailures,
 			ep.connections.limit)
 	}
 	for range 20 {
 		d.recordSuccess(ep, true)
 	}
 	if ep.connections.limit < 1.9 {
-		t.Errorf("cap %v after twenty successes", ep.connections.limit)
+		t.Errorf("connection limit %v after twenty successes, want at least 1.9", ep.connections.limit)
 	}
 }
 
-// TestIdleConnectionsAreClosedWhenFull guards against many relays whose idle connections fill an endpoint,
-// and against connections closed where nothing speaks for that.
+// TestIdleConnectionsAreClosedWhenFull guards against many relays whose idle connections use up the
+// connections of an endpoint, and against closing idle connections without a sign of that.
 func TestIdleConnectionsAreClosedWhenFull(t *testing.T) {
 	rejected := []Event{GossipReceived{Message: encodeEndpointMessage(connectErrorType, "a")}}
 	for _, tt := range []struct {
 		name string
-		// of a note that another relay got no connection; the call lasts from 1 s to 2 s
+		// when another relay reports a connection error; 0 for never. The first call lasts from 1 s to 2 s.
 		at      time.Duration
-		connCap float64
-		last    time.Duration // end of a later call
-		closes  bool
-	}{{"none refused", 0, 0, 3 * time.Second, false}, {"our own refused", 0, 2, 3 * time.Second, true},
-		{"another's refused meanwhile", 1500 * ms, 0, 3 * time.Second, true},
-		{"another's refused before, as in an outage", 500 * ms, 0, 3 * time.Second, false},
-		{"another's refused long ago", 1500 * ms, 0, 15 * time.Second, false}} {
+		connCap float64       // learned connection limit; 0 for none
+		last    time.Duration // when a later call ends
+		closes  bool          // whether idle connections should be closed
+	}{{"no connection error",
+		0, 0, 3 * time.Second, false}, {"connection error at this relay", 0, 2, 3 * time.Second, true},
+		{"connection error elsewhere during the call", 1500 * ms, 0, 3 * time.Second, true},
+		{"connection error elsewhere before the call, as in an outage", 500 * ms, 0, 3 * time.Second, false},
+		{"connection error elsewhere long ago", 1500 * ms, 0, 15 * time.Second, false}} {
 		s := plain()
 		s.IdleConnTimeout, s.FleetSize = 10*time.Second, 40
 		d := start(t, s, Endpoint{ID: "a"})
@@ -62,13 +65,13 @@
 			closes = closes || a == CloseIdleConnections{Endpoint: "a"}
 		}
 		if closes != tt.closes {
-			t.Errorf("%s: closes %v", tt.name, closes)
+			t.Errorf("%s: idle connections closed: %v", tt.name, closes)
 		}
 	}
 }
 
-// TestConnectErrorIsBroadcast guards against a relay that alone knows of an endpoint without capacity, and
-// against a gossip message for each of its connections.
+// TestConnectErrorIsBroadcast guards against a relay that keeps a connection error to itself, and against one
+// that broadcasts each of them.
 func TestConnectErrorIsBroadcast(t *testing.T) {
 	d := fleet(t, connectErrorReporters, 400)[0]
 	broadcasts := 0
@@ -85,12 +88,12 @@
 		}
 	}
 	if broadcasts != 1 {
-		t.Errorf("%d gossip messages within a second", broadcasts)
+		t.Errorf("%d gossip messages on four connection errors within a second, want 1", broadcasts)
 	}
 }
 
-// TestConnectErrorReporters guards against a gossip message from each relay of a fleet that meets the same
-// outage.
+// TestConnectErrorReporters guards against a flood of gossip when all relays of a fleet meet the same outage:
+// only about connectErrorReporters of them should broadcast it.
 func TestConnectErrorReporters(t *testing.T) {
 	broadcasts := 0
 	for _, d := range fleet(t, 300, 3000) {
@@ -104,34 +107,35 @@
 		}
 	}
 	if broadcasts < 1 || broadcasts > 3*connectErrorReporters {
-		t.Errorf("%d relays of 300 told it", broadcasts)
+		t.Errorf("%d of 300 relays broadcast the connection error, want 1 to 3*connectErrorReporters",
+			broadcasts)
 	}
 }
 
 func TestConnectionLimiter(t *testing.T) {
 	var limiter connectionLimiter
 	if !limiter.allows(1000) || limiter.full(0, time.Minute) {
-		t.Errorf("%+v limits without an error", limiter)
+		t.Errorf("%+v limits connections before any connection error", limiter)
 	}
 	limiter.raiseLimit()
 	if limiter.limit != 0 {
-		t.Error("a success sets a limit")
+		t.Error("a success without a learned limit set one")
 	}
 	if !limiter.recordError(moment(2*rateWindow)) || limiter.recordError(moment(2*rateWindow+ms)) {
-		t.Error("want the first error of a window alone to be reported")
+		t.Error("recordError must return true only for the first connection error within rateWindow")
 	}
 	limiter.recordSuccess(moment(3*time.Second), moment(time.Second))
 	if !limiter.full(moment(4*time.Second), time.Minute) || limiter.full(moment(2*time.Minute), time.Minute) {
-		t.Errorf("%+v after a success beside an error", limiter)
+		t.Errorf("%+v after a success of a call sent before the error, want full for a minute", limiter)
 	}
 	limiter.lowerLimit(0)
 	if !limiter.allows(0) || limiter.allows(1) {
-		t.Errorf("limit of %v without a call out", limiter.limit)
+		t.Errorf("limit of %v after an error without a call in flight, want 1", limiter.limit)
 	}
 	for range int(math.Ceil(1 / connectionLimitIncrease)) {
 		limiter.raiseLimit()
 	}
 	if !limiter.allows(1) {
-		t.Errorf("limit of %v after many successes", limiter.limit)
+		t.Errorf("limit of %v after many successes, want at least 2", limiter.limit)
 	}
 }
--- a/policy/gossip_codec_test.go
+++ b/policy/gossip_codec_test.go
@@ -11,7 +11,7 @@
 		{accepted: true, destination: 7, callAge: 90 * ms},
 		{destination: maxGossipNumber, retryAfter: maxGossipNumber * ms, callAge: maxGossipNumber * ms}} {
 		if got, ok := decodeLimitMessage(l.encode()); !ok || got != l {
-			t.Errorf("%v was read as %v, %v", l, got, ok)
+			t.Errorf("%v was decoded as %v, %v", l, got, ok)
 		}
 	}
 	complete := limitMessage{destination: 300, retryAfter: 700 * ms, callAge: 300 * ms}.encode()
@@ -22,23 +22,23 @@
 		limitMessage{destination: maxGossipNumber + 1}.encode(),
 		limitMessage{retryAfter: (maxGossipNumber + 1) * ms}.encode()} {
 		if l, ok := decodeLimitMessage(bad); ok {
-			t.Errorf("%x was read as %v", bad, l)
+			t.Errorf("malformed message %x was decoded as %v", bad, l)
 		}
 	}
 }
 
-// fleet gives the dispatchers of a fleet, all with one endpoint listed at a rate.
 func TestObserved(t *testing.T) {
-	for _, o := range []Observation{{CircuitOpen: true, Destination: 7, RetryAfter: time.Second, CallAge: 30 * ms},
+	for _, o := range []Observation{
+		{CircuitOpen: true, Destination: 7, RetryAfter: time.Second, CallAge: 30 * ms},
 		{CircuitClosed: true, Destination: 7, CallAge: ms},
 		{Recovered: true, Endpoint: "h"}, {ConnectError: true, Endpoint: "h"}} {
 		if got, ok := DecodeObservation(o.Encode()); !ok || got != o {
-			t.Errorf("%+v is read as %+v", o, got)
+			t.Errorf("%+v was decoded as %+v", o, got)
 		}
 	}
 	for _, message := range []string{"", "x", "c", "b", "n", "c\x01"} {
 		if got, ok := DecodeObservation([]byte(message)); ok {
-			t.Errorf("%q is read as %+v", message, got)
+			t.Errorf("malformed message %q was decoded as %+v", message, got)
 		}
 	}
 }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// fleet gives relays of one destination.
+// fleet returns the dispatchers of a fleet of relays, with gossip on. Their one destination has one endpoint,
+// "a", which is listed with the given rate in calls a second.
 func fleet(t *testing.T, relays int, weight float64) (all []*Dispatcher) {
 	t.Helper()
 	s := plain()
@@ -23,7 +24,8 @@
 	return all
 }
 
-// broadcasts returns what a relay broadcasts when its call is rejected with a Retry-After of a second.
+// broadcasts returns the gossip messages that a relay sends when its call is rejected with a Retry-After of a
+// second.
 func broadcasts(d *Dispatcher, at time.Duration, id string) (all [][]byte) {
 	d.Handle(moment(at), []Event{arrive(id, 0)})
 	for _, a := range d.Handle(moment(at+ms),
@@ -35,19 +37,20 @@
 	return all
 }
 
-// TestFleetDecreasesRatesAtOnce guards against a fleet of which each relay has to meet a rejection itself,
-// and against one that comes back in step once the wait is over.
+// TestFleetDecreasesRatesAtOnce guards against a fleet in which each relay has to be rejected itself before
+// it pauses, and against one whose relays all resume at the same time after the Retry-After.
 func TestFleetDecreasesRatesAtOnce(t *testing.T) {
 	all := fleet(t, 80, 40)
 	at := 2 * time.Second
 	messages := broadcasts(all[0], at, "m")
 	if len(messages) != 1 {
-		t.Fatalf("%d gossip messages of a rejection", len(messages))
+		t.Fatalf("%d gossip messages after a rejection, want 1", len(messages))
 	}
 	for _, d := range all[1:] {
 		d.Handle(moment(at+10*ms), []Event{GossipReceived{Message: messages[0]}, arrive("m", 0)})
 		if q := d.queues[0]; q.limiter.rate >= d.evenShare(q)*1.3 || len(q.calls) > 0 {
-			t.Fatalf("send rate %v and %d calls out after a gossip message", q.limiter.rate, len(q.calls))
+			t.Fatalf("send rate %v and %d calls in flight after gossip on a rejection, want a pause",
+				q.limiter.rate, len(q.calls))
 		}
 	}
 	back := 0
@@ -61,21 +64,22 @@
 			}
 		}
 		if back += sent; sent > 16 || sent > 0 && at < 3*time.Second {
-			t.Errorf("%d of 79 relays send at %v", sent, at)
+			t.Errorf("%d of 79 relays sent at %v, want none before 3s and at most 16 at once after that",
+				sent, at)
 		}
 	}
 	if back < 70 {
-		t.Errorf("%d of 79 relays came back", back)
+		t.Errorf("only %d of 79 relays sent again within 4 s", back)
 	}
 }
 
-// TestRatesRiseWhileGossipArrives guards against a large fleet that no rejection reaches any more and whose
-// send rates all climb as if there were none.
+// TestRatesRiseWhileGossipArrives guards against a large fleet that receives no gossip any more, and so does
+// not learn of rejections: its relays must not raise their send rates above the even share.
 func TestRatesRiseWhileGossipArrives(t *testing.T) {
 	for _, tt := range []struct {
 		relays   int
-		received bool // notes of another destination
-		above    bool // the even share after the while
+		received bool // whether gossip on another destination arrives
+		above    bool // whether the send rate should exceed the even share after 19 s
 	}{{300, true, true}, {300, false, false}, {2, false, true}} {
 		d := fleet(t, tt.relays, 60)[0]
 		q := d.queues[0]
@@ -90,13 +94,15 @@
 		}
 		if above := q.limiter.rate > d.evenShare(q); above != tt.above ||
 			q.limiter.rate < 0.9*d.evenShare(q) {
-			t.Errorf("%d relays, gossip messages %v: send rate %v, even share %v", tt.relays, tt.received,
+			t.Errorf("%d relays, gossip received %v: send rate %v is on the wrong side of the even share %v",
+				tt.relays, tt.received,
 				q.limiter.rate, d.evenShare(q))
 		}
 	}
 }
 
-// TestGossipIsNotRepeated guards against a gossip message from each relay that is rejected.
+// TestGossipIsNotRepeated guards against a fleet in which each rejected relay broadcasts a pause that the
+// others know of already.
 func TestGossipIsNotRepeated(t *testing.T) {
 	all := fleet(t, 2, 400)
 	at := 2 * time.Second
@@ -106,21 +112,21 @@
 	for _, a := range all[1].Handle(moment(at+20*ms),
 		[]Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Rejected, RetryAfter: 990 * ms}}) {
 		if _, ok := a.(Broadcast); ok {
-			t.Error("a relay told again what it had received")
+			t.Error("a relay broadcast a pause that it had received from another relay")
 		}
 	}
 	if again := broadcasts(all[1], at+3*time.Second, "o"); len(again) != 1 {
-		t.Errorf("%d gossip messages of a later rejection", len(again))
+		t.Errorf("%d gossip messages after a later rejection, want 1", len(again))
 	}
 	silent := fleet(t, 2, 400)[0]
 	silent.settings.Gossip = false
 	if messages := broadcasts(silent, at, "m"); len(messages) != 0 {
-		t.Error("a gossip message where none is allowed")
+		t.Error("a relay sent a gossip message with gossip off in its settings")
 	}
 }
 
-// TestGossipDoesNotEject guards against gossip messages that decide alone: garbled ones, of places that
-// nobody listed, and a flood of them.
+// TestGossipDoesNotEject guards against gossip messages that change the state of endpoints by themselves:
+// malformed ones, ones about unlisted destinations, and a flood of them.
 func TestGossipDoesNotEject(t *testing.T) {
 	d := fleet(t, 80, 40)[0]
 	q := d.queues[0]
@@ -129,7 +135,8 @@
 		d.Handle(moment(time.Second), []Event{GossipReceived{Message: message}})
 	}
 	if q.circuit.backoffUntil != 0 || len(d.destinations) != 1 || len(d.endpoints) != 1 {
-		t.Errorf("hold until %v, %d destinations, %d endpoints", q.circuit.backoffUntil, len(d.destinations),
+		t.Errorf("after unusable gossip: backoff until %v, %d destinations, %d endpoints; want 0, 1 and 1",
+			q.circuit.backoffUntil, len(d.destinations),
 			len(d.endpoints))
 	}
 	for i := range 1000 {
@@ -138,22 +145,23 @@
 	}
 	if q.limiter.rate < 0.8*d.evenShare(q) || q.circuit.backoffUntil > moment(4*time.Second) ||
 		q.circuit.retryAfterUntil != 0 || d.endpoints["a"].outlier.ejected {
-		t.Errorf("send rate %v of %v, hold until %v, wait until %v, ejected %v after a second of gossip messages", q.limiter.rate, d.evenShare(q),
+		t.Errorf("after much gossip: send rate %v of %v, backoff until %v, Retry-After until %v, ejected %v",
+			q.limiter.rate, d.evenShare(q),
 			q.circuit.backoffUntil, q.circuit.retryAfterUntil, d.endpoints["a"].outlier.ejected)
 	}
 	d.Handle(moment(10*time.Second), []Event{arrive("m", 0)})
 	if len(q.calls) != 1 {
-		t.Error("nothing is sent once the gossip messages have aged")
+		t.Error("no call is sent although the last gossip message on a rejection is 8 s old")
 	}
 }
 
-// TestBackoffEndsWithASuccess guards against a fleet that sits out a Retry-After although the destination
-// goes on taking calls, and against one that takes an answer to an earlier call for that.
+// TestBackoffEndsWithASuccess guards against a fleet that waits out a backoff although the destination
+// accepts calls again, and against one that ends it after a success of a call sent before the rejected one.
 func TestBackoffEndsWithASuccess(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		after time.Duration // the refused call was sent at 2 s
-		ends  bool
+		after time.Duration // sending time of the accepted call, relative to the rejected one sent at 2 s
+		ends  bool          // whether the backoff should end
 	}{{"earlier", -100 * ms, false}, {"at the same time", 10 * ms, false}, {"well after", 80 * ms, true}} {
 		all := fleet(t, 3, 400)
 		sent := 2*time.Second + tt.after
@@ -171,7 +179,7 @@
 		}
 		if len(broadcasts) > 0 != tt.ends ||
 			all[1].queues[0].circuit.backoffUntil > moment(2200*ms) == tt.ends {
-			t.Fatalf("%s: %d gossip messages, pause until %v", tt.name, len(broadcasts),
+			t.Fatalf("accepted call sent %s: %d gossip messages, backoff until %v", tt.name, len(broadcasts),
 				all[1].queues[0].circuit.backoffUntil)
 		}
 		if !tt.ends {
@@ -181,16 +189,17 @@
 			d.Handle(moment(2210*ms), []Event{GossipReceived{Message: broadcasts[0]}})
 		}
 		if q := all[2].queues[0]; q.circuit.backoffUntil > moment(2210*ms) {
-			t.Errorf("the others pause until %v", q.circuit.backoffUntil)
+			t.Errorf("after the gossip message on a success, the other relays still back off until %v",
+				q.circuit.backoffUntil)
 		}
 		if q := all[0].queues[0]; q.circuit.retryAfterUntil < moment(3*time.Second) {
-			t.Errorf("a Retry-After ends at %v", q.circuit.retryAfterUntil)
+			t.Errorf("a success at another relay ended a Retry-After early, at %v", q.circuit.retryAfterUntil)
 		}
 	}
 }
 
-// TestRecoveryIsBroadcast guards against relays that each wait for a success of their own while an endpoint
-// is back, and against all of them probing at once when they hear of one.
+// TestRecoveryIsBroadcast guards against relays that each wait for a success of their own after an endpoint
+// has recovered, and against all of them probing at once when they learn of the recovery.
 func TestRecoveryIsBroadcast(t *testing.T) {
 	all := fleet(t, 80, 40)
 	for _, d := range all {
@@ -206,7 +215,7 @@
 		}
 	}
 	if len(messages) != 1 {
-		t.Fatalf("%d gossip messages of a return", len(messages))
+		t.Fatalf("%d gossip messages after a recovery, want 1", len(messages))
 	}
 	sent := 0
 	for _, d := range all[1:] {
@@ -219,16 +228,19 @@
 		ep := d.endpoints["a"]
 		if ep.outlier.ejected || !ep.slowStart.active || ep.slowStart.recoveredAt != moment(back+10*ms) ||
 			len(d.endpoints) != 1 {
-			t.Fatalf("ejected %v, in slow start %v, back since %v, %d endpoints", ep.outlier.ejected,
+			t.Fatalf("after gossip on a recovery: ejected %v, slow start %v, recovered at %v, %d endpoints",
+				ep.outlier.ejected,
 				ep.slowStart.active, ep.slowStart.recoveredAt, len(d.endpoints))
 		}
 		d.Handle(moment(back+d.settings.OverloadWindow), []Event{TimerFired{}})
 		sent += len(d.queues[0].calls)
 	}
 	s := all[0].settings
-	share := s.SlowStartInitialShare + (1-s.SlowStartInitialShare)*float64(s.OverloadWindow/2)/float64(s.SlowStartWindow)
-	highest := int(s.OverloadFactor * share * 40 * s.OverloadWindow.Seconds()) // that the rule allows
+	share := s.SlowStartInitialShare +
+		(1-s.SlowStartInitialShare)*float64(s.OverloadWindow/2)/float64(s.SlowStartWindow)
+	// highest is the number of calls in an OverloadWindow above which the destination is overloaded.
+	highest := int(s.OverloadFactor * share * 40 * s.OverloadWindow.Seconds())
 	if sent == 0 || sent > highest {
-		t.Errorf("%d relays sent to an endpoint in slow start within the rule's span, want some and %d at most", sent, highest)
+		t.Errorf("%d calls to an endpoint in slow start within OverloadWindow, want 1 to %d", sent, highest)
 	}
 }
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// What the process before has out holds slots here too, and its end counts as that of an own call: one that
-// failed is sent again, one whose message is over only gives its slot back.
+// Guards against a successor that ignores the calls in flight of its predecessor: they occupy slots, a failed
+// one is retried, and one whose message is already complete only frees its slot.
 func TestCallsInFlightAtAHandover(t *testing.T) {
 	s := plain()
 	s.Slots = 2
@@ -17,27 +17,27 @@
 			Completed:     completed,
 			PriorAttempts: []PriorAttempt{{Endpoint: ep, SentAt: moment(-ms), InFlight: true, Call: call}}}
 	}
-	expect(t, "both slots are taken",
+	expect(t, "both slots are in use by inherited calls",
 		d.Handle(0, []Event{out("m1", 0, "a", 7, false), out("m2", 1, "b", 8, true),
 			Arrived{ID: "held", Destination: 2, TimeLeft: 9 * time.Second, Resumed: true}}), "")
-	expect(t, "the message that is over gives its slot back",
+	expect(t, "the end of a completed message's call frees its slot",
 		d.Handle(moment(10*ms),
 			[]Event{AttemptEnded{ID: "m2", Endpoint: "b", Outcome: OK, Latency: 11 * ms}}), "held>c")
 	if d.messages.byID["m2"] != nil {
-		t.Error("the message that is over is still held")
+		t.Error("message m2 is still held after its last attempt ended")
 	}
-	expect(t, "a call that broke is made again",
+	expect(t, "a failed inherited call is retried",
 		d.Handle(moment(20*ms),
 			[]Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Reset, Latency: 21 * ms}}), "m1>a")
 	for _, c := range d.endpoints["a"].calls {
 		if c.number == 7 {
-			t.Error("the call of the process before is still out")
+			t.Error("call 7 of the predecessor still counts as in flight after it ended")
 		}
 	}
 }
 
-// What a dispatcher has learned is the next one's from the start, but for endpoints that are no longer
-// listed.
+// Guards against a successor that starts without the Retry-After, ejections, latencies and send rates that
+// its predecessor learned. State of endpoints that are no longer listed is skipped.
 func TestExportState(t *testing.T) {
 	s := plain()
 	s.Weights = WeightsNominal
@@ -55,14 +55,15 @@
 	for _, l := range old.ExportState() {
 		events = append([]Event{l}, events...)
 	}
-	expect(t, "in the told wait", d.Handle(moment(200*ms), events), "")
-	expect(t, "and still", d.Handle(moment(2*time.Second), nil), "")
-	expect(t, "after it", d.Handle(moment(2200*ms), nil), "m>a")
+	expect(t, "during the inherited Retry-After", d.Handle(moment(200*ms), events), "")
+	expect(t, "at the end of the inherited Retry-After", d.Handle(moment(2*time.Second), nil), "")
+	expect(t, "after the inherited Retry-After", d.Handle(moment(2200*ms), nil), "m>a")
 	if !d.endpoints["b"].outlier.ejected || d.endpoints["b"].queue.latency.mean != 0.7 {
-		t.Errorf("b: ejected %v, mean %v", d.endpoints["b"].outlier.ejected,
+		t.Errorf("endpoint b: ejected %v, mean latency %v; want true and 0.7",
+			d.endpoints["b"].outlier.ejected,
 			d.endpoints["b"].queue.latency.mean)
 	}
 	if got, want := d.endpoints["a"].queue.limiter.rate, old.endpoints["a"].queue.limiter.rate; got != want {
-		t.Errorf("send rate %v, want %v", got, want)
+		t.Errorf("inherited send rate %v, want %v", got, want)
 	}
 }
--- a/policy/locality_test.go
+++ b/policy/locality_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Over any zones, all of each zone's messages go somewhere, no zone gets more than it has capacity for beyond
-// its own, what has capacity stays at home, as much is served as can be, and the order of the zones does not
-// matter.
+// Checks these properties for random demands and capacities: all messages of a zone are assigned, no zone
+// receives more from others than its free capacity, a zone with enough capacity keeps its messages, as much
+// is served as the total capacity allows, and the order of the zones does not matter.
 func TestSpilloverShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rates := rapid.SliceOfN(rapid.Float64Range(0, 100), 2, 6)
@@ -25,19 +25,21 @@
 				demand[zone])
 		}
 		if served < math.Min(totalDemand, totalCapacity)-1e-6 {
-			t.Fatalf("%v is served of %v, with capacity for %v", served, totalDemand, totalCapacity)
+			t.Fatalf("%v messages a second are served, of a demand of %v with a total capacity of %v",
+				served, totalDemand, totalCapacity)
 		}
 		checkZoneOrder(t, demand, capacity, shares)
 	})
 }
 
-// checkZoneShares checks the shares of a zone, and returns what it gets from others.
+// checkZoneShares checks the shares of one zone, and returns the messages a second that it receives from
+// others.
 func checkZoneShares(t *rapid.T, zone int, demand, capacity []float64,
 	shares [][]float64) (received float64) {
 	sum := 0.0
 	for other := range demand {
 		if shares[zone][other] < -1e-9 {
-			t.Fatalf("zone %d sends %v to %d", zone, shares[zone][other], other)
+			t.Fatalf("zone %d sends a negative share of %v to zone %d", zone, shares[zone][other], other)
 		}
 		sum += shares[zone][other]
 		if other != zone {
@@ -45,19 +47,20 @@
 		}
 	}
 	if math.Abs(sum-1) > 1e-6 {
-		t.Fatalf("the shares of zone %d come to %v", zone, sum)
+		t.Fatalf("the shares of zone %d add up to %v, want 1", zone, sum)
 	}
 	if received > math.Max(0, capacity[zone]-demand[zone])+1e-6 {
-		t.Fatalf("zone %d with capacity for %v and %v of its own gets %v", zone, capacity[zone], demand[zone],
+		t.Fatalf("zone %d with a capacity of %v and an own demand of %v receives %v from other zones",
+			zone, capacity[zone], demand[zone],
 			received)
 	}
 	if demand[zone] <= capacity[zone] && shares[zone][zone] < 1-1e-9 {
-		t.Fatalf("zone %d has capacity and keeps %v", zone, shares[zone][zone])
+		t.Fatalf("zone %d has enough capacity but keeps only a share of %v", zone, shares[zone][zone])
 	}
 	return received
 }
 
-// checkZoneOrder checks that the shares are the same in another order of the zones.
+// checkZoneOrder checks that another order of the zones gives the same shares.
 func checkZoneOrder(t *rapid.T, demand, capacity []float64, shares [][]float64) {
 	zones := make([]int, len(demand))
 	for zone := range zones {
@@ -71,18 +74,20 @@
 	for i, row := range spilloverShares(orderedDemand, orderedCapacity) {
 		for j, share := range row {
 			if want := shares[order[i]][order[j]]; math.Abs(share-want) > 1e-6 {
-				t.Fatalf("in another order %d sends %d %v, not %v", order[i], order[j], share, want)
+				t.Fatalf("with the zones in another order, zone %d sends zone %d a share of %v, want %v",
+					order[i], order[j], share, want)
 			}
 		}
 	}
 }
 
-// Calls stay in the own zone while it answers as it is used to, and leave it as far as it slows down.
+// Guards against calls that leave a zone with free capacity, and against a zone that keeps its calls although
+// it rejects half of them.
 func TestLocalFirst(t *testing.T) {
 	z := newZonedRelay(t, 3, 4, nil)
 	z.run(20 * time.Second)
 	if local := float64(z.sent["0"]) / float64(z.sent["all"]); local < 0.98 {
-		t.Errorf("%.3f of the calls stay in the own zone", local)
+		t.Errorf("share of %.3f of the calls in a healthy own zone, want at least 0.98", local)
 	}
 	z.fails = func(_ string, _, zone int) Outcome {
 		if zone == 0 && z.rng.IntN(2) == 0 {
@@ -93,12 +98,13 @@
 	clear(z.sent)
 	z.run(40 * time.Second)
 	if local := float64(z.sent["0"]) / float64(z.sent["all"]); local > 0.5 {
-		t.Errorf("%.3f of the calls stay in a zone that turns half of them away", local)
+		t.Errorf("share of %.3f of the calls in an own zone that rejects half of them, want at most 0.5",
+			local)
 	}
 }
 
-// What other relays of the zone send counts: where the zones together have less capacity here, a part goes
-// elsewhere.
+// Guards against a relay that considers only its own traffic: if all relays of its zone together exceed the
+// capacity there, each has to send a part of its calls to other zones.
 func TestSpilloverByPeerRates(t *testing.T) {
 	z := newZonedRelay(t, 3, 1, func(s *Settings) { s.Weights, s.FleetSize = WeightsNominal, 1 })
 	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "0-0", Weight: 300},
@@ -108,7 +114,7 @@
 	z.run(20 * time.Second)
 	for zone, want := range []float64{100.0 / 160, 60.0 / 160 * 50 / 70, 60.0 / 160 * 20 / 70} {
 		if got := float64(z.sent[fmt.Sprint(zone)]) / float64(z.sent["all"]); math.Abs(got-want) > 0.05 {
-			t.Errorf("zone %d serves %.3f, want %.3f", zone, got, want)
+			t.Errorf("zone %d serves a share of %.3f of the calls, want %.3f", zone, got, want)
 		}
 	}
 }
@@ -117,13 +123,13 @@
 	const own, other = 0, 1
 	var balancer localityBalancer
 	if got := balancer.target(own); got != own {
-		t.Errorf("the first call goes to zone %d", got)
+		t.Errorf("the first call goes to zone %d, want the own zone", got)
 	}
 	for range 1000 {
 		balancer.recordSlowCall()
 	}
 	if balancer.spillover != maxSpillover {
-		t.Errorf("spillover of %v after slow calls", balancer.spillover)
+		t.Errorf("spillover of %v after slow calls, want maxSpillover", balancer.spillover)
 	}
 	balancer.spillover = 0.5
 	sent := 0
@@ -135,12 +141,12 @@
 		}
 	}
 	if sent < 49 || sent > 50 {
-		t.Errorf("%d of 100 calls go to the other zone", sent)
+		t.Errorf("with a spillover of 0.5, %d of 100 calls go to the other zone, want 49 or 50", sent)
 	}
 	for range 1000 {
 		balancer.recordQuickCall()
 	}
 	if balancer.spillover != 0 {
-		t.Errorf("spillover of %v after quick calls", balancer.spillover)
+		t.Errorf("spillover of %v after quick calls, want 0", balancer.spillover)
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestErrorResponsesCountHalf guards against taking a share of failing calls for an outage.
+// TestErrorResponsesCountHalf guards against an ejection of an endpoint at which only a part of the calls
+// fails.
 func TestErrorResponsesCountHalf(t *testing.T) {
 	tests := []struct {
 		outcome Outcome
@@ -23,43 +24,47 @@
 				[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
 		}
 		if got := d.endpoints["a"].outlier.ejected; got != tt.ejected {
-			t.Errorf("%d of outcome %d: ejected %v", tt.n, tt.outcome, got)
+			t.Errorf("after %d calls with outcome %d: ejected %v", tt.n, tt.outcome, got)
 		}
 	}
 }
 
-// TestSiblingProbes guards against slow detection: outages mostly end for a whole destination.
+// TestSiblingProbes guards against a slow recovery: outages mostly end for all endpoints of a destination at
+// once, so the success of one has to allow a probe of the others.
 func TestSiblingProbes(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	a, b := d.endpoints["a"], d.endpoints["b"]
 	d.eject(a)
 	d.eject(b)
 	if d.acceptsCall(b) {
-		t.Error("a probe at once")
+		t.Error("endpoint b may be probed right after its ejection")
 	}
 	d.recordSuccess(a, true)
 	if !d.acceptsCall(b) {
-		t.Error("no probe after the sibling's return")
+		t.Error("endpoint b may not be probed after endpoint a has recovered")
 	}
 }
 
-// TestOneClassFailing guards against an endpoint that fails one class and serves the others.
+// TestOneClassFailing guards against messages that keep going to an endpoint which fails their class but
+// serves the others.
 func TestOneClassFailing(t *testing.T) {
 	s := plain()
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	d.Handle(0, []Event{arrive("m", 0)})
-	expect(t, "a retry goes to the sibling",
+	expect(t, "a retry goes to the other endpoint",
 		d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Failed}}), "m>b")
 	d.Handle(moment(2*ms),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "b", Attempt: 1, Outcome: OK, Completed: true}})
-	expect(t, "so does its class", d.Handle(moment(3*ms), []Event{arrive("n", 0)}), "n>b")
+	expect(t, "further messages of the failing class go there too",
+		d.Handle(moment(3*ms), []Event{arrive("n", 0)}), "n>b")
 	d.Handle(moment(4*ms), []Event{AttemptEnded{ID: "n", Endpoint: "b", Outcome: OK, Completed: true}})
 	d.endpoints["a"].lastUsedAt = moment(4 * ms)
-	expect(t, "others do not", d.Handle(moment(5*ms), []Event{arrive("o", 1)}), "o>a")
+	expect(t, "messages of other classes go to the first endpoint",
+		d.Handle(moment(5*ms), []Event{arrive("o", 1)}), "o>a")
 }
 
-// TestOutageOfAllClassesEndsForAll guards against failures of an outage that are held against an endpoint for
-// good, in the classes that happened to meet it.
+// TestOutageOfAllClassesEndsForAll guards against failures of an outage that keep a class away from an
+// endpoint for good, because only messages of another class were used to probe it.
 func TestOutageOfAllClassesEndsForAll(t *testing.T) {
 	s := plain()
 	s.SlowStartWindow = time.Second
@@ -91,30 +96,30 @@
 	call(0, ConnectError)
 	call(1, ConnectError)
 	if !a.outlier.ejected {
-		t.Fatal("an endpoint that takes no connection is not out")
+		t.Fatal("endpoint a is not ejected after two connection errors")
 	}
 	for n := 0; n < 200 && (a.outlier.ejected || a.slowStart.active); n++ {
-		call(1, OK) // what of the other class is tried there brings it back
+		call(1, OK) // probes with messages of class 1 end the ejection
 	}
 	for range 20 {
 		if call(0, OK) == "a" {
 			return
 		}
 	}
-	t.Error("messages of the class that met the outage never go there again")
+	t.Error("no message of class 0 goes to endpoint a after its recovery")
 }
 
-// Endpoints that are out or on their way out count as avoided, the others do not.
+// Ejected and draining endpoints count as unavailable, others do not.
 func TestAvoided(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Destination: 1}, Endpoint{ID: "b", Destination: 2},
 		Endpoint{ID: "c", Destination: 2})
 	if n := d.UnavailableEndpoints(); n != 0 {
-		t.Errorf("%d avoided at the start", n)
+		t.Errorf("%d unavailable endpoints at the start, want 0", n)
 	}
 	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "b", Destination: 2, Draining: true}}}})
 	d.eject(d.endpoints["a"])
 	if n := d.UnavailableEndpoints(); n != 2 {
-		t.Errorf("%d avoided, want the one that is out and the one that drains", n)
+		t.Errorf("%d unavailable endpoints, want 2: one ejected, one draining", n)
 	}
 }
 
@@ -122,17 +127,18 @@
 	detector := newOutlierDetector(2)
 	failed := &call{sentAt: moment(time.Second), messages: []*message{{}, {Arrived: Arrived{Class: 1}}}}
 	if !detector.countFailure(moment(2*time.Second), failed, errorResponseWeight) {
-		t.Error("a failure doesn't count")
+		t.Error("the failure of a call sent after the last success does not count")
 	}
 	if detector.consecutiveFailures != errorResponseWeight ||
 		detector.lastFailureAt != moment(2*time.Second) ||
 		detector.classFailures[0] != errorResponseWeight/2 ||
 		detector.classFailures[1] != errorResponseWeight/2 {
-		t.Errorf("%+v after an error response", detector)
+		t.Errorf("%+v after an error response, want errorResponseWeight, divided among its two classes",
+			detector)
 	}
 	detector.lastSuccessAt = moment(3 * time.Second)
 	if detector.countFailure(moment(4*time.Second), failed, 1) ||
 		detector.consecutiveFailures != errorResponseWeight {
-		t.Error("a failure of a call from before the last success counts")
+		t.Error("the failure of a call sent before the last success counts")
 	}
 }
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// largeFleetRelay is one relay of many, with endpoints of one destination that takes a rate.
+// largeFleetRelay returns one relay of a fleet, with endpoints of one destination whose listed rate is weight
+// calls a second.
 func largeFleetRelay(t *testing.T, relays int, weight float64, ids ...string) *Dispatcher {
 	t.Helper()
 	s := plain()
@@ -19,6 +20,7 @@
 	return start(t, s, eps...)
 }
 
+// secondHandCount returns the number of ejections that are recorded as observed by other relays.
 func secondHandCount(actions []Action) (n int) {
 	for _, a := range actions {
 		if a, ok := a.(PersistHealth); ok && a.Ejected && a.SecondHand {
@@ -28,9 +30,9 @@
 	return n
 }
 
-// A destination counts as down where several relays have met nothing but rejections, though this one has met
-// none; not where too few have, not before it would count as down to one of them, and not against an own
-// success since.
+// Guards against relays that each have to find out for themselves that a destination is down. Its endpoints
+// are ejected if at least minObservers relays report rejections for longer than circuitOpenAfter, but not
+// against a later success at this relay and not for reports on a single endpoint.
 func TestEjectedByPeerReports(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -42,21 +44,22 @@
 			PeerSuspected{Observers: 3, OldestAge: 3 * time.Second, ValidFor: time.Second}, false, 2},
 		{"two relays", PeerSuspected{Observers: 2, OldestAge: 3 * time.Second, ValidFor: time.Second}, false,
 			0},
-		{"for 2 s", PeerSuspected{Observers: 9, OldestAge: 2 * time.Second, ValidFor: time.Second}, false, 0},
-		{"against a success since",
+		{"reported for 2 s",
+			PeerSuspected{Observers: 9, OldestAge: 2 * time.Second, ValidFor: time.Second}, false, 0},
+		{"a success at this relay since",
 			PeerSuspected{Observers: 9, OldestAge: 3 * time.Second, ValidFor: time.Second}, true, 0},
 		{"another destination",
 			PeerSuspected{Destination: 7, Observers: 9, OldestAge: 3 * time.Second, ValidFor: time.Second},
 			false, 0},
 		{"an endpoint", PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 3, OldestAge: 10 * ms,
 			ValidFor: time.Second}, false, 0},
-		{"an endpoint, three relays, of which two not just now",
+		{"an endpoint, three relays, of which one reported it recently",
 			PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 1, OldestAge: 10 * ms,
 				ValidFor: time.Second}, false, 0},
 		{"an endpoint, one relay",
 			PeerSuspected{Endpoint: "a", Observers: 1, RecentObservers: 1, OldestAge: 10 * ms,
 				ValidFor: time.Second}, false, 0},
-		{"an endpoint that serves here",
+		{"an endpoint that serves this relay",
 			PeerSuspected{Endpoint: "a", Observers: 3, RecentObservers: 3, OldestAge: 2 * time.Second,
 				ValidFor: time.Second}, true, 0},
 		{"an endpoint that is not listed",
@@ -78,13 +81,14 @@
 			}
 		}
 		if got := secondHandCount(d.Handle(moment(10*time.Second), []Event{c.e})); got != c.want {
-			t.Errorf("%s: %d endpoints count as out, want %d", c.name, got, c.want)
+			t.Errorf("%s: %d endpoints ejected by reports of other relays, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// What the fleet finds bad is tried by one relay at a time: the first in rank, the others where that one does
-// not, and by their own budgets alone once the report is past its bound.
+// Guards against all relays probing a destination that the fleet reports as down: they probe in the order of
+// their ranks, one probeInterval or more apart, and by their own budgets alone once the report is no longer
+// valid.
 func TestOneRelayProbes(t *testing.T) {
 	probed := func(rank int, until time.Duration) time.Duration {
 		d := largeFleetRelay(t, 300, 60, "a")
@@ -106,17 +110,17 @@
 		at, want := probed(rank, 10*time.Second),
 			time.Duration((1+math.Log2(1+float64(rank)))*float64(probeInterval))-100*ms
 		if at < want || at > want+200*ms || at <= last {
-			t.Errorf("rank %d probes after %v, want about %v", rank, at, want)
+			t.Errorf("the relay of rank %d probes after %v, want about %v", rank, at, want)
 		}
 		last = at
 	}
 	if at := probed(100, 50*ms); moment(at) != never && at < time.Second {
-		t.Errorf("past its bound, the report still has rank 100 try after %v", at)
+		t.Errorf("after the report has expired, the relay of rank 100 still probes after %v", at)
 	}
 }
 
-// A relay that tried in vain does not try again before the next turn, whether it has learned of its own try
-// or not.
+// Guards against a relay that probes again right after a rejected probe: the next one has to wait for its
+// next turn, even though no report of the last probe has arrived.
 func TestProbeTurnsAreApart(t *testing.T) {
 	d := largeFleetRelay(t, 300, 60, "a")
 	d.Handle(moment(10*time.Second),
@@ -141,10 +145,10 @@
 	}
 	for i := 1; i < len(at); i++ {
 		if at[i]-at[i-1] < probeInterval {
-			t.Errorf("probed at %v and again at %v", at[i-1], at[i])
+			t.Errorf("probed at %v and again at %v, want at least probeInterval between them", at[i-1], at[i])
 		}
 	}
 	if len(at) < 8 {
-		t.Errorf("probed %d times in 5 s", len(at))
+		t.Errorf("probed only %d times in 5 s, want at least 8", len(at))
 	}
 }
--- a/policy/rate_sharing_test.go
+++ b/policy/rate_sharing_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A relay that has just started begins with the fleet's send rate, one that has learned its own does not; and
-// no send rate is taken that is beyond what a relay comes to by itself.
+// Guards against a restarted relay that begins at the listed rate although the fleet has lowered its rates. A
+// relay with outcomes of its own keeps its rate, and reported rates are limited to the range that a relay
+// could reach by itself.
 func TestStartsWithTheFleetsRate(t *testing.T) {
 	for _, c := range []struct{ reported, want float64 }{{0.4, 0.4}, {0.01, minRateShare},
 		{50, probingRateShare}} {
@@ -15,7 +16,8 @@
 		d.Handle(moment(ms), []Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: c.reported,
 			ArrivalRate: 1, ValidFor: time.Minute}})
 		if got := d.queues[0].limiter.rate; math.Abs(got-10*c.want) > 1e-9 {
-			t.Errorf("told %v, it begins with %v a second, want %v", c.reported, got, 10*c.want)
+			t.Errorf("with a reported rate share of %v the relay starts at %v calls a second, want %v",
+				c.reported, got, 10*c.want)
 		}
 	}
 	d := largeFleetRelay(t, 10, 100, "a")
@@ -25,12 +27,12 @@
 		[]Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: 0.4, ArrivalRate: 1,
 			ValidFor: time.Minute}})
 	if got := d.queues[0].limiter.rate; got < 9.9 {
-		t.Errorf("a relay at work comes to %v a second by the reports of others", got)
+		t.Errorf("a report lowered the rate of a relay with its own outcomes to %v calls a second", got)
 	}
 }
 
-// Over a fleet with uneven traffic, the parts of the budget of a destination in slow start add up to no more
-// than even ones do, and a relay without the others' reports takes an even one.
+// Guards against traffic shares that add up to more than one even share per relay, which would overload a
+// destination in slow start. A relay without a valid report takes an even share.
 func TestTrafficSharesAddUp(t *testing.T) {
 	sum, traffic := 0.0, []float64{0.2, 0.2, 0.5, 1, 1, 1.5, 2, 3, 3, 6}
 	mean := 0.0
@@ -46,15 +48,15 @@
 			ArrivalRate: mean, ArrivalRateError: 0.5, ValidFor: time.Second}})
 		sum += d.trafficShare(q)
 		if d.now = moment(2 * time.Second); d.trafficShare(q) != 1 {
-			t.Errorf("past its bound: %v", d.trafficShare(q))
+			t.Errorf("traffic share %v after the report has expired, want 1", d.trafficShare(q))
 		}
 	}
 	if sum > 10 || sum < 7 {
-		t.Errorf("the parts of ten relays come to %v", sum)
+		t.Errorf("the traffic shares of ten relays add up to %v, want 7 to 10", sum)
 	}
 }
 
-// A send rate is shared for one destination after the other, as seldom as relays tell of themselves.
+// Guards against send rates that are published too often: 60 relays publish one rate each in 6 s.
 func TestPublishRate(t *testing.T) {
 	d := largeFleetRelay(t, 60, 60, "a")
 	n := 0
@@ -66,6 +68,6 @@
 		}
 	}
 	if n < 9 || n > 10 {
-		t.Errorf("shared %d times in a minute, want nine or ten", n)
+		t.Errorf("published %d rates in a minute, want 9 or 10", n)
 	}
 }
--- a/policy/resource_backoff_test.go
+++ b/policy/resource_backoff_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A call that could not be begun uses up no attempt, whatever the class, opens no window, and is held against
-// no endpoint; its queue waits a moment, longer each time up to a bound, and is back at once when calls can
-// be begun.
+// Guards against calls that fail for want of a local resource and use up attempts, start an idempotency
+// window or count as failures of the endpoint. The queue pauses instead, longer each time up to a bound, and
+// resumes at full speed once a call has started.
 func TestCallsNotStarted(t *testing.T) {
 	for class := range 3 {
 		s := plain()
@@ -18,38 +18,41 @@
 			t.Fatal(err)
 		}
 		now := time.Second
-		expect(t, "the first try",
+		expect(t, "the first attempt",
 			d.Handle(moment(now),
 				[]Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a"}}},
 					arrive("m", class)}), "m>a")
 		for i := range 10 {
 			unsent := AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: NotStarted}
-			expect(t, "at once", d.Handle(moment(now+ms), []Event{unsent}), "")
+			expect(t, "right after the call was not started", d.Handle(moment(now+ms), []Event{unsent}), "")
 			pause := min(initialResourceBackoff<<i, maxResourceBackoff)
-			expect(t, "in the pause", d.Handle(moment(now+pause-ms), []Event{TimerFired{}}), "")
+			expect(t, "during the pause", d.Handle(moment(now+pause-ms), []Event{TimerFired{}}), "")
 			now += pause + 2*ms
-			expect(t, "behind it", d.Handle(moment(now), []Event{TimerFired{}}), "m>a")
+			expect(t, "after the pause", d.Handle(moment(now), []Event{TimerFired{}}), "m>a")
 		}
 		ep := d.endpoints["a"]
 		if m := d.messages.byID["m"]; len(m.attempts) != 1 || m.firstPossibleExecution() == nil ||
 			ep.outlier.consecutiveFailures != 0 || ep.outlier.ejected ||
 			ep.outlier.classFailures[class] != 0 {
-			t.Errorf("class %d: %d attempts, %v failures", class, len(m.attempts),
+			t.Errorf("class %d: %d attempts and %v consecutive failures, want 1 and 0",
+				class, len(m.attempts),
 				ep.outlier.consecutiveFailures)
 		}
 		if q := d.queues[0]; q.limiter.rate > 0 && d.sendTokens(q) < 0 {
-			t.Errorf("class %d: %v tokens", class, q.limiter.bucket.tokens)
+			t.Errorf("class %d: %v tokens of the send rate left, want at least 0",
+				class, q.limiter.bucket.tokens)
 		}
 		expect(t, "delivered",
 			d.Handle(moment(now+ms),
 				[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: OK, Completed: true}}), "")
 		if ep.resourceBackoff != (resourceBackoff{}) {
-			t.Errorf("class %d: still a pause of %v", class, ep.resourceBackoff.delay)
+			t.Errorf("class %d: the endpoint still has a pause of %v after a success",
+				class, ep.resourceBackoff.delay)
 		}
 	}
 }
 
-// A call to an endpoint in slow start that could not be begun gives its part of the budget back.
+// Guards against calls that could not be started but use up the slow start budget of their endpoint.
 func TestCallsNotStartedCostNoBudget(t *testing.T) {
 	s := plain()
 	s.SlowStartWindow, s.SlowStartInitialShare, s.OverloadFactor, s.OverloadWindow,
@@ -59,18 +62,18 @@
 		t.Fatal(err)
 	}
 	now := moment(time.Hour)
-	expect(t, "to a cold endpoint",
+	expect(t, "to an endpoint in slow start",
 		d.Handle(now, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 50}}},
 			StateRestored{Endpoint: "a", At: now.Add(-ms)}, arrive("m", 0)}), "m>a")
 	ep := d.endpoints["a"]
 	spent := ep.slowStart.bucket.tokens
 	d.Handle(now, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotStarted}})
 	if got := ep.slowStart.bucket.tokens - spent; got != 1 {
-		t.Errorf("%v of a call came back", got)
+		t.Errorf("%v tokens were returned to the slow start budget, want 1", got)
 	}
 }
 
-// Where no call can be begun to one endpoint of a destination, the others serve on.
+// Guards against a shortage at one endpoint that stops the calls to the other endpoints of its destination.
 func TestCallsNotStartedElsewhere(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	now := moment(time.Second)
@@ -100,7 +103,7 @@
 		}
 	}
 	if served != 20 {
-		t.Errorf("%d of 20 messages are served", served)
+		t.Errorf("%d of 20 messages were delivered by endpoint b, want all", served)
 	}
 }
 
@@ -109,7 +112,7 @@
 	now := time.Second
 	for _, want := range []time.Duration{20 * ms, 40 * ms, 80 * ms, 160 * ms, 320 * ms, 320 * ms} {
 		backoff.extend(moment(now))
-		backoff.extend(moment(now + ms)) // several calls fail together
+		backoff.extend(moment(now + ms)) // another call that failed at about the same time
 		if backoff.delay != want || backoff.until != moment(now+want) {
 			t.Errorf("%+v, want a pause of %v", backoff, want)
 		}
--- a/policy/sendrate_test.go
+++ b/policy/sendrate_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// TestSendRate guards against a send rate that is cut by rejections and never comes back, one that rises
-// although the destination reports that its allowance is used up, and one that a limit far below the listed
-// rate does not reach.
+// TestSendRate guards against a send rate that does not recover from rejections, one that rises quickly
+// although the destination reports that its allowance is used up, and one that does not fall far enough for a
+// limit far below the listed rate.
 func TestSendRate(t *testing.T) {
 	s := plain()
 	s.Weights, s.FleetSize = WeightsNominal, 4
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
 	q := d.queues[0]
 	if q.limiter.rate != 2 {
-		t.Fatalf("send rate %v, want 8 / 4", q.limiter.rate)
+		t.Fatalf("send rate %v, want 2: the listed rate of 8 divided among 4 relays", q.limiter.rate)
 	}
 	reject := func(at time.Duration) {
 		d.now = moment(at)
@@ -24,7 +24,8 @@
 	reject(time.Second)
 	cut := q.limiter.rate
 	if reject(1100 * ms); !(cut < 2) || q.limiter.rate != cut {
-		t.Errorf("send rate %v after a rejection, %v after another of the same moment", cut, q.limiter.rate)
+		t.Errorf("send rate %v after a rejection and %v after another within rateWindow, want one decrease",
+			cut, q.limiter.rate)
 	}
 	q.waiting = []*message{{}}
 	d.now = moment(4 * time.Second)
@@ -33,25 +34,27 @@
 	d.sendTokens(q)
 	if d.now = d.now.Add(500 * ms); d.now.Sub(q.limiter.decreasedAt) > 1500*ms ||
 		q.limiter.decreasedAt >= slow {
-		t.Errorf("calm since %v, without capacity at %v", q.limiter.decreasedAt, slow)
+		t.Errorf("quiet time counts from %v after a report of little capacity at %v",
+			q.limiter.decreasedAt, slow)
 	}
 	for range 40 {
 		d.now = d.now.Add(500 * ms)
 		d.sendTokens(q)
 	}
 	if q.limiter.rate < 2 {
-		t.Errorf("send rate %v after 20 s in calm, want the even share back", q.limiter.rate)
+		t.Errorf("send rate %v after 20 s without a rejection, want at least the even share of 2",
+			q.limiter.rate)
 	}
 	for i := range 30 {
 		reject(time.Duration(d.now.Add(time.Duration(1+i%2) * time.Second)))
 	}
 	if q.limiter.rate > 0.5 {
-		t.Errorf("send rate %v after rejections for 45 s: a quarter of the listed rate is not reached",
+		t.Errorf("send rate %v after rejections for 45 s, want at most a quarter of the even share",
 			q.limiter.rate)
 	}
 }
 
-// TestEvenShares guards against send rates that add up to more than the listed rate.
+// TestEvenShares guards against send rates of all relays that add up to more than the listed rate.
 func TestEvenShares(t *testing.T) {
 	for _, tt := range []struct {
 		relays int
@@ -71,7 +74,7 @@
 	limiter.start(100, 10, 0)
 	if limiter.refill(0) != 10 || limiter.mayDecrease(moment(rateWindow-ms)) ||
 		!limiter.mayDecrease(moment(rateWindow)) {
-		t.Errorf("%+v as it starts", limiter)
+		t.Errorf("%+v at the start, want 10 tokens and no decrease within rateWindow", limiter)
 	}
 	limiter.decrease(moment(time.Second), 10)
 	if want := 10 * rateDecreaseFactor; limiter.rate != want || limiter.decreasedAt != moment(time.Second) {
@@ -81,7 +84,7 @@
 		limiter.decrease(moment(time.Second), 10)
 	}
 	if want := 10 * minRateShare; limiter.rate != want {
-		t.Errorf("rate %v after many decreases, want %v", limiter.rate, want)
+		t.Errorf("rate %v after many decreases, want the minimum of %v", limiter.rate, want)
 	}
 	limiter.increase(moment(2*time.Second), moment(time.Second), moment(time.Second), 100)
 	if want := 10 * minRateShare * math.Exp(rateIncreaseGain); math.Abs(limiter.rate-want) > 1e-9 {
@@ -89,6 +92,6 @@
 	}
 	limiter.increase(moment(time.Hour), moment(time.Second), moment(time.Second), 20)
 	if limiter.rate != 20 {
-		t.Errorf("rate %v, above the limit", limiter.rate)
+		t.Errorf("rate %v after an hour without a rejection, want the limit of 20", limiter.rate)
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestSlowStart plays each kind of outage: probes stay within the rule's budget, and a success starts slow
-// start.
+// TestSlowStart simulates an outage with each kind of outcome and checks that the probes stay within the
+// budget for a destination in slow start.
 func TestSlowStart(t *testing.T) {
 	s := plain()
 	s.Weights = WeightsNominal
@@ -33,9 +33,9 @@
 				}
 			}
 		}
-		// In 4 s a destination in slow start may take 2 × 0.2 × 5 × 4 = 8 calls.
+		// In 4 s the destination can take 2 × 0.2 × 5 × 4 = 8 calls without being overloaded.
 		if sends > 8 || sends == 0 {
-			t.Errorf("outcome %d: %d calls in 4 s of an outage", outcome, sends)
+			t.Errorf("outcome %d: %d calls in 4 s of an outage, want 1 to 8", outcome, sends)
 		}
 	}
 }
@@ -49,31 +49,32 @@
 	d.eject(ep)
 	d.recordSuccess(ep, true)
 	if got, want := d.slowStartBudget(ep, 0), slowStartSafety*2*0.2*10; math.Abs(got-want) > 1e-9 {
-		t.Errorf("budget at the return: %v, want %v", got, want)
+		t.Errorf("budget right after the recovery: %v, want %v", got, want)
 	}
 	if got, want := d.slowStartBudget(ep, 10*time.Second), slowStartSafety*2*10; math.Abs(got-want) > 1e-9 {
-		t.Errorf("budget when warm: %v, want %v", got, want)
+		t.Errorf("budget at the end of slow start: %v, want %v", got, want)
 	}
 	d.now = moment(12 * time.Second)
 	if d.slowStartTokens(ep); ep.slowStart.active {
-		t.Error("still in slow start after slow start time")
+		t.Error("still in slow start 11 s after the recovery, want at most 10 s")
 	}
 }
 
-// TestNewEndpointOfAnEjectedDestination guards against all relays rushing to a replacement at once.
+// TestNewEndpointOfAnEjectedDestination guards against all relays sending to a new endpoint at once while its
+// destination is down.
 func TestNewEndpointOfAnEjectedDestination(t *testing.T) {
-	for _, removed := range []bool{false, true} { // the old endpoint stays, or is replaced
+	for _, removed := range []bool{false, true} { // whether the old endpoint is removed
 		d := start(t, plain(), Endpoint{ID: "a"})
 		d.eject(d.endpoints["a"])
 		d.Handle(moment(ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Removed: removed},
 			{ID: "b"}}}})
 		if !d.endpoints["b"].outlier.ejected {
-			t.Errorf("old one gone %v: the new one is not on its budget", removed)
+			t.Errorf("old endpoint removed: %v: the new endpoint is not ejected", removed)
 		}
 		d.recordSuccess(d.endpoints["b"], true)
 		d.Handle(moment(2*ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "c"}}}})
 		if d.endpoints["c"].outlier.ejected {
-			t.Error("a new one after the return is on a budget")
+			t.Error("an endpoint that was listed after the recovery is ejected")
 		}
 	}
 }
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -9,26 +9,28 @@
 	"time"
 )
 
-// zonedRelay is a relay of zone 0 and its world: destinations with an endpoint in each zone, and what answers
-// there.
+// zonedRelay simulates one relay and the destinations that it calls. Each destination has one endpoint in
+// each zone, with the ID "destination-zone".
 type zonedRelay struct {
 	*testing.T
 	d            *Dispatcher
 	now          time.Duration
-	n            int
-	fails        func(ep string, dest, zone int) Outcome
-	sent         map[string]int // calls by zone, and all to one as "all"
-	zoneChanges  []string       // in order
-	ownEjections int            // endpoints that this relay itself found failing
-	out          []due
+	n            int                                     // messages that have arrived
+	fails        func(ep string, dest, zone int) Outcome // outcome of a call
+	sent         map[string]int                          // calls by zone number, and their total as "all"
+	zoneChanges  []string                                // state changes of zones, in order
+	ownEjections int                                     // ejections that are not second-hand
+	out          []due                                   // outcomes of calls in flight
 	rng          *rand.Rand
 }
 
+// due is an outcome, or another event, that a simulation delivers at a later time.
 type due struct {
 	at time.Duration
 	e  AttemptEnded
 }
 
+// newZonedRelay returns a relay with the given numbers of zones and destinations, at which all calls succeed.
 func newZonedRelay(t *testing.T, zones, dests int, change func(*Settings)) *zonedRelay {
 	t.Helper()
 	s := plain()
@@ -48,7 +50,8 @@
 		fails: func(string, int, int) Outcome { return OK }}
 }
 
-// run has messages arrive for all destinations in turn, 100 a second, and calls end after some 30 ms.
+// run simulates until the given time. 100 messages a second arrive, for all destinations in turn, and each
+// call ends after 30 to 40 ms.
 func (z *zonedRelay) run(until time.Duration) {
 	for ; z.now < until; z.now += 5 * ms {
 		var events []Event
@@ -90,8 +93,8 @@
 
 func (z *zonedRelay) state(no int) ZoneState { return z.d.zones.get(no).state }
 
-// A zone that fails as a whole is left at once, with endpoints that have not failed yet, and returned to
-// after it is back: one evacuation and one return, and slow start's time to full use.
+// Guards against messages that wait while the endpoints of a failed zone are ejected one by one: the zone has
+// to be evacuated as a whole, and to recover once after the failure ends.
 func TestZoneEvacuation(t *testing.T) {
 	z := newZonedRelay(t, 4, 8, func(s *Settings) { s.Zone = 3 })
 	down := false
@@ -101,32 +104,32 @@
 		}
 		return OK
 	}
-	for _, ep := range z.d.endpoints { // what is served from everywhere
+	for _, ep := range z.d.endpoints { // without it, no calls leave the own zone
 		ep.queue.locality.spillover = maxSpillover
 	}
 	z.run(2 * time.Second)
 	down = true
 	z.run(4 * time.Second)
 	if got := strings.Join(z.zoneChanges, ", "); got != "1 evacuated" {
-		t.Fatalf("after it failed: %s", got)
+		t.Fatalf("zone state changes after zone 1 failed: %s", got)
 	}
 	before := z.sent["1"]
 	z.run(9 * time.Second)
 	if z.sent["1"]-before > 60 {
-		t.Errorf("%d calls to a zone that is out", z.sent["1"]-before)
+		t.Errorf("%d calls in 5 s to an evacuated zone, want at most 60 probes", z.sent["1"]-before)
 	}
 	down = false
 	z.run(22 * time.Second)
 	if got := strings.Join(z.zoneChanges, ", "); got != "1 evacuated, 1 returning, 1 serving" {
-		t.Errorf("after its return: %s", got)
+		t.Errorf("zone state changes after zone 1 works again: %s", got)
 	}
 	all, _ := z.d.Zones()
 	if all[1].Evacuations != 1 || all[1].Recoveries != 1 || all[1].Endpoints != 8 {
-		t.Errorf("%+v", all[1])
+		t.Errorf("status of zone 1: %+v, want one evacuation, one recovery and 8 endpoints", all[1])
 	}
 }
 
-// A zone that comes and goes every few seconds is left once and not returned to; what it costs is probes.
+// Guards against a zone that fails and works again every 5 s and is evacuated and restored each time.
 func TestFlapping(t *testing.T) {
 	z := newZonedRelay(t, 4, 8, func(s *Settings) { s.SlowStartWindow = 8 * time.Second })
 	z.fails = func(_ string, _, zone int) Outcome {
@@ -139,34 +142,36 @@
 		ep.queue.locality.spillover = 0.5
 	}
 	for z.now < 35*time.Second {
-		for _, q := range z.d.queues { // as if the own zone had no room for half of them, all the time
+		for _, q := range z.d.queues { // keep half of the calls leaving the own zone
 			q.locality.spillover = 0.5
 		}
 		z.run(z.now + 100*ms)
 	}
 	all, _ := z.d.Zones()
 	if all[1].Evacuations != 1 || all[1].Recoveries > 1 {
-		t.Errorf("%+v, %v", all[1], z.zoneChanges)
+		t.Errorf("zone status %+v, state changes %v; want one evacuation and at most one recovery", all[1],
+			z.zoneChanges)
 	}
 }
 
-// What is not a zone's failure is not taken for one: a bad destination, bad endpoints here and there, trouble
-// everywhere, rejections, slow calls, and the relay itself cut off from all zones but its own, when it
-// accuses nobody.
+// Guards against the evacuation of zones for failures that have another cause: a destination or a few
+// endpoints that are down, failures in all zones, rejections, or a relay that is isolated. An isolated relay
+// must not record the other zones' failures as its own observations.
 func TestNoFalseEvacuation(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fails func(dest, zone, n int) Outcome
 	}{
-		{"a bad destination",
+		{"one destination down",
 			func(dest, _, _ int) Outcome { return []Outcome{ConnectError, OK}[min(1, dest)] }},
-		{"two bad endpoints", func(dest, zone, _ int) Outcome {
+		{"two endpoints down", func(dest, zone, _ int) Outcome {
 			return []Outcome{ConnectError, OK}[min(1, dest/2+2*max(zone-1, 1-zone))]
 		}},
-		{"a third fails everywhere", func(_, _, n int) Outcome { return []Outcome{Reset, OK, OK}[n%3] }},
-		{"all fails", func(_, _, _ int) Outcome { return Reset }},
-		{"a load peak", func(_, zone, n int) Outcome { return []Outcome{OK, Rejected, OK}[zone%2*(n%3)] }},
-		{"cut off", func(_, zone, _ int) Outcome { return []Outcome{OK, ConnectError}[min(1, zone)] }},
+		{"a third of all calls fails", func(_, _, n int) Outcome { return []Outcome{Reset, OK, OK}[n%3] }},
+		{"all calls fail", func(_, _, _ int) Outcome { return Reset }},
+		{"rejections in one zone",
+			func(_, zone, n int) Outcome { return []Outcome{OK, Rejected, OK}[zone%2*(n%3)] }},
+		{"relay isolated", func(_, zone, _ int) Outcome { return []Outcome{OK, ConnectError}[min(1, zone)] }},
 	} {
 		z := newZonedRelay(t, 3, 8, nil)
 		z.run(2 * time.Second)
@@ -181,20 +186,21 @@
 			ever = ever || cutOff
 		}
 		if len(z.zoneChanges) > 0 {
-			t.Errorf("%s: %v", c.name, z.zoneChanges)
+			t.Errorf("%s: zone state changes %v, want none", c.name, z.zoneChanges)
 		}
-		if want := c.name == "cut off" || c.name == "all fails"; ever != want &&
-			c.name != "a third fails everywhere" {
-			t.Errorf("%s: cut off: %v", c.name, ever)
+		if want := c.name == "relay isolated" || c.name == "all calls fail"; ever != want &&
+			c.name != "a third of all calls fails" {
+			t.Errorf("%s: relay counts as isolated: %v", c.name, ever)
 		}
-		if c.name == "cut off" && z.ownEjections > 4 { // those of the first moments, before it can tell
-			t.Errorf("%s: it accuses %d endpoints", c.name, z.ownEjections)
+		// A few ejections come before enough calls have failed to detect the isolation.
+		if c.name == "relay isolated" && z.ownEjections > 4 {
+			t.Errorf("%s: %d ejections recorded as own observations, want at most 4", c.name, z.ownEjections)
 		}
 	}
 }
 
-// More than half of the fleet's endpoints are not left by verdict: a zone with most of them is found out one
-// by one.
+// Guards against the evacuation of a zone with more than half of all endpoints: the others could not serve
+// all traffic.
 func TestPanicThreshold(t *testing.T) {
 	s := plain()
 	s.Zones, s.Slots = true, 60
@@ -214,35 +220,36 @@
 	}
 	d.Handle(moment(time.Second), []Event{TimerFired{}})
 	if d.zones.get(1).state != Serving {
-		t.Error("three fifths of the endpoints are left at once")
+		t.Error("zone 1, with three fifths of all endpoints, was evacuated")
 	}
 }
 
-// An order has a zone left until its end, whatever its health, but for destinations that are nowhere else; it
-// returns on slow start; and orders that make no sense are rejected.
+// Guards against an evacuation order that ends early, affects destinations served from no other zone, or ends
+// without slow start. Orders for unknown zones, the last zone or a zone in the requested state already are
+// refused.
 func TestZoneOrder(t *testing.T) {
 	z := newZonedRelay(t, 3, 4, nil)
 	z.d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "9-0", Destination: 9}}}})
 	z.run(time.Second)
 	for _, bad := range []int{-1, 3, 70} {
 		if err := z.d.Order(bad, moment(time.Minute)); err == nil {
-			t.Errorf("zone %d is taken", bad)
+			t.Errorf("an order for zone %d, which has no endpoints, was accepted", bad)
 		}
 	}
 	if err := z.d.Order(0, 0); err == nil {
-		t.Error("restored without an order")
+		t.Error("the end of an order was accepted for a zone without an order")
 	}
 	if err := z.d.Order(0, moment(11*time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if err := z.d.Order(0, moment(20*time.Second)); err == nil {
-		t.Error("ordered twice")
+		t.Error("a second order for the same zone was accepted")
 	}
 	if err := z.d.Order(1, moment(11*time.Second)); err != nil {
 		t.Error(err)
 	}
 	if err := z.d.Order(2, moment(11*time.Second)); err == nil {
-		t.Error("the last zone is left")
+		t.Error("an order to evacuate the last serving zone was accepted")
 	}
 	if err := z.d.Order(1, 0); err != nil {
 		t.Error(err)
@@ -261,27 +268,29 @@
 	}
 	z.run(11 * time.Second)
 	if z.sent["0"]-before-only > 0 {
-		t.Errorf("%d calls to a zone that is left by order", z.sent["0"]-before-only)
+		t.Errorf("%d calls to a zone evacuated by order, besides those for a destination served only there",
+			z.sent["0"]-before-only)
 	}
 	if z.state(0) != Recovering {
 		z.run(11100 * ms)
 	}
 	if z.state(0) != Recovering {
-		t.Errorf("after its end: %v", z.zoneChanges)
+		t.Errorf("zone state changes after the order expired: %v, want zone 0 to recover", z.zoneChanges)
 	}
 	z.run(16 * time.Second)
 	if z.state(0) != Serving || z.sent["0"] == before {
-		t.Errorf("after slow start: %v", z.zoneChanges)
+		t.Errorf("zone state changes after slow start: %v, want zone 0 to serve, with calls", z.zoneChanges)
 	}
 }
 
-// Endpoints with numbers of zones that make no sense are served as others are, and judged with none.
+// Guards against invalid zone numbers in an endpoint list: such endpoints are served like others but belong
+// to no zone.
 func TestZonesNeverSeen(t *testing.T) {
 	s := plain()
 	s.Zones = true
 	d := start(t, s, Endpoint{ID: "a", Zone: -7}, Endpoint{ID: "b", Zone: 1 << 40})
 	expect(t, "a message", d.Handle(moment(ms), []Event{arrive("m", 0)}), "m>a")
 	if all, _ := d.Zones(); len(all) > 0 {
-		t.Errorf("%+v", all)
+		t.Errorf("zones of endpoints with invalid zone numbers: %+v, want none", all)
 	}
 }
