--- a/policy/canary_analysis.go
+++ b/policy/canary_analysis.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// canaryMaxAge is the age, since its process started, up to which a newly listed endpoint becomes a
-	// canary.
+	// canaryMaxAge is the age, since its process started, up to which a newly listed or restarted endpoint
+	// becomes a canary.
 	canaryMaxAge = time.Minute
 	// minStageDuration is the shortest duration of a stage.
 	minStageDuration = 2 * time.Second
@@ -44,13 +44,13 @@
 // and reports whether the score reaches the suspension threshold.
 func (c *canaryState) recordOutcome(class int, failed bool, baselineShare float64) (regressed bool) {
 	c.outcomes++
-	usual := math.Max(minFailureShare, baselineShare)
-	worse := usual + (1-usual)/2
+	baselineRate := math.Max(minFailureShare, baselineShare)
+	regressedRate := baselineRate + (1-baselineRate)/2
 	if !failed {
-		c.scores[class] = math.Max(0, c.scores[class]+math.Log((1-worse)/(1-usual)))
+		c.scores[class] = math.Max(0, c.scores[class]+math.Log((1-regressedRate)/(1-baselineRate)))
 		return false
 	}
-	c.scores[class] += math.Log(worse / usual)
+	c.scores[class] += math.Log(regressedRate / baselineRate)
 	return c.scores[class] >= math.Log(regressionLikelihoodRatio)
 }
 
--- a/policy/canary_test.go
+++ b/policy/canary_test.go
@@ -8,19 +8,19 @@
 )
 
 // canaryFleet simulates a fleet of relays in virtual time. Its destination has two old endpoints, to which
-// tests add new ones. Broadcasts reach all other relays, except those for which lose returns true.
+// tests add new ones. Broadcasts reach all other relays, except those for which losesGossip returns true.
 type canaryFleet struct {
 	*testing.T
-	relays    []*Dispatcher
-	now       time.Duration
-	n         int                                // messages that have arrived
-	out       [][]due                            // by relay: outcomes and gossip messages to come
-	sent      map[string]int                     // calls by endpoint
-	fails     func(ep string, class int) Outcome // outcome of a call
-	took      func(ep string) time.Duration      // latency of a call
-	lose      func() bool                        // whether a gossip message is lost
-	suspended map[string]int                     // suspensions by endpoint, over all relays
-	rng       *rand.Rand
+	relays      []*Dispatcher
+	now         time.Duration
+	arrivals    int                                // messages that have arrived
+	pending     [][]pendingOutcome                 // by relay: outcomes and gossip messages to come
+	sent        map[string]int                     // calls by endpoint
+	outcome     func(ep string, class int) Outcome // outcome of a call
+	latency     func(ep string) time.Duration      // latency of a call
+	losesGossip func() bool                        // whether a gossip message is lost
+	suspended   map[string]int                     // suspensions by endpoint, over all relays
+	rng         *rand.Rand
 }
 
 // newCanaryFleet returns a fleet in which all calls succeed within 30 ms and no gossip message is lost.
@@ -28,8 +28,9 @@
 	t.Helper()
 	p := &canaryFleet{T: t, sent: map[string]int{}, suspended: map[string]int{},
 		rng: rand.New(rand.NewPCG(2, 2)), now: time.Second,
-		fails: func(string, int) Outcome { return OK }, took: func(string) time.Duration { return 30 * ms },
-		lose: func() bool { return false }}
+		outcome:     func(string, int) Outcome { return OK },
+		latency:     func(string) time.Duration { return 30 * ms },
+		losesGossip: func() bool { return false }}
 	for no := range relays {
 		s := plain()
 		s.CanaryAnalysis, s.Gossip, s.FleetSize, s.Slots, s.QueueCapacity = true, true, relays, 20, 1000
@@ -39,7 +40,7 @@
 		}
 		d.Handle(0, []Event{EndpointsUpdated{Complete: true,
 			Endpoints: []Endpoint{{ID: "old-a"}, {ID: "old-b"}}}})
-		p.relays, p.out = append(p.relays, d), append(p.out, nil)
+		p.relays, p.pending = append(p.relays, d), append(p.pending, nil)
 	}
 	return p
 }
@@ -58,15 +59,15 @@
 		case Send:
 			p.sent[a.Endpoint]++
 			m := p.relays[no].messages.byID[a.ID]
-			took := p.took(a.Endpoint)
-			p.out[no] = append(p.out[no],
-				due{p.now + took, AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Attempt: len(m.attempts) - 1,
-					Outcome: p.fails(a.Endpoint, m.Class), Latency: took}})
+			took := p.latency(a.Endpoint)
+			p.pending[no] = append(p.pending[no],
+				pendingOutcome{p.now + took, AttemptEnded{ID: a.ID, Endpoint: a.Endpoint,
+					Attempt: len(m.attempts) - 1, Outcome: p.outcome(a.Endpoint, m.Class), Latency: took}})
 		case Broadcast:
 			for other := range p.relays {
-				if other != no && !p.lose() {
-					p.out[other] = append(p.out[other],
-						due{p.now + 5*ms, AttemptEnded{ID: "", Endpoint: string(a.Message)}})
+				if other != no && !p.losesGossip() {
+					p.pending[other] = append(p.pending[other],
+						pendingOutcome{p.now + 5*ms, AttemptEnded{ID: "", Endpoint: string(a.Message)}})
 				}
 			}
 		case CanaryStageChanged:
@@ -83,8 +84,8 @@
 	for ; p.now < until; p.now += 10 * ms {
 		for no := range p.relays {
 			var events []Event
-			remainder := p.out[no][:0:0]
-			for _, x := range p.out[no] {
+			remainder := p.pending[no][:0:0]
+			for _, x := range p.pending[no] {
 				switch {
 				case x.at > p.now:
 					remainder = append(remainder, x)
@@ -94,14 +95,15 @@
 					events = append(events, x.e)
 				}
 			}
-			p.out[no] = remainder
+			p.pending[no] = remainder
 			if p.rng.Float64() < rate*0.01 {
-				p.n++
+				p.arrivals++
 				class := 0
-				if p.n%5 == 0 {
+				if p.arrivals%5 == 0 {
 					class = 1
 				}
-				events = append(events, Arrived{ID: fmt.Sprint(p.n), Class: class, TimeLeft: 5 * time.Second})
+				events = append(events,
+					Arrived{ID: fmt.Sprint(p.arrivals), Class: class, TimeLeft: 5 * time.Second})
 			}
 			p.handle(no, append(events, TimerFired{})...)
 		}
@@ -123,30 +125,30 @@
 // canaryCase describes the behaviour of the endpoints in one test case, and the expected result for the
 // endpoint "new".
 type canaryCase struct {
-	name      string
-	fails     func(ep string, class int) Outcome // outcome of a call; nil if all calls succeed
-	slow      bool                               // "new" answers in 400 ms rather than 30 ms
-	lose      float64                            // share of the gossip messages that are lost
-	suspended bool                               // whether the relays should suspend "new"
-	served    float64                            // largest allowed share of the calls in the first 14 s
-	through   int                                // fewest relays that complete the trial within 30 s
+	name        string
+	outcome     func(ep string, class int) Outcome // outcome of a call; nil if all calls succeed
+	slow        bool                               // "new" answers in 400 ms rather than 30 ms
+	gossipLoss  float64                            // share of the gossip messages that are lost
+	suspended   bool                               // whether the relays should suspend "new"
+	maxShare    float64                            // largest allowed share of the calls in the first 14 s
+	minPromoted int                                // fewest relays that complete the trial within 30 s
 }
 
 // fleet returns 20 relays whose endpoints behave as the case describes.
 func (c *canaryCase) fleet(t *testing.T) *canaryFleet {
 	t.Helper()
 	p := newCanaryFleet(t, 20)
-	p.lose = func() bool { return p.rng.Float64() < c.lose }
-	if c.fails != nil {
-		p.fails = func(ep string, class int) Outcome {
-			if c.name == "healthy, but one call in five fails at all endpoints" && p.rng.Float64() > 0.2 {
+	p.losesGossip = func() bool { return p.rng.Float64() < c.gossipLoss }
+	if c.outcome != nil {
+		p.outcome = func(ep string, class int) Outcome {
+			if c.name == "good, but calls to all endpoints fail at times" && p.rng.Float64() > 0.2 {
 				return OK
 			}
-			return c.fails(ep, class)
+			return c.outcome(ep, class)
 		}
 	}
 	if c.slow {
-		p.took = func(ep string) time.Duration {
+		p.latency = func(ep string) time.Duration {
 			if ep == "new" {
 				return 400 * ms
 			}
@@ -163,7 +165,7 @@
 	p.run(10*time.Second, 2)
 	p.list(Endpoint{ID: "new", StartedAt: moment(p.now)})
 	share := p.canaryShare(24*time.Second, 2)
-	if share > c.served {
+	if share > c.maxShare {
 		t.Errorf("the canary got a share of %.3f of the calls, more than the case allows", share)
 	}
 	if suspended := p.suspended["new"]; c.suspended && suspended < 15 || !c.suspended && suspended > 0 {
@@ -174,14 +176,14 @@
 		return
 	}
 	p.run(40*time.Second, 2)
-	through := 0
+	promoted := 0
 	for _, d := range p.relays {
 		if d.endpoints["new"].canary == nil {
-			through++
+			promoted++
 		}
 	}
-	if through < c.through {
-		t.Errorf("only %d of 20 relays completed the trial of the canary within 30 s", through)
+	if promoted < c.minPromoted {
+		t.Errorf("only %d of 20 relays completed the trial of the canary within 30 s", promoted)
 	}
 }
 
@@ -198,19 +200,19 @@
 
 // Guards against a bad version that keeps receiving calls, and against a good one that is never promoted.
 // Nearly all relays have to suspend an endpoint that fails or is slow, after few calls.
-func TestCanaries(t *testing.T) {
+func TestCanaryPromotionAndSuspension(t *testing.T) {
 	const allClasses = -1
 	allFail := func(string, int) Outcome { return Failed }
 	for _, c := range []canaryCase{
-		{name: "good", served: 1, through: 20},
-		{name: "healthy, half of the gossip messages lost", served: 1, lose: 0.5, through: 20},
-		{name: "healthy, but one call in five fails at all endpoints", fails: allFail, served: 1, through: 1},
-		{name: "bad", fails: newFails(Failed, allClasses), suspended: true, served: 0.03},
-		{name: "failing, half of the gossip messages lost",
-			fails: newFails(Reset, allClasses), lose: 0.5, suspended: true,
-			served: 0.04},
-		{name: "failing for one class only", fails: newFails(Failed, 1), suspended: true, served: 0.15},
-		{name: "slow", slow: true, suspended: true, served: 0.03},
+		{name: "good", maxShare: 1, minPromoted: 20},
+		{name: "good, half of the gossip messages lost", maxShare: 1, gossipLoss: 0.5, minPromoted: 20},
+		{name: "good, but calls to all endpoints fail at times", outcome: allFail, maxShare: 1,
+			minPromoted: 1},
+		{name: "bad", outcome: newFails(Failed, allClasses), suspended: true, maxShare: 0.03},
+		{name: "bad, half of the gossip messages lost", outcome: newFails(Reset, allClasses), gossipLoss: 0.5,
+			suspended: true, maxShare: 0.04},
+		{name: "bad for one class only", outcome: newFails(Failed, 1), suspended: true, maxShare: 0.15},
+		{name: "slow", slow: true, suspended: true, maxShare: 0.03},
 	} {
 		t.Run(c.name, c.check)
 	}
@@ -234,7 +236,7 @@
 					d.eject(ep)
 				}
 			}
-			p.fails = func(ep string, _ int) Outcome {
+			p.outcome = func(ep string, _ int) Outcome {
 				return map[bool]Outcome{true: ConnectError}[ep != "new"]
 			}
 			return []Endpoint{{ID: "new", StartedAt: moment(p.now)}}
@@ -271,21 +273,21 @@
 // Guards against suspensions that do not end or do not start again at the first stage, duplicate reports that
 // count more than once, malformed reports, and reports from a relay that sees all its calls fail, which may
 // be its own fault.
-func TestCanaryEvidence(t *testing.T) {
+func TestCanaryReports(t *testing.T) {
 	p := newCanaryFleet(t, 1)
 	p.run(3*time.Second, 5)
 	p.list(Endpoint{ID: "new", StartedAt: moment(p.now)})
 	d := p.relays[0]
 	ep := d.endpoints["new"]
-	bad := canaryMessage{"new", 0, true, 7}.encode()
+	report := canaryMessage{"new", 0, true, 7}.encode()
 	for range 10 {
-		p.handle(0, GossipReceived{Message: bad})
+		p.handle(0, GossipReceived{Message: report})
 	}
 	if ep.canary.suspendedUntil > 0 || ep.canary.outcomes != 1 {
 		t.Errorf("ten copies of one report counted as %d outcomes, want 1 and no suspension",
 			ep.canary.outcomes)
 	}
-	for _, message := range [][]byte{bad[:1], bad[:2], {}, canaryMessage{"none", 0, true, 1}.encode(),
+	for _, message := range [][]byte{report[:1], report[:2], {}, canaryMessage{"none", 0, true, 1}.encode(),
 		canaryMessage{"new", 99, true, 1}.encode(), canaryMessage{"old-a", 0, true, 1}.encode()} {
 		p.handle(0, GossipReceived{Message: message})
 	}
@@ -309,19 +311,19 @@
 			share)
 	}
 
-	lone := newCanaryFleet(t, 2)
-	lone.fails = func(string, int) Outcome { return Failed }
-	lone.run(6*time.Second, 5)
-	lone.list(Endpoint{ID: "new", StartedAt: moment(lone.now)})
+	failing := newCanaryFleet(t, 2)
+	failing.outcome = func(string, int) Outcome { return Failed }
+	failing.run(6*time.Second, 5)
+	failing.list(Endpoint{ID: "new", StartedAt: moment(failing.now)})
 	broadcasts := 0
 	for range 50 {
-		lone.now += 50 * ms
-		d := lone.relays[0]
+		failing.now += 50 * ms
+		d := failing.relays[0]
 		d.analyzeOutcome(d.endpoints["new"], &message{Arrived: Arrived{Class: 0}},
 			AttemptEnded{Outcome: Failed}, false)
 		for _, a := range d.actions {
 			if broadcast, ok := a.(Broadcast); ok {
-				if _, trial := decodeCanaryMessage(broadcast.Message); trial {
+				if _, isReport := decodeCanaryMessage(broadcast.Message); isReport {
 					broadcasts++
 				}
 			}
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -17,8 +17,8 @@
 	// maxBackoff is the longest backoff that the relay chooses itself, about the longest window in which
 	// receivers count calls.
 	maxBackoff = 2 * time.Second
-	// secondProbeProbability is the probability with which a relay with a low rate makes one more call after
-	// its first failed or rejected one, before it falls back to the slow start budget.
+	// secondProbeProbability is the probability with which a relay with a low rate (hasLowRate) makes one
+	// more call after its first failed or rejected one, before it falls back to the slow start budget.
 	secondProbeProbability = 0.5
 )
 
@@ -26,7 +26,7 @@
 // concurrent use.
 type circuitBreaker struct {
 	retryAfterUntil       instant.Time  // end of the last Retry-After; nothing is sent before it
-	backoffUntil          instant.Time  // end of the backoff, which a success may end early
+	backoffUntil          instant.Time  // end of a pause of at most maxBackoff, which a success may end early
 	announcedUntil        instant.Time  // end of the pause that the other relays know of
 	rejectedCallAt        instant.Time  // when the latest rejected call was sent, here or elsewhere
 	backoff               time.Duration // base of the last backoff, without jitter
@@ -71,9 +71,9 @@
 // budget is spent.
 func (d *Dispatcher) recordRejection(queue *queue, rejection limitMessage) {
 	down := queue.circuit.countRejection(d.now, rejection.retryAfter)
-	probedForAll := d.isProber(queue)
+	probesForFleet := d.isProber(queue)
 	until := d.openCircuit(queue, rejection)
-	unknownToOthers := probedForAll || until > queue.circuit.announcedUntil.Add(initialBackoff)
+	unknownToOthers := probesForFleet || until > queue.circuit.announcedUntil.Add(initialBackoff)
 	if d.settings.Gossip && !queue.separateRoute && unknownToOthers {
 		queue.circuit.announcedUntil = until
 		d.emit(Broadcast{Message: rejection.encode()})
@@ -85,9 +85,11 @@
 	}
 }
 
-// openCircuit pauses a queue after a rejection here or at another relay, and returns when the pause ends. All
-// relays that learn of the rejection stop together. They resume at different times, because each starts with
-// a random fraction of a token.
+// openCircuit pauses a queue after a rejection here or at another relay, lowers its send rate, and returns
+// when the pause ends. The pause is the Retry-After of the rejection or else a backoff, at most maxBackoff;
+// for a rejection here, extendRetryAfter also applies the Retry-After in full. All relays that learn of the
+// rejection stop together. They resume at different times, because each starts with a random fraction of a
+// token.
 func (d *Dispatcher) openCircuit(queue *queue, rejection limitMessage) (until instant.Time) {
 	circuit := &queue.circuit
 	circuit.rejectedCallAt = max(circuit.rejectedCallAt, d.now.Add(-rejection.callAge))
@@ -112,7 +114,8 @@
 
 // closeCircuit ends a backoff if the accepted call was sent well after the rejected one: a destination that
 // limits a steady rate accepts calls again at once, while one that counts calls per window accepts none until
-// its window ends. A Retry-After is always waited out. It reports whether there was a backoff to end.
+// its window ends. A Retry-After that this relay received is always waited out. It reports whether there was
+// a backoff to end.
 func (d *Dispatcher) closeCircuit(q *queue, accepted limitMessage) bool {
 	circuit := &q.circuit
 	sentAt := d.now.Add(-accepted.callAge)
--- a/policy/circuit_test.go
+++ b/policy/circuit_test.go
@@ -54,7 +54,7 @@
 }
 
 // A Retry-After in the first outcome of a batch has to apply before the other outcomes of its call arrive.
-func TestRetryAfterOfABatch(t *testing.T) {
+func TestRetryAfterOfBatch(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	expect(t, "one call", d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}), "m>a n>a")
 	if d.slots.inUse != 1 {
@@ -101,9 +101,8 @@
 	}
 }
 
-// TestRelaysDoNotProbeInStep guards against backoff without jitter: relays that are rejected together must
-// not resume at the same time.
-func TestRelaysDoNotProbeInStep(t *testing.T) {
+// TestBackoffHasJitter guards against relays that are rejected together and all resume at the same time.
+func TestBackoffHasJitter(t *testing.T) {
 	s := plain()
 	s.FleetSize, s.Weights = 400, WeightsNominal
 	seen := map[instant.Time]bool{}
@@ -122,14 +121,14 @@
 	}
 }
 
-// TestProbesOfALargeFleet guards against hundreds of relays whose further probes overload a destination that
-// is in slow start. With 4 calls a second listed, the even share is 0.01 for each of 400 relays and 2 for
-// each of 2.
-func TestProbesOfALargeFleet(t *testing.T) {
+// TestSecondProbesInLargeFleet guards against hundreds of relays whose further probes overload a destination
+// that is in slow start. With 4 calls a second listed, the even share is 0.01 for each of 400 relays and 2
+// for each of 2.
+func TestSecondProbesInLargeFleet(t *testing.T) {
 	for _, tt := range []struct {
 		relays          int
 		outcome         Outcome
-		wait            time.Duration
+		retryAfter      time.Duration
 		lowest, highest int // bounds of the relays, of 40, that eject the endpoint after one failure
 	}{{400, Rejected, 0, 10, 30}, {400, ConnectError, 0, 10, 30}, {400, Rejected, time.Second, 40, 40},
 		{2, Rejected, 0, 0, 0}, {2, ConnectError, 0, 0, 0}} {
@@ -144,7 +143,7 @@
 			d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}},
 				arrive("m", 0)})
 			d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome,
-				RetryAfter: tt.wait}})
+				RetryAfter: tt.retryAfter}})
 			if d.endpoints["a"].outlier.ejected {
 				ejected++
 			}
@@ -156,7 +155,7 @@
 		}
 		if ejected < tt.lowest || ejected > tt.highest {
 			t.Errorf("%d relays, outcome %d, Retry-After %v: %d of 40 ejected the endpoint after one failure",
-				tt.relays, tt.outcome, tt.wait, ejected)
+				tt.relays, tt.outcome, tt.retryAfter, ejected)
 		}
 	}
 }
--- a/policy/connection_limit.go
+++ b/policy/connection_limit.go
@@ -23,8 +23,8 @@
 }
 
 // allows reports whether the limit allows one more call beside those in flight.
-func (c *connectionLimiter) allows(callsOut int) bool {
-	return c.limit <= 0 || float64(callsOut+1) <= c.limit
+func (c *connectionLimiter) allows(callsInFlight int) bool {
+	return c.limit <= 0 || float64(callsInFlight+1) <= c.limit
 }
 
 // raiseLimit raises a learned limit after a success, since other relays close their idle connections over
@@ -36,7 +36,9 @@
 }
 
 // lowerLimit sets the limit to the number of calls in flight, but at least 1.
-func (c *connectionLimiter) lowerLimit(callsOut int) { c.limit = math.Max(1, float64(callsOut)) }
+func (c *connectionLimiter) lowerLimit(callsInFlight int) {
+	c.limit = math.Max(1, float64(callsInFlight))
+}
 
 // recordSuccess handles a successful call. If the call was sent before the last connection error, the
 // endpoint is up and has run out of connections.
--- a/policy/connection_limit_test.go
+++ b/policy/connection_limit_test.go
@@ -32,40 +32,40 @@
 // TestIdleConnectionsAreClosedWhenFull guards against many relays whose idle connections use up the
 // connections of an endpoint, and against closing idle connections without a sign of that.
 func TestIdleConnectionsAreClosedWhenFull(t *testing.T) {
-	rejected := []Event{GossipReceived{Message: encodeEndpointMessage(connectErrorType, "a")}}
+	connectError := []Event{GossipReceived{Message: encodeEndpointMessage(connectErrorType, "a")}}
 	for _, tt := range []struct {
 		name string
 		// when another relay reports a connection error; 0 for never. The first call lasts from 1 s to 2 s.
-		at      time.Duration
-		connCap float64       // learned connection limit; 0 for none
-		last    time.Duration // when a later call ends
-		closes  bool          // whether idle connections should be closed
-	}{{"no connection error",
-		0, 0, 3 * time.Second, false}, {"connection error at this relay", 0, 2, 3 * time.Second, true},
+		errorAt      time.Duration
+		learnedLimit float64       // learned connection limit; 0 for none
+		lastCallEnd  time.Duration // when a later call ends
+		closes       bool          // whether idle connections should be closed
+	}{{"no connection error", 0, 0, 3 * time.Second, false},
+		{"connection error at this relay", 0, 2, 3 * time.Second, true},
 		{"connection error elsewhere during the call", 1500 * ms, 0, 3 * time.Second, true},
 		{"connection error elsewhere before the call, as in an outage", 500 * ms, 0, 3 * time.Second, false},
 		{"connection error elsewhere long ago", 1500 * ms, 0, 15 * time.Second, false}} {
 		s := plain()
 		s.IdleConnTimeout, s.FleetSize = 10*time.Second, 40
 		d := start(t, s, Endpoint{ID: "a"})
-		if tt.at > 0 && tt.at < time.Second {
-			d.Handle(moment(tt.at), rejected)
+		if tt.errorAt > 0 && tt.errorAt < time.Second {
+			d.Handle(moment(tt.errorAt), connectError)
 		}
 		d.Handle(moment(time.Second), []Event{arrive("m", 0)})
-		if tt.at > time.Second {
-			d.Handle(moment(tt.at), rejected)
+		if tt.errorAt > time.Second {
+			d.Handle(moment(tt.errorAt), connectError)
 		}
 		d.Handle(moment(2*time.Second),
 			[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}})
-		d.endpoints["a"].connections.limit = tt.connCap
-		d.Handle(moment(tt.last-500*ms), []Event{arrive("n", 0)})
+		d.endpoints["a"].connections.limit = tt.learnedLimit
+		d.Handle(moment(tt.lastCallEnd-500*ms), []Event{arrive("n", 0)})
 		closes := false
-		for _, a := range d.Handle(moment(tt.last),
+		for _, a := range d.Handle(moment(tt.lastCallEnd),
 			[]Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: OK, Completed: true}}) {
 			closes = closes || a == CloseIdleConnections{Endpoint: "a"}
 		}
 		if closes != tt.closes {
-			t.Errorf("%s: idle connections closed: %v", tt.name, closes)
+			t.Errorf("%s: idle connections closed: %v, want the opposite", tt.name, closes)
 		}
 	}
 }
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -76,7 +76,7 @@
 // mayProbe reports whether an ejected endpoint may get a probe now: in this relay's turn, where the fleet
 // takes turns, else as the slow start budget allows.
 func (d *Dispatcher) mayProbe(ep *endpoint) bool {
-	probes := ep.probesOut()
+	probes := ep.probesInFlight()
 	if turn := d.probeTurn(ep); turn > 0 {
 		return probes == 0 && d.now >= turn
 	}
--- a/policy/gossip_codec_test.go
+++ b/policy/gossip_codec_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestLimitMessages(t *testing.T) {
+func TestLimitMessageCodec(t *testing.T) {
 	for _, l := range []limitMessage{{}, {destination: 7, retryAfter: 1500 * ms, callAge: 90 * ms},
 		{accepted: true, destination: 7, callAge: 90 * ms},
 		{destination: maxGossipNumber, retryAfter: maxGossipNumber * ms, callAge: maxGossipNumber * ms}} {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestObserved(t *testing.T) {
+func TestObservationCodec(t *testing.T) {
 	for _, o := range []Observation{
 		{CircuitOpen: true, Destination: 7, RetryAfter: time.Second, CallAge: 30 * ms},
 		{CircuitClosed: true, Destination: 7, CallAge: ms},
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -53,7 +53,7 @@
 				q.limiter.rate, len(q.calls))
 		}
 	}
-	back := 0
+	resumed := 0
 	for ; at < 6*time.Second; at += 50 * ms {
 		sent := 0
 		for _, d := range all[1:] {
@@ -63,13 +63,13 @@
 				}
 			}
 		}
-		if back += sent; sent > 16 || sent > 0 && at < 3*time.Second {
+		if resumed += sent; sent > 16 || sent > 0 && at < 3*time.Second {
 			t.Errorf("%d of 79 relays sent at %v, want none before 3s and at most 16 at once after that",
 				sent, at)
 		}
 	}
-	if back < 70 {
-		t.Errorf("only %d of 79 relays sent again within 4 s", back)
+	if resumed < 70 {
+		t.Errorf("only %d of 79 relays sent again within 4 s", resumed)
 	}
 }
 
@@ -207,8 +207,8 @@
 		d.eject(d.endpoints["a"])
 	}
 	var messages [][]byte
-	back := 10 * time.Second
-	for _, a := range all[0].Handle(moment(back),
+	recoveredAt := 10 * time.Second
+	for _, a := range all[0].Handle(moment(recoveredAt),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true}}) {
 		if broadcast, ok := a.(Broadcast); ok {
 			messages = append(messages, broadcast.Message)
@@ -219,20 +219,20 @@
 	}
 	sent := 0
 	for _, d := range all[1:] {
-		d.Handle(moment(back),
+		d.Handle(moment(recoveredAt),
 			[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectError, Completed: true}})
-		d.Handle(moment(back+10*ms),
+		d.Handle(moment(recoveredAt+10*ms),
 			[]Event{GossipReceived{Message: messages[0]},
 				GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, "unlisted")},
 				arrive("n", 0)})
 		ep := d.endpoints["a"]
-		if ep.outlier.ejected || !ep.slowStart.active || ep.slowStart.recoveredAt != moment(back+10*ms) ||
-			len(d.endpoints) != 1 {
+		if ep.outlier.ejected || !ep.slowStart.active ||
+			ep.slowStart.recoveredAt != moment(recoveredAt+10*ms) || len(d.endpoints) != 1 {
 			t.Fatalf("after gossip on a recovery: ejected %v, slow start %v, recovered at %v, %d endpoints",
 				ep.outlier.ejected,
 				ep.slowStart.active, ep.slowStart.recoveredAt, len(d.endpoints))
 		}
-		d.Handle(moment(back+d.settings.OverloadWindow), []Event{TimerFired{}})
+		d.Handle(moment(recoveredAt+d.settings.OverloadWindow), []Event{TimerFired{}})
 		sent += len(d.queues[0].calls)
 	}
 	s := all[0].settings
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -7,18 +7,18 @@
 
 // Guards against a successor that ignores the calls in flight of its predecessor: they occupy slots, a failed
 // one is retried, and one whose message is already complete only frees its slot.
-func TestCallsInFlightAtAHandover(t *testing.T) {
+func TestCallsInFlightAtHandover(t *testing.T) {
 	s := plain()
 	s.Slots = 2
 	d := start(t, s, Endpoint{ID: "a", Destination: 0}, Endpoint{ID: "b", Destination: 1},
 		Endpoint{ID: "c", Destination: 2})
-	out := func(id string, dest int, ep string, call int, completed bool) Event {
+	inherited := func(id string, dest int, ep string, call int, completed bool) Event {
 		return Arrived{ID: id, Destination: dest, TimeLeft: 9 * time.Second, Resumed: true,
 			Completed:     completed,
 			PriorAttempts: []PriorAttempt{{Endpoint: ep, SentAt: moment(-ms), InFlight: true, Call: call}}}
 	}
 	expect(t, "both slots are in use by inherited calls",
-		d.Handle(0, []Event{out("m1", 0, "a", 7, false), out("m2", 1, "b", 8, true),
+		d.Handle(0, []Event{inherited("m1", 0, "a", 7, false), inherited("m2", 1, "b", 8, true),
 			Arrived{ID: "held", Destination: 2, TimeLeft: 9 * time.Second, Resumed: true}}), "")
 	expect(t, "the end of a completed message's call frees its slot",
 		d.Handle(moment(10*ms),
@@ -56,7 +56,7 @@
 		events = append([]Event{l}, events...)
 	}
 	expect(t, "during the inherited Retry-After", d.Handle(moment(200*ms), events), "")
-	expect(t, "at the end of the inherited Retry-After", d.Handle(moment(2*time.Second), nil), "")
+	expect(t, "shortly before the end of the inherited Retry-After", d.Handle(moment(2*time.Second), nil), "")
 	expect(t, "after the inherited Retry-After", d.Handle(moment(2200*ms), nil), "m>a")
 	if !d.endpoints["b"].outlier.ejected || d.endpoints["b"].queue.latency.mean != 0.7 {
 		t.Errorf("endpoint b: ejected %v, mean latency %v; want true and 0.7",
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -92,14 +92,14 @@
 	shares := make([][]float64, len(demand))
 	for zone := range demand {
 		shares[zone] = make([]float64, len(demand))
-		leaving := 0.0
+		leavingShare := 0.0
 		if excess := demand[zone] - capacity[zone]; excess > 0 && totalFree > 0 {
-			leaving = excess / demand[zone] * math.Min(1, totalFree/totalExcess)
+			leavingShare = excess / demand[zone] * math.Min(1, totalFree/totalExcess)
 			for other := range demand { // a zone without free capacity gets a share of 0
-				shares[zone][other] = leaving * free[other] / totalFree
+				shares[zone][other] = leavingShare * free[other] / totalFree
 			}
 		}
-		shares[zone][zone] = 1 - leaving
+		shares[zone][zone] = 1 - leavingShare
 	}
 	return shares
 }
--- a/policy/locality_test.go
+++ b/policy/locality_test.go
@@ -83,13 +83,13 @@
 
 // Guards against calls that leave a zone with free capacity, and against a zone that keeps its calls although
 // it rejects half of them.
-func TestLocalFirst(t *testing.T) {
+func TestCallsStayInOwnZoneWithCapacity(t *testing.T) {
 	z := newZonedRelay(t, 3, 4, nil)
 	z.run(20 * time.Second)
 	if local := float64(z.sent["0"]) / float64(z.sent["all"]); local < 0.98 {
 		t.Errorf("share of %.3f of the calls in a healthy own zone, want at least 0.98", local)
 	}
-	z.fails = func(_ string, _, zone int) Outcome {
+	z.outcome = func(_ string, _, zone int) Outcome {
 		if zone == 0 && z.rng.IntN(2) == 0 {
 			return Rejected
 		}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -56,8 +56,8 @@
 	return true
 }
 
-// probesOut returns the number of calls in flight that were sent after the ejection.
-func (ep *endpoint) probesOut() int {
+// probesInFlight returns the number of calls in flight that were sent after the ejection.
+func (ep *endpoint) probesInFlight() int {
 	probes := 0
 	for _, c := range ep.calls {
 		if c.sentAt >= ep.outlier.ejectedAt {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -24,14 +24,14 @@
 				[]Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
 		}
 		if got := d.endpoints["a"].outlier.ejected; got != tt.ejected {
-			t.Errorf("after %d calls with outcome %d: ejected %v", tt.n, tt.outcome, got)
+			t.Errorf("after %d calls with outcome %d: ejected %v, want the opposite", tt.n, tt.outcome, got)
 		}
 	}
 }
 
-// TestSiblingProbes guards against a slow recovery: outages mostly end for all endpoints of a destination at
-// once, so the success of one has to allow a probe of the others.
-func TestSiblingProbes(t *testing.T) {
+// TestRecoveryAllowsProbesOfDestination guards against a slow recovery: outages mostly end for all endpoints
+// of a destination at once, so the success of one has to allow a probe of the others.
+func TestRecoveryAllowsProbesOfDestination(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	a, b := d.endpoints["a"], d.endpoints["b"]
 	d.eject(a)
@@ -63,9 +63,9 @@
 		d.Handle(moment(5*ms), []Event{arrive("o", 1)}), "o>a")
 }
 
-// TestOutageOfAllClassesEndsForAll guards against failures of an outage that keep a class away from an
+// TestRecoveryClearsFailuresOfAllClasses guards against failures of an outage that keep a class away from an
 // endpoint for good, because only messages of another class were used to probe it.
-func TestOutageOfAllClassesEndsForAll(t *testing.T) {
+func TestRecoveryClearsFailuresOfAllClasses(t *testing.T) {
 	s := plain()
 	s.SlowStartWindow = time.Second
 	d := start(t, s, Endpoint{ID: "a", Zone: 0}, Endpoint{ID: "b", Zone: 1})
@@ -110,7 +110,7 @@
 }
 
 // Ejected and draining endpoints count as unavailable, others do not.
-func TestAvoided(t *testing.T) {
+func TestUnavailableEndpoints(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Destination: 1}, Endpoint{ID: "b", Destination: 2},
 		Endpoint{ID: "c", Destination: 2})
 	if n := d.UnavailableEndpoints(); n != 0 {
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -24,8 +24,8 @@
 	return report.observers >= minObservers && now < report.validUntil && q.lastSuccessAt < report.oldestAt
 }
 
-// isProber reports whether a destination is down or suspected to be, and it is this relay's turn to probe it
-// for the fleet. A prober ignores its own send rate and backoff.
+// isProber reports whether a destination is down or suspected to be, and this relay's turn to probe it for
+// the fleet has come or is at most probeInterval away. A prober ignores its own send rate and backoff.
 func (d *Dispatcher) isProber(q *queue) bool {
 	if !q.allEjected() && !q.singleProber(d.now) || len(q.endpoints) == 0 {
 		return false
@@ -36,12 +36,13 @@
 
 // probeTurn returns when this relay may probe an endpoint that the fleet reports as down, or 0 if there is no
 // valid report. The first relay by rank probes one interval after the fleet's last probe. In case that relay
-// has nothing to send, each further interval lets about twice as many relays probe.
+// has nothing to send, each further interval lets about twice as many relays probe. The interval is
+// probeInterval, or longer if the slow start budget of the fleet allows fewer probes.
 func (d *Dispatcher) probeTurn(ep *endpoint) instant.Time {
 	report := ep.peerReport
-	ofQueue := ep.queue.peerReport
-	if !report.valid(d.now) || ofQueue.valid(d.now) && ofQueue.newestAt > report.newestAt {
-		report = ofQueue
+	queueReport := ep.queue.peerReport
+	if !report.valid(d.now) || queueReport.valid(d.now) && queueReport.newestAt > report.newestAt {
+		report = queueReport
 	}
 	if !report.valid(d.now) {
 		return 0
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -33,7 +33,7 @@
 // Guards against relays that each have to find out for themselves that a destination is down. Its endpoints
 // are ejected if at least minObservers relays report rejections for longer than circuitOpenAfter, but not
 // against a later success at this relay and not for reports on a single endpoint.
-func TestEjectedByPeerReports(t *testing.T) {
+func TestEjectionByPeerReports(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		e       PeerSuspected
@@ -86,11 +86,11 @@
 	}
 }
 
-// Guards against all relays probing a destination that the fleet reports as down: they probe in the order of
-// their ranks, one probeInterval or more apart, and by their own budgets alone once the report is no longer
-// valid.
-func TestOneRelayProbes(t *testing.T) {
-	probed := func(rank int, until time.Duration) time.Duration {
+// Guards against all relays probing a destination that the fleet reports as down: they probe one after the
+// other, in the order of their ranks. Once the report is no longer valid, only their own budgets limit the
+// probes.
+func TestRelaysProbeInOrderOfRank(t *testing.T) {
+	firstProbe := func(rank int, until time.Duration) time.Duration {
 		d := largeFleetRelay(t, 300, 60, "a")
 		report := PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: 100 * ms,
 			ValidFor: until, Rank: rank}
@@ -107,21 +107,21 @@
 	}
 	last := time.Duration(0)
 	for _, rank := range []int{0, 1, 7, 100} {
-		at, want := probed(rank, 10*time.Second),
+		at, want := firstProbe(rank, 10*time.Second),
 			time.Duration((1+math.Log2(1+float64(rank)))*float64(probeInterval))-100*ms
 		if at < want || at > want+200*ms || at <= last {
 			t.Errorf("the relay of rank %d probes after %v, want about %v", rank, at, want)
 		}
 		last = at
 	}
-	if at := probed(100, 50*ms); moment(at) != never && at < time.Second {
+	if at := firstProbe(100, 50*ms); moment(at) != never && at < time.Second {
 		t.Errorf("after the report has expired, the relay of rank 100 still probes after %v", at)
 	}
 }
 
 // Guards against a relay that probes again right after a rejected probe: the next one has to wait for its
 // next turn, even though no report of the last probe has arrived.
-func TestProbeTurnsAreApart(t *testing.T) {
+func TestRejectedProbeWaitsForNextTurn(t *testing.T) {
 	d := largeFleetRelay(t, 300, 60, "a")
 	d.Handle(moment(10*time.Second),
 		[]Event{PeerSuspected{Observers: 5, OldestAge: 3 * time.Second, NewestAge: time.Second,
--- a/policy/rate_sharing.go
+++ b/policy/rate_sharing.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// publishIntervalPerRelay is what each relay of the fleet adds to the time between two rates that a relay
-	// publishes.
+	// publishIntervalPerRelay, multiplied by the number of relays, is the time between two rates that a relay
+	// publishes: the whole fleet publishes at most ten rates a second.
 	publishIntervalPerRelay = 100 * time.Millisecond
 	// minPublishInterval is the shortest time between two published rates: the interval of the heartbeats
 	// that carry them.
@@ -81,12 +81,12 @@
 // even share. It follows the arrival rate here relative to that of the other relays, and is 1 if theirs is
 // unknown.
 func (d *Dispatcher) trafficShare(q *queue) float64 {
-	usual, known := q.peers.arrivalRate(d.now)
-	if !known {
+	peerRate, ownRate := q.peers.arrivalRate(d.now)
+	if !ownRate {
 		return 1
 	}
 	own := q.admission.arrivals.rate(d.now)
-	return math.Min(maxTrafficShare, math.Max(minTrafficShare, own/math.Max(minRate, usual)))
+	return math.Min(maxTrafficShare, math.Max(minTrafficShare, own/math.Max(minRate, peerRate)))
 }
 
 // publishRate publishes the send rate and the arrival rate of the next destination, if it is time.
--- a/policy/rate_sharing_test.go
+++ b/policy/rate_sharing_test.go
@@ -9,7 +9,7 @@
 // Guards against a restarted relay that begins at the listed rate although the fleet has lowered its rates. A
 // relay with outcomes of its own keeps its rate, and reported rates are limited to the range that a relay
 // could reach by itself.
-func TestStartsWithTheFleetsRate(t *testing.T) {
+func TestNewRelayStartsAtFleetRate(t *testing.T) {
 	for _, c := range []struct{ reported, want float64 }{{0.4, 0.4}, {0.01, minRateShare},
 		{50, probingRateShare}} {
 		d := largeFleetRelay(t, 10, 100, "a")
@@ -33,7 +33,7 @@
 
 // Guards against traffic shares that add up to more than one even share per relay, which would overload a
 // destination in slow start. A relay without a valid report takes an even share.
-func TestTrafficSharesAddUp(t *testing.T) {
+func TestSumOfTrafficShares(t *testing.T) {
 	sum, traffic := 0.0, []float64{0.2, 0.2, 0.5, 1, 1, 1.5, 2, 3, 3, 6}
 	mean := 0.0
 	for _, v := range traffic {
@@ -56,18 +56,19 @@
 	}
 }
 
-// Guards against send rates that are published too often: 60 relays publish one rate each in 6 s.
+// Guards against send rates that are published too often: in a fleet of 60, each relay publishes the rate of
+// one destination every 6 s.
 func TestPublishRate(t *testing.T) {
 	d := largeFleetRelay(t, 60, 60, "a")
-	n := 0
+	published := 0
 	for now := time.Duration(0); now < time.Minute; now += 100 * ms {
 		for _, a := range d.Handle(moment(now), []Event{TimerFired{}}) {
 			if a, ok := a.(PublishRate); ok && a.RateShare == 1 {
-				n++
+				published++
 			}
 		}
 	}
-	if n < 9 || n > 10 {
-		t.Errorf("published %d rates in a minute, want 9 or 10", n)
+	if published < 9 || published > 10 {
+		t.Errorf("published %d rates in a minute, want 9 or 10", published)
 	}
 }
--- a/policy/resource_backoff.go
+++ b/policy/resource_backoff.go
@@ -35,8 +35,8 @@
 
 // resourcesExhausted reports whether all endpoints of a queue are paused because calls could not be started.
 func (q *queue) resourcesExhausted(now instant.Time) bool {
-	startable := func(ep *endpoint) bool { return now >= ep.resourceBackoff.until }
-	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, startable)
+	canStart := func(ep *endpoint) bool { return now >= ep.resourceBackoff.until }
+	return len(q.endpoints) > 0 && !slices.ContainsFunc(q.endpoints, canStart)
 }
 
 // recordNotStarted handles one attempt of a call that could not be started: it pauses the endpoint, and with
--- a/policy/resource_backoff_test.go
+++ b/policy/resource_backoff_test.go
@@ -74,7 +74,7 @@
 }
 
 // Guards against a shortage at one endpoint that stops the calls to the other endpoints of its destination.
-func TestCallsNotStartedElsewhere(t *testing.T) {
+func TestCallsNotStartedAtOneEndpoint(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	now := moment(time.Second)
 	served := 0
--- a/policy/sendrate_test.go
+++ b/policy/sendrate_test.go
@@ -34,7 +34,7 @@
 	d.sendTokens(q)
 	if d.now = d.now.Add(500 * ms); d.now.Sub(q.limiter.decreasedAt) > 1500*ms ||
 		q.limiter.decreasedAt >= slow {
-		t.Errorf("quiet time counts from %v after a report of little capacity at %v",
+		t.Errorf("quiet time counts from %v, want at most 1s before the report of little capacity at %v",
 			q.limiter.decreasedAt, slow)
 	}
 	for range 40 {
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -86,8 +86,8 @@
 // that was sent after the failures began. Otherwise the relay itself may be isolated.
 func (t *zoneTable) reachesOtherZone(number, ownZone int, surveys []zoneSurvey) bool {
 	for other, survey := range surveys {
-		bystander := other != number && other != ownZone
-		if bystander && survey.lastAnsweredAt > t.get(number).failingSince {
+		uninvolved := other != number && other != ownZone
+		if uninvolved && survey.lastAnsweredAt > t.get(number).failingSince {
 			return true
 		}
 	}
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -10,22 +10,22 @@
 )
 
 // zonedRelay simulates one relay and the destinations that it calls. Each destination has one endpoint in
-// each zone, with the ID "destination-zone".
+// each zone, whose ID is the number of the destination, "-" and the number of the zone.
 type zonedRelay struct {
 	*testing.T
 	d            *Dispatcher
 	now          time.Duration
-	n            int                                     // messages that have arrived
-	fails        func(ep string, dest, zone int) Outcome // outcome of a call
+	arrivals     int                                     // messages that have arrived
+	outcome      func(ep string, dest, zone int) Outcome // outcome of a call
 	sent         map[string]int                          // calls by zone number, and their total as "all"
 	zoneChanges  []string                                // state changes of zones, in order
 	ownEjections int                                     // ejections that are not second-hand
-	out          []due                                   // outcomes of calls in flight
+	pending      []pendingOutcome                        // outcomes of calls in flight
 	rng          *rand.Rand
 }
 
-// due is an outcome, or another event, that a simulation delivers at a later time.
-type due struct {
+// pendingOutcome is an outcome, or another event, that a simulation delivers at a later time.
+type pendingOutcome struct {
 	at time.Duration
 	e  AttemptEnded
 }
@@ -47,7 +47,7 @@
 		}
 	}
 	return &zonedRelay{T: t, d: start(t, s, eps...), sent: map[string]int{}, rng: rand.New(rand.NewPCG(1, 1)),
-		fails: func(string, int, int) Outcome { return OK }}
+		outcome: func(string, int, int) Outcome { return OK }}
 }
 
 // run simulates until the given time. 100 messages a second arrive, for all destinations in turn, and each
@@ -55,14 +55,14 @@
 func (z *zonedRelay) run(until time.Duration) {
 	for ; z.now < until; z.now += 5 * ms {
 		var events []Event
-		for len(z.out) > 0 && z.out[0].at <= z.now {
-			events = append(events, z.out[0].e)
-			z.out = z.out[1:]
+		for len(z.pending) > 0 && z.pending[0].at <= z.now {
+			events = append(events, z.pending[0].e)
+			z.pending = z.pending[1:]
 		}
 		if z.now%(10*ms) == 0 {
-			z.n++
+			z.arrivals++
 			events = append(events,
-				Arrived{ID: fmt.Sprint(z.n), Destination: z.n % len(z.d.destinations),
+				Arrived{ID: fmt.Sprint(z.arrivals), Destination: z.arrivals % len(z.d.destinations),
 					TimeLeft: 5 * time.Second})
 		}
 		for _, a := range z.d.Handle(moment(z.now), append(events, TimerFired{})) {
@@ -76,10 +76,11 @@
 				z.sent["all"]++
 				e := AttemptEnded{ID: a.ID, Endpoint: a.Endpoint,
 					Attempt: len(z.d.messages.byID[a.ID].attempts) - 1,
-					Outcome: z.fails(a.Endpoint, dest, zone)}
+					Outcome: z.outcome(a.Endpoint, dest, zone)}
 				e.Completed = e.Outcome == OK
-				z.out = append(z.out, due{z.now + 30*ms + time.Duration(z.rng.IntN(10))*ms, e})
-				slices.SortStableFunc(z.out, func(a, b due) int { return int(a.at - b.at) })
+				z.pending = append(z.pending,
+					pendingOutcome{z.now + 30*ms + time.Duration(z.rng.IntN(10))*ms, e})
+				slices.SortStableFunc(z.pending, func(a, b pendingOutcome) int { return int(a.at - b.at) })
 			case ZoneStateChanged:
 				z.zoneChanges = append(z.zoneChanges, fmt.Sprintf("%d %v", a.Zone, a.State))
 			case PersistHealth:
@@ -98,13 +99,13 @@
 func TestZoneEvacuation(t *testing.T) {
 	z := newZonedRelay(t, 4, 8, func(s *Settings) { s.Zone = 3 })
 	down := false
-	z.fails = func(_ string, _, zone int) Outcome {
+	z.outcome = func(_ string, _, zone int) Outcome {
 		if zone == 1 && down {
 			return ConnectError
 		}
 		return OK
 	}
-	for _, ep := range z.d.endpoints { // without it, no calls leave the own zone
+	for _, ep := range z.d.endpoints { // without spillover, all calls would stay in the own zone
 		ep.queue.locality.spillover = maxSpillover
 	}
 	z.run(2 * time.Second)
@@ -130,9 +131,9 @@
 }
 
 // Guards against a zone that fails and works again every 5 s and is evacuated and restored each time.
-func TestFlapping(t *testing.T) {
+func TestFlappingZone(t *testing.T) {
 	z := newZonedRelay(t, 4, 8, func(s *Settings) { s.SlowStartWindow = 8 * time.Second })
-	z.fails = func(_ string, _, zone int) Outcome {
+	z.outcome = func(_ string, _, zone int) Outcome {
 		if zone == 1 && z.now/(5*time.Second)%2 == 1 {
 			return ConnectError
 		}
@@ -142,7 +143,7 @@
 		ep.queue.locality.spillover = 0.5
 	}
 	for z.now < 35*time.Second {
-		for _, q := range z.d.queues { // keep half of the calls leaving the own zone
+		for _, q := range z.d.queues { // half of the calls always leave the own zone
 			q.locality.spillover = 0.5
 		}
 		z.run(z.now + 100*ms)
@@ -159,8 +160,8 @@
 // must not record the other zones' failures as its own observations.
 func TestNoFalseEvacuation(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		fails func(dest, zone, n int) Outcome
+		name    string
+		outcome func(dest, zone, n int) Outcome
 	}{
 		{"one destination down",
 			func(dest, _, _ int) Outcome { return []Outcome{ConnectError, OK}[min(1, dest)] }},
@@ -175,22 +176,22 @@
 	} {
 		z := newZonedRelay(t, 3, 8, nil)
 		z.run(2 * time.Second)
-		z.fails = func(_ string, dest, zone int) Outcome { return c.fails(dest, zone, z.rng.IntN(1000)) }
-		ever := false
+		z.outcome = func(_ string, dest, zone int) Outcome { return c.outcome(dest, zone, z.rng.IntN(1000)) }
+		everIsolated := false
 		for z.now < 12*time.Second {
 			for _, q := range z.d.queues {
 				q.locality.spillover = 0.7
 			}
 			z.run(z.now + 100*ms)
-			_, cutOff := z.d.Zones()
-			ever = ever || cutOff
+			_, isolated := z.d.Zones()
+			everIsolated = everIsolated || isolated
 		}
 		if len(z.zoneChanges) > 0 {
 			t.Errorf("%s: zone state changes %v, want none", c.name, z.zoneChanges)
 		}
-		if want := c.name == "relay isolated" || c.name == "all calls fail"; ever != want &&
+		if want := c.name == "relay isolated" || c.name == "all calls fail"; everIsolated != want &&
 			c.name != "a third of all calls fails" {
-			t.Errorf("%s: relay counts as isolated: %v", c.name, ever)
+			t.Errorf("%s: relay counts as isolated: %v, want the opposite", c.name, everIsolated)
 		}
 		// A few ejections come before enough calls have failed to detect the isolation.
 		if c.name == "relay isolated" && z.ownEjections > 4 {
@@ -255,10 +256,10 @@
 		t.Error(err)
 	}
 	z.run(1100 * ms)
-	before, only := z.sent["0"], 0
-	z.fails = func(ep string, dest, zone int) Outcome {
+	before, onlyThere := z.sent["0"], 0
+	z.outcome = func(ep string, dest, zone int) Outcome {
 		if dest == 9 {
-			only++
+			onlyThere++
 		}
 		return OK
 	}
@@ -267,9 +268,9 @@
 			[]Event{Arrived{ID: fmt.Sprint("only", i), Destination: 9, TimeLeft: 5 * time.Second}})
 	}
 	z.run(11 * time.Second)
-	if z.sent["0"]-before-only > 0 {
+	if z.sent["0"]-before-onlyThere > 0 {
 		t.Errorf("%d calls to a zone evacuated by order, besides those for a destination served only there",
-			z.sent["0"]-before-only)
+			z.sent["0"]-before-onlyThere)
 	}
 	if z.state(0) != Recovering {
 		z.run(11100 * ms)
@@ -285,7 +286,7 @@
 
 // Guards against invalid zone numbers in an endpoint list: such endpoints are served like others but belong
 // to no zone.
-func TestZonesNeverSeen(t *testing.T) {
+func TestInvalidZoneNumbers(t *testing.T) {
 	s := plain()
 	s.Zones = true
 	d := start(t, s, Endpoint{ID: "a", Zone: -7}, Endpoint{ID: "b", Zone: 1 << 40})
