--- a/policy/canary_test.go
+++ b/policy/canary_test.go
@@ -31,10 +31,10 @@
 		outcome:     func(string, int) Outcome { return OK },
 		latency:     func(string) time.Duration { return 30 * ms },
 		losesGossip: func() bool { return false }}
-	for no := range relays {
+	for seed := range relays {
 		s := plain()
 		s.CanaryAnalysis, s.Gossip, s.FleetSize, s.Slots, s.QueueCapacity = true, true, relays, 20, 1000
-		d, err := New(s, int64(no))
+		d, err := New(s, int64(seed))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,25 +47,25 @@
 
 // list updates the endpoint list of all relays.
 func (p *canaryFleet) list(eps ...Endpoint) {
-	for no := range p.relays {
-		p.handle(no, EndpointsUpdated{Endpoints: eps})
+	for relay := range p.relays {
+		p.handle(relay, EndpointsUpdated{Endpoints: eps})
 	}
 }
 
 // handle passes events to a relay and schedules the effects of its actions.
-func (p *canaryFleet) handle(no int, events ...Event) {
-	for _, a := range p.relays[no].Handle(moment(p.now), events) {
+func (p *canaryFleet) handle(relay int, events ...Event) {
+	for _, a := range p.relays[relay].Handle(moment(p.now), events) {
 		switch a := a.(type) {
 		case Send:
 			p.sent[a.Endpoint]++
-			m := p.relays[no].messages.byID[a.ID]
+			m := p.relays[relay].messages.byID[a.ID]
 			took := p.latency(a.Endpoint)
-			p.pending[no] = append(p.pending[no],
+			p.pending[relay] = append(p.pending[relay],
 				pendingOutcome{p.now + took, AttemptEnded{ID: a.ID, Endpoint: a.Endpoint,
 					Attempt: len(m.attempts) - 1, Outcome: p.outcome(a.Endpoint, m.Class), Latency: took}})
 		case Broadcast:
 			for other := range p.relays {
-				if other != no && !p.losesGossip() {
+				if other != relay && !p.losesGossip() {
 					p.pending[other] = append(p.pending[other],
 						pendingOutcome{p.now + 5*ms, AttemptEnded{ID: "", Endpoint: string(a.Message)}})
 				}
@@ -82,20 +82,20 @@
 // class 1 and the others of class 0.
 func (p *canaryFleet) run(until time.Duration, rate float64) {
 	for ; p.now < until; p.now += 10 * ms {
-		for no := range p.relays {
+		for relay := range p.relays {
 			var events []Event
-			remainder := p.pending[no][:0:0]
-			for _, x := range p.pending[no] {
+			remainder := p.pending[relay][:0:0]
+			for _, x := range p.pending[relay] {
 				switch {
 				case x.at > p.now:
 					remainder = append(remainder, x)
-				case x.e.ID == "":
-					events = append(events, GossipReceived{Message: []byte(x.e.Endpoint)})
+				case x.ended.ID == "":
+					events = append(events, GossipReceived{Message: []byte(x.ended.Endpoint)})
 				default:
-					events = append(events, x.e)
+					events = append(events, x.ended)
 				}
 			}
-			p.pending[no] = remainder
+			p.pending[relay] = remainder
 			if p.rng.Float64() < rate*0.01 {
 				p.arrivals++
 				class := 0
@@ -105,7 +105,7 @@
 				events = append(events,
 					Arrived{ID: fmt.Sprint(p.arrivals), Class: class, TimeLeft: 5 * time.Second})
 			}
-			p.handle(no, append(events, TimerFired{})...)
+			p.handle(relay, append(events, TimerFired{})...)
 		}
 	}
 }
@@ -295,8 +295,8 @@
 		t.Errorf("malformed reports or reports on other endpoints counted: %d outcomes, want 1",
 			ep.canary.outcomes)
 	}
-	for no := range uint64(3) {
-		p.handle(0, GossipReceived{Message: canaryMessage{"new", 0, true, no}.encode()})
+	for id := range uint64(3) {
+		p.handle(0, GossipReceived{Message: canaryMessage{"new", 0, true, id}.encode()})
 	}
 	if suspended := ep.canary.suspendedUntil.Sub(moment(p.now)); suspended != initialSuspension ||
 		ep.canary.stage != 0 {
--- a/policy/sendrate.go
+++ b/policy/sendrate.go
@@ -28,8 +28,8 @@
 	// lowRateCalls is the even share, in calls per rateWindow, below which a relay counts as having a low
 	// rate: it calls too seldom to learn the state of a destination by itself.
 	lowRateCalls = 0.5
-	// rateWindow is the length of the bursts that a send rate allows: receivers commonly count calls in
-	// windows of about this length.
+	// rateWindow is the time whose calls a send rate allows as one burst, and the shortest time between two
+	// decreases: receivers commonly count calls in windows of about this length.
 	rateWindow = time.Second
 )
 
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -26,8 +26,8 @@
 
 // pendingOutcome is an outcome, or another event, that a simulation delivers at a later time.
 type pendingOutcome struct {
-	at time.Duration
-	e  AttemptEnded
+	at    time.Duration
+	ended AttemptEnded
 }
 
 // newZonedRelay returns a relay with the given numbers of zones and destinations, at which all calls succeed.
@@ -56,7 +56,7 @@
 	for ; z.now < until; z.now += 5 * ms {
 		var events []Event
 		for len(z.pending) > 0 && z.pending[0].at <= z.now {
-			events = append(events, z.pending[0].e)
+			events = append(events, z.pending[0].ended)
 			z.pending = z.pending[1:]
 		}
 		if z.now%(10*ms) == 0 {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (z *zonedRelay) state(no int) ZoneState { return z.d.zones.get(no).state }
+func (z *zonedRelay) state(number int) ZoneState { return z.d.zones.get(number).state }
 
 // Guards against messages that wait while the endpoints of a failed zone are ejected one by one: the zone has
 // to be evacuated as a whole, and to recover once after the failure ends.
