--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkHandle reports what a batch costs with 1,000 endpoints listed.
+// BenchmarkHandle measures the two batches of a message, its arrival and its delivery, with 1,000 endpoints
+// listed.
 func BenchmarkHandle(b *testing.B) {
 	s := plain()
 	d, err := New(s, 1)
--- a/policy/decisions_cases_test.go
+++ b/policy/decisions_cases_test.go
@@ -7,10 +7,10 @@
 	"milletsail/policy"
 )
 
-// ordinaryScenario is what every case changes.
-func ordinaryScenario() scenario {
+// baselineScenario returns the scenario that each case modifies.
+func baselineScenario() scenario {
 	second := time.Second
-	return scenario{load: 2.5, faults: 1, settings: policy.Settings{
+	return scenario{load: 2.5, faultRate: 1, settings: policy.Settings{
 		FleetSize: 3, Slots: 8, QueueCapacity: 80, MaxAttempts: 5, CanCancel: true,
 		Weights:       policy.WeightsNominal,
 		BatchInterval: 5 * time.Millisecond, MaxRetryAfter: 3 * second, SlowStartInitialShare: 0.2,
@@ -30,77 +30,82 @@
 		}}}
 }
 
-// decisionCase is one option, or a few that belong together.
+// decisionCase is a scenario of TestDecisionsDigest that turns on one option, or a few related ones.
 type decisionCase struct {
-	name   string
-	change func(*scenario)
-	// shows are tags of what the case has to bring about, so that it is not empty. (Zoned with Ordered is
-	// none: Handle drops the actions of Order, so that state is seen by the query alone.)
-	shows []string
-	// sameAs names the case whose digests it has to have, or is empty for digests of its own.
-	sameAs string
+	name   string          // key in testdata/decisions.json
+	change func(*scenario) // modifies the baseline scenario
+	// wantTags are the tags of decisionHash that the case has to count at least once, which shows that its
+	// option took effect. A zone that is evacuated by order has the tag "zone seen ordered" alone: Handle
+	// drops the actions of Order, so no ZoneStateChanged reports that state.
+	wantTags []string
+	// sameDigestsAs names the case whose digests this one has to have. It is empty for a case with digests of
+	// its own.
+	sameDigestsAs string
 }
 
 func decisionCases() []decisionCase {
-	return slices.Concat(withoutEffect(), loadCases(), fleetCases(), zoneCases(), listCases(), processCases())
+	return slices.Concat(inertSettingCases(), singleRelayCases(), fleetCases(), zoneCases(),
+		endpointListCases(), processLifecycleCases())
 }
 
-// ordinaryName is the case in which no option is on.
-const ordinaryName = "ordinary"
+// baselineName is the name of the case that leaves the baseline scenario as it is.
+const baselineName = "ordinary"
 
-// withoutEffect are settings that are accepted and decide nothing: they are to leave the ordinary decisions.
-func withoutEffect() []decisionCase {
+// inertSettingCases returns the cases of settings that are accepted but influence no decision: they have to
+// have the digests of the baseline.
+func inertSettingCases() []decisionCase {
 	return []decisionCase{
 		{name: "second copies", change: func(c *scenario) { c.settings.HedgedRequests = true },
-			sameAs: ordinaryName},
+			sameDigestsAs: baselineName},
 		{name: "weights rough", change: func(c *scenario) { c.settings.Weights = policy.WeightsRough },
-			sameAs: ordinaryName},
+			sameDigestsAs: baselineName},
 	}
 }
 
-// loadCases are of one relay: sending, admission and limits.
-func loadCases() []decisionCase {
-	usual := []string{"send", "refuse", "fail", "cancel", "remember", "wake"}
+// singleRelayCases returns the cases that concern each relay by itself: sending, admission and limits.
+func singleRelayCases() []decisionCase {
+	usualTags := []string{"send", "refuse", "fail", "cancel", "remember", "wake"}
 	return []decisionCase{
-		{name: ordinaryName, change: func(*scenario) {}, shows: usual},
+		{name: baselineName, change: func(*scenario) {}, wantTags: usualTags},
 		{name: "light traffic", change: func(c *scenario) { c.load = 0.6 },
-			shows: []string{"send", "remember"}},
-		{name: "heavy traffic", change: func(c *scenario) { c.load = 8 }, shows: usual},
+			wantTags: []string{"send", "remember"}},
+		{name: "heavy traffic", change: func(c *scenario) { c.load = 8 }, wantTags: usualTags},
 		{name: "few slots", change: func(c *scenario) { c.settings.Slots, c.settings.MaxAttempts = 2, 2 },
-			shows: usual},
-		{name: "little room", change: func(c *scenario) { c.settings.QueueCapacity = 9 }, shows: usual},
+			wantTags: usualTags},
+		{name: "little room", change: func(c *scenario) { c.settings.QueueCapacity = 9 },
+			wantTags: usualTags},
 		{name: "weights off", change: func(c *scenario) { c.settings.Weights = policy.WeightsOff },
-			shows: usual},
+			wantTags: usualTags},
 		{name: "no cancel", change: func(c *scenario) { c.settings.CanCancel = false },
-			shows: []string{"send", "refuse", "fail"}},
-		{name: "separate routes", change: separateRoutes, shows: usual},
-		{name: "bundles by size", change: bundlesBySize, shows: usual},
-		{name: "ordered keys", change: orderedKeys, shows: []string{"send", "refuse", "fail"}},
-		{name: "long outages", change: func(c *scenario) { c.faults = 0.3 }, shows: usual},
-		{name: "many faults", change: func(c *scenario) { c.faults = 5 }, shows: usual},
-		{name: "strict overload", change: strictOverload, shows: usual},
+			wantTags: []string{"send", "refuse", "fail"}},
+		{name: "separate routes", change: useSeparateRoutes, wantTags: usualTags},
+		{name: "bundles by size", change: batchesBySize, wantTags: usualTags},
+		{name: "ordered keys", change: orderAllClasses, wantTags: []string{"send", "refuse", "fail"}},
+		{name: "long outages", change: func(c *scenario) { c.faultRate = 0.3 }, wantTags: usualTags},
+		{name: "many faults", change: func(c *scenario) { c.faultRate = 5 }, wantTags: usualTags},
+		{name: "strict overload", change: strictOverload, wantTags: usualTags},
 		{name: "connection limits",
-			change: func(c *scenario) { c.settings.IdleConnTimeout, c.faults = 3*time.Second, 3 },
-			shows:  []string{"send", "close idle"}},
-		{name: "lack at the relay", change: func(c *scenario) { c.unsent = true },
-			shows: []string{"send", "withhold"}},
-		{name: "load reports", change: func(c *scenario) { c.reports = true }, shows: usual},
-		{name: "withdrawn", change: func(c *scenario) { c.withdrawn = true }, shows: usual},
+			change:   func(c *scenario) { c.settings.IdleConnTimeout, c.faultRate = 3*time.Second, 3 },
+			wantTags: []string{"send", "close idle"}},
+		{name: "lack at the relay", change: func(c *scenario) { c.notStarted = true },
+			wantTags: []string{"send", "withhold"}},
+		{name: "load reports", change: func(c *scenario) { c.loadReports = true }, wantTags: usualTags},
+		{name: "withdrawn", change: func(c *scenario) { c.withdrawals = true }, wantTags: usualTags},
 	}
 }
 
-func separateRoutes(c *scenario) {
+func useSeparateRoutes(c *scenario) {
 	for i := range c.settings.Kinds {
 		c.settings.Kinds[i].SeparateRoutes = true
 	}
 }
 
-func bundlesBySize(c *scenario) {
+func batchesBySize(c *scenario) {
 	c.settings.Kinds = []policy.Kind{{MaxBatch: 20}, {MaxBatch: 3}, {MaxBatch: 8}}
 	c.settings.MaxBatchBytes, c.load = 2500, 8
 }
 
-func orderedKeys(c *scenario) {
+func orderAllClasses(c *scenario) {
 	for i := range c.settings.Classes {
 		c.settings.Classes[i].Ordered = true
 	}
@@ -111,113 +116,118 @@
 	c.settings.SlowStartInitialShare, c.settings.SlowStartWindow = 0.05, 20*time.Second
 }
 
-// fleetCases are of relays that tell each other, few and many.
+// fleetCases returns the cases of fleet sizes, gossip and shared rates.
 func fleetCases() []decisionCase {
-	usual := []string{"send", "refuse", "tell", "remember"}
-	shared := []string{"send", "tell", "share"}
+	gossipTags := []string{"send", "refuse", "tell", "remember"}
+	sharingTags := []string{"send", "tell", "share"}
 	return []decisionCase{
 		{name: "1 relay", change: func(c *scenario) { c.settings.FleetSize = 1 },
-			shows: []string{"send", "refuse"}},
+			wantTags: []string{"send", "refuse"}},
 		{name: "60 relays", change: func(c *scenario) { c.settings.FleetSize = 60 },
-			shows: []string{"send", "refuse"}},
+			wantTags: []string{"send", "refuse"}},
 		{name: "300 relays", change: func(c *scenario) { c.settings.FleetSize = 300 },
-			shows: []string{"send", "refuse"}},
-		{name: "peers", change: func(c *scenario) { c.settings.Gossip = true }, shows: usual},
+			wantTags: []string{"send", "refuse"}},
+		{name: "peers", change: func(c *scenario) { c.settings.Gossip = true }, wantTags: gossipTags},
 		{name: "peers of 12", change: func(c *scenario) {
-			c.settings.Gossip, c.settings.FleetSize, c.faults = true, 12, 4
-		}, shows: usual},
+			c.settings.Gossip, c.settings.FleetSize, c.faultRate = true, 12, 4
+		}, wantTags: gossipTags},
 		{name: "peers of 60",
-			change: func(c *scenario) { c.settings.Gossip, c.settings.FleetSize = true, 60 },
-			shows:  usual},
+			change:   func(c *scenario) { c.settings.Gossip, c.settings.FleetSize = true, 60 },
+			wantTags: gossipTags},
 		{name: "peers of 300",
-			change: func(c *scenario) { c.settings.Gossip, c.settings.FleetSize = true, 300 },
-			shows:  usual},
-		{name: "shares", change: func(c *scenario) { sharing(c, 3) }, shows: shared},
-		{name: "shares of 60", change: func(c *scenario) { sharing(c, 60) }, shows: shared},
-		{name: "shares of 300", change: func(c *scenario) { sharing(c, 300) }, shows: shared},
+			change:   func(c *scenario) { c.settings.Gossip, c.settings.FleetSize = true, 300 },
+			wantTags: gossipTags},
+		{name: "shares", change: func(c *scenario) { enablePeerReports(c, 3) }, wantTags: sharingTags},
+		{name: "shares of 60", change: func(c *scenario) { enablePeerReports(c, 60) }, wantTags: sharingTags},
+		{name: "shares of 300", change: func(c *scenario) { enablePeerReports(c, 300) },
+			wantTags: sharingTags},
 		{name: "accused alone",
-			change: func(c *scenario) { c.suspicions, c.settings.PublishRates = true, true },
-			shows:  []string{"share"}},
+			change:   func(c *scenario) { c.suspicions, c.settings.PublishRates = true, true },
+			wantTags: []string{"share"}},
 		{name: "paced alone", change: func(c *scenario) { c.peerRates, c.settings.PublishRates = true, true },
-			shows: []string{"share"}},
+			wantTags: []string{"share"}},
 	}
 }
 
-func sharing(c *scenario, instances int) {
+func enablePeerReports(c *scenario, instances int) {
 	c.settings.Gossip, c.settings.PublishRates, c.settings.FleetSize = true, true, instances
 	c.suspicions, c.peerRates = true, true
 }
 
-// zoneCases are of decisions by zones.
+// zoneCases returns the cases of zone evacuation and of the cost of zones.
 func zoneCases() []decisionCase {
-	outages := func(c *scenario) { c.settings.Zones, c.outages, c.faults = true, true, 0.2 }
+	addZoneOutages := func(c *scenario) { c.settings.Zones, c.zoneOutages, c.faultRate = true, true, 0.2 }
 	return []decisionCase{
-		{name: "zones", change: outages,
-			shows: []string{"zoned evacuated", "zoned returning", "zoned serving"}},
-		{name: "zones by order", change: func(c *scenario) { c.settings.Zones, c.orders = true, true },
-			shows: []string{"zone seen ordered", "zoned returning", "zoned serving"}},
+		{name: "zones", change: addZoneOutages,
+			wantTags: []string{"zoned evacuated", "zoned returning", "zoned serving"}},
+		{name: "zones by order", change: func(c *scenario) { c.settings.Zones, c.zoneOrders = true, true },
+			wantTags: []string{"zone seen ordered", "zoned returning", "zoned serving"}},
 		{name: "zones with traffic", change: func(c *scenario) {
-			sharing(c, 6)
-			outages(c)
-			c.byZone, c.load = true, 5
-		}, shows: []string{"zoned evacuated", "share", "tell"}},
+			enablePeerReports(c, 6)
+			addZoneOutages(c)
+			c.ratesByZone, c.load = true, 5
+		}, wantTags: []string{"zoned evacuated", "share", "tell"}},
 		{name: "zones without rates", change: func(c *scenario) {
-			outages(c)
+			addZoneOutages(c)
 			c.settings.Weights, c.load = policy.WeightsOff, 5
-		}, shows: []string{"zoned evacuated"}},
+		}, wantTags: []string{"zoned evacuated"}},
 		{name: "zone fees", change: func(c *scenario) {
-			separateRoutes(c)
+			useSeparateRoutes(c)
 			c.settings.ZoneCost = []float64{0.06, 0, 0.3}
-		}, shows: []string{"send", "refuse"}},
+		}, wantTags: []string{"send", "refuse"}},
 	}
 }
 
-// listCases are of changes of the list and of state on demand.
-func listCases() []decisionCase {
-	joining := func(c *scenario) { c.settings.CanaryAnalysis, c.joining, c.load = true, true, 5 }
+// endpointListCases returns the cases of canaries, of the subscription to the endpoint list and of state that
+// is kept on demand (Settings.Directory).
+func endpointListCases() []decisionCase {
+	addCanaries := func(c *scenario) { c.settings.CanaryAnalysis, c.newEndpoints, c.load = true, true, 5 }
 	return []decisionCase{
-		{name: "newcomers", change: joining, shows: []string{"proved"}},
+		{name: "newcomers", change: addCanaries, wantTags: []string{"proved"}},
 		{name: "newcomers and peers", change: func(c *scenario) {
-			joining(c)
-			c.settings.Gossip, c.faults = true, 0.2
-		}, shows: []string{"proved", "tell"}},
+			addCanaries(c)
+			c.settings.Gossip, c.faultRate = true, 0.2
+		}, wantTags: []string{"proved", "tell"}},
 		{name: "newcomers beside faults", change: func(c *scenario) {
-			joining(c)
-			c.settings.Gossip, c.errors = true, true
-		}, shows: []string{"proved", "tell"}},
+			addCanaries(c)
+			c.settings.Gossip, c.errorsEverywhere = true, true
+		}, wantTags: []string{"proved", "tell"}},
 		{name: "newcomers without rates", change: func(c *scenario) {
-			joining(c)
+			addCanaries(c)
 			c.settings.Weights, c.settings.Slots = policy.WeightsOff, 30
-		}, shows: []string{"proved"}},
+		}, wantTags: []string{"proved"}},
 		{name: "subscribe", change: func(c *scenario) { c.settings.Subscribe = true },
-			shows: []string{"subscribe"}},
+			wantTags: []string{"subscribe"}},
 		{name: "state on demand", change: func(c *scenario) { c.onDemand = true },
-			shows: []string{"send", "refuse"}},
+			wantTags: []string{"send", "refuse"}},
 		{name: "on demand with all", change: func(c *scenario) {
-			joining(c)
-			sharing(c, 3)
+			addCanaries(c)
+			enablePeerReports(c, 3)
 			c.onDemand, c.handovers, c.load = true, true, 2.5
-		}, shows: []string{"proved", "share", "tell"}},
+		}, wantTags: []string{"proved", "share", "tell"}},
 	}
 }
 
-// processCases are of processes that end and begin.
-func processCases() []decisionCase {
-	usual := []string{"send", "refuse", "remember"}
+// processLifecycleCases returns the cases in which relay processes restart, hand over, stop or can't write to
+// their storage, and a case with most options at once.
+func processLifecycleCases() []decisionCase {
+	usualTags := []string{"send", "refuse", "remember"}
 	return []decisionCase{
-		{name: "recalled", change: func(c *scenario) { c.restarts = true }, shows: usual},
-		{name: "handover", change: func(c *scenario) { c.handovers = true }, shows: usual},
-		{name: "stopping", change: func(c *scenario) { c.stops = true }, shows: usual},
-		{name: "unwritten", change: func(c *scenario) { c.unwritten = true }, shows: usual},
+		{name: "recalled", change: func(c *scenario) { c.restarts = true }, wantTags: usualTags},
+		{name: "handover", change: func(c *scenario) { c.handovers = true }, wantTags: usualTags},
+		{name: "stopping", change: func(c *scenario) { c.announcedHandovers = true }, wantTags: usualTags},
+		{name: "unwritten", change: func(c *scenario) { c.storageFailures = true }, wantTags: usualTags},
 		{name: "all together", change: func(c *scenario) {
-			sharing(c, 4)
+			enablePeerReports(c, 4)
 			c.settings.Zones, c.settings.CanaryAnalysis, c.settings.Subscribe = true, true, true
 			c.settings.HedgedRequests, c.settings.IdleConnTimeout, c.settings.MaxBatchBytes = true,
 				3*time.Second, 3000
-			c.outages, c.orders, c.byZone, c.joining, c.reports = true, true, true, true, true
-			c.restarts, c.handovers, c.stops, c.unwritten, c.withdrawn = true, true, true, true, true
+			c.zoneOutages, c.zoneOrders, c.ratesByZone, c.newEndpoints, c.loadReports = true, true, true,
+				true, true
+			c.restarts, c.handovers, c.announcedHandovers, c.storageFailures, c.withdrawals = true, true,
+				true, true, true
 		},
-			shows: []string{"proved", "share", "tell", "subscribe", "zone seen ordered", "zoned evacuated",
+			wantTags: []string{"proved", "share", "tell", "subscribe", "zone seen ordered", "zoned evacuated",
 				"close idle"}},
 	}
 }
--- a/policy/decisions_digest_test.go
+++ b/policy/decisions_digest_test.go
@@ -13,71 +13,74 @@
 	"testing"
 )
 
-// updateDecisions has TestDecisionsDigest write what it measures. It is for a change that is meant to change
-// decisions, and fails the run so that no check passes by it.
-var updateDecisions = flag.Bool("update-decisions", false, "write testdata/decisions.json, and fail")
+// updateDecisions makes TestDecisionsDigest overwrite testdata/decisions.json with the digests it measures,
+// for a commit that changes decisions on purpose. The test then fails, so that a run with the flag never
+// passes.
+var updateDecisions = flag.Bool("update-decisions", false,
+	"overwrite testdata/decisions.json with the measured digests, and fail")
 
 const (
-	// seedsPerCase digests are recorded of each case.
+	// seedsPerCase is the number of seeds that each case runs with; each seed has its own digest.
 	seedsPerCase = 3
-	// stepsPerSeed batches go to each relay.
+	// stepsPerSeed is the number of batches that each relay handles in a run.
 	stepsPerSeed = 700
-	// stepsOfRules are played in the world of the rules test, which has one relay.
-	stepsOfRules = 500
-	// recordedOn is the processor whose floats the record holds.
-	recordedOn = "amd64"
-	// digestLength is in bytes: enough that no two runs meet by chance.
-	digestLength = 16
+	// rulesSteps is the number of batches in a run of the eventGenerator, which drives one relay.
+	rulesSteps = 500
+	// recordedArch is the GOARCH that the recorded digests are valid for: the last bits of floats depend on
+	// it.
+	recordedArch = "amd64"
+	// digestBytes is the length that digests are cut to; 16 bytes rule out accidental collisions.
+	digestBytes = 16
 )
 
-// recordedCase is what the file holds of a case.
+// recordedCase is the entry of one case in testdata/decisions.json.
 type recordedCase struct {
-	Digests []string       `json:"digests"` // by seed
-	Actions map[string]int `json:"actions"` // of all seeds, by tag
+	Digests []string       `json:"digests"` // one for each seed, from seed 0
+	Actions map[string]int `json:"actions"` // counts by tag, summed over all seeds
 }
 
-// measure plays a case, and checks that it shows its option.
-func measure(t *testing.T, each decisionCase) recordedCase {
+// runCase runs the simulation of a case with each seed, and checks that the tags in wantTags occurred.
+func runCase(t *testing.T, each decisionCase) recordedCase {
 	t.Helper()
-	plan := ordinaryScenario()
+	plan := baselineScenario()
 	each.change(&plan)
 	result := recordedCase{Actions: map[string]int{}}
 	for seed := range int64(seedsPerCase) {
-		record := newDecisionRecord()
-		newScene(t, plan, seed, record).run(t, stepsPerSeed)
-		result.add(record)
+		hash := newDecisionHash()
+		newSimulation(t, plan, seed, hash).run(t, stepsPerSeed)
+		result.add(hash)
 	}
-	for _, tag := range each.shows {
+	for _, tag := range each.wantTags {
 		if result.Actions[tag] == 0 {
-			t.Errorf("no action %q: the case shows nothing of its option", tag)
+			t.Errorf("tag %q was never counted: the option of the case had no effect", tag)
 		}
 	}
 	return result
 }
 
-func (c *recordedCase) add(record *decisionRecord) {
-	c.Digests = append(c.Digests, record.digest())
-	for tag, count := range record.counts {
+func (c *recordedCase) add(hash *decisionHash) {
+	c.Digests = append(c.Digests, hash.digest())
+	for tag, count := range hash.counts {
 		c.Actions[tag] += count
 	}
 }
 
-// measureRules plays the world of the rules test, with state on demand or without.
-func measureRules(t *testing.T, onDemand bool) recordedCase {
+// runRulesCase runs the eventGenerator of the rule tests, with state kept on demand or for all endpoints.
+func runRulesCase(t *testing.T, onDemand bool) recordedCase {
 	t.Helper()
 	result := recordedCase{Actions: map[string]int{}}
 	for seed := range int64(4 * seedsPerCase) {
-		record, random := newDecisionRecord(), rand.New(rand.NewSource(seed))
-		drawn := &world{random: random, settings: variant(random)}
+		hash, random := newDecisionHash(), rand.New(rand.NewSource(seed))
+		generator := &eventGenerator{random: random, settings: randomSettings(random)}
 		if onDemand {
-			drawn.settings.Directory = drawn
+			generator.settings.Directory = generator
 		}
-		actions, err := runIn(drawn, seed, stepsOfRules)
+		actions, err := runWith(generator, seed, rulesSteps)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		record.step(t, 0, actions)
-		result.add(record)
+		hash.batch(t, 0, actions)
+		result.add(hash)
 	}
 	return result
 }
@@ -106,44 +109,48 @@
 	if err := os.WriteFile(filepath.FromSlash(decisionsFile), append(data, '\n'), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	t.Errorf("%s is written anew: look at what changed, and run without -update-decisions", decisionsFile)
+	t.Errorf("%s was overwritten: review its diff, then run without -update-decisions", decisionsFile)
 }
 
-// TestDecisionsDigest pins the decisions of the package bit for bit: over seeded runs of each option, all
-// actions in their order, and what the dispatchers say of themselves, have the digests on record. Code that
-// is only renamed, moved or split keeps them. A change that is meant to change decisions records new ones,
-// with -update-decisions, and tells of it.
+// TestDecisionsDigest guards against unintended changes of decisions, as by a refactoring: in seeded
+// simulations of each option, the digests of all actions in order, and of the state that the dispatchers
+// export, have to equal those in testdata/decisions.json. A commit that changes decisions on purpose records
+// new digests with -update-decisions and says so.
 //
-// The digests hold floats as amd64 computes them: other processors have fused operations and other
-// implementations of math.Exp, whose last bits differ. There all is played and checked but for the record.
+// The digests cover floats bit for bit, as computed on amd64. Other processors fuse operations and have other
+// implementations of math.Exp, so the last bits differ: there the test makes all checks except the comparison
+// with the recorded digests.
 func TestDecisionsDigest(t *testing.T) {
-	measured := measureAll(t)
-	dropWithoutEffect(t, measured)
-	differ(t, measured)
-	if *updateDecisions && runtime.GOARCH == recordedOn {
+	measured := runAllCases(t)
+	checkInertSettings(t, measured)
+	checkDigestsUnique(t, measured)
+	if *updateDecisions && runtime.GOARCH == recordedArch {
 		writeDecisions(t, measured)
 		return
 	}
-	if runtime.GOARCH != recordedOn {
-		t.Logf("not compared with the record, which is of %s: floats differ in their last bits", recordedOn)
+	if runtime.GOARCH != recordedArch {
+		t.Logf("digests not compared: they were recorded on %s, and other processors differ in the last "+
+			"bits of floats", recordedArch)
 		return
 	}
-	compareDecisions(t, readDecisions(t), measured)
+	compareWithRecorded(t, readDecisions(t), measured)
 }
 
-// dropWithoutEffect checks that the settings that decide nothing do so, and takes their cases out.
-func dropWithoutEffect(t *testing.T, measured map[string]recordedCase) {
+// checkInertSettings checks that settings without influence on decisions leave the digests of the baseline.
+// It removes their cases from measured, since they are not recorded.
+func checkInertSettings(t *testing.T, measured map[string]recordedCase) {
 	t.Helper()
-	for _, each := range withoutEffect() {
-		if !slices.Equal(measured[each.name].Digests, measured[each.sameAs].Digests) {
-			t.Errorf("%s: its decisions are not those of %q", each.name, each.sameAs)
+	for _, each := range inertSettingCases() {
+		if !slices.Equal(measured[each.name].Digests, measured[each.sameDigestsAs].Digests) {
+			t.Errorf("%s: digests differ from those of %q, though the setting has to have no effect",
+				each.name, each.sameDigestsAs)
 		}
 		delete(measured, each.name)
 	}
 }
 
-// measureAll plays all cases, side by side.
-func measureAll(t *testing.T) map[string]recordedCase {
+// runAllCases runs all cases in parallel and returns their results by name.
+func runAllCases(t *testing.T) map[string]recordedCase {
 	t.Helper()
 	cases := decisionCases()
 	rules := []string{"rules world", "rules world on demand"}
@@ -152,13 +159,13 @@
 		for i, each := range cases {
 			t.Run(each.name, func(t *testing.T) {
 				t.Parallel()
-				results[i] = measure(t, each)
+				results[i] = runCase(t, each)
 			})
 		}
 		for i, name := range rules {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				results[len(cases)+i] = measureRules(t, i == 1)
+				results[len(cases)+i] = runRulesCase(t, i == 1)
 			})
 		}
 	})
@@ -170,37 +177,39 @@
 		measured[name] = results[len(cases)+i]
 	}
 	if len(measured) != len(results) {
-		t.Fatal("two cases have one name")
+		t.Fatal("two cases have the same name")
 	}
 	return measured
 }
 
-// differ checks that no two runs have one digest: each seed and each option makes a difference.
-func differ(t *testing.T, measured map[string]recordedCase) {
+// checkDigestsUnique checks that no two runs have the same digest, so that each seed and each option
+// influences decisions.
+func checkDigestsUnique(t *testing.T, measured map[string]recordedCase) {
 	t.Helper()
-	from := map[string]string{}
+	caseOf := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(measured)) {
 		for _, digest := range measured[name].Digests {
-			if other, known := from[digest]; known {
-				t.Errorf("a run of %q has a digest of %q", name, other)
+			if other, known := caseOf[digest]; known {
+				t.Errorf("a run of case %q has the same digest as a run of case %q", name, other)
 			}
-			from[digest] = name
+			caseOf[digest] = name
 		}
 	}
 }
 
-// compareDecisions names each case that differs from the record, and what it does more or less often.
-func compareDecisions(t *testing.T, recorded, measured map[string]recordedCase) {
+// compareWithRecorded reports each case whose digests or counts of actions differ from the recorded ones, and
+// each recorded case that no longer exists.
+func compareWithRecorded(t *testing.T, recorded, measured map[string]recordedCase) {
 	t.Helper()
 	for _, name := range slices.Sorted(maps.Keys(recorded)) {
-		if _, there := measured[name]; !there {
-			t.Errorf("%s: on record, but no case", name)
+		if _, exists := measured[name]; !exists {
+			t.Errorf("%s: recorded, but there is no such case", name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(measured)) {
 		got, want := measured[name], recorded[name]
 		if !slices.Equal(got.Digests, want.Digests) || !maps.Equal(got.Actions, want.Actions) {
-			t.Errorf("%s: decisions differ from those on record:\n got %s %v\nwant %s %v", name,
+			t.Errorf("%s: decisions differ from the recorded ones:\n got %s %v\nwant %s %v", name,
 				strings.Join(got.Digests, " "), got.Actions, strings.Join(want.Digests, " "), want.Actions)
 		}
 	}
--- a/policy/decisions_record_test.go
+++ b/policy/decisions_record_test.go
@@ -13,49 +13,50 @@
 	"milletsail/policy"
 )
 
-// decisionRecord digests decisions. Each value is written with a fixed tag and in a fixed order, never by
-// its Go name: so a digest stays when the API's names or the log's texts change.
-type decisionRecord struct {
+// decisionHash computes a digest of decisions. Actions are written under fixed tags and their values in a
+// fixed order, never under Go names, so that digests don't change with identifiers of the API or with log
+// texts.
+type decisionHash struct {
 	hash   hash.Hash
-	counts map[string]int // by tag, of actions and of states of zones that are asked for
+	counts map[string]int // by tag: actions, and the zone states that Zones returned
 }
 
-func newDecisionRecord() *decisionRecord {
-	return &decisionRecord{hash: sha256.New(), counts: map[string]int{}}
+func newDecisionHash() *decisionHash {
+	return &decisionHash{hash: sha256.New(), counts: map[string]int{}}
 }
 
-func (r *decisionRecord) digest() string { return hex.EncodeToString(r.hash.Sum(nil)[:digestLength]) }
+func (r *decisionHash) digest() string { return hex.EncodeToString(r.hash.Sum(nil)[:digestBytes]) }
 
-func (r *decisionRecord) integer(value int64) {
+func (r *decisionHash) integer(value int64) {
 	r.hash.Write(binary.BigEndian.AppendUint64(nil, uint64(value)))
 }
 
-func (r *decisionRecord) integers(values ...int) {
+func (r *decisionHash) ints(values ...int) {
 	for _, value := range values {
 		r.integer(int64(value))
 	}
 }
 
-func (r *decisionRecord) durations(values ...time.Duration) {
+func (r *decisionHash) durations(values ...time.Duration) {
 	for _, value := range values {
 		r.integer(int64(value))
 	}
 }
 
-func (r *decisionRecord) moments(values ...instant.Time) {
+func (r *decisionHash) times(values ...instant.Time) {
 	for _, value := range values {
 		r.integer(int64(value))
 	}
 }
 
-// numbers writes floats bit for bit.
-func (r *decisionRecord) numbers(values ...float64) {
+// floats writes the bit patterns of floats, so that any difference in rounding shows.
+func (r *decisionHash) floats(values ...float64) {
 	for _, value := range values {
 		r.integer(int64(math.Float64bits(value)))
 	}
 }
 
-func (r *decisionRecord) flag(values ...bool) {
+func (r *decisionHash) bools(values ...bool) {
 	for _, value := range values {
 		if value {
 			r.integer(1)
@@ -65,103 +66,104 @@
 	}
 }
 
-func (r *decisionRecord) text(values ...string) {
+func (r *decisionHash) strings(values ...string) {
 	for _, value := range values {
-		r.integers(len(value))
+		r.ints(len(value))
 		r.hash.Write([]byte(value))
 	}
 }
 
-// step writes the actions of one batch, in their order.
-func (r *decisionRecord) step(t *testing.T, relay int, actions []policy.Action) {
+// batch writes the actions of one batch of a relay, in order.
+func (r *decisionHash) batch(t *testing.T, relay int, actions []policy.Action) {
 	t.Helper()
-	r.integers(relay, len(actions))
+	r.ints(relay, len(actions))
 	for _, action := range actions {
 		r.action(t, action)
 	}
 }
 
-// tag begins an action.
-func (r *decisionRecord) tag(name string) {
+// beginAction counts a tag and writes it, ahead of the values that belong to it.
+func (r *decisionHash) beginAction(name string) {
 	r.counts[name]++
-	r.text(name)
+	r.strings(name)
 }
 
-// action writes one action. One of a type that is unknown here fails the test.
-func (r *decisionRecord) action(t *testing.T, action policy.Action) {
+// action writes one action. The test fails on an action type that has no tag here.
+func (r *decisionHash) action(t *testing.T, action policy.Action) {
 	t.Helper()
 	switch action := action.(type) {
 	case policy.Send:
-		r.tag("send")
-		r.text(action.ID, action.Endpoint)
+		r.beginAction("send")
+		r.strings(action.ID, action.Endpoint)
 		r.durations(action.Timeout, action.WriteTimeout)
-		r.integers(action.Call)
+		r.ints(action.Call)
 	case policy.Cancel:
-		r.tag("cancel")
-		r.text(action.ID)
-		r.integers(action.Attempt)
+		r.beginAction("cancel")
+		r.strings(action.ID)
+		r.ints(action.Attempt)
 	case policy.Reject:
-		r.tag("refuse")
-		r.text(action.ID, reasonTag(t, action.Reason))
+		r.beginAction("refuse")
+		r.strings(action.ID, reasonTag(t, action.Reason))
 		r.durations(action.RetryAfter)
 	case policy.Fail:
-		r.tag("fail")
-		r.text(action.ID, reasonTag(t, action.Reason))
+		r.beginAction("fail")
+		r.strings(action.ID, reasonTag(t, action.Reason))
 	case policy.Broadcast:
-		r.tag("tell")
-		r.message(action.Message)
+		r.beginAction("tell")
+		r.gossipMessage(action.Message)
 	case policy.SetTimer:
-		r.tag("wake")
+		r.beginAction("wake")
 		r.durations(action.After)
 	default:
-		r.rareAction(t, action)
+		r.otherAction(t, action)
 	}
 }
 
-// rareAction writes an action that does not concern one message.
-func (r *decisionRecord) rareAction(t *testing.T, action policy.Action) {
+// otherAction writes an action that concerns an endpoint, a destination, a zone or the relay itself.
+func (r *decisionHash) otherAction(t *testing.T, action policy.Action) {
 	t.Helper()
 	switch action := action.(type) {
 	case policy.Subscribe:
-		r.tag("subscribe")
+		r.beginAction("subscribe")
 	case policy.CloseIdleConnections:
-		r.tag("close idle")
-		r.text(action.Endpoint)
+		r.beginAction("close idle")
+		r.strings(action.Endpoint)
 	case policy.CancelUnwritten:
-		r.tag("withhold")
-		r.text(action.Endpoint)
+		r.beginAction("withhold")
+		r.strings(action.Endpoint)
 	case policy.PersistHealth:
-		r.tag("remember")
-		r.text(action.Endpoint)
-		r.flag(action.Ejected, action.SecondHand)
-		r.moments(action.At)
+		r.beginAction("remember")
+		r.strings(action.Endpoint)
+		r.bools(action.Ejected, action.SecondHand)
+		r.times(action.At)
 	case policy.PublishRate:
-		r.tag("share")
-		r.integers(action.Destination)
-		r.numbers(action.RateShare, action.ArrivalRate)
+		r.beginAction("share")
+		r.ints(action.Destination)
+		r.floats(action.RateShare, action.ArrivalRate)
 	case policy.CanaryStageChanged:
-		r.tag("proved")
-		r.text(action.Endpoint)
-		r.numbers(action.Share)
-		r.moments(action.SuspendedUntil)
+		r.beginAction("proved")
+		r.strings(action.Endpoint)
+		r.floats(action.Share)
+		r.times(action.SuspendedUntil)
 	case policy.ZoneStateChanged:
-		r.tag("zoned " + zoneStateTag(t, action.State))
-		r.integers(action.Zone)
+		r.beginAction("zoned " + zoneStateTag(t, action.State))
+		r.ints(action.Zone)
 	default:
-		t.Fatalf("an action of the unknown type %T: give it a tag here", action)
+		t.Fatalf("action type %T has no tag: add one here", action)
 	}
 }
 
-// message writes a note byte for byte, as relays of another version read it, and how it is read.
-func (r *decisionRecord) message(message []byte) {
-	r.text(string(message))
+// gossipMessage writes a gossip message byte for byte, since relays of other versions read it, and its
+// decoded form.
+func (r *decisionHash) gossipMessage(message []byte) {
+	r.strings(string(message))
 	observed, ok := policy.DecodeObservation(message)
-	r.flag(ok, observed.CircuitOpen, observed.CircuitClosed, observed.Recovered, observed.ConnectError)
-	r.integers(observed.Destination)
-	r.text(observed.Endpoint)
+	r.bools(ok, observed.CircuitOpen, observed.CircuitClosed, observed.Recovered, observed.ConnectError)
+	r.ints(observed.Destination)
+	r.strings(observed.Endpoint)
 	r.durations(observed.RetryAfter, observed.CallAge)
 	if ok {
-		r.text(string(observed.Encode()))
+		r.strings(string(observed.Encode()))
 	}
 }
 
@@ -181,7 +183,7 @@
 	case policy.ReasonNotRetryable:
 		return "no repeat"
 	}
-	t.Fatalf("reason %d is unknown: give it a tag here", int(reason))
+	t.Fatalf("reason %d has no tag: add one here", int(reason))
 	return ""
 }
 
@@ -197,59 +199,59 @@
 	case policy.Recovering:
 		return "returning"
 	}
-	t.Fatalf("zone state %d is unknown: give it a tag here", int(state))
+	t.Fatalf("zone state %d has no tag: add one here", int(state))
 	return ""
 }
 
-// queries writes what a dispatcher says of itself: all of it, or what is cheap.
-func (r *decisionRecord) queries(t *testing.T, dispatcher *policy.Dispatcher, all bool) {
+// dispatcherState writes the results of a dispatcher's queries: all of them, or only Avoided, which is cheap.
+func (r *decisionHash) dispatcherState(t *testing.T, dispatcher *policy.Dispatcher, all bool) {
 	t.Helper()
-	r.integers(dispatcher.Avoided())
+	r.ints(dispatcher.Avoided())
 	if !all {
 		return
 	}
 	zones, cutOff := dispatcher.Zones()
-	r.flag(cutOff)
-	r.integers(len(zones))
+	r.bools(cutOff)
+	r.ints(len(zones))
 	for _, zone := range zones {
-		r.tag("zone seen " + zoneStateTag(t, zone.State))
-		r.integers(zone.Zone, zone.Endpoints, zone.Evacuations, zone.Recoveries)
-		r.moments(zone.EnteredAt, zone.OrderExpiresAt)
+		r.beginAction("zone seen " + zoneStateTag(t, zone.State))
+		r.ints(zone.Zone, zone.Endpoints, zone.Evacuations, zone.Recoveries)
+		r.times(zone.EnteredAt, zone.OrderExpiresAt)
 	}
 	r.canaries(dispatcher.Canaries())
-	learned := dispatcher.ExportState()
-	r.integers(len(learned))
-	for _, each := range learned {
-		r.learned(each)
+	exported := dispatcher.ExportState()
+	r.ints(len(exported))
+	for _, each := range exported {
+		r.inheritedState(each)
 	}
 }
 
-func (r *decisionRecord) canaries(all []policy.Canary) {
-	r.integers(len(all))
+func (r *decisionHash) canaries(all []policy.Canary) {
+	r.ints(len(all))
 	for _, each := range all {
-		r.text(each.Endpoint)
-		r.integers(each.Destination, each.Stage, each.Suspensions)
-		r.numbers(each.Share, each.RegressionScore)
-		r.moments(each.StageStartedAt, each.SuspendedUntil)
-		r.flag(each.HasBaseline)
+		r.strings(each.Endpoint)
+		r.ints(each.Destination, each.Stage, each.Suspensions)
+		r.floats(each.Share, each.RegressionScore)
+		r.times(each.StageStartedAt, each.SuspendedUntil)
+		r.bools(each.HasBaseline)
 	}
 }
 
-func (r *decisionRecord) learned(queue policy.StateInherited) {
-	r.moments(queue.RetryAfterUntil, queue.BackoffUntil, queue.TokensAt, queue.FirstRejectionAt,
+func (r *decisionHash) inheritedState(queue policy.StateInherited) {
+	r.times(queue.RetryAfterUntil, queue.BackoffUntil, queue.TokensAt, queue.FirstRejectionAt,
 		queue.LastSuccessAt)
-	r.integers(queue.Outcomes, queue.ConsecutiveRejections, len(queue.ClassLatency))
-	r.numbers(queue.MeanLatency, queue.Concurrency, queue.SendRate, queue.Tokens)
-	r.numbers(queue.ClassLatency...)
+	r.ints(queue.Outcomes, queue.ConsecutiveRejections, len(queue.ClassLatency))
+	r.floats(queue.MeanLatency, queue.Concurrency, queue.SendRate, queue.Tokens)
+	r.floats(queue.ClassLatency...)
 	for _, counted := range []policy.DecayingCount{queue.Arrivals, queue.Misses} {
-		r.numbers(counted.Count)
-		r.moments(counted.UpdatedAt, counted.StartedAt)
+		r.floats(counted.Count)
+		r.times(counted.UpdatedAt, counted.StartedAt)
 	}
-	r.integers(len(queue.Endpoints))
+	r.ints(len(queue.Endpoints))
 	for _, endpoint := range queue.Endpoints {
-		r.text(endpoint.ID)
-		r.flag(endpoint.Ejected, endpoint.SlowStarting)
-		r.moments(endpoint.EjectedAt, endpoint.RecoveredAt, endpoint.LastSuccessAt, endpoint.TokensAt)
-		r.numbers(endpoint.ConsecutiveFailures, endpoint.ConnectionLimit, endpoint.Tokens)
+		r.strings(endpoint.ID)
+		r.bools(endpoint.Ejected, endpoint.SlowStarting)
+		r.times(endpoint.EjectedAt, endpoint.RecoveredAt, endpoint.LastSuccessAt, endpoint.TokensAt)
+		r.floats(endpoint.ConsecutiveFailures, endpoint.ConnectionLimit, endpoint.Tokens)
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -9,7 +9,8 @@
 
 const ms = time.Millisecond
 
-// plain returns settings with one class of each effect, and capacity for everything.
+// plain returns valid settings with one class for each Effect, the NotIdempotent one ordered, and three kinds
+// of destinations: without batches, with batches of 5, and with separate routes.
 func plain() Settings {
 	idempotent := Class{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}
 	withKey, notIdempotent := idempotent, idempotent
@@ -32,7 +33,7 @@
 	}
 }
 
-// start returns a dispatcher with endpoints listed at time 0.
+// start returns a dispatcher that got the complete list of the given endpoints at time 0.
 func start(t *testing.T, s Settings, eps ...Endpoint) *Dispatcher {
 	t.Helper()
 	d, err := New(s, 1)
@@ -43,12 +44,13 @@
 	return d
 }
 
-// arrive returns the arrival of a message with key "k" and ten seconds left.
+// arrive returns the arrival of a message for destination 0, with key "k" and 10 s until it expires.
 func arrive(id string, class int) Event {
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Key: "k"}
 }
 
-// summary lists actions in short, without timers and timeouts.
+// summary renders the actions on messages, and Subscribe, in short form, separated by spaces. It leaves out
+// timeouts, reasons and all other actions.
 func summary(actions []Action) string {
 	var out []string
 	for _, a := range actions {
@@ -68,7 +70,7 @@
 	return strings.Join(out, " ")
 }
 
-// actionAs returns an action as one of type A, which it has to be.
+// actionAs returns an action as type A, and ends the test if it has another type.
 func actionAs[A Action](t *testing.T, action Action) A {
 	t.Helper()
 	as, ok := action.(A)
@@ -78,7 +80,7 @@
 	return as
 }
 
-// expect checks actions by their summary.
+// expect checks that actions have the wanted summary; what describes the situation in the failure message.
 func expect(t *testing.T, what string, actions []Action, want string) {
 	t.Helper()
 	if got := summary(actions); got != want {
--- a/policy/messages_capacity_bench_test.go
+++ b/policy/messages_capacity_bench_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// queuedMessages is how many messages the destinations have in the mean that queuedDispatcher gives.
-const queuedMessages = 10
+// queuedPerDestination is the number of messages that queuedDispatcher queues for each destination.
+const queuedPerDestination = 10
 
-// queuedDispatcher is a dispatcher that has queued messages for destinations that told all callers to wait
-// for a day.
+// queuedDispatcher returns a dispatcher with the given number of queued messages. None can be sent, since all
+// destinations have a Retry-After of one day.
 func queuedDispatcher(b *testing.B, messages int) *Dispatcher {
 	b.Helper()
 	const day = 24 * time.Hour
-	destinations := max(1, messages/queuedMessages)
+	destinations := max(1, messages/queuedPerDestination)
 	s := onDemandSettings()
-	s.Directory, s.QueueCapacity = oneEach(destinations), 2*messages
+	s.Directory, s.QueueCapacity = singleEndpointDirectory(destinations), 2*messages
 	for i := range s.Classes {
 		s.Classes[i].Deadline = day
 	}
@@ -42,19 +42,20 @@
 	}
 	d.Handle(0, events)
 	if len(d.messages.unfinished) != messages || d.slots.inUse > 0 {
-		b.Fatalf("%d messages, %d calls out", len(d.messages.unfinished), d.slots.inUse)
+		b.Fatalf("%d messages are unfinished and %d calls are out, want all queued and no call",
+			len(d.messages.unfinished), d.slots.inUse)
 	}
 	return d
 }
 
-// BenchmarkQueuedMessages measures an empty batch with many messages queued, ten a destination: its time and
-// its memory by the message.
+// BenchmarkQueuedMessages measures a batch with only a timer while many messages are queued: the time of the
+// batch and the memory in use, both divided by the number of messages.
 func BenchmarkQueuedMessages(b *testing.B) {
 	for _, messages := range []int{1_000, 10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(messages), func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			d := queuedDispatcher(b, messages)
-			memory := heap() - before
+			memory := heapBytes() - before
 			now := time.Second
 			for b.Loop() {
 				now += 5 * ms
@@ -67,15 +68,16 @@
 	}
 }
 
-// BenchmarkQueuedMessagesByPart measures the parts of an empty batch that go over all messages or all queues.
+// BenchmarkQueuedMessagesByPart measures, one by one, the steps of a batch that may visit all messages or all
+// queues.
 func BenchmarkQueuedMessagesByPart(b *testing.B) {
 	const messages = 100_000
 	d := queuedDispatcher(b, messages)
 	parts := []struct {
 		name string
 		work func()
-	}{{"expire", d.expireMessages}, {"dispatch", d.dispatch}, {"reap", d.cancelStalledCalls},
-		{"rest", d.deactivateIdle}, {"arm", d.armTimer}}
+	}{{"expire", d.expireMessages}, {"dispatch", d.dispatch}, {"cancel stalled calls", d.cancelStalledCalls},
+		{"deactivate idle", d.deactivateIdle}, {"arm timer", d.armTimer}}
 	for _, part := range parts {
 		b.Run(part.name, func(b *testing.B) {
 			for b.Loop() {
@@ -87,8 +89,8 @@
 	}
 }
 
-// BenchmarkListedState measures the state that is kept for all listed destinations where it is not kept on
-// demand, as with zones: its memory, and the time of the whole list.
+// BenchmarkListedState measures a dispatcher that keeps state for all listed destinations, as it does without
+// a Directory or with zones: its memory, and the time to handle the complete list.
 func BenchmarkListedState(b *testing.B) {
 	for _, destinations := range []int{10_000, 100_000, 490_000} {
 		b.Run(fmt.Sprint(destinations), func(b *testing.B) {
@@ -98,7 +100,7 @@
 			}
 			s := onDemandSettings()
 			var d *Dispatcher
-			before := heap()
+			before := heapBytes()
 			for b.Loop() {
 				var err error
 				if d, err = New(s, 1); err != nil {
@@ -106,7 +108,7 @@
 				}
 				d.Handle(0, []Event{EndpointsUpdated{Complete: true, Endpoints: list}})
 			}
-			b.ReportMetric((heap()-before)/float64(destinations), "B/destination")
+			b.ReportMetric((heapBytes()-before)/float64(destinations), "B/destination")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(destinations),
 				"ns/destination")
 			runtime.KeepAlive(d)
@@ -115,8 +117,9 @@
 	}
 }
 
-// BenchmarkUnevenArrivals measures the state in use at a relay with a multiple of the mean of 208 messages a
-// second, for 490,000 destinations in turn or with sizes that follow Zipf's law, after six minutes of them.
+// BenchmarkUnevenArrivals measures the destinations in state and the memory of a relay after six minutes of
+// traffic, at 1, 3 and 9 times 208 messages a second. The messages go to 490,000 destinations in turn, or are
+// distributed by Zipf's law.
 func BenchmarkUnevenArrivals(b *testing.B) {
 	const destinations, mean, span = 490_000, 208, 6 * time.Minute
 	for _, factor := range []int{1, 3, 9} {
@@ -124,20 +127,20 @@
 			b.Run(fmt.Sprintf("%dx/zipf %v", factor, exponent), func(b *testing.B) {
 				for b.Loop() {
 					s := onDemandSettings()
-					s.Directory = unlimited{destinations}
+					s.Directory = unlimitedDirectory{destinations}
 					d, err := New(s, 1)
 					if err != nil {
 						b.Fatal(err)
 					}
-					before := heap()
+					before := heapBytes()
 					d.Handle(0, []Event{EndpointsUpdated{}})
-					draw := destinationSizes(destinations, exponent)
+					draw := destinationSampler(destinations, exponent)
 					step := time.Second / time.Duration(factor*mean)
 					for now := step; now < span; now += step {
 						serve(b, d, now, draw())
 					}
 					b.ReportMetric(float64(len(d.destinations)), "destinations")
-					b.ReportMetric((heap()-before)/1e6, "MB")
+					b.ReportMetric((heapBytes()-before)/1e6, "MB")
 					runtime.KeepAlive(d)
 				}
 			})
@@ -145,26 +148,28 @@
 	}
 }
 
-// unlimited is a Directory whose endpoints list no rate, so that every message is sent at once.
-type unlimited struct{ oneEach }
+// unlimitedDirectory is a Directory whose endpoints have weight 0, that is no rate, so that every message is
+// sent at once.
+type unlimitedDirectory struct{ singleEndpointDirectory }
 
-func (u unlimited) Endpoints(destination int) []Endpoint {
-	list := u.oneEach.Endpoints(destination)
+func (u unlimitedDirectory) Endpoints(destination int) []Endpoint {
+	list := u.singleEndpointDirectory.Endpoints(destination)
 	for i := range list {
 		list[i].Weight = 0
 	}
 	return list
 }
 
-// destinationSizes draws destinations: each in turn, or by Zipf's law where the exponent is above 1.
-func destinationSizes(destinations int, exponent float64) func() int {
+// destinationSampler returns a function that draws destinations: by Zipf's law if the exponent is above 1,
+// else all of them in turn.
+func destinationSampler(destinations int, exponent float64) func() int {
 	if exponent > 1 {
 		zipf := rand.NewZipf(rand.New(rand.NewPCG(1, 2)), exponent, 1, uint64(destinations-1))
 		return func() int { return int(zipf.Uint64()) }
 	}
-	no := 0
+	number := 0
 	return func() int {
-		no = (no + 7919) % destinations
-		return no
+		number = (number + 7919) % destinations
+		return number
 	}
 }
--- a/policy/rule_checker_test.go
+++ b/policy/rule_checker_test.go
@@ -7,35 +7,46 @@
 	"milletsail/policy"
 )
 
+// answerSlack is how long after its deadline a message may end at the latest.
 const answerSlack = 20 * time.Millisecond
 
-// checker follows events and actions and reports the first action that breaks one of the six rules. It
-// is written from the wording of the rules and shares no code with the module.
-type checker struct {
+// ruleChecker observes events and actions and reports the first action that breaks a rule:
+//
+//  1. Each message ends exactly once, and no later than answerSlack after its deadline.
+//  2. No message may run twice unless its Effect allows it, only a message that the client can safely send
+//     again is rejected, and without HedgedRequests a message has at most one attempt in flight.
+//  3. Endpoints that drain or are removed get no calls.
+//  4. Endpoints in an outage get no more calls than OverloadFactor allows.
+//  5. Messages of an ordered class with the same key are sent one at a time, in order of arrival.
+//  6. No call is sent within the Retry-After of a destination or route.
+//
+// It implements the rules independently and shares no code with package policy.
+type ruleChecker struct {
 	settings            policy.Settings
 	now                 time.Duration
 	messages            map[string]*observedMessage
 	order               []*observedMessage
 	endpoints           map[string]*observedEndpoint
-	waits               map[string]time.Duration // by place.scope
+	retryAfterUntil     map[string]time.Duration // end of the last Retry-After, by observedEndpoint.scope
 	consecutiveFailures map[string]int           // failures in a row, by endpoint
-	lastSuccess         map[string]time.Duration // last success, by endpoint
-	lastFailedCall      map[string]time.Duration // when the last call that failed was sent, by endpoint
-	sends               map[string][]time.Duration
+	lastSuccess         map[string]time.Duration // time of the last success, by endpoint
+	lastFailedCallSent  map[string]time.Duration // send time of the last failed call, by endpoint
+	outageSends         map[string][]time.Duration
 }
 
 type observedMessage struct {
 	policy.Arrived
-	class           policy.Class
-	expires         time.Duration
-	attempts        []observedAttempt
-	completed       bool
-	withdrawnAt     time.Duration // when it was withdrawn; an answer in the same batch is no fault
+	class     policy.Class
+	expires   time.Duration
+	attempts  []observedAttempt
+	completed bool
+	// withdrawnAt is the time of the withdrawal, or -1. Reject or Fail in the same batch is allowed.
+	withdrawnAt     time.Duration
 	keyBlockedUntil time.Duration
 }
 
 type observedAttempt struct {
-	ep          string
+	endpoint    string
 	sent        time.Duration
 	open        bool
 	notExecuted bool
@@ -44,19 +55,20 @@
 
 type observedEndpoint struct {
 	policy.Endpoint
-	closed bool
-	scope  string // what waits and outages bind: the destination, or the route
+	closedToCalls bool
+	// scope is what a Retry-After or an outage applies to: "d" and the destination's number, or a route's ID.
+	scope string
 }
 
-func newChecker(s policy.Settings) *checker {
-	return &checker{settings: s, messages: map[string]*observedMessage{},
-		endpoints: map[string]*observedEndpoint{}, waits: map[string]time.Duration{},
+func newRuleChecker(s policy.Settings) *ruleChecker {
+	return &ruleChecker{settings: s, messages: map[string]*observedMessage{},
+		endpoints: map[string]*observedEndpoint{}, retryAfterUntil: map[string]time.Duration{},
 		consecutiveFailures: map[string]int{}, lastSuccess: map[string]time.Duration{},
-		lastFailedCall: map[string]time.Duration{},
-		sends:          map[string][]time.Duration{}}
+		lastFailedCallSent: map[string]time.Duration{},
+		outageSends:        map[string][]time.Duration{}}
 }
 
-func (c *checker) list(e policy.EndpointsUpdated) {
+func (c *ruleChecker) updateEndpoints(e policy.EndpointsUpdated) {
 	named := map[string]bool{}
 	for _, x := range e.Endpoints {
 		named[x.ID] = true
@@ -68,16 +80,16 @@
 			}
 			c.endpoints[x.ID] = p
 		}
-		p.Endpoint, p.closed = x, x.Draining || x.Removed
+		p.Endpoint, p.closedToCalls = x, x.Draining || x.Removed
 	}
 	for id, p := range c.endpoints {
 		if e.Complete && !named[id] {
-			p.closed = true
+			p.closedToCalls = true
 		}
 	}
 }
 
-func (c *checker) ended(e policy.AttemptEnded) {
+func (c *ruleChecker) attemptEnded(e policy.AttemptEnded) {
 	m := c.messages[e.ID]
 	if m == nil || e.Attempt >= len(m.attempts) || !m.attempts[e.Attempt].open {
 		return
@@ -92,21 +104,22 @@
 	switch {
 	case e.Outcome == policy.OK:
 		m.completed = true
-		c.consecutiveFailures[t.ep], c.lastSuccess[t.ep] = 0, c.now
-	// tells nothing new: an old call, or a bundle's next
-	case t.sent <= max(c.lastSuccess[t.ep], c.lastFailedCall[t.ep]):
+		c.consecutiveFailures[t.endpoint], c.lastSuccess[t.endpoint] = 0, c.now
+	// A call sent no later than the last success or the last failed call says nothing new; nor does another
+	// message of the same call.
+	case t.sent <= max(c.lastSuccess[t.endpoint], c.lastFailedCallSent[t.endpoint]):
 	case e.Outcome == policy.Failed || e.Outcome == policy.Reset || e.Outcome == policy.ConnectError:
-		c.consecutiveFailures[t.ep]++
-		c.lastFailedCall[t.ep] = t.sent
+		c.consecutiveFailures[t.endpoint]++
+		c.lastFailedCallSent[t.endpoint] = t.sent
 	}
 	if e.RetryAfter > 0 {
-		scope := c.endpoints[t.ep].scope
-		c.waits[scope] = max(c.waits[scope], c.now+e.RetryAfter)
+		scope := c.endpoints[t.endpoint].scope
+		c.retryAfterUntil[scope] = max(c.retryAfterUntil[scope], c.now+e.RetryAfter)
 	}
 	m.completed = m.completed || e.Completed
 }
 
-func (c *checker) events(now time.Duration, events []policy.Event) {
+func (c *ruleChecker) observe(now time.Duration, events []policy.Event) {
 	c.now = now
 	for _, e := range events {
 		switch e := e.(type) {
@@ -116,28 +129,28 @@
 			c.messages[e.ID] = m
 			c.order = append(c.order, m)
 		case policy.AttemptEnded:
-			c.ended(e)
+			c.attemptEnded(e)
 		case policy.Withdrawn:
 			if m := c.messages[e.ID]; m != nil && !m.completed {
 				m.completed, m.withdrawnAt = true, now
 			}
 		case policy.EndpointsUpdated:
-			c.list(e)
+			c.updateEndpoints(e)
 		}
 	}
 }
 
-func (c *checker) actions(actions []policy.Action) error {
+func (c *ruleChecker) check(actions []policy.Action) error {
 	for _, a := range actions {
 		var err error
 		switch a := a.(type) {
 		case policy.Send:
-			err = c.send(a)
+			err = c.checkSend(a)
 		case policy.Reject:
-			err = c.reject(a)
+			err = c.checkReject(a)
 		case policy.Fail:
 			if m := c.messages[a.ID]; m == nil || m.completed && m.withdrawnAt != c.now {
-				err = fmt.Errorf("rule 1: %s failed, but it is over", a.ID)
+				err = fmt.Errorf("rule 1: Fail for message %s, which has already ended", a.ID)
 			} else {
 				m.completed = true
 			}
@@ -148,14 +161,15 @@
 	}
 	for _, m := range c.order {
 		if !m.completed && c.now > m.expires+answerSlack {
-			return fmt.Errorf("at %v: rule 1: %s has no answer by %v", c.now, m.ID, m.expires)
+			return fmt.Errorf("at %v: rule 1: message %s has not ended, though its deadline was %v", c.now,
+				m.ID, m.expires)
 		}
 	}
 	return nil
 }
 
-// mayHaveRun gives the first try that may have run.
-func (m *observedMessage) mayHaveRun() *observedAttempt {
+// firstPossiblyExecuted returns the first attempt that may have run at its endpoint, or nil.
+func (m *observedMessage) firstPossiblyExecuted() *observedAttempt {
 	for i := range m.attempts {
 		if !m.attempts[i].notExecuted {
 			return &m.attempts[i]
@@ -164,57 +178,61 @@
 	return nil
 }
 
-func (c *checker) reject(a policy.Reject) error {
+func (c *ruleChecker) checkReject(a policy.Reject) error {
 	m := c.messages[a.ID]
 	if m == nil || m.completed && m.withdrawnAt != c.now {
-		return fmt.Errorf("rule 1: %s refused, but it is over", a.ID)
+		return fmt.Errorf("rule 1: Reject for message %s, which has already ended", a.ID)
 	}
 	m.completed = true
-	if m.mayHaveRun() != nil &&
+	if m.firstPossiblyExecuted() != nil &&
 		(m.class.Effect == policy.NotIdempotent || m.class.Effect == policy.IdempotentWithKey &&
 			m.class.KeysPerZone) {
-		return fmt.Errorf("rule 2: %s refused, but it may have run", a.ID)
+		return fmt.Errorf("rule 2: Reject for message %s, which may have run and can't safely be sent again",
+			a.ID)
 	}
 	return nil
 }
 
-func (c *checker) send(a policy.Send) error {
+func (c *ruleChecker) checkSend(a policy.Send) error {
 	m, p := c.messages[a.ID], c.endpoints[a.Endpoint]
 	switch {
 	case m == nil || m.completed:
-		return fmt.Errorf("rule 1: %s sent, but it is over", a.ID)
+		return fmt.Errorf("rule 1: message %s sent after it ended", a.ID)
 	case p == nil || p.Destination != m.Destination:
-		return fmt.Errorf("%s sent to %s, which is not its destination's", a.ID, a.Endpoint)
-	case p.closed:
-		return fmt.Errorf("rule 3: %s sent to %s, which drains or is gone", a.ID, a.Endpoint)
-	case c.now < c.waits[p.scope]:
-		return fmt.Errorf("rule 6: %s sent to %s within a wait", a.ID, a.Endpoint)
+		return fmt.Errorf("message %s sent to endpoint %s, which does not belong to its destination", a.ID,
+			a.Endpoint)
+	case p.closedToCalls:
+		return fmt.Errorf("rule 3: message %s sent to endpoint %s, which drains or is removed", a.ID,
+			a.Endpoint)
+	case c.now < c.retryAfterUntil[p.scope]:
+		return fmt.Errorf("rule 6: message %s sent to endpoint %s within a Retry-After", a.ID, a.Endpoint)
 	}
 	for _, t := range m.attempts {
 		if t.open && !c.settings.HedgedRequests {
-			return fmt.Errorf("rule 2: %s has two attempts out", a.ID)
+			return fmt.Errorf("rule 2: message %s sent while another attempt is in flight", a.ID)
 		}
 	}
-	if t := m.mayHaveRun(); t != nil {
+	if t := m.firstPossiblyExecuted(); t != nil {
 		switch {
 		case m.class.Effect == policy.NotIdempotent:
-			return fmt.Errorf("rule 2: unsafe %s sent again", a.ID)
+			return fmt.Errorf("rule 2: message %s is not idempotent and was sent again", a.ID)
 		case m.class.Effect == policy.IdempotentWithKey && c.now > t.sent+m.class.IdempotencyWindow:
-			return fmt.Errorf("rule 2: keyed %s sent after its memory", a.ID)
+			return fmt.Errorf("rule 2: message %s sent again after the window of its idempotency key", a.ID)
 		case m.class.Effect == policy.IdempotentWithKey && m.class.KeysPerZone &&
-			c.endpoints[t.ep].Zone != p.Zone:
-			return fmt.Errorf("rule 2: keyed %s sent to another zone", a.ID)
+			c.endpoints[t.endpoint].Zone != p.Zone:
+			return fmt.Errorf("rule 2: message %s sent to another zone, which does not share its "+
+				"idempotency key", a.ID)
 		}
 	}
-	if err := c.inTurn(m); err != nil {
+	if err := c.checkKeyOrder(m); err != nil {
 		return err
 	}
 	m.attempts = append(m.attempts,
-		observedAttempt{ep: a.Endpoint, sent: c.now, open: true, timeout: a.Timeout})
-	return c.outage(p)
+		observedAttempt{endpoint: a.Endpoint, sent: c.now, open: true, timeout: a.Timeout})
+	return c.checkOutageRate(p)
 }
 
-func (c *checker) inTurn(m *observedMessage) error {
+func (c *ruleChecker) checkKeyOrder(m *observedMessage) error {
 	if !m.class.Ordered || m.Key == "" {
 		return nil
 	}
@@ -230,29 +248,30 @@
 			open = open || t.open
 		}
 		if open {
-			return fmt.Errorf("rule 5: %s sent before %s was done", m.ID, o.ID)
+			return fmt.Errorf("rule 5: message %s sent before message %s of the same key was done", m.ID,
+				o.ID)
 		}
 	}
 	return nil
 }
 
-// outage holds the sends to endpoints that only fail to this relay's part of what a destination in slow start
-// can take, with capacity for one call an endpoint, one that a sibling's return brings forward and two of
-// chance.
-func (c *checker) outage(p *observedEndpoint) error {
-	const sure = 5 // failures in a row that no chance explains
-	if c.consecutiveFailures[p.ID] < sure {
+// checkOutageRate limits the calls to endpoints that only fail. Within an OverloadWindow, a scope gets this
+// relay's part of the calls that would overload it at the start of a slow start, one for each endpoint, one
+// that the recovery of a sibling brings forward, and two for chance.
+func (c *ruleChecker) checkOutageRate(p *observedEndpoint) error {
+	const minConsecutiveFailures = 5 // so many failures in a row don't happen by chance
+	if c.consecutiveFailures[p.ID] < minConsecutiveFailures {
 		return nil
 	}
-	list := c.sends[p.scope]
+	list := c.outageSends[p.scope]
 	if n := len(list); n > 0 && list[n-1] == c.now && c.settings.Kinds[p.Kind].MaxBatch > 1 {
-		return nil // the same call, by as many as one holds
+		return nil // another message of the same call
 	}
 	list = append(list, c.now)
 	for list[0] <= c.now-c.settings.OverloadWindow {
 		list = list[1:]
 	}
-	c.sends[p.scope] = list
+	c.outageSends[p.scope] = list
 	eps := 0
 	for _, q := range c.endpoints {
 		if q.scope == p.scope {
@@ -263,10 +282,12 @@
 	if c.settings.Weights == policy.WeightsOff {
 		weight = float64(c.settings.FleetSize)
 	}
-	all := c.settings.OverloadFactor * c.settings.SlowStartInitialShare * weight * c.settings.OverloadWindow.Seconds()
+	all := c.settings.OverloadFactor * c.settings.SlowStartInitialShare * weight *
+		c.settings.OverloadWindow.Seconds()
 	if budget := all/float64(c.settings.FleetSize) + float64(eps+3); float64(len(list)) > budget {
-		return fmt.Errorf("rule 4: %d sends to %s within %v, %.1f allowed, %d eps %v %+v", len(list), p.ID,
-			c.settings.OverloadWindow, budget, eps, list, c.settings)
+		return fmt.Errorf("rule 4: %d calls to the failing endpoint %s within %v, %.1f allowed; "+
+			"%d endpoints, sent at %v, settings %+v", len(list), p.ID, c.settings.OverloadWindow, budget, eps,
+			list, c.settings)
 	}
 	return nil
 }
--- a/policy/rules_world_test.go
+++ b/policy/rules_event_generator_test.go
@@ -9,8 +9,8 @@
 	"milletsail/policy"
 )
 
-// variant draws settings from a seed.
-func variant(r *rand.Rand) policy.Settings {
+// randomSettings draws settings.
+func randomSettings(r *rand.Rand) policy.Settings {
 	s := policy.Settings{
 		FleetSize: []int{1, 2, 3, 4, 40, 400}[r.Intn(6)], Slots: 1 + r.Intn(12),
 		QueueCapacity: 20 + r.Intn(80), MaxAttempts: 2 + r.Intn(10),
@@ -33,52 +33,53 @@
 	return s
 }
 
-// world draws legal events from a seed; it knows nothing of servers.
-type world struct {
-	random   *rand.Rand
-	settings policy.Settings
-	checker  *checker
-	now      time.Duration
-	next     int
-	timers   []time.Duration
-	eps      []policy.Endpoint
-	mood     []policy.Outcome // what the attempts of a destination mostly get just now
-	fates    map[string]policy.Outcome
-	quiet    bool // nothing arrives
+// eventGenerator draws valid events for one dispatcher. It does not simulate servers: outcomes are random.
+type eventGenerator struct {
+	random             *rand.Rand
+	settings           policy.Settings
+	checker            *ruleChecker
+	now                time.Duration
+	lastNumber         int
+	timers             []time.Duration
+	endpoints          []policy.Endpoint
+	prevailingOutcomes []policy.Outcome // most frequent outcome at present, by destination
+	callOutcomes       map[string]policy.Outcome
+	trafficPaused      bool // no messages arrive
 }
 
-func (w *world) list() policy.EndpointsUpdated {
-	complete := w.random.Intn(3) == 0 || len(w.eps) == 0
-	if len(w.eps) == 0 || w.random.Intn(3) == 0 {
+func (w *eventGenerator) endpointsUpdate() policy.EndpointsUpdated {
+	complete := w.random.Intn(3) == 0 || len(w.endpoints) == 0
+	if len(w.endpoints) == 0 || w.random.Intn(3) == 0 {
 		dest := w.random.Intn(4)
-		w.eps = append(w.eps, policy.Endpoint{ID: fmt.Sprint("e", w.next), Destination: dest, Kind: dest % 3,
-			Zone: w.random.Intn(2), Weight: 2 + float64(dest)*3})
-		w.next++
+		w.endpoints = append(w.endpoints, policy.Endpoint{ID: fmt.Sprint("e", w.lastNumber),
+			Destination: dest, Kind: dest % 3, Zone: w.random.Intn(2), Weight: 2 + float64(dest)*3})
+		w.lastNumber++
 	}
 	var out []policy.Endpoint
-	for i := range w.eps {
+	for i := range w.endpoints {
 		if w.random.Intn(12) == 0 {
-			w.eps[i].Draining = true
+			w.endpoints[i].Draining = true
 		}
-		if w.random.Intn(15) == 0 && len(w.eps) > 4 {
-			w.eps[i].Removed = true
+		if w.random.Intn(15) == 0 && len(w.endpoints) > 4 {
+			w.endpoints[i].Removed = true
 		}
-		if !complete || !w.eps[i].Removed {
-			out = append(out, w.eps[i])
+		if !complete || !w.endpoints[i].Removed {
+			out = append(out, w.endpoints[i])
 		}
 	}
-	remaining := w.eps[:0]
-	for _, e := range w.eps {
+	remaining := w.endpoints[:0]
+	for _, e := range w.endpoints {
 		if !e.Removed {
 			remaining = append(remaining, e)
 		}
 	}
-	w.eps = remaining
+	w.endpoints = remaining
 	return policy.EndpointsUpdated{Complete: complete, Endpoints: out}
 }
 
-// batch moves the clock to the next moment and gives its events.
-func (w *world) batch() []policy.Event {
+// nextBatch moves the clock by 5 to 300 ms, or less to reach a timer, a deadline or a timeout exactly, and
+// returns the events of that time.
+func (w *eventGenerator) nextBatch() []policy.Event {
 	at := w.now + time.Duration(1+w.random.Intn(60))*5*time.Millisecond
 	for _, t := range w.timers {
 		at = min(at, t)
@@ -106,19 +107,20 @@
 	w.timers = remaining
 	events = append(events, w.outcomes()...)
 	if w.random.Intn(12) == 0 {
-		events = append(events, w.list())
+		events = append(events, w.endpointsUpdate())
 	}
 	if w.random.Intn(40) == 0 {
 		events = append(events, policy.WatchFailed{})
 	}
 	for range w.random.Intn(4) {
-		if w.quiet {
+		if w.trafficPaused {
 			break
 		}
-		w.next++
+		w.lastNumber++
 		class := w.random.Intn(len(w.settings.Classes))
-		e := policy.Arrived{ID: fmt.Sprint("m", w.next), Class: class, Destination: w.random.Intn(5),
-			TimeLeft: w.settings.Classes[class].Deadline - time.Duration(w.random.Intn(2000))*time.Millisecond}
+		e := policy.Arrived{ID: fmt.Sprint("m", w.lastNumber), Class: class, Destination: w.random.Intn(5),
+			TimeLeft: w.settings.Classes[class].Deadline -
+				time.Duration(w.random.Intn(2000))*time.Millisecond}
 		if w.settings.Classes[class].Ordered && w.random.Intn(5) > 0 {
 			e.Key = fmt.Sprint("k", w.random.Intn(3))
 		}
@@ -127,12 +129,13 @@
 	return events
 }
 
-// outcomes ends attempts: those whose time is up, and others by chance.
-func (w *world) outcomes() []policy.Event {
+// outcomes returns the ends of attempts, those that time out and random others, and random withdrawals. It
+// also changes prevailingOutcomes at random.
+func (w *eventGenerator) outcomes() []policy.Event {
 	var events []policy.Event
-	for d := range w.mood {
+	for d := range w.prevailingOutcomes {
 		if w.random.Intn(80) == 0 {
-			w.mood[d] = policy.Outcome(w.random.Intn(8))
+			w.prevailingOutcomes[d] = policy.Outcome(w.random.Intn(8))
 		}
 	}
 	for _, m := range w.checker.order {
@@ -144,7 +147,7 @@
 			if !ended {
 				continue
 			}
-			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.ep, Attempt: i, Outcome: outcome,
+			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.endpoint, Attempt: i, Outcome: outcome,
 				Latency: w.now - t.sent}
 			if outcome == policy.Rejected && w.random.Intn(2) == 0 {
 				e.RetryAfter = w.retryAfter()
@@ -152,7 +155,7 @@
 			e.Completed = m.completed || outcome == policy.OK
 			events = append(events, e)
 			if w.random.Intn(30) == 0 {
-				events = append(events, e) // twice: changes nothing
+				events = append(events, e) // a duplicate, which has to change nothing
 			}
 		}
 		if !m.completed && w.random.Intn(400) == 0 {
@@ -162,8 +165,8 @@
 	return events
 }
 
-// outcome draws whether and how an attempt ends now. The messages of one call share its outcome.
-func (w *world) outcome(m *observedMessage, t observedAttempt) (outcome policy.Outcome, ended bool) {
+// outcome draws whether an attempt ends now, and with which outcome; all messages of one call have the same.
+func (w *eventGenerator) outcome(m *observedMessage, t observedAttempt) (outcome policy.Outcome, ended bool) {
 	limit := m.expires
 	if t.timeout > 0 {
 		limit = min(limit, t.sent+t.timeout)
@@ -174,59 +177,60 @@
 	if w.random.Intn(6) != 0 {
 		return policy.OK, false
 	}
-	outcome = w.mood[w.checker.endpoints[t.ep].Destination]
+	outcome = w.prevailingOutcomes[w.checker.endpoints[t.endpoint].Destination]
 	if w.random.Intn(4) == 0 {
 		outcome = policy.Outcome(w.random.Intn(8))
 	}
-	call := fmt.Sprint(t.ep, t.sent)
-	if ofCall, ok := w.fates[call]; ok {
-		outcome = ofCall
+	call := fmt.Sprint(t.endpoint, t.sent)
+	if drawn, ok := w.callOutcomes[call]; ok {
+		outcome = drawn
 	}
 	if outcome == policy.TimedOut {
 		return policy.OK, false
 	}
-	w.fates[call] = outcome
+	w.callOutcomes[call] = outcome
 	return outcome, true
 }
 
-// retryAfter draws the Retry-After of a rejection.
-func (w *world) retryAfter() time.Duration {
+// retryAfter draws the Retry-After of a rejection; with state on demand, one in four is longRetryAfter.
+func (w *eventGenerator) retryAfter() time.Duration {
 	retryAfter := time.Duration(w.random.Intn(2000)) * time.Millisecond
 	if w.settings.Directory != nil && w.random.Intn(4) == 0 {
-		return longWait
+		return longRetryAfter
 	}
 	return retryAfter
 }
 
-// runSeeded runs a dispatcher on seeded events under the checker and returns its actions.
+// runSeeded runs a dispatcher with random settings on random events, and returns its actions. It stops with
+// an error at the first action that breaks a rule.
 func runSeeded(seed int64, steps int) ([]policy.Action, error) {
 	r := rand.New(rand.NewSource(seed))
-	return runIn(&world{random: r, settings: variant(r)}, seed, steps)
+	return runWith(&eventGenerator{random: r, settings: randomSettings(r)}, seed, steps)
 }
 
-// runIn does so with a world that has its settings.
-func runIn(w *world, seed int64, steps int) ([]policy.Action, error) {
+// runWith does the same with the settings and the random source of the given eventGenerator.
+func runWith(w *eventGenerator, seed int64, steps int) ([]policy.Action, error) {
 	r, s := w.random, w.settings
-	w.checker, w.now, w.mood, w.fates = newChecker(s), time.Hour, make([]policy.Outcome, 5),
-		map[string]policy.Outcome{}
+	w.checker, w.now, w.prevailingOutcomes, w.callOutcomes = newRuleChecker(s), time.Hour,
+		make([]policy.Outcome, 5), map[string]policy.Outcome{}
 	d, err := policy.New(s, seed)
 	if err != nil {
 		return nil, err
 	}
 	var all []policy.Action
 	for range steps {
-		if r.Intn(600) == 0 { // killed and begun anew
+		if r.Intn(600) == 0 { // the process crashes and restarts
 			if d, err = policy.New(s, seed); err != nil {
 				return nil, err
 			}
-			w.checker, w.timers = newChecker(s), nil
-			w.eps = nil
+			w.checker, w.timers = newRuleChecker(s), nil
+			w.endpoints = nil
 		}
 		if s.Directory != nil {
-			w.pause()
+			w.pauseTraffic()
 		}
-		events := w.batch()
-		w.checker.events(w.now, events)
+		events := w.nextBatch()
+		w.checker.observe(w.now, events)
 		actions := d.Handle(instant.Time(w.now), events)
 		all = append(all, actions...)
 		for _, a := range actions {
@@ -238,7 +242,7 @@
 				m.attempts[a.Attempt].timeout = max(1, w.now-m.attempts[a.Attempt].sent)
 			}
 		}
-		if err := w.checker.actions(actions); err != nil {
+		if err := w.checker.check(actions); err != nil {
 			return all, err
 		}
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -12,6 +12,8 @@
 	"milletsail/policy"
 )
 
+// TestRulesUnderSeededEvents guards against actions that break a rule of ruleChecker, with random settings
+// and events from 150 seeds.
 func TestRulesUnderSeededEvents(t *testing.T) {
 	for seed := range int64(150) {
 		if _, err := runSeeded(seed, 500); err != nil {
@@ -20,6 +22,7 @@
 	}
 }
 
+// FuzzRules does the same as TestRulesUnderSeededEvents with fuzzed seeds.
 func FuzzRules(f *testing.F) {
 	f.Add(int64(1))
 	f.Fuzz(func(t *testing.T, seed int64) {
@@ -29,20 +32,23 @@
 	})
 }
 
+// TestSameEventsSameActions guards against actions that depend on anything but the events and the seed, such
+// as the order of a map.
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range int64(10) {
 		a, _ := runSeeded(seed, 300)
 		b, _ := runSeeded(seed, 300)
 		if !reflect.DeepEqual(a, b) {
-			t.Errorf("seed %d: two plays of the same events differ", seed)
+			t.Errorf("seed %d: two runs on the same events differ in their actions", seed)
 		}
 	}
 }
 
-// TestInterleavedInstances plays two dispatchers in turns on events that were recorded from one alone.
+// TestInterleavedInstances guards against state that dispatchers of one process share: two that handle the
+// same batches in turn have to act as one that runs alone.
 func TestInterleavedInstances(t *testing.T) {
-	s := variant(rand.New(rand.NewSource(3)))
-	feed := func(d *policy.Dispatcher, i int) []policy.Action {
+	s := randomSettings(rand.New(rand.NewSource(3)))
+	handleBatch := func(d *policy.Dispatcher, i int) []policy.Action {
 		var events []policy.Event
 		if i == 0 {
 			for dest := range 4 {
@@ -57,28 +63,29 @@
 		}
 		return d.Handle(instant.Time(time.Duration(i)*50*time.Millisecond), events)
 	}
-	fresh := func() *policy.Dispatcher {
+	newDispatcher := func() *policy.Dispatcher {
 		d, err := policy.New(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return d
 	}
-	alone, a, b := fresh(), fresh(), fresh()
+	alone, a, b := newDispatcher(), newDispatcher(), newDispatcher()
 	for i := range 100 {
-		want := feed(alone, i)
-		if got := feed(a, i); !reflect.DeepEqual(got, want) {
+		want := handleBatch(alone, i)
+		if got := handleBatch(a, i); !reflect.DeepEqual(got, want) {
 			t.Fatalf("batch %d: %v, alone %v", i, got, want)
 		}
-		if got := feed(b, i); !reflect.DeepEqual(got, want) {
+		if got := handleBatch(b, i); !reflect.DeepEqual(got, want) {
 			t.Fatalf("batch %d: %v, alone %v", i, got, want)
 		}
 	}
 }
 
-// TestCheckerCatches shows for each rule a sequence that breaks it and that the checker catches.
-func TestCheckerCatches(t *testing.T) {
-	s := variant(rand.New(rand.NewSource(1)))
+// TestRuleCheckerReportsViolations guards against a ruleChecker that misses violations: each sequence breaks
+// one rule, whose number its name starts with, and has to be reported.
+func TestRuleCheckerReportsViolations(t *testing.T) {
+	s := randomSettings(rand.New(rand.NewSource(1)))
 	s.HedgedRequests, s.FleetSize, s.OrderedKeyDelay = false, 2, 0
 	s.Classes = []policy.Class{
 		{Deadline: 5 * time.Second, Effect: policy.Idempotent},
@@ -107,26 +114,29 @@
 			step{at, []policy.Event{ended(id, 0, policy.ConnectError)}, nil})
 	}
 	tests := map[string][]step{
-		"1: no answer": {{0, []policy.Event{list, arrive("m", 0)}, nil}, {6 * time.Second, nil, nil}},
-		"1: two answers": {{0, []policy.Event{arrive("m", 0)},
+		"1: not ended": {{0, []policy.Event{list, arrive("m", 0)}, nil}, {6 * time.Second, nil, nil}},
+		"1: ended twice": {{0, []policy.Event{arrive("m", 0)},
 			[]policy.Action{policy.Fail{ID: "m"}, policy.Reject{ID: "m"}}}},
-		"1: sent after end": {{0, []policy.Event{list, arrive("m", 0)},
+		"1: sent after its end": {{0, []policy.Event{list, arrive("m", 0)},
 			[]policy.Action{policy.Fail{ID: "m"}, send("m")}}},
-		"2: two out": {{0, []policy.Event{list, arrive("m", 0)},
+		"2: two attempts in flight": {{0, []policy.Event{list, arrive("m", 0)},
 			[]policy.Action{send("m"), send("m")}}},
-		"2: unsafe again": {{0, []policy.Event{list, arrive("m", 2)}, []policy.Action{send("m")}},
+		"2: non-idempotent sent again": {
+			{0, []policy.Event{list, arrive("m", 2)}, []policy.Action{send("m")}},
 			{1, []policy.Event{ended("m", 0, policy.Failed)}, []policy.Action{send("m")}}},
-		"2: unsafe refused": {{0, []policy.Event{list, arrive("m", 2)}, []policy.Action{send("m")}},
+		"2: non-idempotent rejected after an attempt": {
+			{0, []policy.Event{list, arrive("m", 2)}, []policy.Action{send("m")}},
 			{1, []policy.Event{ended("m", 0, policy.Reset)}, []policy.Action{policy.Reject{ID: "m"}}}},
-		"2: memory over": {{0, []policy.Event{list, arrive("m", 1)}, []policy.Action{send("m")}},
+		"2: sent after idempotency window": {
+			{0, []policy.Event{list, arrive("m", 1)}, []policy.Action{send("m")}},
 			{3 * time.Second, []policy.Event{ended("m", 0, policy.TimedOut)}, []policy.Action{send("m")}}},
-		"3: drained": {{0, []policy.Event{list, arrive("m", 0),
+		"3: sent to a draining endpoint": {{0, []policy.Event{list, arrive("m", 0),
 			policy.EndpointsUpdated{Endpoints: []policy.Endpoint{
 				{ID: "a", Draining: true}}}}, []policy.Action{send("m")}}},
-		"4: knocking": probes,
-		"5: out of turn": {{0, []policy.Event{list, arrive("m", 2), arrive("n", 2)},
+		"4: too many calls in an outage": probes,
+		"5: two messages of a key in flight": {{0, []policy.Event{list, arrive("m", 2), arrive("n", 2)},
 			[]policy.Action{send("m"), send("n")}}},
-		"6: in a wait": {{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{send("m")}},
+		"6: sent within Retry-After": {{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{send("m")}},
 			{1, []policy.Event{policy.AttemptEnded{ID: "m", Endpoint: "a", Outcome: policy.Rejected,
 				RetryAfter: time.Second}},
 				[]policy.Action{send("m")}}},
@@ -137,16 +147,16 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		c := newChecker(s)
+		c := newRuleChecker(s)
 		var err error
 		for _, st := range tests[name] {
-			c.events(st.at, st.events)
-			if err = c.actions(st.actions); err != nil {
+			c.observe(st.at, st.events)
+			if err = c.check(st.actions); err != nil {
 				break
 			}
 		}
 		if err == nil {
-			t.Errorf("%s: not caught", name)
+			t.Errorf("%s: the checker reported no violation", name)
 		}
 	}
 }
--- a/policy/state_store_pair_test.go
+++ b/policy/state_store_pair_test.go
@@ -10,31 +10,34 @@
 	"pgregory.net/rapid"
 )
 
-// pair runs a dispatcher with all state and one with state on demand on the same events.
-type pair struct {
-	t             *rapid.T
-	s             Settings
-	list          *directory
-	eager, lazy   *Dispatcher
-	now           time.Duration
-	next          int
-	attempts      []AttemptEnded // that are out
-	attemptCounts map[string]int
+// dispatcherPair runs a dispatcher that keeps state for all endpoints (eager) and one that keeps it on demand
+// (lazy) on the same events.
+type dispatcherPair struct {
+	t            *rapid.T
+	settings     Settings
+	list         *directory
+	eager, lazy  *Dispatcher
+	now          time.Duration
+	lastNumber   int
+	inFlight     []AttemptEnded // ends of the attempts in flight, still without Outcome
+	attemptsSent map[string]int
 }
 
-// Destinations 0 to 3 have endpoints in one queue, 4 and 5 are routes apart, 6 is listed by nobody.
+// The endpoints of destinations 0 to 3 share a queue, those of 4 and 5 are separate routes, and 6 has
+// messages but no listed endpoint.
 const sharedDestinations, listedDestinations, usedDestinations = 4, 6, 7
 
-func newPair(t *rapid.T) *pair {
-	p := &pair{t: t, s: onDemandSettings(), list: newDirectory(), attemptCounts: map[string]int{}}
-	p.s.FleetSize = rapid.SampledFrom([]int{1, 4, 400}).Draw(t, "relays")
-	p.s.Slots = rapid.IntRange(2, 6).Draw(t, "slots")
-	p.s.Weights = rapid.SampledFrom([]Weights{WeightsOff, WeightsNominal}).Draw(t, "weights")
+func newDispatcherPair(t *rapid.T) *dispatcherPair {
+	p := &dispatcherPair{t: t, settings: onDemandSettings(), list: newDirectory(),
+		attemptsSent: map[string]int{}}
+	p.settings.FleetSize = rapid.SampledFrom([]int{1, 4, 400}).Draw(t, "relays")
+	p.settings.Slots = rapid.IntRange(2, 6).Draw(t, "slots")
+	p.settings.Weights = rapid.SampledFrom([]Weights{WeightsOff, WeightsNominal}).Draw(t, "weights")
 	seed := rapid.Int64().Draw(t, "seed")
-	onDemand := p.s
+	onDemand := p.settings
 	onDemand.Directory = p.list
 	var err error
-	if p.eager, err = New(p.s, seed); err != nil {
+	if p.eager, err = New(p.settings, seed); err != nil {
 		t.Fatal(err)
 	}
 	if p.lazy, err = New(onDemand, seed); err != nil {
@@ -50,7 +53,7 @@
 	return p
 }
 
-func (p *pair) endpoint(no, i int) Endpoint {
+func (p *dispatcherPair) endpoint(no, i int) Endpoint {
 	kind := no % 2
 	if no >= sharedDestinations {
 		kind = 2
@@ -59,8 +62,9 @@
 		Zone: i}
 }
 
-// handle gives both the same batch, and compares what they do.
-func (p *pair) handle(events []Event) {
+// handle gives both dispatchers the same batch, and checks that their actions and their counts of avoided
+// endpoints agree.
+func (p *dispatcherPair) handle(events []Event) {
 	for _, e := range events {
 		if l, ok := e.(EndpointsUpdated); ok {
 			p.list.change(l)
@@ -68,13 +72,14 @@
 	}
 	want, got := p.eager.Handle(moment(p.now), events), p.lazy.Handle(moment(p.now), events)
 	if !reflect.DeepEqual(got, want) {
-		p.t.Fatalf("at %v, after %+v:\n on demand %+v\n otherwise %+v", p.now, events, got, want)
+		p.t.Fatalf("at %v, actions differ after %+v:\n state on demand: %+v\n state of all: %+v", p.now,
+			events, got, want)
 	}
 	for _, a := range got {
 		if s, ok := a.(Send); ok {
-			p.attempts = append(p.attempts,
-				AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Attempt: p.attemptCounts[s.ID]})
-			p.attemptCounts[s.ID]++
+			p.inFlight = append(p.inFlight,
+				AttemptEnded{ID: s.ID, Endpoint: s.Endpoint, Attempt: p.attemptsSent[s.ID]})
+			p.attemptsSent[s.ID]++
 		}
 	}
 	draining := 0
@@ -93,23 +98,24 @@
 	}
 	if got, otherwise := p.lazy.Avoided()+draining, p.eager.Avoided(); got != avoided ||
 		otherwise != avoided {
-		p.t.Fatalf("at %v: %d avoided on demand, %d otherwise, want %d", p.now, got, otherwise, avoided)
+		p.t.Fatalf("at %v: %d endpoints avoided with state on demand, %d with state of all, want %d for both",
+			p.now, got, otherwise, avoided)
 	}
 }
 
 // anyEndpoint draws a listed endpoint.
-func (p *pair) anyEndpoint() Endpoint {
+func (p *dispatcherPair) anyEndpoint() Endpoint {
 	no := rapid.IntRange(0, listedDestinations-1).Draw(p.t, "destination")
 	return rapid.SampledFrom(p.list.lists[no]).Draw(p.t, "endpoint")
 }
 
-// change draws a change of the list: an endpoint drains or not, or one comes or goes.
-func (p *pair) change() EndpointsUpdated {
+// listChange draws a change of the endpoint list: an endpoint drains or stops draining, joins or leaves.
+func (p *dispatcherPair) listChange() EndpointsUpdated {
 	no := rapid.IntRange(0, sharedDestinations-1).Draw(p.t, "destination")
 	e := p.endpoint(no, rapid.IntRange(0, 3).Draw(p.t, "endpoint"))
 	_, listed := p.list.of[e.ID]
 	switch {
-	case listed && len(p.list.lists[no]) > 1 && rapid.Bool().Draw(p.t, "gone"):
+	case listed && len(p.list.lists[no]) > 1 && rapid.Bool().Draw(p.t, "removed"):
 		e.Removed = true
 	case listed:
 		e.Draining = rapid.Bool().Draw(p.t, "draining")
@@ -117,24 +123,24 @@
 	return EndpointsUpdated{Endpoints: []Endpoint{e}}
 }
 
-// outcome draws the end of an attempt that is out.
-func (p *pair) outcome() Event {
-	i := rapid.IntRange(0, len(p.attempts)-1).Draw(p.t, "attempt")
-	e := p.attempts[i]
-	p.attempts = slices.Delete(p.attempts, i, i+1)
+// outcome draws the end of a random attempt in flight.
+func (p *dispatcherPair) outcome() Event {
+	i := rapid.IntRange(0, len(p.inFlight)-1).Draw(p.t, "attempt")
+	e := p.inFlight[i]
+	p.inFlight = slices.Delete(p.inFlight, i, i+1)
 	e.Outcome = rapid.SampledFrom([]Outcome{OK, OK, OK, Failed, Rejected, TimedOut, ConnectError,
 		Reset}).Draw(p.t, "outcome")
 	if e.Outcome == Rejected {
-		e.RetryAfter = time.Duration(rapid.SampledFrom([]int{0, 0, 700, 4000}).Draw(p.t, "wait")) * ms
+		e.RetryAfter = time.Duration(rapid.SampledFrom([]int{0, 0, 700, 4000}).Draw(p.t, "Retry-After")) * ms
 	}
 	return e
 }
 
-// fromOthers draws what the fleet, or an earlier process, tells.
-func (p *pair) fromOthers() Event {
+// inheritedOrPeerEvent draws a report of another relay, or an event with state of an earlier process.
+func (p *dispatcherPair) inheritedOrPeerEvent() Event {
 	no := rapid.IntRange(0, usedDestinations-1).Draw(p.t, "destination")
 	age := time.Duration(rapid.IntRange(0, 5000).Draw(p.t, "age")) * ms
-	switch rapid.IntRange(0, 7).Draw(p.t, "fact") {
+	switch rapid.IntRange(0, 7).Draw(p.t, "event kind") {
 	case 0:
 		return GossipReceived{Message: limitMessage{destination: no, callAge: age}.encode()}
 	case 1:
@@ -142,32 +148,32 @@
 	case 2:
 		return GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, p.anyEndpoint().ID)}
 	case 3:
-		return PeerSuspected{Destination: no, Observers: rapid.IntRange(0, 5).Draw(p.t, "origins"),
+		return PeerSuspected{Destination: no, Observers: rapid.IntRange(0, 5).Draw(p.t, "observers"),
 			OldestAge: age, NewestAge: age / 2, ValidFor: 5 * time.Second,
 			Rank: rapid.IntRange(0, 2).Draw(p.t, "rank")}
 	case 4:
 		return PeerSuspected{Endpoint: p.anyEndpoint().ID,
-			Observers: rapid.IntRange(0, 5).Draw(p.t, "origins"),
+			Observers: rapid.IntRange(0, 5).Draw(p.t, "observers"),
 			OldestAge: age, NewestAge: age / 2, ValidFor: 5 * time.Second}
 	case 5:
-		return PeerRateReceived{Destination: no, LiveRelays: p.s.FleetSize, Reporters: 5,
-			RateShare:   rapid.Float64Range(0, 2).Draw(p.t, "pace"),
+		return PeerRateReceived{Destination: no, LiveRelays: p.settings.FleetSize, Reporters: 5,
+			RateShare:   rapid.Float64Range(0, 2).Draw(p.t, "rate share"),
 			ArrivalRate: 3, ValidFor: 10 * time.Second}
 	case 6:
-		return StateRestored{Endpoint: p.anyEndpoint().ID, Ejected: rapid.Bool().Draw(p.t, "sick"),
+		return StateRestored{Endpoint: p.anyEndpoint().ID, Ejected: rapid.Bool().Draw(p.t, "ejected"),
 			At: moment(p.now - age)}
 	}
 	e := p.anyEndpoint()
 	return StateInherited{Endpoints: []InheritedEndpoint{{ID: e.ID, ConsecutiveFailures: 0.5,
 		LastSuccessAt: moment(p.now)}}, Outcomes: 9, MeanLatency: 0.2,
-		ClassLatency: []float64{0.2, 0.2, 0.2}, Concurrency: 2, SendRate: e.Weight / float64(p.s.FleetSize),
-		Tokens: 1, TokensAt: moment(p.now)}
+		ClassLatency: []float64{0.2, 0.2, 0.2}, Concurrency: 2,
+		SendRate: e.Weight / float64(p.settings.FleetSize), Tokens: 1, TokensAt: moment(p.now)}
 }
 
-// arrival draws a message: new, or accepted by an earlier process that has tried an endpoint.
-func (p *pair) arrival() Event {
-	p.next++
-	a := Arrived{ID: fmt.Sprint("m", p.next), Class: rapid.IntRange(0, 2).Draw(p.t, "class"),
+// arrival draws a message: a new one, or a resumed one that an earlier process sent to an endpoint.
+func (p *dispatcherPair) arrival() Event {
+	p.lastNumber++
+	a := Arrived{ID: fmt.Sprint("m", p.lastNumber), Class: rapid.IntRange(0, 2).Draw(p.t, "class"),
 		Destination: rapid.IntRange(0, usedDestinations-1).Draw(p.t, "destination"),
 		TimeLeft:    10 * time.Second,
 		Key:         rapid.SampledFrom([]string{"", "k", "l"}).Draw(p.t, "key")}
@@ -175,31 +181,32 @@
 	if len(eps) > 0 && rapid.IntRange(0, 9).Draw(p.t, "resumed") == 0 {
 		a.Resumed = true
 		a.PriorAttempts = []PriorAttempt{{Endpoint: eps[0].ID, SentAt: moment(p.now - 300*ms),
-			NotExecuted: rapid.Bool().Draw(p.t, "not run")}}
-		p.attemptCounts[a.ID]++
+			NotExecuted: rapid.Bool().Draw(p.t, "not executed")}}
+		p.attemptsSent[a.ID]++
 	}
 	return a
 }
 
-// Loading the state of a destination when it is first of use changes no decision and no random draw.
+// TestOnDemandDecidesAlike guards against decisions or random draws that depend on whether the state of a
+// destination is loaded on demand or kept from the start.
 func TestOnDemandDecidesAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPair(t)
+		p := newDispatcherPair(t)
 		for range rapid.IntRange(1, 80).Draw(t, "batches") {
 			p.now += time.Duration(rapid.SampledFrom([]int{5, 5, 30, 200, 1400}).Draw(t, "after")) * ms
 			var events []Event
 			for range rapid.IntRange(0, 3).Draw(t, "events") {
 				switch kind := rapid.IntRange(0, 9).Draw(t, "kind"); {
-				case kind < 4 && len(p.attempts) > 0:
+				case kind < 4 && len(p.inFlight) > 0:
 					events = append(events, p.outcome())
 				case kind < 8:
 					events = append(events, p.arrival())
 				case kind == 8:
-					updated := p.change()
+					updated := p.listChange()
 					events = append(events, updated)
 					p.list.change(updated)
 				default:
-					events = append(events, p.fromOthers())
+					events = append(events, p.inheritedOrPeerEvent())
 				}
 			}
 			p.handle(events)
--- a/policy/state_store_rules_test.go
+++ b/policy/state_store_rules_test.go
@@ -8,15 +8,16 @@
 	"milletsail/policy"
 )
 
-// A pause of the traffic is long enough for state to go, and a long wait goes on after it.
 const (
-	longPause = 121 * time.Second
-	longWait  = 4 * time.Minute
+	// trafficPauseOnDemand is longer than stateIdleTimeout, after which idle state may be dropped.
+	trafficPauseOnDemand = 121 * time.Second
+	// longRetryAfter is still in force after a trafficPauseOnDemand.
+	longRetryAfter = 4 * time.Minute
 )
 
-// Endpoints and Destination make a world the Directory of its list.
-func (w *world) Endpoints(destination int) (listed []policy.Endpoint) {
-	for _, e := range w.eps {
+// Endpoints returns the listed endpoints of a destination. With Destination, it implements policy.Directory.
+func (w *eventGenerator) Endpoints(destination int) (listed []policy.Endpoint) {
+	for _, e := range w.endpoints {
 		if e.Destination == destination {
 			listed = append(listed, e)
 		}
@@ -24,8 +25,8 @@
 	return listed
 }
 
-func (w *world) Destination(endpoint string) (int, bool) {
-	for _, e := range w.eps {
+func (w *eventGenerator) Destination(endpoint string) (int, bool) {
+	for _, e := range w.endpoints {
 		if e.ID == endpoint {
 			return e.Destination, true
 		}
@@ -33,11 +34,11 @@
 	return 0, false
 }
 
-// pause lets the traffic stop from time to time, and when nothing is out any more, the time pass in which the
-// state of idle destinations goes.
-func (w *world) pause() {
-	if !w.quiet {
-		w.quiet = w.random.Intn(60) == 0
+// pauseTraffic stops the arrivals at random. Once all messages have ended and no attempt is in flight, it
+// moves the clock by trafficPauseOnDemand, so that idle state is dropped, and lets arrivals go on.
+func (w *eventGenerator) pauseTraffic() {
+	if !w.trafficPaused {
+		w.trafficPaused = w.random.Intn(60) == 0
 		return
 	}
 	for _, m := range w.checker.order {
@@ -49,18 +50,18 @@
 			return
 		}
 	}
-	w.quiet = false
-	w.now += longPause
+	w.trafficPaused = false
+	w.now += trafficPauseOnDemand
 }
 
-// Neither loading state on demand nor dropping it breaks a rule: waits, what an outage leaves, and the order
-// of keys.
-func TestRulesOnDemand(t *testing.T) {
+// TestRulesWithStateOnDemand guards against rules that break when state is dropped and loaded on demand: that
+// a Retry-After, an outage or the order of keys is forgotten too early.
+func TestRulesWithStateOnDemand(t *testing.T) {
 	for seed := range int64(150) {
 		r := rand.New(rand.NewSource(seed))
-		w := &world{random: r, settings: variant(r)}
+		w := &eventGenerator{random: r, settings: randomSettings(r)}
 		w.settings.Directory = w
-		if _, err := runIn(w, seed, 800); err != nil {
+		if _, err := runWith(w, seed, 800); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
