--- a/policy/decisions_cases_test.go
+++ b/policy/decisions_cases_test.go
@@ -149,6 +149,7 @@
 	}
 }
 
+// enablePeerReports turns on gossip, shared rates and reports of other relays in a fleet of the given size.
 func enablePeerReports(c *scenario, instances int) {
 	c.settings.Gossip, c.settings.PublishRates, c.settings.FleetSize = true, true, instances
 	c.suspicions, c.peerRates = true, true
--- a/policy/decisions_record_test.go
+++ b/policy/decisions_record_test.go
@@ -18,7 +18,7 @@
 // texts.
 type decisionHash struct {
 	hash   hash.Hash
-	counts map[string]int // by tag: actions, and the zone states that Zones returned
+	counts map[string]int // by tag: of actions, and of zone states that Zones returned
 }
 
 func newDecisionHash() *decisionHash {
--- a/policy/decisions_simulation_test.go
+++ b/policy/decisions_simulation_test.go
@@ -118,7 +118,7 @@
 	now            time.Duration
 	step           int
 	lastNumber     int // the last one used in the ID of an endpoint or message
-	pauseSteps     int // steps left in a pause of the traffic; 0 outside of one
+	pauseSteps     int // steps left without new messages before the clock moves by trafficPause; or 0
 	servers        []*simulatedServer
 	limits         map[string]*rateLimit // by scope, see takeToken
 	relays         []*simulatedRelay
--- a/policy/rule_checker_test.go
+++ b/policy/rule_checker_test.go
@@ -7,7 +7,7 @@
 	"milletsail/policy"
 )
 
-// answerSlack is how long after its deadline a message may end at the latest.
+// answerSlack is the longest time after its deadline at which a message may still end.
 const answerSlack = 20 * time.Millisecond
 
 // ruleChecker observes events and actions and reports the first action that breaks a rule:
@@ -16,7 +16,7 @@
 //  2. No message may run twice unless its Effect allows it, only a message that the client can safely send
 //     again is rejected, and without HedgedRequests a message has at most one attempt in flight.
 //  3. Endpoints that drain or are removed get no calls.
-//  4. Endpoints in an outage get no more calls than OverloadFactor allows.
+//  4. Endpoints that only fail get no more calls than checkOutageRate allows.
 //  5. Messages of an ordered class with the same key are sent one at a time, in order of arrival.
 //  6. No call is sent within the Retry-After of a destination or route.
 //
@@ -24,14 +24,15 @@
 type ruleChecker struct {
 	settings            policy.Settings
 	now                 time.Duration
-	messages            map[string]*observedMessage
-	order               []*observedMessage
-	endpoints           map[string]*observedEndpoint
-	retryAfterUntil     map[string]time.Duration // end of the last Retry-After, by observedEndpoint.scope
-	consecutiveFailures map[string]int           // failures in a row, by endpoint
-	lastSuccess         map[string]time.Duration // time of the last success, by endpoint
-	lastFailedCallSent  map[string]time.Duration // send time of the last failed call, by endpoint
-	outageSends         map[string][]time.Duration
+	messages            map[string]*observedMessage  // by ID
+	order               []*observedMessage           // all messages, in order of arrival
+	endpoints           map[string]*observedEndpoint // by ID, removed ones included
+	retryAfterUntil     map[string]time.Duration     // end of the last Retry-After, by observedEndpoint.scope
+	consecutiveFailures map[string]int               // failures in a row, by endpoint
+	lastSuccess         map[string]time.Duration     // time of the last success, by endpoint
+	lastFailedCallSent  map[string]time.Duration     // send time of the last failed call, by endpoint
+	// outageSends holds the send times of the calls that checkOutageRate counts, by observedEndpoint.scope.
+	outageSends map[string][]time.Duration
 }
 
 type observedMessage struct {
@@ -41,7 +42,8 @@
 	attempts  []observedAttempt
 	completed bool
 	// withdrawnAt is the time of the withdrawal, or -1. Reject or Fail in the same batch is allowed.
-	withdrawnAt     time.Duration
+	withdrawnAt time.Duration
+	// keyBlockedUntil is when OrderedKeyDelay ends after an attempt that may still run at the endpoint.
 	keyBlockedUntil time.Duration
 }
 
@@ -50,12 +52,12 @@
 	sent        time.Duration
 	open        bool
 	notExecuted bool
-	timeout     time.Duration
+	timeout     time.Duration // of the response, as in Send; after a Cancel, the time until the cancellation
 }
 
 type observedEndpoint struct {
 	policy.Endpoint
-	closedToCalls bool
+	closedToCalls bool // drains or is removed
 	// scope is what a Retry-After or an outage applies to: "d" and the destination's number, or a route's ID.
 	scope string
 }
@@ -265,7 +267,7 @@
 	}
 	list := c.outageSends[p.scope]
 	if n := len(list); n > 0 && list[n-1] == c.now && c.settings.Kinds[p.Kind].MaxBatch > 1 {
-		return nil // another message of the same call
+		return nil // counts as another message of the same call
 	}
 	list = append(list, c.now)
 	for list[0] <= c.now-c.settings.OverloadWindow {
