--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -32,8 +32,8 @@
 			l.complete(m)
 		}
 	}
-	for _, do := range afterCommit {
-		do()
+	for _, run := range afterCommit {
+		run()
 	}
 	l.enqueueRecorded(err == nil)
 }
@@ -45,7 +45,7 @@
 		case m.responses == nil: // rejected
 		case !written:
 			l.metrics.CountResult(l.classIndex(m.Class), metrics.Rejected)
-			respondAll(m.responses, l.unavailable())
+			respondAll(m.responses, l.unavailableResponse())
 			l.batch.events = append(l.batch.events, policy.Withdrawn{ID: m.ID})
 		default:
 			m.resubmitted = len(m.responses) > 1
--- a/internal/relay/endpointlist.go
+++ b/internal/relay/endpointlist.go
@@ -69,16 +69,16 @@
 	return e.Block, ok
 }
 
-// acceptBatch applies a batch of the watch, or queues it until the list before it is applied.
-func (l *loop) acceptBatch(batch discovery.Batch) {
+// handleBatch applies a batch of the watch, or queues it until the list before it is applied.
+func (l *loop) handleBatch(batch discovery.Batch) {
 	if l.endpoints.sweeping != nil {
 		l.endpoints.queued = append(l.endpoints.queued, batch)
 		return
 	}
 	if batch.First {
-		l.endpoints.begin(batch.Batch)
+		l.endpoints.beginObject(batch.Batch)
 	}
-	l.updateList(batch.Batch)
+	l.applyEntries(batch.Batch)
 	switch {
 	case !batch.End:
 		close(batch.Applied)
@@ -86,7 +86,7 @@
 		l.endpoints.sweeping = &batch // the watch waits until the complete list is applied
 	default:
 		l.endpoints.abortReplacement()
-		l.completeList(batch)
+		l.finishObject(batch)
 	}
 }
 
@@ -102,8 +102,8 @@
 	return l.dispatcher.Avoided() + l.endpoints.table.Draining()
 }
 
-// begin prepares for the first batch of an object. Entries need marks unless the object is known to hold changes alone.
-func (list *endpointList) begin(b endpoints.Batch) {
+// beginObject prepares for the first batch of an object. Entries need marks unless the object is known to hold changes alone.
+func (list *endpointList) beginObject(b endpoints.Batch) {
 	list.abortReplacement() // of an object that was cut off
 	list.changes = 0
 	if b.Complete || !b.CompleteKnown {
@@ -120,8 +120,8 @@
 	}
 }
 
-// updateList applies the entries of a batch, and tells the policy what is new in them.
-func (l *loop) updateList(b endpoints.Batch) {
+// applyEntries applies the entries of a batch, and tells the policy what is new in them.
+func (l *loop) applyEntries(b endpoints.Batch) {
 	var changed []policy.Endpoint
 	var restored []policy.Event
 	for _, entry := range b.Entries {
@@ -205,11 +205,11 @@
 	}
 	l.endpoints.sweeping, l.endpoints.replacing = nil, false
 	l.dropUnlistedHealth()
-	l.completeList(*last)
+	l.finishObject(*last)
 	waiting := l.endpoints.queued
 	l.endpoints.queued = nil
 	for _, b := range waiting {
-		l.acceptBatch(b)
+		l.handleBatch(b)
 	}
 }
 
@@ -222,8 +222,8 @@
 	}
 }
 
-// completeList notes that an object is applied, and has the watch go on.
-func (l *loop) completeList(last discovery.Batch) {
+// finishObject notes that an object is applied, and has the watch go on.
+func (l *loop) finishObject(last discovery.Batch) {
 	l.endpoints.commit(last.Seq)
 	if l.endpoints.changes > maxLoggedChanges || last.Complete {
 		slog.Info("endpoint list changed", "version", last.Seq, "complete", last.Complete, "changes", l.endpoints.changes,
--- a/internal/relay/endpointload.go
+++ b/internal/relay/endpointload.go
@@ -23,7 +23,7 @@
 // openEndpoints loads the newest of the lists on disk, in the journal and in the configuration. The last may be older than what
 // an earlier process of this relay received: an endpoint that drains gets nothing new from this one either.
 func (l *loop) openEndpoints(ctx context.Context, dir string) {
-	budget := int64(listShare * l.cfg.Limits.DiskMB * 1e6)
+	budget := int64(listDiskShare * l.cfg.Limits.DiskMB * 1e6)
 	store, table, seq, found, err := openStore(ctx, dir, budget)
 	if err != nil {
 		slog.Warn("endpoint list not stored on disk", "error", err)
--- a/internal/relay/endpointstore.go
+++ b/internal/relay/endpointstore.go
@@ -10,8 +10,8 @@
 const (
 	// listDirectory is the directory of the endpoint list, within the state directory.
 	listDirectory = "endpoints"
-	// listShare of the disk's limit is for the list; the rest is the journal's.
-	listShare = 1.0 / 8
+	// listDiskShare of the disk's limit is for the list; the rest is the journal's.
+	listDiskShare = 1.0 / 8
 	// compactionInterval is the wait between the steps of the store's compaction, so that one of a long list takes a small part of
 	// the loop's time: 490,000 entries are written in some ten seconds.
 	compactionInterval = 10 * time.Millisecond
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -35,8 +35,8 @@
 	batchReceived struct{ discovery.Batch }
 	// gossipReceived is a gossip message for the policy.
 	gossipReceived struct{ message []byte }
-	// fleetAssessed is what the relays of the fleet have found out together.
-	fleetAssessed struct{ live.PeerAssessment }
+	// peersAssessed is what the relays of the fleet have found out together.
+	peersAssessed struct{ live.PeerAssessment }
 	// watchEnded says that the watch on discovery ended, or that its request failed.
 	watchEnded struct{}
 	// notificationsReceived says that the platform has received the notifications of some messages.
@@ -66,13 +66,13 @@
 	}
 }
 
-func (e batchReceived) apply(l *loop) { l.acceptBatch(e.Batch) }
+func (e batchReceived) apply(l *loop) { l.handleBatch(e.Batch) }
 
 func (e gossipReceived) apply(l *loop) {
 	l.batch.events = append(l.batch.events, policy.GossipReceived{Message: e.message})
 }
 
-func (e fleetAssessed) apply(l *loop) {
+func (e peersAssessed) apply(l *loop) {
 	l.batch.events = append(l.batch.events, assessmentEvents(e.PeerAssessment)...)
 }
 
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -29,15 +29,15 @@
 	successor *handover.Link // the one that has it
 	// completed is closed once a successor owns the state directory.
 	completed chan struct{}
-	// endOwnerTasks ends what only the owner does.
-	endOwnerTasks func()
+	// stopOwnerTasks ends what only the owner does.
+	stopOwnerTasks func()
 	forwarded     map[int]*frontend.Submission // that the successor decides on, by number
-	lastNumber    int                          // of a forwarded submission
-	sentClients   int                          // connections of clients that the successor was told of
+	lastSubmissionNumber    int                          // of a forwarded submission
+	reportedClients   int                          // connections of clients that the successor was told of
 }
 
-// decides reports whether this process owns the state directory.
-func (s *handoverState) decides() bool { return s.ownership == ownershipActive }
+// ownsState reports whether this process owns the state directory.
+func (s *handoverState) ownsState() bool { return s.ownership == ownershipActive }
 
 // handOver hands the journal and all decisions over to a successor. It reports false, and has changed nothing, where the
 // successor does not come as far as being ready. The loop stands still meanwhile: nothing may change under an offer.
@@ -112,7 +112,7 @@
 	case successorMessage:
 		l.handleSuccessorMessage(e.Message)
 	case successorLost:
-		l.orphan()
+		l.endOrphaned()
 	case idleQuery:
 		e.idle <- l.idleAfterHandover()
 	case adminCommand:
@@ -120,22 +120,22 @@
 	case successorRequested:
 		e.link.Close()
 	}
-	if n := l.clients.Count(); n != l.handover.sentClients {
-		l.handover.sentClients = n
+	if n := l.clients.Count(); n != l.handover.reportedClients {
+		l.handover.reportedClients = n
 		l.handover.successor.Send(handover.Message{Clients: &n})
 	}
 }
 
 // forward hands a message that a client submitted here to the successor.
 func (l *loop) forward(s *frontend.Submission) {
-	l.handover.lastNumber++
+	l.handover.lastSubmissionNumber++
 	if l.handover.ownership == ownershipOrphaned {
-		s.Response <- l.unavailable()
+		s.Response <- l.unavailableResponse()
 		return
 	}
-	l.handover.forwarded[l.handover.lastNumber] = s
+	l.handover.forwarded[l.handover.lastSubmissionNumber] = s
 	e := s.Entry
-	l.handover.successor.Send(handover.Message{Submission: &handover.Submission{Number: l.handover.lastNumber, Body: e.Body,
+	l.handover.successor.Send(handover.Message{Submission: &handover.Submission{Number: l.handover.lastSubmissionNumber, Body: e.Body,
 		Entry: &handover.Entry{ID: e.ID, Class: e.Class, Destination: e.Dest, Key: e.Key,
 			ExpiresAt: l.handover.successor.WallTime(e.ExpiresAt)}}})
 }
@@ -185,13 +185,13 @@
 	}
 }
 
-// orphan ends what is left: the successor is dead, and nobody hears any more what becomes of the calls. They end, so that none
+// endOrphaned ends what is left: the successor is dead, and nobody hears any more what becomes of the calls. They end, so that none
 // is in flight beside those that the next process makes.
-func (l *loop) orphan() {
+func (l *loop) endOrphaned() {
 	l.handover.ownership = ownershipOrphaned
 	for number, s := range l.handover.forwarded {
 		delete(l.handover.forwarded, number)
-		s.Response <- l.unavailable()
+		s.Response <- l.unavailableResponse()
 	}
 	for _, m := range l.messages {
 		if m.cancel != nil {
@@ -213,8 +213,8 @@
 	return true
 }
 
-// unavailable is the response to a message that nobody can accept now.
-func (l *loop) unavailable() frontend.Response {
+// unavailableResponse is the response to a message that nobody can accept now.
+func (l *loop) unavailableResponse() frontend.Response {
 	return frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.Policy.MaxRetryAfter}
 }
 
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -18,7 +18,7 @@
 
 // The counters of messages that never reached the policy, and of those that their clients withdrew, by reason.
 const (
-	rejectedUnseen    = "relay_refused_unseen"
+	rejectedBeforePolicy    = "relay_refused_unseen"
 	withdrawnMessages = "relay_withdrawn"
 )
 
@@ -32,16 +32,16 @@
 // admit takes in a message that is submitted.
 func (l *loop) admit(submission *frontend.Submission) {
 	if msg := l.messages[submission.Entry.ID]; msg != nil {
-		l.admitAgain(msg, submission)
+		l.admitDuplicate(msg, submission)
 		return
 	}
 	// Guards the policy against destinations that no list has named, and the disk against overflow.
 	if !l.endpoints.table.Named(submission.Entry.Dest) {
-		l.rejectUnseen(submission, reasonNoDestination)
+		l.rejectBeforePolicy(submission, reasonNoDestination)
 		return
 	}
 	if !l.journal.Reserve(submission.Entry) {
-		l.rejectUnseen(submission, reasonNoStorage)
+		l.rejectBeforePolicy(submission, reasonNoStorage)
 		return
 	}
 	slog.Debug("message arrived", "request_id", submission.Entry.ID, "destination", submission.Entry.Dest,
@@ -53,9 +53,9 @@
 		TimeLeft: clock.Until(msg.ExpiresAt), Size: sizeInBatch(msg.Entry)})
 }
 
-// admitAgain takes in the same message once more, as after a connection that broke: it is accepted already, unless it has ended
+// admitDuplicate takes in the same message once more, as after a connection that broke: it is accepted already, unless it has ended
 // or is undecided.
-func (l *loop) admitAgain(m *message, s *frontend.Submission) {
+func (l *loop) admitDuplicate(m *message, s *frontend.Submission) {
 	switch {
 	case m.ended && l.mayHaveExecuted(m): // 503 would say that submitting it again is harmless
 		s.Response <- frontend.Response{Status: http.StatusBadGateway}
@@ -69,12 +69,12 @@
 	}
 }
 
-// rejectUnseen rejects a message that the policy does not see.
-func (l *loop) rejectUnseen(s *frontend.Submission, reason string) {
+// rejectBeforePolicy rejects a message that the policy does not see.
+func (l *loop) rejectBeforePolicy(s *frontend.Submission, reason string) {
 	l.metrics.CountResult(l.classIndex(s.Entry.Class), metrics.Rejected)
-	l.metrics.Reasons.Add(rejectedUnseen, reason, 1)
+	l.metrics.Reasons.Add(rejectedBeforePolicy, reason, 1)
 	slog.Info("request rejected", "request_id", s.Entry.ID, "destination", s.Entry.Dest, "class", s.Entry.Class, "reason", reason)
-	s.Response <- l.unavailable()
+	s.Response <- l.unavailableResponse()
 }
 
 // mayHaveExecuted reports whether an attempt of a message may have been executed that must not be repeated elsewhere.
--- a/internal/relay/list_bench_test.go
+++ b/internal/relay/list_bench_test.go
@@ -81,7 +81,7 @@
 			}
 			version := deliverObjects(b, text, func(batch discovery.Batch) {
 				timed(func() {
-					l.accept(batchReceived{batch})
+					l.handleEvent(batchReceived{batch})
 					l.step(b.Context())
 				})
 				for l.endpoints.sweeping != nil {
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	kept, _, err := journal.Open(dir, journal.Options{DiskMB: (1 - listShare) * diskMB})
+	kept, _, err := journal.Open(dir, journal.Options{DiskMB: (1 - listDiskShare) * diskMB})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 		tb.Fatal(err)
 	}
 	version := deliverObjects(tb, text, func(b discovery.Batch) {
-		l.accept(batchReceived{b})
+		l.handleEvent(batchReceived{b})
 		for l.step(tb.Context()); l.endpoints.sweeping != nil; {
 			l.step(tb.Context())
 		}
@@ -333,7 +333,7 @@
 			t.Fatalf("given up after %d changes", seq-50)
 		}
 	}
-	if size := folderSize(t, dir+"/"+listDirectory); float64(size) > listShare*3e6 {
+	if size := folderSize(t, dir+"/"+listDirectory); float64(size) > listDiskShare*3e6 {
 		t.Errorf("%d bytes are on disk", size)
 	}
 }
--- a/internal/relay/list_flow_test.go
+++ b/internal/relay/list_flow_test.go
@@ -24,8 +24,8 @@
 	next := discovery.Batch{Applied: make(chan struct{})}
 	next.Entries, next.First, next.End = hosts[manyHosts-1:], true, true
 	next.Seq, next.CompleteKnown = 52, true
-	l.accept(batchReceived{whole})
-	l.accept(batchReceived{next})
+	l.handleEvent(batchReceived{whole})
+	l.handleEvent(batchReceived{next})
 	for steps := 1; l.endpoints.sweeping != nil; steps++ {
 		before := l.endpoints.table.Len()
 		if _, seq := storedList(t, dir); seq != 50 || applied(whole) || applied(next) {
@@ -67,7 +67,7 @@
 	b.Entries = []Member{host}
 	events := func() (text string) {
 		l.batch.events = nil
-		l.updateList(b.Batch)
+		l.applyEntries(b.Batch)
 		for _, e := range l.batch.events {
 			text += fmt.Sprintf("%T ", e)
 			if listed, ok := e.(policy.EndpointsUpdated); ok {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -103,19 +103,19 @@
 			l.maintain()
 			continue
 		case e := <-l.inbox:
-			if !l.handover.decides() {
+			if !l.handover.ownsState() {
 				l.handleAfterHandover(e)
 				continue
 			}
-			l.accept(e)
+			l.handleEvent(e)
 		case <-timer.C:
-			if !l.handover.decides() {
+			if !l.handover.ownsState() {
 				continue
 			}
 		}
-		l.gather()
+		l.collectBatch()
 		l.step(ctx)
-		l.answerRequester(ctx)
+		l.handOverIfRequested(ctx)
 	}
 }
 
@@ -123,28 +123,28 @@
 func (l *loop) maintain() {
 	l.pool.Sweep()
 	l.checkClocks()
-	if l.handover.decides() {
+	if l.handover.ownsState() {
 		l.setWritable(l.journal.Retry())
 		l.endpoints.maintainStore()
 		l.checkOverdue()
 	}
 }
 
-// gather accepts further events for the batch: all that come within an interval of the last one.
-func (l *loop) gather() {
+// collectBatch accepts further events for the batch: all that come within an interval of the last one.
+func (l *loop) collectBatch() {
 	interval := time.NewTimer(clock.Until(l.lastStep.Add(l.cfg.Policy.BatchInterval)))
 	for {
 		select {
 		case e := <-l.inbox:
-			l.accept(e)
+			l.handleEvent(e)
 		case <-interval.C:
 			return
 		}
 	}
 }
 
-// answerRequester hands over to a successor that has requested the state directory, if there is one.
-func (l *loop) answerRequester(ctx context.Context) {
+// handOverIfRequested hands over to a successor that has requested the state directory, if there is one.
+func (l *loop) handOverIfRequested(ctx context.Context) {
 	requester := l.handover.requester
 	if requester == nil {
 		return
@@ -152,7 +152,7 @@
 	l.handover.requester = nil
 	if l.handOver(ctx, requester) {
 		l.pool.DisableKeepAlives()
-		l.handover.endOwnerTasks()
+		l.handover.stopOwnerTasks()
 		close(l.handover.completed)
 	}
 }
@@ -161,7 +161,7 @@
 // timer stays as it is then, since the policy does not set it twice.
 func (l *loop) untilNextStep() time.Duration {
 	switch {
-	case !l.handover.decides():
+	case !l.handover.ownsState():
 		return time.Hour
 	case len(l.batch.events) > 0 || l.endpoints.sweeping != nil:
 		return 0
@@ -176,8 +176,8 @@
 	return wait
 }
 
-// accept takes in one event.
-func (l *loop) accept(e event) { e.apply(l) }
+// handleEvent takes in one event.
+func (l *loop) handleEvent(e event) { e.apply(l) }
 
 // classIndex returns the index of a class, or -1 where the settings do not have it.
 func (l *loop) classIndex(name string) int {
--- a/internal/relay/loop_test.go
+++ b/internal/relay/loop_test.go
@@ -41,8 +41,8 @@
 		}
 	}
 	first, second, late := copyOf("m"), copyOf("m"), copyOf("m")
-	l.accept(messageArrived{first})
-	l.accept(messageArrived{second})
+	l.handleEvent(messageArrived{first})
+	l.handleEvent(messageArrived{second})
 	if s := status(second); s != 0 {
 		t.Errorf("a copy of an undecided message was answered %d", s)
 	}
@@ -50,17 +50,17 @@
 	if a, b := status(first), status(second); a != http.StatusAccepted || b != a {
 		t.Errorf("answers %d and %d", a, b)
 	}
-	l.accept(messageArrived{late})
+	l.handleEvent(messageArrived{late})
 	for _, a := range []*frontend.Submission{late, second, first} {
-		l.accept(clientLeft{a})
+		l.handleEvent(clientLeft{a})
 	}
 	l.step(t.Context())
 	if l.messages["m"] == nil || l.journal.Get("m") == nil {
 		t.Error("a message that others were told is taken on was withdrawn")
 	}
 	alone := copyOf("n")
-	l.accept(messageArrived{alone})
-	l.accept(clientLeft{alone})
+	l.handleEvent(messageArrived{alone})
+	l.handleEvent(clientLeft{alone})
 	l.step(t.Context())
 	if l.messages["n"] != nil || l.journal.Get("n") != nil {
 		t.Error("a message whose client left unanswered was kept")
@@ -76,13 +76,13 @@
 		l.cfg.Policy.Classes[0].Effect, l.cfg.Policy.Classes[0].KeysPerZone = c.effect, c.byZone
 		id := fmt.Sprint("out", i)
 		gone, again := copyOf(id), copyOf(id)
-		l.accept(messageArrived{gone})
+		l.handleEvent(messageArrived{gone})
 		l.step(t.Context())
 		m := l.messages[id]
 		l.journal.StartAttempt(m.Entry, "h1", clock.Now())
 		m.cancel = func() {}
-		l.accept(clientLeft{gone})
-		l.accept(messageArrived{again})
+		l.handleEvent(clientLeft{gone})
+		l.handleEvent(messageArrived{again})
 		if got := status(again); got != c.want {
 			t.Errorf("%+v: answered %d", c, got)
 		}
@@ -130,7 +130,7 @@
 		hand := func(id string, left time.Duration) *frontend.Submission {
 			a := &frontend.Submission{Response: make(chan frontend.Response, 1), Entry: &journal.Entry{ID: id, Class: "status",
 				Dest: 7, ExpiresAt: clock.Now().Add(left)}}
-			l.accept(messageArrived{a})
+			l.handleEvent(messageArrived{a})
 			return a
 		}
 		first := hand("first", time.Second)
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -12,29 +12,29 @@
 	"milletsail/policy"
 )
 
-// closeTime is what the system gets to close the connections of a predecessor that died: its calls would else still be in
+// connectionCloseDelay is what the system gets to close the connections of a predecessor that died: its calls would else still be in
 // flight beside the next attempts.
-const closeTime = 20 * time.Millisecond
+const connectionCloseDelay = 20 * time.Millisecond
 
-// predecessor is what a successor follows of the process before it, until that is gone.
-type predecessor struct {
+// predecessorFollower is what a successor follows of the process before it, until that is gone.
+type predecessorFollower struct {
 	loop      *loop
 	link      *handover.Link
 	inFlight  map[string]int                  // attempts, by message
-	submitted map[int]*predecessorsSubmission // that are not answered, by number
+	submitted map[int]*forwardedSubmission // that are not answered, by number
 }
 
-// predecessorsSubmission is a message that a client submitted to the predecessor.
-type predecessorsSubmission struct {
+// forwardedSubmission is a message that a client submitted to the predecessor.
+type forwardedSubmission struct {
 	*frontend.Submission
-	left chan struct{} // closed when the client has left
+	withdrawn chan struct{} // closed when the client has left
 }
 
 // followPredecessor takes in what the predecessor tells after its handover, until it is gone. It is a goroutine of its own: it
 // ends with the predecessor, and nobody waits for it.
 func (l *loop) followPredecessor(link *handover.Link, offer *handover.Offer) {
 	go link.Write()
-	follower := &predecessor{loop: l, link: link, inFlight: map[string]int{}, submitted: map[int]*predecessorsSubmission{}}
+	follower := &predecessorFollower{loop: l, link: link, inFlight: map[string]int{}, submitted: map[int]*forwardedSubmission{}}
 	for _, a := range offer.InFlight {
 		follower.inFlight[a.ID] = a.Attempt
 	}
@@ -46,18 +46,18 @@
 		follower.handle(m)
 	}
 	link.Close()
-	time.Sleep(closeTime)
-	follower.end()
+	time.Sleep(connectionCloseDelay)
+	follower.handleExit()
 }
 
 // handle takes in one message.
-func (p *predecessor) handle(m handover.Message) {
+func (p *predecessorFollower) handle(m handover.Message) {
 	switch {
 	case m.Submission != nil && m.Submission.Entry != nil:
 		p.submit(m.Submission)
 	case m.Withdrawn != 0:
 		if s := p.submitted[m.Withdrawn]; s != nil {
-			close(s.left)
+			close(s.withdrawn)
 		}
 		delete(p.submitted, m.Withdrawn)
 	case m.Answered != 0:
@@ -70,8 +70,8 @@
 }
 
 // submit hands the loop a message that a client submitted to the predecessor.
-func (p *predecessor) submit(from *handover.Submission) {
-	s := &predecessorsSubmission{&frontend.Submission{Entry: p.entry(from), Response: make(chan frontend.Response, 1)},
+func (p *predecessorFollower) submit(from *handover.Submission) {
+	s := &forwardedSubmission{&frontend.Submission{Entry: p.entry(from), Response: make(chan frontend.Response, 1)},
 		make(chan struct{})}
 	p.submitted[from.Number] = s
 	p.loop.enqueue(messageArrived{s.Submission})
@@ -79,7 +79,7 @@
 }
 
 // entry returns the entry of a submission. No class gives it more than its deadline, whatever the predecessor says.
-func (p *predecessor) entry(from *handover.Submission) *journal.Entry {
+func (p *predecessorFollower) entry(from *handover.Submission) *journal.Entry {
 	e := &journal.Entry{ID: from.Entry.ID, Class: from.Entry.Class, Dest: from.Entry.Destination, Key: from.Entry.Key,
 		ExpiresAt: p.link.Instant(from.Entry.ExpiresAt), Body: from.Body}
 	if class := p.loop.classIndex(e.Class); class >= 0 {
@@ -90,18 +90,18 @@
 
 // respond sends the predecessor the response to a submission. It is a goroutine of its own, which ends with the response or once
 // the client has left.
-func (p *predecessor) respond(s *predecessorsSubmission, number int) {
+func (p *predecessorFollower) respond(s *forwardedSubmission, number int) {
 	select {
 	case response := <-s.Response:
 		p.link.Send(handover.Message{Response: &handover.Response{Number: number, Status: response.Status,
 			RetryAfter: response.RetryAfter}})
-	case <-s.left:
+	case <-s.withdrawn:
 		p.loop.enqueue(clientLeft{s.Submission})
 	}
 }
 
 // endCalls tells the loop how calls of the predecessor ended.
-func (p *predecessor) endCalls(results []handover.CallResult) {
+func (p *predecessorFollower) endCalls(results []handover.CallResult) {
 	var all callEnded
 	for _, r := range results {
 		if attempt, ok := p.inFlight[r.ID]; ok && attempt == r.Attempt {
@@ -114,8 +114,8 @@
 	p.loop.enqueue(all)
 }
 
-// end takes in that the predecessor is gone: its calls may have been executed, and its clients have left.
-func (p *predecessor) end() {
+// handleExit takes in that the predecessor is gone: its calls may have been executed, and its clients have left.
+func (p *predecessorFollower) handleExit() {
 	var all callEnded
 	for id, attempt := range p.inFlight {
 		all = append(all, attemptEnded{id: id, attempt: attempt, Result: upstream.Result{Outcome: policy.Reset}})
@@ -124,7 +124,7 @@
 		p.loop.enqueue(all)
 	}
 	for _, s := range p.submitted {
-		close(s.left)
+		close(s.withdrawn)
 	}
 	p.loop.clients.Reserve(0)
 	slog.Info("predecessor is gone", "calls_in_flight", len(p.inFlight))
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -46,11 +46,11 @@
 		return err
 	}
 	counters := metrics.New(cfg.Policy.Classes)
-	operators, err := openAdmin(ctx, cfg, counters)
+	adminServer, err := openAdmin(ctx, cfg, counters)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = operators.Close() }()
+	defer func() { _ = adminServer.Close() }()
 	clients, err := frontend.Listen(ctx, cfg, &counters.Reasons)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -58,23 +58,23 @@
 	defer func() { _ = clients.Close() }()
 	acquired, err := handover.Acquire(ctx, dir)
 	if err != nil {
-		return unlessDone(ctx, err)
+		return ignoreIfDone(ctx, err)
 	}
 	defer acquired.Ownership.Release()
-	opened, err := openJournal(ctx, cfg, dir)
+	openedJournal, err := openJournal(ctx, cfg, dir)
 	if err != nil {
-		return unlessDone(ctx, err)
+		return ignoreIfDone(ctx, err)
 	}
-	defer func() { _ = opened.Close() }()
+	defer func() { _ = openedJournal.Close() }()
 
 	processCtx, stop := context.WithCancel(context.WithoutCancel(ctx)) // the relay outlives the signal to end
 	defer stop()
 	ownerCtx, endOwnerTasks := context.WithCancel(processCtx)
 	defer endOwnerTasks()
-	eventLoop := &loop{cfg: cfg, dispatcher: dispatcher, journal: opened, endpoints: list, clients: clients, metrics: counters,
+	eventLoop := &loop{cfg: cfg, dispatcher: dispatcher, journal: openedJournal, endpoints: list, clients: clients, metrics: counters,
 		inbox: make(chan event, inboxCapacity), messages: map[string]*message{}, pool: newPool(cfg, counters),
-		owner: acquired.Ownership, handover: handoverState{completed: make(chan struct{}), endOwnerTasks: endOwnerTasks}}
-	tasks := eventLoop.connect(dir, acquired, operators)
+		owner: acquired.Ownership, handover: handoverState{completed: make(chan struct{}), stopOwnerTasks: endOwnerTasks}}
+	tasks := eventLoop.newTasks(dir, acquired, adminServer)
 	server := frontend.NewServer(cfg, &counters.Reasons,
 		func(s *frontend.Submission) { eventLoop.enqueue(messageArrived{s}) },
 		func(s *frontend.Submission) { eventLoop.enqueue(clientLeft{s}) })
@@ -83,14 +83,14 @@
 	eventLoop.openEndpoints(ctx, dir)
 	defer func() { eventLoop.endpoints.close() }()
 	eventLoop.openZones(dir)
-	eventLoop.handleCommands(operators)
+	eventLoop.handleCommands(adminServer)
 	eventLoop.restore(processCtx, acquired.Predecessor, acquired.Offer) // clients wait to be served until this is done
 
 	// All goroutines that are started here are waited for, but those that end with the connections they serve.
-	var work sync.WaitGroup
-	work.Go(func() { eventLoop.run(processCtx) })
-	for _, task := range tasks.ofOwner {
-		work.Go(func() { task(ownerCtx) })
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { eventLoop.run(processCtx) })
+	for _, task := range tasks.owner {
+		goroutines.Go(func() { task(ownerCtx) })
 	}
 	if acquired.Predecessor != nil {
 		go eventLoop.followPredecessor(acquired.Predecessor, acquired.Offer)
@@ -99,15 +99,15 @@
 	go func() { served <- server.Serve(clients) }()
 	counters.Serving.Store(true)
 	// To the end: notifications are posted while the relay drains, too.
-	work.Go(func() { followDiscovery(processCtx, addresses, tasks.redirected...) })
+	goroutines.Go(func() { followDiscovery(processCtx, addresses, tasks.discoveryClients...) })
 	err = eventLoop.waitForEnd(ctx, server, served)
 	stop()
-	work.Wait()
+	goroutines.Wait()
 	return err
 }
 
-// unlessDone returns no error where ctx has ended: the process was told to end before there was anything to shut down.
-func unlessDone(ctx context.Context, err error) error {
+// ignoreIfDone returns no error where ctx has ended: the process was told to end before there was anything to shut down.
+func ignoreIfDone(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -119,12 +119,12 @@
 	if cfg.Admin == "" {
 		return nil, nil //nolint:nilnil // a nil Server is one without an endpoint
 	}
-	operators, err := admin.Listen(ctx, cfg.Admin, counters)
+	server, err := admin.Listen(ctx, cfg.Admin, counters)
 	if err != nil {
 		return nil, err
 	}
-	go operators.Serve()
-	return operators, nil
+	go server.Serve()
+	return server, nil
 }
 
 // newPool returns the pool of connections to endpoints.
@@ -136,12 +136,12 @@
 
 // tasks are what runs beside the loop.
 type tasks struct {
-	ofOwner    []func(context.Context) // as long as this process owns the state directory
-	redirected []redirectable          // where discovery moves
+	owner    []func(context.Context) // as long as this process owns the state directory
+	discoveryClients []discoveryClient          // where discovery moves
 }
 
-// connect makes the parts that talk to discovery and to other relays. Run starts them.
-func (l *loop) connect(dir string, acquired *handover.Acquired, operators *admin.Server) tasks {
+// newTasks makes the parts that talk to discovery and to other relays. Run starts them.
+func (l *loop) newTasks(dir string, acquired *handover.Acquired, adminServer *admin.Server) tasks {
 	l.watcher = discovery.New(l.cfg.Discovery, discovery.RequestJitter(&l.cfg.Settings),
 		func(b discovery.Batch) { l.enqueue(batchReceived{b}) }, func() { l.enqueue(watchEnded{}) })
 	l.watcher.MaxListSize = int64(listMemoryShare * l.cfg.Limits.MemoryMB * 1e6)
@@ -151,21 +151,21 @@
 	l.gossip = gossip.New(gossipOptions(l.cfg), l.receiveGossip)
 	if l.cfg.Fleet && l.gossip != nil {
 		l.fleet = l.newFleetService(dir)
-		operators.Handle("fleet", admin.WithoutArguments(l.fleet.JSON))
+		adminServer.Handle("fleet", admin.WithoutArguments(l.fleet.JSON))
 	}
-	return tasks{ofOwner: []func(context.Context){l.watcher.Run, notifications.Run, l.gossip.Run, l.fleet.Run},
-		redirected: []redirectable{l.watcher, notifications}}
+	return tasks{owner: []func(context.Context){l.watcher.Run, notifications.Run, l.gossip.Run, l.fleet.Run},
+		discoveryClients: []discoveryClient{l.watcher, notifications}}
 }
 
 // handleCommands has operators' commands answered.
-func (l *loop) handleCommands(operators *admin.Server) {
+func (l *loop) handleCommands(adminServer *admin.Server) {
 	if l.zones != nil {
-		operators.Handle("zone", l.handleZoneCommand)
+		adminServer.Handle("zone", l.handleZoneCommand)
 	}
 	if l.cfg.CanaryAnalysis {
-		operators.Handle("servers", admin.WithoutArguments(func() string { return l.queryLoop(l.canaryStatus) }))
+		adminServer.Handle("servers", admin.WithoutArguments(func() string { return l.queryLoop(l.canaryStatus) }))
 	}
-	operators.Handle("diagnostics", admin.WithoutArguments(l.metrics.Reasons.Text))
+	adminServer.Handle("diagnostics", admin.WithoutArguments(l.metrics.Reasons.Text))
 }
 
 // waitForEnd serves until the process has to end, and shuts it down.
@@ -191,11 +191,11 @@
 		Self: cfg.Settings.Ordinal}
 }
 
-// redirectable is a client of discovery.
-type redirectable interface{ Redirect(discovery string) }
+// discoveryClient is a client of discovery.
+type discoveryClient interface{ Redirect(discovery string) }
 
 // followDiscovery moves discovery's clients, in their order, to each new address of discovery until ctx ends.
-func followDiscovery(ctx context.Context, addresses <-chan string, clients ...redirectable) {
+func followDiscovery(ctx context.Context, addresses <-chan string, clients ...discoveryClient) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -43,7 +43,7 @@
 		l.restoreMessage(link, entry, inFlight)
 	}
 	for _, attempt := range inFlight {
-		l.restoreEnded(link, attempt)
+		l.restoreEndedInFlight(link, attempt)
 	}
 	l.step(ctx)
 }
@@ -78,13 +78,13 @@
 	}
 	if hasAttempt && attempt.Attempt == len(entry.Attempts)-1 {
 		delete(inFlight, entry.ID)
-		l.rejoin(link, msg, attempt, &arrived)
+		l.resumeInFlight(link, msg, attempt, &arrived)
 	}
 	l.batch.events = append(l.batch.events, arrived)
 }
 
-// restoreEnded takes up an attempt in flight of a message that has ended, since it occupies a slot.
-func (l *loop) restoreEnded(link *handover.Link, a handover.Attempt) {
+// restoreEndedInFlight takes up an attempt in flight of a message that has ended, since it occupies a slot.
+func (l *loop) restoreEndedInFlight(link *handover.Link, a handover.Attempt) {
 	m := l.messages[a.ID]
 	if m == nil {
 		m = &message{ended: true, Entry: &journal.Entry{ID: a.ID, Class: a.Class, Dest: a.Destination,
@@ -94,12 +94,12 @@
 	prior := policy.PriorAttempt{Endpoint: a.Endpoint, SentAt: link.Instant(a.StartedAt)}
 	arrived := policy.Arrived{ID: a.ID, Class: l.classIndex(a.Class), Destination: a.Destination, Resumed: true, Completed: true,
 		PriorAttempts: slices.Repeat([]policy.PriorAttempt{prior}, a.Attempt+1)}
-	l.rejoin(link, m, a, &arrived)
+	l.resumeInFlight(link, m, a, &arrived)
 	l.batch.events = append(l.batch.events, arrived)
 }
 
-// rejoin marks the last attempt of a message as still in flight in the predecessor.
-func (l *loop) rejoin(link *handover.Link, m *message, a handover.Attempt, arrived *policy.Arrived) {
+// resumeInFlight marks the last attempt of a message as still in flight in the predecessor.
+func (l *loop) resumeInFlight(link *handover.Link, m *message, a handover.Attempt, arrived *policy.Arrived) {
 	last := &arrived.PriorAttempts[a.Attempt]
 	last.InFlight, last.Call = true, a.Call
 	m.call = a.Call
--- a/internal/relay/selfcheck.go
+++ b/internal/relay/selfcheck.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// clockStep is how far the wall clock has to move against the monotonic one within a second to count as stepped: time
+	// minClockStep is how far the wall clock has to move against the monotonic one within a second to count as stepped: time
 	// servers slew it by far less.
-	clockStep = 100 * time.Millisecond
+	minClockStep = 100 * time.Millisecond
 	// overdueAfter is how long after its expiry a message is reported: its notification is due after 300 ms.
 	overdueAfter = 250 * time.Millisecond
 )
@@ -28,7 +28,7 @@
 	by := l.lastClocks.SteppedBy(now)
 	known := l.lastClocks != (clock.Pair{})
 	l.lastClocks = now
-	if !known || by.Abs() < clockStep {
+	if !known || by.Abs() < minClockStep {
 		return
 	}
 	direction := "forward"
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -22,10 +22,10 @@
 				l.gossip.Send(to, message)
 			}
 		},
-		OnAssessment: func(a live.PeerAssessment) { l.offerEvent(fleetAssessed{a}) },
+		OnAssessment: func(a live.PeerAssessment) { l.tryEnqueue(peersAssessed{a}) },
 		OnFact: func(f fleet.Fact, age time.Duration) {
-			if o, ok := observation(f, age); ok {
-				l.offerEvent(gossipReceived{o.Encode()})
+			if o, ok := observationFromFact(f, age); ok {
+				l.tryEnqueue(gossipReceived{o.Encode()})
 			}
 		}})
 }
@@ -36,11 +36,11 @@
 		l.fleet.Receive(from, message)
 		return
 	}
-	l.offerEvent(gossipReceived{message})
+	l.tryEnqueue(gossipReceived{message})
 }
 
-// offerEvent enqueues an event that may be lost: it is, where the inbox is full.
-func (l *loop) offerEvent(e event) {
+// tryEnqueue enqueues an event that may be lost: it is, where the inbox is full.
+func (l *loop) tryEnqueue(e event) {
 	select {
 	case l.inbox <- e:
 	default:
@@ -66,8 +66,8 @@
 	l.fleet.Observe(kind, key, value, false, observed.CallAge) // the policy limits how many relays report it
 }
 
-// observation returns what a fact says to the policy, if it is of the kinds that gossip messages carry.
-func observation(fact fleet.Fact, age time.Duration) (observed policy.Observation, ok bool) {
+// observationFromFact returns what a fact says to the policy, if it is of the kinds that gossip messages carry.
+func observationFromFact(fact fleet.Fact, age time.Duration) (observed policy.Observation, ok bool) {
 	observed = policy.Observation{
 		CircuitOpen:   fact.Kind == fleet.KindDestinationClosed,
 		CircuitClosed: fact.Kind == fleet.KindDestinationOpen,
@@ -91,13 +91,13 @@
 }
 
 // assessmentEvents translates an assessment of the fleet into the policy's events.
-func assessmentEvents(s live.PeerAssessment) []policy.Event {
-	events := []policy.Event{policy.PeerSuspected{Destination: s.Dest, Endpoint: s.Endpoint, Observers: s.Observers,
-		RecentObservers: s.RecentObservers, OldestAge: s.OldestAge, NewestAge: s.NewestAge, ValidFor: s.ValidFor, Rank: s.Rank}}
-	if s.Rates.Reporters > 0 {
-		events = append(events, policy.PeerRateReceived{Destination: s.Dest, LiveRelays: s.LiveRelays, Reporters: s.Rates.Reporters,
-			RateShare: s.Rates.RateShare, ArrivalRate: s.Rates.ArrivalRate, ArrivalRateError: s.Rates.ArrivalRateError,
-			ArrivalRateByZone: s.ArrivalRateByZone, ValidFor: s.Rates.ValidFor})
+func assessmentEvents(a live.PeerAssessment) []policy.Event {
+	events := []policy.Event{policy.PeerSuspected{Destination: a.Dest, Endpoint: a.Endpoint, Observers: a.Observers,
+		RecentObservers: a.RecentObservers, OldestAge: a.OldestAge, NewestAge: a.NewestAge, ValidFor: a.ValidFor, Rank: a.Rank}}
+	if a.Rates.Reporters > 0 {
+		events = append(events, policy.PeerRateReceived{Destination: a.Dest, LiveRelays: a.LiveRelays, Reporters: a.Rates.Reporters,
+			RateShare: a.Rates.RateShare, ArrivalRate: a.Rates.ArrivalRate, ArrivalRateError: a.Rates.ArrivalRateError,
+			ArrivalRateByZone: a.ArrivalRateByZone, ValidFor: a.Rates.ValidFor})
 	}
 	return events
 }
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -13,12 +13,12 @@
 // The phases of a graceful shutdown, as times since the signal. Connections go on coming for up to 0.4 s, and the process may be
 // killed after 3.7 s.
 const (
-	// acceptPhase is how long new connections are accepted.
-	acceptPhase = time.Second
-	// startCallsPhase is how long calls are started.
-	startCallsPhase = 2900 * time.Millisecond
-	// finishCallsPhase is how long calls may be in flight.
-	finishCallsPhase = 3500 * time.Millisecond
+	// acceptPhaseEnd is how long new connections are accepted.
+	acceptPhaseEnd = time.Second
+	// startCallsPhaseEnd is how long calls are started.
+	startCallsPhaseEnd = 2900 * time.Millisecond
+	// finishCallsPhaseEnd is how long calls may be in flight.
+	finishCallsPhaseEnd = 3500 * time.Millisecond
 	// exitDeadline is until when clients may read the last responses.
 	exitDeadline = 3650 * time.Millisecond
 
@@ -38,7 +38,7 @@
 	end, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	defer context.AfterFunc(ctx, func() {
-		if clock.Sleep(end, finishCallsPhase) {
+		if clock.Sleep(end, finishCallsPhaseEnd) {
 			cancel()
 		}
 	})()
@@ -56,13 +56,13 @@
 	started := clock.Now()
 	until := func(phase time.Duration) time.Duration { return clock.Until(started.Add(phase)) }
 	server.StartDraining()
-	time.Sleep(until(acceptPhase))
+	time.Sleep(until(acceptPhaseEnd))
 	_ = l.clients.Close()
-	for until(startCallsPhase) > 0 && l.isBusy() {
+	for until(startCallsPhaseEnd) > 0 && l.isBusy() {
 		time.Sleep(idlePollInterval)
 	}
 	l.enqueue(shutdownStarted{})
-	for until(finishCallsPhase) > 0 && l.isBusy() {
+	for until(finishCallsPhaseEnd) > 0 && l.isBusy() {
 		time.Sleep(idlePollInterval)
 	}
 	l.closeConnections(ctx, server, started.Add(exitDeadline))
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -39,10 +39,10 @@
 	if err := old.exit(t); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if took := time.Since(begun); took < finishCallsPhase {
+	if took := time.Since(begun); took < finishCallsPhaseEnd {
 		t.Errorf("calls that were out had only %v", took)
 	}
-	if finishCallsPhase+responseWriteTimeout > exitDeadline || exitDeadline >= 3700*time.Millisecond {
+	if finishCallsPhaseEnd+responseWriteTimeout > exitDeadline || exitDeadline >= 3700*time.Millisecond {
 		t.Errorf("it ends %v after the signal, and is killed after 3.7 s", exitDeadline)
 	}
 	entries := readEntries(t, p.dir)
--- a/internal/relay/storage.go
+++ b/internal/relay/storage.go
@@ -20,7 +20,7 @@
 	var opened *journal.Journal
 	var found *journal.Report
 	err := retry.Storage(ctx, retry.StorageTimeout, "open journal", func() (err error) {
-		opened, found, err = journal.Open(dir, journal.Options{DiskMB: (1 - listShare) * cfg.Limits.DiskMB, Relay: cfg.Name,
+		opened, found, err = journal.Open(dir, journal.Options{DiskMB: (1 - listDiskShare) * cfg.Limits.DiskMB, Relay: cfg.Name,
 			SurvivesPowerLoss: cfg.Durability == config.DurabilityPower, Files: cfg.Files, Boot: cfg.Boot})
 		return err
 	})
--- a/internal/relay/zonecommands.go
+++ b/internal/relay/zonecommands.go
@@ -43,20 +43,20 @@
 	if !l.cfg.Zones {
 		return
 	}
-	book, err := zones.Open(dir)
+	store, err := zones.Open(dir)
 	if err != nil {
 		slog.Error("zone orders not loaded", "error", err)
 	}
-	l.zones = &zoneOrders{store: book, pending: book.Active(clock.Now())}
+	l.zones = &zoneOrders{store: store, pending: store.Active(clock.Now())}
 }
 
 // handleZoneCommand has the loop answer an operator's command; for goroutines of the admin endpoint.
 func (l *loop) handleZoneCommand(text string) string {
-	line, err := zones.ParseCommand(text)
+	command, err := zones.ParseCommand(text)
 	if err != nil {
 		return "ERR " + err.Error()
 	}
-	return l.queryLoop(func() string { return l.executeZoneCommand(line) })
+	return l.queryLoop(func() string { return l.executeZoneCommand(command) })
 }
 
 // executeZoneCommand executes an operator's command and returns the reply.
@@ -68,8 +68,8 @@
 		}
 		return string(text)
 	}
-	no := slices.Index(l.cfg.Settings.Localities, command.Zone)
-	if no < 0 {
+	zoneIndex := slices.Index(l.cfg.Settings.Localities, command.Zone)
+	if zoneIndex < 0 {
 		return fmt.Sprintf("ERR there is no zone %q: there are %s", command.Zone, strings.Join(l.cfg.Settings.Localities, ", "))
 	}
 	now := clock.Now()
@@ -77,14 +77,14 @@
 	if command.Action == zones.Evacuate {
 		until = now.Add(command.Duration)
 	}
-	if err := l.dispatcher.Order(no, until); err != nil {
+	if err := l.dispatcher.Order(zoneIndex, until); err != nil {
 		return fmt.Sprintf("ERR %s %s: %v", command.Action, command.Zone, err)
 	}
 	l.batch.events = append(l.batch.events, policy.TimerFired{})
 	if err := l.zones.store.Put(command.Zone, until, now); err != nil {
 		slog.Error("zone order not stored", "error", err)
 		if until > 0 {
-			_ = l.dispatcher.Order(no, 0) // it would not outlast a restart
+			_ = l.dispatcher.Order(zoneIndex, 0) // it would not outlast a restart
 		}
 		return "ERR the order could not be kept: " + err.Error()
 	}
@@ -95,11 +95,11 @@
 // resumeZoneOrders gives the policy the orders of an earlier process, once it knows endpoints of their zones.
 func (l *loop) resumeZoneOrders() {
 	l.zones.pending = slices.DeleteFunc(l.zones.pending, func(o zones.Order) bool {
-		no := slices.Index(l.cfg.Settings.Localities, o.Zone)
-		if no < 0 || o.Until <= clock.Now() {
+		zoneIndex := slices.Index(l.cfg.Settings.Localities, o.Zone)
+		if zoneIndex < 0 || o.Until <= clock.Now() {
 			return true
 		}
-		if err := l.dispatcher.Order(no, o.Until); err != nil {
+		if err := l.dispatcher.Order(zoneIndex, o.Until); err != nil {
 			return false
 		}
 		slog.Info("zone order resumed", "zone", o.Zone, "duration", clock.Until(o.Until))
@@ -109,16 +109,16 @@
 }
 
 func (l *loop) zoneStatus() ZoneStatus {
-	name := func(no int) string {
-		if no < 0 || no >= len(l.cfg.Settings.Localities) {
-			return fmt.Sprint(no)
+	name := func(index int) string {
+		if index < 0 || index >= len(l.cfg.Settings.Localities) {
+			return fmt.Sprint(index)
 		}
-		return l.cfg.Settings.Localities[no]
+		return l.cfg.Settings.Localities[index]
 	}
 	s := ZoneStatus{Self: l.cfg.Settings.Ordinal, Zone: name(l.cfg.Settings.Az), Zones: []ZoneReport{}}
 	now := clock.Now()
-	all, cutOff := l.dispatcher.Zones()
-	s.Isolated = cutOff
+	all, isolated := l.dispatcher.Zones()
+	s.Isolated = isolated
 	for _, z := range all {
 		r := ZoneReport{Zone: name(z.Zone), State: z.State.String(), StateSeconds: now.Sub(z.EnteredAt).Seconds(),
 			Endpoints: z.Endpoints, Evacuations: z.Evacuations, Recoveries: z.Recoveries}
