--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -13,12 +13,13 @@
 	"milletsail/policy"
 )
 
-// responseMargin before a message expires, a response to a call that it shares with others counts for none of them. The platform
-// counts that time from when the request was sent, so it ends earlier there by the relay's delay in reading the request. The
-// protocol allows 50 ms on each of its time limits.
+// responseMargin is how long before the first of its messages expires the response to a call with several messages has to be
+// read; a later response counts for none of them. The platform measures a message's time from when the client sent the request,
+// so there the message expires earlier, by the relay's delay in reading the request. The protocol allows a tolerance of 50 ms on
+// each of its time limits.
 const responseMargin = 50 * time.Millisecond
 
-// execute carries out one action other than an end.
+// execute executes an action of the policy. Reject and Fail are not handled here: endRejected has executed them before.
 func (l *loop) execute(now instant.Time, action policy.Action) {
 	switch action := action.(type) {
 	case policy.Send:
@@ -36,7 +37,7 @@
 			l.batch.afterCommit = append(l.batch.afterCommit, func() { l.pool.CloseIdle(h.Dial) })
 		}
 	case policy.SetTimer:
-		// The policy has one timer and sets it anew only where the one it has is no use to it any more.
+		// The policy has a single timer: a new setting replaces the previous one.
 		l.timerAt = now.Add(action.After)
 	case policy.Subscribe:
 		l.watcher.Request()
@@ -54,7 +55,8 @@
 	}
 }
 
-// persistHealth records the health of an endpoint, and tells the fleet of it where this relay has observed it.
+// persistHealth records the health of a listed endpoint in the journal. It also reports the health to the fleet, unless this
+// relay itself only learned it from another relay.
 func (l *loop) persistHealth(a policy.PersistHealth) {
 	if _, listed := l.endpoints.table.Get(a.Endpoint); !listed {
 		return
@@ -65,18 +67,19 @@
 	}
 }
 
-// send is an attempt that the policy wants made, as part of a call.
+// send is an attempt that the policy has decided on, as part of a call that is not started yet.
 type send struct {
 	message      *message
-	call         int
-	attempt      int
+	call         int // the policy's number of the call; sends with the same number share one request
+	attempt      int // index in the message's Attempts
 	endpoint     endpoints.Entry
-	timeout      time.Duration
-	writeTimeout time.Duration // 0 for no bound
-	expiresAt    instant.Time  // of the message
+	timeout      time.Duration // limit for this attempt, at most the message's time left
+	writeTimeout time.Duration // the request must be written within it or not at all; 0 for no limit
+	expiresAt    instant.Time  // when the message expires
 }
 
-// send records an attempt and adds it to the batch.
+// send records the start of an attempt in the journal and adds the attempt to the batch. It does nothing for a message that has
+// ended.
 func (l *loop) send(now instant.Time, wanted policy.Send) {
 	msg := l.messages[wanted.ID]
 	if msg == nil || msg.ended {
@@ -91,7 +94,7 @@
 	}
 	l.journal.StartAttempt(msg.Entry, wanted.Endpoint, now)
 	if !listed || endpoint.Block != msg.Dest {
-		// Guards the protocol's rule that a message goes only to a listed endpoint of its destination.
+		// The protocol requires that a message is sent only to a listed endpoint of its destination.
 		slog.Error("send to an endpoint of another destination", "endpoint", wanted.Endpoint, "destination", msg.Dest)
 		l.completeUnsent(s, policy.NotSent)
 		return
@@ -99,18 +102,18 @@
 	l.batch.sends = append(l.batch.sends, s)
 }
 
-// completeUnsent ends an attempt that was not made.
+// completeUnsent ends an attempt for which no request was sent.
 func (l *loop) completeUnsent(s send, outcome policy.Outcome) {
 	l.completeAttempt(s.end(0, upstream.Result{Outcome: outcome}))
 }
 
-// end returns the event of an attempt's end.
+// end returns the event that reports the result of an attempt.
 func (s send) end(latency time.Duration, result upstream.Result) attemptEnded {
 	return attemptEnded{id: s.message.ID, attempt: s.attempt, endpoint: s.endpoint.Host, latency: latency, Result: result}
 }
 
-// responseDeadline returns when the response to a call with several messages has to be read to count: responseMargin before any
-// of them expires. A message with little time left keeps half of it for the call.
+// responseDeadline returns the time by which the response to a call with several messages has to be read: responseMargin before
+// the first of them expires. For a message with less than twice responseMargin left, the margin is half of its time left.
 func responseDeadline(now instant.Time, sends []send) (deadline instant.Time) {
 	for _, s := range sends {
 		latest := s.expiresAt.Add(-min(responseMargin, s.expiresAt.Sub(now)/2))
@@ -121,8 +124,9 @@
 	return deadline
 }
 
-// batchTimeout returns how long a call with several messages may last: until two batch intervals before any of them expires,
-// which is when the policy gives up a queued message.
+// batchTimeout returns the timeout of a call with several messages: the longest timeout among its attempts, but the call ends two
+// batch intervals before the first of the messages expires, which is also when the policy gives up a queued message. The result
+// is at least one batch interval.
 func batchTimeout(now instant.Time, sends []send, interval time.Duration) time.Duration {
 	timeout := sends[0].timeout
 	for _, s := range sends {
@@ -134,7 +138,7 @@
 	return max(timeout, interval)
 }
 
-// newCall returns the call that makes some attempts, without its messages.
+// newCall returns the call for attempts to the same endpoint, with its time limits but without its messages.
 func (l *loop) newCall(sends []send) upstream.Call {
 	call := upstream.Call{Addr: sends[0].endpoint.Dial, Timeout: sends[0].timeout}
 	if len(sends) > 1 {
@@ -149,9 +153,9 @@
 	return call
 }
 
-// startCall makes a call in a goroutine of its own, which ends with the call and brings the loop its end; calls are canceled with
-// ctx, and nobody waits for them. Its messages share it: it is canceled shortly before one of them expires, and once
-// none of them is waited for any more.
+// startCall starts a call in a goroutine of its own. The goroutine enqueues the results as a callEnded event and then ends; no
+// other code waits for it. Canceling ctx cancels the call. The call also ends shortly before the first of its messages expires,
+// and when all of its messages have been canceled.
 func (l *loop) startCall(ctx context.Context, sends []send) {
 	ctx, cancel := context.WithCancel(ctx)
 	call := l.newCall(sends)
--- a/internal/relay/admincommands.go
+++ b/internal/relay/admincommands.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// adminLoopTimeout bounds how long an operator's command waits for the event loop.
+// adminLoopTimeout limits how long an operator's command waits for the event loop, queueing and execution together.
 const adminLoopTimeout = time.Second
 
-// adminCommand is an event: an operator's command that only the loop can answer.
+// adminCommand is the event for an operator's command that needs the loop's state.
 type adminCommand struct {
-	answer func() string
-	reply  chan string // has capacity for one
+	answer func() string // computes the reply; the loop calls it
+	reply  chan string   // has a buffer of one, so that the loop never blocks
 }
 
-// queryLoop has the loop answer an operator's command; for goroutines of the admin endpoint.
+// queryLoop calls answer in the event loop and returns its result, or an ERR reply if the loop does not answer within
+// adminLoopTimeout. The goroutines of the admin endpoint call it.
 func (l *loop) queryLoop(answer func() string) string {
 	c := adminCommand{answer, make(chan string, 1)}
 	timer := time.NewTimer(adminLoopTimeout)
--- a/internal/relay/canaries.go
+++ b/internal/relay/canaries.go
@@ -6,26 +6,27 @@
 	"milletsail/internal/clock"
 )
 
-// CanaryStatus is the reply to "servers" at the admin endpoint: the canary analysis of endpoints that are new on the list.
+// CanaryStatus is the reply to the "servers" command of the admin endpoint: the state of the canary analysis, which gives new
+// endpoints on the list a growing share of the calls.
 type CanaryStatus struct {
-	Self      int            `json:"self"`
+	Self      int            `json:"self"` // ordinal of this relay
 	Endpoints []CanaryReport `json:"servers"`
 }
 
-// CanaryReport is the part of it about one endpoint.
+// CanaryReport is the canary analysis of one endpoint, a part of CanaryStatus.
 type CanaryReport struct {
 	Endpoint         string  `json:"endpoint"`
 	Destination      int     `json:"destination"`
-	Stage            int     `json:"stage"` // from 0
-	Share            float64 `json:"share"` // of its destination's calls
+	Stage            int     `json:"stage"` // index of the rollout stage, from 0
+	Share            float64 `json:"share"` // of its destination's calls that the stage allows the endpoint
 	HasBaseline      bool    `json:"proving"`
-	StageSeconds     float64 `json:"for_s"`            // how long the stage has lasted
-	SuspendedSeconds float64 `json:"held_s,omitempty"` // how long it still gets nothing
-	Suspensions      int     `json:"holds"`
-	RegressionScore  float64 `json:"doubt"` // 1 suspends it
+	StageSeconds     float64 `json:"for_s"`            // time since the stage began
+	SuspendedSeconds float64 `json:"held_s,omitempty"` // remaining time of a suspension, in which the endpoint gets no messages
+	Suspensions      int     `json:"holds"`            // how often it was suspended
+	RegressionScore  float64 `json:"doubt"`            // evidence that it is worse than the other endpoints; it is suspended at 1
 }
 
-// canaryStatus returns the reply to "servers".
+// canaryStatus returns the reply to the "servers" command: a CanaryStatus as JSON.
 func (l *loop) canaryStatus() string {
 	status, now := CanaryStatus{Self: l.cfg.Settings.Ordinal, Endpoints: []CanaryReport{}}, clock.Now()
 	for _, n := range l.dispatcher.Canaries() {
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -15,20 +15,20 @@
 	"milletsail/policy"
 )
 
-// commit writes the batch's records, and only then answers clients and starts calls: what was answered with 202 and what was
-// sent must be known to a later process.
+// commit writes the batch's journal records, and only then answers clients and starts calls: a process that follows a crash must
+// find a record of every message that was answered with 202 and of every attempt that may have been sent.
 func (l *loop) commit(ctx context.Context) {
 	err := l.journal.Commit()
 	l.setWritable(err == nil)
 	newMessages, sends, afterCommit := l.batch.newMessages, l.batch.sends, l.batch.afterCommit
 	l.batch.newMessages, l.batch.sends, l.batch.afterCommit = nil, nil, nil
 	if err != nil {
-		slog.Debug("journal not written: nothing accepted, and sent only what is idempotent", "error", err)
+		slog.Debug("journal not written: no message accepted, only attempts of idempotent classes sent", "error", err)
 	}
 	l.respondToNew(newMessages, err == nil)
 	l.startCalls(ctx, sends, err == nil)
 	for _, m := range newMessages {
-		if m.responses != nil { // not accepted after all
+		if m.responses != nil { // the policy did not reject it, but it was not accepted: its record was not written
 			l.complete(m)
 		}
 	}
@@ -38,11 +38,12 @@
 	l.enqueueRecorded(err == nil)
 }
 
-// respondToNew answers the clients of new messages that the policy did not reject.
+// respondToNew answers the clients of the new messages that the policy has not rejected: 202 if their records are written, 503
+// otherwise.
 func (l *loop) respondToNew(messages []*message, written bool) {
 	for _, m := range messages {
 		switch {
-		case m.responses == nil: // rejected
+		case m.responses == nil: // the policy rejected it, and endUndelivered has answered
 		case !written:
 			l.metrics.CountResult(l.classIndex(m.Class), metrics.Rejected)
 			respondAll(m.responses, l.unavailableResponse())
@@ -56,7 +57,8 @@
 	}
 }
 
-// startCalls starts the calls of a batch. Sends of one call follow each other.
+// startCalls starts the calls of a batch. The sends of one call are adjacent. If the journal could not be written, it fails the
+// calls that need their record with NotStarted.
 func (l *loop) startCalls(ctx context.Context, sends []send, written bool) {
 	for len(sends) > 0 {
 		n := 1
@@ -75,21 +77,23 @@
 	}
 }
 
-// needsRecord reports whether an attempt may not be made without its record: a later process may make it again, which is
-// harmless only in an idempotent class. Nor is one made of a message that was not accepted after all.
+// needsRecord reports whether an attempt must not be sent before its journal record is written. After a crash, a process that
+// finds no record repeats the attempt, which is harmless only in an idempotent class. A message whose acceptance was not
+// recorded is not sent either.
 func (l *loop) needsRecord(s send) bool {
 	class := l.cfg.Policy.Classes[l.classIndex(s.message.Class)]
 	return class.Effect != policy.Idempotent || s.message.responses != nil
 }
 
-// unrecordedNotification is a notification of a message whose end has to be on disk before the platform learns of it: a process
-// that follows a kill would else go on with a message that has ended.
+// unrecordedNotification is a notification that is held back until the end of its message is on disk. If the platform received it
+// earlier and the process crashed, the next process would find the message live in the journal and send it.
 type unrecordedNotification struct {
 	notification journal.Notification
-	expiresAt    instant.Time // of the message: from then on no process sends it any more
+	expiresAt    instant.Time // when the message expires; from then on no process sends it, so the notification may go out
 }
 
-// enqueueRecorded enqueues the notifications whose ends are on disk, or whose messages have expired whether or not they are.
+// enqueueRecorded passes held-back notifications to the notifier: all of them if the journal is written, otherwise those whose
+// messages have expired.
 func (l *loop) enqueueRecorded(written bool) {
 	now := clock.Now()
 	waiting := l.unrecordedNotifications[:0]
@@ -103,7 +107,8 @@
 	l.unrecordedNotifications = waiting
 }
 
-// setWritable tells the policy and the operators when the journal can't be written any more, and when it can again.
+// setWritable reports a change in whether the journal can be written to the policy and, through StorageError, to operators. It
+// does nothing if the state is the same as before.
 func (l *loop) setWritable(writable bool) {
 	if writable == (l.metrics.StorageError.Load() == nil) {
 		return
--- a/internal/relay/completion.go
+++ b/internal/relay/completion.go
@@ -11,15 +11,18 @@
 	"milletsail/policy"
 )
 
-// The counters of messages that were not delivered, by reason.
+// The counters of failures, by reason.
 const (
-	failedAttempts      = "relay_calls_without_delivery"
+	// failedAttempts counts attempts that did not deliver their message, by outcome.
+	failedAttempts = "relay_calls_without_delivery"
+	// undeliveredMessages counts messages that ended without delivery, by the policy's reason.
 	undeliveredMessages = "relay_undelivered"
 )
 
-// completeAttempt takes in the end of a call for a message.
+// completeAttempt processes the result of an attempt: it counts and records the result, and passes it to the policy. It ends the
+// message if nothing more has to be done for it.
 func (l *loop) completeAttempt(attempt attemptEnded) {
-	msg := l.messages[attempt.id] // stays as long as a call is in flight
+	msg := l.messages[attempt.id] // not nil: complete keeps a message in the table while a call is in flight
 	msg.cancel = nil
 	if attempt.Outcome != policy.OK {
 		l.metrics.Reasons.Increment(failedAttempts, attempt.Outcome)
@@ -31,7 +34,8 @@
 		l.journal.EndAttempt(msg.Entry, attempt.Outcome.ProvesNotExecuted())
 	}
 	if attempt.Outcome == policy.NotStarted {
-		// No attempt was made. Until the next segment a later process takes it for one that was not executed.
+		// The attempt was never started, so the message does not count it. The journal's current segment still has it, as an
+		// attempt that was not executed; the next segment leaves it out.
 		msg.Attempts = msg.Attempts[:attempt.attempt]
 	}
 	l.batch.events = append(l.batch.events, policy.AttemptEnded{ID: attempt.id, Endpoint: attempt.endpoint,
@@ -39,7 +43,7 @@
 		Completed: attempt.Completed, AttemptsExhausted: attempt.AttemptsExhausted, LoadReport: attempt.LoadReport})
 	if !msg.ended && attempt.Outcome == policy.OK {
 		l.metrics.CountResult(l.classIndex(msg.Class), metrics.Completed)
-	} else if !msg.ended && attempt.Completed { // its end came without this relay
+	} else if !msg.ended && attempt.Completed { // the endpoint reported that the message needs no further attempt
 		l.metrics.CountResult(l.classIndex(msg.Class), metrics.Failed)
 	}
 	if attempt.Completed || msg.ended && msg.PendingNotification == nil {
@@ -47,7 +51,8 @@
 	}
 }
 
-// endUndelivered ends a message that is not delivered: by a response if it has none yet, else by a notification.
+// endUndelivered ends a message without delivery. A client that still waits for its response gets response; for a message that
+// was accepted before, the platform gets a notification with status. It does nothing for a message that has ended.
 func (l *loop) endUndelivered(msg *message, response frontend.Response, status string, reason policy.Reason) {
 	if msg == nil || msg.ended {
 		return
@@ -74,14 +79,15 @@
 	l.unrecordedNotifications = append(l.unrecordedNotifications, unrecordedNotification{notification, msg.ExpiresAt})
 }
 
-// respondAll gives all that submitted a message the same response.
+// respondAll sends the same response to all clients that submitted a message.
 func respondAll(responses []chan frontend.Response, response frontend.Response) {
 	for _, r := range responses {
 		r <- response
 	}
 }
 
-// complete notes that nothing more has to be done for a message.
+// complete ends a message for which nothing more has to be done, and removes its journal entry. The message stays in the table
+// while a call is in flight.
 func (l *loop) complete(m *message) {
 	m.ended = true
 	l.countEnded(m)
@@ -94,13 +100,13 @@
 	}
 }
 
-// countPending counts a message as pending until countEnded.
+// countPending adds a message to the metric of pending messages. countEnded takes it out again.
 func (l *loop) countPending(m *message) {
 	m.countedPending = true
 	l.metrics.Pending.Add(1)
 }
 
-// countEnded counts a message as pending no more.
+// countEnded takes a message out of the metric of pending messages, if countPending has added it.
 func (l *loop) countEnded(m *message) {
 	if m.countedPending {
 		m.countedPending = false
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,3 +1,4 @@
-// Package relay runs the decisions of package policy as a relay on sockets: clients hand messages in over HTTP, and the relay
-// delivers them to their destinations' endpoints.
+// Package relay is the relay process: it accepts messages from clients over HTTP, and delivers them to the endpoints of their
+// destinations. Package policy decides when and where each message is sent; this package executes those decisions on sockets
+// and on disk, in one event loop.
 package relay
--- a/internal/relay/endpointlist.go
+++ b/internal/relay/endpointlist.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// sweepBatchSize is how many places of the table one step of the loop looks at, while it removes the entries that a complete
+	// sweepBatchSize is how many slots of the table one step of the loop examines while it removes the entries that a complete
 	// list no longer names.
 	sweepBatchSize = 2048
-	// maxLoggedChanges is how many changes of one object are logged one by one; of further ones only the number is.
+	// maxLoggedChanges is how many changes of one object are logged individually. An object with more is logged by their number.
 	maxLoggedChanges = 32
 )
 
-// maxStartTimeMS bounds the times of starts: the year 2200.
+// maxStartTimeMS limits the start times of endpoints, in milliseconds since 1970: the year 2200.
 const maxStartTimeMS = 7_258_118_400_000
 
 // endpointList is the endpoint list as discovery last sent it, in memory and, where there is room, on disk. The loop owns it.
-// Discovery's objects come in batches. A complete list replaces all entries: those that it does not name are removed in bounded
-// steps once its last batch is in.
+// Discovery sends objects, each either a complete list or a set of changes, and each object arrives in batches. A complete list
+// replaces all entries: after its last batch is applied, the entries that it does not name are removed in bounded steps.
 type endpointList struct {
 	settings   *settings.Settings
 	table      *endpoints.Table
-	store      *endpoints.Store // nil for none
-	compacting bool             // the store has more to do
-	version    int64            // of the last object that was applied completely
-	clocks     clock.Pair       // of the start; they translate the wall times in the list, which all machines read from one clock
-
-	replacing bool              // the entries of the present object are marked, since it may be a complete list
-	changes   int               // of the present object
-	sweeping  *discovery.Batch  // the last batch of a complete list, while entries that it did not name are removed
-	queued    []discovery.Batch // that came meanwhile
+	store      *endpoints.Store // copy on disk; nil if there is none
+	compacting bool             // the store's compaction needs further steps
+	version    int64            // version of the last object that was applied completely; 0 requests a complete list
+	clocks     clock.Pair       // clock readings at the start of the process; they convert the list's wall times
+
+	replacing bool              // the entries of the current object are being marked, since it may be a complete list
+	changes   int               // number of changes that the current object has made
+	sweeping  *discovery.Batch  // last batch of a complete list while unlisted entries are removed; nil otherwise
+	queued    []discovery.Batch // batches that arrived while sweeping was set
 }
 
-// endpoint translates an entry into the policy's terms.
+// endpoint converts an entry of the list to the policy's type.
 func (list *endpointList) endpoint(e endpoints.Entry) policy.Endpoint {
 	startedAt := clock.Wall(time.Duration(max(0, min(e.BornMS, maxStartTimeMS))) * time.Millisecond)
 	return policy.Endpoint{
@@ -55,7 +55,8 @@
 	}
 }
 
-// Endpoints returns the endpoints of a destination, in the order in which they were first listed; for policy.Directory.
+// Endpoints returns the endpoints of a destination, in the order in which they were first listed. It implements
+// policy.Directory.
 func (list *endpointList) Endpoints(destination int) (all []policy.Endpoint) {
 	for e := range list.table.ByDestination(destination) {
 		all = append(all, list.endpoint(e))
@@ -63,13 +64,13 @@
 	return all
 }
 
-// Destination returns the destination of a listed endpoint; for policy.Directory.
+// Destination returns the destination of a listed endpoint. It implements policy.Directory.
 func (list *endpointList) Destination(endpoint string) (int, bool) {
 	e, ok := list.table.Get(endpoint)
 	return e.Block, ok
 }
 
-// handleBatch applies a batch of the watch, or queues it until the list before it is applied.
+// handleBatch applies a batch from discovery, or queues it while an earlier complete list is still being applied.
 func (l *loop) handleBatch(batch discovery.Batch) {
 	if l.endpoints.sweeping != nil {
 		l.endpoints.queued = append(l.endpoints.queued, batch)
@@ -83,18 +84,18 @@
 	case !batch.End:
 		close(batch.Applied)
 	case batch.Complete && l.endpoints.replacing:
-		l.endpoints.sweeping = &batch // the watch waits until the complete list is applied
+		l.endpoints.sweeping = &batch // finishObject closes batch.Applied once removeUnlisted is done
 	default:
 		l.endpoints.abortReplacement()
 		l.finishObject(batch)
 	}
 }
 
-// usesDirectory reports whether the policy keeps state only for destinations in use, and looks up the rest of the list.
+// usesDirectory reports whether the policy keeps state only for destinations in use, and looks up their endpoints in the list.
 func (l *loop) usesDirectory() bool { return l.cfg.Policy.Directory != nil && !l.cfg.Policy.Zones }
 
-// unavailableEndpoints returns how many listed endpoints get nothing now but health checks. Where the policy does not know the
-// complete list, it does not count those that drain.
+// unavailableEndpoints returns how many listed endpoints currently get no messages other than probes. A policy that looks
+// endpoints up in the list does not count draining ones, so they are added here.
 func (l *loop) unavailableEndpoints() int {
 	if !l.usesDirectory() {
 		return l.dispatcher.Avoided()
@@ -102,9 +103,10 @@
 	return l.dispatcher.Avoided() + l.endpoints.table.Draining()
 }
 
-// beginObject prepares for the first batch of an object. Entries need marks unless the object is known to hold changes alone.
+// beginObject prepares for the first batch of an object. Unless the object is known to hold only changes, the entries that it names
+// are marked, so that the others can be removed at its end.
 func (list *endpointList) beginObject(b endpoints.Batch) {
-	list.abortReplacement() // of an object that was cut off
+	list.abortReplacement() // the previous object may have been cut off before its last batch
 	list.changes = 0
 	if b.Complete || !b.CompleteKnown {
 		list.table.BeginReplacement()
@@ -112,7 +114,7 @@
 	}
 }
 
-// abortReplacement ends a replacement that is incomplete, or was none: no entry is removed.
+// abortReplacement ends marking without removing any entry: the object was cut off, or it turned out to hold only changes.
 func (list *endpointList) abortReplacement() {
 	if list.replacing {
 		list.table.AbortReplacement()
@@ -120,7 +122,7 @@
 	}
 }
 
-// applyEntries applies the entries of a batch, and tells the policy what is new in them.
+// applyEntries applies the entries of a batch to the table and the store, and reports the changes to the policy.
 func (l *loop) applyEntries(b endpoints.Batch) {
 	var changed []policy.Endpoint
 	var restored []policy.Event
@@ -142,7 +144,7 @@
 		}
 		l.endpoints.persist([]endpoints.Entry{entry}, nil)
 		if listed && old.Block != entry.Block {
-			old.Health = endpoints.Deleted // at its former destination
+			old.Health = endpoints.Deleted // the policy removes it from its former destination
 			changed = append(changed, l.endpoints.endpoint(old))
 		}
 		changed = append(changed, l.endpoints.endpoint(entry))
@@ -156,7 +158,8 @@
 	}
 }
 
-// dropEndpoint drops what belongs to an entry that was removed, and returns the entry as the policy is told of it.
+// dropEndpoint closes the idle connections and drops the recorded health of an endpoint that was removed from the list. It
+// returns the removal for the policy.
 func (l *loop) dropEndpoint(e endpoints.Entry) policy.Endpoint {
 	l.pool.CloseIdle(e.Dial)
 	l.journal.DropHealth(e.Host)
@@ -164,8 +167,8 @@
 	return l.endpoints.endpoint(e)
 }
 
-// appendHealth adds what an earlier process of this relay knew of an endpoint's outage: the list that came with the
-// configuration may lack it.
+// appendHealth appends the health that an earlier process of this relay recorded for an endpoint, if there is any. It is used for
+// each endpoint that is added, since an endpoint with recorded health may be missing from the list that the process starts from.
 func (l *loop) appendHealth(events []policy.Event, host string) []policy.Event {
 	health, ok := l.journal.Health()[host]
 	if !ok {
@@ -174,7 +177,7 @@
 	return append(events, policy.StateRestored{Endpoint: host, Ejected: health.Ejected, At: health.ChangedAt})
 }
 
-// logChange logs a change of an entry, as long as the object does not bring many.
+// logChange counts a change of an entry. It logs the first maxLoggedChanges changes of an object that is not a complete list.
 func (l *loop) logChange(b endpoints.Batch, e endpoints.Entry) {
 	l.endpoints.changes++
 	if l.endpoints.changes <= maxLoggedChanges && !b.Complete {
@@ -182,7 +185,8 @@
 	}
 }
 
-// removeUnlisted goes on removing the entries that a complete list did not name.
+// removeUnlisted does the next step of removing the entries that a complete list did not name. After the last step it handles
+// the batches that were queued meanwhile. It does nothing if no removal is in progress.
 func (l *loop) removeUnlisted() {
 	last := l.endpoints.sweeping
 	if last == nil {
@@ -222,7 +226,7 @@
 	}
 }
 
-// finishObject notes that an object is applied, and has the watch go on.
+// finishObject records that an object is applied completely, and lets discovery's watch continue.
 func (l *loop) finishObject(last discovery.Batch) {
 	l.endpoints.commit(last.Seq)
 	if l.endpoints.changes > maxLoggedChanges || last.Complete {
--- a/internal/relay/endpointload.go
+++ b/internal/relay/endpointload.go
@@ -13,15 +13,17 @@
 	"milletsail/policy"
 )
 
-// listSource is an endpoint list that may be older or newer than another.
+// listSource is a stored endpoint list from which the relay may start.
 type listSource struct {
-	name    string
-	version int64
-	read    func(deliver func(endpoints.Batch) error) error
+	name    string // for logs
+	version int64  // the newest version wins; 0 if unknown
+	// read delivers the list in batches. It is nil if the list is in the table already, or if there is none.
+	read func(deliver func(endpoints.Batch) error) error
 }
 
-// openEndpoints loads the newest of the lists on disk, in the journal and in the configuration. The last may be older than what
-// an earlier process of this relay received: an endpoint that drains gets nothing new from this one either.
+// openEndpoints loads the newest of the lists on disk, in the journal and in the configuration. The configuration's list may be
+// older than the last one that an earlier process received: starting from it could send new messages to an endpoint that has
+// been draining since.
 func (l *loop) openEndpoints(ctx context.Context, dir string) {
 	budget := int64(listDiskShare * l.cfg.Limits.DiskMB * 1e6)
 	store, table, seq, found, err := openStore(ctx, dir, budget)
@@ -43,12 +45,12 @@
 		}
 	}
 	l.journal.DropLegacyList()
-	debug.FreeOSMemory() // what reading a long list needed once is not needed again
+	debug.FreeOSMemory() // reading a long list takes much memory, which is not needed again
 	slog.Info("endpoint list loaded", "source", source.name, "version", l.endpoints.version, "endpoints", table.Len())
 }
 
-// newestList chooses the list to start from. The configuration's counts also where it has no version, and the one on disk
-// only where it has one: version 0 there means that all of the list has to be asked for.
+// newestList chooses the list to start from. The configuration's list may be chosen even if it has no version. The list on disk
+// is chosen only if it has one: version 0 on disk means that the list is incomplete and has to be requested again.
 func newestList(onDisk int64, inJournal, configured listSource) listSource {
 	newest := configured
 	if inJournal.version > newest.version {
@@ -60,7 +62,8 @@
 	return newest
 }
 
-// journalList returns the list that an earlier version kept in its journal, if it did.
+// journalList returns the list that an earlier version of this program stored in its journal. It returns the zero listSource if
+// there is none or it can't be parsed.
 func journalList(stored journal.LegacyEndpointList) listSource {
 	var head struct{ Seq int64 }
 	if stored.Text == nil || json.Unmarshal(stored.Text, &head) != nil {
@@ -71,7 +74,8 @@
 	}}
 }
 
-// loadBatch applies a batch of a list that replaces all there is, before the loop runs.
+// loadBatch applies a batch of a list that replaces all entries. It is called before the loop runs, so it removes unlisted entries
+// in one step.
 func (list *endpointList) loadBatch(batch endpoints.Batch) error {
 	if batch.First {
 		list.table.BeginReplacement()
@@ -92,8 +96,8 @@
 	return nil
 }
 
-// announceEndpoints tells the policy that there is a list, and what an earlier process recorded of the health of its endpoints.
-// The policy looks up what it needs of the list, or gets all of it where it has to know all zones.
+// announceEndpoints reports the loaded list to the policy, together with the health that an earlier process recorded of listed
+// endpoints. The event has no entries if the policy looks them up, and the complete list if it does not (see usesDirectory).
 func (l *loop) announceEndpoints() {
 	var all []policy.Endpoint
 	if !l.usesDirectory() {
--- a/internal/relay/endpointstore.go
+++ b/internal/relay/endpointstore.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// listDirectory is the directory of the endpoint list, within the state directory.
+	// listDirectory is the subdirectory of the state directory that holds the endpoint list.
 	listDirectory = "endpoints"
-	// listDiskShare of the disk's limit is for the list; the rest is the journal's.
+	// listDiskShare is the share of the disk limit that the endpoint list may use; the journal may use the rest.
 	listDiskShare = 1.0 / 8
-	// compactionInterval is the wait between the steps of the store's compaction, so that one of a long list takes a small part of
-	// the loop's time: 490,000 entries are written in some ten seconds.
+	// compactionInterval is the time between the steps of the store's compaction. It keeps the compaction of a long list to a
+	// small part of the loop's time: 490,000 entries are written in about ten seconds.
 	compactionInterval = 10 * time.Millisecond
 )
 
-// persist writes changes of the table to disk. A version follows once all changes of its object are there.
+// persist appends changes of the table to the store. They belong to the version that the next commit records.
 func (list *endpointList) persist(puts []endpoints.Entry, deletes []string) {
 	if list.store != nil {
 		list.store.Append(puts, deletes)
 	}
 }
 
-// commit records that an object was applied completely.
+// commit sets the list's version, in memory and on disk, after an object was applied completely.
 func (list *endpointList) commit(seq int64) {
 	list.version = seq
 	if list.store == nil {
@@ -36,7 +36,7 @@
 	list.closeDisabled()
 }
 
-// maintainStore does the next step of the store's own work.
+// maintainStore does the next step of the store's compaction, if one is needed.
 func (list *endpointList) maintainStore() {
 	if list.store == nil {
 		return
@@ -45,8 +45,8 @@
 	list.closeDisabled()
 }
 
-// closeDisabled goes on without a store that is disabled: the next process starts from the configuration's list, and requests
-// what that lacks.
+// closeDisabled closes the store if it has been disabled, for example by a write error. The relay continues without it: the next
+// process starts from the configuration's list and requests newer changes from discovery.
 func (list *endpointList) closeDisabled() {
 	reason, disabled := list.store.Disabled()
 	if !disabled {
@@ -56,7 +56,7 @@
 	list.close()
 }
 
-// close ends the writing to disk: from here on another process may own the state directory.
+// close closes the store. Nothing is written to disk after that, so another process may take over the state directory.
 func (list *endpointList) close() {
 	if list.store == nil {
 		return
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -11,45 +11,45 @@
 	"milletsail/policy"
 )
 
-// event is what a goroutine sends the loop. Only the loop calls apply, while this process owns the state directory; after a
-// handover handleAfterHandover takes events instead.
+// event is a message from another goroutine to the loop. The loop calls apply while this process owns the state directory; after
+// a handover, handleAfterHandover processes events instead.
 type event interface{ apply(l *loop) }
 
-// The events of clients, calls, discovery, other relays, the platform, the process and its successor.
+// The events that clients, calls, discovery, other relays, the platform, the process itself and its successor cause.
 type (
-	// messageArrived is a message that a client submits.
+	// messageArrived reports a message that a client has submitted.
 	messageArrived struct{ *frontend.Submission }
-	// clientLeft says that a client left before its message was answered.
+	// clientLeft reports that a client disconnected before its message was answered.
 	clientLeft struct{ *frontend.Submission }
-	// callEnded is the end of a call, for each of its messages.
+	// callEnded reports the result of a call, with one element for each of its messages.
 	callEnded []attemptEnded
-	// attemptEnded is the end of a call for one message.
+	// attemptEnded is the result of a call for one message.
 	attemptEnded struct {
-		id       string
-		attempt  int
+		id       string // of the message
+		attempt  int    // index in the message's Attempts
 		endpoint string
 		latency  time.Duration
 		upstream.Result
 	}
-	// batchReceived is a part of an object that discovery sent.
+	// batchReceived brings a part of an object that discovery sent.
 	batchReceived struct{ discovery.Batch }
-	// gossipReceived is a gossip message for the policy.
+	// gossipReceived brings a gossip message for the policy.
 	gossipReceived struct{ message []byte }
-	// peersAssessed is what the relays of the fleet have found out together.
+	// peersAssessed brings what the relays of the fleet have jointly observed of an endpoint and its destination.
 	peersAssessed struct{ live.PeerAssessment }
-	// watchEnded says that the watch on discovery ended, or that its request failed.
+	// watchEnded reports that the watch on discovery ended or could not be started.
 	watchEnded struct{}
-	// notificationsReceived says that the platform has received the notifications of some messages.
+	// notificationsReceived reports that the platform has received the notifications of the messages with these ids.
 	notificationsReceived struct{ ids []string }
-	// shutdownStarted says that the process is about to end.
+	// shutdownStarted reports that the process is shutting down and starts no more calls.
 	shutdownStarted struct{}
-	// successorRequested is a successor that requests the state directory.
+	// successorRequested reports that a successor requests the state directory.
 	successorRequested struct{ link *handover.Link }
-	// successorMessage is a message of the successor after a handover.
+	// successorMessage brings a message from the successor, after a handover.
 	successorMessage struct{ handover.Message }
-	// successorLost says that the successor is gone.
+	// successorLost reports that the connection to the successor is closed.
 	successorLost struct{}
-	// idleQuery asks whether nothing is left to do.
+	// idleQuery asks whether the loop has nothing left to do. The channel needs a buffer of one.
 	idleQuery struct{ idle chan bool }
 )
 
@@ -59,7 +59,7 @@
 
 func (e callEnded) apply(l *loop) {
 	for _, a := range e {
-		// A message may have had its end before the call that it was part of.
+		// A result is ignored if its attempt is no longer in flight: the message may have ended before its call.
 		if l.inFlight(a.id, a.attempt) != nil {
 			l.completeAttempt(a)
 		}
@@ -101,7 +101,8 @@
 
 func (e idleQuery) apply(l *loop) { e.idle <- len(l.messages) == 0 }
 
-// apply does nothing: messages and the end of a successor come after a handover, and handleAfterHandover takes them.
+// apply does nothing: there is no successor before the handover, and after it handleAfterHandover processes events.
 func (successorMessage) apply(*loop) {}
 
+// apply does nothing, for the same reason as that of successorMessage.
 func (successorLost) apply(*loop) {}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -10,37 +10,38 @@
 	"milletsail/policy"
 )
 
-// ownership is a process's relation to the state directory. It only advances.
+// ownership is the state of this process with regard to the state directory. It only changes in the order of the constants.
 type ownership int
 
 const (
-	// ownershipActive lets this process decide everything.
+	// ownershipActive means that this process owns the state directory and makes all decisions.
 	ownershipActive ownership = iota
-	// ownershipTransferred has a successor that decides: only connections of clients and calls in flight are left here.
+	// ownershipTransferred means that a successor owns the state directory and makes the decisions. This process still has
+	// client connections, whose messages it forwards, and calls in flight.
 	ownershipTransferred
-	// ownershipOrphaned has lost that successor: what is left here comes to its end.
+	// ownershipOrphaned means that the successor has died. This process has canceled its calls and rejects new messages.
 	ownershipOrphaned
 )
 
-// handoverState is what the event loop has of its successor.
+// handoverState is what the event loop knows of a handover to its successor.
 type handoverState struct {
 	ownership ownership
-	requester *handover.Link // a successor that requests the state directory, until the batch is complete
-	successor *handover.Link // the one that has it
-	// completed is closed once a successor owns the state directory.
+	requester *handover.Link // successor whose request is answered after the current batch; nil for none
+	successor *handover.Link // successor that owns the state directory; nil before a handover
+	// completed is closed after a successor has taken over the state directory.
 	completed chan struct{}
-	// stopOwnerTasks ends what only the owner does.
-	stopOwnerTasks func()
-	forwarded     map[int]*frontend.Submission // that the successor decides on, by number
-	lastSubmissionNumber    int                          // of a forwarded submission
-	reportedClients   int                          // connections of clients that the successor was told of
+	// stopOwnerTasks stops the goroutines that only the owner of the state directory runs.
+	stopOwnerTasks       func()
+	forwarded            map[int]*frontend.Submission // submissions that await the successor's decision, by number
+	lastSubmissionNumber int                          // number of the last forwarded submission; the first is 1
+	reportedClients      int                          // number of client connections last reported to the successor
 }
 
 // ownsState reports whether this process owns the state directory.
 func (s *handoverState) ownsState() bool { return s.ownership == ownershipActive }
 
-// handOver hands the journal and all decisions over to a successor. It reports false, and has changed nothing, where the
-// successor does not come as far as being ready. The loop stands still meanwhile: nothing may change under an offer.
+// handOver hands the state directory and all decisions over to a successor. It reports false, with the ownership unchanged, if
+// the successor does not become ready. It blocks the loop, since the offer has to match the journal until the successor has both.
 func (l *loop) handOver(ctx context.Context, link *handover.Link) bool {
 	for l.step(ctx); len(l.batch.events) > 0; {
 		l.step(ctx)
@@ -64,7 +65,7 @@
 	return true
 }
 
-// makeOffer returns what the successor has to know beside the journal.
+// makeOffer returns the state that the successor needs in addition to the journal.
 func (l *loop) makeOffer(link *handover.Link) *handover.Offer {
 	offer := &handover.Offer{Clients: l.clients.Count(), Clocks: link.ReadClocks()}
 	for _, state := range l.dispatcher.ExportState() {
@@ -79,15 +80,15 @@
 	for _, m := range l.messages {
 		if m.cancel != nil {
 			last := m.Attempts[len(m.Attempts)-1]
-			offer.InFlight = append(offer.InFlight, handover.Attempt{ID: m.ID, Attempt: len(m.Attempts) - 1, Call: m.call, Class: m.Class,
-				Destination: m.Dest, Endpoint: last.Host, StartedAt: link.WallTime(last.StartedAt)})
+			offer.InFlight = append(offer.InFlight, handover.Attempt{ID: m.ID, Attempt: len(m.Attempts) - 1, Call: m.call,
+				Class: m.Class, Destination: m.Dest, Endpoint: last.Host, StartedAt: link.WallTime(last.StartedAt)})
 		}
 	}
 	return offer
 }
 
-// receiveFromSuccessor brings the loop what the successor wants, until the link is down. It is a goroutine of its own, started by
-// the loop; the process ends without waiting for it once nothing is left to do here.
+// receiveFromSuccessor enqueues the successor's messages until the link is closed. It runs in a goroutine of its own, which the
+// loop starts; the process exits without waiting for it.
 func (l *loop) receiveFromSuccessor(link *handover.Link) {
 	for {
 		m, err := link.Receive()
@@ -100,7 +101,8 @@
 	}
 }
 
-// handleAfterHandover does with an event what is left to do after a handover.
+// handleAfterHandover processes an event after a handover, when the successor makes the decisions. It also reports a changed
+// number of client connections to the successor.
 func (l *loop) handleAfterHandover(e event) {
 	switch e := e.(type) {
 	case messageArrived:
@@ -126,7 +128,7 @@
 	}
 }
 
-// forward hands a message that a client submitted here to the successor.
+// forward sends a message that a client submitted to this process to the successor, or rejects it if the successor has died.
 func (l *loop) forward(s *frontend.Submission) {
 	l.handover.lastSubmissionNumber++
 	if l.handover.ownership == ownershipOrphaned {
@@ -135,12 +137,12 @@
 	}
 	l.handover.forwarded[l.handover.lastSubmissionNumber] = s
 	e := s.Entry
-	l.handover.successor.Send(handover.Message{Submission: &handover.Submission{Number: l.handover.lastSubmissionNumber, Body: e.Body,
-		Entry: &handover.Entry{ID: e.ID, Class: e.Class, Destination: e.Dest, Key: e.Key,
+	l.handover.successor.Send(handover.Message{Submission: &handover.Submission{Number: l.handover.lastSubmissionNumber,
+		Body: e.Body, Entry: &handover.Entry{ID: e.ID, Class: e.Class, Destination: e.Dest, Key: e.Key,
 			ExpiresAt: l.handover.successor.WallTime(e.ExpiresAt)}}})
 }
 
-// withdrawForwarded tells the successor that the client of a forwarded message has left.
+// withdrawForwarded reports to the successor that the client of a forwarded message has disconnected.
 func (l *loop) withdrawForwarded(s *frontend.Submission) {
 	for number, forwarded := range l.handover.forwarded {
 		if forwarded == s {
@@ -150,7 +152,7 @@
 	}
 }
 
-// forwardResults tells the successor how a call ended that was in flight at the handover.
+// forwardResults sends the successor the result of a call that was in flight at the handover.
 func (l *loop) forwardResults(e callEnded) {
 	var results []handover.CallResult
 	for _, a := range e {
@@ -159,7 +161,7 @@
 			continue
 		}
 		m.cancel = nil
-		if a.Outcome == policy.NotStarted { // an earlier version may not know it
+		if a.Outcome == policy.NotStarted { // a successor of an earlier version may not know this outcome
 			a.Outcome = policy.NotSent
 		}
 		results = append(results, handover.CallResult{ID: a.id, Attempt: a.attempt, Endpoint: a.endpoint, Latency: a.latency,
@@ -171,7 +173,7 @@
 	}
 }
 
-// handleSuccessorMessage does what the successor wants.
+// handleSuccessorMessage answers the client of a forwarded submission, or cancels a call, as the successor's message asks.
 func (l *loop) handleSuccessorMessage(m handover.Message) {
 	if r := m.Response; r != nil && l.handover.forwarded[r.Number] != nil {
 		l.handover.forwarded[r.Number].Response <- frontend.Response{Status: r.Status, RetryAfter: r.RetryAfter}
@@ -185,8 +187,8 @@
 	}
 }
 
-// endOrphaned ends what is left: the successor is dead, and nobody hears any more what becomes of the calls. They end, so that none
-// is in flight beside those that the next process makes.
+// endOrphaned rejects the forwarded submissions and cancels the calls in flight after the successor has died. No process would get
+// the results of the calls, and the next process may repeat them: they are canceled so that none runs beside its repetition.
 func (l *loop) endOrphaned() {
 	l.handover.ownership = ownershipOrphaned
 	for number, s := range l.handover.forwarded {
@@ -200,7 +202,8 @@
 	}
 }
 
-// idleAfterHandover reports whether nothing is left to do here but to serve connections.
+// idleAfterHandover reports whether no submission awaits the successor's decision and no call that still matters is in flight.
+// Client connections may still be open.
 func (l *loop) idleAfterHandover() bool {
 	if len(l.handover.forwarded) > 0 {
 		return false
@@ -213,12 +216,12 @@
 	return true
 }
 
-// unavailableResponse is the response to a message that nobody can accept now.
+// unavailableResponse returns the response to a message that no process can accept now.
 func (l *loop) unavailableResponse() frontend.Response {
 	return frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.Policy.MaxRetryAfter}
 }
 
-// inFlight returns the message whose last attempt has a number and is in flight, or nil.
+// inFlight returns the message with an id if its last attempt has this number, from 0, and is in flight; otherwise nil.
 func (l *loop) inFlight(id string, attempt int) *message {
 	if m := l.messages[id]; m != nil && m.cancel != nil && attempt == len(m.Attempts)-1 {
 		return m
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -13,29 +13,32 @@
 	"milletsail/policy"
 )
 
-// maxJSONGrowth is how much longer a byte of an id or a key can become in JSON.
+// maxJSONGrowth is the most bytes that one byte of an id or a key can take up in JSON.
 const maxJSONGrowth = 6
 
-// The counters of messages that never reached the policy, and of those that their clients withdrew, by reason.
+// The counters of messages that were not accepted for other reasons than the policy's.
 const (
-	rejectedBeforePolicy    = "relay_refused_unseen"
+	rejectedBeforePolicy = "relay_refused_unseen"
+	// withdrawnMessages counts messages that were withdrawn before they were answered, by reason.
 	withdrawnMessages = "relay_withdrawn"
 )
 
-// The reasons for which a message never reaches the policy, as counters have them.
+// The reasons in the counters rejectedBeforePolicy and withdrawnMessages.
 const (
 	reasonNoDestination = "no such destination"
 	reasonNoStorage     = "no room in the folder, or it can't be written"
 	reasonClientLeft    = "the client left"
 )
 
-// admit takes in a message that is submitted.
+// admit handles a message that a client has submitted. It passes a new message to the policy, unless the message is rejected for
+// an unknown destination or a lack of storage.
 func (l *loop) admit(submission *frontend.Submission) {
 	if msg := l.messages[submission.Entry.ID]; msg != nil {
 		l.admitDuplicate(msg, submission)
 		return
 	}
-	// Guards the policy against destinations that no list has named, and the disk against overflow.
+	// The policy keeps state for each destination, so one that no list has ever named is rejected here. Reserve keeps the
+	// journal within its disk limit.
 	if !l.endpoints.table.Named(submission.Entry.Dest) {
 		l.rejectBeforePolicy(submission, reasonNoDestination)
 		return
@@ -53,11 +56,12 @@
 		TimeLeft: clock.Until(msg.ExpiresAt), Size: sizeInBatch(msg.Entry)})
 }
 
-// admitDuplicate takes in the same message once more, as after a connection that broke: it is accepted already, unless it has ended
-// or is undecided.
+// admitDuplicate handles the submission of a message whose id is in the message table, as after a broken connection. While the
+// message is undecided, the submission gets the same response as the first one; later it is answered as accepted, unless the
+// message has ended.
 func (l *loop) admitDuplicate(m *message, s *frontend.Submission) {
 	switch {
-	case m.ended && l.mayHaveExecuted(m): // 503 would say that submitting it again is harmless
+	case m.ended && l.mayHaveExecuted(m): // 503 would tell the client that it can safely submit the message again
 		s.Response <- frontend.Response{Status: http.StatusBadGateway}
 	case m.ended:
 		s.Response <- frontend.Response{Status: http.StatusServiceUnavailable}
@@ -69,7 +73,7 @@
 	}
 }
 
-// rejectBeforePolicy rejects a message that the policy does not see.
+// rejectBeforePolicy rejects a message without passing it to the policy.
 func (l *loop) rejectBeforePolicy(s *frontend.Submission, reason string) {
 	l.metrics.CountResult(l.classIndex(s.Entry.Class), metrics.Rejected)
 	l.metrics.Reasons.Add(rejectedBeforePolicy, reason, 1)
@@ -77,7 +81,8 @@
 	s.Response <- l.unavailableResponse()
 }
 
-// mayHaveExecuted reports whether an attempt of a message may have been executed that must not be repeated elsewhere.
+// mayHaveExecuted reports whether an attempt of a message may have been executed and a second execution could do harm. It can in a
+// class whose idempotency keys are known only within a zone, since a repeated submission may be sent to another zone.
 func (l *loop) mayHaveExecuted(m *message) bool {
 	index := l.classIndex(m.Class)
 	if index < 0 {
@@ -90,8 +95,9 @@
 	return slices.ContainsFunc(m.Attempts, func(a journal.Attempt) bool { return !a.Ended || !a.NotExecuted })
 }
 
-// withdraw ends a message whose client left without a response. Others may have submitted the same id, by chance or on purpose:
-// their leaving withdraws nothing, and what one of them was told has to be done.
+// withdraw ends a message whose client disconnected without a response. Other clients may have submitted the same id, by chance or
+// on purpose: the message is withdrawn only if this submission is its first and only one, since a second client may have been
+// told that the message is accepted.
 func (l *loop) withdraw(s *frontend.Submission) {
 	m := l.messages[s.Entry.ID]
 	if m == nil || m.ended || m.Entry != s.Entry || m.resubmitted || len(m.responses) > 1 {
@@ -103,12 +109,12 @@
 	l.complete(m)
 }
 
-// sizeInBatch returns how many bytes a message takes up in the body of a call with several.
+// sizeInBatch returns the most bytes that a message takes up in the body of a call with several messages.
 func sizeInBatch(e *journal.Entry) int {
 	return len(`{"id":"","key":"","body":""},`) + maxJSONGrowth*(len(e.ID)+len(e.Key)) + base64.StdEncoding.EncodedLen(len(e.Body))
 }
 
-// acceptNewMessages accepts the messages of this batch that were not rejected.
+// acceptNewMessages records the new messages that the policy has not rejected as accepted.
 func (l *loop) acceptNewMessages() {
 	for _, m := range l.batch.newMessages {
 		if !m.ended {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -20,40 +20,42 @@
 )
 
 const (
-	// inboxCapacity events wait for the loop without blocking the goroutines that bring them.
+	// inboxCapacity is how many events may wait for the loop before enqueue blocks.
 	inboxCapacity = 1024
-	// maintenanceInterval is the time between two rounds of maintenance.
+	// maintenanceInterval is the time between two calls of maintain.
 	maintenanceInterval = time.Second
 )
 
-// message is what the loop has of an accepted message, or of one that is being decided on.
+// message is the loop's state for a message that is accepted or awaits the policy's decision, and for one that has ended while a
+// call or its notification is outstanding.
 type message struct {
 	*journal.Entry
-	responses       []chan frontend.Response // to those that submitted it, until they are answered
-	resubmitted     bool                     // a further submission of it was answered 202
+	responses       []chan frontend.Response // receive the response, one for each submission; nil once answered
+	resubmitted     bool                     // a duplicate submission was answered 202
 	call            int                      // the policy's number of the call in flight
-	cancel          context.CancelFunc       // ends the wait for the call in flight; nil while there is none
-	ended           bool                     // ended, but a call is still in flight
-	countedPending  bool                     // accepted and not ended, as the metrics have it
-	reportedOverdue bool                     // reported as overdue
+	cancel          context.CancelFunc       // cancels the message's part of the call in flight; nil if there is none
+	ended           bool                     // no further attempt follows; a call or notification may be outstanding
+	countedPending  bool                     // counted in the metric of pending messages
+	reportedOverdue bool                     // checkOverdue has reported it
 }
 
-// notificationQueue takes notifications for the platform, and never blocks.
+// notificationQueue accepts notifications for the platform. Enqueue never blocks.
 type notificationQueue interface {
 	Enqueue(n journal.Notification)
 }
 
-// batch is what the loop gathers until its next step, and what that step decides.
+// batch collects the input of the loop's next step, and the results of the step until they are committed.
 type batch struct {
-	events      []policy.Event
-	newMessages []*message // that clients submitted
-	sends       []send     // that the policy wants
-	afterCommit []func()   // to be done once the step's records are written
+	events      []policy.Event // input of the policy
+	newMessages []*message     // messages that clients have submitted, rejected ones included
+	sends       []send         // attempts to start after the commit
+	afterCommit []func()       // other actions to take after the commit
 }
 
 // loop is the event loop. It owns the policy, the journal, the endpoint list and the message table: while run is active no other
-// goroutine touches them, and all that others bring comes through the inbox. It gathers events for a batch interval, lets the
-// policy decide on them, and executes its actions. It never waits for a socket.
+// goroutine accesses them, and other goroutines communicate with the loop through the inbox. The loop collects events for a batch
+// interval, passes them to the policy, and executes the actions that the policy returns. Outside of a handover it never waits for
+// a socket.
 type loop struct {
 	inbox chan event
 	cfg   *config.Config
@@ -64,31 +66,31 @@
 	endpoints  *endpointList
 	messages   map[string]*message // by id; the message table
 	batch      batch
-	timerAt    instant.Time // when the policy wants to act next
-	lastStep   instant.Time
-	lastClocks clock.Pair  // to notice steps of the wall clock
-	zones      *zoneOrders // nil where zones are off
-	// unrecordedNotifications are those whose messages' ends are not on disk yet.
+	timerAt    instant.Time // when the policy's timer fires
+	lastStep   instant.Time // when the last step began
+	lastClocks clock.Pair   // last reading of checkClocks
+	zones      *zoneOrders  // operators' zone orders; nil if zones are disabled
+	// unrecordedNotifications are held back until the ends of their messages are on disk.
 	unrecordedNotifications []unrecordedNotification
 
-	// The process's relation to the state directory.
+	// The ownership of the state directory.
 	owner    *journal.Ownership
 	handover handoverState
 
-	// The parts beside the loop, all of them safe for concurrent use.
+	// The components that run outside the loop. All are safe for concurrent use.
 	clients  *frontend.ConnectionLimiter
 	pool     *upstream.Pool
 	watcher  *discovery.Watcher
 	notifier notificationQueue
 	gossip   *gossip.Transport
-	fleet    *live.Service // nil where nothing is shared
+	fleet    *live.Service // shares observations with other relays; nil if that is disabled
 	metrics  *metrics.Metrics
 }
 
-// enqueue hands the loop an event.
+// enqueue sends the loop an event. It blocks while the inbox is full.
 func (l *loop) enqueue(e event) { l.inbox <- e }
 
-// run handles events until ctx ends. Run of this package waits for it.
+// run handles events until ctx ends. The function Run waits for it to return.
 func (l *loop) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -119,7 +121,8 @@
 	}
 }
 
-// maintain does what is due from time to time.
+// maintain does the periodic work: it closes connections that have been idle for too long, checks the clocks and, in the owner of
+// the state directory, retries failed journal writes, continues the store's compaction and reports overdue messages.
 func (l *loop) maintain() {
 	l.pool.Sweep()
 	l.checkClocks()
@@ -130,7 +133,7 @@
 	}
 }
 
-// collectBatch accepts further events for the batch: all that come within an interval of the last one.
+// collectBatch handles further events for the batch until a batch interval has passed since the last step.
 func (l *loop) collectBatch() {
 	interval := time.NewTimer(clock.Until(l.lastStep.Add(l.cfg.Policy.BatchInterval)))
 	for {
@@ -143,7 +146,7 @@
 	}
 }
 
-// handOverIfRequested hands over to a successor that has requested the state directory, if there is one.
+// handOverIfRequested hands over to a successor, if one has requested the state directory.
 func (l *loop) handOverIfRequested(ctx context.Context) {
 	requester := l.handover.requester
 	if requester == nil {
@@ -157,8 +160,8 @@
 	}
 }
 
-// untilNextStep returns the time until there is something to act on: at once where a step left events of its own. The policy's
-// timer stays as it is then, since the policy does not set it twice.
+// untilNextStep returns the time until the next step is due. It is 0 if events are waiting, as when a step itself has caused some;
+// timerAt stays unchanged in that case, since the policy does not set its timer again.
 func (l *loop) untilNextStep() time.Duration {
 	switch {
 	case !l.handover.ownsState():
@@ -176,10 +179,10 @@
 	return wait
 }
 
-// handleEvent takes in one event.
+// handleEvent adds one event to the batch.
 func (l *loop) handleEvent(e event) { e.apply(l) }
 
-// classIndex returns the index of a class, or -1 where the settings do not have it.
+// classIndex returns the index of a class in the policy's settings, or -1 if there is none with this name.
 func (l *loop) classIndex(name string) int {
 	for i := range l.cfg.Policy.Classes {
 		if l.cfg.Policy.Classes[i].Name == name {
@@ -189,8 +192,8 @@
 	return -1
 }
 
-// step lets the policy decide on the batch, and executes its actions once what they need is in the journal. Calls that it starts
-// end with ctx.
+// step passes the batch's events to the policy and executes the actions that it returns. Responses, calls and cancellations follow
+// only once the journal's records are written (see commit). Canceling ctx cancels the calls that the step starts.
 func (l *loop) step(ctx context.Context) {
 	now := clock.Now()
 	l.lastStep = now
@@ -216,7 +219,8 @@
 	}
 }
 
-// endRejected ends the messages that the policy rejects or gives up, so that the new ones among them are not accepted.
+// endRejected ends the messages that the policy rejects or gives up. It runs before acceptNewMessages, so that rejected new
+// messages are not recorded as accepted.
 func (l *loop) endRejected(actions []policy.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -12,26 +12,27 @@
 	"milletsail/policy"
 )
 
-// connectionCloseDelay is what the system gets to close the connections of a predecessor that died: its calls would else still be in
-// flight beside the next attempts.
+// connectionCloseDelay is the time that the kernel gets to close the connections of a predecessor that has died. Without it, the
+// predecessor's calls could still be in flight while this process repeats them.
 const connectionCloseDelay = 20 * time.Millisecond
 
-// predecessorFollower is what a successor follows of the process before it, until that is gone.
+// predecessorFollower processes the predecessor's messages after a handover, until the predecessor exits. It is used by the
+// goroutine of followPredecessor alone, apart from the link and the loop.
 type predecessorFollower struct {
 	loop      *loop
 	link      *handover.Link
-	inFlight  map[string]int                  // attempts, by message
-	submitted map[int]*forwardedSubmission // that are not answered, by number
+	inFlight  map[string]int               // index of the attempt in flight in the predecessor, by message id
+	submitted map[int]*forwardedSubmission // submissions without a response so far, by number
 }
 
-// forwardedSubmission is a message that a client submitted to the predecessor.
+// forwardedSubmission is a submission to the predecessor, which forwards it to this process.
 type forwardedSubmission struct {
 	*frontend.Submission
-	withdrawn chan struct{} // closed when the client has left
+	withdrawn chan struct{} // closed when the client disconnects
 }
 
-// followPredecessor takes in what the predecessor tells after its handover, until it is gone. It is a goroutine of its own: it
-// ends with the predecessor, and nobody waits for it.
+// followPredecessor processes the predecessor's messages after a handover, until the predecessor exits. It runs in a goroutine of
+// its own, which no other code waits for.
 func (l *loop) followPredecessor(link *handover.Link, offer *handover.Offer) {
 	go link.Write()
 	follower := &predecessorFollower{loop: l, link: link, inFlight: map[string]int{}, submitted: map[int]*forwardedSubmission{}}
@@ -50,7 +51,7 @@
 	follower.handleExit()
 }
 
-// handle takes in one message.
+// handle processes one message from the predecessor.
 func (p *predecessorFollower) handle(m handover.Message) {
 	switch {
 	case m.Submission != nil && m.Submission.Entry != nil:
@@ -69,7 +70,7 @@
 	}
 }
 
-// submit hands the loop a message that a client submitted to the predecessor.
+// submit passes a forwarded submission to the loop.
 func (p *predecessorFollower) submit(from *handover.Submission) {
 	s := &forwardedSubmission{&frontend.Submission{Entry: p.entry(from), Response: make(chan frontend.Response, 1)},
 		make(chan struct{})}
@@ -78,7 +79,8 @@
 	go p.respond(s, from.Number)
 }
 
-// entry returns the entry of a submission. No class gives it more than its deadline, whatever the predecessor says.
+// entry returns the journal entry for a forwarded submission. The message expires no later than its class's deadline from now,
+// even if the predecessor reports a later time.
 func (p *predecessorFollower) entry(from *handover.Submission) *journal.Entry {
 	e := &journal.Entry{ID: from.Entry.ID, Class: from.Entry.Class, Dest: from.Entry.Destination, Key: from.Entry.Key,
 		ExpiresAt: p.link.Instant(from.Entry.ExpiresAt), Body: from.Body}
@@ -88,8 +90,8 @@
 	return e
 }
 
-// respond sends the predecessor the response to a submission. It is a goroutine of its own, which ends with the response or once
-// the client has left.
+// respond waits for the response to a forwarded submission and sends it to the predecessor. If the client disconnects first, it
+// reports that to the loop instead. It runs in a goroutine of its own.
 func (p *predecessorFollower) respond(s *forwardedSubmission, number int) {
 	select {
 	case response := <-s.Response:
@@ -100,7 +102,7 @@
 	}
 }
 
-// endCalls tells the loop how calls of the predecessor ended.
+// endCalls passes results of the predecessor's calls to the loop.
 func (p *predecessorFollower) endCalls(results []handover.CallResult) {
 	var all callEnded
 	for _, r := range results {
@@ -114,7 +116,8 @@
 	p.loop.enqueue(all)
 }
 
-// handleExit takes in that the predecessor is gone: its calls may have been executed, and its clients have left.
+// handleExit handles the predecessor's exit: calls still in flight end as reset, since they may have been executed, and
+// unanswered submissions are withdrawn, since their clients' connections are closed.
 func (p *predecessorFollower) handleExit() {
 	var all callEnded
 	for id, attempt := range p.inFlight {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -26,18 +26,19 @@
 	"milletsail/policy"
 )
 
-// ReadConfig reads and checks a configuration file, as config.Read does; for programs that only know this package.
+// ReadConfig reads and validates a configuration file. It is config.Read, for programs that import only this package.
 func ReadConfig(path string) (*config.Config, error) { return config.Read(path) }
 
-// listMemoryShare is the share of a relay's memory that one endpoint list may be as long as: an entry takes no more memory in the
-// table than as JSON.
+// listMemoryShare is the maximum size of an endpoint list's JSON, as a share of the relay's memory limit. An entry takes no more
+// memory in the table than as JSON.
 const listMemoryShare = 0.5
 
-// Run runs a relay until ctx ends, and then shuts it down gracefully: it goes on serving for as long as clients may still come,
-// and leaves what is not delivered by then to the journal in dir. Each address of discovery that comes on addresses takes the
-// place of the one in cfg. It also ends once a successor has taken over and nothing is left to do here.
+// Run runs a relay until ctx ends, and then shuts it down gracefully: it continues to serve for as long as clients may still
+// connect, and leaves undelivered messages in the journal in the state directory dir. Each address received from addresses
+// replaces the address of discovery in cfg. Run also returns once a successor has taken over and the client connections and calls
+// of this process have ended.
 //
-// It is long because it is the one place that shows the order of the start: what is opened first is closed last.
+// Run is long because it shows the order of the start in one place; resources are closed in the reverse order.
 func Run(ctx context.Context, cfg *config.Config, dir string, addresses <-chan string) error {
 	list := &endpointList{settings: &cfg.Settings, clocks: clock.ReadPair()}
 	cfg.Policy.Directory = list
@@ -67,13 +68,13 @@
 	}
 	defer func() { _ = openedJournal.Close() }()
 
-	processCtx, stop := context.WithCancel(context.WithoutCancel(ctx)) // the relay outlives the signal to end
+	processCtx, stop := context.WithCancel(context.WithoutCancel(ctx)) // the shutdown takes place after ctx has ended
 	defer stop()
-	ownerCtx, endOwnerTasks := context.WithCancel(processCtx)
-	defer endOwnerTasks()
+	ownerCtx, stopOwnerTasks := context.WithCancel(processCtx)
+	defer stopOwnerTasks()
 	eventLoop := &loop{cfg: cfg, dispatcher: dispatcher, journal: openedJournal, endpoints: list, clients: clients, metrics: counters,
 		inbox: make(chan event, inboxCapacity), messages: map[string]*message{}, pool: newPool(cfg, counters),
-		owner: acquired.Ownership, handover: handoverState{completed: make(chan struct{}), stopOwnerTasks: endOwnerTasks}}
+		owner: acquired.Ownership, handover: handoverState{completed: make(chan struct{}), stopOwnerTasks: stopOwnerTasks}}
 	tasks := eventLoop.newTasks(dir, acquired, adminServer)
 	server := frontend.NewServer(cfg, &counters.Reasons,
 		func(s *frontend.Submission) { eventLoop.enqueue(messageArrived{s}) },
@@ -84,9 +85,9 @@
 	defer func() { eventLoop.endpoints.close() }()
 	eventLoop.openZones(dir)
 	eventLoop.handleCommands(adminServer)
-	eventLoop.restore(processCtx, acquired.Predecessor, acquired.Offer) // clients wait to be served until this is done
+	eventLoop.restore(processCtx, acquired.Predecessor, acquired.Offer) // clients are served only after this
 
-	// All goroutines that are started here are waited for, but those that end with the connections they serve.
+	// Run waits for all goroutines in this group. The others end with the connections that they serve.
 	var goroutines sync.WaitGroup
 	goroutines.Go(func() { eventLoop.run(processCtx) })
 	for _, task := range tasks.owner {
@@ -98,7 +99,7 @@
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(clients) }()
 	counters.Serving.Store(true)
-	// To the end: notifications are posted while the relay drains, too.
+	// Runs until the end of the process, since notifications are posted to discovery's address during the shutdown, too.
 	goroutines.Go(func() { followDiscovery(processCtx, addresses, tasks.discoveryClients...) })
 	err = eventLoop.waitForEnd(ctx, server, served)
 	stop()
@@ -106,7 +107,7 @@
 	return err
 }
 
-// ignoreIfDone returns no error where ctx has ended: the process was told to end before there was anything to shut down.
+// ignoreIfDone returns err, or nil if ctx has ended: a process that is stopped before it has started has not failed.
 func ignoreIfDone(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -114,7 +115,8 @@
 	return err
 }
 
-// openAdmin opens the admin endpoint and serves it, or returns nil where none is configured. Close ends the goroutine.
+// openAdmin opens the admin endpoint and serves it in a goroutine, which ends when the server is closed. It returns nil if no
+// endpoint is configured.
 func openAdmin(ctx context.Context, cfg *config.Config, counters *metrics.Metrics) (*admin.Server, error) {
 	if cfg.Admin == "" {
 		return nil, nil //nolint:nilnil // a nil Server is one without an endpoint
@@ -127,25 +129,25 @@
 	return server, nil
 }
 
-// newPool returns the pool of connections to endpoints.
+// newPool returns the pool of connections to endpoints, limited to the upstream share of the relay's sockets.
 func newPool(cfg *config.Config, counters *metrics.Metrics) *upstream.Pool {
 	capacity := max(1, int(frontend.UpstreamShare*float64(cfg.Limits.Sockets)))
 	return upstream.NewPool(settings.Seconds(cfg.Settings.Limits.ConnTimeoutS), cfg.Policy.IdleConnTimeout, capacity,
 		&counters.UpstreamRequests)
 }
 
-// tasks are what runs beside the loop.
+// tasks are the components for which Run starts goroutines beside the loop.
 type tasks struct {
-	owner    []func(context.Context) // as long as this process owns the state directory
-	discoveryClients []discoveryClient          // where discovery moves
+	owner            []func(context.Context) // run while this process owns the state directory
+	discoveryClients []discoveryClient       // are told a new address of discovery
 }
 
-// newTasks makes the parts that talk to discovery and to other relays. Run starts them.
+// newTasks creates the components that communicate with discovery and with other relays. Run starts them.
 func (l *loop) newTasks(dir string, acquired *handover.Acquired, adminServer *admin.Server) tasks {
 	l.watcher = discovery.New(l.cfg.Discovery, discovery.RequestJitter(&l.cfg.Settings),
 		func(b discovery.Batch) { l.enqueue(batchReceived{b}) }, func() { l.enqueue(watchEnded{}) })
 	l.watcher.MaxListSize = int64(listMemoryShare * l.cfg.Limits.MemoryMB * 1e6)
-	l.watcher.Immediate = acquired.Predecessor != nil // which had a watch until now, and no other relay starts for that
+	l.watcher.Immediate = acquired.Predecessor != nil // after a handover no other relay starts at the same time
 	notifications := notifier.New(l.cfg.Discovery, func(ids []string) { l.enqueue(notificationsReceived{ids}) })
 	l.notifier = notifications
 	l.gossip = gossip.New(gossipOptions(l.cfg), l.receiveGossip)
@@ -157,7 +159,7 @@
 		discoveryClients: []discoveryClient{l.watcher, notifications}}
 }
 
-// handleCommands has operators' commands answered.
+// handleCommands registers the commands of the admin endpoint that this package answers.
 func (l *loop) handleCommands(adminServer *admin.Server) {
 	if l.zones != nil {
 		adminServer.Handle("zone", l.handleZoneCommand)
@@ -168,7 +170,7 @@
 	adminServer.Handle("diagnostics", admin.WithoutArguments(l.metrics.Reasons.Text))
 }
 
-// waitForEnd serves until the process has to end, and shuts it down.
+// waitForEnd waits until ctx ends or a successor has taken over, and shuts the relay down. It returns an error if serving fails.
 func (l *loop) waitForEnd(ctx context.Context, server *frontend.Server, served <-chan error) error {
 	select {
 	case err := <-served:
@@ -185,16 +187,16 @@
 	return nil
 }
 
-// gossipOptions are those of the configuration.
+// gossipOptions returns the options of the gossip transport from the configuration.
 func gossipOptions(cfg *config.Config) gossip.Options {
 	return gossip.Options{Allowed: cfg.Policy.Gossip, Listen: cfg.PeerListen, Broadcast: cfg.PeersAll, Peers: cfg.Peers,
 		Self: cfg.Settings.Ordinal}
 }
 
-// discoveryClient is a client of discovery.
+// discoveryClient is a client of discovery whose address can be changed.
 type discoveryClient interface{ Redirect(discovery string) }
 
-// followDiscovery moves discovery's clients, in their order, to each new address of discovery until ctx ends.
+// followDiscovery redirects the clients, in the given order, to each address received from addresses until ctx ends.
 func followDiscovery(ctx context.Context, addresses <-chan string, clients ...discoveryClient) {
 	for {
 		select {
@@ -209,13 +211,13 @@
 	}
 }
 
-// FormatVersions returns the formats that this version reads and writes.
+// FormatVersions returns the versions of the journal's and the gossip messages' format that this program reads and writes.
 func FormatVersions() compat.FormatVersions {
 	return compat.FormatVersions{Journal: compat.Format{Writes: journal.Format, Reads: journal.ReadableFormats},
 		Gossip: compat.Format{Writes: fleet.FormatVersion, Reads: []int{fleet.FormatVersion}}}
 }
 
-// version is what this program was built from, in short.
+// version returns the first eight characters of the revision that this program was built from, or "" if it is unknown.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -13,12 +13,12 @@
 	"milletsail/policy"
 )
 
-// restore takes up what the journal holds, the endpoint list, and what the predecessor has in flight, where that one handed
-// over; link and offer are nil otherwise. It runs before the loop.
+// restore passes the state of an earlier process to the policy: the endpoint list, the messages in the journal and, after a
+// handover, the predecessor's calls in flight and policy state. Without a handover link and offer are nil. It runs before the loop.
 func (l *loop) restore(ctx context.Context, link *handover.Link, offer *handover.Offer) {
 	l.announceEndpoints()
 	if l.zones != nil && len(l.zones.pending) > 0 {
-		l.step(ctx) // an order goes on before anything is sent
+		l.step(ctx) // resumes zone orders before any message is sent
 	}
 	l.watcher.Version = l.endpoints.version
 	inFlight := map[string]handover.Attempt{}
@@ -34,7 +34,7 @@
 	for _, entry := range l.journal.Entries() {
 		if offer != nil && offer.JournalIncomplete {
 			live, ok := offer.Live[entry.ID]
-			if !ok { // its end could not be written
+			if !ok { // the message has ended, but the predecessor could not record that
 				l.journal.Complete(entry)
 				continue
 			}
@@ -48,7 +48,7 @@
 	l.step(ctx)
 }
 
-// restoreMessage takes up a message of the journal. It removes the attempt in flight that belongs to it.
+// restoreMessage restores a message from its journal entry. If its last attempt is in inFlight, the attempt is removed there.
 func (l *loop) restoreMessage(link *handover.Link, entry *journal.Entry, inFlight map[string]handover.Attempt) {
 	msg := &message{Entry: entry}
 	l.messages[entry.ID] = msg
@@ -61,14 +61,14 @@
 		msg.ended = true
 		l.countEnded(msg)
 		l.notifier.Enqueue(*entry.PendingNotification)
-		return // a call of it that is still in flight is taken up with those of ended messages
+		return // an attempt in flight stays in inFlight, for restoreEndedInFlight
 	}
 	class := l.classIndex(entry.Class)
-	if class < 0 { // the settings have changed, and the policy could not end it
+	if class < 0 { // the settings no longer have this class, so the policy can't handle the message
 		l.endUndelivered(msg, frontend.Response{}, notifier.StatusUndeliverable, policy.ReasonNone)
 		return
 	}
-	// Whatever the journal says, no message has more time than its class.
+	// The time left is limited to the class's deadline, even if the journal holds a later expiry.
 	arrived := policy.Arrived{ID: entry.ID, Class: class, Destination: entry.Dest, Resumed: true,
 		TimeLeft: min(clock.Until(entry.ExpiresAt), l.cfg.Policy.Classes[class].Deadline), Size: sizeInBatch(entry)}
 	for _, prior := range entry.Attempts {
@@ -83,7 +83,8 @@
 	l.batch.events = append(l.batch.events, arrived)
 }
 
-// restoreEndedInFlight takes up an attempt in flight of a message that has ended, since it occupies a slot.
+// restoreEndedInFlight passes the policy an attempt in flight of a message that has ended, since the attempt occupies a slot until
+// its call ends.
 func (l *loop) restoreEndedInFlight(link *handover.Link, a handover.Attempt) {
 	m := l.messages[a.ID]
 	if m == nil {
--- a/internal/relay/selfcheck.go
+++ b/internal/relay/selfcheck.go
@@ -7,22 +7,25 @@
 	"milletsail/internal/clock"
 )
 
-// The counters of what should not happen, by direction of a clock's step and by class.
+// The counters of conditions that indicate a fault.
 const (
-	wallClockSteps  = "relay_wall_clock_steps"
+	// wallClockSteps counts steps of the wall clock, by direction.
+	wallClockSteps = "relay_wall_clock_steps"
+	// overdueMessages counts messages that expired without being ended in time, by class.
 	overdueMessages = "relay_overdue"
 )
 
 const (
-	// minClockStep is how far the wall clock has to move against the monotonic one within a second to count as stepped: time
-	// servers slew it by far less.
+	// minClockStep is the smallest change of the wall clock against the monotonic clock between two checks, one second apart, that
+	// counts as a step. Time synchronization slews the clock by far less.
 	minClockStep = 100 * time.Millisecond
-	// overdueAfter is how long after its expiry a message is reported: its notification is due after 300 ms.
+	// overdueAfter is how long after its expiry a message that has not ended is reported. The protocol requires its
+	// notification within 300 ms of the expiry.
 	overdueAfter = 250 * time.Millisecond
 )
 
-// checkClocks reports a step of the wall clock. Nothing in the relay goes by that clock but what is written for people and
-// for the next boot.
+// checkClocks logs and counts a step of the wall clock since the last check. The relay uses the wall clock only for logs and for
+// data that has to outlast a reboot.
 func (l *loop) checkClocks() {
 	now := clock.ReadPair()
 	by := l.lastClocks.SteppedBy(now)
@@ -39,7 +42,7 @@
 	l.metrics.Reasons.Add(wallClockSteps, direction, 1)
 }
 
-// checkOverdue reports the messages that have expired and not ended: there should never be any.
+// checkOverdue logs and counts, once each, the messages that have expired but not ended. Any such message indicates a fault.
 func (l *loop) checkOverdue() {
 	now := clock.Now()
 	for _, m := range l.messages {
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -9,8 +9,8 @@
 	"milletsail/policy"
 )
 
-// newFleetService returns the service that shares what this relay learns with the fleet. It brings the loop what the others
-// share.
+// newFleetService returns the service that shares this relay's observations with the other relays of the fleet. What the others
+// share becomes events of the loop.
 func (l *loop) newFleetService(dir string) *live.Service {
 	s := &l.cfg.Settings
 	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(),
@@ -30,7 +30,8 @@
 		}})
 }
 
-// receiveGossip hands a message of another relay to the service that it is for; for the goroutine of the gossip transport.
+// receiveGossip passes a message from another relay to the fleet service or, if it is not one of the service's, to the policy. The
+// goroutine of the gossip transport calls it.
 func (l *loop) receiveGossip(from int, message []byte) {
 	if l.fleet.Accepts(message) {
 		l.fleet.Receive(from, message)
@@ -39,7 +40,7 @@
 	l.tryEnqueue(gossipReceived{message})
 }
 
-// tryEnqueue enqueues an event that may be lost: it is, where the inbox is full.
+// tryEnqueue enqueues an event that may be lost. It drops the event if the inbox is full.
 func (l *loop) tryEnqueue(e event) {
 	select {
 	case l.inbox <- e:
@@ -47,7 +48,8 @@
 	}
 }
 
-// broadcast sends a gossip message of the policy to all other relays: as a fact where the fleet shares what it learns.
+// broadcast sends a gossip message of the policy to all other relays. If the fleet service is enabled, observations are shared
+// through it as facts instead.
 func (l *loop) broadcast(message []byte) {
 	observed, ok := policy.DecodeObservation(message)
 	if l.fleet == nil || !ok {
@@ -59,14 +61,15 @@
 	case observed.CircuitClosed:
 		kind = fleet.KindDestinationOpen
 	case observed.Recovered:
-		return // PersistHealth says the same
+		return // persistHealth has shared the recovery already
 	case observed.ConnectError:
 		kind, key, value = fleet.KindConnectionRejected, observed.Endpoint, 0
 	}
-	l.fleet.Observe(kind, key, value, false, observed.CallAge) // the policy limits how many relays report it
+	l.fleet.Observe(kind, key, value, false, observed.CallAge) // false: the policy itself limits how many relays report it
 }
 
-// observationFromFact returns what a fact says to the policy, if it is of the kinds that gossip messages carry.
+// observationFromFact converts a fact to an observation for the policy. It reports false for facts of other kinds and for
+// those with an invalid destination.
 func observationFromFact(fact fleet.Fact, age time.Duration) (observed policy.Observation, ok bool) {
 	observed = policy.Observation{
 		CircuitOpen:   fact.Kind == fleet.KindDestinationClosed,
@@ -90,7 +93,7 @@
 	return observed, true
 }
 
-// assessmentEvents translates an assessment of the fleet into the policy's events.
+// assessmentEvents converts the fleet's assessment of a destination or an endpoint to events of the policy.
 func assessmentEvents(a live.PeerAssessment) []policy.Event {
 	events := []policy.Event{policy.PeerSuspected{Destination: a.Dest, Endpoint: a.Endpoint, Observers: a.Observers,
 		RecentObservers: a.RecentObservers, OldestAge: a.OldestAge, NewestAge: a.NewestAge, ValidFor: a.ValidFor, Rank: a.Rank}}
@@ -102,7 +105,7 @@
 	return events
 }
 
-// observeFailure reports an attempt that failed to the fleet.
+// observeFailure reports a failed attempt to the fleet service, if the outcome may be the endpoint's fault.
 func (l *loop) observeFailure(e attemptEnded) {
 	switch e.Outcome {
 	case policy.ConnectError, policy.Failed, policy.Reset, policy.TimedOut:
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -10,28 +10,28 @@
 	"milletsail/internal/relay/frontend"
 )
 
-// The phases of a graceful shutdown, as times since the signal. Connections go on coming for up to 0.4 s, and the process may be
-// killed after 3.7 s.
+// The ends of the phases of a graceful shutdown, as times since the signal. The platform may open new connections for up to 0.4 s
+// after the signal, and may kill the process after 3.7 s.
 const (
-	// acceptPhaseEnd is how long new connections are accepted.
+	// acceptPhaseEnd is when the relay stops accepting connections.
 	acceptPhaseEnd = time.Second
-	// startCallsPhaseEnd is how long calls are started.
+	// startCallsPhaseEnd is when the relay stops starting calls, if messages are still pending.
 	startCallsPhaseEnd = 2900 * time.Millisecond
-	// finishCallsPhaseEnd is how long calls may be in flight.
+	// finishCallsPhaseEnd is when the relay stops waiting for calls in flight.
 	finishCallsPhaseEnd = 3500 * time.Millisecond
-	// exitDeadline is until when clients may read the last responses.
+	// exitDeadline is when the relay stops waiting for clients to read the last responses.
 	exitDeadline = 3650 * time.Millisecond
 
-	// idlePollInterval is the time between two looks whether all is done.
+	// idlePollInterval is the time between two checks whether the loop is idle.
 	idlePollInterval = 50 * time.Millisecond
-	// readPollInterval is the time between two looks whether clients have read their responses.
+	// readPollInterval is the time between two checks whether clients have read their responses.
 	readPollInterval = idlePollInterval / 10
-	// responseWriteTimeout is for responses that are being written.
+	// responseWriteTimeout limits how long the shutdown waits for responses that are being written.
 	responseWriteTimeout = 100 * time.Millisecond
 )
 
-// drainAfterHandover ends a relay that has handed over: it stays for as long as clients keep its connections or calls are in
-// flight, but after a signal to end no longer than shutdownGracefully does.
+// drainAfterHandover shuts down a relay that has handed over to a successor. It waits until the clients have closed their
+// connections and no call is in flight, but not longer than finishCallsPhaseEnd after ctx has ended.
 func (l *loop) drainAfterHandover(ctx context.Context, server *frontend.Server) {
 	server.StartDraining()
 	_ = l.clients.Close()
@@ -50,8 +50,8 @@
 	l.closeConnections(ctx, server, clock.Now().Add(responseWriteTimeout))
 }
 
-// shutdownGracefully ends a relay in phases. No request that was read goes unanswered: each response closes its connection, and
-// connections that stay unused are closed last.
+// shutdownGracefully shuts down a relay in phases, of which all but the first end early if nothing is pending. Every request that has been read is
+// answered, with a response that closes its connection. Connections without a request are closed last.
 func (l *loop) shutdownGracefully(ctx context.Context, server *frontend.Server) {
 	started := clock.Now()
 	until := func(phase time.Duration) time.Duration { return clock.Until(started.Add(phase)) }
@@ -68,24 +68,24 @@
 	l.closeConnections(ctx, server, started.Add(exitDeadline))
 }
 
-// closeConnections closes the clients' connections: those that are idle at once, the others once the responses that are being
-// written are out. It waits until the clients have read these, or for a deadline.
+// closeConnections closes the clients' connections: idle ones at once, the others after their responses are written, for which it
+// waits up to responseWriteTimeout. It then waits until the clients have read these responses, up to a deadline.
 func (l *loop) closeConnections(ctx context.Context, server *frontend.Server, deadline instant.Time) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), responseWriteTimeout) // the signal to end has come
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), responseWriteTimeout) // ctx has ended already
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		slog.Warn("connections not closed in time", "error", err)
 	}
-	// No request is accepted any more: what is left of the others ends with the process.
+	// No request is accepted any more: the remaining connections are closed when the process exits.
 	for l.clients.ResponsesUnread() && clock.Now() < deadline {
 		time.Sleep(readPollInterval)
 	}
 }
 
-// isBusy reports whether a message is pending, or a request that may become one is still being written.
+// isBusy reports whether the message table has a message, or a request is still being read or answered.
 func (l *loop) isBusy() bool { return l.clients.Busy() || !l.isIdle() }
 
-// isIdle reports whether the loop has nothing left to do.
+// isIdle asks the loop whether it has nothing left to do, and waits for the answer.
 func (l *loop) isIdle() bool {
 	query := idleQuery{make(chan bool, 1)}
 	l.enqueue(query)
--- a/internal/relay/storage.go
+++ b/internal/relay/storage.go
@@ -12,10 +12,11 @@
 	"milletsail/internal/relay/retry"
 )
 
-// listTimeout bounds the attempts to read the endpoint list on disk: discovery has it too.
+// listTimeout limits how long reading the endpoint list from disk is retried. It is short since discovery can send the list again.
 const listTimeout = 5 * time.Second
 
-// openJournal opens the journal in the state directory, and logs what it holds.
+// openJournal opens the journal in the state directory, and logs what it contains. It retries until retry.StorageTimeout has
+// passed.
 func openJournal(ctx context.Context, cfg *config.Config, dir string) (*journal.Journal, error) {
 	var opened *journal.Journal
 	var found *journal.Report
@@ -34,7 +35,8 @@
 	return opened, nil
 }
 
-// openStore reads the endpoint list in the state directory. A file that can't be read in time counts as damaged.
+// openStore opens the store of the endpoint list in the state directory. If it can't be read within listTimeout, it is treated as
+// damaged (see endpoints.Salvage).
 func openStore(ctx context.Context, dir string, budget int64) (store *endpoints.Store, table *endpoints.Table, seq int64,
 	found endpoints.LoadReport, err error) {
 	dir = filepath.Join(dir, listDirectory)
--- a/internal/relay/zonecommands.go
+++ b/internal/relay/zonecommands.go
@@ -13,44 +13,44 @@
 	"milletsail/policy"
 )
 
-// zoneOrders are operators' orders about zones; nil where zones are off. The loop owns them.
+// zoneOrders holds operators' orders to evacuate zones. The loop owns it. It is nil if zones are disabled.
 type zoneOrders struct {
 	store   *zones.OrderStore
-	pending []zones.Order // of an earlier process, until endpoints of their zones are listed
+	pending []zones.Order // orders of an earlier process, until the policy knows endpoints of their zones and accepts them
 }
 
-// ZoneStatus is the reply to "zone status" at the admin endpoint.
+// ZoneStatus is the reply to the command "zone status" of the admin endpoint.
 type ZoneStatus struct {
-	Self     int          `json:"self"`
-	Zone     string       `json:"zone"`    // of this relay
-	Isolated bool         `json:"cut_off"` // it considers its own zone, and no other, isolated
+	Self     int          `json:"self"`    // ordinal of this relay
+	Zone     string       `json:"zone"`    // zone of this relay
+	Isolated bool         `json:"cut_off"` // this relay considers its own zone isolated, rather than other zones failed
 	Zones    []ZoneReport `json:"zones"`
 }
 
-// ZoneReport is the part of it about one zone.
+// ZoneReport is the state of one zone, a part of ZoneStatus.
 type ZoneReport struct {
 	Zone         string  `json:"zone"`
 	State        string  `json:"state"`
-	StateSeconds float64 `json:"for_s"`             // how long it has been so
-	OrderSeconds float64 `json:"until_s,omitempty"` // how long an order still runs
-	Endpoints    int     `json:"endpoints"`
-	Evacuations  int     `json:"evacuations"` // since the process started, by verdict and by order
-	Recoveries   int     `json:"returns"`
+	StateSeconds float64 `json:"for_s"`             // time since the zone entered this state
+	OrderSeconds float64 `json:"until_s,omitempty"` // remaining time of an evacuation by order
+	Endpoints    int     `json:"endpoints"`         // number of listed endpoints
+	Evacuations  int     `json:"evacuations"`       // since the process started, automatic ones and those by order
+	Recoveries   int     `json:"returns"`           // how often it returned to service since the process started
 }
 
-// openZones loads the orders that are stored in the state directory.
+// openZones loads the zone orders that are stored in the state directory, if zones are enabled.
 func (l *loop) openZones(dir string) {
 	if !l.cfg.Zones {
 		return
 	}
-	store, err := zones.Open(dir)
+	orderStore, err := zones.Open(dir)
 	if err != nil {
 		slog.Error("zone orders not loaded", "error", err)
 	}
-	l.zones = &zoneOrders{store: store, pending: store.Active(clock.Now())}
+	l.zones = &zoneOrders{store: orderStore, pending: orderStore.Active(clock.Now())}
 }
 
-// handleZoneCommand has the loop answer an operator's command; for goroutines of the admin endpoint.
+// handleZoneCommand parses an operator's zone command and executes it in the loop. The goroutines of the admin endpoint call it.
 func (l *loop) handleZoneCommand(text string) string {
 	command, err := zones.ParseCommand(text)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return l.queryLoop(func() string { return l.executeZoneCommand(command) })
 }
 
-// executeZoneCommand executes an operator's command and returns the reply.
+// executeZoneCommand executes a zone command and returns the reply. It must be called in the loop.
 func (l *loop) executeZoneCommand(command zones.Command) string {
 	if command.Action == zones.Status {
 		text, err := json.Marshal(l.zoneStatus())
@@ -84,7 +84,7 @@
 	if err := l.zones.store.Put(command.Zone, until, now); err != nil {
 		slog.Error("zone order not stored", "error", err)
 		if until > 0 {
-			_ = l.dispatcher.Order(zoneIndex, 0) // it would not outlast a restart
+			_ = l.dispatcher.Order(zoneIndex, 0) // revoked, since the order would not survive a restart
 		}
 		return "ERR the order could not be kept: " + err.Error()
 	}
@@ -92,7 +92,8 @@
 	return "OK"
 }
 
-// resumeZoneOrders gives the policy the orders of an earlier process, once it knows endpoints of their zones.
+// resumeZoneOrders passes the orders of an earlier process to the policy, each as soon as the policy accepts it, and removes them
+// from pending. Orders that have expired or whose zone is unknown are dropped.
 func (l *loop) resumeZoneOrders() {
 	l.zones.pending = slices.DeleteFunc(l.zones.pending, func(o zones.Order) bool {
 		zoneIndex := slices.Index(l.cfg.Settings.Localities, o.Zone)
@@ -108,6 +109,7 @@
 	})
 }
 
+// zoneStatus returns the state of all zones, for the command "zone status".
 func (l *loop) zoneStatus() ZoneStatus {
 	name := func(index int) string {
 		if index < 0 || index >= len(l.cfg.Settings.Localities) {
