--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -15,8 +15,8 @@
 	"milletsail/internal/relay/frontend"
 )
 
-// slowPost begins to hand a message in; the rest goes when finish is called, which gives the answer.
-func slowPost(t *testing.T, p *platform, id string) (c net.Conn, finish func() (answer, error)) {
+// startSlowRequest begins to hand a message in; the rest goes when finish is called, which gives the answer.
+func startSlowRequest(t *testing.T, p *platform, id string) (c net.Conn, finish func() (httpResponse, error)) {
 	t.Helper()
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.addr)
 	if err != nil {
@@ -25,19 +25,19 @@
 	t.Cleanup(func() { _ = c.Close() })
 	_, _ = io.WriteString(c, "POST /status HTTP/1.1\r\nHost: relay\r\nTenant: acme\r\nX-Envelope: dest=7\r\n"+
 		"Request-Timeout: 25\r\nRequest-Id: "+id+"\r\nContent-Length: 2\r\nX-Slow: ")
-	return c, func() (answer, error) {
+	return c, func() (httpResponse, error) {
 		_, _ = io.WriteString(c, "\r\n\r\nhi")
-		return nextAnswer(bufio.NewReader(c))
+		return readResponse(bufio.NewReader(c))
 	}
 }
 
 // A crowd of silent connections, many times the limit, keeps neither new clients out nor slow ones.
-func TestCrowd(t *testing.T) {
+func TestIdleConnectionsKeepNoClientOut(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.sockets = 64
 	p.start()
-	slow, finish := slowPost(t, p, "slow")
+	slow, finish := startSlowRequest(t, p, "slow")
 	for range 3 {
 		for i := range p.sockets {
 			if i%16 == 0 { // it writes on, as slow clients do: on a busy machine the crowd takes longer than patience
@@ -60,11 +60,11 @@
 }
 
 // A planned end waits for a request that is still being written.
-func TestPlannedEndWithSlowClient(t *testing.T) {
+func TestShutdownWaitsForSlowRequest(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	old := p.start()
-	_, finish := slowPost(t, p, "slow")
+	_, finish := startSlowRequest(t, p, "slow")
 	p.take("status", "m", "25") // by then the slow one's first bytes are read
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 
 // While discovery is down idle clients may fill the descriptors: calls, notices, the journal, the admin endpoint and honest
 // clients still get theirs, and the list is followed at once when discovery is back.
-func TestDescriptorsWhileDiscoveryIsDown(t *testing.T) {
+func TestFileDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.sockets, p.limited, p.down, p.admin = 96, true, true, closedAddress(t)
@@ -119,12 +119,12 @@
 
 // A planned end: connections that rest are closed with nothing on them, an answer tells that its connection closes, and
 // what its client sends all the same is neither sent on nor left for the next process.
-func TestPlannedEndOfConnections(t *testing.T) {
+func TestShutdownClosesConnections(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	old := p.start()
-	resting, next := p.keep(), p.keep()
-	for i, c := range []*keptConn{resting, next} {
+	idle, active := p.keep(), p.keep()
+	for i, c := range []*keptConn{idle, active} {
 		if resp := c.handIn(t, "status", fmt.Sprint("before", i)); resp.StatusCode != http.StatusAccepted || resp.Close {
 			t.Fatalf("before the end: %s", resp.Status)
 		}
@@ -136,16 +136,16 @@
 		c := p.keep()
 		defer func() { _ = c.Close() }()
 		_, _ = io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: relay\r\n\r\n")
-		resp, err := nextAnswer(bufio.NewReader(c))
+		resp, err := readResponse(bufio.NewReader(c))
 		return err == nil && resp.Close
 	})
-	fresh, opened := p.keep(), time.Now() // it sends nothing, and must not hold up the end
-	_, _ = io.WriteString(next, posted("last")+posted("crossed"))
-	got, err := io.ReadAll(next.in)
+	unused, opened := p.keep(), time.Now() // it sends nothing, and must not hold up the end
+	_, _ = io.WriteString(active, encodedRequest("last")+encodedRequest("crossed"))
+	got, err := io.ReadAll(active.in)
 	if err != nil || strings.Count(string(got), "HTTP/1.1 202 ") != 1 || !strings.Contains(string(got), "Connection: close") {
 		t.Errorf("answer %q (%v)", got, err)
 	}
-	if got, err := io.ReadAll(resting.in); len(got) > 0 || err != nil {
+	if got, err := io.ReadAll(idle.in); len(got) > 0 || err != nil {
 		t.Errorf("a resting connection: %q (%v)", got, err)
 	}
 	if err := old.exit(t); err != nil {
@@ -154,7 +154,7 @@
 	if took := time.Since(opened); took >= frontend.ReadTimeout {
 		t.Errorf("it ended %v after a connection came that sends nothing: not before its read limit", took)
 	}
-	if got, err := io.ReadAll(fresh.in); len(got) > 0 {
+	if got, err := io.ReadAll(unused.in); len(got) > 0 {
 		t.Errorf("a fresh connection: %q (%v)", got, err)
 	}
 	if e := readEntries(t, p.dir); len(e) != 0 {
@@ -165,7 +165,7 @@
 	}
 }
 
-// posted is a complete request for destination 7.
-func posted(id string) string {
+// encodedRequest is a complete request for destination 7.
+func encodedRequest(id string) string {
 	return clientRequest("POST /status", "hi", "Request-Id: "+id, "Idempotency-Key:")
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// hostLine is a change of one host, as a watch tells it.
-func hostLine(t *testing.T, seq int64, m Member) string {
+// endpointUpdate is a change of one host, as a watch tells it.
+func endpointUpdate(t *testing.T, seq int64, m Member) string {
 	t.Helper()
 	line, err := json.Marshal(Members{Seq: seq, Hosts: []Member{m}})
 	if err != nil {
@@ -22,13 +22,13 @@
 
 // A host that drains gets nothing new, and one that is not of a destination nothing at all. That holds as well
 // where the settings say that changes come unasked.
-func TestDrainedHost(t *testing.T) {
+func TestDrainingEndpoint(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
-		t.Run(mode, func(t *testing.T) { testDrainedHost(t, mode) })
+		t.Run(mode, func(t *testing.T) { testDrainingEndpoint(t, mode) })
 	}
 }
 
-func testDrainedHost(t *testing.T, mode string) {
+func testDrainingEndpoint(t *testing.T, mode string) {
 	t.Helper()
 	p := newPlatform(t)
 	p.mode = mode
@@ -38,33 +38,33 @@
 	p.called()
 	old.Health = draining
 	fresh := p.addHost("h2", 7)
-	var hit string
+	var calledHost string
 	p.set(func() {
 		p.answer = func(r *http.Request) int {
-			hit = r.Host
+			calledHost = r.Host
 			return http.StatusOK
 		}
 	})
-	p.lines <- hostLine(t, 42, old)
-	p.lines <- hostLine(t, 43, fresh)
+	p.lines <- endpointUpdate(t, 42, old)
+	p.lines <- endpointUpdate(t, 43, fresh)
 	n := 0
 	p.until("the new host is used", func() bool {
 		n++
 		p.take("status", "b"+strings.Repeat("b", n), "20")
 		p.called()
-		return hit == fresh.Dial
+		return calledHost == fresh.Dial
 	})
 	for range 5 {
 		n++
 		p.take("status", "b"+strings.Repeat("b", n), "20")
-		if p.called(); hit != fresh.Dial {
+		if p.called(); calledHost != fresh.Dial {
 			t.Fatal("a draining host got new work")
 		}
 	}
 }
 
-// long is longer than anything that a test waits for in vain.
-const long = 20 * time.Second
+// testTimeout is longer than anything that a test waits for in vain.
+const testTimeout = 20 * time.Second
 
 // receive waits for a value.
 func receive[T any](t *testing.T, from <-chan T) T {
@@ -72,7 +72,7 @@
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Fatal("waited in vain")
 		panic("not reached")
 	}
@@ -80,12 +80,12 @@
 
 // A host that was told to drain gets nothing from the next process either, though the configuration's list is
 // older than that and discovery is down.
-func TestDrainingBeforeRestart(t *testing.T) {
+func TestDrainingSurvivesRestart(t *testing.T) {
 	p := newPlatform(t)
 	old := p.addHost("h1", 7)
 	c := p.start()
 	old.Health = draining
-	p.lines <- hostLine(t, 42, old)
+	p.lines <- endpointUpdate(t, 42, old)
 	p.until("the change is noted", func() bool {
 		_, seq := storedList(t, p.dir)
 		return seq == 42
@@ -101,7 +101,7 @@
 }
 
 // A reload moves the watch and the notices to the new address, and what is held stays.
-func TestReload(t *testing.T) {
+func TestReloadMovesDiscovery(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	c := p.start()
--- a/internal/relay/endings_test.go
+++ b/internal/relay/endings_test.go
@@ -20,9 +20,9 @@
 // The tests of this file force the order of events at the end of something, on real connections: docs/endings.md lists
 // the rows that they belong to.
 
-// lateReset is how long an endpoint works on a call before it resets the connection: longer than every limit of a call
+// resetDelay is how long an endpoint works on a call before it resets the connection: longer than every limit of a call
 // that is not its own time-out (connecting, a stalled answer).
-const lateReset = 2 * time.Second
+const resetDelay = 2 * time.Second
 
 // readCall reads one whole request.
 func readCall(in *bufio.Reader) (*http.Request, error) {
@@ -33,9 +33,9 @@
 	return r, err
 }
 
-// resettingHost is an endpoint of destination 7 that holds the first call of each message until reset is closed, and then
+// startResettingEndpoint is an endpoint of destination 7 that holds the first call of each message until reset is closed, and then
 // resets its connection; it answers further calls 200 and gives when they came.
-func (p *platform) resettingHost(t *testing.T, reset <-chan bool) (again <-chan time.Time) {
+func (p *platform) startResettingEndpoint(t *testing.T, reset <-chan bool) (again <-chan time.Time) {
 	t.Helper()
 	repeats := make(chan time.Time, 9)
 	addr := serveRaw(t, func(c net.Conn) {
@@ -67,11 +67,11 @@
 	return repeats
 }
 
-// noticesOf gives the notices that the platform received from a relay that is gone, without those that the relay posted
+// distinctNotifications gives the notices that the platform received from a relay that is gone, without those that the relay posted
 // again: it does so, and its log tells it, where the platform does not answer a post within postTime, as on a busy machine.
-func (p *platform) noticesOf(gone *child) []journal.Notification {
+func (p *platform) distinctNotifications(killed *child) []journal.Notification {
 	p.t.Helper()
-	notices, log := p.told(), fmt.Sprint(gone.Stderr)
+	notices, log := p.told(), fmt.Sprint(killed.Stderr)
 	distinct := slices.Compact(slices.Clone(notices))
 	if repeats := len(notices) - len(distinct); repeats > strings.Count(log, "not received") {
 		p.t.Errorf("notices %v; log:\n%s", notices, log)
@@ -81,17 +81,17 @@
 
 // Messages whose calls are reset seconds after they began end as their class says: a fragile one by its notice and without
 // a second call, the others by a second call.
-func TestLateResetOfAMessage(t *testing.T) {
+func TestCallResetAfterDelay(t *testing.T) {
 	t.Parallel()
 	p := newPlatform(t)
 	reset := make(chan bool)
-	p.resettingHost(t, reset)
+	p.startResettingEndpoint(t, reset)
 	c := p.start()
 	for _, class := range []string{"status", "payment", "order"} {
 		p.take(class, class, "25")
 		p.called()
 	}
-	time.Sleep(lateReset)
+	time.Sleep(resetDelay)
 	close(reset)
 	p.until("all are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	p.kill(c)
@@ -100,7 +100,7 @@
 	if want := []string{"order", "payment", "payment", "status", "status"}; !slices.Equal(calls, want) {
 		t.Errorf("calls %v, want %v", calls, want)
 	}
-	if n := p.noticesOf(c); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: notifier.StatusUndeliverable}) {
+	if n := p.distinctNotifications(c); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("notices %v", n)
 	}
 }
@@ -108,11 +108,11 @@
 // A new process takes over while a keyed message's window for repeats (1 s) runs and its call is out in the old one. The
 // window counts from the first sending: an end of the call within it may be followed by a second call, one after it ends
 // the message.
-func TestHandoverWithinAWindow(t *testing.T) {
+func TestIdempotencyWindowAcrossHandover(t *testing.T) {
 	const window = time.Second
 	for _, tt := range []struct {
-		name        string
-		after, dies bool
+		name                   string
+		windowEnded, oldKilled bool
 	}{
 		{"reset within the window", false, false},
 		{"reset after the window", true, false},
@@ -124,7 +124,7 @@
 			reset := make(chan bool)
 			endCall := sync.OnceFunc(func() { close(reset) })
 			t.Cleanup(endCall)
-			again := p.resettingHost(t, reset)
+			again := p.startResettingEndpoint(t, reset)
 			p.inherits()
 			old := p.start()
 			p.take("payment", "m", "25")
@@ -134,20 +134,20 @@
 			if took := time.Since(sent); took >= window {
 				t.Logf("the handover took %v: the window had ended before it", took)
 			}
-			if tt.after {
+			if tt.windowEnded {
 				time.Sleep(time.Until(sent.Add(window)))
 			}
-			if tt.dies {
+			if tt.oldKilled {
 				p.kill(old)
 			}
 			endCall()
 			p.until("the message is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
 			p.kill(successor)
-			calls, notices := p.sent(), p.noticesOf(successor)
+			calls, notices := p.sent(), p.distinctNotifications(successor)
 			if len(calls)+len(notices) != 2 { // a second call, or the end of the message
 				t.Errorf("calls %v, notices %v", calls, notices)
 			}
-			if tt.after && (len(notices) != 1 || notices[0].Status != notifier.StatusDeferred) {
+			if tt.windowEnded && (len(notices) != 1 || notices[0].Status != notifier.StatusDeferred) {
 				t.Errorf("calls %v, notices %v", calls, notices)
 			}
 			if len(again) > 0 {
@@ -166,19 +166,19 @@
 		t.Fatal(err)
 	}
 	p.until("it drains", func() bool {
-		resp, err := p.health()
+		resp, err := p.getHealth()
 		return err == nil && resp.Close
 	})
 }
 
 // A message whose call is out at SIGTERM and is reset during the planned end gets its end in that process, as its class
 // says: its notice, or a second call.
-func TestTerminatedBetweenACallAndItsEnd(t *testing.T) {
+func TestCallResetDuringShutdown(t *testing.T) {
 	for class, want := range map[string]struct{ calls, notices int }{"order": {1, 1}, "payment": {2, 0}, "status": {2, 0}} {
 		t.Run(class, func(t *testing.T) {
 			p := newPlatform(t)
 			reset := make(chan bool)
-			p.resettingHost(t, reset)
+			p.startResettingEndpoint(t, reset)
 			old := p.start()
 			p.take(class, "m", "25")
 			p.called()
@@ -187,7 +187,7 @@
 			if err := old.exit(t); err != nil {
 				t.Errorf("exit: %v", err)
 			}
-			if calls, notices := p.sent(), p.noticesOf(old); len(calls) != want.calls || len(notices) != want.notices {
+			if calls, notices := p.sent(), p.distinctNotifications(old); len(calls) != want.calls || len(notices) != want.notices {
 				t.Errorf("calls %v, notices %v, want %d and %d", calls, notices, want.calls, want.notices)
 			}
 			if e := readEntries(t, p.dir); len(e) != 0 {
@@ -198,12 +198,12 @@
 }
 
 // A notice that the platform does not receive before SIGTERM, nor during the planned end, is posted by the next process.
-func TestTerminatedBetweenANoticeAndItsReceipt(t *testing.T) {
+func TestUnreceivedNotificationAtShutdown(t *testing.T) {
 	p := newPlatform(t)
 	p.deaf = 1 << 30
 	reset := make(chan bool)
 	close(reset)
-	p.resettingHost(t, reset)
+	p.startResettingEndpoint(t, reset)
 	old := p.start()
 	p.take("order", "m", "25")
 	pending := func() bool {
@@ -222,7 +222,7 @@
 	next := p.start()
 	p.until("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	p.kill(next)
-	if calls, notices := p.sent(), p.noticesOf(next); len(calls) != 1 || len(notices) != 1 ||
+	if calls, notices := p.sent(), p.distinctNotifications(next); len(calls) != 1 || len(notices) != 1 ||
 		notices[0] != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("calls %v, notices %v", calls, notices)
 	}
--- a/internal/relay/expiry_test.go
+++ b/internal/relay/expiry_test.go
@@ -8,7 +8,7 @@
 )
 
 // An answer has to be read ahead of the time of the message with the least left, by the margin or half of what is left.
-func TestAnswerBy(t *testing.T) {
+func TestResponseDeadline(t *testing.T) {
 	now := clock.Now()
 	sends := func(left ...time.Duration) (all []send) {
 		for _, d := range left {
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -72,11 +72,11 @@
 }
 
 // handIn hands a message in and gives the answer.
-func (c *keptConn) handIn(t *testing.T, class, id string) answer {
+func (c *keptConn) handIn(t *testing.T, class, id string) httpResponse {
 	t.Helper()
 	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: relay\r\nTenant: acme\r\nRequest-Id: %s\r\nIdempotency-Key: key-%s\r\n"+
 		"Request-Timeout: 25\r\nX-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi", class, id, id)
-	resp, err := nextAnswer(c.in)
+	resp, err := readResponse(c.in)
 	if err != nil {
 		t.Fatalf("%s: %v", id, err)
 	}
@@ -89,7 +89,7 @@
 	select {
 	case err := <-c.exited:
 		return err
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Fatal("the process does not end")
 		return nil
 	}
@@ -280,7 +280,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = c.SetDeadline(time.Now().Add(long))
+		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		if err := s.take(c); err != nil {
 			t.Errorf("%s: %v", s.name, err)
 		}
@@ -292,7 +292,7 @@
 	p.answer = func(*http.Request) int { return 0 }
 	p.take("status", "out", "25")
 	p.until("its call is out", func() bool { return slices.Contains(p.sent(), "out") })
-	acquired, err := handover.Request(t.Context(), p.dir, clock.Now().Add(long))
+	acquired, err := handover.Request(t.Context(), p.dir, clock.Now().Add(testTimeout))
 	if err != nil || len(acquired.Offer.InFlight) != 1 {
 		t.Fatalf("acquired %+v, %v", acquired, err)
 	}
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -242,7 +242,7 @@
 	p.watch = func(a *watchAnswer) {
 		indexes <- a.index()
 		if a.index() == "45" {
-			a.send(hostLine(t, 46, known) + "\n")
+			a.send(endpointUpdate(t, 46, known) + "\n")
 		}
 		a.keepAlive()
 	}
@@ -299,7 +299,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		a.send(string(many) + "\n" + hostLine(t, 51, known) + "\n")
+		a.send(string(many) + "\n" + endpointUpdate(t, 51, known) + "\n")
 		a.keepAlive()
 	}
 	c := p.start()
--- a/internal/relay/list_watch_test.go
+++ b/internal/relay/list_watch_test.go
@@ -135,7 +135,7 @@
 		t.Fatal(err)
 	}
 	p.watch = func(a *watchAnswer) {
-		rest := string(text) + "\r\n\n" + hostLine(t, 51, Member{Host: "last", Block: 8, Health: "SERVING"}) + "\n"
+		rest := string(text) + "\r\n\n" + endpointUpdate(t, 51, Member{Host: "last", Block: 8, Health: "SERVING"}) + "\n"
 		for size := 1; len(rest) > 0; size = size%9973 + 1 {
 			size = min(size, len(rest))
 			a.send(rest[:size])
--- a/internal/relay/loop_test.go
+++ b/internal/relay/loop_test.go
@@ -18,7 +18,7 @@
 
 // A peer that hands in the id of a message that was taken on, and leaves, takes nothing back; two that hand in the
 // same id at once get the same answer.
-func TestCopiesOfAMessage(t *testing.T) {
+func TestDuplicateSubmissions(t *testing.T) {
 	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
 		Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}, 1)
 	if err != nil {
@@ -28,7 +28,7 @@
 		journal: openTestJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
 		messages: map[string]*message{}, endpoints: listAt(7)}
 	l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
-	copyOf := func(id string) *frontend.Submission {
+	newSubmission := func(id string) *frontend.Submission {
 		return &frontend.Submission{Response: make(chan frontend.Response, 1),
 			Entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)}}
 	}
@@ -40,7 +40,7 @@
 			return 0
 		}
 	}
-	first, second, late := copyOf("m"), copyOf("m"), copyOf("m")
+	first, second, third := newSubmission("m"), newSubmission("m"), newSubmission("m")
 	l.handleEvent(messageArrived{first})
 	l.handleEvent(messageArrived{second})
 	if s := status(second); s != 0 {
@@ -50,15 +50,15 @@
 	if a, b := status(first), status(second); a != http.StatusAccepted || b != a {
 		t.Errorf("answers %d and %d", a, b)
 	}
-	l.handleEvent(messageArrived{late})
-	for _, a := range []*frontend.Submission{late, second, first} {
+	l.handleEvent(messageArrived{third})
+	for _, a := range []*frontend.Submission{third, second, first} {
 		l.handleEvent(clientLeft{a})
 	}
 	l.step(t.Context())
 	if l.messages["m"] == nil || l.journal.Get("m") == nil {
 		t.Error("a message that others were told is taken on was withdrawn")
 	}
-	alone := copyOf("n")
+	alone := newSubmission("n")
 	l.handleEvent(messageArrived{alone})
 	l.handleEvent(clientLeft{alone})
 	l.step(t.Context())
@@ -68,22 +68,22 @@
 	// One that was withdrawn while its call is out may have run: who hands its id in again is told that this is harmless
 	// only in a class that may be repeated.
 	for i, c := range []struct {
-		effect policy.Effect
-		byZone bool
-		want   int
+		effect      policy.Effect
+		keysPerZone bool
+		want        int
 	}{{policy.Idempotent, false, 503}, {policy.IdempotentWithKey, false, 503}, {policy.IdempotentWithKey, true, 502},
 		{policy.NotIdempotent, false, 502}} {
-		l.cfg.Policy.Classes[0].Effect, l.cfg.Policy.Classes[0].KeysPerZone = c.effect, c.byZone
+		l.cfg.Policy.Classes[0].Effect, l.cfg.Policy.Classes[0].KeysPerZone = c.effect, c.keysPerZone
 		id := fmt.Sprint("out", i)
-		gone, again := copyOf(id), copyOf(id)
-		l.handleEvent(messageArrived{gone})
+		withdrawn, resubmitted := newSubmission(id), newSubmission(id)
+		l.handleEvent(messageArrived{withdrawn})
 		l.step(t.Context())
 		m := l.messages[id]
 		l.journal.StartAttempt(m.Entry, "h1", clock.Now())
 		m.cancel = func() {}
-		l.handleEvent(clientLeft{gone})
-		l.handleEvent(messageArrived{again})
-		if got := status(again); got != c.want {
+		l.handleEvent(clientLeft{withdrawn})
+		l.handleEvent(messageArrived{resubmitted})
+		if got := status(resubmitted); got != c.want {
 			t.Errorf("%+v: answered %d", c, got)
 		}
 	}
@@ -114,7 +114,7 @@
 
 // What was due within a tick may be gone by an event just before it: the timer asked for next is not dropped with the
 // one that was due, or a message with nothing else to wake the relay ends late.
-func TestTimerSetJustBeforeAnother(t *testing.T) {
+func TestTimerSetJustBeforePreviousIsDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tick = 5 * time.Millisecond
 		d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, BatchInterval: tick,
@@ -127,14 +127,14 @@
 			messages: map[string]*message{}, endpoints: listAt(7), notifier: &notifier.Notifier{}}
 		l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
 		start := time.Now()
-		hand := func(id string, left time.Duration) *frontend.Submission {
+		submit := func(id string, left time.Duration) *frontend.Submission {
 			a := &frontend.Submission{Response: make(chan frontend.Response, 1), Entry: &journal.Entry{ID: id, Class: "status",
 				Dest: 7, ExpiresAt: clock.Now().Add(left)}}
 			l.handleEvent(messageArrived{a})
 			return a
 		}
-		first := hand("first", time.Second)
-		hand("second", 2*time.Second)
+		first := submit("first", time.Second)
+		submit("second", 2*time.Second)
 		l.step(t.Context())
 		time.Sleep(l.untilNextStep() - tick/2)
 		delete(l.messages, "first")
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -300,7 +300,7 @@
 // until waits for something to come true; how long that takes decides nothing.
 func (p *platform) until(what string, true func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(long); !true(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !true(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatalf("waited in vain: %s", what)
 		}
@@ -313,7 +313,7 @@
 	select {
 	case id := <-p.began:
 		return id
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		p.t.Fatal("no call came")
 		return ""
 	}
@@ -332,7 +332,7 @@
 }
 
 // handIn hands a message in and returns the answer.
-func (p *platform) handIn(class, id, timeout string, change ...func(*http.Request)) answer {
+func (p *platform) handIn(class, id, timeout string, change ...func(*http.Request)) httpResponse {
 	p.t.Helper()
 	r, err := http.NewRequestWithContext(p.t.Context(), http.MethodPost, "http://"+p.addr+"/"+class,
 		strings.NewReader("body of "+id))
@@ -347,7 +347,7 @@
 	for _, c := range change {
 		c(r)
 	}
-	resp, err := do(r)
+	resp, err := sendRequest(r)
 	if err != nil {
 		p.t.Fatalf("%s: %v", id, err)
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -144,7 +144,7 @@
 		t.Errorf("%s, %v", resp.Status, resp.Header)
 	}
 	p.addHost("h8", 8)
-	p.lines <- hostLine(t, 43, p.hosts[1])
+	p.lines <- endpointUpdate(t, 43, p.hosts[1])
 	p.until("it is listed and taken", func() bool {
 		r := p.handIn("status", "m", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 		return r.StatusCode == http.StatusAccepted
@@ -171,7 +171,7 @@
 }
 
 // The ends that answers tell: 410 leaves nothing owed, 504 a notice, and there are no further calls.
-func TestTerminalAnswers(t *testing.T) {
+func TestTerminalResponses(t *testing.T) {
 	for status, want := range map[int]int{http.StatusGone: 0, http.StatusGatewayTimeout: 1} {
 		p := newPlatform(t)
 		p.addHost("h1", 7)
@@ -206,17 +206,17 @@
 }
 
 // A relay that cannot listen ends with an error before it has called anyone.
-func TestCannotListen(t *testing.T) {
+func TestListenFailure(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	j := openTestJournal(t, p.dir, 3)
 	j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 	commit(t, j)
-	taken, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", p.addr)
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = taken.Close() }()
+	defer func() { _ = listener.Close() }()
 	cfg, err := config.Read(p.config())
 	if err != nil {
 		t.Fatal(err)
@@ -236,8 +236,8 @@
 	return p.addr
 }
 
-// leave notes messages in the journal as an earlier process would have.
-func leave(t *testing.T, p *platform, ids ...string) {
+// writeAcceptedMessages notes messages in the journal as an earlier process would have.
+func writeAcceptedMessages(t *testing.T, p *platform, ids ...string) {
 	t.Helper()
 	j := openTestJournal(t, p.dir, 3)
 	for _, id := range ids {
@@ -248,11 +248,11 @@
 
 // Messages that wait for one host travel in calls of as many as its kind takes: a call for each would need slots
 // that the relay does not have.
-func TestMessagesShareACall(t *testing.T) {
+func TestBatchedCall(t *testing.T) {
 	p := newPlatform(t)
 	p.bundle = 3
 	p.addHost("h1", 7)
-	leave(t, p, "a", "b", "c", "d")
+	writeAcceptedMessages(t, p, "a", "b", "c", "d")
 	p.start()
 	if got := []string{p.called(), p.called()}; !slices.Contains(got, "a b c ") || !slices.Contains(got, "d") {
 		t.Errorf("calls %q", got)
@@ -265,17 +265,17 @@
 
 // Messages of a call share its fate: once the time of one is up the call is given up for all, and what is answered to it
 // from then on counts for none. That one ends, and the others are sent again as their class permits, once.
-func TestExpiryInACall(t *testing.T) {
+func TestExpiryInBatchedCall(t *testing.T) {
 	p := newPlatform(t)
 	p.bundle = 3
 	p.addHost("h1", 7)
-	gaveUp := make(chan bool, 1)
+	callCanceled := make(chan bool, 1)
 	var calls atomic.Int64
 	p.answer = func(r *http.Request) int {
 		if calls.Add(1) == 1 {
 			select {
 			case <-r.Context().Done(): // the relay has closed the call's connection
-				gaveUp <- true
+				callCanceled <- true
 			case <-p.released:
 			}
 		}
@@ -290,7 +290,7 @@
 	}
 	commit(t, j)
 	p.start()
-	receive(t, gaveUp)
+	receive(t, callCanceled)
 	p.until("nothing is left in the journal", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	status := map[string]string{}
 	for _, n := range p.told() {
@@ -305,7 +305,7 @@
 }
 
 // A peer that sends a request in another's body, or nothing at all, costs a connection that is soon closed.
-func TestPeersThatSendNoProperRequest(t *testing.T) {
+func TestImproperClientConnections(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.start()
@@ -326,7 +326,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
-		if err := c.SetDeadline(time.Now().Add(long)); err != nil {
+		if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := io.WriteString(c, tt.text); err != nil {
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -13,10 +13,10 @@
 
 // A configuration that is being written when its signal comes is read once it is whole, and further signals meanwhile lose
 // nothing.
-func TestReloadOfAFileThatIsBeingWritten(t *testing.T) {
+func TestReloadOfPartlyWrittenFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	p := newPlatform(t)
-	whole, err := os.ReadFile(p.config())
+	complete, err := os.ReadFile(p.config())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 	}
-	write(whole[:len(whole)/2])
+	write(complete[:len(complete)/2])
 	signals := make(chan os.Signal, 1)
 	addresses := config.Reloads(t.Context(), path, signals)
 	signals <- syscall.SIGHUP
@@ -35,7 +35,7 @@
 		t.Fatalf("half a file gives %q", address)
 	case <-time.After(2 * retry.StorageInterval):
 	}
-	write(whole)
+	write(complete)
 	if address := <-addresses; address == "" {
 		t.Error("no address")
 	}
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -14,11 +14,11 @@
 
 // A process is killed with a call out. The next one may make it again only as its class allows, and ends
 // each message exactly once.
-func TestKilledWithCallsOut(t *testing.T) {
+func TestKilledWithCallsInFlight(t *testing.T) {
 	tests := []struct {
 		name, class string
 		memory      float64
-		again       bool
+		repeated    bool
 	}{
 		{"safe", "status", 15, true},
 		{"keyed, remembered", "payment", 15, true},
@@ -44,18 +44,18 @@
 				}
 			})
 			p.start()
-			if tt.again {
+			if tt.repeated {
 				p.called()
 				if key != "key-m" {
 					t.Errorf("key %q", key)
 				}
 			}
 			p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			want := map[bool]int{true: 2, false: 1}[tt.again]
+			want := map[bool]int{true: 2, false: 1}[tt.repeated]
 			if got := p.sent(); len(got) != want {
 				t.Errorf("calls %v, want %d", got, want)
 			}
-			if n := p.told(); len(n) != map[bool]int{true: 0, false: 1}[tt.again] {
+			if n := p.told(); len(n) != map[bool]int{true: 0, false: 1}[tt.repeated] {
 				t.Errorf("notices %v", n)
 			} else if tt.class == "order" && n[0].Status != notifier.StatusUndeliverable {
 				t.Errorf("an unsafe message that may have run was handed back: %v", n)
@@ -66,12 +66,12 @@
 
 // A window for repeats of 1 s counts from the first sending, whatever ends the process: killed and back at once, the message
 // goes out again within it; after a planned end, which takes longer while the call hangs, it ends as its class says.
-func TestWindowOfASecond(t *testing.T) {
+func TestIdempotencyWindowAcrossRestart(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		signal syscall.Signal
-		wait   time.Duration
-		again  bool
+		name     string
+		signal   syscall.Signal
+		wait     time.Duration
+		repeated bool
 	}{{"killed", syscall.SIGKILL, 0, true}, {"killed, back late", syscall.SIGKILL, time.Second, false}, {"told to end",
 		syscall.SIGTERM, 0, false}} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -88,23 +88,23 @@
 			}
 			_ = receive(t, c.exited)
 			time.Sleep(tt.wait)
-			var again time.Duration
+			var repeatedAfter time.Duration
 			p.set(func() {
 				p.answer = func(*http.Request) int {
-					again = time.Since(sent)
+					repeatedAfter = time.Since(sent)
 					return http.StatusOK
 				}
 			})
 			p.start()
 			p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
 			calls, told := p.sent(), p.told()
-			if again > time.Second {
-				t.Errorf("sent again after %v", again)
+			if repeatedAfter > time.Second {
+				t.Errorf("sent again after %v", repeatedAfter)
 			}
-			if !tt.again && (len(calls) != 1 || len(told) != 1 || told[0].Status != notifier.StatusDeferred) {
+			if !tt.repeated && (len(calls) != 1 || len(told) != 1 || told[0].Status != notifier.StatusDeferred) {
 				t.Errorf("calls %v, notices %v", calls, told)
 			}
-			if tt.again && len(calls)+len(told) != 2 { // once more, or, on a machine too slow for that, its end
+			if tt.repeated && len(calls)+len(told) != 2 { // once more, or, on a machine too slow for that, its end
 				t.Errorf("calls %v, notices %v", calls, told)
 			}
 		})
@@ -113,7 +113,7 @@
 
 // Attempts that never ran do not bind the next process, and a message keeps its time: one whose time ran
 // out between two processes still gets its end.
-func TestKilledWhileHolding(t *testing.T) {
+func TestKilledWithPendingMessages(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addHost("h1", 7)
 	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1 // tried rarely, so that attempts remain
@@ -139,7 +139,7 @@
 
 // A planned end: answers close their connections, nothing that was read goes unanswered, calls out come to
 // their end, and the rest is for the next process.
-func TestPlannedRestart(t *testing.T) {
+func TestGracefulRestart(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addHost("h1", 7)
 	p.addHost("h8", 8)
@@ -164,7 +164,7 @@
 		if err != nil {
 			t.Errorf("exit: %v", err)
 		}
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Fatal("no exit after SIGTERM")
 	}
 	if got := len(p.sent()); got != n {
@@ -179,7 +179,7 @@
 }
 
 // A notice that the platform has not received is owed by the next process too.
-func TestNoticeOwedThroughRestart(t *testing.T) {
+func TestPendingNotificationSurvivesRestart(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.answer = func(*http.Request) int { return 0 }
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -19,7 +19,7 @@
 
 // While calls hang, a planned end leaves their messages on disk for the next process, in time before the platform kills the
 // process, and each is made again only as its class allows. Further signals change nothing.
-func TestPlannedEndWithCallsThatHang(t *testing.T) {
+func TestShutdownWithHangingCalls(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.answer = func(*http.Request) int { return 0 }
@@ -29,7 +29,7 @@
 		p.take(class, class, "25")
 		p.called()
 	}
-	begun := time.Now()
+	signaled := time.Now()
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		if err := old.Process.Signal(s); err != nil {
 			t.Fatal(err)
@@ -39,7 +39,7 @@
 	if err := old.exit(t); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if took := time.Since(begun); took < finishCallsPhaseEnd {
+	if took := time.Since(signaled); took < finishCallsPhaseEnd {
 		t.Errorf("calls that were out had only %v", took)
 	}
 	if finishCallsPhaseEnd+responseWriteTimeout > exitDeadline || exitDeadline >= 3700*time.Millisecond {
@@ -65,7 +65,7 @@
 }
 
 // A message whose time is up during a planned end gets its notice then, at the address that discovery has by then.
-func TestNoticeDuringAPlannedEnd(t *testing.T) {
+func TestNotificationDuringShutdown(t *testing.T) {
 	p, next := newPlatform(t), newPlatform(t)
 	p.addHost("h1", 7)
 	p.answer = func(*http.Request) int { return 0 }
@@ -99,7 +99,7 @@
 }
 
 // A process that is told to end while it still waits for the folder ends at once, with nothing begun.
-func TestEndBeforeTheStart(t *testing.T) {
+func TestShutdownBeforeStart(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	owner, err := journal.AcquireOwnership(p.dir)
@@ -123,9 +123,9 @@
 // A message is killed with its process between any two of its steps; the next process ends it once, as its class allows.
 func TestKilledAtEachStep(t *testing.T) {
 	for _, tt := range []struct {
-		name        string
-		entry       journal.Entry
-		calls, told int
+		name                 string
+		entry                journal.Entry
+		calls, notifications int
 	}{
 		{"taken on, not sent", journal.Entry{}, 1, 0},
 		{"its call noted, perhaps not written", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now()}}}, 0, 1},
@@ -154,15 +154,15 @@
 			commit(t, j)
 			p.start()
 			p.until("it has its end", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			if calls, told := p.sent(), p.told(); len(calls) != tt.calls || len(told) != tt.told {
-				t.Errorf("calls %v, notices %v, want %d and %d", calls, told, tt.calls, tt.told)
+			if calls, told := p.sent(), p.told(); len(calls) != tt.calls || len(told) != tt.notifications {
+				t.Errorf("calls %v, notices %v, want %d and %d", calls, told, tt.calls, tt.notifications)
 			}
 		})
 	}
 }
 
 // Clients that leave in a burst, before their answers are decided, take back what is theirs and nothing else.
-func TestClientsThatLeaveInABurst(t *testing.T) {
+func TestBurstOfDisconnectingClients(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	hold := make(chan bool)
@@ -176,7 +176,7 @@
 	p.called()
 	for range 30 {
 		c := p.keep()
-		_, _ = c.Write([]byte(posted("burst" + c.LocalAddr().String()))) // its answer is not read, and the close resets it
+		_, _ = c.Write([]byte(encodedRequest("burst" + c.LocalAddr().String()))) // its answer is not read, and the close resets it
 		_ = c.Close()
 	}
 	close(hold)
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -46,7 +46,7 @@
 
 // The platform is told of a message's end once that is on disk, since a process after a kill would else send the message
 // on; or once its time is up, when no process does.
-func TestNoticeWaitsForItsRecord(t *testing.T) {
+func TestNotificationWaitsForRecord(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		left   time.Duration
@@ -87,7 +87,7 @@
 }
 
 // What a journal that could not be written lacks, the process before tells: attempts may have run, and an end stays one.
-func TestUnwrittenJournalIsMadeUpFor(t *testing.T) {
+func TestIncompleteJournalIsReconciled(t *testing.T) {
 	e := &journal.Entry{ID: "m", Attempts: []journal.Attempt{{Host: "h1", Ended: true, NotExecuted: true}}}
 	handover.LiveMessage{Attempts: 3, PendingNotification: &journal.Notification{ID: "m",
 		Status: notifier.StatusDeferred}}.Reconcile(e)
--- a/internal/relay/wire_admin_test.go
+++ b/internal/relay/wire_admin_test.go
@@ -36,7 +36,7 @@
 		tb.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(long))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, line); err != nil {
 		tb.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 func (p *platform) untilReady() {
 	p.t.Helper()
 	p.until("the relay is ready", func() bool {
-		resp, err := p.health()
+		resp, err := p.getHealth()
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
 }
@@ -175,7 +175,7 @@
 // nextNote waits for a note that begins as given, past others.
 func nextNote(t *testing.T, conn *net.UDPConn, begins string) []byte {
 	t.Helper()
-	_ = conn.SetReadDeadline(time.Now().Add(long))
+	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	for {
 		buffer := make([]byte, 1<<10)
 		size, err := conn.Read(buffer)
--- a/internal/relay/wire_handover_test.go
+++ b/internal/relay/wire_handover_test.go
@@ -84,7 +84,7 @@
 		s.p.t.Error(err)
 		return
 	}
-	_ = conn.SetDeadline(time.Now().Add(long))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	client := &keptConn{conn, bufio.NewReader(conn)}
 	s.clients[id] = client
 	_, _ = io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: relay\r\n\r\n")
@@ -120,7 +120,7 @@
 	proxy.t.Helper()
 	title := titleOf(from, kind)
 	holds := func(text string) bool { return strings.Contains(text, word) }
-	deadline := time.After(long)
+	deadline := time.After(testTimeout)
 	for len(slices.Collect(filter(r[title], holds))) < count {
 		select {
 		case line := <-proxy.lines:
@@ -318,7 +318,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(long))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, `{"step":"ask"}`+"\n"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/wire_http_test.go
+++ b/internal/relay/wire_http_test.go
@@ -89,7 +89,7 @@
 	select {
 	case came := <-r.requests:
 		return came.raw
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		r.t.Fatal("no request came")
 		return ""
 	}
@@ -98,7 +98,7 @@
 // nextAt waits for a request at a path, past those at others, and gives its bytes.
 func (r *recorder) nextAt(path string) string {
 	r.t.Helper()
-	for end := time.Now().Add(long); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		raw := r.next()
 		if _, target, _ := strings.Cut(raw, " "); strings.HasPrefix(target, path) {
 			return raw
@@ -186,7 +186,7 @@
 		p.t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(long))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, request); err != nil {
 		p.t.Fatal(err)
 	}
