--- a/internal/relay/admin/server_test.go
+++ b/internal/relay/admin/server_test.go
@@ -11,8 +11,8 @@
 	"milletsail/policy"
 )
 
-// testAdmin opens an admin endpoint whose process takes clients.
-func testAdmin(t *testing.T) *Server {
+// newTestServer opens an admin endpoint whose process takes clients.
+func newTestServer(t *testing.T) *Server {
 	t.Helper()
 	m := metrics.New([]policy.Class{{Name: "a"}, {Name: "b"}})
 	m.Serving.Store(true)
@@ -25,8 +25,8 @@
 	return d
 }
 
-// ask sends an operator's line and gives the whole reply.
-func ask(t *testing.T, addr, line string) string {
+// sendCommand sends an operator's line and gives the whole reply.
+func sendCommand(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
 	if err != nil {
@@ -44,7 +44,7 @@
 }
 
 func TestReplies(t *testing.T) {
-	d := testAdmin(t)
+	d := newTestServer(t)
 	d.metrics.CountResult(1, metrics.Rejected)
 	d.metrics.UpstreamRequests.Add(3)
 	want := `relay_downstream_requests{lane="a",result="completed"} 0
@@ -60,10 +60,10 @@
 END
 `
 	addr := d.listener.Addr().String()
-	if got := ask(t, addr, "counters\n"); got != want {
+	if got := sendCommand(t, addr, "counters\n"); got != want {
 		t.Errorf("counters:\n%s", got)
 	}
-	if got := ask(t, addr, "health\r\n"); got != "OK\n" {
+	if got := sendCommand(t, addr, "health\r\n"); got != "OK\n" {
 		t.Errorf("health: %q", got)
 	}
 	for _, bad := range []string{"\n", "HEALTH\n", "health now\n", strings.Repeat("x", maxCommandSize) + "\n",
@@ -71,7 +71,7 @@
 		if bad == "health\n" {
 			d.metrics.Serving.Store(false)
 		}
-		if got := ask(t, addr, bad); !strings.HasPrefix(got, "ERR") || strings.Count(got, "\n") != 1 {
+		if got := sendCommand(t, addr, bad); !strings.HasPrefix(got, "ERR") || strings.Count(got, "\n") != 1 {
 			t.Errorf("%.20q: %q", bad, got)
 		}
 	}
@@ -79,7 +79,7 @@
 
 // Callers that say nothing, or stop in the middle of a line, take no place from others.
 func TestSilentSessions(t *testing.T) {
-	d := testAdmin(t)
+	d := newTestServer(t)
 	addr := d.listener.Addr().String()
 	var silent []net.Conn
 	for i := range 3 * maxConnections {
@@ -91,7 +91,7 @@
 		_, _ = io.WriteString(c, "heal"[:4*(i%2)])
 		silent = append(silent, c)
 	}
-	if got := ask(t, addr, "health\n"); got != "OK\n" {
+	if got := sendCommand(t, addr, "health\n"); got != "OK\n" {
 		t.Errorf("beside silent callers: %q", got)
 	}
 	// The last of them is still heard out.
@@ -106,7 +106,7 @@
 // close over unread bytes would reset the connection, and with it what the caller has not read yet.
 func TestAdminReplyOutlivesTheClose(t *testing.T) {
 	const replyLength = 256 << 10
-	d := testAdmin(t)
+	d := newTestServer(t)
 	replying := make(chan bool, 1)
 	for word, length := range map[string]int{"short": 2, "long": replyLength} {
 		d.Handle(word, func(string) string {
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -49,8 +49,8 @@
 			}
 			defer func() { _ = c.Close() }()
 		}
-		c := p.keep()
-		if resp := c.handIn(t, "status", "new"+c.LocalAddr().String()); resp.StatusCode != http.StatusAccepted {
+		c := p.connectClient()
+		if resp := c.submit(t, "status", "new"+c.LocalAddr().String()); resp.StatusCode != http.StatusAccepted {
 			t.Errorf("a new client: %s", resp.Status)
 		}
 	}
@@ -65,11 +65,11 @@
 	p.addHost("h1", 7)
 	old := p.start()
 	_, finish := slowPost(t, p, "slow")
-	p.take("status", "m", "25") // by then the slow one's first bytes are read
+	p.submitAccepted("status", "m", "25") // by then the slow one's first bytes are read
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.until("no new connection is taken", func() bool {
+	p.waitUntil("no new connection is taken", func() bool {
 		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.addr)
 		if err == nil {
 			_ = c.Close()
@@ -79,7 +79,7 @@
 	if resp, err := finish(); err != nil || resp.StatusCode != http.StatusAccepted || !resp.Close {
 		t.Errorf("a slow client: %v, %v", resp, err)
 	}
-	if err := old.exit(t); err != nil {
+	if err := old.waitForExit(t); err != nil {
 		t.Error(err)
 	}
 }
@@ -89,7 +89,7 @@
 func TestDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.sockets, p.limited, p.down, p.admin = 96, true, true, closedAddress(t)
+	p.sockets, p.limitDescriptors, p.failWatches, p.admin = 96, true, true, closedAddress(t)
 	p.start()
 	for range 3 * p.sockets {
 		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.addr)
@@ -99,20 +99,20 @@
 		defer func() { _ = c.Close() }()
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		p.take("status", id, "20")
-		if got := p.called(); got != id {
+		p.submitAccepted("status", id, "20")
+		if got := p.nextCall(); got != id {
 			t.Errorf("call for %s, want %s", got, id)
 		}
 	}
-	p.set(func() { p.answer = func(*http.Request) int { return 0 } })
-	p.take("order", "late", "0.3")
-	p.until("its notice is received", func() bool { return len(p.told()) == 1 })
-	if got := askOperator(t, p.admin, "health\n"); got != "OK\n" {
+	p.update(func() { p.respond = func(*http.Request) int { return 0 } })
+	p.submitAccepted("order", "late", "0.3")
+	p.waitUntil("its notice is received", func() bool { return len(p.notifications()) == 1 })
+	if got := sendAdminCommand(t, p.admin, "health\n"); got != "OK\n" {
 		t.Errorf("health: %q", got)
 	}
-	p.set(func() { p.down = false })
-	p.until("the list is followed", func() bool {
-		_, seq := storedList(t, p.dir)
+	p.update(func() { p.failWatches = false })
+	p.waitUntil("the list is followed", func() bool {
+		_, seq := readStoredList(t, p.stateDir)
 		return seq == 41
 	})
 }
@@ -123,23 +123,23 @@
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	old := p.start()
-	resting, next := p.keep(), p.keep()
-	for i, c := range []*keptConn{resting, next} {
-		if resp := c.handIn(t, "status", fmt.Sprint("before", i)); resp.StatusCode != http.StatusAccepted || resp.Close {
+	resting, next := p.connectClient(), p.connectClient()
+	for i, c := range []*clientConn{resting, next} {
+		if resp := c.submit(t, "status", fmt.Sprint("before", i)); resp.StatusCode != http.StatusAccepted || resp.Close {
 			t.Fatalf("before the end: %s", resp.Status)
 		}
 	}
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.until("it drains", func() bool {
-		c := p.keep()
+	p.waitUntil("it drains", func() bool {
+		c := p.connectClient()
 		defer func() { _ = c.Close() }()
 		_, _ = io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: relay\r\n\r\n")
 		resp, err := nextAnswer(bufio.NewReader(c))
 		return err == nil && resp.Close
 	})
-	fresh, opened := p.keep(), time.Now() // it sends nothing, and must not hold up the end
+	fresh, opened := p.connectClient(), time.Now() // it sends nothing, and must not hold up the end
 	_, _ = io.WriteString(next, posted("last")+posted("crossed"))
 	got, err := io.ReadAll(next.in)
 	if err != nil || strings.Count(string(got), "HTTP/1.1 202 ") != 1 || !strings.Contains(string(got), "Connection: close") {
@@ -148,7 +148,7 @@
 	if got, err := io.ReadAll(resting.in); len(got) > 0 || err != nil {
 		t.Errorf("a resting connection: %q (%v)", got, err)
 	}
-	if err := old.exit(t); err != nil {
+	if err := old.waitForExit(t); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	if took := time.Since(opened); took >= frontend.ReadTimeout {
@@ -157,10 +157,10 @@
 	if got, err := io.ReadAll(fresh.in); len(got) > 0 {
 		t.Errorf("a fresh connection: %q (%v)", got, err)
 	}
-	if e := readEntries(t, p.dir); len(e) != 0 {
+	if e := readEntries(t, p.stateDir); len(e) != 0 {
 		t.Errorf("left in the journal: %v", e)
 	}
-	if calls := p.sent(); !slices.Contains(calls, "last") || slices.Contains(calls, "crossed") {
+	if calls := p.calls(); !slices.Contains(calls, "last") || slices.Contains(calls, "crossed") {
 		t.Errorf("calls %v", calls)
 	}
 }
--- a/internal/relay/config/endpoints_test.go
+++ b/internal/relay/config/endpoints_test.go
@@ -15,7 +15,7 @@
 	const rest = `"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
 	 "limits":{"cores":1,"memory_mb":192,"sockets":1024,"disk_mb":3},"settings":`
 	fields := rest + testSettings
-	known := listOf(t, 40, 1000)
+	known := endpointListJSON(t, 40, 1000)
 	for _, tt := range []struct{ name, text, want string }{
 		{"first", `{"known":` + known + `,` + fields + `}`, ""},
 		{"last", `{` + fields + `,"known":` + known + `}`, ""},
--- a/internal/relay/config/helpers_test.go
+++ b/internal/relay/config/helpers_test.go
@@ -19,8 +19,8 @@
 	 "specifics":{"bundle_max":[1],"loses_worth":"linear","max_calls":8,"separate_routes":[false]},
 	 "tenants":[{"name":"acme"}],"weights":"nominal"}`
 
-// listOf is an endpoint list with entries of destinations of their own, from 1000 on.
-func listOf(t *testing.T, version int64, entries int) string {
+// endpointListJSON is an endpoint list with entries of destinations of their own, from 1000 on.
+func endpointListJSON(t *testing.T, version int64, entries int) string {
 	t.Helper()
 	var hosts []endpoints.Entry
 	for i := range entries {
--- a/internal/relay/counters_test.go
+++ b/internal/relay/counters_test.go
@@ -11,16 +11,16 @@
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.admin = closedAddress(t)
-	p.bundle = 10
+	p.maxBatch = 10
 	hold := make(chan bool)
-	p.answer = p.held(hold)
+	p.respond = p.respondAfter(hold)
 	p.start()
-	if got := askOperator(t, p.admin, "health\n"); got != "OK\n" {
+	if got := sendAdminCommand(t, p.admin, "health\n"); got != "OK\n" {
 		t.Errorf("health: %q", got)
 	}
 	has := func(lines ...string) func() bool {
 		return func() bool {
-			text := askOperator(t, p.admin, "counters\n")
+			text := sendAdminCommand(t, p.admin, "counters\n")
 			for _, l := range lines {
 				if !strings.Contains(text, l+"\n") {
 					return false
@@ -30,19 +30,19 @@
 		}
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		p.take("status", id, "20")
+		p.submitAccepted("status", id, "20")
 	}
-	p.handIn("order", "d", "20", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=9") })
-	p.handIn("order", "malformed", "20", func(r *http.Request) { r.Header.Set("X-Envelope", "") })
-	p.until("three are pending and one is refused", has("relay_pending 3", "relay_members 1",
+	p.submit("order", "d", "20", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=9") })
+	p.submit("order", "malformed", "20", func(r *http.Request) { r.Header.Set("X-Envelope", "") })
+	p.waitUntil("three are pending and one is refused", has("relay_pending 3", "relay_members 1",
 		`relay_downstream_requests{lane="order",result="rejected"} 1`,
 		`relay_downstream_requests{lane="status",result="completed"} 0`))
 	close(hold)
-	p.until("all are delivered", has("relay_pending 0", "relay_upstream_requests 3",
+	p.waitUntil("all are delivered", has("relay_pending 0", "relay_upstream_requests 3",
 		`relay_downstream_requests{lane="status",result="completed"} 3`, "relay_members_unavailable 0"))
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusInternalServerError } })
-	p.take("order", "e", "20")
-	p.until("one has failed", has("relay_pending 0", "relay_upstream_requests 4",
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusInternalServerError } })
+	p.submitAccepted("order", "e", "20")
+	p.waitUntil("one has failed", has("relay_pending 0", "relay_upstream_requests 4",
 		`relay_downstream_requests{lane="order",result="failed"} 1`,
 		`relay_downstream_requests{lane="order",result="completed"} 0`))
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -31,33 +31,33 @@
 func testDrainedHost(t *testing.T, mode string) {
 	t.Helper()
 	p := newPlatform(t)
-	p.mode = mode
+	p.discoveryMode = mode
 	old := p.addHost("h1", 7)
 	p.start()
-	p.take("status", "a", "20")
-	p.called()
+	p.submitAccepted("status", "a", "20")
+	p.nextCall()
 	old.Health = draining
 	fresh := p.addHost("h2", 7)
 	var hit string
-	p.set(func() {
-		p.answer = func(r *http.Request) int {
+	p.update(func() {
+		p.respond = func(r *http.Request) int {
 			hit = r.Host
 			return http.StatusOK
 		}
 	})
-	p.lines <- hostLine(t, 42, old)
-	p.lines <- hostLine(t, 43, fresh)
+	p.watchLines <- hostLine(t, 42, old)
+	p.watchLines <- hostLine(t, 43, fresh)
 	n := 0
-	p.until("the new host is used", func() bool {
+	p.waitUntil("the new host is used", func() bool {
 		n++
-		p.take("status", "b"+strings.Repeat("b", n), "20")
-		p.called()
+		p.submitAccepted("status", "b"+strings.Repeat("b", n), "20")
+		p.nextCall()
 		return hit == fresh.Dial
 	})
 	for range 5 {
 		n++
-		p.take("status", "b"+strings.Repeat("b", n), "20")
-		if p.called(); hit != fresh.Dial {
+		p.submitAccepted("status", "b"+strings.Repeat("b", n), "20")
+		if p.nextCall(); hit != fresh.Dial {
 			t.Fatal("a draining host got new work")
 		}
 	}
@@ -85,17 +85,17 @@
 	old := p.addHost("h1", 7)
 	c := p.start()
 	old.Health = draining
-	p.lines <- hostLine(t, 42, old)
-	p.until("the change is noted", func() bool {
-		_, seq := storedList(t, p.dir)
+	p.watchLines <- hostLine(t, 42, old)
+	p.waitUntil("the change is noted", func() bool {
+		_, seq := readStoredList(t, p.stateDir)
 		return seq == 42
 	})
 	p.kill(c)
-	p.set(func() { p.down = true })
+	p.update(func() { p.failWatches = true })
 	p.start()
-	p.take("status", "m", "0.5")
-	p.until("it has its end", func() bool { return len(p.told()) == 1 })
-	if calls := p.sent(); len(calls) != 0 {
+	p.submitAccepted("status", "m", "0.5")
+	p.waitUntil("it has its end", func() bool { return len(p.notifications()) == 1 })
+	if calls := p.calls(); len(calls) != 0 {
 		t.Errorf("calls at a draining host: %v", calls)
 	}
 }
@@ -108,7 +108,7 @@
 	next := newPlatform(t)
 	next.addr = p.addr
 	fresh := next.addHost("h2", 8)
-	text, err := os.ReadFile(next.config())
+	text, err := os.ReadFile(next.writeConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,20 +122,20 @@
 		}
 	}
 	reload([]byte("{")) // changes nothing
-	p.take("status", "a", "20")
-	p.called()
+	p.submitAccepted("status", "a", "20")
+	p.nextCall()
 	reload(text)
-	p.until("the new list is in force", func() bool {
-		hosts, _ := storedList(t, p.dir)
+	p.waitUntil("the new list is in force", func() bool {
+		hosts, _ := readStoredList(t, p.stateDir)
 		return len(hosts) == 1 && hosts[0].Host == fresh.Host
 	})
-	next.answer = func(*http.Request) int { return 0 }
-	r := p.handIn("order", "b", "0.4", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
+	next.respond = func(*http.Request) int { return 0 }
+	r := p.submit("order", "b", "0.4", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 	if r.StatusCode != http.StatusAccepted {
 		t.Errorf("b: %s", r.Status)
 	}
-	p.until("the notice comes to the new address", func() bool { return len(next.told()) == 1 })
-	if n := p.told(); len(n) != 0 {
+	p.waitUntil("the notice comes to the new address", func() bool { return len(next.notifications()) == 1 })
+	if n := p.notifications(); len(n) != 0 {
 		t.Errorf("notices at the old address: %v", n)
 	}
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
--- a/internal/relay/endings_test.go
+++ b/internal/relay/endings_test.go
@@ -47,12 +47,12 @@
 			}
 			id := r.Header.Get("Request-Id")
 			var first bool
-			p.set(func() {
-				first = !slices.Contains(p.calls, id)
-				p.calls = append(p.calls, id)
+			p.update(func() {
+				first = !slices.Contains(p.callIDs, id)
+				p.callIDs = append(p.callIDs, id)
 			})
 			if first {
-				p.began <- id
+				p.callStarted <- id
 				<-reset
 				if tcp, ok := c.(*net.TCPConn); ok {
 					_ = tcp.SetLinger(0)
@@ -71,7 +71,7 @@
 // again: it does so, and its log tells it, where the platform does not answer a post within postTime, as on a busy machine.
 func (p *platform) noticesOf(gone *child) []journal.Notification {
 	p.t.Helper()
-	notices, log := p.told(), fmt.Sprint(gone.Stderr)
+	notices, log := p.notifications(), fmt.Sprint(gone.Stderr)
 	distinct := slices.Compact(slices.Clone(notices))
 	if repeats := len(notices) - len(distinct); repeats > strings.Count(log, "not received") {
 		p.t.Errorf("notices %v; log:\n%s", notices, log)
@@ -88,14 +88,14 @@
 	p.resettingHost(t, reset)
 	c := p.start()
 	for _, class := range []string{"status", "payment", "order"} {
-		p.take(class, class, "25")
-		p.called()
+		p.submitAccepted(class, class, "25")
+		p.nextCall()
 	}
 	time.Sleep(lateReset)
 	close(reset)
-	p.until("all are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitUntil("all are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	p.kill(c)
-	calls := p.sent()
+	calls := p.calls()
 	slices.Sort(calls)
 	if want := []string{"order", "payment", "payment", "status", "status"}; !slices.Equal(calls, want) {
 		t.Errorf("calls %v, want %v", calls, want)
@@ -120,17 +120,17 @@
 	} {
 		t.Run(strings.ReplaceAll(tt.name, " ", "_"), func(t *testing.T) {
 			p := newPlatform(t)
-			p.memory = window.Seconds()
+			p.idempotencyWindow = window.Seconds()
 			reset := make(chan bool)
 			endCall := sync.OnceFunc(func() { close(reset) })
 			t.Cleanup(endCall)
 			again := p.resettingHost(t, reset)
-			p.inherits()
+			p.openClientSocket()
 			old := p.start()
-			p.take("payment", "m", "25")
-			p.called()
+			p.submitAccepted("payment", "m", "25")
+			p.nextCall()
 			sent := time.Now()
-			successor := p.upgrade()
+			successor := p.startSuccessor()
 			if took := time.Since(sent); took >= window {
 				t.Logf("the handover took %v: the window had ended before it", took)
 			}
@@ -141,9 +141,9 @@
 				p.kill(old)
 			}
 			endCall()
-			p.until("the message is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
+			p.waitUntil("the message is over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 			p.kill(successor)
-			calls, notices := p.sent(), p.noticesOf(successor)
+			calls, notices := p.calls(), p.noticesOf(successor)
 			if len(calls)+len(notices) != 2 { // a second call, or the end of the message
 				t.Errorf("calls %v, notices %v", calls, notices)
 			}
@@ -165,7 +165,7 @@
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.until("it drains", func() bool {
+	p.waitUntil("it drains", func() bool {
 		resp, err := p.health()
 		return err == nil && resp.Close
 	})
@@ -180,17 +180,17 @@
 			reset := make(chan bool)
 			p.resettingHost(t, reset)
 			old := p.start()
-			p.take(class, "m", "25")
-			p.called()
+			p.submitAccepted(class, "m", "25")
+			p.nextCall()
 			p.terminate(t, old)
 			close(reset)
-			if err := old.exit(t); err != nil {
+			if err := old.waitForExit(t); err != nil {
 				t.Errorf("exit: %v", err)
 			}
-			if calls, notices := p.sent(), p.noticesOf(old); len(calls) != want.calls || len(notices) != want.notices {
+			if calls, notices := p.calls(), p.noticesOf(old); len(calls) != want.calls || len(notices) != want.notices {
 				t.Errorf("calls %v, notices %v, want %d and %d", calls, notices, want.calls, want.notices)
 			}
-			if e := readEntries(t, p.dir); len(e) != 0 {
+			if e := readEntries(t, p.stateDir); len(e) != 0 {
 				t.Errorf("left in the journal: %v", e)
 			}
 		})
@@ -200,29 +200,29 @@
 // A notice that the platform does not receive before SIGTERM, nor during the planned end, is posted by the next process.
 func TestTerminatedBetweenANoticeAndItsReceipt(t *testing.T) {
 	p := newPlatform(t)
-	p.deaf = 1 << 30
+	p.failingPosts = 1 << 30
 	reset := make(chan bool)
 	close(reset)
 	p.resettingHost(t, reset)
 	old := p.start()
-	p.take("order", "m", "25")
+	p.submitAccepted("order", "m", "25")
 	pending := func() bool {
-		e := readEntries(t, p.dir)
+		e := readEntries(t, p.stateDir)
 		return len(e) == 1 && e[0].PendingNotification != nil
 	}
-	p.until("its notice is in the journal", pending)
+	p.waitUntil("its notice is in the journal", pending)
 	p.terminate(t, old)
-	if err := old.exit(t); err != nil {
+	if err := old.waitForExit(t); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if !pending() || len(p.told()) != 0 {
-		t.Fatalf("left for the next process: %v; notices %v", readEntries(t, p.dir), p.told())
+	if !pending() || len(p.notifications()) != 0 {
+		t.Fatalf("left for the next process: %v; notices %v", readEntries(t, p.stateDir), p.notifications())
 	}
-	p.set(func() { p.deaf = 0 })
+	p.update(func() { p.failingPosts = 0 })
 	next := p.start()
-	p.until("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitUntil("the journal forgets it", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	p.kill(next)
-	if calls, notices := p.sent(), p.noticesOf(next); len(calls) != 1 || len(notices) != 1 ||
+	if calls, notices := p.calls(), p.noticesOf(next); len(calls) != 1 || len(notices) != 1 ||
 		notices[0] != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("calls %v, notices %v", calls, notices)
 	}
--- a/internal/relay/handover/link_test.go
+++ b/internal/relay/handover/link_test.go
@@ -11,11 +11,11 @@
 	"milletsail/internal/instant"
 )
 
-// patience is longer than anything that a test waits for in vain.
-const patience = 20 * time.Second
+// testTimeout is longer than anything that a test waits for in vain.
+const testTimeout = 20 * time.Second
 
-// links are both ends of a link.
-func links(t *testing.T) (predecessor, successor *Link) {
+// newLinkPair are both ends of a link.
+func newLinkPair(t *testing.T) (predecessor, successor *Link) {
 	t.Helper()
 	a, b := net.Pipe()
 	predecessor, successor = newLink(a), newLink(b)
@@ -28,18 +28,18 @@
 
 // A handover goes through all steps at both ends, and moments mean the same at both.
 func TestHandover(t *testing.T) {
-	predecessor, successor := links(t)
+	predecessor, successor := newLinkPair(t)
 	offered := make(chan *Offer, 1)
 	go func() {
 		defer close(offered)
-		offer, err := successor.request(clock.Now().Add(patience))
+		offer, err := successor.request(clock.Now().Add(testTimeout))
 		if err != nil {
 			t.Error(err)
 			return
 		}
 		offered <- offer
 	}()
-	if _, err := predecessor.receiveStep(clock.Now().Add(patience)); err != nil {
+	if _, err := predecessor.receiveStep(clock.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if err := predecessor.Offer(&Offer{Clients: 7, Clocks: predecessor.ReadClocks()}); err != nil {
@@ -68,14 +68,14 @@
 
 // A successor that answers an offer with anything but its readiness gets nothing.
 func TestSuccessorOutOfOrder(t *testing.T) {
-	predecessor, successor := links(t)
+	predecessor, successor := newLinkPair(t)
 	go func() {
 		encoder := json.NewEncoder(successor.conn)
 		_ = encoder.Encode(Message{Step: stepRequest})
 		_, _ = successor.Receive()
 		_ = encoder.Encode(Message{Step: stepTransfer})
 	}()
-	if _, err := predecessor.receiveStep(clock.Now().Add(patience)); err != nil {
+	if _, err := predecessor.receiveStep(clock.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	var refused *TransitionError
@@ -87,7 +87,7 @@
 
 // A link whose peer receives nothing is closed once its queue is full.
 func TestFullQueueClosesTheLink(t *testing.T) {
-	predecessor, _ := links(t)
+	predecessor, _ := newLinkPair(t)
 	for range queueCapacity {
 		predecessor.Send(Message{Answered: 1})
 	}
--- a/internal/relay/handover_killed_test.go
+++ b/internal/relay/handover_killed_test.go
@@ -23,27 +23,27 @@
 func TestPredecessorKilledAfterHandover(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
-	p.inherits()
+	p.respond = func(*http.Request) int { return 0 }
+	p.openClientSocket()
 	old := p.start()
-	p.take("order", "unsafe", "25")
-	p.take("status", "safe", "25")
-	p.called()
-	p.called()
-	p.upgrade()
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
+	p.submitAccepted("order", "unsafe", "25")
+	p.submitAccepted("status", "safe", "25")
+	p.nextCall()
+	p.nextCall()
+	p.startSuccessor()
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.kill(old)
-	if id := p.called(); id != "safe" {
+	if id := p.nextCall(); id != "safe" {
 		t.Errorf("%s is sent again", id)
 	}
-	p.until("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "unsafe", Status: notifier.StatusUndeliverable}) {
+	p.waitUntil("both are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if n := p.notifications(); len(n) != 1 || n[0] != (journal.Notification{ID: "unsafe", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("notices %v", n)
 	}
 }
 
-// dieAt is a process that owns the folder and is killed at a step of its handover.
-func dieAt(step, dir string) {
+// runOwnerKilledAt is a process that owns the folder and is killed at a step of its handover.
+func runOwnerKilledAt(step, dir string) {
 	die := func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL) }
 	o, err := journal.AcquireOwnership(dir)
 	if err != nil {
@@ -89,12 +89,12 @@
 		t.Run(step, func(t *testing.T) {
 			p := newPlatform(t)
 			p.addHost("h1", 7)
-			p.inherits()
-			j := openTestJournal(t, p.dir, 3)
+			p.openClientSocket()
+			j := openTestJournal(t, p.stateDir, 3)
 			j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 			commit(t, j)
 			c := exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0])
-			c.Env = append(os.Environ(), childDies+"="+step, childState+"="+p.dir)
+			c.Env = append(os.Environ(), childKillStepVariable+"="+step, childStateVariable+"="+p.stateDir)
 			out, err := c.StdoutPipe()
 			if err != nil {
 				t.Fatal(err)
@@ -106,11 +106,11 @@
 			if word, err := bufio.NewReader(out).ReadString('\n'); err != nil {
 				t.Fatalf("%q, %v", word, err)
 			}
-			p.upgrade()
+			p.startSuccessor()
 			_ = c.Wait()
-			p.until("the message is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			if got := p.sent(); len(got) != 1 || len(p.told()) != 0 {
-				t.Errorf("calls %v, notices %v", got, p.told())
+			p.waitUntil("the message is over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			if got := p.calls(); len(got) != 1 || len(p.notifications()) != 0 {
+				t.Errorf("calls %v, notices %v", got, p.notifications())
 			}
 		})
 	}
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -19,8 +19,8 @@
 	"milletsail/internal/relay/handover"
 )
 
-// inherits has the platform hold the clients' socket.
-func (p *platform) inherits() {
+// openClientSocket has the platform hold the clients' socket.
+func (p *platform) openClientSocket() {
 	p.t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(p.t.Context(), "tcp", p.addr)
 	if err != nil {
@@ -31,18 +31,18 @@
 	if !ok {
 		p.t.Fatalf("a listener of type %T", l)
 	}
-	if p.shared, err = tcp.File(); err != nil {
+	if p.clientSocket, err = tcp.File(); err != nil {
 		p.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { _ = p.shared.Close() })
+	p.t.Cleanup(func() { _ = p.clientSocket.Close() })
 }
 
-// upgrade starts a process beside the one that runs, and waits until it takes clients.
-func (p *platform) upgrade() *child {
+// startSuccessor starts a process beside the one that runs, and waits until it takes clients.
+func (p *platform) startSuccessor() *child {
 	p.t.Helper()
 	p.admin = closedAddress(p.t)
 	c := p.start()
-	p.until("the new process takes clients", func() bool {
+	p.waitUntil("the new process takes clients", func() bool {
 		conn, err := (&net.Dialer{}).DialContext(p.t.Context(), "tcp", p.admin)
 		if err != nil {
 			return false
@@ -55,24 +55,24 @@
 	return c
 }
 
-// keptConn is a client's connection that carries one message after another.
-type keptConn struct {
+// clientConn is a client's connection that carries one message after another.
+type clientConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func (p *platform) keep() *keptConn {
+func (p *platform) connectClient() *clientConn {
 	p.t.Helper()
 	c, err := (&net.Dialer{}).DialContext(p.t.Context(), "tcp", p.addr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { _ = c.Close() })
-	return &keptConn{c, bufio.NewReader(c)}
+	return &clientConn{c, bufio.NewReader(c)}
 }
 
-// handIn hands a message in and gives the answer.
-func (c *keptConn) handIn(t *testing.T, class, id string) answer {
+// submit hands a message in and gives the answer.
+func (c *clientConn) submit(t *testing.T, class, id string) answer {
 	t.Helper()
 	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: relay\r\nTenant: acme\r\nRequest-Id: %s\r\nIdempotency-Key: key-%s\r\n"+
 		"Request-Timeout: 25\r\nX-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi", class, id, id)
@@ -83,8 +83,8 @@
 	return resp
 }
 
-// exit waits for the end of a process.
-func (c *child) exit(t *testing.T) error {
+// waitForExit waits for the end of a process.
+func (c *child) waitForExit(t *testing.T) error {
 	t.Helper()
 	select {
 	case err := <-c.exited:
@@ -101,34 +101,34 @@
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	hold := make(chan bool)
-	p.answer = p.held(hold)
-	p.inherits()
+	p.respond = p.respondAfter(hold)
+	p.openClientSocket()
 	old := p.start()
-	c := p.keep()
-	c.handIn(t, "order", "out")
-	p.until("its call is out", func() bool { return slices.Contains(p.sent(), "out") })
-	p.upgrade()
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
-	if resp := c.handIn(t, "order", "through the old one"); resp.StatusCode != http.StatusAccepted || !resp.Close {
+	c := p.connectClient()
+	c.submit(t, "order", "out")
+	p.waitUntil("its call is out", func() bool { return slices.Contains(p.calls(), "out") })
+	p.startSuccessor()
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
+	if resp := c.submit(t, "order", "through the old one"); resp.StatusCode != http.StatusAccepted || !resp.Close {
 		t.Errorf("through the old process: %s, close %v", resp.Status, resp.Close)
 	}
-	p.take("order", "to the new one", "25")
-	p.until("both are delivered beside the call that is out", func() bool { return len(p.sent()) == 3 })
-	p.until("their answers are counted", func() bool {
-		return strings.Contains(askOperator(t, p.admin, "counters\n"), "relay_pending 1\n")
+	p.submitAccepted("order", "to the new one", "25")
+	p.waitUntil("both are delivered beside the call that is out", func() bool { return len(p.calls()) == 3 })
+	p.waitUntil("their answers are counted", func() bool {
+		return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), "relay_pending 1\n")
 	})
 	close(hold)
-	if err := old.exit(t); err != nil {
+	if err := old.waitForExit(t); err != nil {
 		t.Errorf("the old process: %v", err)
 	}
-	p.until("all are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if sent, told := p.sent(), p.told(); len(sent) != 3 || len(told) != 0 {
+	p.waitUntil("all are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if sent, told := p.calls(), p.notifications(); len(sent) != 3 || len(told) != 0 {
 		t.Errorf("calls %v, notices %v", sent, told)
 	}
 	// And once more, the new one being the old one now.
-	p.upgrade()
-	p.take("order", "later", "25")
-	p.until("it is delivered", func() bool { return slices.Contains(p.sent(), "later") })
+	p.startSuccessor()
+	p.submitAccepted("order", "later", "25")
+	p.waitUntil("it is delivered", func() bool { return slices.Contains(p.calls(), "later") })
 }
 
 // The new process finds the journal damaged, so that each message may have one more attempt: the call that is out is
@@ -137,16 +137,16 @@
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	hold := make(chan bool)
-	p.answer = p.held(hold)
-	p.inherits()
+	p.respond = p.respondAfter(hold)
+	p.openClientSocket()
 	old := p.start()
-	p.take("order", "out", "25")
-	p.until("its call is out", func() bool { return len(p.sent()) == 1 })
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
-	p.take("status", "over", "25")
-	p.called()
-	p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 1 })
-	segments, err := filepath.Glob(filepath.Join(p.dir, "segment-*"))
+	p.submitAccepted("order", "out", "25")
+	p.waitUntil("its call is out", func() bool { return len(p.calls()) == 1 })
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
+	p.submitAccepted("status", "over", "25")
+	p.nextCall()
+	p.waitUntil("it is over", func() bool { return len(readEntries(t, p.stateDir)) == 1 })
+	segments, err := filepath.Glob(filepath.Join(p.stateDir, "segment-*"))
 	if err != nil || len(segments) != 1 {
 		t.Fatal(segments, err)
 	}
@@ -163,28 +163,28 @@
 	if _, err := file.WriteAt(lastRecords, info.Size()-int64(len(lastRecords))); err != nil {
 		t.Fatal(err)
 	}
-	p.take("status", "behind the damage", "25")
-	p.called()
-	p.until("it is over, and the call that is out has one beside it that may be missing", func() bool {
-		e := readEntries(t, p.dir)
+	p.submitAccepted("status", "behind the damage", "25")
+	p.nextCall()
+	p.waitUntil("it is over, and the call that is out has one beside it that may be missing", func() bool {
+		e := readEntries(t, p.stateDir)
 		return !slices.ContainsFunc(e, func(e *journal.Entry) bool { return e.ID == "behind the damage" }) && len(e[0].Attempts) > 1
 	})
-	p.upgrade()
-	p.take("status", "new", "25")
-	p.until("the new process sends", func() bool { return slices.Contains(p.sent(), "new") })
+	p.startSuccessor()
+	p.submitAccepted("status", "new", "25")
+	p.waitUntil("the new process sends", func() bool { return slices.Contains(p.calls(), "new") })
 	once := func() bool {
-		return len(slices.DeleteFunc(p.sent(), func(id string) bool { return id != "out" })) == 1
+		return len(slices.DeleteFunc(p.calls(), func(id string) bool { return id != "out" })) == 1
 	}
 	if !once() {
-		t.Errorf("a second attempt while one is out: %v", p.sent())
+		t.Errorf("a second attempt while one is out: %v", p.calls())
 	}
 	close(hold)
-	if err := old.exit(t); err != nil {
+	if err := old.waitForExit(t); err != nil {
 		t.Errorf("the old process: %v", err)
 	}
-	p.until("all are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if !once() || len(p.told()) != 0 {
-		t.Errorf("calls %v, notices %v", p.sent(), p.told())
+	p.waitUntil("all are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if !once() || len(p.notifications()) != 0 {
+		t.Errorf("calls %v, notices %v", p.calls(), p.notifications())
 	}
 }
 
@@ -200,7 +200,7 @@
 				return
 			}
 			text := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-			p.set(func() {
+			p.update(func() {
 				if told.IsZero() {
 					told, text = time.Now(), "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n"
 				} else if wait := time.Since(told); wait < 1500*time.Millisecond {
@@ -208,42 +208,42 @@
 				}
 			})
 			_, _ = io.WriteString(c, text)
-			p.began <- req.Header.Get("Request-Id")
+			p.callStarted <- req.Header.Get("Request-Id")
 		}
 	})
 	p.hosts = []Member{{Host: "h1", Dial: addr, Site: "a", Class: "m2", Block: 7, Health: "SERVING", Share: 100}}
-	p.inherits()
+	p.openClientSocket()
 	p.start()
-	p.take("status", "m", "25")
-	p.called()
-	p.until("the refusal is noted", func() bool {
-		e := readEntries(t, p.dir)
+	p.submitAccepted("status", "m", "25")
+	p.nextCall()
+	p.waitUntil("the refusal is noted", func() bool {
+		e := readEntries(t, p.stateDir)
 		return len(e) == 1 && len(e[0].Attempts) == 1 && e[0].Attempts[0].Ended
 	})
-	p.upgrade()
-	p.called()
+	p.startSuccessor()
+	p.nextCall()
 }
 
 // An old process that is silent is ended, and the new one starts from the journal.
 func TestSilentOldProcess(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
-	p.inherits()
+	p.respond = func(*http.Request) int { return 0 }
+	p.openClientSocket()
 	old := p.start()
-	p.take("status", "m", "25")
-	p.called()
+	p.submitAccepted("status", "m", "25")
+	p.nextCall()
 	if err := old.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
-	p.upgrade()
-	if err := old.exit(t); err == nil {
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
+	p.startSuccessor()
+	if err := old.waitForExit(t); err == nil {
 		t.Error("the silent process ended in order")
 	}
-	p.until("the message is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if got := p.sent(); len(got) != 2 || len(p.told()) != 0 {
-		t.Errorf("calls %v, notices %v", got, p.told())
+	p.waitUntil("the message is over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if got := p.calls(); len(got) != 2 || len(p.notifications()) != 0 {
+		t.Errorf("calls %v, notices %v", got, p.notifications())
 	}
 }
 
@@ -252,7 +252,7 @@
 func TestNewProcessDies(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.inherits()
+	p.openClientSocket()
 	old := p.start()
 	request := func(conn net.Conn) error {
 		_, err := io.WriteString(conn, `{"step":"ask"}`+"\n")
@@ -276,7 +276,7 @@
 		}},
 	}
 	for _, s := range steps {
-		c, err := (&net.Dialer{}).DialContext(t.Context(), "unix", filepath.Join(p.dir, "handover"))
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "unix", filepath.Join(p.stateDir, "handover"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -285,38 +285,38 @@
 			t.Errorf("%s: %v", s.name, err)
 		}
 		_ = c.Close()
-		p.take("status", s.name, "25")
-		p.until(s.name, func() bool { return slices.Contains(p.sent(), s.name) })
+		p.submitAccepted("status", s.name, "25")
+		p.waitUntil(s.name, func() bool { return slices.Contains(p.calls(), s.name) })
 	}
 
-	p.answer = func(*http.Request) int { return 0 }
-	p.take("status", "out", "25")
-	p.until("its call is out", func() bool { return slices.Contains(p.sent(), "out") })
-	acquired, err := handover.Request(t.Context(), p.dir, clock.Now().Add(long))
+	p.respond = func(*http.Request) int { return 0 }
+	p.submitAccepted("status", "out", "25")
+	p.waitUntil("its call is out", func() bool { return slices.Contains(p.calls(), "out") })
+	acquired, err := handover.Request(t.Context(), p.stateDir, clock.Now().Add(long))
 	if err != nil || len(acquired.Offer.InFlight) != 1 {
 		t.Fatalf("acquired %+v, %v", acquired, err)
 	}
 	acquired.Predecessor.Close()
-	if err := old.exit(t); err != nil { // its call is off the wire with it
+	if err := old.waitForExit(t); err != nil { // its call is off the wire with it
 		t.Error(err)
 	}
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.start()
-	p.until("the next one delivers", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitUntil("the next one delivers", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 }
 
 // A folder whose path is too long for a socket can be handed over too.
 func TestSocketInALongPath(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.dir += "/" + strings.Repeat("long", 30)
-	if err := os.Mkdir(p.dir, 0o700); err != nil {
+	p.stateDir += "/" + strings.Repeat("long", 30)
+	if err := os.Mkdir(p.stateDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	p.inherits()
+	p.openClientSocket()
 	old := p.start()
-	p.upgrade()
-	if err := old.exit(t); err != nil {
+	p.startSuccessor()
+	if err := old.waitForExit(t); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/relay/list_bench_test.go
+++ b/internal/relay/list_bench_test.go
@@ -11,8 +11,8 @@
 	"milletsail/internal/relay/discovery"
 )
 
-// fullSize is the number of hosts that operators plan for.
-const fullSize = 490_000
+// maxPlannedHosts is the number of hosts that operators plan for.
+const maxPlannedHosts = 490_000
 
 // memoryOf gives a figure of a process's memory in 10^6 bytes: VmRSS, what is resident, or VmHWM, the most that was.
 func memoryOf(b *testing.B, c *child, figure string) (mb float64) {
@@ -35,20 +35,20 @@
 func BenchmarkLongListStart(b *testing.B) {
 	for range b.N {
 		p := newPlatform(b)
-		p.disk, p.admin, p.hosts = 1000, closedAddress(b), filler(fullSize)
-		p.watch = func(a *watchAnswer) { a.keepAlive() }
+		p.diskMB, p.admin, p.hosts = 1000, closedAddress(b), fillerHosts(maxPlannedHosts)
+		p.serveWatch = func(a *watchResponse) { a.keepAlive() }
 		for _, from := range []string{"configuration", "disk"} {
 			begun := time.Now()
 			c := p.start()
 			b.ReportMetric(time.Since(begun).Seconds(), from+"-s")
-			if n := p.members(); n != fullSize {
+			if n := p.memberCount(); n != maxPlannedHosts {
 				b.Fatalf("%d hosts are listed", n)
 			}
 			b.ReportMetric(memoryOf(b, c, "VmRSS"), from+"-MB")
 			b.ReportMetric(memoryOf(b, c, "VmHWM"), from+"-most-MB")
 			p.kill(c)
 		}
-		b.ReportMetric(float64(folderSize(b, p.dir))/1e6, "folder-MB")
+		b.ReportMetric(float64(directorySize(b, p.stateDir))/1e6, "folder-MB")
 	}
 }
 
@@ -57,8 +57,8 @@
 // work.
 func BenchmarkLongListInTheLoop(b *testing.B) {
 	for range b.N {
-		l := listLoop(b, b.TempDir(), 1000)
-		hosts := filler(fullSize)
+		l := newListLoop(b, b.TempDir(), 1000)
+		hosts := fillerHosts(maxPlannedHosts)
 		seq := int64(50)
 		for _, step := range []struct {
 			name  string
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -23,8 +23,8 @@
 	"milletsail/policy"
 )
 
-// listLoop gives a loop that has its journal and its list in a folder, as Run makes it, and is not run.
-func listLoop(tb testing.TB, dir string, diskMB float64) *loop {
+// newListLoop gives a loop that has its journal and its list in a folder, as Run makes it, and is not run.
+func newListLoop(tb testing.TB, dir string, diskMB float64) *loop {
 	tb.Helper()
 	cfg := &config.Config{Limits: config.Limits{DiskMB: diskMB}, Settings: settings.Settings{Shapes: []string{"m2"},
 		Localities: []string{"a"}}}
@@ -50,8 +50,8 @@
 	return l
 }
 
-// object has the loop take in an object of discovery's, in batches, to the end.
-func (l *loop) object(tb testing.TB, m Members) {
+// applyObject has the loop take in an applyObject of discovery's, in batches, to the end.
+func (l *loop) applyObject(tb testing.TB, m Members) {
 	tb.Helper()
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -91,8 +91,8 @@
 	}
 }
 
-// folderSize is the size of all files in a folder.
-func folderSize(tb testing.TB, dir string) (size int64) {
+// directorySize is the size of all files in a folder.
+func directorySize(tb testing.TB, dir string) (size int64) {
 	tb.Helper()
 	err := filepath.WalkDir(dir, func(_ string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
@@ -115,17 +115,17 @@
 	written := map[int]int64{}
 	for _, n := range []int{300, 30_000} {
 		dir := t.TempDir()
-		l := listLoop(t, dir, 1000)
-		hosts := filler(n)
-		l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
+		l := newListLoop(t, dir, 1000)
+		hosts := fillerHosts(n)
+		l.applyObject(t, Members{Seq: 50, Whole: true, Hosts: hosts})
 		for l.endpoints.maintainStore(); l.endpoints.compacting; {
 			l.endpoints.maintainStore()
 		}
-		before := folderSize(t, dir)
+		before := directorySize(t, dir)
 		drains := hosts[0]
 		drains.Health = draining
-		l.object(t, Members{Seq: 51, Hosts: []Member{drains}})
-		written[n] = folderSize(t, dir) - before
+		l.applyObject(t, Members{Seq: 51, Hosts: []Member{drains}})
+		written[n] = directorySize(t, dir) - before
 	}
 	t.Logf("bytes written for a change, by hosts listed: %v", written)
 	if few, many := written[300], written[30_000]; few != many || few == 0 {
@@ -135,18 +135,18 @@
 
 // A process that starts asks from the version on disk, has all of the list, and is sent nothing anew.
 func TestRestartWatchesFromVersionOnDisk(t *testing.T) {
-	p, known := listPlatform(t)
+	p, known := newListPlatform(t)
 	indexes := make(chan string, 1000)
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
 		if a.index() == "40" {
-			a.send(wholeList(t, 50, append(filler(manyHosts), known)))
+			a.send(completeList(t, 50, append(fillerHosts(manyHosts), known)))
 		}
 		a.keepAlive()
 	}
 	c := p.start()
-	p.until("the list is on disk", func() bool {
-		_, seq := storedList(t, p.dir)
+	p.waitUntil("the list is on disk", func() bool {
+		_, seq := readStoredList(t, p.stateDir)
 		return seq == 50
 	})
 	p.kill(c)
@@ -154,34 +154,34 @@
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "50" {
 		t.Errorf("indexes %s, %s", one, two)
 	}
-	p.untilMembers(manyHosts + 1)
-	p.take("status", "m", "20")
-	p.called()
+	p.waitForMembers(manyHosts + 1)
+	p.submitAccepted("status", "m", "20")
+	p.nextCall()
 }
 
 // A host that is deleted is gone from the disk too.
 func TestDeletedHostOnDisk(t *testing.T) {
 	dir := t.TempDir()
-	l := listLoop(t, dir, 100)
-	hosts := filler(3)
-	l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
+	l := newListLoop(t, dir, 100)
+	hosts := fillerHosts(3)
+	l.applyObject(t, Members{Seq: 50, Whole: true, Hosts: hosts})
 	hosts[1].Health = endpoints.Deleted
-	l.object(t, Members{Seq: 51, Hosts: hosts[1:2]})
-	if listed, seq := storedList(t, dir); seq != 51 || len(listed) != 2 || listed[0] != hosts[0] || listed[1] != hosts[2] {
+	l.applyObject(t, Members{Seq: 51, Hosts: hosts[1:2]})
+	if listed, seq := readStoredList(t, dir); seq != 51 || len(listed) != 2 || listed[0] != hosts[0] || listed[1] != hosts[2] {
 		t.Errorf("version %d on disk: %+v", seq, listed)
 	}
 }
 
 // What is remembered of a host's health stays as long as it is listed, and no longer.
 func TestHealthOfListedHosts(t *testing.T) {
-	l := listLoop(t, t.TempDir(), 100)
-	hosts := filler(manyHosts)
-	l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
+	l := newListLoop(t, t.TempDir(), 100)
+	hosts := fillerHosts(manyHosts)
+	l.applyObject(t, Members{Seq: 50, Whole: true, Hosts: hosts})
 	stays, goes := hosts[17].Host, hosts[manyHosts-1].Host
 	for _, host := range []string{stays, goes, "never listed"} {
 		l.journal.RecordHealth(host, journal.HealthRecord{Ejected: true, ChangedAt: clock.Now()})
 	}
-	l.object(t, Members{Seq: 51, Whole: true, Hosts: hosts[:manyHosts-1]})
+	l.applyObject(t, Members{Seq: 51, Whole: true, Hosts: hosts[:manyHosts-1]})
 	if l.endpoints.table.Len() != manyHosts-1 {
 		t.Errorf("%d hosts are listed", l.endpoints.table.Len())
 	}
@@ -193,20 +193,20 @@
 // A relay whose disk is too small for its list goes without it there, says so once, and stays within the limit. The next
 // process asks for what the configuration's list lacks.
 func TestDiskTooSmallForTheList(t *testing.T) {
-	p, known := listPlatform(t)
-	p.disk = 3
+	p, known := newListPlatform(t)
+	p.diskMB = 3
 	indexes := make(chan string, 1000)
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
-		a.send(wholeList(t, 50, append(filler(manyHosts), known)))
+		a.send(completeList(t, 50, append(fillerHosts(manyHosts), known)))
 		a.keepAlive()
 	}
 	c := p.start()
-	p.untilMembers(manyHosts + 1)
-	p.until("the whole list is in force", func() bool {
-		return strings.Contains(askOperator(t, p.admin, "counters\n"), fmt.Sprint("relay_members ", manyHosts+1))
+	p.waitForMembers(manyHosts + 1)
+	p.waitUntil("the whole list is in force", func() bool {
+		return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), fmt.Sprint("relay_members ", manyHosts+1))
 	})
-	if size := folderSize(t, p.dir); size > 3e6 {
+	if size := directorySize(t, p.stateDir); size > 3e6 {
 		t.Errorf("%d bytes are on disk", size)
 	}
 	p.kill(c)
@@ -217,21 +217,21 @@
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "40" {
 		t.Errorf("indexes %s, %s", one, two)
 	}
-	p.untilMembers(manyHosts + 1)
+	p.waitForMembers(manyHosts + 1)
 }
 
 // The list that a version before left in its journal is taken up once, and what this one is sent goes before it.
 func TestListOfAnEarlierVersion(t *testing.T) {
-	p, known := listPlatform(t)
+	p, known := newListPlatform(t)
 	drains := known
 	drains.Health = draining
 	fresh := p.addHost("h2", 7)
-	p.set(func() { p.hosts = []Member{known} }) // the configuration's list
-	before, _, err := journal.Open(p.dir, journal.Options{DiskMB: 100})
+	p.update(func() { p.hosts = []Member{known} }) // the configuration's list
+	before, _, err := journal.Open(p.stateDir, journal.Options{DiskMB: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
-	before.RecordLegacyList(journal.LegacyEndpointList{Text: []byte(wholeList(t, 45, []Member{drains, fresh})), Endpoints: 2})
+	before.RecordLegacyList(journal.LegacyEndpointList{Text: []byte(completeList(t, 45, []Member{drains, fresh})), Endpoints: 2})
 	if err := before.Commit(); err != nil {
 		t.Fatal(err)
 	}
@@ -239,7 +239,7 @@
 		t.Fatal(err)
 	}
 	indexes := make(chan string, 1000)
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
 		if a.index() == "45" {
 			a.send(hostLine(t, 46, known) + "\n")
@@ -250,8 +250,8 @@
 	if one := receive(t, indexes); one != "45" {
 		t.Errorf("index %s", one)
 	}
-	p.until("the change is on disk", func() bool {
-		hosts, seq := storedList(t, p.dir)
+	p.waitUntil("the change is on disk", func() bool {
+		hosts, seq := readStoredList(t, p.stateDir)
 		return seq == 46 && len(hosts) == 2
 	})
 	p.kill(c)
@@ -259,43 +259,43 @@
 	if two := receive(t, indexes); two != "46" {
 		t.Errorf("index %s", two)
 	}
-	if got := readJournal(t, p.dir).LegacyList(); got.Text != nil {
+	if got := readJournal(t, p.stateDir).LegacyList(); got.Text != nil {
 		t.Errorf("the journal still has a list: %s", got.Text)
 	}
 }
 
 // A newer process goes on from the version that the one before it had.
 func TestListAfterHandover(t *testing.T) {
-	p, known := listPlatform(t)
+	p, known := newListPlatform(t)
 	indexes := make(chan string, 1000)
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
 		if a.index() == "40" {
-			a.send(wholeList(t, 50, append(filler(manyHosts), known)))
+			a.send(completeList(t, 50, append(fillerHosts(manyHosts), known)))
 		}
 		a.keepAlive()
 	}
-	p.inherits()
+	p.openClientSocket()
 	p.start()
-	p.until("the list is on disk", func() bool {
-		_, seq := storedList(t, p.dir)
+	p.waitUntil("the list is on disk", func() bool {
+		_, seq := readStoredList(t, p.stateDir)
 		return seq == 50
 	})
-	p.upgrade()
+	p.startSuccessor()
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "50" {
 		t.Errorf("indexes %s, %s", one, two)
 	}
-	p.untilMembers(manyHosts + 1)
-	p.take("status", "m", "20")
-	p.called()
+	p.waitForMembers(manyHosts + 1)
+	p.submitAccepted("status", "m", "20")
+	p.nextCall()
 }
 
 // A long list of changes is logged in a few lines, a short one host by host.
 func TestManyChangesAreSummarizedInLogs(t *testing.T) {
-	p, known := listPlatform(t)
+	p, known := newListPlatform(t)
 	known.Health = draining
-	p.watch = func(a *watchAnswer) {
-		many, err := json.Marshal(Members{Seq: 50, Hosts: filler(manyHosts)})
+	p.serveWatch = func(a *watchResponse) {
+		many, err := json.Marshal(Members{Seq: 50, Hosts: fillerHosts(manyHosts)})
 		if err != nil {
 			t.Error(err)
 		}
@@ -303,8 +303,8 @@
 		a.keepAlive()
 	}
 	c := p.start()
-	p.until("the change is on disk", func() bool {
-		_, seq := storedList(t, p.dir)
+	p.waitUntil("the change is on disk", func() bool {
+		_, seq := readStoredList(t, p.stateDir)
 		return seq == 51
 	})
 	p.kill(c)
@@ -320,20 +320,20 @@
 // On a disk of the usual size, changes without end make the store begin anew in time: it never outgrows its share.
 func TestManyChangesOnASmallDisk(t *testing.T) {
 	dir := t.TempDir()
-	l := listLoop(t, dir, 3)
-	hosts := filler(300)
-	l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
+	l := newListLoop(t, dir, 3)
+	hosts := fillerHosts(300)
+	l.applyObject(t, Members{Seq: 50, Whole: true, Hosts: hosts})
 	for seq := int64(51); seq < 12_000; seq++ {
 		change := hosts[seq%300]
 		if seq%600 < 300 {
 			change.Health = draining
 		}
-		l.object(t, Members{Seq: seq, Hosts: []Member{change}})
+		l.applyObject(t, Members{Seq: seq, Hosts: []Member{change}})
 		if l.endpoints.store == nil {
 			t.Fatalf("given up after %d changes", seq-50)
 		}
 	}
-	if size := folderSize(t, dir+"/"+listDirectory); float64(size) > listShare*3e6 {
+	if size := directorySize(t, dir+"/"+listDirectory); float64(size) > listShare*3e6 {
 		t.Errorf("%d bytes are on disk", size)
 	}
 }
--- a/internal/relay/list_flow_test.go
+++ b/internal/relay/list_flow_test.go
@@ -15,9 +15,9 @@
 // only once they are, and no batch of the loop looks at much of the table.
 func TestNextObjectWaitsForRemovals(t *testing.T) {
 	dir := t.TempDir()
-	l := listLoop(t, dir, 100)
-	hosts := filler(manyHosts)
-	l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
+	l := newListLoop(t, dir, 100)
+	hosts := fillerHosts(manyHosts)
+	l.applyObject(t, Members{Seq: 50, Whole: true, Hosts: hosts})
 	whole := discovery.Batch{Applied: make(chan struct{})}
 	whole.Entries, whole.First, whole.End = hosts[:1], true, true
 	whole.Seq, whole.Complete, whole.CompleteKnown = 51, true, true
@@ -28,7 +28,7 @@
 	l.accept(batchReceived{next})
 	for steps := 1; l.endpoints.sweeping != nil; steps++ {
 		before := l.endpoints.table.Len()
-		if _, seq := storedList(t, dir); seq != 50 || applied(whole) || applied(next) {
+		if _, seq := readStoredList(t, dir); seq != 50 || applied(whole) || applied(next) {
 			t.Fatalf("version %d is on disk, applied %v and %v, with entries to be removed", seq, applied(whole), applied(next))
 		}
 		l.step(t.Context())
@@ -42,7 +42,7 @@
 	if !applied(whole) || !applied(next) {
 		t.Error("the watch is not told to go on")
 	}
-	listed, seq := storedList(t, dir)
+	listed, seq := readStoredList(t, dir)
 	if seq != 52 || len(listed) != 2 || listed[0] != hosts[0] || listed[1] != hosts[manyHosts-1] {
 		t.Errorf("version %d on disk: %+v", seq, listed)
 	}
@@ -61,8 +61,8 @@
 // A host that comes back to the list is recalled with what is remembered of its health, at its former destination it is
 // gone, and what a whole list repeats is not told anew.
 func TestEventsOfAList(t *testing.T) {
-	l := listLoop(t, t.TempDir(), 100)
-	host := filler(1)[0]
+	l := newListLoop(t, t.TempDir(), 100)
+	host := fillerHosts(1)[0]
 	b := discovery.Batch{Applied: make(chan struct{})}
 	b.Entries = []Member{host}
 	events := func() (text string) {
--- a/internal/relay/list_start_test.go
+++ b/internal/relay/list_start_test.go
@@ -36,7 +36,7 @@
 
 // A relay without anything on disk has the endpoints of a configured list that has version 0.
 func TestConfiguredListWithoutVersion(t *testing.T) {
-	hosts := filler(3)
+	hosts := fillerHosts(3)
 	text, err := json.Marshal(map[string]any{"known": Members{Whole: true, Hosts: hosts}})
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l := listLoop(t, t.TempDir(), 1000)
+	l := newListLoop(t, t.TempDir(), 1000)
 	l.cfg.KnownEndpoints = config.EndpointSource{Path: path}
 	l.openEndpoints(t.Context(), t.TempDir())
 	if n := l.endpoints.table.Len(); n != len(hosts) {
--- a/internal/relay/list_watch_test.go
+++ b/internal/relay/list_watch_test.go
@@ -11,11 +11,11 @@
 	"milletsail/internal/relay/discovery"
 )
 
-// listPlatform gives a platform with a host of destination 7, operators, and room on disk for long lists.
-func listPlatform(t *testing.T) (p *platform, known Member) {
+// newListPlatform gives a platform with a host of destination 7, operators, and room on disk for long lists.
+func newListPlatform(t *testing.T) (p *platform, known Member) {
 	t.Helper()
 	p = newPlatform(t)
-	p.disk = 100
+	p.diskMB = 100
 	p.admin = closedAddress(t)
 	return p, p.addHost("h1", 7)
 }
@@ -23,21 +23,21 @@
 // A long list that is cut off in the middle removes nothing, also once the next one has begun, and the next watch asks
 // from the version before it.
 func TestLongListCutOff(t *testing.T) {
-	p, known := listPlatform(t)
-	list := wholeList(t, 50, append(filler(manyHosts), known))
+	p, known := newListPlatform(t)
+	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
 	indexes, served := make(chan string, 1000), make(chan bool, 2)
 	first := true
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
-		half, rest := halves(list)
+		half, rest := splitWithinEntry(list)
 		if first {
 			first = false
 			a.send(half)
-			a.cut()
+			a.abort()
 		}
-		a.await(served)
+		a.waitFor(served)
 		a.send(`{"seq":49,"whole":false,"hosts":[]}` + "\n" + half)
-		a.await(served)
+		a.waitFor(served)
 		a.send(rest)
 		a.keepAlive()
 	}
@@ -45,39 +45,39 @@
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "40" {
 		t.Errorf("indexes %s, %s", one, two)
 	}
-	p.take("status", "between", "20") // the host is not in the half that came
-	p.called()
+	p.submitAccepted("status", "between", "20") // the host is not in the half that came
+	p.nextCall()
 	served <- true
-	p.until("the next one has begun", func() bool {
-		_, seq := storedList(t, p.dir)
+	p.waitUntil("the next one has begun", func() bool {
+		_, seq := readStoredList(t, p.stateDir)
 		return seq == 49
 	})
-	p.take("status", "meanwhile", "20")
-	p.called()
+	p.submitAccepted("status", "meanwhile", "20")
+	p.nextCall()
 	served <- true
-	p.untilMembers(manyHosts + 1)
-	p.until("the list is on disk", func() bool {
-		hosts, seq := storedList(t, p.dir)
+	p.waitForMembers(manyHosts + 1)
+	p.waitUntil("the list is on disk", func() bool {
+		hosts, seq := readStoredList(t, p.stateDir)
 		return seq == 50 && len(hosts) == manyHosts+1
 	})
 }
 
 // A long list that is spoilt in the middle removes nothing, and the whole list is asked for.
 func TestLongListSpoilt(t *testing.T) {
-	p, known := listPlatform(t)
-	list := wholeList(t, 50, append(filler(manyHosts), known))
+	p, known := newListPlatform(t)
+	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
 	indexes, served := make(chan string, 1000), make(chan bool)
 	first := true
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
 		if first {
 			first = false
-			half, rest := halves(list)
+			half, rest := splitWithinEntry(list)
 			a.send(half + strings.Replace(rest, `"block":`, `"block":"x`, 1))
 			a.keepAlive()
 			return
 		}
-		a.await(served)
+		a.waitFor(served)
 		a.send(list)
 		a.keepAlive()
 	}
@@ -85,28 +85,28 @@
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "0" {
 		t.Errorf("indexes %s, %s", one, two)
 	}
-	p.take("status", "between", "20")
-	p.called()
+	p.submitAccepted("status", "between", "20")
+	p.nextCall()
 	close(served)
-	p.untilMembers(manyHosts + 1)
+	p.waitForMembers(manyHosts + 1)
 }
 
 // A long list of which nothing more comes but empty lines is dead: the next watch asks from the version before it, and in
 // time for what it brings.
 func TestLongListSilent(t *testing.T) {
-	p, known := listPlatform(t)
-	list := wholeList(t, 50, append(filler(manyHosts), known))
+	p, known := newListPlatform(t)
+	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
 	type ask struct {
 		index string
 		at    time.Time
 	}
 	asks, silent := make(chan ask, 1000), make(chan time.Time, 1)
 	first := true
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		asks <- ask{a.index(), time.Now()}
 		if first {
 			first = false
-			half, _ := halves(list)
+			half, _ := splitWithinEntry(list)
 			a.send(half)
 			silent <- time.Now()
 			a.keepAlive()
@@ -123,18 +123,18 @@
 	if after := two.at.Sub(from); after < discovery.SilenceTimeout || after > 6*time.Second {
 		t.Errorf("asked again %v after the last of the list, want within 6 s", after)
 	}
-	p.untilMembers(manyHosts + 1)
+	p.waitForMembers(manyHosts + 1)
 }
 
 // A long list may come indented, and in pieces that end anywhere.
 func TestLongListIndented(t *testing.T) {
-	p, known := listPlatform(t)
-	hosts := append(filler(manyHosts), known)
+	p, known := newListPlatform(t)
+	hosts := append(fillerHosts(manyHosts), known)
 	text, err := json.MarshalIndent(Members{Seq: 50, Whole: true, Hosts: hosts}, "", "    ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		rest := string(text) + "\r\n\n" + hostLine(t, 51, Member{Host: "last", Block: 8, Health: "SERVING"}) + "\n"
 		for size := 1; len(rest) > 0; size = size%9973 + 1 {
 			size = min(size, len(rest))
@@ -144,20 +144,20 @@
 		a.keepAlive()
 	}
 	p.start()
-	p.until("the list and the change are on disk", func() bool {
-		stored, seq := storedList(t, p.dir)
+	p.waitUntil("the list and the change are on disk", func() bool {
+		stored, seq := readStoredList(t, p.stateDir)
 		return seq == 51 && len(stored) == len(hosts)+1
 	})
-	p.untilMembers(len(hosts) + 1)
+	p.waitForMembers(len(hosts) + 1)
 }
 
 // Messages for known destinations are served while a long list is still being read.
 func TestServedWhileAListIsRead(t *testing.T) {
-	p, known := listPlatform(t)
-	list := wholeList(t, 50, append(filler(manyHosts), known))
+	p, known := newListPlatform(t)
+	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
 	delivered := make(chan bool)
-	p.watch = func(a *watchAnswer) {
-		half, rest := halves(list)
+	p.serveWatch = func(a *watchResponse) {
+		half, rest := splitWithinEntry(list)
 		a.send(half)
 		for waiting := true; waiting; { // slowly on, so that the watch lives
 			select {
@@ -174,47 +174,47 @@
 		a.keepAlive()
 	}
 	p.start()
-	p.until("much of the list is applied", func() bool { return p.members() > manyHosts/3 })
+	p.waitUntil("much of the list is applied", func() bool { return p.memberCount() > manyHosts/3 })
 	for i := range 20 {
-		p.take("status", fmt.Sprint("m", i), "20")
-		p.called()
+		p.submitAccepted("status", fmt.Sprint("m", i), "20")
+		p.nextCall()
 	}
-	if n := p.members(); n > manyHosts {
+	if n := p.memberCount(); n > manyHosts {
 		t.Errorf("%d hosts are on the list before all of it was written", n)
 	}
 	close(delivered)
-	p.untilMembers(manyHosts + 1)
+	p.waitForMembers(manyHosts + 1)
 }
 
 // A whole list removes the hosts that it does not name, however many others it names: they get nothing new. What is
 // remembered of the others stays.
 func TestCompleteListRemovesEndpoints(t *testing.T) {
-	p, gone := listPlatform(t)
+	p, gone := newListPlatform(t)
 	stays := p.addHost("h2", 7)
 	served := make(chan bool)
-	p.watch = func(a *watchAnswer) {
-		a.await(served)
-		a.send(wholeList(t, 50, append(filler(manyHosts), stays)))
+	p.serveWatch = func(a *watchResponse) {
+		a.waitFor(served)
+		a.send(completeList(t, 50, append(fillerHosts(manyHosts), stays)))
 		a.keepAlive()
 	}
 	c := p.start()
-	p.take("status", "before", "20") // the module knows the destination
-	p.called()
+	p.submitAccepted("status", "before", "20") // the module knows the destination
+	p.nextCall()
 	close(served)
-	p.until("the whole list is in force", func() bool {
-		hosts, seq := storedList(t, p.dir)
+	p.waitUntil("the whole list is in force", func() bool {
+		hosts, seq := readStoredList(t, p.stateDir)
 		return seq == 50 && len(hosts) == manyHosts+1
 	})
 	var hit []string
-	p.set(func() {
-		p.answer = func(r *http.Request) int {
+	p.update(func() {
+		p.respond = func(r *http.Request) int {
 			hit = append(hit, r.Host)
 			return http.StatusOK
 		}
 	})
 	for i := range 10 {
-		p.take("status", fmt.Sprint("m", i), "20")
-		p.called()
+		p.submitAccepted("status", fmt.Sprint("m", i), "20")
+		p.nextCall()
 	}
 	for _, dial := range hit {
 		if dial == gone.Dial {
--- a/internal/relay/loop_test.go
+++ b/internal/relay/loop_test.go
@@ -26,7 +26,7 @@
 	}
 	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}),
 		journal: openTestJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
-		messages: map[string]*message{}, endpoints: listAt(7)}
+		messages: map[string]*message{}, endpoints: endpointListOf(7)}
 	l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
 	copyOf := func(id string) *frontend.Submission {
 		return &frontend.Submission{Response: make(chan frontend.Response, 1),
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}),
-		journal: openTestJournal(t, t.TempDir(), 3), messages: map[string]*message{}, endpoints: listAt()}
+		journal: openTestJournal(t, t.TempDir(), 3), messages: map[string]*message{}, endpoints: endpointListOf()}
 	timer := clock.Now().Add(time.Minute)
 	l.timerAt = timer
 	m := &message{Entry: &journal.Entry{ID: "m"}}
@@ -124,7 +124,7 @@
 		}
 		l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}),
 			journal:  openTestJournal(t, t.TempDir(), 3),
-			messages: map[string]*message{}, endpoints: listAt(7), notifier: &notifier.Notifier{}}
+			messages: map[string]*message{}, endpoints: endpointListOf(7), notifier: &notifier.Notifier{}}
 		l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
 		start := time.Now()
 		hand := func(id string, left time.Duration) *frontend.Submission {
--- a/internal/relay/platform_config_test.go
+++ b/internal/relay/platform_config_test.go
@@ -21,12 +21,12 @@
 	 "tenants":[{"name":"acme"}],"weights":"nominal"}`, memory, discovery, bundle)
 }
 
-// config writes the relay's configuration and returns the file's name.
-func (p *platform) config() string {
+// writeConfig writes the relay's configuration and returns the file's name.
+func (p *platform) writeConfig() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := Members{Seq: 40, Whole: true, Hosts: p.hosts}
-	if p.unknown {
+	if p.omitEndpoints {
 		list.Hosts = nil
 	}
 	known, err := json.Marshal(list)
@@ -35,8 +35,8 @@
 	}
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"admin":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 	 "limits":{"cores":1,"memory_mb":192,"sockets":%d,"disk_mb":%d},"known":%s,"settings":%s}`,
-		p.addr, p.admin, strings.TrimPrefix(p.discovery.URL, "http://"), p.sockets, p.disk, known, testSettings(p.memory, p.bundle,
-			p.mode))
+		p.addr, p.admin, strings.TrimPrefix(p.discovery.URL, "http://"), p.sockets, p.diskMB, known, testSettings(p.idempotencyWindow, p.maxBatch,
+			p.discoveryMode))
 	path := filepath.Join(p.t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -31,23 +31,23 @@
 	"milletsail/internal/settings"
 )
 
-// childConfig and childState make the test program a relay, so that tests can kill one; childDies makes it a process
+// childConfigVariable and childStateVariable make the test program a relay, so that tests can kill one; childKillStepVariable makes it a process
 // that owns the folder and is killed at a step of the handover.
-const childConfig, childState, childDies = "FROSTLINK_TEST_CONFIG", "FROSTLINK_TEST_STATE", "FROSTLINK_TEST_DIES"
+const childConfigVariable, childStateVariable, childKillStepVariable = "FROSTLINK_TEST_CONFIG", "FROSTLINK_TEST_STATE", "FROSTLINK_TEST_DIES"
 
-// childFiles has a child hold no more descriptors than the platform grants it.
-const childFiles = "FROSTLINK_TEST_FILES"
+// childDescriptorsVariable has a child hold no more descriptors than the platform grants it.
+const childDescriptorsVariable = "FROSTLINK_TEST_FILES"
 
 func TestMain(m *testing.M) {
-	if step := os.Getenv(childDies); step != "" {
-		dieAt(step, os.Getenv(childState))
+	if step := os.Getenv(childKillStepVariable); step != "" {
+		runOwnerKilledAt(step, os.Getenv(childStateVariable))
 	}
-	path := os.Getenv(childConfig)
+	path := os.Getenv(childConfigVariable)
 	if path == "" {
 		os.Exit(m.Run())
 	}
 	cfg, err := config.Read(path)
-	if n, limited := strconv.ParseUint(os.Getenv(childFiles), 10, 64); limited == nil {
+	if n, limited := strconv.ParseUint(os.Getenv(childDescriptorsVariable), 10, 64); limited == nil {
 		err = errors.Join(err, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}))
 	}
 	if err == nil {
@@ -55,7 +55,7 @@
 		defer stop()
 		hup := make(chan os.Signal, 1)
 		signal.Notify(hup, syscall.SIGHUP)
-		err = Run(ctx, cfg, os.Getenv(childState), config.Reloads(context.Background(), path, hup))
+		err = Run(ctx, cfg, os.Getenv(childStateVariable), config.Reloads(context.Background(), path, hup))
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -74,8 +74,8 @@
 
 const draining = endpoints.Draining
 
-// storedList gives the list that a relay has on disk, and its version; the relay may run.
-func storedList(tb testing.TB, dir string) (hosts []Member, seq int64) {
+// readStoredList gives the list that a relay has on disk, and its version; the relay may run.
+func readStoredList(tb testing.TB, dir string) (hosts []Member, seq int64) {
 	tb.Helper()
 	folder := tb.TempDir()
 	if err := os.CopyFS(folder, os.DirFS(filepath.Join(dir, listDirectory))); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -92,8 +92,8 @@
 	return slices.Collect(all), seq
 }
 
-// listAt gives a list of endpoints with one for each of some destinations.
-func listAt(destinations ...int) *endpointList {
+// endpointListOf gives a list of endpoints with one for each of some destinations.
+func endpointListOf(destinations ...int) *endpointList {
 	table := endpoints.NewTable()
 	for _, number := range destinations {
 		table.Put(Member{Host: fmt.Sprint("host-", number), Block: number})
@@ -107,38 +107,38 @@
 	discovery *httptest.Server
 	addr      string   // the relay's
 	admin     string   // its admin endpoint; empty for none
-	shared    *os.File // the clients' socket, where the platform holds it
-	dir       string
-	memory    float64
+	clientSocket    *os.File // the clients' socket, where the platform holds it
+	stateDir       string
+	idempotencyWindow    float64
 	sockets   int
-	disk      int                // MB
-	bundle    int                // messages in a call at most
-	mode      string             // of discovery, in the settings
-	unknown   bool               // the configuration lists no host
-	limited   bool               // a relay holds no more descriptors than sockets
-	down      bool               // watches fail
-	watch     func(*watchAnswer) // answers watches; nil for the list of hosts and lines
+	diskMB      int                // MB
+	maxBatch    int                // messages in a call at most
+	discoveryMode      string             // of discovery, in the settings
+	omitEndpoints   bool               // the configuration lists no host
+	limitDescriptors   bool               // a relay holds no more descriptors than sockets
+	failWatches      bool               // watches fail
+	serveWatch     func(*watchResponse) // answers watches; nil for the list of hosts and lines
 
 	mu      sync.Mutex
 	hosts   []Member
-	answer  func(*http.Request) int // a host's status; 0 for no answer while the call lasts
-	calls   []string                // ids that hosts were sent
-	began   chan string             // the same, as they come
-	notices []journal.Notification
-	deaf    int // so many posts of notices fail
+	respond  func(*http.Request) int // a host's status; 0 for no answer while the call lasts
+	callIDs   []string                // ids that hosts were sent
+	callStarted   chan string             // the same, as they come
+	received []journal.Notification
+	failingPosts    int // so many posts of notices fail
 
-	lines    chan string // further lines of the watch
-	released chan bool   // closed at the end
+	watchLines    chan string // further lines of the watch
+	stopping chan bool   // closed at the end
 }
 
 func newPlatform(tb testing.TB) *platform {
 	tb.Helper()
-	p := &platform{t: tb, dir: tb.TempDir(), memory: 15, sockets: 1024, disk: 3, bundle: 1, mode: "subscribe",
-		began: make(chan string, 1000), lines: make(chan string, 10),
-		released: make(chan bool), answer: func(*http.Request) int { return http.StatusOK }}
+	p := &platform{t: tb, stateDir: tb.TempDir(), idempotencyWindow: 15, sockets: 1024, diskMB: 3, maxBatch: 1, discoveryMode: "subscribe",
+		callStarted: make(chan string, 1000), watchLines: make(chan string, 10),
+		stopping: make(chan bool), respond: func(*http.Request) int { return http.StatusOK }}
 	p.discovery = httptest.NewServer(http.HandlerFunc(p.serveDiscovery))
 	tb.Cleanup(func() {
-		close(p.released)
+		close(p.stopping)
 		p.discovery.CloseClientConnections()
 		p.discovery.Close()
 	})
@@ -185,15 +185,15 @@
 		}
 	}
 	p.mu.Lock()
-	p.calls = append(p.calls, id)
-	answer := p.answer
+	p.callIDs = append(p.callIDs, id)
+	answer := p.respond
 	p.mu.Unlock()
 	status := answer(r)
-	p.began <- id
+	p.callStarted <- id
 	if status == 0 {
 		select {
 		case <-r.Context().Done():
-		case <-p.released:
+		case <-p.stopping:
 		}
 		return
 	}
@@ -207,8 +207,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.URL.Path == "/v1/outcomes" {
-		if p.deaf > 0 {
-			p.deaf--
+		if p.failingPosts > 0 {
+			p.failingPosts--
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -218,19 +218,19 @@
 				w.WriteHeader(http.StatusBadRequest)
 				return
 			}
-			p.notices = append(p.notices, n)
+			p.received = append(p.received, n)
 		}
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	if p.down {
+	if p.failWatches {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if serve := p.watch; serve != nil {
+	if serve := p.serveWatch; serve != nil {
 		p.mu.Unlock()
 		defer p.mu.Lock()
-		serve(&watchAnswer{w, r, p})
+		serve(&watchResponse{w, r, p})
 		return
 	}
 	line, _ := json.Marshal(Members{Seq: 41, Whole: true, Hosts: p.hosts})
@@ -242,9 +242,9 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-p.released:
+		case <-p.stopping:
 			return
-		case line := <-p.lines:
+		case line := <-p.watchLines:
 			_, _ = io.WriteString(w, line+"\n")
 		case <-time.After(time.Second):
 			_, _ = io.WriteString(w, "\n")
@@ -252,8 +252,8 @@
 	}
 }
 
-// set changes what the platform does.
-func (p *platform) set(change func()) {
+// update changes what the platform does.
+func (p *platform) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
@@ -270,13 +270,13 @@
 func (p *platform) start() *child {
 	p.t.Helper()
 	c := &child{Cmd: exec.CommandContext(context.WithoutCancel(p.t.Context()), os.Args[0]), exited: make(chan error, 1),
-		config: p.config()}
-	c.Env = append(os.Environ(), childConfig+"="+c.config, childState+"="+p.dir)
-	if p.limited {
-		c.Env = append(c.Env, fmt.Sprint(childFiles, "=", p.sockets))
+		config: p.writeConfig()}
+	c.Env = append(os.Environ(), childConfigVariable+"="+c.config, childStateVariable+"="+p.stateDir)
+	if p.limitDescriptors {
+		c.Env = append(c.Env, fmt.Sprint(childDescriptorsVariable, "=", p.sockets))
 	}
-	if p.shared != nil {
-		c.ExtraFiles, c.Env = []*os.File{p.shared}, append(c.Env, "NODE_FD=3")
+	if p.clientSocket != nil {
+		c.ExtraFiles, c.Env = []*os.File{p.clientSocket}, append(c.Env, "NODE_FD=3")
 	}
 	c.Stderr = &bytes.Buffer{}
 	if err := c.Start(); err != nil {
@@ -284,7 +284,7 @@
 	}
 	go func() { c.exited <- c.Wait() }()
 	p.t.Cleanup(func() { _ = c.Process.Kill() })
-	p.untilReady()
+	p.waitUntilReady()
 	return c
 }
 
@@ -297,8 +297,8 @@
 	<-c.exited //nolint:errcheck // it was killed
 }
 
-// until waits for something to come true; how long that takes decides nothing.
-func (p *platform) until(what string, true func() bool) {
+// waitUntil waits for something to come true; how long that takes decides nothing.
+func (p *platform) waitUntil(what string, true func() bool) {
 	p.t.Helper()
 	for end := time.Now().Add(long); !true(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -307,11 +307,11 @@
 	}
 }
 
-// called waits for a call at a host and returns its id.
-func (p *platform) called() string {
+// nextCall waits for a call at a host and returns its id.
+func (p *platform) nextCall() string {
 	p.t.Helper()
 	select {
-	case id := <-p.began:
+	case id := <-p.callStarted:
 		return id
 	case <-time.After(long):
 		p.t.Fatal("no call came")
@@ -319,20 +319,20 @@
 	}
 }
 
-func (p *platform) sent() []string {
+func (p *platform) calls() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string(nil), p.calls...)
+	return append([]string(nil), p.callIDs...)
 }
 
-func (p *platform) told() []journal.Notification {
+func (p *platform) notifications() []journal.Notification {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]journal.Notification(nil), p.notices...)
+	return append([]journal.Notification(nil), p.received...)
 }
 
-// handIn hands a message in and returns the answer.
-func (p *platform) handIn(class, id, timeout string, change ...func(*http.Request)) answer {
+// submit hands a message in and returns the answer.
+func (p *platform) submit(class, id, timeout string, change ...func(*http.Request)) answer {
 	p.t.Helper()
 	r, err := http.NewRequestWithContext(p.t.Context(), http.MethodPost, "http://"+p.addr+"/"+class,
 		strings.NewReader("body of "+id))
@@ -354,16 +354,16 @@
 	return resp
 }
 
-// take hands a message in that has to be taken on.
-func (p *platform) take(class, id, timeout string) {
+// submitAccepted hands a message in that has to be taken on.
+func (p *platform) submitAccepted(class, id, timeout string) {
 	p.t.Helper()
-	if resp := p.handIn(class, id, timeout); resp.StatusCode != http.StatusAccepted {
+	if resp := p.submit(class, id, timeout); resp.StatusCode != http.StatusAccepted {
 		p.t.Fatalf("%s: %s", id, resp.Status)
 	}
 }
 
-// held is a host's answer that waits until it is let go.
-func (p *platform) held(hold chan bool) func(*http.Request) int {
+// respondAfter is a host's answer that waits until it is let go.
+func (p *platform) respondAfter(hold chan bool) func(*http.Request) int {
 	return func(r *http.Request) int {
 		select {
 		case <-hold:
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -26,13 +26,13 @@
 	p.addHost("h1", 7)
 	p.start()
 	for _, id := range []string{"a", "b", "c"} {
-		p.take("payment", id, "20")
-		if got := p.called(); got != id {
+		p.submitAccepted("payment", id, "20")
+		if got := p.nextCall(); got != id {
 			t.Errorf("call for %s, want %s", got, id)
 		}
 	}
-	p.until("nothing is left in the journal", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.told(); len(n) != 0 {
+	p.waitUntil("nothing is left in the journal", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if n := p.notifications(); len(n) != 0 {
 		t.Errorf("notices for delivered messages: %v", n)
 	}
 }
@@ -117,19 +117,19 @@
 		{"body too large", "status", body(protocol.MaxBodySize + 1), 413},
 	}
 	for _, tt := range tests {
-		if resp := p.handIn(tt.class, "bad", "5", tt.change); resp.StatusCode != tt.want {
+		if resp := p.submit(tt.class, "bad", "5", tt.change); resp.StatusCode != tt.want {
 			t.Errorf("%s: %s, want %d", tt.name, resp.Status, tt.want)
 		}
 	}
 	for _, change := range []func(*http.Request){body(protocol.MaxBodySize), header("Request-Timeout", "999999999.5"),
 		header("X-Envelope", "a=1, dest=7")} {
-		id := "good" + string(rune('0'+len(p.sent())))
-		if resp := p.handIn("status", id, "5", change); resp.StatusCode != http.StatusAccepted {
+		id := "good" + string(rune('0'+len(p.calls())))
+		if resp := p.submit("status", id, "5", change); resp.StatusCode != http.StatusAccepted {
 			t.Errorf("%s: %s", id, resp.Status)
 		}
-		p.called()
+		p.nextCall()
 	}
-	if slices.Contains(p.sent(), "bad") {
+	if slices.Contains(p.calls(), "bad") {
 		t.Error("a malformed message was sent on")
 	}
 }
@@ -139,35 +139,35 @@
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.start()
-	resp := p.handIn("status", "m", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
+	resp := p.submit("status", "m", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("%s, %v", resp.Status, resp.Header)
 	}
 	p.addHost("h8", 8)
-	p.lines <- hostLine(t, 43, p.hosts[1])
-	p.until("it is listed and taken", func() bool {
-		r := p.handIn("status", "m", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
+	p.watchLines <- hostLine(t, 43, p.hosts[1])
+	p.waitUntil("it is listed and taken", func() bool {
+		r := p.submit("status", "m", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 		return r.StatusCode == http.StatusAccepted
 	})
-	p.called()
+	p.nextCall()
 }
 
 // What could not be delivered ends by one notice, which is posted until it is received.
 func TestNotificationUntilReceived(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
-	p.deaf = 3
+	p.respond = func(*http.Request) int { return 0 }
+	p.failingPosts = 3
 	p.start()
-	p.take("order", "m", "0.4")
-	p.until("the notice is received", func() bool { return len(p.told()) > 0 })
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
+	p.submitAccepted("order", "m", "0.4")
+	p.waitUntil("the notice is received", func() bool { return len(p.notifications()) > 0 })
+	if n := p.notifications(); len(n) != 1 || n[0] != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("notices: %v", n)
 	}
-	if p.deaf != 0 {
-		t.Errorf("%d failures left", p.deaf)
+	if p.failingPosts != 0 {
+		t.Errorf("%d failures left", p.failingPosts)
 	}
-	p.until("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitUntil("the journal forgets it", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 }
 
 // The ends that answers tell: 410 leaves nothing owed, 504 a notice, and there are no further calls.
@@ -175,14 +175,14 @@
 	for status, want := range map[int]int{http.StatusGone: 0, http.StatusGatewayTimeout: 1} {
 		p := newPlatform(t)
 		p.addHost("h1", 7)
-		p.answer = func(*http.Request) int { return status }
+		p.respond = func(*http.Request) int { return status }
 		p.start()
-		p.take("status", "m", "20")
-		p.until("it is over", func() bool { return len(p.sent()) > 0 && len(readEntries(t, p.dir)) == 0 })
-		if n := p.told(); len(n) != want || want > 0 && n[0].Status != notifier.StatusDeferred {
+		p.submitAccepted("status", "m", "20")
+		p.waitUntil("it is over", func() bool { return len(p.calls()) > 0 && len(readEntries(t, p.stateDir)) == 0 })
+		if n := p.notifications(); len(n) != want || want > 0 && n[0].Status != notifier.StatusDeferred {
 			t.Errorf("%d: notices %v", status, n)
 		}
-		if c := p.sent(); len(c) != 1 {
+		if c := p.calls(); len(c) != 1 {
 			t.Errorf("%d: calls %v", status, c)
 		}
 	}
@@ -192,15 +192,15 @@
 func TestMessageSubmittedTwice(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
+	p.respond = func(*http.Request) int { return 0 }
 	p.start()
-	p.take("order", "m", "20")
-	p.called()
-	p.take("order", "m", "20")
-	if e := readEntries(t, p.dir); len(e) != 1 {
+	p.submitAccepted("order", "m", "20")
+	p.nextCall()
+	p.submitAccepted("order", "m", "20")
+	if e := readEntries(t, p.stateDir); len(e) != 1 {
 		t.Errorf("entries: %d", len(e))
 	}
-	if c := p.sent(); len(c) != 1 {
+	if c := p.calls(); len(c) != 1 {
 		t.Errorf("calls: %v", c)
 	}
 }
@@ -209,7 +209,7 @@
 func TestCannotListen(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	j := openTestJournal(t, p.dir, 3)
+	j := openTestJournal(t, p.stateDir, 3)
 	j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 	commit(t, j)
 	taken, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", p.addr)
@@ -217,14 +217,14 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = taken.Close() }()
-	cfg, err := config.Read(p.config())
+	cfg, err := config.Read(p.writeConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Run(t.Context(), cfg, p.dir, nil); err == nil || !strings.Contains(err.Error(), "listen") {
+	if err := Run(t.Context(), cfg, p.stateDir, nil); err == nil || !strings.Contains(err.Error(), "listen") {
 		t.Errorf("error %v", err)
 	}
-	if e := readEntries(t, p.dir); len(e) != 1 || len(e[0].Attempts) != 0 {
+	if e := readEntries(t, p.stateDir); len(e) != 1 || len(e[0].Attempts) != 0 {
 		t.Errorf("the journal was worked on: %v", e)
 	}
 }
@@ -239,7 +239,7 @@
 // leave notes messages in the journal as an earlier process would have.
 func leave(t *testing.T, p *platform, ids ...string) {
 	t.Helper()
-	j := openTestJournal(t, p.dir, 3)
+	j := openTestJournal(t, p.stateDir, 3)
 	for _, id := range ids {
 		j.Accept(&journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute), Body: []byte(id)})
 	}
@@ -250,15 +250,15 @@
 // that the relay does not have.
 func TestMessagesShareACall(t *testing.T) {
 	p := newPlatform(t)
-	p.bundle = 3
+	p.maxBatch = 3
 	p.addHost("h1", 7)
 	leave(t, p, "a", "b", "c", "d")
 	p.start()
-	if got := []string{p.called(), p.called()}; !slices.Contains(got, "a b c ") || !slices.Contains(got, "d") {
+	if got := []string{p.nextCall(), p.nextCall()}; !slices.Contains(got, "a b c ") || !slices.Contains(got, "d") {
 		t.Errorf("calls %q", got)
 	}
-	p.until("nothing is left in the journal", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.told(); len(n) != 0 {
+	p.waitUntil("nothing is left in the journal", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if n := p.notifications(); len(n) != 0 {
 		t.Errorf("notices for delivered messages: %v", n)
 	}
 }
@@ -267,21 +267,21 @@
 // from then on counts for none. That one ends, and the others are sent again as their class permits, once.
 func TestExpiryInACall(t *testing.T) {
 	p := newPlatform(t)
-	p.bundle = 3
+	p.maxBatch = 3
 	p.addHost("h1", 7)
 	gaveUp := make(chan bool, 1)
 	var calls atomic.Int64
-	p.answer = func(r *http.Request) int {
+	p.respond = func(r *http.Request) int {
 		if calls.Add(1) == 1 {
 			select {
 			case <-r.Context().Done(): // the relay has closed the call's connection
 				gaveUp <- true
-			case <-p.released:
+			case <-p.stopping:
 			}
 		}
 		return http.StatusOK
 	}
-	j := openTestJournal(t, p.dir, 3)
+	j := openTestJournal(t, p.stateDir, 3)
 	for id, e := range map[string]struct {
 		class string
 		left  time.Duration
@@ -291,15 +291,15 @@
 	commit(t, j)
 	p.start()
 	receive(t, gaveUp)
-	p.until("nothing is left in the journal", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitUntil("nothing is left in the journal", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	status := map[string]string{}
-	for _, n := range p.told() {
+	for _, n := range p.notifications() {
 		status[n.ID] = n.Status
 	}
 	if len(status) != 2 || status["short"] != notifier.StatusDeferred || status["once"] != notifier.StatusUndeliverable {
 		t.Errorf("notices %v", status)
 	}
-	if c := p.sent(); len(c) != 2 || strings.Count(c[0], " ") != 3 || c[1] != "other" {
+	if c := p.calls(); len(c) != 2 || strings.Count(c[0], " ") != 3 || c[1] != "other" {
 		t.Errorf("calls %q", c)
 	}
 }
@@ -346,8 +346,8 @@
 	if frontend.ReadTimeout >= 3*time.Second {
 		t.Errorf("a silent peer is closed after %v, and is owed that within 3 s", frontend.ReadTimeout)
 	}
-	p.take("status", "good", "20")
-	if id := p.called(); id != "good" {
+	p.submitAccepted("status", "good", "20")
+	if id := p.nextCall(); id != "good" {
 		t.Errorf("%q was sent on", id)
 	}
 }
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -16,7 +16,7 @@
 func TestReloadOfAFileThatIsBeingWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	p := newPlatform(t)
-	whole, err := os.ReadFile(p.config())
+	whole, err := os.ReadFile(p.writeConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -28,34 +28,34 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			p := newPlatform(t)
-			p.memory = tt.memory
+			p.idempotencyWindow = tt.memory
 			p.addHost("h1", 7)
-			p.answer = func(*http.Request) int { return 0 }
+			p.respond = func(*http.Request) int { return 0 }
 			c := p.start()
-			p.take(tt.class, "m", "25")
-			p.called()
+			p.submitAccepted(tt.class, "m", "25")
+			p.nextCall()
 			p.kill(c)
 			time.Sleep(100 * time.Millisecond) // past the short memory
 			var key string
-			p.set(func() {
-				p.answer = func(r *http.Request) int {
+			p.update(func() {
+				p.respond = func(r *http.Request) int {
 					key = r.Header.Get("Idempotency-Key")
 					return http.StatusOK
 				}
 			})
 			p.start()
 			if tt.again {
-				p.called()
+				p.nextCall()
 				if key != "key-m" {
 					t.Errorf("key %q", key)
 				}
 			}
-			p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
+			p.waitUntil("it is over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 			want := map[bool]int{true: 2, false: 1}[tt.again]
-			if got := p.sent(); len(got) != want {
+			if got := p.calls(); len(got) != want {
 				t.Errorf("calls %v, want %d", got, want)
 			}
-			if n := p.told(); len(n) != map[bool]int{true: 0, false: 1}[tt.again] {
+			if n := p.notifications(); len(n) != map[bool]int{true: 0, false: 1}[tt.again] {
 				t.Errorf("notices %v", n)
 			} else if tt.class == "order" && n[0].Status != notifier.StatusUndeliverable {
 				t.Errorf("an unsafe message that may have run was handed back: %v", n)
@@ -76,12 +76,12 @@
 		syscall.SIGTERM, 0, false}} {
 		t.Run(tt.name, func(t *testing.T) {
 			p := newPlatform(t)
-			p.memory = 1
+			p.idempotencyWindow = 1
 			p.addHost("h1", 7)
-			p.answer = func(*http.Request) int { return 0 }
+			p.respond = func(*http.Request) int { return 0 }
 			c := p.start()
-			p.take("payment", "m", "25")
-			p.called()
+			p.submitAccepted("payment", "m", "25")
+			p.nextCall()
 			sent := time.Now()
 			if err := c.Process.Signal(tt.signal); err != nil {
 				t.Fatal(err)
@@ -89,15 +89,15 @@
 			_ = receive(t, c.exited)
 			time.Sleep(tt.wait)
 			var again time.Duration
-			p.set(func() {
-				p.answer = func(*http.Request) int {
+			p.update(func() {
+				p.respond = func(*http.Request) int {
 					again = time.Since(sent)
 					return http.StatusOK
 				}
 			})
 			p.start()
-			p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			calls, told := p.sent(), p.told()
+			p.waitUntil("it is over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			calls, told := p.calls(), p.notifications()
 			if again > time.Second {
 				t.Errorf("sent again after %v", again)
 			}
@@ -118,21 +118,21 @@
 	h := p.addHost("h1", 7)
 	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1 // tried rarely, so that attempts remain
 	c := p.start()
-	p.take("order", "late", "0.6")
-	p.take("order", "kept", "25")
-	p.until("an attempt is noted", func() bool {
-		e := readEntries(t, p.dir)
+	p.submitAccepted("order", "late", "0.6")
+	p.submitAccepted("order", "kept", "25")
+	p.waitUntil("an attempt is noted", func() bool {
+		e := readEntries(t, p.stateDir)
 		return len(e) > 0 && len(e[0].Attempts) > 0 && e[0].Attempts[0].NotExecuted
 	})
 	p.kill(c)
 	time.Sleep(600 * time.Millisecond)
-	p.set(func() { p.hosts[0] = h })
+	p.update(func() { p.hosts[0] = h })
 	p.start()
-	if id := p.called(); id != "kept" {
+	if id := p.nextCall(); id != "kept" {
 		t.Errorf("call for %s", id)
 	}
-	p.until("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.told(); len(n) != 1 || n[0].ID != "late" {
+	p.waitUntil("both are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if n := p.notifications(); len(n) != 1 || n[0].ID != "late" {
 		t.Errorf("notices %v", n)
 	}
 }
@@ -145,14 +145,14 @@
 	p.addHost("h8", 8)
 	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1 // tried rarely, so that attempts remain
 	c := p.start()
-	p.take("order", "before", "25")
+	p.submitAccepted("order", "before", "25")
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
-	p.until("answers close connections", func() bool {
+	p.waitUntil("answers close connections", func() bool {
 		n++
-		resp := p.handIn("status", "after"+string(rune('a'+n%26))+string(rune('a'+n/26%26)), "25",
+		resp := p.submit("status", "after"+string(rune('a'+n%26))+string(rune('a'+n/26%26)), "25",
 			func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 		if resp.StatusCode != http.StatusAccepted {
 			t.Fatalf("while it ends: %s", resp.Status)
@@ -167,35 +167,35 @@
 	case <-time.After(long):
 		t.Fatal("no exit after SIGTERM")
 	}
-	if got := len(p.sent()); got != n {
+	if got := len(p.calls()); got != n {
 		t.Errorf("%d of %d delivered before the end", got, n)
 	}
-	if e := readEntries(t, p.dir); len(e) != 1 || e[0].ID != "before" {
+	if e := readEntries(t, p.stateDir); len(e) != 1 || e[0].ID != "before" {
 		t.Fatalf("left for the next process: %v", e)
 	}
-	p.set(func() { p.hosts[0] = h })
+	p.update(func() { p.hosts[0] = h })
 	p.start()
-	p.until("the rest is delivered", func() bool { return slices.Contains(p.sent(), "before") })
+	p.waitUntil("the rest is delivered", func() bool { return slices.Contains(p.calls(), "before") })
 }
 
 // A notice that the platform has not received is owed by the next process too.
 func TestNoticeOwedThroughRestart(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
-	p.deaf = 1 << 30
+	p.respond = func(*http.Request) int { return 0 }
+	p.failingPosts = 1 << 30
 	c := p.start()
-	p.take("order", "m", "0.3")
-	p.until("the notice is owed", func() bool {
-		e := readEntries(t, p.dir)
+	p.submitAccepted("order", "m", "0.3")
+	p.waitUntil("the notice is owed", func() bool {
+		e := readEntries(t, p.stateDir)
 		return len(e) == 1 && e[0].PendingNotification != nil
 	})
 	p.kill(c)
-	p.set(func() { p.deaf = 0 })
+	p.update(func() { p.failingPosts = 0 })
 	p.start()
-	p.until("the notice is received", func() bool { return len(p.told()) == 1 })
-	p.until("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.sent(); len(n) != 1 {
+	p.waitUntil("the notice is received", func() bool { return len(p.notifications()) == 1 })
+	p.waitUntil("the journal forgets it", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if n := p.calls(); len(n) != 1 {
 		t.Errorf("calls: %v", n)
 	}
 }
@@ -209,23 +209,23 @@
 		up := p.hosts[0]
 		p.hosts[0].Dial = closedAddress(t)
 		c := p.start()
-		p.take("status", "a", "25")
-		p.until("the outage is noted", func() bool { return readHealth(t, p.dir)["h1"].Ejected })
+		p.submitAccepted("status", "a", "25")
+		p.waitUntil("the outage is noted", func() bool { return readHealth(t, p.stateDir)["h1"].Ejected })
 		p.kill(c)
-		p.set(func() { p.hosts[0] = up })
+		p.update(func() { p.hosts[0] = up })
 		if !known {
-			p.set(func() { p.unknown = true })
+			p.update(func() { p.omitEndpoints = true })
 		}
 		p.start()
-		resp := p.handIn("status", "b", "25")
-		for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.handIn("status", "b", "25") {
+		resp := p.submit("status", "b", "25")
+		for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.submit("status", "b", "25") {
 			time.Sleep(10 * time.Millisecond) // not listed yet
 		}
 		// A fresh relay would take it on and send at once; in an outage the next knock is too far off.
 		if resp.StatusCode != http.StatusTooManyRequests {
 			t.Errorf("known %v: %s", known, resp.Status)
 		}
-		if got := p.sent(); len(got) > 1 {
+		if got := p.calls(); len(got) > 1 {
 			t.Errorf("known %v: %v sent at once to a destination that was out", known, got)
 		}
 	}
@@ -238,10 +238,10 @@
 	j.Accept(&journal.Entry{ID: "m", Class: "parcel", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 	commit(t, j)
 	p := newPlatform(t)
-	p.dir = dir
+	p.stateDir = dir
 	p.start()
-	p.until("its notice is received", func() bool { return len(p.told()) == 1 })
-	if n := p.told()[0]; n != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
+	p.waitUntil("its notice is received", func() bool { return len(p.notifications()) == 1 })
+	if n := p.notifications()[0]; n != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("notice %v", n)
 	}
 }
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -22,12 +22,12 @@
 func TestPlannedEndWithCallsThatHang(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
+	p.respond = func(*http.Request) int { return 0 }
 	old := p.start()
 	want := []string{"status", "payment", "order"}
 	for _, class := range want {
-		p.take(class, class, "25")
-		p.called()
+		p.submitAccepted(class, class, "25")
+		p.nextCall()
 	}
 	begun := time.Now()
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
@@ -36,7 +36,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	if err := old.exit(t); err != nil {
+	if err := old.waitForExit(t); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	if took := time.Since(begun); took < finishCallsPhase {
@@ -45,21 +45,21 @@
 	if finishCallsPhase+responseWriteTimeout > exitDeadline || exitDeadline >= 3700*time.Millisecond {
 		t.Errorf("it ends %v after the signal, and is killed after 3.7 s", exitDeadline)
 	}
-	entries := readEntries(t, p.dir)
+	entries := readEntries(t, p.stateDir)
 	if len(entries) != len(want) || slices.ContainsFunc(entries, func(e *journal.Entry) bool {
 		return e.PendingNotification != nil || len(e.Attempts) != 1 || e.Attempts[0].Ended && e.Attempts[0].NotExecuted
 	}) {
 		t.Fatalf("left for the next process: %v", entries)
 	}
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.start()
-	p.until("each has its end", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	calls := p.sent()[len(want):]
+	p.waitUntil("each has its end", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	calls := p.calls()[len(want):]
 	slices.Sort(calls)
 	if !slices.Equal(calls, []string{"payment", "status"}) {
 		t.Errorf("made again: %v", calls)
 	}
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: notifier.StatusUndeliverable}) {
+	if n := p.notifications(); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: notifier.StatusUndeliverable}) {
 		t.Errorf("notices %v", n)
 	}
 }
@@ -68,13 +68,13 @@
 func TestNoticeDuringAPlannedEnd(t *testing.T) {
 	p, next := newPlatform(t), newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
-	p.deaf = 1 << 30
+	p.respond = func(*http.Request) int { return 0 }
+	p.failingPosts = 1 << 30
 	old := p.start()
-	p.take("order", "m", "2.5")
-	p.called()
+	p.submitAccepted("order", "m", "2.5")
+	p.nextCall()
 	next.addr = p.addr
-	text, err := os.ReadFile(next.config())
+	text, err := os.ReadFile(next.writeConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,13 +87,13 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	if err := old.exit(t); err != nil {
+	if err := old.waitForExit(t); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if n := next.told(); len(n) != 1 || n[0].ID != "m" {
+	if n := next.notifications(); len(n) != 1 || n[0].ID != "m" {
 		t.Errorf("notices at the new address: %v", n)
 	}
-	if e := readEntries(t, p.dir); len(e) != 0 {
+	if e := readEntries(t, p.stateDir); len(e) != 0 {
 		t.Errorf("left in the journal: %v", e)
 	}
 }
@@ -102,18 +102,18 @@
 func TestEndBeforeTheStart(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	owner, err := journal.AcquireOwnership(p.dir)
+	owner, err := journal.AcquireOwnership(p.stateDir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer owner.Release()
-	cfg, err := config.Read(p.config())
+	cfg, err := config.Read(p.writeConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, cfg, p.dir, nil) }()
+	go func() { ended <- Run(ctx, cfg, p.stateDir, nil) }()
 	stop()
 	if err := receive(t, ended); err != nil {
 		t.Errorf("ended with %v", err)
@@ -139,7 +139,7 @@
 		t.Run(strings.ReplaceAll(tt.name, " ", "_"), func(t *testing.T) {
 			p := newPlatform(t)
 			p.addHost("h1", 7)
-			j := openTestJournal(t, p.dir, 3)
+			j := openTestJournal(t, p.stateDir, 3)
 			e := &journal.Entry{ID: "m", Class: "order", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute), Body: []byte("m")}
 			j.Accept(e)
 			for _, a := range tt.entry.Attempts {
@@ -153,8 +153,8 @@
 			}
 			commit(t, j)
 			p.start()
-			p.until("it has its end", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			if calls, told := p.sent(), p.told(); len(calls) != tt.calls || len(told) != tt.told {
+			p.waitUntil("it has its end", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			if calls, told := p.calls(), p.notifications(); len(calls) != tt.calls || len(told) != tt.told {
 				t.Errorf("calls %v, notices %v, want %d and %d", calls, told, tt.calls, tt.told)
 			}
 		})
@@ -167,23 +167,23 @@
 	p.addHost("h1", 7)
 	hold := make(chan bool)
 	var held atomic.Int64
-	p.answer = func(r *http.Request) int {
+	p.respond = func(r *http.Request) int {
 		held.Add(1)
-		return p.held(hold)(r)
+		return p.respondAfter(hold)(r)
 	}
 	p.start()
-	p.take("status", "stays", "25")
-	p.called()
+	p.submitAccepted("status", "stays", "25")
+	p.nextCall()
 	for range 30 {
-		c := p.keep()
+		c := p.connectClient()
 		_, _ = c.Write([]byte(posted("burst" + c.LocalAddr().String()))) // its answer is not read, and the close resets it
 		_ = c.Close()
 	}
 	close(hold)
-	p.until("all have their end", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	p.take("status", "after", "25")
-	p.until("a later one is delivered", func() bool { return slices.Contains(p.sent(), "after") })
-	for _, n := range p.told() {
+	p.waitUntil("all have their end", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.submitAccepted("status", "after", "25")
+	p.waitUntil("a later one is delivered", func() bool { return slices.Contains(p.calls(), "after") })
+	for _, n := range p.notifications() {
 		if !strings.HasPrefix(n.ID, "burst") {
 			t.Errorf("notice %v", n)
 		}
--- a/internal/relay/stored_test.go
+++ b/internal/relay/stored_test.go
@@ -14,8 +14,8 @@
 	"milletsail/internal/journal"
 )
 
-// full has a relay's files not grow any more, or lets them.
-func (c *child) full(t *testing.T, full bool) {
+// setDiskFull has a relay's files not grow any more, or lets them.
+func (c *child) setDiskFull(t *testing.T, full bool) {
 	t.Helper()
 	var old unix.Rlimit
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
@@ -36,37 +36,37 @@
 func TestFullDisk(t *testing.T) {
 	p := newPlatform(t)
 	hold := make(chan bool)
-	p.answer = p.held(hold)
+	p.respond = p.respondAfter(hold)
 	p.addHost("h1", 7)
 	p.admin = closedAddress(t)
 	c := p.start()
 	for _, id := range []string{"a", "b", "c", "d"} { // all slots that one destination may have
-		p.take("status", id, "25")
+		p.submitAccepted("status", id, "25")
 	}
-	p.until("all slots are taken", func() bool { return len(p.sent()) == 4 })
-	p.take("order", "unsafe", "25")
-	p.take("status", "safe", "25")
-	c.full(t, true)
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
+	p.waitUntil("all slots are taken", func() bool { return len(p.calls()) == 4 })
+	p.submitAccepted("order", "unsafe", "25")
+	p.submitAccepted("status", "safe", "25")
+	c.setDiskFull(t, true)
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	close(hold)
-	p.until("what may be repeated goes out", func() bool { return slices.Contains(p.sent(), "safe") })
-	p.until("the operators are told", func() bool {
-		return strings.HasPrefix(askOperator(t, p.admin, "health\n"),
+	p.waitUntil("what may be repeated goes out", func() bool { return slices.Contains(p.calls(), "safe") })
+	p.waitUntil("the operators are told", func() bool {
+		return strings.HasPrefix(sendAdminCommand(t, p.admin, "health\n"),
 			"ERR nothing is taken on")
 	})
-	resp := p.handIn("status", "late", "25")
+	resp := p.submit("status", "late", "25")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("with a full disk: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
-	if slices.Contains(p.sent(), "unsafe") {
+	if slices.Contains(p.calls(), "unsafe") {
 		t.Error("a message that may not be repeated goes out without a record")
 	}
-	c.full(t, false)
-	p.until("it is taken on again", func() bool { return askOperator(t, p.admin, "health\n") == "OK\n" })
-	p.until("the rest goes out", func() bool { return slices.Contains(p.sent(), "unsafe") })
-	p.take("status", "after", "25")
-	p.until("all are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.told(); len(n) != 0 {
+	c.setDiskFull(t, false)
+	p.waitUntil("it is taken on again", func() bool { return sendAdminCommand(t, p.admin, "health\n") == "OK\n" })
+	p.waitUntil("the rest goes out", func() bool { return slices.Contains(p.calls(), "unsafe") })
+	p.submitAccepted("status", "after", "25")
+	p.waitUntil("all are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if n := p.notifications(); len(n) != 0 {
 		t.Errorf("notices %v", n)
 	}
 }
@@ -75,11 +75,11 @@
 func TestOwned(t *testing.T) {
 	p := newPlatform(t)
 	c := p.start()
-	if owned, err := journal.IsOwned(p.dir); !owned || err != nil {
+	if owned, err := journal.IsOwned(p.stateDir); !owned || err != nil {
 		t.Errorf("while it runs: %v, %v", owned, err)
 	}
 	p.kill(c)
-	if owned, err := journal.IsOwned(p.dir); owned || err != nil {
+	if owned, err := journal.IsOwned(p.stateDir); owned || err != nil {
 		t.Errorf("after its end: %v, %v", owned, err)
 	}
 	if owned, err := journal.IsOwned(t.TempDir()); owned || err != nil {
@@ -95,7 +95,7 @@
 		p.addHost("h1", 7)
 		clocks := journal.SystemClocks
 		clocks.Wall = func() clock.Wall { return clock.ReadWall() + clock.Wall(ahead) }
-		j, _, err := journal.Open(p.dir, journal.Options{DiskMB: 3, Clocks: clocks})
+		j, _, err := journal.Open(p.stateDir, journal.Options{DiskMB: 3, Clocks: clocks})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -106,17 +106,17 @@
 			j.StartAttempt(e, "h1", sent)
 		}
 		commit(t, j)
-		for _, e := range readEntries(t, p.dir) {
+		for _, e := range readEntries(t, p.stateDir) {
 			if left := clock.Until(e.ExpiresAt); left > 25*time.Second || left < 20*time.Second {
 				t.Errorf("%v ahead: %s has %v left", ahead, e.ID, left)
 			}
 		}
 		p.start()
-		if id := p.called(); id != "status" {
+		if id := p.nextCall(); id != "status" {
 			t.Errorf("%v ahead: %s is sent", ahead, id)
 		}
-		p.until("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-		if n := p.told(); len(n) != 1 || n[0].ID != "payment" {
+		p.waitUntil("both are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+		if n := p.notifications(); len(n) != 1 || n[0].ID != "payment" {
 			t.Errorf("%v ahead: notices %v", ahead, n)
 		}
 	}
@@ -135,9 +135,9 @@
 			for b.Loop() {
 				b.StopTimer()
 				p := newPlatform(b)
-				p.disk = 64
+				p.diskMB = 64
 				p.addHost("h1", 7)
-				j := openTestJournal(b, p.dir, 64)
+				j := openTestJournal(b, p.stateDir, 64)
 				for i := range c.live {
 					e := &journal.Entry{ID: fmt.Sprintf("%016x", i), Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left),
 						Body: make([]byte, 200)}
@@ -151,14 +151,14 @@
 				begun := time.Now()
 				child := p.start()
 				for id := 0; ; id++ {
-					resp := p.handIn("order", fmt.Sprint("new", id), "25", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=7") })
+					resp := p.submit("order", fmt.Sprint("new", id), "25", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=7") })
 					if resp.StatusCode == http.StatusAccepted || resp.StatusCode == http.StatusTooManyRequests && c.left > 0 {
 						break // with so much held before it, it is refused at once, which is an answer too
 					}
 				}
 				b.StopTimer()
 				if c.left < 0 {
-					p.until("all notices are there", func() bool { return len(p.told()) >= c.live })
+					p.waitUntil("all notices are there", func() bool { return len(p.notifications()) >= c.live })
 					notices += time.Since(begun)
 				}
 				p.kill(child)
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -65,7 +65,7 @@
 			}
 			var queue recordedNotifications
 			l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New(classes), journal: kept,
-				messages: map[string]*message{}, endpoints: listAt(7), notifier: &queue}
+				messages: map[string]*message{}, endpoints: endpointListOf(7), notifier: &queue}
 			l.cfg.Policy.Classes = classes
 			m := &message{Entry: &journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(c.left)}}
 			l.messages["m"] = m
--- a/internal/relay/wire_admin_test.go
+++ b/internal/relay/wire_admin_test.go
@@ -28,8 +28,8 @@
 	maskVersion = mask{regexp.MustCompile(`"kind":"member","key":"\w*"`), `"kind":"member","key":"VERSION"`}
 )
 
-// askOperator sends an operator's line and gives the whole reply.
-func askOperator(tb testing.TB, addr, line string) string {
+// sendAdminCommand sends an operator's line and gives the whole reply.
+func sendAdminCommand(tb testing.TB, addr, line string) string {
 	tb.Helper()
 	conn, err := (&net.Dialer{}).DialContext(tb.Context(), "tcp", addr)
 	if err != nil {
@@ -47,11 +47,11 @@
 	return string(reply)
 }
 
-// reconfigured is the path of the platform's configuration with values changed: at its top, in its settings, and in
+// writeModifiedConfig is the path of the platform's configuration with values changed: at its top, in its settings, and in
 // their limits.
-func (p *platform) reconfigured(change func(top, settings, limits map[string]any)) string {
+func (p *platform) writeModifiedConfig(change func(top, settings, limits map[string]any)) string {
 	p.t.Helper()
-	path := p.config()
+	path := p.writeConfig()
 	text, err := os.ReadFile(path)
 	if err != nil {
 		p.t.Fatal(err)
@@ -75,11 +75,11 @@
 	return path
 }
 
-// startWith starts a relay with a configuration file in a process of its own, and waits until it is ready.
-func (p *platform) startWith(path string) {
+// startWithConfig starts a relay with a configuration file in a process of its own, and waits until it is ready.
+func (p *platform) startWithConfig(path string) {
 	p.t.Helper()
 	relay := exec.CommandContext(context.WithoutCancel(p.t.Context()), os.Args[0])
-	relay.Env = append(os.Environ(), childConfig+"="+path, childState+"="+p.dir)
+	relay.Env = append(os.Environ(), childConfigVariable+"="+path, childStateVariable+"="+p.stateDir)
 	if err := relay.Start(); err != nil {
 		p.t.Fatal(err)
 	}
@@ -87,24 +87,24 @@
 		_ = relay.Process.Kill()
 		_ = relay.Wait()
 	})
-	p.untilReady()
+	p.waitUntilReady()
 }
 
-// untilReady waits until the relay takes clients.
-func (p *platform) untilReady() {
+// waitUntilReady waits until the relay takes clients.
+func (p *platform) waitUntilReady() {
 	p.t.Helper()
-	p.until("the relay is ready", func() bool {
+	p.waitUntil("the relay is ready", func() bool {
 		resp, err := p.health()
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
 }
 
-// sharing gives a relay's configuration with another relay, whose notes come and go at a socket.
-func (p *platform) sharing(other *net.UDPConn, change func(top map[string]any)) string {
+// writeConfigWithPeer gives a relay's configuration with another relay, whose notes come and go at a socket.
+func (p *platform) writeConfigWithPeer(other *net.UDPConn, change func(top map[string]any)) string {
 	own := listenUDP(p.t)
 	addr := own.LocalAddr().String()
 	_ = own.Close() // for the relay
-	return p.reconfigured(func(top, settings, limits map[string]any) {
+	return p.writeModifiedConfig(func(top, settings, limits map[string]any) {
 		top["peer_listen"], top["peers"] = addr, []string{addr, other.LocalAddr().String()}
 		top["peers_all"] = other.LocalAddr().String()
 		settings["n_instances"], limits["peers"] = 2, true
@@ -128,31 +128,31 @@
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.admin = closedAddress(t)
-	p.startWith(p.sharing(listenUDP(t), func(top map[string]any) {
+	p.startWithConfig(p.writeConfigWithPeer(listenUDP(t), func(top map[string]any) {
 		top["fleet"], top["zones"], top["newcomers"] = true, true, true
 	}))
-	p.until("it takes clients", func() bool { return askOperator(t, p.admin, "health\n") == "OK\n" })
+	p.waitUntil("it takes clients", func() bool { return sendAdminCommand(t, p.admin, "health\n") == "OK\n" })
 	p.exchangeRaw(clientRequest("POST /unknown", "hi"))
 	p.exchangeRaw(clientRequest("POST /status", "hi", "X-Envelope: dest=9"))
-	p.take("status", "delivered", "25")
-	p.until("it is counted", func() bool {
-		return strings.Contains(askOperator(t, p.admin, "counters\n"), `{lane="status",result="completed"} 1`)
+	p.submitAccepted("status", "delivered", "25")
+	p.waitUntil("it is counted", func() bool {
+		return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), `{lane="status",result="completed"} 1`)
 	})
 	text := ""
 	for _, line := range []string{"health", "counters", "diagnostics", "diagnostics now", "zone status", "zone",
 		"zone close a", "zone evacuate nowhere 10m", "zone evacuate a soon", "zone evacuate a 10m", "zone restore a",
 		"zone restore a now", "servers", "unknown", "", strings.Repeat("x", 200)} {
-		text += section(fmt.Sprintf("%.30s", line), askOperator(t, p.admin, line+"\n"))
+		text += section(fmt.Sprintf("%.30s", line), sendAdminCommand(t, p.admin, line+"\n"))
 	}
 	text += section("fleet", p.fleetView())
-	compareWire(t, "admin.txt", masked(text, maskSeconds, maskProcess, maskVersion))
+	compareWire(t, "admin.txt", applyMasks(text, maskSeconds, maskProcess, maskVersion))
 }
 
 // fleetView is the reply to "fleet", once the relay has told of itself and of a destination's pace.
 func (p *platform) fleetView() (view string) {
 	p.t.Helper()
-	p.until("the relay has told of itself", func() bool {
-		view = askOperator(p.t, p.admin, "fleet\n")
+	p.waitUntil("the relay has told of itself", func() bool {
+		view = sendAdminCommand(p.t, p.admin, "fleet\n")
 		return strings.Contains(view, `"kind":"member"`) && strings.Contains(view, `"kind":"pace"`)
 	})
 	return view
@@ -164,16 +164,16 @@
 	p.addHost("h1", 7)
 	p.admin = closedAddress(t)
 	p.start()
-	p.until("it takes clients", func() bool { return askOperator(t, p.admin, "health\n") == "OK\n" })
+	p.waitUntil("it takes clients", func() bool { return sendAdminCommand(t, p.admin, "health\n") == "OK\n" })
 	text := ""
 	for _, line := range []string{"health", "counters", "diagnostics", "zone status", "servers", "fleet"} {
-		text += section(line, askOperator(t, p.admin, line+"\n"))
+		text += section(line, sendAdminCommand(t, p.admin, line+"\n"))
 	}
 	compareWire(t, "admin_without_parts.txt", text)
 }
 
-// nextNote waits for a note that begins as given, past others.
-func nextNote(t *testing.T, conn *net.UDPConn, begins string) []byte {
+// nextDatagram waits for a note that begins as given, past others.
+func nextDatagram(t *testing.T, conn *net.UDPConn, begins string) []byte {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(long))
 	for {
@@ -188,8 +188,8 @@
 	}
 }
 
-// refuses answers a call with a refusal for 700 ms, which the relay tells others of.
-func refuses(recordedRequest) string {
+// refuseCall answers a call with a refusal for 700 ms, which the relay tells others of.
+func refuseCall(recordedRequest) string {
 	return "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 700\r\nContent-Length: 0\r\n\r\n"
 }
 
@@ -200,23 +200,23 @@
 	text := ""
 	for _, shares := range []bool{false, true} {
 		p, other := newPlatform(t), listenUDP(t)
-		p.hosts = []Member{hostAt(record(t, refuses).addr)}
-		p.startWith(p.sharing(other, func(top map[string]any) { top["fleet"] = shares }))
+		p.hosts = []Member{memberAt(startRecorder(t, refuseCall).addr)}
+		p.startWithConfig(p.writeConfigWithPeer(other, func(top map[string]any) { top["fleet"] = shares }))
 		if shares {
-			text += section("a newcomer asks", hex.Dump(nextNote(t, other, "F\x01\x04")))
+			text += section("a newcomer asks", hex.Dump(nextDatagram(t, other, "F\x01\x04")))
 		}
-		p.take("status", "m", "25")
+		p.submitAccepted("status", "m", "25")
 		if shares {
-			text += section("a refusal, as a fact", factText(nextNote(t, other, "F\x01\x00\x02")))
+			text += section("a refusal, as a fact", formatFact(nextDatagram(t, other, "F\x01\x00\x02")))
 		} else {
-			text += section("a refusal, as the module's note", refusalText(t, nextNote(t, other, "c")))
+			text += section("a refusal, as the module's note", formatRefusal(t, nextDatagram(t, other, "c")))
 		}
 	}
 	compareWire(t, "notes.txt", text)
 }
 
-// refusalText gives a note of a refusal without its last number, which is the age.
-func refusalText(t *testing.T, note []byte) string {
+// formatRefusal gives a note of a refusal without its last number, which is the age.
+func formatRefusal(t *testing.T, note []byte) string {
 	t.Helper()
 	const lengthWithoutAge = 4 // of a mark, the destination, and the wait in two bytes
 	if len(note) <= lengthWithoutAge {
@@ -228,9 +228,9 @@
 	return hex.Dump(note[:lengthWithoutAge]) + "AGE\n"
 }
 
-// factText gives a note with a fact, number by number, without those that vary: the incarnation, the fact's number and
+// formatFact gives a note with a fact, number by number, without those that vary: the incarnation, the fact's number and
 // its age.
-func factText(note []byte) string {
+func formatFact(note []byte) string {
 	const headLength = 4 // mark, version, flags, kind
 	text := fmt.Sprintf("% x\n", note[:headLength])
 	rest := note[headLength:]
--- a/internal/relay/wire_golden_test.go
+++ b/internal/relay/wire_golden_test.go
@@ -36,8 +36,8 @@
 	maskAgain = mask{regexp.MustCompile(`"again_ms":\d+`), `"again_ms":MILLISECONDS`}
 )
 
-// masked gives a text with what varies hidden.
-func masked(text string, masks ...mask) string {
+// applyMasks gives a text with what varies hidden.
+func applyMasks(text string, masks ...mask) string {
 	for _, hidden := range masks {
 		text = hidden.pattern.ReplaceAllString(text, hidden.word)
 	}
--- a/internal/relay/wire_handover_proxy_test.go
+++ b/internal/relay/wire_handover_proxy_test.go
@@ -15,7 +15,7 @@
 type handoverProxy struct {
 	t     *testing.T
 	path  string                  // of the old process's socket
-	meet  func(handoverLine) bool // is called with each line, and tells whether it is to be passed on
+	onLine  func(handoverLine) bool // is called with each line, and tells whether it is to be passed on
 	lines chan handoverLine
 }
 
@@ -24,7 +24,7 @@
 func proxyHandover(t *testing.T, dir string, meet func(handoverLine) bool) *handoverProxy {
 	t.Helper()
 	socket := filepath.Join(dir, "handover")
-	proxy := &handoverProxy{t: t, path: socket + "-old", meet: meet, lines: make(chan handoverLine, 1000)}
+	proxy := &handoverProxy{t: t, path: socket + "-old", onLine: meet, lines: make(chan handoverLine, 1000)}
 	if err := os.Rename(socket, proxy.path); err != nil {
 		t.Fatal(err)
 	}
@@ -40,14 +40,14 @@
 			if err != nil { // closed
 				return
 			}
-			go proxy.join(newer)
+			go proxy.connect(newer)
 		}
 	}()
 	return proxy
 }
 
-// join joins a new process with the old one.
-func (p *handoverProxy) join(newer net.Conn) {
+// connect joins a new process with the old one.
+func (p *handoverProxy) connect(newer net.Conn) {
 	defer func() { _ = newer.Close() }()
 	old, err := (&net.Dialer{}).DialContext(p.t.Context(), "unix", p.path)
 	if err != nil {
@@ -56,13 +56,13 @@
 	}
 	defer func() { _ = old.Close() }()
 	var both sync.WaitGroup
-	both.Go(func() { p.pass("new", newer, old) })
-	both.Go(func() { p.pass("old", old, newer) })
+	both.Go(func() { p.forwardLines("new", newer, old) })
+	both.Go(func() { p.forwardLines("old", old, newer) })
 	both.Wait()
 }
 
-// pass passes the lines of one process on to the other, and then its end.
-func (p *handoverProxy) pass(from string, source, sink net.Conn) {
+// forwardLines passes the lines of one process on to the other, and then its end.
+func (p *handoverProxy) forwardLines(from string, source, sink net.Conn) {
 	in := bufio.NewReader(source)
 	for {
 		text, err := in.ReadString('\n')
@@ -73,7 +73,7 @@
 			return
 		}
 		line := handoverLine{from: from, kind: handoverKind.FindString(text), text: text}
-		passes := p.meet(line)
+		passes := p.onLine(line)
 		p.lines <- line
 		if passes {
 			_, _ = io.WriteString(sink, text)
--- a/internal/relay/wire_handover_test.go
+++ b/internal/relay/wire_handover_test.go
@@ -47,27 +47,27 @@
 type handoverScript struct {
 	p       *platform
 	mu      sync.Mutex
-	clients map[string]*keptConn // by the id of the message that each hands in
+	clients map[string]*clientConn // by the id of the message that each hands in
 }
 
-// messagesPassed are the messages that clients hand in at the old process after the handover, in order.
-var messagesPassed = []string{"taken on", "refused", "withdrawn"}
+// forwardedIDs are the messages that clients hand in at the old process after the handover, in order.
+var forwardedIDs = []string{"taken on", "refused", "withdrawn"}
 
-// meet takes the steps that follow from a line.
-func (s *handoverScript) meet(line handoverLine) (passes bool) {
+// onLine takes the steps that follow from a line.
+func (s *handoverScript) onLine(line handoverLine) (passes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case line.kind == `{"step":"ready"`: // the old process still takes clients
-		for _, id := range messagesPassed {
+		for _, id := range forwardedIDs {
 			s.connect(id)
 		}
 	case line.kind == `{"step":"yours"`:
-		s.handIn(messagesPassed[0])
+		s.submit(forwardedIDs[0])
 	case line.kind == `{"arrival":` && strings.Contains(line.text, `"taken on"`):
-		s.handIn(messagesPassed[1])
+		s.submit(forwardedIDs[1])
 	case line.kind == `{"arrival":` && strings.Contains(line.text, `"refused"`):
-		s.handIn(messagesPassed[2])
+		s.submit(forwardedIDs[2])
 	case line.kind == `{"arrival":` && strings.Contains(line.text, `"withdrawn"`):
 		_ = s.clients["withdrawn"].Close()
 		return false // else the new process could answer it first
@@ -85,7 +85,7 @@
 		return
 	}
 	_ = conn.SetDeadline(time.Now().Add(long))
-	client := &keptConn{conn, bufio.NewReader(conn)}
+	client := &clientConn{conn, bufio.NewReader(conn)}
 	s.clients[id] = client
 	_, _ = io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: relay\r\n\r\n")
 	for line := ""; line != "\r\n"; {
@@ -96,8 +96,8 @@
 	}
 }
 
-// handIn writes a client's request. The second message is for a destination that there is not.
-func (s *handoverScript) handIn(id string) {
+// submit writes a client's request. The second message is for a destination that there is not.
+func (s *handoverScript) submit(id string) {
 	destination := "X-Envelope: dest=7"
 	if id == "refused" {
 		destination = "X-Envelope: dest=9"
@@ -112,19 +112,19 @@
 // different kinds need not have.
 type handoverRecord map[string][]string
 
-// titleOf is the kind of lines that a line is of, with the process that sent it.
-func titleOf(from, kind string) string { return "from the " + from + " process: " + kind }
+// lineTitle is the kind of lines that a line is of, with the process that sent it.
+func lineTitle(from, kind string) string { return "from the " + from + " process: " + kind }
 
 // await takes lines until there are so many of a kind from a process that hold a word.
 func (r handoverRecord) await(proxy *handoverProxy, from, kind, word string, count int) {
 	proxy.t.Helper()
-	title := titleOf(from, kind)
+	title := lineTitle(from, kind)
 	holds := func(text string) bool { return strings.Contains(text, word) }
 	deadline := time.After(long)
 	for len(slices.Collect(filter(r[title], holds))) < count {
 		select {
 		case line := <-proxy.lines:
-			r[titleOf(line.from, line.kind)] = append(r[titleOf(line.from, line.kind)], line.text)
+			r[lineTitle(line.from, line.kind)] = append(r[lineTitle(line.from, line.kind)], line.text)
 		case <-deadline:
 			proxy.t.Fatalf("no line %s with %q: %v", title, word, r)
 		}
@@ -148,8 +148,8 @@
 	callOfOffer  = regexp.MustCompile(`\{[^}]*\}`)
 )
 
-// sortedOffer puts the calls of an offer in order, of which the old process keeps none.
-func sortedOffer(text string) string {
+// sortOfferedCalls puts the calls of an offer in order, of which the old process keeps none.
+func sortOfferedCalls(text string) string {
 	return callsOfOffer.ReplaceAllStringFunc(text, func(calls string) string {
 		return `"out":[` + strings.Join(slices.Sorted(slices.Values(callOfOffer.FindAllString(calls, -1))), ",") + "]"
 	})
@@ -170,34 +170,34 @@
 		case strings.HasSuffix(title, `{"verdict":`), strings.HasSuffix(title, `{"answered":`):
 			slices.Sort(lines)
 		}
-		text += section(title, sortedOffer(strings.Join(lines, "")))
+		text += section(title, sortOfferedCalls(strings.Join(lines, "")))
 	}
-	return masked(text, maskMoment, maskMeasured, maskClients)
+	return applyMasks(text, maskMoment, maskMeasured, maskClients)
 }
 
-// callsOut are the messages whose calls the old process has out at the handover, and the answer to each, in order.
-var callsOut = []struct{ id, answer string }{
+// callsInFlight are the messages whose calls the old process has out at the handover, and the answer to each, in order.
+var callsInFlight = []struct{ id, answer string }{
 	{"delivered", "HTTP/1.1 200 OK\r\nServer-Load: x0=0.5,x1=25\r\nContent-Length: 0\r\n\r\n"},
 	{"turned away", "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n"},
-	{"over", emptyAnswer("410 Gone")},
-	{"spent", emptyAnswer("504 Gateway Timeout")},
+	{"over", emptyResponse("410 Gone")},
+	{"spent", emptyResponse("504 Gateway Timeout")},
 }
 
-// holdingHost starts an endpoint that answers the first calls of callsOut once it is let, and that of "silent" never.
+// startHoldingHost starts an endpoint that answers the first calls of callsOut once it is let, and that of "silent" never.
 // It answers other calls with 200 at once, or, where it holds all, not at all: a call that began later and has ended
 // would have the relay call off those that are out.
-func holdingHost(t *testing.T, holdsAll bool) (host *recorder, release map[string]chan bool) {
+func startHoldingHost(t *testing.T, holdsAll bool) (host *recorder, release map[string]chan bool) {
 	t.Helper()
 	release = map[string]chan bool{"silent": make(chan bool)}
 	answers := map[string]string{}
-	for _, call := range callsOut {
+	for _, call := range callsInFlight {
 		release[call.id], answers[call.id] = make(chan bool), call.answer
 	}
 	done := make(chan bool)
 	t.Cleanup(func() { close(done) })
 	var mu sync.Mutex // guards held
 	held := map[string]bool{}
-	host = record(t, func(came recordedRequest) string {
+	host = startRecorder(t, func(came recordedRequest) string {
 		_, id, _ := strings.Cut(came.raw, "\r\nRequest-Id: ")
 		id, _, _ = strings.Cut(id, "\r\n")
 		mu.Lock()
@@ -209,7 +209,7 @@
 			<-done
 			fallthrough
 		case !first:
-			return emptyAnswer("200 OK")
+			return emptyResponse("200 OK")
 		}
 		select {
 		case <-release[id]:
@@ -223,33 +223,33 @@
 // TestHandoverOnTheWire pins the lines between an old process and a new one, both ways: a process of this version
 // follows one of the version before, and is followed by one of the next.
 func TestHandoverOnTheWire(t *testing.T) {
-	host, release := holdingHost(t, true)
+	host, release := startHoldingHost(t, true)
 	p := newPlatform(t)
-	p.hosts = []Member{hostAt(host.addr)}
+	p.hosts = []Member{memberAt(host.addr)}
 	p.admin = closedAddress(t)
-	p.inherits()
+	p.openClientSocket()
 	t.Setenv("NODE_ZONES", "on") // for a call at the admin endpoint that the loop answers
 	p.start()
 	oldAdmin := p.admin
-	for _, call := range callsOut {
-		p.take("order", call.id, "25")
+	for _, call := range callsInFlight {
+		p.submitAccepted("order", call.id, "25")
 		host.next()
 	}
-	script := &handoverScript{p: p, clients: map[string]*keptConn{}}
-	proxy := proxyHandover(t, p.dir, script.meet)
-	p.upgrade()
+	script := &handoverScript{p: p, clients: map[string]*clientConn{}}
+	proxy := proxyHandover(t, p.stateDir, script.onLine)
+	p.startSuccessor()
 	lines := handoverRecord{}
 	lines.await(proxy, "old", `{"left":`, "", 1)
 	lines.await(proxy, "old", `{"answered":`, "", 2)
-	text := section("operators of the old process: zone status", askOperator(t, oldAdmin, "zone status\n"))
-	for _, id := range messagesPassed[:2] {
+	text := section("operators of the old process: zone status", sendAdminCommand(t, oldAdmin, "zone status\n"))
+	for _, id := range forwardedIDs[:2] {
 		text += section("to the client of "+id, script.answer(t, id))
 	}
-	for _, call := range callsOut {
+	for _, call := range callsInFlight {
 		close(release[call.id])
 		lines.await(proxy, "old", `{"ends":`, `"id":"`+call.id+`"`, 1)
 	}
-	compareWire(t, "handover.txt", lines.text()+masked(text, maskDate))
+	compareWire(t, "handover.txt", lines.text()+applyMasks(text, maskDate))
 }
 
 // answer reads the answer that a client has got.
@@ -267,51 +267,51 @@
 
 // TestCancelOnTheWire pins the line by which a new process calls off a call that the old one has out.
 func TestCancelOnTheWire(t *testing.T) {
-	host, _ := holdingHost(t, false)
+	host, _ := startHoldingHost(t, false)
 	p := newPlatform(t)
-	p.hosts = []Member{hostAt(host.addr)}
-	p.inherits()
+	p.hosts = []Member{memberAt(host.addr)}
+	p.openClientSocket()
 	p.start()
-	p.take("status", "silent", "25")
+	p.submitAccepted("status", "silent", "25")
 	host.next()
-	proxy := proxyHandover(t, p.dir, func(handoverLine) bool { return true })
-	p.upgrade()
+	proxy := proxyHandover(t, p.stateDir, func(handoverLine) bool { return true })
+	p.startSuccessor()
 	lines := handoverRecord{}
 	lines.await(proxy, "old", `{"step":"yours"`, "", 1)
-	p.take("status", "later", "25")
+	p.submitAccepted("status", "later", "25")
 	lines.await(proxy, "new", `{"cancel":`, `"silent"`, 1)
 	lines.await(proxy, "old", `{"ends":`, `"silent"`, 1)
-	compareWire(t, "cancel.txt", lines.text(titleOf("new", `{"cancel":`), titleOf("old", `{"ends":`)))
+	compareWire(t, "cancel.txt", lines.text(lineTitle("new", `{"cancel":`), lineTitle("old", `{"ends":`)))
 }
 
 // TestUnwrittenOnTheWire pins what a relay says whose journal can't be written: to clients, to operators, and to a
 // newer process, which the journal can't tell then.
 func TestUnwrittenOnTheWire(t *testing.T) {
-	host, release := holdingHost(t, false)
-	discovery := record(t, func(recordedRequest) string { return emptyAnswer("503 Service Unavailable") })
+	host, release := startHoldingHost(t, false)
+	discovery := startRecorder(t, func(recordedRequest) string { return emptyResponse("503 Service Unavailable") })
 	p := newPlatform(t)
-	p.hosts = []Member{hostAt(host.addr)}
+	p.hosts = []Member{memberAt(host.addr)}
 	p.discovery.URL = "http://" + discovery.addr
 	p.admin = closedAddress(t)
 	disk := &fullDisk{FS: journal.Disk}
-	p.runHere(func(cfg *config.Config) { cfg.Files = disk })
-	p.take("order", "turned away", "0.3") // its end is deferred, and its notice owed
+	p.runInProcess(func(cfg *config.Config) { cfg.Files = disk })
+	p.submitAccepted("order", "turned away", "0.3") // its end is deferred, and its notice owed
 	host.next()
 	close(release["turned away"])
 	discovery.nextAt(outcomesPath)
-	p.take("order", "delivered", "25") // its call stays out
+	p.submitAccepted("order", "delivered", "25") // its call stays out
 	host.next()
 	disk.full.Store(true)
 	text := section("a message", p.exchangeRaw(clientRequest("POST /status", "hi")))
-	text += section("health", askOperator(t, p.admin, "health\n"))
-	text += section("an offer", sortedOffer(askHandover(t, p.dir)))
+	text += section("health", sendAdminCommand(t, p.admin, "health\n"))
+	text += section("an offer", sortOfferedCalls(requestOffer(t, p.stateDir)))
 	disk.full.Store(false)
 	close(release["delivered"])
-	compareWire(t, "unwritten.txt", masked(text, maskDate, maskMoment, maskMeasured, maskClients, maskAgain))
+	compareWire(t, "unwritten.txt", applyMasks(text, maskDate, maskMoment, maskMeasured, maskClients, maskAgain))
 }
 
-// askHandover asks the process that owns a folder for it, and gives its offer, which it does not take up.
-func askHandover(t *testing.T, dir string) string {
+// requestOffer asks the process that owns a folder for it, and gives its offer, which it does not take up.
+func requestOffer(t *testing.T, dir string) string {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "unix", filepath.Join(dir, "handover"))
 	if err != nil {
@@ -329,22 +329,22 @@
 	return offer
 }
 
-// runHere runs a relay in this process, which may change what no file configures, and waits until it is ready.
-func (p *platform) runHere(change func(*config.Config)) {
+// runInProcess runs a relay in this process, which may change what no file configures, and waits until it is ready.
+func (p *platform) runInProcess(change func(*config.Config)) {
 	p.t.Helper()
-	cfg, err := config.Read(p.config())
+	cfg, err := config.Read(p.writeConfig())
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	change(cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, cfg, p.dir, nil) }()
+	go func() { ended <- Run(ctx, cfg, p.stateDir, nil) }()
 	p.t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
 			p.t.Error(err)
 		}
 	})
-	p.untilReady()
+	p.waitUntilReady()
 }
--- a/internal/relay/wire_http_test.go
+++ b/internal/relay/wire_http_test.go
@@ -30,8 +30,8 @@
 	requests chan recordedRequest
 }
 
-// record starts a recorder; answer gives the whole answer to a request, or nothing to leave it without one.
-func record(t *testing.T, answer func(recordedRequest) string) *recorder {
+// startRecorder starts a recorder; answer gives the whole answer to a request, or nothing to leave it without one.
+func startRecorder(t *testing.T, answer func(recordedRequest) string) *recorder {
 	t.Helper()
 	server := &recorder{t: t, requests: make(chan recordedRequest, 100)}
 	server.addr = serveRaw(t, func(conn net.Conn) { server.serve(conn, answer) })
@@ -116,43 +116,43 @@
 	outcomesPath = "/v1/outcomes"
 )
 
-// emptyAnswer is an answer without a body.
-func emptyAnswer(status string) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n" }
+// emptyResponse is an answer without a body.
+func emptyResponse(status string) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n" }
 
-// hostAt lists an endpoint of destination 7 at an address.
-func hostAt(addr string) Member {
+// memberAt lists an endpoint of destination 7 at an address.
+func memberAt(addr string) Member {
 	return Member{Host: "h1", Dial: addr, Site: "a", Class: "m2", Block: 7, Health: "SERVING", Share: 100}
 }
 
 // TestCallsOnTheWire pins calls to endpoints: of one message, with a key and without one, and of several.
 func TestCallsOnTheWire(t *testing.T) {
-	host := record(t, func(came recordedRequest) string {
+	host := startRecorder(t, func(came recordedRequest) string {
 		if came.path != "/inbox/bulk" {
-			return emptyAnswer("200 OK")
+			return emptyResponse("200 OK")
 		}
 		body := `[{"id":"a","state":"delivered"},{"id":"b","state":"delivered"}]`
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	})
 	p := newPlatform(t)
-	p.bundle = 3
-	p.hosts = []Member{hostAt(host.addr)}
-	j := openTestJournal(t, p.dir, 3)
+	p.maxBatch = 3
+	p.hosts = []Member{memberAt(host.addr)}
+	j := openTestJournal(t, p.stateDir, 3)
 	for id, key := range map[string]string{"a": "key <of> a", "b": ""} { // "b" has none
 		j.Accept(&journal.Entry{ID: id, Class: "status", Dest: 7, Key: key, ExpiresAt: clock.Now().Add(time.Minute),
 			Body: []byte("body of " + id)})
 	}
 	commit(t, j)
 	p.start()
-	text := section("several messages", sortedParcels(host.next()))
-	p.take("payment", "with a key", "25")
+	text := section("several messages", sortMessages(host.next()))
+	p.submitAccepted("payment", "with a key", "25")
 	text += section("one message with a key", host.next())
-	p.handIn("order", "without-a-key", "25", func(r *http.Request) { r.Header.Del("Idempotency-Key") })
+	p.submit("order", "without-a-key", "25", func(r *http.Request) { r.Header.Del("Idempotency-Key") })
 	text += section("one message without a key", host.next())
-	compareWire(t, "calls.txt", masked(text, maskPort, maskTimeout))
+	compareWire(t, "calls.txt", applyMasks(text, maskPort, maskTimeout))
 }
 
-// sortedParcels puts the two messages of a call in the order of their ids: the journal does not keep any.
-func sortedParcels(request string) string {
+// sortMessages puts the two messages of a call in the order of their ids: the journal does not keep any.
+func sortMessages(request string) string {
 	head, body, _ := strings.Cut(request, "\r\n\r\n")
 	parcels := strings.SplitAfter(strings.Trim(body, "[]"), "}")
 	for i := range parcels {
@@ -190,11 +190,11 @@
 	if _, err := io.WriteString(conn, request); err != nil {
 		p.t.Fatal(err)
 	}
-	return readAnswer(p.t, conn)
+	return readRawResponse(p.t, conn)
 }
 
-// readAnswer reads one answer, byte for byte.
-func readAnswer(tb testing.TB, conn net.Conn) string {
+// readRawResponse reads one answer, byte for byte.
+func readRawResponse(tb testing.TB, conn net.Conn) string {
 	tb.Helper()
 	var raw bytes.Buffer
 	resp, err := http.ReadResponse(bufio.NewReader(io.TeeReader(conn, &raw)), nil)
@@ -235,7 +235,7 @@
 	for _, r := range requests {
 		text += section(r.title, p.exchangeRaw(r.request))
 	}
-	compareWire(t, "answers.txt", masked(text, maskDate))
+	compareWire(t, "answers.txt", applyMasks(text, maskDate))
 }
 
 // TestAnswersToRepeatsOnTheWire pins the answers to a message that is handed in once more, while the platform has not
@@ -243,20 +243,20 @@
 func TestAnswersToRepeatsOnTheWire(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.deaf = 1 << 30
-	p.answer = func(*http.Request) int { return http.StatusInternalServerError }
+	p.failingPosts = 1 << 30
+	p.respond = func(*http.Request) int { return http.StatusInternalServerError }
 	p.admin = closedAddress(t)
 	p.start()
 	text := section("taken on", p.exchangeRaw(clientRequest("POST /order", "hi", "Request-Id: fragile")))
-	p.called()
-	p.until("it has failed", func() bool { return strings.Contains(askOperator(t, p.admin, "counters\n"), "relay_pending 0\n") })
+	p.nextCall()
+	p.waitUntil("it has failed", func() bool { return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), "relay_pending 0\n") })
 	text += section("failed", p.exchangeRaw(clientRequest("POST /order", "hi", "Request-Id: fragile")))
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusTooManyRequests } })
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusTooManyRequests } })
 	p.exchangeRaw(clientRequest("POST /order", "hi", "Request-Id: refused", "Request-Timeout: 0.3"))
-	p.called()
-	p.until("its time is up", func() bool { return strings.Contains(askOperator(t, p.admin, "counters\n"), "relay_pending 0\n") })
+	p.nextCall()
+	p.waitUntil("its time is up", func() bool { return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), "relay_pending 0\n") })
 	text += section("refused", p.exchangeRaw(clientRequest("POST /order", "hi", "Request-Id: refused")))
-	compareWire(t, "repeats.txt", masked(text, maskDate))
+	compareWire(t, "repeats.txt", applyMasks(text, maskDate))
 }
 
 // TestRefusalOnTheWire pins the answer to a message for a destination that is out: 429 with the time to stay away.
@@ -266,10 +266,10 @@
 	p.hosts[0].Share = 0.05 // a budget of one knock in many seconds
 	p.hosts[0].Dial = closedAddress(t)
 	p.start()
-	p.take("status", "first", "25")
-	p.until("the outage is noted", func() bool { return readHealth(t, p.dir)["h1"].Ejected })
+	p.submitAccepted("status", "first", "25")
+	p.waitUntil("the outage is noted", func() bool { return readHealth(t, p.stateDir)["h1"].Ejected })
 	text := section("refused", p.exchangeRaw(clientRequest("POST /status", "hi", "Request-Id: second")))
-	compareWire(t, "refusal.txt", masked(text, maskDate, maskRetryAfter))
+	compareWire(t, "refusal.txt", applyMasks(text, maskDate, maskRetryAfter))
 }
 
 // TestAnswersAtTheEndOnTheWire pins that the answers of a relay that ends close their connections.
@@ -283,34 +283,34 @@
 	}
 	health := "GET /_health HTTP/1.1\r\nHost: relay\r\n\r\n"
 	answer := ""
-	p.until("the relay ends", func() bool {
+	p.waitUntil("the relay ends", func() bool {
 		answer = p.exchangeRaw(health)
 		return strings.Contains(answer, "Connection: close")
 	})
 	text := section("health", answer) + section("taken on", p.exchangeRaw(clientRequest("POST /status", "hi")))
-	text += section("health at the admin endpoint", askOperator(t, p.admin, "health\n"))
-	compareWire(t, "end.txt", masked(text, maskDate))
+	text += section("health at the admin endpoint", sendAdminCommand(t, p.admin, "health\n"))
+	compareWire(t, "end.txt", applyMasks(text, maskDate))
 }
 
 // TestNoticesOnTheWire pins the post of a notice, for both ends that a message may have.
 func TestNoticesOnTheWire(t *testing.T) {
-	discovery := record(t, func(came recordedRequest) string {
+	discovery := startRecorder(t, func(came recordedRequest) string {
 		if came.path == outcomesPath {
-			return emptyAnswer("204 No Content")
+			return emptyResponse("204 No Content")
 		}
-		return emptyAnswer("503 Service Unavailable")
+		return emptyResponse("503 Service Unavailable")
 	})
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.discovery.URL = "http://" + discovery.addr
-	p.answer = func(*http.Request) int { return http.StatusInternalServerError }
+	p.respond = func(*http.Request) int { return http.StatusInternalServerError }
 	p.start()
-	p.take("order", "may <have> run", "25")
+	p.submitAccepted("order", "may <have> run", "25")
 	text := section("undeliverable", discovery.nextAt(outcomesPath))
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusTooManyRequests } })
-	p.take("order", "never ran", "0.3")
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusTooManyRequests } })
+	p.submitAccepted("order", "never ran", "0.3")
 	text += section("deferred", discovery.nextAt(outcomesPath))
-	compareWire(t, "notices.txt", masked(text, maskPort, maskAgain))
+	compareWire(t, "notices.txt", applyMasks(text, maskPort, maskAgain))
 }
 
 // TestWatchesOnTheWire pins what is asked of discovery: from the version of the configuration on, again after refusals
@@ -320,7 +320,7 @@
 	list := func(body string) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body }
 	steps := []struct{ title, answer string }{
 		{"at the start", "HTTP/1.1 503 busy\r\nRetry-After: 0.1\r\nContent-Length: 0\r\n\r\n"},
-		{"after 503", emptyAnswer("410 Gone")},
+		{"after 503", emptyResponse("410 Gone")},
 		{"after 410", list(`{"seq":41,"whole":true,"hosts":[`)},
 		{"after half a list", list(`{"seq":42,"whole":true,"hosts":[]}` + "\n")},
 		{"after a list", list("nonsense\n")},
@@ -330,12 +330,12 @@
 	for _, step := range steps {
 		answers <- step.answer
 	}
-	discovery := record(t, func(recordedRequest) string {
+	discovery := startRecorder(t, func(recordedRequest) string {
 		select {
 		case answer := <-answers:
 			return answer
 		default:
-			return emptyAnswer("503 Service Unavailable")
+			return emptyResponse("503 Service Unavailable")
 		}
 	})
 	p := newPlatform(t)
@@ -346,5 +346,5 @@
 	for _, step := range steps {
 		text += section(step.title, discovery.nextAt(watchPath))
 	}
-	compareWire(t, "watches.txt", masked(text, maskPort))
+	compareWire(t, "watches.txt", applyMasks(text, maskPort))
 }
