--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -16,7 +16,7 @@
 func TestReloadOfPartlyWrittenFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	p := newPlatform(t)
-	complete, err := os.ReadFile(p.config())
+	complete, err := os.ReadFile(p.writeConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
