--- a/internal/relay/actions.go
+++ b/internal/relay/actions.go
@@ -154,8 +154,7 @@
 }
 
 // startCall starts a call in a goroutine of its own. The goroutine enqueues the results as a callEnded event and then ends; no
-// other code waits for it. Canceling ctx cancels the call. The call also ends shortly before the first of its messages expires,
-// and when all of its messages have been canceled.
+// other code waits for it. Canceling ctx cancels the call, and so does canceling all of its messages.
 func (l *loop) startCall(ctx context.Context, sends []send) {
 	ctx, cancel := context.WithCancel(ctx)
 	call := l.newCall(sends)
--- a/internal/relay/answers_test.go
+++ b/internal/relay/answers_test.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// httpResponse is what a relay answers to a request, without its body.
+// httpResponse is a response of the relay, without its body.
 type httpResponse struct {
 	Status     string
 	StatusCode int
@@ -13,7 +13,7 @@
 	Close      bool
 }
 
-// sendRequest sends a request and gives its answer.
+// sendRequest sends a request and returns the response.
 func sendRequest(r *http.Request) (httpResponse, error) {
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return httpResponse{resp.Status, resp.StatusCode, resp.Header, resp.Close}, nil
 }
 
-// readResponse reads the next answer on a connection.
+// readResponse reads the next response on a connection.
 func readResponse(in *bufio.Reader) (httpResponse, error) {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return httpResponse{resp.Status, resp.StatusCode, resp.Header, resp.Close}, nil
 }
 
-// getHealth asks the relay for its getHealth.
+// getHealth requests the health of the relay.
 func (p *platform) getHealth() (httpResponse, error) {
 	p.t.Helper()
 	r, err := http.NewRequestWithContext(p.t.Context(), http.MethodGet, "http://"+p.addr+"/_health", http.NoBody)
--- a/internal/relay/canaries.go
+++ b/internal/relay/canaries.go
@@ -17,13 +17,13 @@
 type CanaryReport struct {
 	Endpoint         string  `json:"endpoint"`
 	Destination      int     `json:"destination"`
-	Stage            int     `json:"stage"` // index of the rollout stage, from 0
-	Share            float64 `json:"share"` // of its destination's calls that the stage allows the endpoint
-	HasBaseline      bool    `json:"proving"`
+	Stage            int     `json:"stage"`            // index of the rollout stage, from 0
+	Share            float64 `json:"share"`            // of its destination's calls that it gets in this stage
+	HasBaseline      bool    `json:"proving"`          // a healthy older endpoint exists to compare it with; else Share is no limit
 	StageSeconds     float64 `json:"for_s"`            // time since the stage began
-	SuspendedSeconds float64 `json:"held_s,omitempty"` // remaining time of a suspension, in which the endpoint gets no messages
+	SuspendedSeconds float64 `json:"held_s,omitempty"` // remaining time of a suspension; 0 if it is not suspended
 	Suspensions      int     `json:"holds"`            // how often it was suspended
-	RegressionScore  float64 `json:"doubt"`            // evidence that it is worse than the other endpoints; it is suspended at 1
+	RegressionScore  float64 `json:"doubt"`            // evidence that it performs worse than older endpoints; 1 suspends it
 }
 
 // canaryStatus returns the reply to the "servers" command: a CanaryStatus as JSON.
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -15,7 +15,7 @@
 	"milletsail/internal/relay/frontend"
 )
 
-// startSlowRequest begins to hand a message in; the rest goes when finish is called, which gives the answer.
+// startSlowRequest sends the beginning of a request. finish sends the rest and returns the response.
 func startSlowRequest(t *testing.T, p *platform, id string) (c net.Conn, finish func() (httpResponse, error)) {
 	t.Helper()
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.addr)
@@ -31,7 +31,8 @@
 	}
 }
 
-// A crowd of silent connections, many times the limit, keeps neither new clients out nor slow ones.
+// Guards against idle connections that use up the connection limit: with three times as many of them as the limit, new clients
+// and one with a partly written request must still be served.
 func TestIdleConnectionsKeepNoClientOut(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -40,7 +41,7 @@
 	slow, finish := startSlowRequest(t, p, "slow")
 	for range 3 {
 		for i := range p.sockets {
-			if i%16 == 0 { // it writes on, as slow clients do: on a busy machine the crowd takes longer than patience
+			if i%16 == 0 { // keeps the slow request from being evicted as stalled while the connections are opened
 				_, _ = io.WriteString(slow, "x")
 			}
 			c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.addr)
@@ -51,25 +52,25 @@
 		}
 		c := p.connectClient()
 		if resp := c.submit(t, "status", "new"+c.LocalAddr().String()); resp.StatusCode != http.StatusAccepted {
-			t.Errorf("a new client: %s", resp.Status)
+			t.Errorf("new client got %s, want 202", resp.Status)
 		}
 	}
 	if resp, err := finish(); err != nil || resp.StatusCode != http.StatusAccepted {
-		t.Errorf("a slow client: %v, %v", resp, err)
+		t.Errorf("slow client got %v (error %v), want 202", resp, err)
 	}
 }
 
-// A planned end waits for a request that is still being written.
+// Guards against a graceful shutdown that drops a request which the client is still writing at SIGTERM.
 func TestShutdownWaitsForSlowRequest(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	old := p.start()
 	_, finish := startSlowRequest(t, p, "slow")
-	p.submitAccepted("status", "m", "25") // by then the slow one's first bytes are read
+	p.submitAccepted("status", "m", "25") // by the time it is accepted the first bytes of the slow request have been read
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.waitUntil("no new connection is taken", func() bool {
+	p.waitUntil("new connections are refused", func() bool {
 		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.addr)
 		if err == nil {
 			_ = c.Close()
@@ -77,15 +78,15 @@
 		return err != nil
 	})
 	if resp, err := finish(); err != nil || resp.StatusCode != http.StatusAccepted || !resp.Close {
-		t.Errorf("a slow client: %v, %v", resp, err)
+		t.Errorf("slow client got %v (error %v), want 202", resp, err)
 	}
 	if err := old.waitForExit(t); err != nil {
-		t.Error(err)
+		t.Errorf("relay exited with an error: %v", err)
 	}
 }
 
-// While discovery is down idle clients may fill the descriptors: calls, notices, the journal, the admin endpoint and honest
-// clients still get theirs, and the list is followed at once when discovery is back.
+// Guards against idle client connections that use up the file descriptors while discovery is down: calls, notifications, the
+// journal, the admin endpoint and other clients must still get theirs, and so must the watch once discovery is back.
 func TestFileDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -101,24 +102,25 @@
 	for _, id := range []string{"a", "b", "c"} {
 		p.submitAccepted("status", id, "20")
 		if got := p.nextCall(); got != id {
-			t.Errorf("call for %s, want %s", got, id)
+			t.Errorf("got a call for message %s, want %s", got, id)
 		}
 	}
 	p.update(func() { p.respond = func(*http.Request) int { return 0 } })
 	p.submitAccepted("order", "late", "0.3")
-	p.waitUntil("its notice is received", func() bool { return len(p.notifications()) == 1 })
+	p.waitUntil("the notification of the expired message is received", func() bool { return len(p.notifications()) == 1 })
 	if got := sendAdminCommand(t, p.admin, "health\n"); got != "OK\n" {
-		t.Errorf("health: %q", got)
+		t.Errorf("admin command health returned %q, want OK", got)
 	}
 	p.update(func() { p.failWatches = false })
-	p.waitUntil("the list is followed", func() bool {
+	p.waitUntil("version 41 of the list is stored", func() bool {
 		_, seq := readStoredList(t, p.stateDir)
 		return seq == 41
 	})
 }
 
-// A planned end: connections that rest are closed with nothing on them, an answer tells that its connection closes, and
-// what its client sends all the same is neither sent on nor left for the next process.
+// Guards against connections that a graceful shutdown closes wrongly: idle ones must be closed without a response, a response
+// must announce that its connection closes, and a request that follows on the same connection must be neither delivered nor
+// recorded.
 func TestShutdownClosesConnections(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -126,46 +128,46 @@
 	idle, active := p.connectClient(), p.connectClient()
 	for i, c := range []*clientConn{idle, active} {
 		if resp := c.submit(t, "status", fmt.Sprint("before", i)); resp.StatusCode != http.StatusAccepted || resp.Close {
-			t.Fatalf("before the end: %s", resp.Status)
+			t.Fatalf("before the shutdown: got %s, want 202 with keep-alive", resp.Status)
 		}
 	}
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.waitUntil("it drains", func() bool {
+	p.waitUntil("the relay is draining", func() bool {
 		c := p.connectClient()
 		defer func() { _ = c.Close() }()
 		_, _ = io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: relay\r\n\r\n")
 		resp, err := readResponse(bufio.NewReader(c))
 		return err == nil && resp.Close
 	})
-	unused, opened := p.connectClient(), time.Now() // it sends nothing, and must not hold up the end
+	unused, opened := p.connectClient(), time.Now() // it sends nothing, and must not delay the shutdown
 	_, _ = io.WriteString(active, encodedRequest("last")+encodedRequest("crossed"))
 	got, err := io.ReadAll(active.in)
 	if err != nil || strings.Count(string(got), "HTTP/1.1 202 ") != 1 || !strings.Contains(string(got), "Connection: close") {
-		t.Errorf("answer %q (%v)", got, err)
+		t.Errorf("active connection got %q (error %v), want a single 202 with Connection: close", got, err)
 	}
 	if got, err := io.ReadAll(idle.in); len(got) > 0 || err != nil {
-		t.Errorf("a resting connection: %q (%v)", got, err)
+		t.Errorf("idle connection got %q (error %v), want no data", got, err)
 	}
 	if err := old.waitForExit(t); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("relay exited with an error: %v", err)
 	}
 	if took := time.Since(opened); took >= frontend.ReadTimeout {
-		t.Errorf("it ended %v after a connection came that sends nothing: not before its read limit", took)
+		t.Errorf("the relay exited %v after an unused connection was opened, want less than frontend.ReadTimeout", took)
 	}
 	if got, err := io.ReadAll(unused.in); len(got) > 0 {
-		t.Errorf("a fresh connection: %q (%v)", got, err)
+		t.Errorf("unused connection got %q (error %v), want no data", got, err)
 	}
 	if e := readEntries(t, p.stateDir); len(e) != 0 {
-		t.Errorf("left in the journal: %v", e)
+		t.Errorf("journal entries after the exit: %v, want none", e)
 	}
 	if calls := p.calls(); !slices.Contains(calls, "last") || slices.Contains(calls, "crossed") {
-		t.Errorf("calls %v", calls)
+		t.Errorf("calls %v, want one for \"last\" and none for \"crossed\"", calls)
 	}
 }
 
-// encodedRequest is a complete request for destination 7.
+// encodedRequest returns a complete request for destination 7, as it goes on the wire.
 func encodedRequest(id string) string {
 	return clientRequest("POST /status", "hi", "Request-Id: "+id, "Idempotency-Key:")
 }
--- a/internal/relay/counters_test.go
+++ b/internal/relay/counters_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What becomes of messages is counted where it happens, and a call with several messages counts each.
+// Guards against wrong counters at the admin endpoint. Every message of a call with several has to be counted.
 func TestRelayCounters(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -16,7 +16,7 @@
 	p.respond = p.respondAfter(hold)
 	p.start()
 	if got := sendAdminCommand(t, p.admin, "health\n"); got != "OK\n" {
-		t.Errorf("health: %q", got)
+		t.Errorf("admin command health returned %q, want OK", got)
 	}
 	reports := func(lines ...string) func() bool {
 		return func() bool {
@@ -34,15 +34,15 @@
 	}
 	p.submit("order", "d", "20", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=9") })
 	p.submit("order", "malformed", "20", func(r *http.Request) { r.Header.Set("X-Envelope", "") })
-	p.waitUntil("three are pending and one is refused", reports("relay_pending 3", "relay_members 1",
+	p.waitUntil("counters report three pending messages and one rejected", reports("relay_pending 3", "relay_members 1",
 		`relay_downstream_requests{lane="order",result="rejected"} 1`,
 		`relay_downstream_requests{lane="status",result="completed"} 0`))
 	close(hold)
-	p.waitUntil("all are delivered", reports("relay_pending 0", "relay_upstream_requests 3",
+	p.waitUntil("counters report three delivered messages", reports("relay_pending 0", "relay_upstream_requests 3",
 		`relay_downstream_requests{lane="status",result="completed"} 3`, "relay_members_unavailable 0"))
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusInternalServerError } })
 	p.submitAccepted("order", "e", "20")
-	p.waitUntil("one has failed", reports("relay_pending 0", "relay_upstream_requests 4",
+	p.waitUntil("counters report one failed message", reports("relay_pending 0", "relay_upstream_requests 4",
 		`relay_downstream_requests{lane="order",result="failed"} 1`,
 		`relay_downstream_requests{lane="order",result="completed"} 0`))
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// endpointUpdate is a change of one host, as a watch tells it.
+// endpointUpdate returns the line of the watch that reports a change of one endpoint.
 func endpointUpdate(t *testing.T, seq int64, m Member) string {
 	t.Helper()
 	line, err := json.Marshal(Members{Seq: seq, Hosts: []Member{m}})
@@ -20,8 +20,8 @@
 	return string(line)
 }
 
-// A host that drains gets nothing new, and one that is not of a destination nothing at all. That holds as well
-// where the settings say that changes come unasked.
+// Guards against messages that are sent to an endpoint after the list reports it as draining, both with a watch that the relay
+// subscribes to and with one that sends changes automatically.
 func TestDrainingEndpoint(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) { testDrainingEndpoint(t, mode) })
@@ -48,7 +48,7 @@
 	p.watchLines <- endpointUpdate(t, 42, old)
 	p.watchLines <- endpointUpdate(t, 43, fresh)
 	n := 0
-	p.waitUntil("the new host is used", func() bool {
+	p.waitUntil("the new endpoint gets a message", func() bool {
 		n++
 		p.submitAccepted("status", "b"+strings.Repeat("b", n), "20")
 		p.nextCall()
@@ -58,35 +58,35 @@
 		n++
 		p.submitAccepted("status", "b"+strings.Repeat("b", n), "20")
 		if p.nextCall(); calledHost != fresh.Dial {
-			t.Fatal("a draining host got new work")
+			t.Fatal("a draining endpoint got a new message")
 		}
 	}
 }
 
-// testTimeout is longer than anything that a test waits for in vain.
+// testTimeout is how long a test waits for something before it fails. It is longer than any wait of a passing test.
 const testTimeout = 20 * time.Second
 
-// receive waits for a value.
+// receive returns the next value from a channel. It fails the test if none comes within testTimeout.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatal("waited in vain")
+		t.Fatal("timed out waiting for a value on a channel")
 		panic("not reached")
 	}
 }
 
-// A host that was told to drain gets nothing from the next process either, though the configuration's list is
-// older than that and discovery is down.
+// Guards against a restart that sends messages to a draining endpoint: discovery is down, and the configuration's list is older
+// than the one in which the endpoint drains.
 func TestDrainingSurvivesRestart(t *testing.T) {
 	p := newPlatform(t)
 	old := p.addHost("h1", 7)
 	c := p.start()
 	old.Health = draining
 	p.watchLines <- endpointUpdate(t, 42, old)
-	p.waitUntil("the change is noted", func() bool {
+	p.waitUntil("version 42 of the list is stored", func() bool {
 		_, seq := readStoredList(t, p.stateDir)
 		return seq == 42
 	})
@@ -94,13 +94,14 @@
 	p.update(func() { p.failWatches = true })
 	p.start()
 	p.submitAccepted("status", "m", "0.5")
-	p.waitUntil("it has its end", func() bool { return len(p.notifications()) == 1 })
+	p.waitUntil("the notification of the expired message is received", func() bool { return len(p.notifications()) == 1 })
 	if calls := p.calls(); len(calls) != 0 {
-		t.Errorf("calls at a draining host: %v", calls)
+		t.Errorf("calls to a draining endpoint: %v, want none", calls)
 	}
 }
 
-// A reload moves the watch and the notices to the new address, and what is held stays.
+// Guards against a reload that leaves the watch or the notifications at discovery's old address, or that ends the process when
+// the file is malformed.
 func TestReloadMovesDiscovery(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -121,27 +122,27 @@
 			t.Fatal(err)
 		}
 	}
-	reload([]byte("{")) // changes nothing
+	reload([]byte("{")) // malformed, so it has no effect
 	p.submitAccepted("status", "a", "20")
 	p.nextCall()
 	reload(text)
-	p.waitUntil("the new list is in force", func() bool {
+	p.waitUntil("the list from the new address is stored", func() bool {
 		hosts, _ := readStoredList(t, p.stateDir)
 		return len(hosts) == 1 && hosts[0].Host == fresh.Host
 	})
 	next.respond = func(*http.Request) int { return 0 }
 	r := p.submit("order", "b", "0.4", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 	if r.StatusCode != http.StatusAccepted {
-		t.Errorf("b: %s", r.Status)
+		t.Errorf("message b got %s, want 202", r.Status)
 	}
-	p.waitUntil("the notice comes to the new address", func() bool { return len(next.notifications()) == 1 })
+	p.waitUntil("the notification is received at the new address", func() bool { return len(next.notifications()) == 1 })
 	if n := p.notifications(); len(n) != 0 {
-		t.Errorf("notices at the old address: %v", n)
+		t.Errorf("notifications at the old address: %v, want none", n)
 	}
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := receive(t, c.exited); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("relay exited with an error: %v", err)
 	}
 }
--- a/internal/relay/endings_test.go
+++ b/internal/relay/endings_test.go
@@ -17,14 +17,14 @@
 	"milletsail/internal/relay/notifier"
 )
 
-// The tests of this file force the order of events at the end of something, on real connections: docs/endings.md lists
-// the rows that they belong to.
+// The tests of this file force a certain order of events at the end of a call, a message or a process, on real connections.
+// docs/endings.md lists these orders.
 
-// resetDelay is how long an endpoint works on a call before it resets the connection: longer than every limit of a call
-// that is not its own time-out (connecting, a stalled answer).
+// resetDelay is how long an endpoint holds a call before it resets the connection. It is longer than all time limits of a call
+// other than the timeout of the call itself (those for connecting and for a stalled response).
 const resetDelay = 2 * time.Second
 
-// readCall reads one whole request.
+// readCall reads one complete request, body included.
 func readCall(in *bufio.Reader) (*http.Request, error) {
 	r, err := http.ReadRequest(in)
 	if err == nil {
@@ -33,8 +33,8 @@
 	return r, err
 }
 
-// startResettingEndpoint is an endpoint of destination 7 that holds the first call of each message until reset is closed, and then
-// resets its connection; it answers further calls 200 and gives when they came.
+// startResettingEndpoint starts an endpoint of destination 7. It holds the first call of each message until reset is closed, and
+// then resets the connection. It answers further calls 200 and sends the time of each to the returned channel.
 func (p *platform) startResettingEndpoint(t *testing.T, reset <-chan bool) (again <-chan time.Time) {
 	t.Helper()
 	repeats := make(chan time.Time, 9)
@@ -67,20 +67,21 @@
 	return repeats
 }
 
-// distinctNotifications gives the notices that the platform received from a relay that is gone, without those that the relay posted
-// again: it does so, and its log tells it, where the platform does not answer a post within postTime, as on a busy machine.
+// distinctNotifications returns the notifications that the platform received from a relay that has been killed, without
+// repetitions. On a busy machine the platform may answer a post too late; the relay then logs that and posts the notification
+// again. More repetitions than the log explains fail the test.
 func (p *platform) distinctNotifications(killed *child) []journal.Notification {
 	p.t.Helper()
-	notices, log := p.notifications(), fmt.Sprint(killed.Stderr)
-	distinct := slices.Compact(slices.Clone(notices))
-	if repeats := len(notices) - len(distinct); repeats > strings.Count(log, "not received") {
-		p.t.Errorf("notices %v; log:\n%s", notices, log)
+	notifications, log := p.notifications(), fmt.Sprint(killed.Stderr)
+	distinct := slices.Compact(slices.Clone(notifications))
+	if repeats := len(notifications) - len(distinct); repeats > strings.Count(log, "not received") {
+		p.t.Errorf("got more repeated notifications than the log explains: %v; log:\n%s", notifications, log)
 	}
 	return distinct
 }
 
-// Messages whose calls are reset seconds after they began end as their class says: a fragile one by its notice and without
-// a second call, the others by a second call.
+// Guards against a wrong retry decision when an endpoint resets a call after seconds of work: the message may have been executed,
+// so one of a class that is not idempotent must end by a notification, and the others must be sent again.
 func TestCallResetAfterDelay(t *testing.T) {
 	t.Parallel()
 	p := newPlatform(t)
@@ -93,29 +94,30 @@
 	}
 	time.Sleep(resetDelay)
 	close(reset)
-	p.waitUntil("all are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	p.kill(c)
 	calls := p.calls()
 	slices.Sort(calls)
 	if want := []string{"order", "payment", "payment", "status", "status"}; !slices.Equal(calls, want) {
-		t.Errorf("calls %v, want %v", calls, want)
+		t.Errorf("calls for messages %v, want %v", calls, want)
 	}
-	if n := p.distinctNotifications(c); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: notifier.StatusUndeliverable}) {
-		t.Errorf("notices %v", n)
+	if n := p.distinctNotifications(c); len(n) != 1 ||
+		n[0] != (journal.Notification{ID: "order", Status: notifier.StatusUndeliverable}) {
+		t.Errorf("notifications %v, want a single one that message order is undeliverable", n)
 	}
 }
 
-// A new process takes over while a keyed message's window for repeats (1 s) runs and its call is out in the old one. The
-// window counts from the first sending: an end of the call within it may be followed by a second call, one after it ends
-// the message.
+// Guards against a handover that restarts the idempotency window (1 s here) of a message whose call is in flight in the old
+// process. The window counts from the first attempt: if the call fails within it, a second call may follow; later the message
+// ends.
 func TestIdempotencyWindowAcrossHandover(t *testing.T) {
 	const window = time.Second
 	for _, tt := range []struct {
 		name                   string
 		windowEnded, oldKilled bool
 	}{
-		{"reset within the window", false, false},
-		{"reset after the window", true, false},
+		{"call reset within the window", false, false},
+		{"call reset after the window", true, false},
 		{"old process killed after the window", true, true},
 	} {
 		t.Run(strings.ReplaceAll(tt.name, " ", "_"), func(t *testing.T) {
@@ -132,7 +134,7 @@
 			sent := time.Now()
 			successor := p.startSuccessor()
 			if took := time.Since(sent); took >= window {
-				t.Logf("the handover took %v: the window had ended before it", took)
+				t.Logf("the handover took %v, longer than the idempotency window", took)
 			}
 			if tt.windowEnded {
 				time.Sleep(time.Until(sent.Add(window)))
@@ -141,40 +143,40 @@
 				p.kill(old)
 			}
 			endCall()
-			p.waitUntil("the message is over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 			p.kill(successor)
-			calls, notices := p.calls(), p.distinctNotifications(successor)
-			if len(calls)+len(notices) != 2 { // a second call, or the end of the message
-				t.Errorf("calls %v, notices %v", calls, notices)
+			calls, notifications := p.calls(), p.distinctNotifications(successor)
+			if len(calls)+len(notifications) != 2 { // either a second call or a notification
+				t.Errorf("calls %v and notifications %v, want a second call or one notification", calls, notifications)
 			}
-			if tt.windowEnded && (len(notices) != 1 || notices[0].Status != notifier.StatusDeferred) {
-				t.Errorf("calls %v, notices %v", calls, notices)
+			if tt.windowEnded && (len(notifications) != 1 || notifications[0].Status != notifier.StatusDeferred) {
+				t.Errorf("calls %v and notifications %v, want one notification of a deferred message", calls, notifications)
 			}
 			if len(again) > 0 {
 				if late := (<-again).Sub(sent); late > window {
-					t.Errorf("sent again %v after the first sending", late)
+					t.Errorf("second attempt %v after the first one, want it within the idempotency window", late)
 				}
 			}
 		})
 	}
 }
 
-// terminate tells a relay to end, and waits until its answers say that it does.
+// terminate sends a relay SIGTERM, and waits until its responses announce that connections close.
 func (p *platform) terminate(t *testing.T, c *child) {
 	t.Helper()
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.waitUntil("it drains", func() bool {
+	p.waitUntil("the relay is draining", func() bool {
 		resp, err := p.getHealth()
 		return err == nil && resp.Close
 	})
 }
 
-// A message whose call is out at SIGTERM and is reset during the planned end gets its end in that process, as its class
-// says: its notice, or a second call.
+// Guards against a message that is left for the next process although its call, in flight at SIGTERM, is reset during the
+// graceful shutdown: the same process has to notify the platform or to make a second call, as the message's class requires.
 func TestCallResetDuringShutdown(t *testing.T) {
-	for class, want := range map[string]struct{ calls, notices int }{"order": {1, 1}, "payment": {2, 0}, "status": {2, 0}} {
+	for class, want := range map[string]struct{ calls, notifications int }{"order": {1, 1}, "payment": {2, 0}, "status": {2, 0}} {
 		t.Run(class, func(t *testing.T) {
 			p := newPlatform(t)
 			reset := make(chan bool)
@@ -185,19 +187,22 @@
 			p.terminate(t, old)
 			close(reset)
 			if err := old.waitForExit(t); err != nil {
-				t.Errorf("exit: %v", err)
+				t.Errorf("relay exited with an error: %v", err)
 			}
-			if calls, notices := p.calls(), p.distinctNotifications(old); len(calls) != want.calls || len(notices) != want.notices {
-				t.Errorf("calls %v, notices %v, want %d and %d", calls, notices, want.calls, want.notices)
+			if calls, notifications := p.calls(), p.distinctNotifications(old); len(calls) != want.calls ||
+				len(notifications) != want.notifications {
+				t.Errorf("calls %v and notifications %v, want %d and %d of them", calls, notifications, want.calls,
+					want.notifications)
 			}
 			if e := readEntries(t, p.stateDir); len(e) != 0 {
-				t.Errorf("left in the journal: %v", e)
+				t.Errorf("journal entries after the exit: %v, want none", e)
 			}
 		})
 	}
 }
 
-// A notice that the platform does not receive before SIGTERM, nor during the planned end, is posted by the next process.
+// Guards against the loss of a notification that the platform has not received by the end of a graceful shutdown: the next
+// process has to post it.
 func TestUnreceivedNotificationAtShutdown(t *testing.T) {
 	p := newPlatform(t)
 	p.failingPosts = 1 << 30
@@ -210,20 +215,22 @@
 		e := readEntries(t, p.stateDir)
 		return len(e) == 1 && e[0].PendingNotification != nil
 	}
-	p.waitUntil("its notice is in the journal", pending)
+	p.waitUntil("the notification is in the journal", pending)
 	p.terminate(t, old)
 	if err := old.waitForExit(t); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("relay exited with an error: %v", err)
 	}
 	if !pending() || len(p.notifications()) != 0 {
-		t.Fatalf("left for the next process: %v; notices %v", readEntries(t, p.stateDir), p.notifications())
+		t.Fatalf("journal entries %v and received notifications %v, want one pending notification and none received",
+			readEntries(t, p.stateDir), p.notifications())
 	}
 	p.update(func() { p.failingPosts = 0 })
 	next := p.start()
-	p.waitUntil("the journal forgets it", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	p.kill(next)
-	if calls, notices := p.calls(), p.distinctNotifications(next); len(calls) != 1 || len(notices) != 1 ||
-		notices[0] != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
-		t.Errorf("calls %v, notices %v", calls, notices)
+	if calls, notifications := p.calls(), p.distinctNotifications(next); len(calls) != 1 || len(notifications) != 1 ||
+		notifications[0] != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
+		t.Errorf("calls %v and notifications %v, want one call and a notification of an undeliverable message", calls,
+			notifications)
 	}
 }
--- a/internal/relay/endpointlist.go
+++ b/internal/relay/endpointlist.go
@@ -103,8 +103,8 @@
 	return l.dispatcher.Avoided() + l.endpoints.table.Draining()
 }
 
-// beginObject prepares for the first batch of an object. Unless the object is known to hold only changes, the entries that it names
-// are marked, so that the others can be removed at its end.
+// beginObject prepares for the first batch of an object. Unless the object is known to hold only changes, the entries that it
+// names are marked, so that the others can be removed at its end.
 func (list *endpointList) beginObject(b endpoints.Batch) {
 	list.abortReplacement() // the previous object may have been cut off before its last batch
 	list.changes = 0
--- a/internal/relay/endpointload.go
+++ b/internal/relay/endpointload.go
@@ -74,8 +74,8 @@
 	}}
 }
 
-// loadBatch applies a batch of a list that replaces all entries. It is called before the loop runs, so it removes unlisted entries
-// in one step.
+// loadBatch applies a batch of a list that replaces all entries. It is called before the loop runs, so it removes unlisted
+// entries in one step.
 func (list *endpointList) loadBatch(batch endpoints.Batch) error {
 	if batch.First {
 		list.table.BeginReplacement()
--- a/internal/relay/expiry_test.go
+++ b/internal/relay/expiry_test.go
@@ -7,7 +7,8 @@
 	"milletsail/internal/clock"
 )
 
-// An answer has to be read ahead of the time of the message with the least left, by the margin or half of what is left.
+// Guards against a response deadline that follows the wrong message of a batch, or that leaves a message with little time left no
+// time for its call.
 func TestResponseDeadline(t *testing.T) {
 	now := clock.Now()
 	sends := func(left ...time.Duration) (all []send) {
@@ -26,7 +27,7 @@
 		{[]time.Duration{responseMargin, time.Minute}, responseMargin / 2},
 	} {
 		if by := responseDeadline(now, sends(c.left...)); by.Sub(now) != c.want {
-			t.Errorf("%v left: by %v, want %v", c.left, by.Sub(now), c.want)
+			t.Errorf("messages with %v left: got a response deadline in %v, want %v", c.left, by.Sub(now), c.want)
 		}
 	}
 }
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// endOrphaned rejects the forwarded submissions and cancels the calls in flight after the successor has died. No process would get
-// the results of the calls, and the next process may repeat them: they are canceled so that none runs beside its repetition.
+// endOrphaned rejects the forwarded submissions and cancels the calls in flight after the successor has died. No process would
+// get the results of the calls, and the next process may repeat them: they are canceled so that none runs beside its repetition.
 func (l *loop) endOrphaned() {
 	l.handover.ownership = ownershipOrphaned
 	for number, s := range l.handover.forwarded {
@@ -202,8 +202,8 @@
 	}
 }
 
-// idleAfterHandover reports whether no submission awaits the successor's decision and no call that still matters is in flight.
-// Client connections may still be open.
+// idleAfterHandover reports whether no submission awaits the successor's decision and no call is in flight. Canceled calls of an
+// orphaned process don't count. Client connections may still be open.
 func (l *loop) idleAfterHandover() bool {
 	if len(l.handover.forwarded) > 0 {
 		return false
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -81,8 +81,8 @@
 	s.Response <- l.unavailableResponse()
 }
 
-// mayHaveExecuted reports whether an attempt of a message may have been executed and a second execution could do harm. It can in a
-// class whose idempotency keys are known only within a zone, since a repeated submission may be sent to another zone.
+// mayHaveExecuted reports whether an attempt of a message may have been executed and a second execution could do harm. It can in
+// a class whose idempotency keys are known only within a zone, since a repeated submission may be sent to another zone.
 func (l *loop) mayHaveExecuted(m *message) bool {
 	index := l.classIndex(m.Class)
 	if index < 0 {
@@ -95,8 +95,8 @@
 	return slices.ContainsFunc(m.Attempts, func(a journal.Attempt) bool { return !a.Ended || !a.NotExecuted })
 }
 
-// withdraw ends a message whose client disconnected without a response. Other clients may have submitted the same id, by chance or
-// on purpose: the message is withdrawn only if this submission is its first and only one, since a second client may have been
+// withdraw ends a message whose client disconnected without a response. Other clients may have submitted the same id, by chance
+// or on purpose: the message is withdrawn only if this submission is its first and only one, since a second client may have been
 // told that the message is accepted.
 func (l *loop) withdraw(s *frontend.Submission) {
 	m := l.messages[s.Entry.ID]
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// untilNextStep returns the time until the next step is due. It is 0 if events are waiting, as when a step itself has caused some;
-// timerAt stays unchanged in that case, since the policy does not set its timer again.
+// untilNextStep returns the time until the next step is due. It is 0 if events are waiting, as when a step itself has caused
+// some; timerAt stays unchanged in that case, since the policy does not set its timer again.
 func (l *loop) untilNextStep() time.Duration {
 	switch {
 	case !l.handover.ownsState():
@@ -192,8 +192,8 @@
 	return -1
 }
 
-// step passes the batch's events to the policy and executes the actions that it returns. Responses, calls and cancellations follow
-// only once the journal's records are written (see commit). Canceling ctx cancels the calls that the step starts.
+// step passes the batch's events to the policy and executes the actions that it returns. Responses, calls and cancellations
+// follow only once the journal's records are written (see commit). Canceling ctx cancels the calls that the step starts.
 func (l *loop) step(ctx context.Context) {
 	now := clock.Now()
 	l.lastStep = now
--- a/internal/relay/loop_test.go
+++ b/internal/relay/loop_test.go
@@ -16,8 +16,8 @@
 	"milletsail/policy"
 )
 
-// A peer that hands in the id of a message that was taken on, and leaves, takes nothing back; two that hand in the
-// same id at once get the same answer.
+// Guards against duplicate submissions that withdraw or lose an accepted message: clients that submit the same id at once get the
+// same response, and one that disconnects after a duplicate submission withdraws nothing.
 func TestDuplicateSubmissions(t *testing.T) {
 	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
 		Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}, 1)
@@ -44,11 +44,11 @@
 	l.handleEvent(messageArrived{first})
 	l.handleEvent(messageArrived{second})
 	if s := status(second); s != 0 {
-		t.Errorf("a copy of an undecided message was answered %d", s)
+		t.Errorf("a duplicate of an undecided message was answered %d, want no response", s)
 	}
 	l.step(t.Context())
 	if a, b := status(first), status(second); a != http.StatusAccepted || b != a {
-		t.Errorf("answers %d and %d", a, b)
+		t.Errorf("the first submission was answered %d and its duplicate %d, want 202 for both", a, b)
 	}
 	l.handleEvent(messageArrived{third})
 	for _, a := range []*frontend.Submission{third, second, first} {
@@ -56,17 +56,17 @@
 	}
 	l.step(t.Context())
 	if l.messages["m"] == nil || l.journal.Get("m") == nil {
-		t.Error("a message that others were told is taken on was withdrawn")
+		t.Error("a message that was answered 202 was withdrawn")
 	}
 	alone := newSubmission("n")
 	l.handleEvent(messageArrived{alone})
 	l.handleEvent(clientLeft{alone})
 	l.step(t.Context())
 	if l.messages["n"] != nil || l.journal.Get("n") != nil {
-		t.Error("a message whose client left unanswered was kept")
+		t.Error("a message was kept although its only client left before the response")
 	}
-	// One that was withdrawn while its call is out may have run: who hands its id in again is told that this is harmless
-	// only in a class that may be repeated.
+	// A message that was withdrawn with a call in flight may have been executed. A new submission of its id is answered 503,
+	// which permits another attempt, only in a class where repetition is harmless.
 	for i, c := range []struct {
 		effect      policy.Effect
 		keysPerZone bool
@@ -84,12 +84,13 @@
 		l.handleEvent(clientLeft{withdrawn})
 		l.handleEvent(messageArrived{resubmitted})
 		if got := status(resubmitted); got != c.want {
-			t.Errorf("%+v: answered %d", c, got)
+			t.Errorf("resubmission in case %+v was answered %d", c, got)
 		}
 	}
 }
 
-// A send that could not be made is reported to the module at once, and leaves the module's timer as it was.
+// Guards against a late report of an attempt that could not be sent: the policy must learn of it in the next step, which follows
+// at once, and its timer must not change.
 func TestTimerAfterUnsentCall(t *testing.T) {
 	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
 		Classes: []policy.Class{{Name: "status", Deadline: time.Minute}}}, 1)
@@ -104,16 +105,16 @@
 	l.messages["m"] = m
 	l.completeUnsent(send{message: m}, policy.NotStarted)
 	if due := l.untilNextStep(); due != 0 {
-		t.Errorf("the module hears of it in %v", due)
+		t.Errorf("the next step is due in %v, want 0", due)
 	}
 	l.step(t.Context())
 	if l.timerAt != timer {
-		t.Errorf("the timer moved by %v", l.timerAt-timer)
+		t.Errorf("the policy's timer moved by %v, want no change", l.timerAt-timer)
 	}
 }
 
-// What was due within a tick may be gone by an event just before it: the timer asked for next is not dropped with the
-// one that was due, or a message with nothing else to wake the relay ends late.
+// Guards against a lost timer: an event that arrives within the last tick before a timer fires makes the policy set the next
+// timer, which must not be discarded together with the first one. A message that only this timer ends would end too late.
 func TestTimerSetJustBeforePreviousIsDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tick = 5 * time.Millisecond
@@ -140,14 +141,14 @@
 		delete(l.messages, "first")
 		l.batch.events = append(l.batch.events, policy.Withdrawn{ID: first.Entry.ID})
 		l.step(t.Context())
-		for range 3 { // as far as the timers wake the relay before the second message's time is up
+		for range 3 { // runs the steps that timers cause until the second message expires
 			time.Sleep(min(l.untilNextStep(), 2*time.Second-time.Since(start)))
 			if l.untilNextStep() == 0 {
 				l.step(t.Context())
 			}
 		}
 		if m := l.messages["second"]; !m.ended {
-			t.Error("nothing woke the relay before the message's time was up")
+			t.Error("no timer ended the second message before it expired")
 		}
 	})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -72,8 +72,8 @@
 	defer stop()
 	ownerCtx, stopOwnerTasks := context.WithCancel(processCtx)
 	defer stopOwnerTasks()
-	eventLoop := &loop{cfg: cfg, dispatcher: dispatcher, journal: openedJournal, endpoints: list, clients: clients, metrics: counters,
-		inbox: make(chan event, inboxCapacity), messages: map[string]*message{}, pool: newPool(cfg, counters),
+	eventLoop := &loop{cfg: cfg, dispatcher: dispatcher, journal: openedJournal, endpoints: list, clients: clients,
+		metrics: counters, inbox: make(chan event, inboxCapacity), messages: map[string]*message{}, pool: newPool(cfg, counters),
 		owner: acquired.Ownership, handover: handoverState{completed: make(chan struct{}), stopOwnerTasks: stopOwnerTasks}}
 	tasks := eventLoop.newTasks(dir, acquired, adminServer)
 	server := frontend.NewServer(cfg, &counters.Reasons,
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -21,6 +21,7 @@
 	"milletsail/internal/relay/protocol"
 )
 
+// Guards against messages that are not delivered, or that stay in the journal after their delivery.
 func TestDelivery(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -28,16 +29,16 @@
 	for _, id := range []string{"a", "b", "c"} {
 		p.submitAccepted("payment", id, "20")
 		if got := p.nextCall(); got != id {
-			t.Errorf("call for %s, want %s", got, id)
+			t.Errorf("got a call for message %s, want %s", got, id)
 		}
 	}
-	p.waitUntil("nothing is left in the journal", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	if n := p.notifications(); len(n) != 0 {
-		t.Errorf("notices for delivered messages: %v", n)
+		t.Errorf("notifications of delivered messages: %v, want none", n)
 	}
 }
 
-// readJournal reads a journal that a relay may be writing.
+// readJournal reads a journal that a relay may be writing at the same time.
 func readJournal(t *testing.T, dir string) *journal.Journal {
 	t.Helper()
 	j, _, err := journal.Read(dir)
@@ -47,7 +48,7 @@
 	return j
 }
 
-// openTestJournal opens a journal of the test's own.
+// openTestJournal opens a journal, with a limit in MB, which is closed at the end of the test.
 func openTestJournal(tb testing.TB, dir string, mb float64) *journal.Journal {
 	tb.Helper()
 	j, _, err := journal.Open(dir, journal.Options{DiskMB: mb})
@@ -58,6 +59,7 @@
 	return j
 }
 
+// commit writes the records of a journal, and fails the test if that is not possible.
 func commit(tb testing.TB, j *journal.Journal) {
 	tb.Helper()
 	if err := j.Commit(); err != nil {
@@ -65,17 +67,20 @@
 	}
 }
 
+// readEntries returns the live entries of the journal in a state directory.
 func readEntries(t *testing.T, dir string) []*journal.Entry {
 	t.Helper()
 	return readJournal(t, dir).Entries()
 }
 
+// readHealth returns the recorded health by endpoint of the journal in a state directory.
 func readHealth(t *testing.T, dir string) map[string]journal.HealthRecord {
 	t.Helper()
 	return readJournal(t, dir).Health()
 }
 
-// Malformed requests get a plain 4xx other than 429, nothing is taken on, and the relay goes on.
+// Guards against malformed requests that are accepted or stop the relay. They must be answered with a 4xx other than 429, and
+// requests at the limits of what is valid must be accepted.
 func TestMalformedRequests(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -100,7 +105,7 @@
 		{"unknown tenant", "status", header("Tenant", "nobody"), 400},
 		{"no tenant", "status", header("Tenant", ""), 400},
 		{"no destination", "status", header("X-Envelope", ""), 400},
-		{"odd destination", "status", header("X-Envelope", "dest=seven"), 400},
+		{"non-numeric destination", "status", header("X-Envelope", "dest=seven"), 400},
 		{"negative destination", "status", header("X-Envelope", "dest=-7"), 400},
 		{"huge destination", "status", header("X-Envelope", "dest=99999999999999999999"), 400},
 		{"no id", "status", header("Request-Id", ""), 400},
@@ -109,50 +114,52 @@
 		{"no time-out", "status", header("Request-Timeout", ""), 400},
 		{"time-out of zero", "status", header("Request-Timeout", "0"), 400},
 		{"negative time-out", "status", header("Request-Timeout", "-1"), 400},
-		{"time-out is no number", "status", header("Request-Timeout", "soon"), 400},
+		{"time-out not a number", "status", header("Request-Timeout", "soon"), 400},
 		{"time-out NaN", "status", header("Request-Timeout", "NaN"), 400},
-		{"endless time-out", "status", header("Request-Timeout", "+Inf"), 400},
-		{"time-out in another form", "status", header("Request-Timeout", "1e1"), 400},
-		{"time-out beyond all time", "status", header("Request-Timeout", "99999999999999999999999"), 400},
+		{"infinite time-out", "status", header("Request-Timeout", "+Inf"), 400},
+		{"time-out in exponent form", "status", header("Request-Timeout", "1e1"), 400},
+		{"time-out too large", "status", header("Request-Timeout", "99999999999999999999999"), 400},
 		{"body too large", "status", body(protocol.MaxBodySize + 1), 413},
 	}
 	for _, tt := range tests {
 		if resp := p.submit(tt.class, "bad", "5", tt.change); resp.StatusCode != tt.want {
-			t.Errorf("%s: %s, want %d", tt.name, resp.Status, tt.want)
+			t.Errorf("request with %s was answered %s, want %d", tt.name, resp.Status, tt.want)
 		}
 	}
 	for _, change := range []func(*http.Request){body(protocol.MaxBodySize), header("Request-Timeout", "999999999.5"),
 		header("X-Envelope", "a=1, dest=7")} {
 		id := "good" + string(rune('0'+len(p.calls())))
 		if resp := p.submit("status", id, "5", change); resp.StatusCode != http.StatusAccepted {
-			t.Errorf("%s: %s", id, resp.Status)
+			t.Errorf("valid message %s was answered %s, want 202", id, resp.Status)
 		}
 		p.nextCall()
 	}
 	if slices.Contains(p.calls(), "bad") {
-		t.Error("a malformed message was sent on")
+		t.Error("a malformed message was sent to an endpoint")
 	}
 }
 
-// A destination that no list has named is refused: the list may lag, and the module keeps state for each.
+// Guards against state that the policy would keep for destinations without endpoints: a destination that no list has named is
+// rejected with 503 and Retry-After, since the list may be out of date. Once it is listed, messages for it are accepted.
 func TestUnknownDestination(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.start()
 	resp := p.submit("status", "m", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("%s, %v", resp.Status, resp.Header)
+		t.Errorf("unknown destination was answered %s with header %v, want 503 with Retry-After", resp.Status, resp.Header)
 	}
 	p.addHost("h8", 8)
 	p.watchLines <- endpointUpdate(t, 43, p.hosts[1])
-	p.waitUntil("it is listed and taken", func() bool {
+	p.waitUntil("a message for the new destination is accepted", func() bool {
 		r := p.submit("status", "m", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 		return r.StatusCode == http.StatusAccepted
 	})
 	p.nextCall()
 }
 
-// What could not be delivered ends by one notice, which is posted until it is received.
+// Guards against lost or repeated notifications: an undelivered message must end by one notification, which is posted until the
+// platform receives it.
 func TestNotificationUntilReceived(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -160,17 +167,18 @@
 	p.failingPosts = 3
 	p.start()
 	p.submitAccepted("order", "m", "0.4")
-	p.waitUntil("the notice is received", func() bool { return len(p.notifications()) > 0 })
+	p.waitUntil("the notification is received", func() bool { return len(p.notifications()) > 0 })
 	if n := p.notifications(); len(n) != 1 || n[0] != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
-		t.Errorf("notices: %v", n)
+		t.Errorf("notifications %v, want a single one that message m is undeliverable", n)
 	}
 	if p.failingPosts != 0 {
-		t.Errorf("%d failures left", p.failingPosts)
+		t.Errorf("the platform has still to fail %d posts, want all failures used up", p.failingPosts)
 	}
-	p.waitUntil("the journal forgets it", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 }
 
-// The ends that answers tell: 410 leaves nothing owed, 504 a notice, and there are no further calls.
+// Guards against further attempts after a terminal response. 410 says that the message is settled, so no notification follows;
+// 504 says that its attempts are exhausted, so the platform is notified.
 func TestTerminalResponses(t *testing.T) {
 	for status, want := range map[int]int{http.StatusGone: 0, http.StatusGatewayTimeout: 1} {
 		p := newPlatform(t)
@@ -178,17 +186,19 @@
 		p.respond = func(*http.Request) int { return status }
 		p.start()
 		p.submitAccepted("status", "m", "20")
-		p.waitUntil("it is over", func() bool { return len(p.calls()) > 0 && len(readEntries(t, p.stateDir)) == 0 })
+		p.waitUntil("the call was made and the journal is empty", func() bool {
+			return len(p.calls()) > 0 && len(readEntries(t, p.stateDir)) == 0
+		})
 		if n := p.notifications(); len(n) != want || want > 0 && n[0].Status != notifier.StatusDeferred {
-			t.Errorf("%d: notices %v", status, n)
+			t.Errorf("after status %d: unexpected notifications %v", status, n)
 		}
 		if c := p.calls(); len(c) != 1 {
-			t.Errorf("%d: calls %v", status, c)
+			t.Errorf("after status %d: calls %v, want one", status, c)
 		}
 	}
 }
 
-// The same message handed in twice, as after a connection that broke, is taken on once.
+// Guards against a message that is recorded or sent twice because its client submits it again, as after a broken connection.
 func TestMessageSubmittedTwice(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -198,14 +208,15 @@
 	p.nextCall()
 	p.submitAccepted("order", "m", "20")
 	if e := readEntries(t, p.stateDir); len(e) != 1 {
-		t.Errorf("entries: %d", len(e))
+		t.Errorf("the journal has %d entries, want 1", len(e))
 	}
 	if c := p.calls(); len(c) != 1 {
-		t.Errorf("calls: %v", c)
+		t.Errorf("calls %v, want one", c)
 	}
 }
 
-// A relay that cannot listen ends with an error before it has called anyone.
+// Guards against a relay that sends messages of its journal although it can't listen for clients: it must exit with an error
+// first.
 func TestListenFailure(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -222,21 +233,21 @@
 		t.Fatal(err)
 	}
 	if err := Run(t.Context(), cfg, p.stateDir, nil); err == nil || !strings.Contains(err.Error(), "listen") {
-		t.Errorf("error %v", err)
+		t.Errorf("Run returned error %v, want one about listening", err)
 	}
 	if e := readEntries(t, p.stateDir); len(e) != 1 || len(e[0].Attempts) != 0 {
-		t.Errorf("the journal was worked on: %v", e)
+		t.Errorf("journal entries %v, want one without attempts", e)
 	}
 }
 
-// closedAddress is an address at which connections are refused.
+// closedAddress returns an address at which connections are refused.
 func closedAddress(tb testing.TB) string {
 	tb.Helper()
 	p := newPlatform(tb)
 	return p.addr
 }
 
-// writeAcceptedMessages notes messages in the journal as an earlier process would have.
+// writeAcceptedMessages records messages as accepted in the journal, as an earlier process would have.
 func writeAcceptedMessages(t *testing.T, p *platform, ids ...string) {
 	t.Helper()
 	j := openTestJournal(t, p.stateDir, 3)
@@ -246,8 +257,8 @@
 	commit(t, j)
 }
 
-// Messages that wait for one host travel in calls of as many as its kind takes: a call for each would need slots
-// that the relay does not have.
+// Guards against separate calls for messages that wait for the same endpoint: they must share calls of up to as many messages as
+// the endpoint accepts, since the relay has too few slots for a call each.
 func TestBatchedCall(t *testing.T) {
 	p := newPlatform(t)
 	p.maxBatch = 3
@@ -255,16 +266,16 @@
 	writeAcceptedMessages(t, p, "a", "b", "c", "d")
 	p.start()
 	if got := []string{p.nextCall(), p.nextCall()}; !slices.Contains(got, "a b c ") || !slices.Contains(got, "d") {
-		t.Errorf("calls %q", got)
+		t.Errorf("calls for messages %q, want one with a, b and c and one with d", got)
 	}
-	p.waitUntil("nothing is left in the journal", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	if n := p.notifications(); len(n) != 0 {
-		t.Errorf("notices for delivered messages: %v", n)
+		t.Errorf("notifications of delivered messages: %v, want none", n)
 	}
 }
 
-// Messages of a call share its fate: once the time of one is up the call is given up for all, and what is answered to it
-// from then on counts for none. That one ends, and the others are sent again as their class permits, once.
+// Guards against results that are read after the first message of a call has expired: the call is canceled for all its messages.
+// The expired message must end, and the others must be sent again if their class permits that.
 func TestExpiryInBatchedCall(t *testing.T) {
 	p := newPlatform(t)
 	p.maxBatch = 3
@@ -291,20 +302,21 @@
 	commit(t, j)
 	p.start()
 	receive(t, callCanceled)
-	p.waitUntil("nothing is left in the journal", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	status := map[string]string{}
 	for _, n := range p.notifications() {
 		status[n.ID] = n.Status
 	}
 	if len(status) != 2 || status["short"] != notifier.StatusDeferred || status["once"] != notifier.StatusUndeliverable {
-		t.Errorf("notices %v", status)
+		t.Errorf("notifications by message %v, want short deferred and once undeliverable", status)
 	}
 	if c := p.calls(); len(c) != 2 || strings.Count(c[0], " ") != 3 || c[1] != "other" {
-		t.Errorf("calls %q", c)
+		t.Errorf("calls for messages %q, want one with all three messages and then one with other", c)
 	}
 }
 
-// A peer that sends a request in another's body, or nothing at all, costs a connection that is soon closed.
+// Guards against clients that hide a request in another request's body, or that send nothing or half a request: each connection
+// must be closed soon, with at most one response, and the relay must go on.
 func TestImproperClientConnections(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -313,10 +325,10 @@
 	inner := fmt.Sprintf(head, "inner") + "Content-Length: 0\r\n\r\n"
 	outer := fmt.Sprintf(head+"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "outer", 5+len(inner))
 	tests := []struct{ name, text, want string }{
-		{"a request within a body", outer + inner, "HTTP/1.1 411 "},
+		{"request within a body", outer + inner, "HTTP/1.1 411 "},
 		{"two requests, the first malformed", strings.Replace(inner, "dest=7", "dest=", 1) + inner, "HTTP/1.1 400 "},
 		{"nothing", "", ""},
-		{"half a head", inner[:60], ""},
+		{"incomplete header", inner[:60], ""},
 		{"idle after a request", "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP/1.1 200 "},
 	}
 	var conns []net.Conn
@@ -337,17 +349,17 @@
 	for i, tt := range tests {
 		answer, err := io.ReadAll(conns[i]) // until the relay closes it
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s: not closed", tt.name)
+			t.Errorf("%s: the connection was not closed", tt.name)
 		}
 		if !strings.HasPrefix(string(answer), tt.want) || strings.Count(string(answer), "HTTP/1.1") > 1 {
-			t.Errorf("%s: answer %q", tt.name, answer)
+			t.Errorf("%s: unexpected response %q", tt.name, answer)
 		}
 	}
 	if frontend.ReadTimeout >= 3*time.Second {
-		t.Errorf("a silent peer is closed after %v, and is owed that within 3 s", frontend.ReadTimeout)
+		t.Errorf("silent connections are closed after %v, want less than 3 s", frontend.ReadTimeout)
 	}
 	p.submitAccepted("status", "good", "20")
 	if id := p.nextCall(); id != "good" {
-		t.Errorf("%q was sent on", id)
+		t.Errorf("got a call for message %q, want \"good\"", id)
 	}
 }
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -11,8 +11,8 @@
 	"milletsail/internal/relay/retry"
 )
 
-// A configuration that is being written when its signal comes is read once it is whole, and further signals meanwhile lose
-// nothing.
+// Guards against a reload that is lost because the configuration file is only partly written when the signal arrives: the file
+// has to be read again once it is complete.
 func TestReloadOfPartlyWrittenFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	p := newPlatform(t)
@@ -32,11 +32,11 @@
 	signals <- syscall.SIGHUP
 	select {
 	case address := <-addresses:
-		t.Fatalf("half a file gives %q", address)
+		t.Fatalf("a partly written file resulted in address %q, want none", address)
 	case <-time.After(2 * retry.StorageInterval):
 	}
 	write(complete)
 	if address := <-addresses; address == "" {
-		t.Error("no address")
+		t.Error("the complete file resulted in an empty address")
 	}
 }
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -12,18 +12,18 @@
 	"milletsail/internal/relay/notifier"
 )
 
-// A process is killed with a call out. The next one may make it again only as its class allows, and ends
-// each message exactly once.
+// Guards against calls that a restart repeats wrongly: after a kill with a call in flight, the next process may repeat the call
+// only if the message's class and its idempotency window allow that, and otherwise notifies the platform once.
 func TestKilledWithCallsInFlight(t *testing.T) {
 	tests := []struct {
 		name, class string
 		memory      float64
 		repeated    bool
 	}{
-		{"safe", "status", 15, true},
-		{"keyed, remembered", "payment", 15, true},
-		{"keyed, forgotten", "payment", 0.05, false},
-		{"unsafe", "order", 15, false},
+		{"idempotent", "status", 15, true},
+		{"idempotency key, window open", "payment", 15, true},
+		{"idempotency key, window closed", "payment", 0.05, false},
+		{"not idempotent", "order", 15, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 			p.submitAccepted(tt.class, "m", "25")
 			p.nextCall()
 			p.kill(c)
-			time.Sleep(100 * time.Millisecond) // past the short memory
+			time.Sleep(100 * time.Millisecond) // longer than the short idempotency window
 			var key string
 			p.update(func() {
 				p.respond = func(r *http.Request) int {
@@ -47,33 +47,34 @@
 			if tt.repeated {
 				p.nextCall()
 				if key != "key-m" {
-					t.Errorf("key %q", key)
+					t.Errorf("repeated call has idempotency key %q, want key-m", key)
 				}
 			}
-			p.waitUntil("it is over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 			want := map[bool]int{true: 2, false: 1}[tt.repeated]
 			if got := p.calls(); len(got) != want {
-				t.Errorf("calls %v, want %d", got, want)
+				t.Errorf("calls %v, want %d of them", got, want)
 			}
 			if n := p.notifications(); len(n) != map[bool]int{true: 0, false: 1}[tt.repeated] {
-				t.Errorf("notices %v", n)
+				t.Errorf("unexpected notifications %v", n)
 			} else if tt.class == "order" && n[0].Status != notifier.StatusUndeliverable {
-				t.Errorf("an unsafe message that may have run was handed back: %v", n)
+				t.Errorf("a message that may have been executed was not reported as undeliverable: %v", n)
 			}
 		})
 	}
 }
 
-// A window for repeats of 1 s counts from the first sending, whatever ends the process: killed and back at once, the message
-// goes out again within it; after a planned end, which takes longer while the call hangs, it ends as its class says.
+// Guards against a restart that extends the idempotency window (1 s here), which counts from the first attempt. A message is sent
+// again if the process is killed and restarted within it, but not after a later restart, nor after a graceful shutdown, which
+// waits longer than that for the call in flight.
 func TestIdempotencyWindowAcrossRestart(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		signal   syscall.Signal
 		wait     time.Duration
 		repeated bool
-	}{{"killed", syscall.SIGKILL, 0, true}, {"killed, back late", syscall.SIGKILL, time.Second, false}, {"told to end",
-		syscall.SIGTERM, 0, false}} {
+	}{{"killed, restarted at once", syscall.SIGKILL, 0, true}, {"killed, restarted late", syscall.SIGKILL, time.Second, false},
+		{"graceful shutdown", syscall.SIGTERM, 0, false}} {
 		t.Run(tt.name, func(t *testing.T) {
 			p := newPlatform(t)
 			p.idempotencyWindow = 1
@@ -96,23 +97,24 @@
 				}
 			})
 			p.start()
-			p.waitUntil("it is over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
-			calls, told := p.calls(), p.notifications()
+			p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			calls, notifications := p.calls(), p.notifications()
 			if repeatedAfter > time.Second {
 				t.Errorf("sent again after %v", repeatedAfter)
 			}
-			if !tt.repeated && (len(calls) != 1 || len(told) != 1 || told[0].Status != notifier.StatusDeferred) {
-				t.Errorf("calls %v, notices %v", calls, told)
+			if !tt.repeated && (len(calls) != 1 || len(notifications) != 1 || notifications[0].Status != notifier.StatusDeferred) {
+				t.Errorf("calls %v and notifications %v, want one call and one notification of a deferred message", calls,
+					notifications)
 			}
-			if tt.repeated && len(calls)+len(told) != 2 { // once more, or, on a machine too slow for that, its end
-				t.Errorf("calls %v, notices %v", calls, told)
+			if tt.repeated && len(calls)+len(notifications) != 2 { // on a slow machine a notification
+				t.Errorf("calls %v and notifications %v, want a second call or one notification", calls, notifications)
 			}
 		})
 	}
 }
 
-// Attempts that never ran do not bind the next process, and a message keeps its time: one whose time ran
-// out between two processes still gets its end.
+// Guards against messages that a kill with pending attempts loses or delays: attempts that were not executed must not keep the
+// next process from sending, and a message that expires while no process runs must still end by a notification.
 func TestKilledWithPendingMessages(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addHost("h1", 7)
@@ -120,7 +122,7 @@
 	c := p.start()
 	p.submitAccepted("order", "late", "0.6")
 	p.submitAccepted("order", "kept", "25")
-	p.waitUntil("an attempt is noted", func() bool {
+	p.waitUntil("the journal has an attempt that was not executed", func() bool {
 		e := readEntries(t, p.stateDir)
 		return len(e) > 0 && len(e[0].Attempts) > 0 && e[0].Attempts[0].NotExecuted
 	})
@@ -129,16 +131,16 @@
 	p.update(func() { p.hosts[0] = h })
 	p.start()
 	if id := p.nextCall(); id != "kept" {
-		t.Errorf("call for %s", id)
+		t.Errorf("got a call for message %s, want kept", id)
 	}
-	p.waitUntil("both are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	if n := p.notifications(); len(n) != 1 || n[0].ID != "late" {
-		t.Errorf("notices %v", n)
+		t.Errorf("notifications %v, want a single one for message late", n)
 	}
 }
 
-// A planned end: answers close their connections, nothing that was read goes unanswered, calls out come to
-// their end, and the rest is for the next process.
+// Guards against messages that a graceful restart loses: requests during the shutdown must be accepted and delivered, responses
+// must close their connections, and the next process must deliver what remains.
 func TestGracefulRestart(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addHost("h1", 7)
@@ -150,35 +152,36 @@
 		t.Fatal(err)
 	}
 	n := 0
-	p.waitUntil("answers close connections", func() bool {
+	p.waitUntil("responses close their connections", func() bool {
 		n++
 		resp := p.submit("status", "after"+string(rune('a'+n%26))+string(rune('a'+n/26%26)), "25",
 			func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 		if resp.StatusCode != http.StatusAccepted {
-			t.Fatalf("while it ends: %s", resp.Status)
+			t.Fatalf("message during the shutdown was answered %s, want 202", resp.Status)
 		}
 		return resp.Close
 	})
 	select {
 	case err := <-c.exited:
 		if err != nil {
-			t.Errorf("exit: %v", err)
+			t.Errorf("relay exited with an error: %v", err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("no exit after SIGTERM")
+		t.Fatal("relay did not exit after SIGTERM")
 	}
 	if got := len(p.calls()); got != n {
-		t.Errorf("%d of %d delivered before the end", got, n)
+		t.Errorf("%d of %d messages delivered before the exit, want all", got, n)
 	}
 	if e := readEntries(t, p.stateDir); len(e) != 1 || e[0].ID != "before" {
-		t.Fatalf("left for the next process: %v", e)
+		t.Fatalf("journal entries %v, want only message before", e)
 	}
 	p.update(func() { p.hosts[0] = h })
 	p.start()
-	p.waitUntil("the rest is delivered", func() bool { return slices.Contains(p.calls(), "before") })
+	p.waitUntil("the remaining message is delivered", func() bool { return slices.Contains(p.calls(), "before") })
 }
 
-// A notice that the platform has not received is owed by the next process too.
+// Guards against a notification that is lost or a message that is sent again when the process is killed before the platform has
+// received the notification.
 func TestPendingNotificationSurvivesRestart(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -186,31 +189,32 @@
 	p.failingPosts = 1 << 30
 	c := p.start()
 	p.submitAccepted("order", "m", "0.3")
-	p.waitUntil("the notice is owed", func() bool {
+	p.waitUntil("the journal has a pending notification", func() bool {
 		e := readEntries(t, p.stateDir)
 		return len(e) == 1 && e[0].PendingNotification != nil
 	})
 	p.kill(c)
 	p.update(func() { p.failingPosts = 0 })
 	p.start()
-	p.waitUntil("the notice is received", func() bool { return len(p.notifications()) == 1 })
-	p.waitUntil("the journal forgets it", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the notification is received", func() bool { return len(p.notifications()) == 1 })
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	if n := p.calls(); len(n) != 1 {
-		t.Errorf("calls: %v", n)
+		t.Errorf("calls %v, want one", n)
 	}
 }
 
-// An outage that was seen outlasts the process, for a host that the configuration's list lacks as well.
+// Guards against a restart that forgets an ejected endpoint and sends to it at once, also if the list in the configuration lacks
+// the endpoint.
 func TestEjectionSurvivesRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		p := newPlatform(t)
 		p.addHost("h1", 7)
-		p.hosts[0].Share = 0.05 // a budget of one knock in many seconds
+		p.hosts[0].Share = 0.05 // allows one probe in many seconds
 		up := p.hosts[0]
 		p.hosts[0].Dial = closedAddress(t)
 		c := p.start()
 		p.submitAccepted("status", "a", "25")
-		p.waitUntil("the outage is noted", func() bool { return readHealth(t, p.stateDir)["h1"].Ejected })
+		p.waitUntil("the ejection is recorded", func() bool { return readHealth(t, p.stateDir)["h1"].Ejected })
 		p.kill(c)
 		p.update(func() { p.hosts[0] = up })
 		if !known {
@@ -219,19 +223,19 @@
 		p.start()
 		resp := p.submit("status", "b", "25")
 		for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.submit("status", "b", "25") {
-			time.Sleep(10 * time.Millisecond) // not listed yet
+			time.Sleep(10 * time.Millisecond) // the endpoint is not listed yet
 		}
-		// A fresh relay would take it on and send at once; in an outage the next knock is too far off.
+		// A relay without the record would accept the message and send it at once. After an ejection the next probe is too late.
 		if resp.StatusCode != http.StatusTooManyRequests {
-			t.Errorf("known %v: %s", known, resp.Status)
+			t.Errorf("endpoint in the configuration: %v: message was answered %s, want 429", known, resp.Status)
 		}
 		if got := p.calls(); len(got) > 1 {
-			t.Errorf("known %v: %v sent at once to a destination that was out", known, got)
+			t.Errorf("endpoint in the configuration: %v: calls %v, want at most one to an ejected endpoint", known, got)
 		}
 	}
 }
 
-// A message whose class the settings no longer have is ended all the same.
+// Guards against a message that never ends because the settings no longer have its class.
 func TestClassRemovedFromSettings(t *testing.T) {
 	dir := t.TempDir()
 	j := openTestJournal(t, dir, 3)
@@ -240,8 +244,8 @@
 	p := newPlatform(t)
 	p.stateDir = dir
 	p.start()
-	p.waitUntil("its notice is received", func() bool { return len(p.notifications()) == 1 })
+	p.waitUntil("the notification is received", func() bool { return len(p.notifications()) == 1 })
 	if n := p.notifications()[0]; n != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
-		t.Errorf("notice %v", n)
+		t.Errorf("got notification %v, want one that message m is undeliverable", n)
 	}
 }
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -14,7 +14,8 @@
 )
 
 // restore passes the state of an earlier process to the policy: the endpoint list, the messages in the journal and, after a
-// handover, the predecessor's calls in flight and policy state. Without a handover link and offer are nil. It runs before the loop.
+// handover, the predecessor's calls in flight and policy state. Without a handover link and offer are nil. It runs before the
+// loop.
 func (l *loop) restore(ctx context.Context, link *handover.Link, offer *handover.Offer) {
 	l.announceEndpoints()
 	if l.zones != nil && len(l.zones.pending) > 0 {
@@ -83,8 +84,8 @@
 	l.batch.events = append(l.batch.events, arrived)
 }
 
-// restoreEndedInFlight passes the policy an attempt in flight of a message that has ended, since the attempt occupies a slot until
-// its call ends.
+// restoreEndedInFlight passes the policy an attempt in flight of a message that has ended, since the attempt occupies a slot
+// until its call ends.
 func (l *loop) restoreEndedInFlight(link *handover.Link, a handover.Attempt) {
 	m := l.messages[a.ID]
 	if m == nil {
@@ -99,7 +100,8 @@
 	l.batch.events = append(l.batch.events, arrived)
 }
 
-// resumeInFlight marks the last attempt of a message as still in flight in the predecessor.
+// resumeInFlight marks the last attempt of a message as in flight in the predecessor. Canceling it sends the predecessor a request
+// to cancel the call.
 func (l *loop) resumeInFlight(link *handover.Link, m *message, a handover.Attempt, arrived *policy.Arrived) {
 	last := &arrived.PriorAttempts[a.Attempt]
 	last.InFlight, last.Call = true, a.Call
--- a/internal/relay/selfcheck.go
+++ b/internal/relay/selfcheck.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// minClockStep is the smallest change of the wall clock against the monotonic clock between two checks, one second apart, that
-	// counts as a step. Time synchronization slews the clock by far less.
+	// minClockStep is the smallest change of the wall clock against the monotonic clock between two checks, one second apart,
+	// that counts as a step. Time synchronization slews the clock by far less.
 	minClockStep = 100 * time.Millisecond
 	// overdueAfter is how long after its expiry a message that has not ended is reported. The protocol requires its
 	// notification within 300 ms of the expiry.
--- a/internal/relay/selfcheck_test.go
+++ b/internal/relay/selfcheck_test.go
@@ -11,10 +11,11 @@
 	"milletsail/policy"
 )
 
-// A step of the wall clock, and a message that is held past its time, are counted once, for on-call staff to see.
+// Guards against faults that operators can't see, or that are counted repeatedly: a step of the wall clock and a message that has
+// not ended after its expiry.
 func TestDiagnostics(t *testing.T) {
 	l := &loop{metrics: metrics.New([]policy.Class{{Name: "status"}}), messages: map[string]*message{}}
-	l.checkClocks() // the first reading tells nothing
+	l.checkClocks() // the first reading has none to be compared with
 	for _, by := range []time.Duration{time.Hour, -10 * time.Second, 10 * time.Millisecond} {
 		l.lastClocks = clock.ReadPair()
 		l.lastClocks.Wall -= clock.Wall(by)
@@ -31,6 +32,6 @@
 		`relay_wall_clock_steps{reason="back"} 1`,
 		`relay_wall_clock_steps{reason="forward"} 1`, "END"}
 	if got := l.metrics.Reasons.Text(); got != strings.Join(want, "\n") {
-		t.Errorf("%s", got)
+		t.Errorf("unexpected text of the counters:\n%s", got)
 	}
 }
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -30,8 +30,8 @@
 		}})
 }
 
-// receiveGossip passes a message from another relay to the fleet service or, if it is not one of the service's, to the policy. The
-// goroutine of the gossip transport calls it.
+// receiveGossip passes a message from another relay to the fleet service or, if it is not one of the service's, to the policy.
+// The goroutine of the gossip transport calls it.
 func (l *loop) receiveGossip(from int, message []byte) {
 	if l.fleet.Accepts(message) {
 		l.fleet.Receive(from, message)
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -50,8 +50,8 @@
 	l.closeConnections(ctx, server, clock.Now().Add(responseWriteTimeout))
 }
 
-// shutdownGracefully shuts down a relay in phases, of which all but the first end early if nothing is pending. Every request that has been read is
-// answered, with a response that closes its connection. Connections without a request are closed last.
+// shutdownGracefully shuts down a relay in phases, of which all but the first end early if nothing is pending. Every request that
+// has been read is answered, with a response that closes its connection. Connections without a request are closed last.
 func (l *loop) shutdownGracefully(ctx context.Context, server *frontend.Server) {
 	started := clock.Now()
 	until := func(phase time.Duration) time.Duration { return clock.Until(started.Add(phase)) }
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -17,8 +17,8 @@
 	"milletsail/internal/relay/notifier"
 )
 
-// While calls hang, a planned end leaves their messages on disk for the next process, in time before the platform kills the
-// process, and each is made again only as its class allows. Further signals change nothing.
+// Guards against calls without a response that delay a graceful shutdown until the platform kills the process: their messages
+// must stay in the journal, and the next process repeats each call only if its class allows that. Further signals have no effect.
 func TestShutdownWithHangingCalls(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -37,34 +37,35 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	if err := old.waitForExit(t); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("relay exited with an error: %v", err)
 	}
 	if took := time.Since(signaled); took < finishCallsPhaseEnd {
-		t.Errorf("calls that were out had only %v", took)
+		t.Errorf("the relay exited after %v, want finishCallsPhaseEnd at least for calls in flight", took)
 	}
 	if finishCallsPhaseEnd+responseWriteTimeout > exitDeadline || exitDeadline >= 3700*time.Millisecond {
-		t.Errorf("it ends %v after the signal, and is killed after 3.7 s", exitDeadline)
+		t.Errorf("exitDeadline is %v, want it after the earlier phases and before the kill at 3.7 s", exitDeadline)
 	}
 	entries := readEntries(t, p.stateDir)
 	if len(entries) != len(want) || slices.ContainsFunc(entries, func(e *journal.Entry) bool {
 		return e.PendingNotification != nil || len(e.Attempts) != 1 || e.Attempts[0].Ended && e.Attempts[0].NotExecuted
 	}) {
-		t.Fatalf("left for the next process: %v", entries)
+		t.Fatalf("journal entries %v, want one per class with one attempt that may have been executed", entries)
 	}
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.start()
-	p.waitUntil("each has its end", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	calls := p.calls()[len(want):]
 	slices.Sort(calls)
 	if !slices.Equal(calls, []string{"payment", "status"}) {
-		t.Errorf("made again: %v", calls)
+		t.Errorf("repeated calls %v, want payment and status", calls)
 	}
 	if n := p.notifications(); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: notifier.StatusUndeliverable}) {
-		t.Errorf("notices %v", n)
+		t.Errorf("notifications %v, want a single one that message order is undeliverable", n)
 	}
 }
 
-// A message whose time is up during a planned end gets its notice then, at the address that discovery has by then.
+// Guards against a notification that is delayed or lost when a message expires during a graceful shutdown, in which a reload
+// changes discovery's address: it must be posted to the new address before the process exits.
 func TestNotificationDuringShutdown(t *testing.T) {
 	p, next := newPlatform(t), newPlatform(t)
 	p.addHost("h1", 7)
@@ -88,17 +89,18 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	if err := old.waitForExit(t); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("relay exited with an error: %v", err)
 	}
 	if n := next.notifications(); len(n) != 1 || n[0].ID != "m" {
-		t.Errorf("notices at the new address: %v", n)
+		t.Errorf("notifications at the new address: %v, want a single one for message m", n)
 	}
 	if e := readEntries(t, p.stateDir); len(e) != 0 {
-		t.Errorf("left in the journal: %v", e)
+		t.Errorf("journal entries after the exit: %v, want none", e)
 	}
 }
 
-// A process that is told to end while it still waits for the folder ends at once, with nothing begun.
+// Guards against a process that can't be stopped, or exits with an error, while it waits for another one to release the state
+// directory.
 func TestShutdownBeforeStart(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -116,24 +118,26 @@
 	go func() { ended <- Run(ctx, cfg, p.stateDir, nil) }()
 	stop()
 	if err := receive(t, ended); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run returned %v, want nil", err)
 	}
 }
 
-// A message is killed with its process between any two of its steps; the next process ends it once, as its class allows.
+// Guards against messages that are lost or end twice when the process is killed between two of their steps. Each case is the
+// state of the journal at such a kill; the class is not idempotent.
 func TestKilledAtEachStep(t *testing.T) {
 	for _, tt := range []struct {
 		name                 string
 		entry                journal.Entry
 		calls, notifications int
 	}{
-		{"taken on, not sent", journal.Entry{}, 1, 0},
-		{"its call noted, perhaps not written", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now()}}}, 0, 1},
-		{"its call's end noted as never run", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(),
+		{"accepted, no attempt", journal.Entry{}, 1, 0},
+		{"attempt started, perhaps not sent", journal.Entry{Attempts: []journal.Attempt{{Host: "h1",
+			StartedAt: clock.Now()}}}, 0, 1},
+		{"attempt ended, not executed", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(),
 			Ended: true, NotExecuted: true}}}, 1, 0},
-		{"its call's end noted, its own not", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(),
+		{"attempt ended, message not ended", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(),
 			Ended: true}}}, 0, 1},
-		{"its notice owed, perhaps received", journal.Entry{PendingNotification: &journal.Notification{ID: "m",
+		{"notification pending, perhaps received", journal.Entry{PendingNotification: &journal.Notification{ID: "m",
 			Status: notifier.StatusUndeliverable}}, 0, 1},
 	} {
 		t.Run(strings.ReplaceAll(tt.name, " ", "_"), func(t *testing.T) {
@@ -153,15 +157,17 @@
 			}
 			commit(t, j)
 			p.start()
-			p.waitUntil("it has its end", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
-			if calls, told := p.calls(), p.notifications(); len(calls) != tt.calls || len(told) != tt.notifications {
-				t.Errorf("calls %v, notices %v, want %d and %d", calls, told, tt.calls, tt.notifications)
+			p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			if calls, notifications := p.calls(), p.notifications(); len(calls) != tt.calls ||
+				len(notifications) != tt.notifications {
+				t.Errorf("calls %v and notifications %v, want %d and %d of them", calls, notifications, tt.calls, tt.notifications)
 			}
 		})
 	}
 }
 
-// Clients that leave in a burst, before their answers are decided, take back what is theirs and nothing else.
+// Guards against a burst of clients that disconnect before their responses are decided and thereby withdraw messages of other
+// clients, or block the relay.
 func TestBurstOfDisconnectingClients(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
@@ -176,16 +182,16 @@
 	p.nextCall()
 	for range 30 {
 		c := p.connectClient()
-		_, _ = c.Write([]byte(encodedRequest("burst" + c.LocalAddr().String()))) // its answer is not read, and the close resets it
+		_, _ = c.Write([]byte(encodedRequest("burst" + c.LocalAddr().String()))) // closed unread, which resets the connection
 		_ = c.Close()
 	}
 	close(hold)
-	p.waitUntil("all have their end", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	p.submitAccepted("status", "after", "25")
-	p.waitUntil("a later one is delivered", func() bool { return slices.Contains(p.calls(), "after") })
+	p.waitUntil("a later message is delivered", func() bool { return slices.Contains(p.calls(), "after") })
 	for _, n := range p.notifications() {
 		if !strings.HasPrefix(n.ID, "burst") {
-			t.Errorf("notice %v", n)
+			t.Errorf("got notification %v, want none for messages of other clients", n)
 		}
 	}
 }
--- a/internal/relay/storage.go
+++ b/internal/relay/storage.go
@@ -12,7 +12,8 @@
 	"milletsail/internal/relay/retry"
 )
 
-// listTimeout limits how long reading the endpoint list from disk is retried. It is short since discovery can send the list again.
+// listTimeout limits how long reading the endpoint list from disk is retried. It is short since discovery can send the list
+// again.
 const listTimeout = 5 * time.Second
 
 // openJournal opens the journal in the state directory, and logs what it contains. It retries until retry.StorageTimeout has
--- a/internal/relay/unrecorded_test.go
+++ b/internal/relay/unrecorded_test.go
@@ -16,12 +16,13 @@
 	"milletsail/policy"
 )
 
-// fullDisk is the file system, without room as long as a test says so.
+// fullDisk is a file system on which writes fail with ENOSPC while full is set.
 type fullDisk struct {
 	journal.FS
 	full atomic.Bool
 }
 
+// fullFile is an open file of a fullDisk.
 type fullFile struct {
 	journal.File
 	disk *fullDisk
@@ -39,19 +40,19 @@
 	return f.File.Write(b)
 }
 
-// recordedNotifications keep what is enqueued.
+// recordedNotifications is a notificationQueue that keeps all notifications.
 type recordedNotifications []journal.Notification
 
 func (r *recordedNotifications) Enqueue(n journal.Notification) { *r = append(*r, n) }
 
-// The platform is told of a message's end once that is on disk, since a process after a kill would else send the message
-// on; or once its time is up, when no process does.
+// Guards against a notification that is posted before the end of its message is on disk: after a crash the next process would
+// send the message all the same. Once the message has expired no process sends it, so its notification need not wait.
 func TestNotificationWaitsForRecord(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		left   time.Duration
-		before int // notices while nothing can be written
-	}{{"in time", time.Minute, 0}, {"its time is up", -time.Second, 1}} {
+		before int // notifications while the journal can't be written
+	}{{"before expiry", time.Minute, 0}, {"after expiry", -time.Second, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			disk := &fullDisk{FS: journal.Disk}
 			kept, _, err := journal.Open(t.TempDir(), journal.Options{DiskMB: 3, Files: disk})
@@ -75,23 +76,24 @@
 			l.endUndelivered(m, frontend.Response{}, notifier.StatusDeferred, policy.ReasonNoTimeLeft)
 			l.commit(t.Context())
 			if len(queue) != c.before {
-				t.Errorf("%d notices while nothing can be written, want %d", len(queue), c.before)
+				t.Errorf("%d notifications while the journal can't be written, want %d", len(queue), c.before)
 			}
 			disk.full.Store(false)
 			l.setWritable(kept.Commit() == nil)
 			if len(queue) != 1 {
-				t.Errorf("%d notices once it is written", len(queue))
+				t.Errorf("%d notifications after the journal was written, want 1", len(queue))
 			}
 		})
 	}
 }
 
-// What a journal that could not be written lacks, the process before tells: attempts may have run, and an end stays one.
+// Guards against a successor that trusts an incomplete journal: attempts that only the predecessor knows of may have been
+// executed, and a message that has ended there must not be sent again.
 func TestIncompleteJournalIsReconciled(t *testing.T) {
 	e := &journal.Entry{ID: "m", Attempts: []journal.Attempt{{Host: "h1", Ended: true, NotExecuted: true}}}
 	handover.LiveMessage{Attempts: 3, PendingNotification: &journal.Notification{ID: "m",
 		Status: notifier.StatusDeferred}}.Reconcile(e)
 	if len(e.Attempts) != 3 || !e.Attempts[2].Uncertain || e.Attempts[2].NotExecuted || e.PendingNotification == nil {
-		t.Errorf("%+v", e)
+		t.Errorf("reconciled entry is %+v, want three attempts, the last of them uncertain, and a pending notification", e)
 	}
 }
