--- a/internal/relay/admin/server.go
+++ b/internal/relay/admin/server.go
@@ -1,5 +1,5 @@
-// Package admin answers the commands of operators: a connection carries one line, and gets one reply. It stands apart from the
-// clients' front end, so that no crowd there keeps an operator out.
+// Package admin serves the admin endpoint, where operators send commands: each connection carries one line and gets one reply. It
+// has its own listener and connection limit, so that many client connections can't keep an operator out.
 package admin
 
 import (
@@ -21,42 +21,42 @@
 )
 
 const (
-	// maxConnections is how many connections are open at once; with all taken, the longest silent one is evicted.
+	// maxConnections bounds the open connections. At the limit, a new one replaces the oldest one that has sent no command.
 	maxConnections = 8
-	// ioTimeout is how long a caller has to send its command, and again to receive the reply.
+	// ioTimeout bounds the reading of a command, and again the writing of the reply.
 	ioTimeout = 2 * time.Second
-	// drainTimeout is how long what a caller sends behind its command is read off.
+	// drainTimeout bounds the reading and discarding of data that follows a command.
 	drainTimeout = 100 * time.Millisecond
-	// maxCommandSize bounds the line of a command in bytes.
+	// maxCommandSize is the maximum length of a command's line in bytes.
 	maxCommandSize = 128
 )
 
-// The replies that commands share. Operators' scripts match the texts of replies, so they stay as they are.
+// Replies to commands that can't be answered. Operators' scripts match the texts of replies, so they must not change.
 const (
 	unknownCommand   = "ERR unknown call"
 	malformedCommand = "ERR no call in one line of at most 128 bytes\n"
 )
 
-// Handler answers a command; arguments is what follows its first word.
+// Handler returns the reply to a command; arguments is the rest of the line after the command's first word.
 type Handler func(arguments string) string
 
-// Server answers commands. A nil Server is one without an endpoint: Handle and Close do nothing.
+// Server answers commands at an admin endpoint. A nil Server stands for a relay without one: its Handle and Close do nothing.
 type Server struct {
 	listener net.Listener
 	metrics  *metrics.Metrics
-	handlers sync.Map // by the first word of a command: Handler
+	handlers sync.Map // a Handler by the first word of the command
 
 	mu   sync.Mutex
-	open []*session // the oldest first
+	open []*session // in the order of their connections, the oldest first
 }
 
 // session is one connection of an operator.
 type session struct {
 	net.Conn
-	commandReceived bool // it keeps its place until it has the reply
+	commandReceived bool // set once the command was read; from then on the session is not evicted
 }
 
-// Listen opens the endpoint at an address. Serve answers there. The end of ctx does not interrupt it.
+// Listen opens the admin endpoint at an address; Serve then answers commands there. The end of ctx does not interrupt Listen.
 func Listen(ctx context.Context, address string, m *metrics.Metrics) (*Server, error) {
 	var config net.ListenConfig
 	ctx = context.WithoutCancel(ctx)
@@ -67,14 +67,14 @@
 	return &Server{listener: listener.New(socket, "admin endpoint", &m.Reasons), metrics: m}, nil
 }
 
-// Handle has commands answered by their first word. It is safe for concurrent use with Serve.
+// Handle registers the handler of the commands whose first word is name. It is safe for concurrent use with Serve.
 func (s *Server) Handle(name string, handler Handler) {
 	if s != nil {
 		s.handlers.Store(name, handler)
 	}
 }
 
-// WithoutArguments returns the handler of a command of one word.
+// WithoutArguments returns a handler that rejects any arguments and otherwise calls answer.
 func WithoutArguments(answer func() string) Handler {
 	return func(arguments string) string {
 		if arguments != "" {
@@ -84,12 +84,12 @@
 	}
 }
 
-// Serve answers commands until Close. Each session has a goroutine, which its deadlines end; nobody waits for these, so that a
-// slow operator does not delay the end of the process.
+// Serve answers commands until Close is called. It starts a goroutine for each session, which ends by the session's deadlines.
+// Nothing waits for these goroutines, so that a slow operator does not delay the shutdown of the process.
 func (s *Server) Serve() {
 	for {
 		conn, err := s.listener.Accept()
-		if err != nil { // closed
+		if err != nil { // the listener is closed
 			return
 		}
 		if session := s.enter(conn); session != nil {
@@ -106,8 +106,8 @@
 	return s.listener.Close()
 }
 
-// enter makes room for a connection, at the cost of the session that has been silent longest. With every place taken by one
-// that is being replied to, it closes the connection and returns nil.
+// enter opens a session for a connection. At maxConnections it evicts the oldest session that has sent no command; if all
+// sessions have sent theirs, it closes the connection and returns nil.
 func (s *Server) enter(conn net.Conn) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +125,7 @@
 	return c
 }
 
-// markReceived notes that a session's command is here, and reports whether it still has its place.
+// markReceived records that a session's command was read, and reports whether the session has not been evicted before.
 func (s *Server) markReceived(c *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +133,7 @@
 	return slices.Contains(s.open, c)
 }
 
-// leave ends a session.
+// leave closes a session's connection and removes the session from the open ones.
 func (s *Server) leave(c *session) {
 	_ = c.Close()
 	s.mu.Lock()
@@ -141,7 +141,7 @@
 	s.open = slices.DeleteFunc(s.open, func(o *session) bool { return o == c })
 }
 
-// answer reads a session's command and replies.
+// answer reads a session's command, writes the reply and ends the session.
 func (s *Server) answer(caller *session) {
 	defer s.leave(caller)
 	_ = caller.SetDeadline(time.Now().Add(ioTimeout))
@@ -150,7 +150,7 @@
 		return
 	}
 	_ = caller.SetDeadline(time.Now().Add(ioTimeout))
-	// The caller may end its line by ending its side.
+	// A caller may close its sending side instead of sending the newline.
 	complete := err == nil || errors.Is(err, io.EOF) && len(line) < maxCommandSize
 	reply := []byte(malformedCommand)
 	if complete {
@@ -159,8 +159,8 @@
 	if _, err := caller.Write(reply); err != nil {
 		slog.Debug("admin reply not written", "error", err)
 	}
-	// Closing with bytes unread would reset the connection, and the reply with it: the sending side ends first, and what the
-	// caller has sent behind its command is read off.
+	// Closing a connection with unread data would reset it, and the caller could lose the reply. So only the sending side is
+	// closed first, and data that the caller sent after its command is discarded.
 	if half, ok := caller.Conn.(*net.TCPConn); ok {
 		_ = half.CloseWrite()
 	}
@@ -168,7 +168,7 @@
 	_, _ = io.CopyN(io.Discard, caller, protocol.MaxBodySize)
 }
 
-// reply answers one command.
+// reply returns the reply to one command, with its final newline.
 func (s *Server) reply(command string) []byte {
 	switch command {
 	case "health":
@@ -185,7 +185,7 @@
 	return []byte(unknownCommand + "\n")
 }
 
-// health says whether this process accepts messages.
+// health returns "OK" if this process accepts messages, else the reason why it does not.
 func (s *Server) health() string {
 	if err := s.metrics.StorageError.Load(); err != nil {
 		return "ERR nothing is taken on: " + *err
--- a/internal/relay/admin/server_test.go
+++ b/internal/relay/admin/server_test.go
@@ -11,7 +11,7 @@
 	"milletsail/policy"
 )
 
-// newTestServer opens an admin endpoint whose process takes clients.
+// newTestServer starts an admin endpoint for two classes in a process that serves clients. It is closed when the test ends.
 func newTestServer(t *testing.T) *Server {
 	t.Helper()
 	m := metrics.New([]policy.Class{{Name: "a"}, {Name: "b"}})
@@ -25,7 +25,7 @@
 	return d
 }
 
-// sendCommand sends an operator's line and gives the whole reply.
+// sendCommand sends text on a new connection and returns the whole reply.
 func sendCommand(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
@@ -43,7 +43,8 @@
 	return string(reply)
 }
 
-func TestReplies(t *testing.T) {
+// The test guards the replies to health and counters, and that malformed and unknown commands get an error of one line.
+func TestRepliesToCommands(t *testing.T) {
 	d := newTestServer(t)
 	d.metrics.CountResult(1, metrics.Rejected)
 	d.metrics.UpstreamRequests.Add(3)
@@ -61,10 +62,10 @@
 `
 	addr := d.listener.Addr().String()
 	if got := sendCommand(t, addr, "counters\n"); got != want {
-		t.Errorf("counters:\n%s", got)
+		t.Errorf("reply to counters differs from the expected text:\n%s", got)
 	}
 	if got := sendCommand(t, addr, "health\r\n"); got != "OK\n" {
-		t.Errorf("health: %q", got)
+		t.Errorf("reply to health: %q, want OK", got)
 	}
 	for _, bad := range []string{"\n", "HEALTH\n", "health now\n", strings.Repeat("x", maxCommandSize) + "\n",
 		strings.Repeat("x", 10*maxCommandSize), "health\n"} {
@@ -72,13 +73,14 @@
 			d.metrics.Serving.Store(false)
 		}
 		if got := sendCommand(t, addr, bad); !strings.HasPrefix(got, "ERR") || strings.Count(got, "\n") != 1 {
-			t.Errorf("%.20q: %q", bad, got)
+			t.Errorf("reply to %.20q: %q, want one line that begins with ERR", bad, got)
 		}
 	}
 }
 
-// Callers that say nothing, or stop in the middle of a line, take no place from others.
-func TestSilentSessions(t *testing.T) {
+// Connections that send nothing, or only part of a line, must not keep an operator out: the oldest of them are evicted when all
+// sessions are in use, and the newest can still complete its command.
+func TestSilentSessionsAreEvicted(t *testing.T) {
 	d := newTestServer(t)
 	addr := d.listener.Addr().String()
 	var silent []net.Conn
@@ -92,19 +94,19 @@
 		silent = append(silent, c)
 	}
 	if got := sendCommand(t, addr, "health\n"); got != "OK\n" {
-		t.Errorf("beside silent callers: %q", got)
+		t.Errorf("reply to health with all sessions held by silent callers: %q, want OK", got)
 	}
-	// The last of them is still heard out.
+	// The newest silent session was not evicted and completes its command.
 	last := silent[len(silent)-1]
 	_, _ = io.WriteString(last, "th\n")
 	if reply, err := io.ReadAll(last); string(reply) != "OK\n" {
-		t.Errorf("a slow call: %q, %v", reply, err)
+		t.Errorf("reply to a command sent in two parts: %q, error %v; want OK", reply, err)
 	}
 }
 
-// A caller of the admin endpoint gets its whole reply and the end of the connection, whatever it sent behind its line: a
-// close over unread bytes would reset the connection, and with it what the caller has not read yet.
-func TestAdminReplyOutlivesTheClose(t *testing.T) {
+// A close with unread data in the receive buffer resets the connection, and the caller loses what it has not read of the reply.
+// The server has to discard data after the command, so that the caller gets the whole reply and a regular end of the connection.
+func TestReplyCompleteDespiteDataAfterCommand(t *testing.T) {
 	const replyLength = 256 << 10
 	d := newTestServer(t)
 	replying := make(chan bool, 1)
@@ -118,10 +120,10 @@
 		name, line, more string
 		want             int // bytes of the reply
 	}{
-		{"nothing more", "short\n", "", len("xx\n")},
-		{"a second line, read with the first", "short\n", "short\n", len("xx\n")},
-		{"more than is read with the line", "short\n", strings.Repeat("short\n", 1000), len("xx\n")},
-		{"the same, and a long reply", "long\n", strings.Repeat("short\n", 1000), replyLength + 1},
+		{"no data after the command", "short\n", "", len("xx\n")},
+		{"second line read together with the command", "short\n", "short\n", len("xx\n")},
+		{"more data than is read with the command", "short\n", strings.Repeat("short\n", 1000), len("xx\n")},
+		{"more data than is read with the command, and a long reply", "long\n", strings.Repeat("short\n", 1000), replyLength + 1},
 	} {
 		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", d.listener.Addr().String())
 		if err != nil {
@@ -129,36 +131,36 @@
 		}
 		write(t, c, tt.line+tt.more)
 		receive(t, replying)
-		// The caller reads only when the endpoint is through with it.
-		eventually(t, tt.name+": the endpoint is through", func() bool {
+		// The caller starts to read only after the server has closed its session.
+		eventually(t, tt.name+": the server closes the session", func() bool {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			return len(d.open) == 0
 		})
 		_ = c.SetReadDeadline(time.Now().Add(long))
 		if got, err := io.ReadAll(c); len(got) != tt.want || err != nil {
-			t.Errorf("%s: %d bytes of the reply, want %d (%v)", tt.name, len(got), tt.want, err)
+			t.Errorf("%s: received %d bytes of the reply, want %d (error %v)", tt.name, len(got), tt.want, err)
 		}
 		_ = c.Close()
 	}
 }
 
-// long is longer than anything that a test waits for in vain.
+// long bounds every wait of a test. It is far longer than a passing test needs.
 const long = 20 * time.Second
 
-// receive waits for a value.
+// receive returns the next value of a channel, and fails the test if none arrives in time.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(long):
-		t.Fatal("waited in vain")
+		t.Fatal("timed out waiting for a value on a channel")
 		panic("not reached")
 	}
 }
 
-// write sends bytes on a client's connection.
+// write writes text to a connection, and fails the test if that fails.
 func write(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -166,12 +168,12 @@
 	}
 }
 
-// eventually waits for a condition; how long that takes decides nothing.
+// eventually waits until a condition holds, and fails the test if it does not hold in time; what describes the condition.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(long); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads the configuration file that the platform gives a relay.
+// Package config reads a relay's configuration file, and the environment variables that override parts of it.
 package config
 
 import (
@@ -16,90 +16,95 @@
 	"milletsail/policy"
 )
 
-// Config is what the platform tells a relay.
+// Config is the configuration of a relay. Its JSON form is the configuration file; Read derives the fields without a JSON name.
 type Config struct {
-	// Name is the relay's.
+	// Name is the name of the relay.
 	Name string `json:"name"`
-	// Listen is the address for clients.
+	// Listen is the address at which the relay accepts clients.
 	Listen string `json:"listen"`
 	// Admin is the address of the admin endpoint; empty for none.
 	Admin string `json:"admin"`
-	// Discovery is the address of discovery, which also receives notifications.
+	// Discovery is the address of the discovery service, which also receives notifications.
 	Discovery string `json:"discovery"`
-	// Seed of random decisions, hexadecimal.
+	// Seed is the seed of the policy's random decisions, a hexadecimal number of at most 64 bits.
 	Seed string `json:"seed"`
-	// Limits are the resources of the relay.
+	// Limits are the resources that the relay may use.
 	Limits Limits `json:"limits"`
-	// PeerListen is the address at which gossip arrives.
+	// PeerListen is the address at which the relay receives gossip.
 	PeerListen string `json:"peer_listen"`
-	// Peers are the addresses from which the relays of the fleet send gossip, by ordinal.
+	// Peers are the addresses from which the relays of the fleet send gossip, indexed by the relays' ordinals.
 	Peers []string `json:"peers"`
-	// PeersAll is the address that reaches all other relays.
+	// PeersAll is the address to which gossip for all other relays is sent.
 	PeersAll string `json:"peers_all"`
-	// Settings are the policy's and the protocol's.
+	// Settings are the settings of the policy and of the protocol with clients and endpoints.
 	Settings settings.Settings `json:"settings"`
-	// Durability says what the journal survives: DurabilityProcess, which is the default, or DurabilityPower.
+	// Durability is DurabilityProcess or DurabilityPower; empty stands for DurabilityProcess.
 	Durability string `json:"durability"`
 
-	// Fleet has this relay share what it learns with the others, where gossip is allowed, and show it at the admin endpoint.
-	// Off by default.
+	// Fleet makes this relay share its observations with the other relays, if the settings allow gossip, and show them at the
+	// admin endpoint. It is off by default.
 	Fleet bool `json:"fleet"`
-	// Zones has this relay decide by zones, and accept operators' orders about them at the admin endpoint.
+	// Zones makes the policy take zones into account and the admin endpoint accept operators' commands about zones. It is off by
+	// default.
 	Zones bool `json:"zones"`
-	// CanaryAnalysis has endpoints that are new on the list pass canary analysis before they get their share. Off by default.
+	// CanaryAnalysis makes endpoints that are new on the list pass canary analysis before they get their share of calls. It is
+	// off by default.
 	CanaryAnalysis bool `json:"newcomers"`
 
-	// Files is what the journal is written to, and Boot what distinguishes one boot of the machine from another; none for the
-	// system's own. Tests replace them.
+	// Files is the file system that the journal is written to; nil for the machine's own. Tests replace it.
 	Files journal.FS `json:"-"`
-	// Boot is described at Files.
+	// Boot identifies the current boot of the machine; empty to use the kernel's boot id. Tests replace it.
 	Boot string `json:"-"`
 
-	// KnownEndpoints is the endpoint list in the file.
+	// KnownEndpoints locates the endpoint list in the configuration file, which is read when it is needed.
 	KnownEndpoints EndpointSource `json:"-"`
-	// InheritedSocket is the number of the descriptor on which clients are accepted; empty to listen.
+	// InheritedSocket is the number of an inherited descriptor on which clients are accepted; empty to listen at Listen.
 	InheritedSocket string `json:"-"`
-	// Policy is what Settings give the policy.
+	// Policy are the policy's settings, derived from Settings and the fields above.
 	Policy policy.Settings `json:"-"`
-	// RandomSeed is the number that Seed stands for.
+	// RandomSeed is Seed as a number.
 	RandomSeed int64 `json:"-"`
 }
 
-// What a journal may be configured to survive.
+// Values of Config.Durability.
 const (
-	// DurabilityProcess survives the end of the process in any way: no sync, no cost.
+	// DurabilityProcess makes the journal survive any end of the process, but not a power loss. It is never synced to the disk,
+	// which costs no time.
 	DurabilityProcess = "process"
-	// DurabilityPower survives a power loss too: each batch is synced before it is answered or sent.
+	// DurabilityPower makes the journal survive a power loss too: each batch is synced to the disk before its messages are
+	// answered or sent.
 	DurabilityPower = "power"
 )
 
-// Limits are what the platform grants one relay.
+// Limits are the resources that one relay may use.
 type Limits struct {
-	// Cores is processor time.
+	// Cores is the processor time, in cores.
 	Cores float64 `json:"cores"`
-	// MemoryMB is in megabytes.
+	// MemoryMB is the memory in megabytes.
 	MemoryMB float64 `json:"memory_mb"`
-	// Sockets counts all descriptors.
+	// Sockets is the number of open descriptors of any kind.
 	Sockets int `json:"sockets"`
-	// DiskMB is in megabytes.
+	// DiskMB is the disk space in the state directory, in megabytes.
 	DiskMB float64 `json:"disk_mb"`
 }
 
-// The environment variables that take the place of settings in the file.
+// Environment variables that override the configuration file.
 const (
-	// adminVariable is the address of the admin endpoint: two processes of an upgrade may share the file, but not the address.
+	// adminVariable overrides Config.Admin: the two processes of an upgrade may share a file, but not the address.
 	adminVariable = "NODE_ADMIN"
-	// socketVariable is the number of an inherited socket.
+	// socketVariable sets Config.InheritedSocket.
 	socketVariable = "NODE_FD"
-	// durabilityVariable is that of Durability.
+	// durabilityVariable overrides Config.Durability.
 	durabilityVariable = "NODE_DURABILITY"
-	// fleetVariable is "on" or "off", as the next two are.
-	fleetVariable  = "NODE_FLEET"
-	zonesVariable  = "NODE_ZONES"
+	// fleetVariable overrides Config.Fleet with "on" or "off".
+	fleetVariable = "NODE_FLEET"
+	// zonesVariable overrides Config.Zones with "on" or "off".
+	zonesVariable = "NODE_ZONES"
+	// canaryVariable overrides Config.CanaryAnalysis with "on" or "off".
 	canaryVariable = "NODE_NEWCOMERS"
 )
 
-// Read reads and checks a configuration file, and the environment.
+// Read reads a configuration file, applies the environment variables and validates the result.
 func Read(path string) (*Config, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -125,7 +130,8 @@
 	return config, nil
 }
 
-// ReadAtStart is Read for a process that starts: a file system that fails for a moment refuses no start.
+// ReadAtStart calls Read and retries it for up to retry.StorageTimeout, so that a brief failure of the file system does not
+// prevent the process from starting.
 func ReadAtStart(path string) (c *Config, err error) {
 	err = retry.Storage(context.Background(), retry.StorageTimeout, "read configuration", func() error {
 		c, err = Read(path)
@@ -134,7 +140,7 @@
 	return c, err
 }
 
-// applyEnvironment takes over what environment variables say.
+// applyEnvironment overrides the configuration with the values of the environment variables that are set.
 func (config *Config) applyEnvironment() error {
 	if admin := os.Getenv(adminVariable); admin != "" {
 		config.Admin = admin
@@ -150,44 +156,44 @@
 		case "on", "off":
 			*on = value == "on"
 		default:
-			return fmt.Errorf("%s: %q is not \"on\" or \"off\"", name, value)
+			return fmt.Errorf("environment variable %s: got %q, expected \"on\" or \"off\"", name, value)
 		}
 	}
 	return nil
 }
 
-// validate checks the configuration and derives the policy's settings.
+// validate checks the configuration and derives Policy and RandomSeed.
 func (config *Config) validate() error {
 	switch {
 	case config.Listen == "":
-		return errors.New("listen: missing")
+		return errors.New("listen: no address configured")
 	case config.Discovery == "":
-		return errors.New("discovery: missing")
+		return errors.New("discovery: no address configured")
 	case !(config.Limits.Cores > 0):
-		return fmt.Errorf("limits.cores: %v is not above 0", config.Limits.Cores)
+		return fmt.Errorf("limits.cores: got %v, expected a value above 0", config.Limits.Cores)
 	case !(config.Limits.MemoryMB > 0):
-		return fmt.Errorf("limits.memory_mb: %v is not above 0", config.Limits.MemoryMB)
+		return fmt.Errorf("limits.memory_mb: got %v, expected a value above 0", config.Limits.MemoryMB)
 	case config.Limits.Sockets < 1:
-		return fmt.Errorf("limits.sockets: %d is not above 0", config.Limits.Sockets)
+		return fmt.Errorf("limits.sockets: got %d, expected a value above 0", config.Limits.Sockets)
 	case !(config.Limits.DiskMB > 0):
-		return fmt.Errorf("limits.disk_mb: %v is not above 0", config.Limits.DiskMB)
+		return fmt.Errorf("limits.disk_mb: got %v, expected a value above 0", config.Limits.DiskMB)
 	case config.Durability != "" && config.Durability != DurabilityProcess && config.Durability != DurabilityPower:
-		return fmt.Errorf("durability: %q is not %q or %q", config.Durability, DurabilityProcess, DurabilityPower)
+		return fmt.Errorf("durability: got %q, expected %q or %q", config.Durability, DurabilityProcess, DurabilityPower)
 	}
 	seed, err := strconv.ParseUint(config.Seed, 16, 64)
 	if err != nil {
-		return fmt.Errorf("seed: %w", err)
+		return fmt.Errorf("seed: expected a hexadecimal number: %w", err)
 	}
 	config.RandomSeed = int64(seed)
 	if config.Policy, err = config.Settings.Policy(); err != nil {
 		return err
 	}
-	// In the simulator some deployments learn of changes unasked; on sockets they come to a watch alone.
+	// The relay learns of changed endpoints only by a watch. The simulator also has deployments that are notified without one.
 	config.Policy.Subscribe = true
 	config.Policy.PublishRates = config.Fleet
 	config.Policy.Zones = config.Zones
 	config.Policy.CanaryAnalysis = config.CanaryAnalysis
 	config.Policy.MaxBatchBytes = protocol.MaxBodySize - len("[]")
-	_, err = policy.New(config.Policy, config.RandomSeed) // its own check of the settings
+	_, err = policy.New(config.Policy, config.RandomSeed) // validates config.Policy
 	return err
 }
--- a/internal/relay/config/endpoints.go
+++ b/internal/relay/config/endpoints.go
@@ -11,19 +11,19 @@
 	"milletsail/internal/endpoints"
 )
 
-// endpointsField is the field of a configuration that holds the list of endpoints. The list may be far longer than all else,
-// so it is never decoded as a whole.
+// endpointsField is the field of the configuration file that holds the endpoint list. The list may be far longer than the rest of
+// the file, so it is decoded in batches and never held in memory as a whole.
 const endpointsField = "known"
 
-// EndpointSource is the list of endpoints in a configuration file, which is read there once it is needed.
+// EndpointSource locates the endpoint list in a configuration file. The list is read from the file when it is needed.
 type EndpointSource struct {
-	// Path is that of the file; empty for no list.
+	// Path is the path of the configuration file; empty for no list.
 	Path string
-	// Version is that of the list; 0 for none.
+	// Version is the version of the list; 0 for a list without a version or no list.
 	Version int64
 }
 
-// Read hands the list to deliver in batches.
+// Read reads the list and passes it to deliver in batches.
 func (s EndpointSource) Read(deliver func(endpoints.Batch) error) error {
 	if s.Path == "" {
 		return nil
@@ -36,8 +36,7 @@
 	return decode(file, new(Config), deliver)
 }
 
-// decode decodes a configuration. All fields go into c, but for the list of endpoints, which is handed on in
-// batches.
+// decode decodes a configuration. The endpoint list is passed to deliver in batches; all other fields are stored in c.
 func decode(from io.Reader, c *Config, deliver func(endpoints.Batch) error) error {
 	decoder := json.NewDecoder(from)
 	token, err := decoder.Token()
@@ -45,7 +44,7 @@
 		return err
 	}
 	if token != json.Delim('{') {
-		return fmt.Errorf("invalid: it begins with %v and is no JSON object", token)
+		return fmt.Errorf("invalid: expected a JSON object, got %v", token)
 	}
 	fields := map[string]json.RawMessage{}
 	for decoder.More() {
@@ -53,11 +52,11 @@
 			return err
 		}
 	}
-	if _, err := decoder.Token(); err != nil { // the object's end
+	if _, err := decoder.Token(); err != nil { // the closing brace of the object
 		return unexpectedEnd(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("invalid: there is more behind the JSON object")
+		return errors.New("invalid: unexpected data after the JSON object")
 	}
 	remaining, err := json.Marshal(fields)
 	if err != nil {
@@ -66,14 +65,15 @@
 	return json.Unmarshal(remaining, c)
 }
 
-// decodeField decodes a field of a configuration: the list in batches, any other as it stands.
+// decodeField decodes one field of a configuration. The endpoint list is passed to deliver in batches; the value of any other
+// field is stored in fields without decoding it further.
 func decodeField(decoder *json.Decoder, fields map[string]json.RawMessage, deliver func(endpoints.Batch) error) error {
 	token, err := decoder.Token()
 	if err != nil {
 		return unexpectedEnd(err)
 	}
 	name, _ := token.(string)
-	if strings.EqualFold(name, endpointsField) { // as encoding/json compares names
+	if strings.EqualFold(name, endpointsField) { // encoding/json ignores case in field names too
 		if err := endpoints.ReadObject(decoder, deliver); err != nil {
 			return fmt.Errorf("%s: %w", endpointsField, unexpectedEnd(err))
 		}
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// unexpectedEnd names an end of the file within the object for what it is.
+// unexpectedEnd replaces io.EOF, which here means that the file ends within the object, by io.ErrUnexpectedEOF.
 func unexpectedEnd(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/relay/config/helpers_test.go
+++ b/internal/relay/config/helpers_test.go
@@ -8,7 +8,7 @@
 	"milletsail/internal/endpoints"
 )
 
-// testSettings has a class of each effect.
+// testSettings are valid settings with one class of each idempotency: retryable, dedup and fragile.
 const testSettings = `{"az":0,"categories":[
 	 {"name":"status","aim_s":2,"deadline_s":30,"idempotency":"retryable","group":"all","points":1},
 	 {"name":"payment","aim_s":2,"deadline_s":30,"idempotency":"dedup","group":"all","memory_span_s":15,"points":2},
@@ -19,7 +19,7 @@
 	 "specifics":{"bundle_max":[1],"loses_worth":"linear","max_calls":8,"separate_routes":[false]},
 	 "tenants":[{"name":"acme"}],"weights":"nominal"}`
 
-// endpointListJSON is an endpoint list with entries of destinations of their own, from 1000 on.
+// endpointListJSON returns an endpoint list in JSON. Each entry has a destination of its own, numbered from 1000.
 func endpointListJSON(t *testing.T, version int64, entries int) string {
 	t.Helper()
 	var hosts []endpoints.Entry
--- a/internal/relay/config/reload.go
+++ b/internal/relay/config/reload.go
@@ -9,11 +9,13 @@
 	"milletsail/internal/relay/retry"
 )
 
-// reloadTimeout bounds the attempts to read a configuration after a signal: a new address counts as received 4 s after that.
+// reloadTimeout bounds the attempts to read the configuration after a signal. It leaves a reserve, since a new address has to be
+// in effect 4 s after the signal.
 const reloadTimeout = 3 * time.Second
 
-// Reloads reads the configuration file again for each signal, and sends the address of discovery that it then names. A file
-// that can't be used changes nothing. Its goroutine ends with ctx; nobody has to wait for it, since it holds nothing.
+// Reloads reads the configuration file again after each signal, and sends the address of the discovery service in it to the
+// returned channel. A file that can't be used is logged and ignored. The goroutine that does this ends with ctx; callers need not
+// wait for it, since it holds no resources.
 func Reloads(ctx context.Context, path string, signals <-chan os.Signal) <-chan string {
 	addresses := make(chan string)
 	go func() {
@@ -38,8 +40,9 @@
 	return addresses
 }
 
-// reload reads a configuration file again after a signal. One that can't be read may still be being written, or the file
-// system may fail for a moment: it is tried again for a while. A further signal meanwhile asks for nothing else.
+// reload reads the configuration file after a signal. It retries for up to reloadTimeout, because the file may be only partly
+// written or the file system may fail briefly. It discards signals that arrive before a retry, which reads the newest file
+// anyway.
 func reload(ctx context.Context, path string, signals <-chan os.Signal) (c *Config, err error) {
 	policy := retry.Policy{Timeout: reloadTimeout, Interval: retry.StorageInterval, OnRetry: func(err error) {
 		slog.Warn("configuration can't be read", "error", err)
--- a/internal/relay/handover/link.go
+++ b/internal/relay/handover/link.go
@@ -12,35 +12,36 @@
 )
 
 const (
-	// writeTimeout bounds a write to the other process after the transfer.
+	// writeTimeout bounds the write of one message to the other process after the transfer.
 	writeTimeout = time.Second
-	// queueCapacity is how many messages wait for it.
+	// queueCapacity is the maximum number of messages that are queued for the other process. When it is exceeded, the link is
+	// closed.
 	queueCapacity = 4096
 )
 
-// Link joins a predecessor and its successor. Up to the transfer one goroutine at each end goes through the protocol's steps.
-// After it, Send may be called by any goroutine, Write runs in one and Receive is called by another; each ends once the link is
-// closed.
+// Link is the connection between a predecessor and its successor. Up to the transfer, one goroutine in each process performs
+// the steps of the protocol. After the transfer, any goroutine may call Send; one goroutine runs Write and another one calls
+// Receive, and both end when the link is closed.
 type Link struct {
 	conn     net.Conn
 	incoming *json.Decoder
 	outgoing chan Message
-	closed   chan struct{} // closed once the link is down
+	closed   chan struct{} // closed by Close
 	close    sync.Once
 	state    State
-	clocks   clock.Pair // of the offer
+	clocks   clock.Pair // the clock readings in the offer, with which both processes convert times
 }
 
-// newLink returns a link over a connection.
+// newLink returns a link over a connection, in the state StateConnected.
 func newLink(conn net.Conn) *Link {
 	return &Link{conn: conn, incoming: json.NewDecoder(conn), outgoing: make(chan Message, queueCapacity),
 		closed: make(chan struct{})}
 }
 
-// WallTime returns a moment as it goes on the link.
+// WallTime converts a local time to the wall time that is sent over the link.
 func (l *Link) WallTime(t instant.Time) time.Time { return l.clocks.WallOf(t).Time() }
 
-// Instant reads a moment that came on the link.
+// Instant converts a wall time that was received over the link to a local time. The zero time becomes 0.
 func (l *Link) Instant(t time.Time) instant.Time {
 	if t.IsZero() {
 		return 0
@@ -48,15 +49,16 @@
 	return l.clocks.InstantOf(clock.Wall(t.UnixNano()))
 }
 
-// EncodeInstant translates a moment of the policy's state, which goes on the link as a number.
+// EncodeInstant converts a local time within the policy's state, which is sent over the link as a number, to wall time.
 func (l *Link) EncodeInstant(t instant.Time) instant.Time { return instant.Time(l.clocks.WallOf(t)) }
 
-// DecodeInstant reads a moment of the policy's state.
+// DecodeInstant converts a time within the policy's state that was received over the link to a local time. Times before the
+// origin of the local clock become 0.
 func (l *Link) DecodeInstant(t instant.Time) instant.Time {
 	return max(0, l.clocks.InstantOf(clock.Wall(t)))
 }
 
-// Send queues a message; it never waits. A peer that receives none is as good as dead, and the link is closed.
+// Send queues a message without blocking. A full queue means that the other process no longer receives, and closes the link.
 func (l *Link) Send(m Message) {
 	select {
 	case l.outgoing <- m:
@@ -65,13 +67,13 @@
 	}
 }
 
-// Receive waits for the next message after the transfer. An error means that the link is down.
+// Receive blocks until the next message arrives. An error means that the link can no longer be used.
 func (l *Link) Receive() (m Message, err error) {
 	err = l.incoming.Decode(&m)
 	return m, err
 }
 
-// Close ends the link.
+// Close closes the connection and ends Write and Receive. It may be called more than once.
 func (l *Link) Close() {
 	l.close.Do(func() {
 		close(l.closed)
@@ -96,7 +98,8 @@
 	}
 }
 
-// sendStep sends a message of the protocol.
+// sendStep sends a message that is a step of the protocol. It returns a TransitionError if the state of the link does not allow
+// that step.
 func (l *Link) sendStep(m Message, deadline instant.Time) error {
 	next, err := l.state.next(m)
 	if err != nil {
@@ -110,7 +113,8 @@
 	return nil
 }
 
-// receiveStep waits for the next message of the protocol. One that the state of the link does not allow is a TransitionError.
+// receiveStep waits for the next step of the protocol. It returns a TransitionError if the state of the link does not allow the
+// message that arrives.
 func (l *Link) receiveStep(deadline instant.Time) (m Message, err error) {
 	_ = l.conn.SetDeadline(clock.Deadline(deadline))
 	if m, err = l.Receive(); err != nil {
@@ -120,5 +124,5 @@
 	return m, err
 }
 
-// noDeadline ends the deadlines of the protocol's steps.
-func (l *Link) noDeadline() error { return l.conn.SetDeadline(time.Time{}) }
+// clearDeadline removes the deadline that the last step of the protocol set on the connection.
+func (l *Link) clearDeadline() error { return l.conn.SetDeadline(time.Time{}) }
--- a/internal/relay/handover/link_test.go
+++ b/internal/relay/handover/link_test.go
@@ -11,10 +11,10 @@
 	"milletsail/internal/instant"
 )
 
-// testTimeout is longer than anything that a test waits for in vain.
+// testTimeout bounds every wait of a test. It is far longer than a passing test needs.
 const testTimeout = 20 * time.Second
 
-// newLinkPair are both ends of a link.
+// newLinkPair returns the two ends of a link, which are closed when the test ends.
 func newLinkPair(t *testing.T) (predecessor, successor *Link) {
 	t.Helper()
 	a, b := net.Pipe()
@@ -26,8 +26,9 @@
 	return predecessor, successor
 }
 
-// A handover goes through all steps at both ends, and moments mean the same at both.
-func TestHandover(t *testing.T) {
+// Both processes have to reach StateTransferred by the steps of the protocol, and have to convert times with the same clock
+// readings: otherwise deadlines and measured times would shift by the handover.
+func TestHandoverStepsAndTimes(t *testing.T) {
 	predecessor, successor := newLinkPair(t)
 	offered := make(chan *Offer, 1)
 	go func() {
@@ -49,25 +50,26 @@
 		t.Fatal(err)
 	}
 	if offer := <-offered; offer == nil || offer.Clients != 7 {
-		t.Fatalf("offer %+v", offer)
+		t.Fatalf("successor received offer %+v, want one with 7 clients", offer)
 	}
 	if predecessor.state != StateTransferred || successor.state != StateTransferred {
-		t.Errorf("states %v and %v", predecessor.state, successor.state)
+		t.Errorf("after the transfer the states are %v (predecessor) and %v (successor), want both transferred",
+			predecessor.state, successor.state)
 	}
 	moment := clock.Now().Add(time.Minute)
 	if got := successor.Instant(predecessor.WallTime(moment)); got != moment {
-		t.Errorf("%v became %v", moment, got)
+		t.Errorf("time %v sent as wall time arrived as %v", moment, got)
 	}
 	if got := successor.DecodeInstant(predecessor.EncodeInstant(moment)); got != moment {
-		t.Errorf("%v became %v", moment, got)
+		t.Errorf("time %v sent within the policy state arrived as %v", moment, got)
 	}
 	if got := successor.Instant(time.Time{}); got != instant.Time(0) {
-		t.Errorf("no time became %v", got)
+		t.Errorf("the zero wall time arrived as %v, want 0", got)
 	}
 }
 
-// A successor that answers an offer with anything but its readiness gets nothing.
-func TestSuccessorOutOfOrder(t *testing.T) {
+// A predecessor must not give up the state directory if its successor answers the offer with any other step than its readiness.
+func TestOfferRejectsStepOutOfOrder(t *testing.T) {
 	predecessor, successor := newLinkPair(t)
 	go func() {
 		encoder := json.NewEncoder(successor.conn)
@@ -81,19 +83,20 @@
 	var refused *TransitionError
 	if err := predecessor.Offer(&Offer{}); !errors.As(err, &refused) || refused.From != StateOffered ||
 		refused.Step != stepTransfer {
-		t.Errorf("error %v", err)
+		t.Errorf("Offer returned error %v, want a TransitionError for the transfer in state offered", err)
 	}
 }
 
-// A link whose peer receives nothing is closed once its queue is full.
-func TestFullQueueClosesTheLink(t *testing.T) {
+// Send must neither block nor grow the queue without bound if the other process receives nothing: at queueCapacity the link
+// closes.
+func TestFullQueueClosesLink(t *testing.T) {
 	predecessor, _ := newLinkPair(t)
 	for range queueCapacity {
 		predecessor.Send(Message{Answered: 1})
 	}
 	select {
 	case <-predecessor.closed:
-		t.Fatal("closed before the queue is full")
+		t.Fatal("link closed before its queue was full")
 	default:
 	}
 	predecessor.Send(Message{Answered: 1})
--- a/internal/relay/handover/messages.go
+++ b/internal/relay/handover/messages.go
@@ -10,56 +10,58 @@
 	"milletsail/policy"
 )
 
-// Message is one line of the link, with one of its fields. Its JSON form is shared with other versions of this program.
+// Message is one line of the link in JSON. Exactly one of its fields is set. Earlier and later versions of this program read and
+// write the same JSON, so the names of the fields there must not change.
 type Message struct {
-	// Step is one of the protocol's steps.
+	// Step is a step of the protocol other than the offer: stepRequest, stepReady or stepTransfer.
 	Step string `json:"step,omitempty"`
-	// Offer is the predecessor's.
+	// Offer is the predecessor's offer.
 	Offer *Offer `json:"offer,omitempty"`
-	// Submission is a message that a client submitted to the predecessor.
+	// Submission is a message that a client submitted to the predecessor, which forwards it to the successor.
 	Submission *Submission `json:"arrival,omitempty"`
-	// Withdrawn is the number of a submission whose client left.
+	// Withdrawn is the number of a submission whose client disconnected before it got a response.
 	Withdrawn int `json:"left,omitempty"`
-	// Answered is the number of a submission that got its response.
+	// Answered is the number of a submission whose response the predecessor passed to the client.
 	Answered int `json:"answered,omitempty"`
-	// CallResults are how calls of the predecessor ended.
+	// CallResults are the results of calls that the predecessor had in flight at the handover, one per message.
 	CallResults []CallResult `json:"ends,omitempty"`
-	// Clients is how many client connections the predecessor still has.
+	// Clients is the number of client connections that are still open in the predecessor.
 	Clients *int `json:"clients,omitempty"`
-	// Response is the successor's to a submission.
+	// Response is the successor's response to a submission.
 	Response *Response `json:"verdict,omitempty"`
-	// Cancel is an attempt that the successor wants canceled.
+	// Cancel is an attempt in flight that the predecessor has to cancel.
 	Cancel *Attempt `json:"cancel,omitempty"`
 }
 
-// Offer is what a successor has to know beside the journal.
+// Offer is the state of the predecessor that a successor needs in addition to the journal.
 type Offer struct {
-	// InFlight are the attempts that the predecessor still waits for.
+	// InFlight are the attempts whose calls have not ended.
 	InFlight []Attempt `json:"out"`
-	// PolicyState is what the predecessor's policy has learned.
+	// PolicyState is what the predecessor's policy has learned about endpoints and destinations. Times are converted by Clocks.
 	PolicyState []policy.StateInherited `json:"learned"`
-	// Clients is how many client connections the predecessor has.
+	// Clients is the number of client connections that are open in the predecessor.
 	Clients int `json:"clients"`
-	// JournalIncomplete says that the journal could not be written: it may name other messages beside Live, those that have
-	// not ended, and lack their last attempts and ends.
+	// JournalIncomplete reports that writes to the journal failed: the last attempts and the ends of messages may be missing
+	// there, and it may hold messages that have ended. The messages that have not ended are then those in Live.
 	JournalIncomplete bool `json:"unwritten,omitempty"`
-	// Live are the messages that have not ended, where the journal is incomplete.
+	// Live holds the messages that have not ended, by id. It is set only if JournalIncomplete is.
 	Live map[string]LiveMessage `json:"live,omitempty"`
-	// Clocks translate the moments on the link, which are wall times there as earlier versions wrote and read them: the same
-	// pair of readings is used at both ends, so that steps of the wall clock don't matter. An earlier version sends none.
+	// Clocks convert between local times and the wall times on the link, which is the form that earlier versions use. Both
+	// processes convert with this pair of readings, so that steps of the wall clock have no effect. Nil if the predecessor is of
+	// a version that does not send it.
 	Clocks *clock.Pair `json:"clocks,omitempty"`
 }
 
-// LiveMessage is what a journal that could not be written may lack of a message.
+// LiveMessage is the part of a message's state that may be missing from an incomplete journal.
 type LiveMessage struct {
-	// Attempts is how many there were.
+	// Attempts is the number of attempts that were started.
 	Attempts int `json:"attempts,omitempty"`
-	// PendingNotification is that of the message's end.
+	// PendingNotification is the notification of the message's end that has not been delivered; nil for none.
 	PendingNotification *journal.Notification `json:"owed,omitempty"`
 }
 
-// Reconcile brings what the journal has of a message in line with what the predecessor knows: attempts that it lacks may have
-// been executed.
+// Reconcile updates a message's journal entry to the state that the predecessor reported. Attempts that are missing from the
+// entry are added as uncertain, because an endpoint may have executed them.
 func (m LiveMessage) Reconcile(e *journal.Entry) {
 	addUncertainAttempts(e, m.Attempts)
 	if m.PendingNotification != nil {
@@ -67,7 +69,7 @@
 	}
 }
 
-// addUncertainAttempts adds attempts of which nothing is known, until there are n.
+// addUncertainAttempts adds attempts with an unknown endpoint and outcome until the entry has n attempts.
 func addUncertainAttempts(e *journal.Entry, n int) {
 	for len(e.Attempts) < n {
 		e.Attempts = append(e.Attempts, journal.Attempt{StartedAt: e.AcceptedAt, Uncertain: true})
@@ -76,25 +78,25 @@
 
 // Attempt is an attempt of the predecessor that is in flight.
 type Attempt struct {
-	// ID is that of the message.
+	// ID is the id of the message.
 	ID string `json:"id"`
-	// Attempt is its number, from 0.
+	// Attempt is the number of the attempt among those of the message, from 0.
 	Attempt int `json:"attempt"`
-	// Call is the policy's number of the call.
+	// Call is the number that the policy gave to the call.
 	Call int `json:"call,omitempty"`
-	// Class is that of the message.
+	// Class is the message's class.
 	Class string `json:"class,omitempty"`
-	// Destination is that of the message.
+	// Destination is the number of the message's destination.
 	Destination int `json:"dest,omitempty"`
-	// Endpoint is the one called.
+	// Endpoint is the name of the endpoint that was called.
 	Endpoint string `json:"host,omitempty"`
-	// StartedAt is translated by the offer's clocks.
+	// StartedAt is the wall time at which the attempt started, converted by Offer.Clocks.
 	StartedAt time.Time `json:"begun,omitzero"`
 }
 
-// Reconcile brings what a journal has of a message's attempts in line with the one in flight. The predecessor made them all and
-// knows their number: an attempt that the reading of a damaged journal has added, in case its record is missing, is none, and
-// one whose record is missing is there.
+// Reconcile updates the attempts in a message's journal entry to the attempt in flight, whose number the predecessor knows for
+// certain. The reader of a damaged journal adds an uncertain attempt in case a record was lost: if the entry has more attempts
+// than were made, uncertain ones are removed. If a record was lost, uncertain attempts are added up to the right number.
 func (a Attempt) Reconcile(e *journal.Entry, startedAt instant.Time) {
 	n := a.Attempt + 1
 	for i := len(e.Attempts) - 1; i >= 0 && len(e.Attempts) > n; i-- {
@@ -108,58 +110,58 @@
 	}
 }
 
-// Submission is a message that a client submitted to the predecessor after the handover.
+// Submission is a message that a client submitted to the predecessor after the handover. The successor decides on it.
 type Submission struct {
-	// Number identifies it on the link, from 1.
+	// Number identifies the submission on the link, from 1.
 	Number int `json:"no"`
-	// Entry is what is known of the message.
+	// Entry describes the message.
 	Entry *Entry `json:"entry"`
-	// Body is the message's.
+	// Body is the body of the message.
 	Body []byte `json:"body"`
 }
 
-// Entry is what is known of a submitted message.
+// Entry describes a submitted message without its body.
 type Entry struct {
-	// ID is the message's.
+	// ID is the id of the message.
 	ID string `json:"id"`
-	// Class is the message's.
+	// Class is the message's class.
 	Class string `json:"class,omitempty"`
-	// Destination is the message's.
+	// Destination is the number of the message's destination.
 	Destination int `json:"dest,omitempty"`
-	// Key is the idempotency key.
+	// Key is the message's idempotency key; empty for none.
 	Key string `json:"key,omitempty"`
-	// ExpiresAt is translated by the offer's clocks.
+	// ExpiresAt is the message's deadline as a wall time, converted by Offer.Clocks.
 	ExpiresAt time.Time `json:"expires,omitzero"`
 }
 
 // Response is the successor's answer to a submission.
 type Response struct {
-	// Number is that of the submission.
+	// Number is the number of the submission.
 	Number int `json:"no"`
-	// Status is an HTTP status.
+	// Status is the HTTP status for the client.
 	Status int `json:"status"`
-	// RetryAfter is when the client may come again; 0 for nothing said.
+	// RetryAfter is how long the client is asked to wait before it retries; 0 to send no Retry-After.
 	RetryAfter time.Duration `json:"after,omitempty"`
 }
 
-// CallResult is how a call of the predecessor ended for a message.
+// CallResult is the result of a call by the predecessor for one of the call's messages.
 type CallResult struct {
-	// ID is that of the message.
+	// ID is the id of the message.
 	ID string `json:"id"`
-	// Attempt is its number, from 0.
+	// Attempt is the number of the attempt among those of the message, from 0.
 	Attempt int `json:"attempt"`
-	// Endpoint is the one called.
+	// Endpoint is the name of the endpoint that was called.
 	Endpoint string `json:"host"`
-	// Latency is the time that the call took.
+	// Latency is the duration of the call.
 	Latency time.Duration `json:"took"`
-	// Outcome is the call's.
+	// Outcome is the outcome of the call for the message.
 	Outcome policy.Outcome `json:"outcome"`
-	// RetryAfter is what the endpoint asked for.
+	// RetryAfter is the wait that the endpoint asked for; 0 for none.
 	RetryAfter time.Duration `json:"wait,omitempty"`
-	// Completed says that the message needs no further attempt.
+	// Completed reports that the message needs no further attempt.
 	Completed bool `json:"over,omitempty"`
-	// AttemptsExhausted says that the endpoint accepts no further attempt.
+	// AttemptsExhausted reports that the endpoint accepts no further attempt for the message.
 	AttemptsExhausted bool `json:"spent,omitempty"`
-	// LoadReport is the endpoint's.
+	// LoadReport is the load that the endpoint reported with its answer; nil for none.
 	LoadReport *policy.LoadReport `json:"report,omitempty"`
 }
--- a/internal/relay/handover/predecessor.go
+++ b/internal/relay/handover/predecessor.go
@@ -14,15 +14,17 @@
 )
 
 const (
-	// stepTimeout is how long a predecessor waits for each step of its successor, since it decides nothing meanwhile.
+	// stepTimeout bounds how long a predecessor waits for each step of its successor. It is short because the predecessor's event
+	// loop stands still during the wait.
 	stepTimeout = 400 * time.Millisecond
-	// listenRetryInterval is the wait between attempts to listen in the state directory.
+	// listenRetryInterval is the wait between attempts to open the socket in the state directory.
 	listenRetryInterval = time.Second
 )
 
-// ListenForSuccessors accepts successors in the state directory until ctx ends, and hands each one that requests the directory
-// to onRequest. Where it can't listen at once it goes on trying beside the relay's own work. Its goroutine ends with ctx, or
-// within stepTimeout of that; nobody waits for it, so that a successor that stalls does not delay the end of the process.
+// ListenForSuccessors accepts connections on the socket in the state directory until ctx ends, and passes the link of each
+// successor that requests the directory to onRequest. If the socket can't be opened, a goroutine retries while the relay serves
+// without it. That goroutine ends at most stepTimeout after ctx; nothing waits for it, so that a stalled successor does not delay
+// the shutdown of the process.
 func ListenForSuccessors(ctx context.Context, dir string, reasons *metrics.ReasonCounters, onRequest func(*Link)) {
 	socket, err := listenInDirectory(dir)
 	go func() {
@@ -39,11 +41,11 @@
 	}()
 }
 
-// acceptSuccessors hands on successors until the listener is closed.
+// acceptSuccessors passes links of successors to onRequest until the listener is closed.
 func acceptSuccessors(accepting net.Listener, onRequest func(*Link)) {
 	for {
 		conn, err := accepting.Accept()
-		if err != nil { // closed
+		if err != nil { // the listener is closed
 			return
 		}
 		link := newLink(conn)
@@ -55,7 +57,7 @@
 	}
 }
 
-// listenInDirectory listens at the directory's socket.
+// listenInDirectory opens the socket in a state directory, in place of one that an earlier process left there.
 func listenInDirectory(dir string) (net.Listener, error) {
 	path, closeDir, err := socketPath(dir)
 	if err != nil {
@@ -63,24 +65,24 @@
 	}
 	defer closeDir()
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return nil, err // left by an earlier process
+		return nil, err
 	}
 	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	socket.SetUnlinkOnClose(false) // by then it may be the successor's
+	socket.SetUnlinkOnClose(false) // by then the path may belong to the successor's socket
 	return socket, nil
 }
 
-// ReadClocks sets the clocks by which the link translates moments, and returns them for the offer.
+// ReadClocks reads both clocks of the machine, uses the pair for the time conversions of the link, and returns it for the offer.
 func (l *Link) ReadClocks() *clock.Pair {
 	l.clocks = clock.ReadPair()
 	return &l.clocks
 }
 
-// Offer sends the predecessor's offer, and waits until the successor is ready for it. With an error, nothing has changed: the
-// caller stays the owner, and closes the link.
+// Offer sends the predecessor's offer and waits until the successor reports that it is ready. If it returns an error, nothing has
+// changed: the caller still owns the state directory and has to close the link.
 func (l *Link) Offer(offer *Offer) error {
 	if err := l.sendStep(Message{Offer: offer}, clock.Now().Add(stepTimeout)); err != nil {
 		return err
@@ -89,11 +91,11 @@
 	return err
 }
 
-// Transfer tells the successor that it owns the state directory, which the caller has released. It does, whether or not the
-// message reaches it: an error is for logs.
+// Transfer tells the successor that it owns the state directory. The caller has released the directory before, and the transfer
+// counts as done even if the message can't be sent: the returned error is only for the log.
 func (l *Link) Transfer() error {
 	err := l.sendStep(Message{Step: stepTransfer}, clock.Now().Add(stepTimeout))
 	l.state = StateTransferred
-	_ = l.noDeadline()
+	_ = l.clearDeadline()
 	return err
 }
--- a/internal/relay/handover/state.go
+++ b/internal/relay/handover/state.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-// State is how far a handover has come. Both processes go through the same states, each when it sends or receives the message
-// that leads to the next one.
+// State is the progress of a handover. Both processes pass through the same states: one enters a state when it sends the message
+// that leads there, the other one when it receives that message.
 type State int
 
 const (
-	// StateConnected is that of a new link.
+	// StateConnected is the state of a new link.
 	StateConnected State = iota
-	// StateRequested follows the successor's request for the state directory.
+	// StateRequested is entered with the successor's request for the state directory.
 	StateRequested
-	// StateOffered follows the predecessor's offer. Nothing may change in the predecessor until the transfer.
+	// StateOffered is entered with the predecessor's offer. From then until the transfer the predecessor changes none of its
+	// state, because the offer would become stale.
 	StateOffered
-	// StateReady follows the successor's message that it can take over what was offered.
+	// StateReady is entered with the successor's confirmation that it accepts the offer.
 	StateReady
-	// StateTransferred follows the predecessor's release of the state directory. The successor decides from now on, and both
-	// exchange what concerns the predecessor's connections and calls.
+	// StateTransferred is entered after the predecessor has released the state directory. From then on the successor decides
+	// about all messages, and the two processes exchange messages about the predecessor's client connections and calls.
 	StateTransferred
 )
 
-// stateNames are for logs and errors.
+// stateNames are the names of the states in logs and errors.
 var stateNames = [...]string{"connected", "requested", "offered", "ready", "transferred"}
 
 // String returns the state's name.
@@ -34,8 +35,8 @@
 	return stateNames[s]
 }
 
-// transitions are all that are allowed. A link may also be closed in any state: before the transfer that leaves the predecessor
-// the owner.
+// transitions lists the allowed next states of each state. A link may also be closed in any state; if that happens before the
+// transfer, the predecessor remains the owner of the state directory.
 var transitions = map[State][]State{
 	StateConnected:   {StateRequested},
 	StateRequested:   {StateOffered},
@@ -44,14 +45,14 @@
 	StateTransferred: {},
 }
 
-// The protocol's steps, as Message.Step has them.
+// Values of Message.Step. The offer is also a step, but is sent in Message.Offer.
 const (
 	stepRequest  = "ask"
 	stepReady    = "ready"
 	stepTransfer = "yours"
 )
 
-// stateAfter returns the state that a message of the protocol leads to; ok is false for any other message.
+// stateAfter returns the state that a step of the protocol leads to; ok is false for a message that is not a step.
 func stateAfter(m Message) (state State, ok bool) {
 	switch {
 	case m.Step == stepRequest:
@@ -66,19 +67,19 @@
 	return 0, false
 }
 
-// TransitionError says that a message came, or was to be sent, that the state of a link does not allow.
+// TransitionError reports a message, received or about to be sent, that the state of the link does not allow.
 type TransitionError struct {
-	// From is the state of the link.
+	// From is the state that the link was in.
 	From State
-	// Step is that of the message, if it has one.
+	// Step is the message's step; empty for an offer and for a message that is not a step.
 	Step string
 }
 
 func (e *TransitionError) Error() string {
-	return fmt.Sprintf("step %q in state %v of a handover", e.Step, e.From)
+	return fmt.Sprintf("handover: message with step %q not allowed in state %v", e.Step, e.From)
 }
 
-// next returns the state after a message, or a TransitionError.
+// next returns the state that a message leads to from s, or a TransitionError if s does not allow the message.
 func (s State) next(m Message) (State, error) {
 	state, ok := stateAfter(m)
 	if !ok || !slices.Contains(transitions[s], state) {
--- a/internal/relay/handover/successor.go
+++ b/internal/relay/handover/successor.go
@@ -1,9 +1,10 @@
-// Package handover passes a state directory from one process to the next, without a message lost or sent twice.
+// Package handover transfers a state directory from one process to the next without losing a message or sending one twice.
 //
-// A new version is started beside the running one. That one, the predecessor, serves until the successor requests the state
-// directory; then it completes its batch, offers what the journal does not hold, and gives up the journal and every decision
-// once the successor is ready. From there on it keeps only what can't be passed on, its open connections and the calls in
-// flight, and the two exchange over a link what concerns them. State has the steps in order.
+// A new version, the successor, is started while the old one, the predecessor, still serves. When the successor requests the
+// state directory, the predecessor completes its current batch and offers the state that the journal does not hold. Once the
+// successor is ready, the predecessor closes the journal and makes no further decisions. It keeps only its open client
+// connections and its calls in flight, which can't be transferred, and exchanges messages about them with the successor over a
+// link. The constants of State list the steps in order.
 package handover
 
 import (
@@ -24,31 +25,31 @@
 )
 
 const (
-	// socketName is the predecessor's socket in the state directory.
+	// socketName is the file name of the predecessor's socket in the state directory.
 	socketName = "handover"
-	// maxSocketPath is how long a socket's path may be, in bytes.
+	// maxSocketPath is the longest path, in bytes, that is used for a socket directly. Linux allows 107.
 	maxSocketPath = 100
-	// requestTimeout bounds a successor's request, from the first attempt to the ownership of the directory.
+	// requestTimeout bounds the time from a successor's first request until it owns the state directory.
 	requestTimeout = 1500 * time.Millisecond
-	// terminationTimeout is what a predecessor that was killed gets to be gone.
+	// terminationTimeout bounds the wait for the exit of a predecessor that was killed.
 	terminationTimeout = time.Second
-	// ownershipRetryInterval is the wait between attempts to own the directory.
+	// ownershipRetryInterval is the wait between attempts to get the ownership of the directory.
 	ownershipRetryInterval = 10 * time.Millisecond
 )
 
-// Acquired is what a process has that owns the state directory.
+// Acquired is the result of acquiring a state directory.
 type Acquired struct {
-	// Ownership is to be released at the end.
+	// Ownership is the lock on the directory, which the caller has to release when it ends.
 	Ownership *journal.Ownership
-	// Predecessor is the link to it; nil without a handover: then the journal tells all that is known.
+	// Predecessor is the link to the predecessor; nil without a handover, when the journal holds all state.
 	Predecessor *Link
-	// Offer is the predecessor's; nil without a handover.
+	// Offer is the predecessor's offer; nil without a handover.
 	Offer *Offer
 }
 
-// Acquire gets the ownership of the state directory: at once where no process has it, else from the one that does, by a handover
-// or, where that can't be had in time, by that process's termination. It returns an error where the directory can't be used,
-// and ctx's where that ends first.
+// Acquire gets the ownership of the state directory. If no process owns it, that succeeds at once. Otherwise it requests a
+// handover from the owner and, if that does not succeed within requestTimeout, kills the owner. It returns an error if the
+// directory can't be used, and the error of ctx if that ends first.
 func Acquire(ctx context.Context, dir string) (*Acquired, error) {
 	last := clock.Now().Add(retry.StorageTimeout)
 	for deadline := clock.Now().Add(requestTimeout); ; {
@@ -65,7 +66,7 @@
 			acquired, err = Request(ctx, dir, deadline)
 		}
 		if resource.IsExhausted(err) && clock.Now() < last {
-			deadline = clock.Now().Add(requestTimeout) // what this process lacks is no reason to terminate the predecessor
+			deadline = clock.Now().Add(requestTimeout) // a shortage of resources here is no reason to kill the predecessor
 		}
 		if err == nil {
 			if acquired.Ownership, err = waitForOwnership(ctx, dir, deadline); err == nil {
@@ -82,7 +83,7 @@
 	}
 }
 
-// terminate ends a predecessor that does not hand over, and gets the ownership of the state directory.
+// terminate kills a predecessor whose handover failed with cause, and gets the ownership of the state directory.
 func terminate(ctx context.Context, dir string, cause error) (*Acquired, error) {
 	slog.Warn("handover failed, terminating previous owner", "error", cause)
 	if err := journal.TerminateOwner(dir); err != nil {
@@ -95,7 +96,8 @@
 	return &Acquired{Ownership: ownership}, nil
 }
 
-// waitForOwnership waits until the state directory has no owner, and gets its ownership.
+// waitForOwnership waits until the state directory has no owner and gets its ownership. It returns the error of the last attempt
+// at the deadline.
 func waitForOwnership(ctx context.Context, dir string, deadline instant.Time) (*journal.Ownership, error) {
 	for {
 		ownership, err := journal.AcquireOwnership(dir)
@@ -112,8 +114,9 @@
 	}
 }
 
-// Request goes through the successor's steps with the owner of a state directory. It returns the link and the offer: the
-// directory has no owner then. The end of ctx does not interrupt it, since the predecessor would be left without a successor.
+// Request performs the successor's steps of a handover with the owner of a state directory. On success the directory has no
+// owner, and the result holds the link and the offer but no ownership. The end of ctx does not interrupt it, since the
+// predecessor would be left without a successor.
 func Request(ctx context.Context, dir string, deadline instant.Time) (*Acquired, error) {
 	path, closeDir, err := socketPath(dir)
 	if err != nil {
@@ -134,14 +137,14 @@
 	return &Acquired{Predecessor: link, Offer: offer}, nil
 }
 
-// request goes through the successor's steps.
+// request performs the successor's steps of the protocol and returns the predecessor's offer.
 func (l *Link) request(deadline instant.Time) (*Offer, error) {
 	if err := l.sendStep(Message{Step: stepRequest}, deadline); err != nil {
 		return nil, err
 	}
 	m, err := l.receiveStep(deadline)
 	if err != nil {
-		return nil, fmt.Errorf("no offer: %w", err)
+		return nil, fmt.Errorf("handover: waiting for the offer: %w", err)
 	}
 	offer := m.Offer
 	if l.clocks = clock.ReadPair(); offer.Clocks != nil {
@@ -151,13 +154,13 @@
 		return nil, err
 	}
 	if _, err := l.receiveStep(deadline); err != nil {
-		return nil, fmt.Errorf("offer withdrawn: %w", err)
+		return nil, fmt.Errorf("handover: waiting for the transfer: %w", err)
 	}
-	return offer, l.noDeadline()
+	return offer, l.clearDeadline()
 }
 
-// socketPath returns the path of the directory's socket. A path that is too long for a socket goes by way of the open directory,
-// which closeDir closes.
+// socketPath returns the path of the handover socket in a directory. If that path is too long for a socket, it opens the
+// directory and returns a path through its descriptor, which is valid until closeDir is called.
 func socketPath(dir string) (path string, closeDir func(), err error) {
 	if path = filepath.Join(dir, socketName); len(path) <= maxSocketPath {
 		return path, func() {}, nil
