--- a/internal/relay/handover_killed_test.go
+++ b/internal/relay/handover_killed_test.go
@@ -19,8 +19,10 @@
 	"milletsail/internal/relay/notifier"
 )
 
-// The old process is killed right after the handover, with calls out: they may have run.
-func TestPredecessorKilledAfterHandover(t *testing.T) {
+// A predecessor that is killed after the handover never reports the results of its calls in flight, so an endpoint may have
+// executed them. The successor has to repeat a retryable message, and has to report a fragile one as undeliverable instead of
+// sending it twice.
+func TestPredecessorKilledWithCallsInFlight(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.respond = func(*http.Request) int { return 0 }
@@ -34,20 +36,20 @@
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.kill(old)
 	if id := p.nextCall(); id != "safe" {
-		t.Errorf("%s is sent again", id)
+		t.Errorf("message %s was sent again, want the retryable one", id)
 	}
-	p.waitUntil("both are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("both messages have ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	if n := p.notifications(); len(n) != 1 || n[0] != (journal.Notification{ID: "unsafe", Status: notifier.StatusUndeliverable}) {
-		t.Errorf("notices %v", n)
+		t.Errorf("notifications %v, want one: the fragile message is undeliverable", n)
 	}
 }
 
-// runOwnerKilledAt is a process that owns the folder and is killed at a step of its handover.
+// runOwnerKilledAt is the main function of a child process that owns a state directory and kills itself at a step of a handover.
 func runOwnerKilledAt(step, dir string) {
 	die := func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL) }
 	o, err := journal.AcquireOwnership(dir)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "own:", err)
+		fmt.Fprintln(os.Stderr, "acquire ownership:", err)
 		os.Exit(1)
 	}
 	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, "handover"), Net: "unix"})
@@ -83,8 +85,9 @@
 	select {}
 }
 
-// Whatever step the old process is killed at, the new one starts from the journal.
-func TestOldProcessKilledAtEachStep(t *testing.T) {
+// A predecessor that is killed in the middle of a handover must not lose a message: after each step of the handover, the
+// successor has to start from the journal and deliver the message there exactly once.
+func TestPredecessorKilledAtEachStep(t *testing.T) {
 	for _, step := range []string{"asked", "half an offer", "offered", "released"} {
 		t.Run(step, func(t *testing.T) {
 			p := newPlatform(t)
@@ -104,13 +107,13 @@
 			}
 			t.Cleanup(func() { _ = c.Process.Kill() })
 			if word, err := bufio.NewReader(out).ReadString('\n'); err != nil {
-				t.Fatalf("%q, %v", word, err)
+				t.Fatalf("predecessor not ready: read %q, error %v", word, err)
 			}
 			p.startSuccessor()
 			_ = c.Wait()
-			p.waitUntil("the message is over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			p.waitUntil("the message has ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 			if got := p.calls(); len(got) != 1 || len(p.notifications()) != 0 {
-				t.Errorf("calls %v, notices %v", got, p.notifications())
+				t.Errorf("calls %v, notifications %v; want one call and no notification", got, p.notifications())
 			}
 		})
 	}
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -19,7 +19,7 @@
 	"milletsail/internal/relay/handover"
 )
 
-// openClientSocket has the platform hold the clients' socket.
+// openClientSocket opens the socket for clients in the test process, so that relays inherit it and share it over an upgrade.
 func (p *platform) openClientSocket() {
 	p.t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(p.t.Context(), "tcp", p.addr)
@@ -29,7 +29,7 @@
 	defer func() { _ = l.Close() }()
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
-		p.t.Fatalf("a listener of type %T", l)
+		p.t.Fatalf("listener has type %T, want *net.TCPListener", l)
 	}
 	if p.clientSocket, err = tcp.File(); err != nil {
 		p.t.Fatal(err)
@@ -37,12 +37,12 @@
 	p.t.Cleanup(func() { _ = p.clientSocket.Close() })
 }
 
-// startSuccessor starts a process beside the one that runs, and waits until it takes clients.
+// startSuccessor starts a second relay process next to the running one, and waits until it serves clients after a handover.
 func (p *platform) startSuccessor() *child {
 	p.t.Helper()
 	p.admin = closedAddress(p.t)
 	c := p.start()
-	p.waitUntil("the new process takes clients", func() bool {
+	p.waitUntil("the successor serves clients", func() bool {
 		conn, err := (&net.Dialer{}).DialContext(p.t.Context(), "tcp", p.admin)
 		if err != nil {
 			return false
@@ -55,12 +55,13 @@
 	return c
 }
 
-// clientConn is a client's connection that carries one message after another.
+// clientConn is a client's persistent connection, on which it submits one message after another.
 type clientConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
+// connectClient opens a client's connection to the relay. It is closed when the test ends.
 func (p *platform) connectClient() *clientConn {
 	p.t.Helper()
 	c, err := (&net.Dialer{}).DialContext(p.t.Context(), "tcp", p.addr)
@@ -71,33 +72,33 @@
 	return &clientConn{c, bufio.NewReader(c)}
 }
 
-// submit hands a message in and gives the answer.
+// submit submits a message for destination 7 and returns the relay's response.
 func (c *clientConn) submit(t *testing.T, class, id string) answer {
 	t.Helper()
 	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: relay\r\nTenant: acme\r\nRequest-Id: %s\r\nIdempotency-Key: key-%s\r\n"+
 		"Request-Timeout: 25\r\nX-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi", class, id, id)
 	resp, err := nextAnswer(c.in)
 	if err != nil {
-		t.Fatalf("%s: %v", id, err)
+		t.Fatalf("no response to message %s: %v", id, err)
 	}
 	return resp
 }
 
-// waitForExit waits for the end of a process.
+// waitForExit waits until the process ends and returns its error.
 func (c *child) waitForExit(t *testing.T) error {
 	t.Helper()
 	select {
 	case err := <-c.exited:
 		return err
 	case <-time.After(long):
-		t.Fatal("the process does not end")
+		t.Fatal("the process did not exit in time")
 		return nil
 	}
 }
 
-// A new version takes over under load: the call that is out ends in the old process and counts in the new one,
-// clients keep their connections for one more answer, and each message is sent once.
-func TestUpgrade(t *testing.T) {
+// An upgrade under load must neither lose a message nor send one twice: the result of a call in flight in the predecessor has to
+// count in the successor, and a client's open connection has to get one more response before it is closed.
+func TestUpgradeUnderLoad(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	hold := make(chan bool)
@@ -106,34 +107,34 @@
 	old := p.start()
 	c := p.connectClient()
 	c.submit(t, "order", "out")
-	p.waitUntil("its call is out", func() bool { return slices.Contains(p.calls(), "out") })
+	p.waitUntil("its call is in flight", func() bool { return slices.Contains(p.calls(), "out") })
 	p.startSuccessor()
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	if resp := c.submit(t, "order", "through the old one"); resp.StatusCode != http.StatusAccepted || !resp.Close {
-		t.Errorf("through the old process: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("response through the predecessor: %s, close %v; want 202 with close", resp.Status, resp.Close)
 	}
 	p.submitAccepted("order", "to the new one", "25")
-	p.waitUntil("both are delivered beside the call that is out", func() bool { return len(p.calls()) == 3 })
-	p.waitUntil("their answers are counted", func() bool {
+	p.waitUntil("both messages are delivered next to the call in flight", func() bool { return len(p.calls()) == 3 })
+	p.waitUntil("their results are counted", func() bool {
 		return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), "relay_pending 1\n")
 	})
 	close(hold)
 	if err := old.waitForExit(t); err != nil {
-		t.Errorf("the old process: %v", err)
+		t.Errorf("predecessor exited with an error: %v", err)
 	}
-	p.waitUntil("all are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("all messages have ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	if sent, told := p.calls(), p.notifications(); len(sent) != 3 || len(told) != 0 {
-		t.Errorf("calls %v, notices %v", sent, told)
+		t.Errorf("calls %v, notifications %v; want 3 calls and no notification", sent, told)
 	}
-	// And once more, the new one being the old one now.
+	// The successor of the first upgrade is the predecessor of a second one.
 	p.startSuccessor()
 	p.submitAccepted("order", "later", "25")
-	p.waitUntil("it is delivered", func() bool { return slices.Contains(p.calls(), "later") })
+	p.waitUntil("the message is delivered", func() bool { return slices.Contains(p.calls(), "later") })
 }
 
-// The new process finds the journal damaged, so that each message may have one more attempt: the call that is out is
-// still the only one, and its end counts.
-func TestUpgradeWithADamagedJournal(t *testing.T) {
+// A successor that reads a damaged journal assumes a lost attempt for each message. It must not act on such an attempt for a
+// message whose call is in flight in the predecessor: the message is sent once, and the result of that call counts.
+func TestUpgradeWithDamagedJournal(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	hold := make(chan bool)
@@ -141,11 +142,11 @@
 	p.openClientSocket()
 	old := p.start()
 	p.submitAccepted("order", "out", "25")
-	p.waitUntil("its call is out", func() bool { return len(p.calls()) == 1 })
+	p.waitUntil("its call is in flight", func() bool { return len(p.calls()) == 1 })
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.submitAccepted("status", "over", "25")
 	p.nextCall()
-	p.waitUntil("it is over", func() bool { return len(readEntries(t, p.stateDir)) == 1 })
+	p.waitUntil("the message has ended", func() bool { return len(readEntries(t, p.stateDir)) == 1 })
 	segments, err := filepath.Glob(filepath.Join(p.stateDir, "segment-*"))
 	if err != nil || len(segments) != 1 {
 		t.Fatal(segments, err)
@@ -159,36 +160,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lastRecords := make([]byte, 60) // that its call has ended, and that it is over
+	lastRecords := make([]byte, 60) // the records of the end of the call and of the message
 	if _, err := file.WriteAt(lastRecords, info.Size()-int64(len(lastRecords))); err != nil {
 		t.Fatal(err)
 	}
 	p.submitAccepted("status", "behind the damage", "25")
 	p.nextCall()
-	p.waitUntil("it is over, and the call that is out has one beside it that may be missing", func() bool {
+	p.waitUntil("the message after the damage has ended, and the one in flight has a second, uncertain attempt", func() bool {
 		e := readEntries(t, p.stateDir)
 		return !slices.ContainsFunc(e, func(e *journal.Entry) bool { return e.ID == "behind the damage" }) && len(e[0].Attempts) > 1
 	})
 	p.startSuccessor()
 	p.submitAccepted("status", "new", "25")
-	p.waitUntil("the new process sends", func() bool { return slices.Contains(p.calls(), "new") })
+	p.waitUntil("the successor sends a message", func() bool { return slices.Contains(p.calls(), "new") })
 	once := func() bool {
 		return len(slices.DeleteFunc(p.calls(), func(id string) bool { return id != "out" })) == 1
 	}
 	if !once() {
-		t.Errorf("a second attempt while one is out: %v", p.calls())
+		t.Errorf("the message with a call in flight was sent again: calls %v", p.calls())
 	}
 	close(hold)
 	if err := old.waitForExit(t); err != nil {
-		t.Errorf("the old process: %v", err)
+		t.Errorf("predecessor exited with an error: %v", err)
 	}
-	p.waitUntil("all are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("all messages have ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	if !once() || len(p.notifications()) != 0 {
-		t.Errorf("calls %v, notices %v", p.calls(), p.notifications())
+		t.Errorf("calls %v, notifications %v; want one call for the message in flight and no notification",
+			p.calls(), p.notifications())
 	}
 }
 
-// A wait that the old process was told binds the new one too.
+// An endpoint's request to wait, received by the predecessor, has to bind the successor too; it is transferred in the offer.
 func TestRetryAfterSurvivesUpgrade(t *testing.T) {
 	p := newPlatform(t)
 	var told time.Time
@@ -204,7 +206,7 @@
 				if told.IsZero() {
 					told, text = time.Now(), "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n"
 				} else if wait := time.Since(told); wait < 1500*time.Millisecond {
-					t.Errorf("sent again after %v", wait)
+					t.Errorf("sent again after %v, want at least 1.5 s", wait)
 				}
 			})
 			_, _ = io.WriteString(c, text)
@@ -216,7 +218,7 @@
 	p.start()
 	p.submitAccepted("status", "m", "25")
 	p.nextCall()
-	p.waitUntil("the refusal is noted", func() bool {
+	p.waitUntil("the refusal is in the journal", func() bool {
 		e := readEntries(t, p.stateDir)
 		return len(e) == 1 && len(e[0].Attempts) == 1 && e[0].Attempts[0].Ended
 	})
@@ -224,8 +226,8 @@
 	p.nextCall()
 }
 
-// An old process that is silent is ended, and the new one starts from the journal.
-func TestSilentOldProcess(t *testing.T) {
+// A predecessor that does not respond must not block an upgrade: the successor has to kill it and to start from the journal.
+func TestUnresponsivePredecessorIsKilled(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.respond = func(*http.Request) int { return 0 }
@@ -239,17 +241,17 @@
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.startSuccessor()
 	if err := old.waitForExit(t); err == nil {
-		t.Error("the silent process ended in order")
+		t.Error("the stopped predecessor exited without an error, want it killed")
 	}
-	p.waitUntil("the message is over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the message has ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	if got := p.calls(); len(got) != 2 || len(p.notifications()) != 0 {
-		t.Errorf("calls %v, notices %v", got, p.notifications())
+		t.Errorf("calls %v, notifications %v; want two calls and no notification", got, p.notifications())
 	}
 }
 
-// A new process that dies in the middle of its steps changes nothing, and one that dies as the owner leaves the
-// journal to the next.
-func TestNewProcessDies(t *testing.T) {
+// A successor that dies before the transfer must not disturb the predecessor, which continues to deliver. One that dies after the
+// transfer must not lose the messages: the predecessor exits, and the next process delivers them from the journal.
+func TestSuccessorDiesAtEachStep(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.openClientSocket()
@@ -262,15 +264,15 @@
 		name string
 		take func(net.Conn) error
 	}{
-		{"before it asks", func(net.Conn) error { return nil }},
-		{"once it has asked", request},
-		{"with the offer", func(conn net.Conn) error {
+		{"before the request", func(net.Conn) error { return nil }},
+		{"after the request", request},
+		{"after the offer", func(conn net.Conn) error {
 			if err := request(conn); err != nil {
 				return err
 			}
 			offer, err := bufio.NewReader(conn).ReadString('\n')
 			if err == nil && !strings.HasPrefix(offer, `{"offer":`) {
-				return fmt.Errorf("the predecessor sent %q", offer)
+				return fmt.Errorf("predecessor sent %q, want an offer", offer)
 			}
 			return err
 		}},
@@ -282,31 +284,32 @@
 		}
 		_ = c.SetDeadline(time.Now().Add(long))
 		if err := s.take(c); err != nil {
-			t.Errorf("%s: %v", s.name, err)
+			t.Errorf("successor that dies %s: %v", s.name, err)
 		}
 		_ = c.Close()
 		p.submitAccepted("status", s.name, "25")
-		p.waitUntil(s.name, func() bool { return slices.Contains(p.calls(), s.name) })
+		p.waitUntil("a message is delivered after a successor died "+s.name,
+			func() bool { return slices.Contains(p.calls(), s.name) })
 	}
 
 	p.respond = func(*http.Request) int { return 0 }
 	p.submitAccepted("status", "out", "25")
-	p.waitUntil("its call is out", func() bool { return slices.Contains(p.calls(), "out") })
+	p.waitUntil("its call is in flight", func() bool { return slices.Contains(p.calls(), "out") })
 	acquired, err := handover.Request(t.Context(), p.stateDir, clock.Now().Add(long))
 	if err != nil || len(acquired.Offer.InFlight) != 1 {
-		t.Fatalf("acquired %+v, %v", acquired, err)
+		t.Fatalf("handover.Request returned %+v, error %v; want one attempt in flight", acquired, err)
 	}
 	acquired.Predecessor.Close()
-	if err := old.waitForExit(t); err != nil { // its call is off the wire with it
+	if err := old.waitForExit(t); err != nil { // the call in flight ends with the process
 		t.Error(err)
 	}
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.start()
-	p.waitUntil("the next one delivers", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("the next process delivers the message", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 }
 
-// A folder whose path is too long for a socket can be handed over too.
-func TestSocketInALongPath(t *testing.T) {
+// A handover has to work in a state directory whose path is longer than the path of a Unix socket may be.
+func TestHandoverInLongPath(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.stateDir += "/" + strings.Repeat("long", 30)
--- a/internal/relay/list_bench_test.go
+++ b/internal/relay/list_bench_test.go
@@ -11,10 +11,10 @@
 	"milletsail/internal/relay/discovery"
 )
 
-// maxPlannedHosts is the number of hosts that operators plan for.
+// maxPlannedHosts is the number of endpoints on the longest list that operators plan for.
 const maxPlannedHosts = 490_000
 
-// memoryOf gives a figure of a process's memory in 10^6 bytes: VmRSS, what is resident, or VmHWM, the most that was.
+// memoryOf returns a figure of a process's memory in 10^6 bytes: VmRSS is the resident memory, VmHWM its highest value so far.
 func memoryOf(b *testing.B, c *child, figure string) (mb float64) {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
@@ -30,8 +30,8 @@
 	return mb
 }
 
-// BenchmarkLongListStart is the start of a process with a list of full size in its configuration, and of the next one,
-// which has it on disk: the time until it serves, the memory then, and the most until then.
+// BenchmarkLongListStart measures the start of a process with a list of maxPlannedHosts endpoints, first from its configuration
+// and then from disk: the time until it serves, its resident memory at that point and the highest value up to then.
 func BenchmarkLongListStart(b *testing.B) {
 	for range b.N {
 		p := newPlatform(b)
@@ -42,7 +42,7 @@
 			c := p.start()
 			b.ReportMetric(time.Since(begun).Seconds(), from+"-s")
 			if n := p.memberCount(); n != maxPlannedHosts {
-				b.Fatalf("%d hosts are listed", n)
+				b.Fatalf("relay has %d endpoints on its list, want all", n)
 			}
 			b.ReportMetric(memoryOf(b, c, "VmRSS"), from+"-MB")
 			b.ReportMetric(memoryOf(b, c, "VmHWM"), from+"-most-MB")
@@ -52,9 +52,9 @@
 	}
 }
 
-// BenchmarkLongListInTheLoop is how long the loop is busy at once with a list of full size: with a batch of a whole list
-// that brings all of it, that changes nothing and that removes most, with a change of one host, and with the store's own
-// work.
+// BenchmarkLongListInTheLoop measures how long a list of maxPlannedHosts endpoints keeps the event loop busy, in total and at
+// most without interruption: with a complete list of which all entries are new, the same list again, a change of one endpoint,
+// and a complete list that removes most endpoints. The compaction of the store is included.
 func BenchmarkLongListInTheLoop(b *testing.B) {
 	for range b.N {
 		l := newListLoop(b, b.TempDir(), 1000)
@@ -89,7 +89,7 @@
 				}
 			})
 			if version != seq {
-				b.Fatal("the list was not applied")
+				b.Fatal("not all batches of the list were applied")
 			}
 			for l.endpoints.compacting {
 				timed(func() { l.step(b.Context()) })
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -23,7 +23,8 @@
 	"milletsail/policy"
 )
 
-// newListLoop gives a loop that has its journal and its list in a folder, as Run makes it, and is not run.
+// newListLoop returns an event loop with its journal and its endpoint list in a directory, as Run sets it up. Nothing runs it:
+// tests call its steps themselves.
 func newListLoop(tb testing.TB, dir string, diskMB float64) *loop {
 	tb.Helper()
 	cfg := &config.Config{Limits: config.Limits{DiskMB: diskMB}, Settings: settings.Settings{Shapes: []string{"m2"},
@@ -50,7 +51,8 @@
 	return l
 }
 
-// applyObject has the loop take in an applyObject of discovery's, in batches, to the end.
+// applyObject applies an object of discovery, a complete list or a change, to the loop batch by batch, including the
+// removals that a complete list causes.
 func (l *loop) applyObject(tb testing.TB, m Members) {
 	tb.Helper()
 	text, err := json.Marshal(m)
@@ -64,12 +66,12 @@
 		}
 	})
 	if version != m.Seq {
-		tb.Fatalf("version %d of the list was not applied", m.Seq)
+		tb.Fatalf("version %d of the list was not applied completely", m.Seq)
 	}
 }
 
-// deliverObjects hands on the batches of discovery's objects as a watch does, each once the one before is applied, and gives
-// the version of the last object.
+// deliverObjects passes the batches of discovery's objects to take, as a watch does: each one after the batch before it was
+// applied. It returns the version of the last object.
 func deliverObjects(tb testing.TB, text []byte, take func(discovery.Batch)) (version int64) {
 	tb.Helper()
 	for reader := endpoints.NewReader(bytes.NewReader(text)); ; {
@@ -91,7 +93,7 @@
 	}
 }
 
-// directorySize is the size of all files in a folder.
+// directorySize returns the total size of the files in a directory, in bytes.
 func directorySize(tb testing.TB, dir string) (size int64) {
 	tb.Helper()
 	err := filepath.WalkDir(dir, func(_ string, d fs.DirEntry, err error) error {
@@ -110,8 +112,9 @@
 	return size
 }
 
-// A change of one host costs the same bytes on disk however long the list is.
-func TestBytesOfAChange(t *testing.T) {
+// A store that rewrote the list for each change would wear out the disk with long lists: a change of one endpoint has to write
+// the same number of bytes for a short list as for a long one.
+func TestChangeWritesSameBytesForAnyListLength(t *testing.T) {
 	written := map[int]int64{}
 	for _, n := range []int{300, 30_000} {
 		dir := t.TempDir()
@@ -127,13 +130,14 @@
 		l.applyObject(t, Members{Seq: 51, Hosts: []Member{drains}})
 		written[n] = directorySize(t, dir) - before
 	}
-	t.Logf("bytes written for a change, by hosts listed: %v", written)
+	t.Logf("bytes written for a change, by the number of endpoints on the list: %v", written)
 	if few, many := written[300], written[30_000]; few != many || few == 0 {
-		t.Errorf("bytes written for a change, by hosts listed: %v", written)
+		t.Errorf("bytes written for a change, by the number of endpoints on the list: %v; want equal numbers above 0", written)
 	}
 }
 
-// A process that starts asks from the version on disk, has all of the list, and is sent nothing anew.
+// A relay that restarts must not have a long list sent again: it has to watch from the version on its disk and to have all
+// endpoints of that list.
 func TestRestartWatchesFromVersionOnDisk(t *testing.T) {
 	p, known := newListPlatform(t)
 	indexes := make(chan string, 1000)
@@ -152,15 +156,15 @@
 	p.kill(c)
 	p.start()
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "50" {
-		t.Errorf("indexes %s, %s", one, two)
+		t.Errorf("watches began from versions %s and %s, want 40 and 50", one, two)
 	}
 	p.waitForMembers(manyHosts + 1)
 	p.submitAccepted("status", "m", "20")
 	p.nextCall()
 }
 
-// A host that is deleted is gone from the disk too.
-func TestDeletedHostOnDisk(t *testing.T) {
+// An endpoint that discovery deletes must not come back after a restart: it has to be deleted from the disk too.
+func TestDeletedEndpointIsDeletedOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	l := newListLoop(t, dir, 100)
 	hosts := fillerHosts(3)
@@ -168,12 +172,13 @@
 	hosts[1].Health = endpoints.Deleted
 	l.applyObject(t, Members{Seq: 51, Hosts: hosts[1:2]})
 	if listed, seq := readStoredList(t, dir); seq != 51 || len(listed) != 2 || listed[0] != hosts[0] || listed[1] != hosts[2] {
-		t.Errorf("version %d on disk: %+v", seq, listed)
+		t.Errorf("the list on disk has version %d and endpoints %+v, want version 51 without the deleted one", seq, listed)
 	}
 }
 
-// What is remembered of a host's health stays as long as it is listed, and no longer.
-func TestHealthOfListedHosts(t *testing.T) {
+// Health records of endpoints that are no longer on the list would accumulate in the journal: they have to be removed with the
+// endpoint, and those of listed endpoints have to stay.
+func TestHealthRecordsFollowTheList(t *testing.T) {
 	l := newListLoop(t, t.TempDir(), 100)
 	hosts := fillerHosts(manyHosts)
 	l.applyObject(t, Members{Seq: 50, Whole: true, Hosts: hosts})
@@ -183,16 +188,16 @@
 	}
 	l.applyObject(t, Members{Seq: 51, Whole: true, Hosts: hosts[:manyHosts-1]})
 	if l.endpoints.table.Len() != manyHosts-1 {
-		t.Errorf("%d hosts are listed", l.endpoints.table.Len())
+		t.Errorf("%d endpoints are on the list, want one fewer than before", l.endpoints.table.Len())
 	}
 	if health := l.journal.Health(); len(health) != 1 || !health[stays].Ejected {
-		t.Errorf("remembered: %v", health)
+		t.Errorf("health records in the journal: %v, want only the ejected endpoint that is still listed", health)
 	}
 }
 
-// A relay whose disk is too small for its list goes without it there, says so once, and stays within the limit. The next
-// process asks for what the configuration's list lacks.
-func TestDiskTooSmallForTheList(t *testing.T) {
+// A list that does not fit on the disk must not exceed the disk limit or stop the relay: the relay has to log once that it no
+// longer stores the list. The next process then watches from the version of the configuration's list.
+func TestDiskTooSmallForList(t *testing.T) {
 	p, known := newListPlatform(t)
 	p.diskMB = 3
 	indexes := make(chan string, 1000)
@@ -203,30 +208,31 @@
 	}
 	c := p.start()
 	p.waitForMembers(manyHosts + 1)
-	p.waitUntil("the whole list is in force", func() bool {
+	p.waitUntil("all endpoints of the list are counted", func() bool {
 		return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), fmt.Sprint("relay_members ", manyHosts+1))
 	})
 	if size := directorySize(t, p.stateDir); size > 3e6 {
-		t.Errorf("%d bytes are on disk", size)
+		t.Errorf("%d bytes are on disk, want at most 3 MB", size)
 	}
 	p.kill(c)
 	if n := strings.Count(fmt.Sprint(c.Stderr), "no longer stored on disk"); n != 1 {
-		t.Errorf("it said so %d times", n)
+		t.Errorf("the log has %d lines saying that the list is no longer stored, want 1", n)
 	}
 	p.start()
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "40" {
-		t.Errorf("indexes %s, %s", one, two)
+		t.Errorf("watches began from versions %s and %s, want 40 and 40", one, two)
 	}
 	p.waitForMembers(manyHosts + 1)
 }
 
-// The list that a version before left in its journal is taken up once, and what this one is sent goes before it.
-func TestListOfAnEarlierVersion(t *testing.T) {
+// Earlier versions kept the endpoint list in the journal. An upgrade must not lose it: the relay has to start from that list, to
+// store it together with later changes, and to remove it from the journal, so that it does not replace a newer list later.
+func TestListInJournalOfEarlierVersion(t *testing.T) {
 	p, known := newListPlatform(t)
 	drains := known
 	drains.Health = draining
 	fresh := p.addHost("h2", 7)
-	p.update(func() { p.hosts = []Member{known} }) // the configuration's list
+	p.update(func() { p.hosts = []Member{known} }) // the list in the configuration
 	before, _, err := journal.Open(p.stateDir, journal.Options{DiskMB: 100})
 	if err != nil {
 		t.Fatal(err)
@@ -248,24 +254,25 @@
 	}
 	c := p.start()
 	if one := receive(t, indexes); one != "45" {
-		t.Errorf("index %s", one)
+		t.Errorf("first watch began from version %s, want 45", one)
 	}
-	p.waitUntil("the change is on disk", func() bool {
+	p.waitUntil("the list and the change are on disk", func() bool {
 		hosts, seq := readStoredList(t, p.stateDir)
 		return seq == 46 && len(hosts) == 2
 	})
 	p.kill(c)
 	p.start()
 	if two := receive(t, indexes); two != "46" {
-		t.Errorf("index %s", two)
+		t.Errorf("watch after the restart began from version %s, want 46", two)
 	}
 	if got := readJournal(t, p.stateDir).LegacyList(); got.Text != nil {
-		t.Errorf("the journal still has a list: %s", got.Text)
+		t.Errorf("the journal still holds the list of the earlier version: %s", got.Text)
 	}
 }
 
-// A newer process goes on from the version that the one before it had.
-func TestListAfterHandover(t *testing.T) {
+// A handover must not make discovery send a long list again: the successor has to watch from the version that the predecessor
+// stored.
+func TestSuccessorWatchesFromStoredVersion(t *testing.T) {
 	p, known := newListPlatform(t)
 	indexes := make(chan string, 1000)
 	p.serveWatch = func(a *watchResponse) {
@@ -283,15 +290,16 @@
 	})
 	p.startSuccessor()
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "50" {
-		t.Errorf("indexes %s, %s", one, two)
+		t.Errorf("watches began from versions %s and %s, want 40 and 50", one, two)
 	}
 	p.waitForMembers(manyHosts + 1)
 	p.submitAccepted("status", "m", "20")
 	p.nextCall()
 }
 
-// A long list of changes is logged in a few lines, a short one host by host.
-func TestManyChangesAreSummarizedInLogs(t *testing.T) {
+// A long list of changes must not flood the log: at most maxLoggedChanges endpoints are logged. A change of one endpoint is
+// logged with its name.
+func TestManyChangesAreSummarizedInLog(t *testing.T) {
 	p, known := newListPlatform(t)
 	known.Health = draining
 	p.serveWatch = func(a *watchResponse) {
@@ -310,15 +318,16 @@
 	p.kill(c)
 	log := fmt.Sprint(c.Stderr)
 	if n := strings.Count(log, "endpoint=filler-"); n == 0 || n > maxLoggedChanges {
-		t.Errorf("%d of %d changes are logged", n, manyHosts)
+		t.Errorf("%d of %d changes are logged one by one, want at least one and at most the limit", n, manyHosts)
 	}
 	if !strings.Contains(log, "endpoint="+known.Host+" ") {
-		t.Error("a change of one host is not logged")
+		t.Error("the change of one endpoint is not logged")
 	}
 }
 
-// On a disk of the usual size, changes without end make the store begin anew in time: it never outgrows its share.
-func TestManyChangesOnASmallDisk(t *testing.T) {
+// Without compaction, the records of changes would fill the store's share of a small disk, and the relay would stop storing its
+// list. The store has to be compacted in time, and has to stay within its share.
+func TestStoreIsCompactedOnSmallDisk(t *testing.T) {
 	dir := t.TempDir()
 	l := newListLoop(t, dir, 3)
 	hosts := fillerHosts(300)
@@ -330,10 +339,10 @@
 		}
 		l.applyObject(t, Members{Seq: seq, Hosts: []Member{change}})
 		if l.endpoints.store == nil {
-			t.Fatalf("given up after %d changes", seq-50)
+			t.Fatalf("the list is no longer stored after %d changes", seq-50)
 		}
 	}
 	if size := directorySize(t, dir+"/"+listDirectory); float64(size) > listShare*3e6 {
-		t.Errorf("%d bytes are on disk", size)
+		t.Errorf("the list takes %d bytes on disk, more than its share", size)
 	}
 }
--- a/internal/relay/list_flow_test.go
+++ b/internal/relay/list_flow_test.go
@@ -11,8 +11,9 @@
 	"milletsail/policy"
 )
 
-// The next object waits while entries are removed that a whole list does not name, the version of the whole list counts
-// only once they are, and no batch of the loop looks at much of the table.
+// A complete list removes the entries that it does not contain, in steps, so that a long table does not block the event loop.
+// Until that is done, its version must not be stored and the next object must not be applied: a crash between would leave removed
+// endpoints on disk.
 func TestNextObjectWaitsForRemovals(t *testing.T) {
 	dir := t.TempDir()
 	l := newListLoop(t, dir, 100)
@@ -29,26 +30,28 @@
 	for steps := 1; l.endpoints.sweeping != nil; steps++ {
 		before := l.endpoints.table.Len()
 		if _, seq := readStoredList(t, dir); seq != 50 || applied(whole) || applied(next) {
-			t.Fatalf("version %d is on disk, applied %v and %v, with entries to be removed", seq, applied(whole), applied(next))
+			t.Fatalf("before all removals are done, version %d is on disk (want 50), and the lists are applied: %v and %v (want neither)",
+				seq, applied(whole), applied(next))
 		}
 		l.step(t.Context())
 		if removed := before - l.endpoints.table.Len(); removed > sweepBatchSize {
-			t.Fatalf("%d entries removed in one batch", removed)
+			t.Fatalf("%d entries removed in one step, more than sweepBatchSize", removed)
 		}
 		if steps > manyHosts {
-			t.Fatal("no end of it")
+			t.Fatal("the removals did not end within as many steps as there are entries")
 		}
 	}
 	if !applied(whole) || !applied(next) {
-		t.Error("the watch is not told to go on")
+		t.Error("the removals are done, but the batches are not marked as applied")
 	}
 	listed, seq := readStoredList(t, dir)
 	if seq != 52 || len(listed) != 2 || listed[0] != hosts[0] || listed[1] != hosts[manyHosts-1] {
-		t.Errorf("version %d on disk: %+v", seq, listed)
+		t.Errorf("the list on disk has version %d and endpoints %+v, want version 52 with the first and the last one",
+			seq, listed)
 	}
 }
 
-// applied tells whether a batch has been applied.
+// applied reports whether a batch has been applied.
 func applied(b discovery.Batch) bool {
 	select {
 	case <-b.Applied:
@@ -58,9 +61,10 @@
 	}
 }
 
-// A host that comes back to the list is recalled with what is remembered of its health, at its former destination it is
-// gone, and what a whole list repeats is not told anew.
-func TestEventsOfAList(t *testing.T) {
+// The policy would lose an endpoint's state or keep calling it at a former destination if it got wrong events: an endpoint that
+// is listed again comes with its health record, one that moves is removed from its former destination, and unchanged entries
+// cause no event.
+func TestPolicyEventsOfListChanges(t *testing.T) {
 	l := newListLoop(t, t.TempDir(), 100)
 	host := fillerHosts(1)[0]
 	b := discovery.Batch{Applied: make(chan struct{})}
@@ -79,22 +83,22 @@
 		return text
 	}
 	if got := events(); got != "policy.EndpointsUpdated 1000 false " {
-		t.Errorf("new: %s", got)
+		t.Errorf("events of a new endpoint: %s", got)
 	}
 	if got := events(); got != "" {
-		t.Errorf("repeated: %s", got)
+		t.Errorf("events of an unchanged endpoint: %s, want none", got)
 	}
 	b.Entries[0].Block = 2000
 	if got := events(); got != "policy.EndpointsUpdated 1000 true 2000 false " {
-		t.Errorf("moved: %s", got)
+		t.Errorf("events of an endpoint that moves to another destination: %s", got)
 	}
 	b.Entries[0].Health = endpoints.Deleted
 	if got := events(); got != "policy.EndpointsUpdated 2000 true " {
-		t.Errorf("deleted: %s", got)
+		t.Errorf("events of a deleted endpoint: %s", got)
 	}
 	l.journal.RecordHealth(host.Host, journal.HealthRecord{Ejected: true, ChangedAt: clock.Now()})
 	b.Entries[0].Health = "SERVING"
 	if got := events(); got != "policy.EndpointsUpdated 2000 false policy.StateRestored " {
-		t.Errorf("back: %s", got)
+		t.Errorf("events of an endpoint that is listed again with a health record: %s", got)
 	}
 }
--- a/internal/relay/list_platform_test.go
+++ b/internal/relay/list_platform_test.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// manyHosts is the length of a list that comes in many batches.
+// manyHosts is the length of a list that is read and applied in many batches.
 const manyHosts = 20_000
 
-// watchResponse is discovery's answer to one watch, as a test writes it.
+// watchResponse is discovery's response to one watch, which a test writes piece by piece.
 type watchResponse struct {
 	rw http.ResponseWriter
 	r  *http.Request
 	p  *platform
 }
 
-// index is the version from which the watch asks.
+// index returns the version from which the watch requests changes.
 func (a *watchResponse) index() string { return a.r.URL.Query().Get("index") }
 
-// send writes a piece of the answer.
+// send writes a piece of the response and flushes it.
 func (a *watchResponse) send(text string) {
 	_, _ = io.WriteString(a.rw, text)
 	_ = http.NewResponseController(a.rw).Flush()
 }
 
-// keepAlive tells that nothing changes until the relay leaves.
+// keepAlive sends empty lines, which mean that nothing has changed, until the relay disconnects or the test ends.
 func (a *watchResponse) keepAlive() {
 	for {
 		a.send("\n")
@@ -43,7 +43,7 @@
 	}
 }
 
-// waitFor waits for the test, unless that or the relay ends.
+// waitFor blocks until the test sends a value. If the relay disconnects or the test ends before, it aborts the response.
 func (a *watchResponse) waitFor(test <-chan bool) {
 	select {
 	case <-test:
@@ -54,10 +54,10 @@
 	}
 }
 
-// abort ends the connection in the middle of the answer.
+// abort closes the connection in the middle of the response.
 func (a *watchResponse) abort() { panic(http.ErrAbortHandler) }
 
-// fillerHosts are hosts of destinations of their own, which no message is for.
+// fillerHosts returns n endpoints that only fill the list: each has a destination of its own, to which no test sends a message.
 func fillerHosts(n int) (hosts []Member) {
 	for i := range n {
 		hosts = append(hosts, Member{Host: fmt.Sprintf("filler-%06d", i), Dial: fmt.Sprintf("127.0.0.1:%d", 10_000+i%1000),
@@ -67,7 +67,7 @@
 	return hosts
 }
 
-// completeList is a whole list as discovery writes it.
+// completeList returns a line with a complete list, as discovery writes it.
 func completeList(tb testing.TB, seq int64, hosts []Member) string {
 	tb.Helper()
 	text, err := json.Marshal(Members{Seq: seq, Whole: true, Hosts: hosts})
@@ -77,13 +77,13 @@
 	return string(text) + "\n"
 }
 
-// splitWithinEntry cuts a list within an entry near its middle.
+// splitWithinEntry splits the text of a list within an entry near its middle.
 func splitWithinEntry(list string) (first, second string) {
 	cut := len(list)/2 + strings.Index(list[len(list)/2:], `"block"`)
 	return list[:cut], list[cut:]
 }
 
-// memberCount is how many hosts the relay has on its list.
+// memberCount returns the number of endpoints on the relay's list, from the counters at its admin endpoint.
 func (p *platform) memberCount() (n int) {
 	p.t.Helper()
 	for line := range strings.Lines(sendAdminCommand(p.t, p.admin, "counters\n")) {
@@ -92,8 +92,8 @@
 	return n
 }
 
-// waitForMembers waits until the relay has a list of some length.
+// waitForMembers waits until the relay has n endpoints on its list.
 func (p *platform) waitForMembers(n int) {
 	p.t.Helper()
-	p.waitUntil(fmt.Sprintf("%d hosts are on the list", n), func() bool { return p.memberCount() == n })
+	p.waitUntil(fmt.Sprintf("%d endpoints are on the list", n), func() bool { return p.memberCount() == n })
 }
--- a/internal/relay/list_start_test.go
+++ b/internal/relay/list_start_test.go
@@ -9,8 +9,8 @@
 	"milletsail/internal/relay/config"
 )
 
-// The newest list is the one to start from; a configuration's counts also where it has no version, as at the first start of
-// a fleet.
+// A relay that started from an old list would call endpoints that are gone. It has to start from the newest of the lists on disk,
+// in the journal and in the configuration; without any other list, the configuration's is used even if it has no version.
 func TestNewestList(t *testing.T) {
 	for _, c := range []struct {
 		onDisk, inJournal, configured int64
@@ -28,13 +28,15 @@
 		newest := newestList(c.onDisk, listSource{name: "journal", version: c.inJournal}, listSource{name: "configuration",
 			version: c.configured})
 		if newest.name != c.want {
-			t.Errorf("versions %d on disk, %d in the journal, %d configured: %s, want %s", c.onDisk, c.inJournal, c.configured,
+			t.Errorf("with versions %d on disk, %d in the journal and %d in the configuration, the list is from %s, want %s",
+				c.onDisk, c.inJournal, c.configured,
 				newest.name, c.want)
 		}
 	}
 }
 
-// A relay without anything on disk has the endpoints of a configured list that has version 0.
+// At the first start of a fleet the configured list may have version 0. A relay with an empty disk has to use it and not treat it
+// as no list.
 func TestConfiguredListWithoutVersion(t *testing.T) {
 	hosts := fillerHosts(3)
 	text, err := json.Marshal(map[string]any{"known": Members{Whole: true, Hosts: hosts}})
@@ -49,6 +51,6 @@
 	l.cfg.KnownEndpoints = config.EndpointSource{Path: path}
 	l.openEndpoints(t.Context(), t.TempDir())
 	if n := l.endpoints.table.Len(); n != len(hosts) {
-		t.Errorf("%d endpoints are listed, want %d", n, len(hosts))
+		t.Errorf("%d endpoints are on the list, want %d", n, len(hosts))
 	}
 }
--- a/internal/relay/list_watch_test.go
+++ b/internal/relay/list_watch_test.go
@@ -11,7 +11,7 @@
 	"milletsail/internal/relay/discovery"
 )
 
-// newListPlatform gives a platform with a host of destination 7, operators, and room on disk for long lists.
+// newListPlatform returns a platform with one endpoint of destination 7, an admin endpoint, and enough disk space for long lists.
 func newListPlatform(t *testing.T) (p *platform, known Member) {
 	t.Helper()
 	p = newPlatform(t)
@@ -20,9 +20,9 @@
 	return p, p.addHost("h1", 7)
 }
 
-// A long list that is cut off in the middle removes nothing, also once the next one has begun, and the next watch asks
-// from the version before it.
-func TestLongListCutOff(t *testing.T) {
+// A complete list that breaks off must not remove the endpoints that were still to come, neither then nor while the next one is
+// read. The next watch has to begin from the version before the list.
+func TestLongListBrokenOff(t *testing.T) {
 	p, known := newListPlatform(t)
 	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
 	indexes, served := make(chan string, 1000), make(chan bool, 2)
@@ -43,12 +43,12 @@
 	}
 	p.start()
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "40" {
-		t.Errorf("indexes %s, %s", one, two)
+		t.Errorf("watches began from versions %s and %s, want 40 and 40", one, two)
 	}
-	p.submitAccepted("status", "between", "20") // the host is not in the half that came
+	p.submitAccepted("status", "between", "20") // its endpoint is in the half that was not sent
 	p.nextCall()
 	served <- true
-	p.waitUntil("the next one has begun", func() bool {
+	p.waitUntil("the second watch has begun", func() bool {
 		_, seq := readStoredList(t, p.stateDir)
 		return seq == 49
 	})
@@ -62,8 +62,9 @@
 	})
 }
 
-// A long list that is spoilt in the middle removes nothing, and the whole list is asked for.
-func TestLongListSpoilt(t *testing.T) {
+// A complete list with a syntax error in the middle must not remove the endpoints after the error. The next watch has to request
+// the whole list, because the state before the error is unknown.
+func TestLongListMalformed(t *testing.T) {
 	p, known := newListPlatform(t)
 	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
 	indexes, served := make(chan string, 1000), make(chan bool)
@@ -83,7 +84,7 @@
 	}
 	p.start()
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "0" {
-		t.Errorf("indexes %s, %s", one, two)
+		t.Errorf("watches began from versions %s and %s, want 40 and 0", one, two)
 	}
 	p.submitAccepted("status", "between", "20")
 	p.nextCall()
@@ -91,9 +92,9 @@
 	p.waitForMembers(manyHosts + 1)
 }
 
-// A long list of which nothing more comes but empty lines is dead: the next watch asks from the version before it, and in
-// time for what it brings.
-func TestLongListSilent(t *testing.T) {
+// A list that stalls in the middle while empty lines keep the connection alive would leave the relay without updates. The relay
+// has to give the watch up after discovery.SilenceTimeout and to watch again from the version before the list, within 6 s.
+func TestLongListStalled(t *testing.T) {
 	p, known := newListPlatform(t)
 	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
 	type ask struct {
@@ -118,16 +119,17 @@
 	p.start()
 	one, from, two := receive(t, asks), receive(t, silent), receive(t, asks)
 	if one.index != "40" || two.index != "40" {
-		t.Errorf("indexes %s, %s", one.index, two.index)
+		t.Errorf("watches began from versions %s and %s, want 40 and 40", one.index, two.index)
 	}
 	if after := two.at.Sub(from); after < discovery.SilenceTimeout || after > 6*time.Second {
-		t.Errorf("asked again %v after the last of the list, want within 6 s", after)
+		t.Errorf("watched again %v after the last data of the list, want after the silence timeout and within 6 s", after)
 	}
 	p.waitForMembers(manyHosts + 1)
 }
 
-// A long list may come indented, and in pieces that end anywhere.
-func TestLongListIndented(t *testing.T) {
+// The reader of the list must not depend on its layout or on where the pieces of the response end: it has to read an indented
+// list, with carriage returns, in pieces of many sizes.
+func TestLongListIndentedInPieces(t *testing.T) {
 	p, known := newListPlatform(t)
 	hosts := append(fillerHosts(manyHosts), known)
 	text, err := json.MarshalIndent(Members{Seq: 50, Whole: true, Hosts: hosts}, "", "    ")
@@ -151,15 +153,16 @@
 	p.waitForMembers(len(hosts) + 1)
 }
 
-// Messages for known destinations are served while a long list is still being read.
-func TestServedWhileAListIsRead(t *testing.T) {
+// Reading a long list must not block the relay: messages for known destinations have to be delivered while the list is still
+// read.
+func TestMessagesDeliveredWhileListIsRead(t *testing.T) {
 	p, known := newListPlatform(t)
 	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
 	delivered := make(chan bool)
 	p.serveWatch = func(a *watchResponse) {
 		half, rest := splitWithinEntry(list)
 		a.send(half)
-		for waiting := true; waiting; { // slowly on, so that the watch lives
+		for waiting := true; waiting; { // sends a little now and then, so that the watch does not time out
 			select {
 			case <-delivered:
 				waiting = false
@@ -174,20 +177,20 @@
 		a.keepAlive()
 	}
 	p.start()
-	p.waitUntil("much of the list is applied", func() bool { return p.memberCount() > manyHosts/3 })
+	p.waitUntil("a third of the list is applied", func() bool { return p.memberCount() > manyHosts/3 })
 	for i := range 20 {
 		p.submitAccepted("status", fmt.Sprint("m", i), "20")
 		p.nextCall()
 	}
 	if n := p.memberCount(); n > manyHosts {
-		t.Errorf("%d hosts are on the list before all of it was written", n)
+		t.Errorf("%d endpoints are on the list before all of it was sent", n)
 	}
 	close(delivered)
 	p.waitForMembers(manyHosts + 1)
 }
 
-// A whole list removes the hosts that it does not name, however many others it names: they get nothing new. What is
-// remembered of the others stays.
+// An endpoint that a complete list does not contain must get no further calls, however long the list is: the relay has to remove
+// it and to tell the policy so.
 func TestCompleteListRemovesEndpoints(t *testing.T) {
 	p, gone := newListPlatform(t)
 	stays := p.addHost("h2", 7)
@@ -198,10 +201,10 @@
 		a.keepAlive()
 	}
 	c := p.start()
-	p.submitAccepted("status", "before", "20") // the module knows the destination
+	p.submitAccepted("status", "before", "20") // so that the policy knows the destination
 	p.nextCall()
 	close(served)
-	p.waitUntil("the whole list is in force", func() bool {
+	p.waitUntil("the complete list is on disk", func() bool {
 		hosts, seq := readStoredList(t, p.stateDir)
 		return seq == 50 && len(hosts) == manyHosts+1
 	})
@@ -218,11 +221,11 @@
 	}
 	for _, dial := range hit {
 		if dial == gone.Dial {
-			t.Fatal("a host that was removed got new work")
+			t.Fatal("a removed endpoint was called")
 		}
 	}
 	p.kill(c)
 	if strings.Contains(fmt.Sprint(c.Stderr), "of another destination") {
-		t.Error("the module was not told that the host is gone")
+		t.Error("the policy was not told that the endpoint was removed: the log names an endpoint of another destination")
 	}
 }
--- a/internal/relay/platform_config_test.go
+++ b/internal/relay/platform_config_test.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// testSettings has a class of each effect; memory is that of the keyed one, in seconds.
+// testSettings returns settings with one class of each idempotency. The parameter memory is the time in seconds for which
+// endpoints remember the keys of the class "payment", bundle the maximum number of messages in a call.
 func testSettings(memory float64, bundle int, discovery string) string {
 	return fmt.Sprintf(`{"az":0,"categories":[
 	 {"name":"status","aim_s":2,"deadline_s":30,"idempotency":"retryable","group":"all","points":1},
@@ -21,7 +22,7 @@
 	 "tenants":[{"name":"acme"}],"weights":"nominal"}`, memory, discovery, bundle)
 }
 
-// writeConfig writes the relay's configuration and returns the file's name.
+// writeConfig writes the relay's configuration to a new file and returns its path.
 func (p *platform) writeConfig() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -35,8 +36,8 @@
 	}
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"admin":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 	 "limits":{"cores":1,"memory_mb":192,"sockets":%d,"disk_mb":%d},"known":%s,"settings":%s}`,
-		p.addr, p.admin, strings.TrimPrefix(p.discovery.URL, "http://"), p.sockets, p.diskMB, known, testSettings(p.idempotencyWindow, p.maxBatch,
-			p.discoveryMode))
+		p.addr, p.admin, strings.TrimPrefix(p.discovery.URL, "http://"), p.sockets, p.diskMB, known,
+		testSettings(p.idempotencyWindow, p.maxBatch, p.discoveryMode))
 	path := filepath.Join(p.t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -31,12 +31,17 @@
 	"milletsail/internal/settings"
 )
 
-// childConfigVariable and childStateVariable make the test program a relay, so that tests can kill one; childKillStepVariable makes it a process
-// that owns the folder and is killed at a step of the handover.
-const childConfigVariable, childStateVariable, childKillStepVariable = "FROSTLINK_TEST_CONFIG", "FROSTLINK_TEST_STATE", "FROSTLINK_TEST_DIES"
+// Environment variables that make the test program run as a child process. With childConfigVariable, the path of a configuration,
+// and childStateVariable, the path of a state directory, it is a relay, so that tests can kill one. With childKillStepVariable it
+// owns the state directory and kills itself at that step of a handover.
+const (
+	childConfigVariable   = "RELAY_TEST_CONFIG"
+	childStateVariable    = "RELAY_TEST_STATE"
+	childKillStepVariable = "RELAY_TEST_KILL_STEP"
+)
 
-// childDescriptorsVariable has a child hold no more descriptors than the platform grants it.
-const childDescriptorsVariable = "FROSTLINK_TEST_FILES"
+// childDescriptorsVariable limits the number of open descriptors of a child process.
+const childDescriptorsVariable = "RELAY_TEST_DESCRIPTORS"
 
 func TestMain(m *testing.M) {
 	if step := os.Getenv(childKillStepVariable); step != "" {
@@ -63,18 +68,19 @@
 	}
 }
 
-// Members is an object of discovery's, a list or a change of it, and Member one of its entries.
+// Members is an object that discovery sends to a watch: a complete list of endpoints if Whole is set, else the changed ones.
 type Members struct {
 	Seq   int64    `json:"seq"`
 	Whole bool     `json:"whole"`
 	Hosts []Member `json:"hosts"`
 }
 
+// Member is an entry of an endpoint list.
 type Member = endpoints.Entry
 
 const draining = endpoints.Draining
 
-// readStoredList gives the list that a relay has on disk, and its version; the relay may run.
+// readStoredList returns the endpoint list on a relay's disk and its version. It reads a copy, so the relay may be running.
 func readStoredList(tb testing.TB, dir string) (hosts []Member, seq int64) {
 	tb.Helper()
 	folder := tb.TempDir()
@@ -92,7 +98,7 @@
 	return slices.Collect(all), seq
 }
 
-// endpointListOf gives a list of endpoints with one for each of some destinations.
+// endpointListOf returns an endpoint list with one endpoint for each of the destinations.
 func endpointListOf(destinations ...int) *endpointList {
 	table := endpoints.NewTable()
 	for _, number := range destinations {
@@ -101,40 +107,43 @@
 	return &endpointList{settings: &settings.Settings{}, table: table}
 }
 
-// platform stands for what a relay has round it: discovery, the hosts of destination 7, and its disk.
+// platform is the environment of the relay under test: the discovery service, endpoints and the state directory. The handlers of
+// discovery and endpoints read it with mu locked; tests change what the handlers use by update while a relay runs.
 type platform struct {
-	t         testing.TB
-	discovery *httptest.Server
-	addr      string   // the relay's
-	admin     string   // its admin endpoint; empty for none
-	clientSocket    *os.File // the clients' socket, where the platform holds it
-	stateDir       string
-	idempotencyWindow    float64
-	sockets   int
-	diskMB      int                // MB
-	maxBatch    int                // messages in a call at most
-	discoveryMode      string             // of discovery, in the settings
-	omitEndpoints   bool               // the configuration lists no host
-	limitDescriptors   bool               // a relay holds no more descriptors than sockets
-	failWatches      bool               // watches fail
-	serveWatch     func(*watchResponse) // answers watches; nil for the list of hosts and lines
+	t                 testing.TB
+	discovery         *httptest.Server
+	addr              string               // address at which the relay accepts clients
+	admin             string               // address of the admin endpoint; empty for none
+	clientSocket      *os.File             // socket for clients that relays inherit; nil if the relay listens itself
+	stateDir          string               // state directory of the relay
+	idempotencyWindow float64              // seconds for which endpoints remember the keys of the class "payment"
+	sockets           int                  // "sockets" in the limits of the configuration
+	diskMB            int                  // disk limit in MB
+	maxBatch          int                  // maximum number of messages in a call
+	discoveryMode     string               // value of "discovery" in the settings
+	omitEndpoints     bool                 // the endpoint list in the configuration is empty
+	limitDescriptors  bool                 // the relay process may open at most sockets descriptors
+	failWatches       bool                 // discovery answers watches with 503
+	serveWatch        func(*watchResponse) // writes the response to a watch; nil to send hosts, then watchLines
 
-	mu      sync.Mutex
-	hosts   []Member
-	respond  func(*http.Request) int // a host's status; 0 for no answer while the call lasts
-	callIDs   []string                // ids that hosts were sent
-	callStarted   chan string             // the same, as they come
-	received []journal.Notification
-	failingPosts    int // so many posts of notices fail
+	mu           sync.Mutex
+	hosts        []Member                // endpoint list in the configuration and at discovery
+	respond      func(*http.Request) int // returns an endpoint's status; 0 to leave the call without a response
+	callIDs      []string                // ids of the calls at endpoints: a message's id, or the ids in a batch
+	callStarted  chan string             // receives the id of each call when it arrives
+	received     []journal.Notification  // notifications posted to discovery
+	failingPosts int                     // number of posts of notifications that still fail
 
-	watchLines    chan string // further lines of the watch
-	stopping chan bool   // closed at the end
+	watchLines chan string // further lines of a watch's response
+	stopping   chan bool   // closed when the test ends
 }
 
+// newPlatform starts a discovery service and reserves an address for the relay. It has no endpoints yet.
 func newPlatform(tb testing.TB) *platform {
 	tb.Helper()
-	p := &platform{t: tb, stateDir: tb.TempDir(), idempotencyWindow: 15, sockets: 1024, diskMB: 3, maxBatch: 1, discoveryMode: "subscribe",
-		callStarted: make(chan string, 1000), watchLines: make(chan string, 10),
+	p := &platform{t: tb, stateDir: tb.TempDir(), idempotencyWindow: 15, sockets: 1024, diskMB: 3, maxBatch: 1,
+		discoveryMode: "subscribe",
+		callStarted:   make(chan string, 1000), watchLines: make(chan string, 10),
 		stopping: make(chan bool), respond: func(*http.Request) int { return http.StatusOK }}
 	p.discovery = httptest.NewServer(http.HandlerFunc(p.serveDiscovery))
 	tb.Cleanup(func() {
@@ -151,7 +160,7 @@
 	return p
 }
 
-// addHost starts a host of a destination.
+// addHost starts an endpoint of a destination and adds it to the list.
 func (p *platform) addHost(id string, dest int) Member {
 	s := httptest.NewServer(http.HandlerFunc(p.serveHost))
 	p.t.Cleanup(func() {
@@ -166,12 +175,13 @@
 	return m
 }
 
-// batchStatus is what an endpoint says of one message of a call with several.
+// batchStatus is an endpoint's status for one message of a call with several.
 type batchStatus struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 }
 
+// serveHost answers a call at an endpoint.
 func (p *platform) serveHost(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	id := r.Header.Get("Request-Id")
@@ -203,6 +213,7 @@
 	}
 }
 
+// serveDiscovery receives notifications and answers watches.
 func (p *platform) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,21 +263,21 @@
 	}
 }
 
-// update changes what the platform does.
+// update runs change while it holds p.mu.
 func (p *platform) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 }
 
-// child is a relay in a process of its own.
+// child is a relay in a process of its own. Its Stderr is a buffer with the relay's log.
 type child struct {
 	*exec.Cmd
 	exited chan error
 	config string
 }
 
-// start starts a relay and waits until it is ready.
+// start starts a relay in a child process and waits until it serves clients.
 func (p *platform) start() *child {
 	p.t.Helper()
 	c := &child{Cmd: exec.CommandContext(context.WithoutCancel(p.t.Context()), os.Args[0]), exited: make(chan error, 1),
@@ -288,50 +299,52 @@
 	return c
 }
 
-// kill ends a relay as an outright kill does.
+// kill kills a relay with SIGKILL and waits until its process is gone.
 func (p *platform) kill(c *child) {
 	p.t.Helper()
 	if err := c.Process.Kill(); err != nil {
 		p.t.Fatal(err)
 	}
-	<-c.exited //nolint:errcheck // it was killed
+	<-c.exited //nolint:errcheck // always fails, since the process was killed
 }
 
-// waitUntil waits for something to come true; how long that takes decides nothing.
+// waitUntil waits until a condition holds, and fails the test if it does not hold in time; what describes the condition.
 func (p *platform) waitUntil(what string, true func() bool) {
 	p.t.Helper()
 	for end := time.Now().Add(long); !true(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("waited in vain: %s", what)
+			p.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// nextCall waits for a call at a host and returns its id.
+// nextCall waits for the next call at an endpoint and returns its id.
 func (p *platform) nextCall() string {
 	p.t.Helper()
 	select {
 	case id := <-p.callStarted:
 		return id
 	case <-time.After(long):
-		p.t.Fatal("no call came")
+		p.t.Fatal("timed out waiting for a call at an endpoint")
 		return ""
 	}
 }
 
+// calls returns the ids of all calls at endpoints so far.
 func (p *platform) calls() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.callIDs...)
 }
 
+// notifications returns the notifications that discovery has received so far.
 func (p *platform) notifications() []journal.Notification {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]journal.Notification(nil), p.received...)
 }
 
-// submit hands a message in and returns the answer.
+// submit submits a message for destination 7 and returns the relay's response; change may modify the request.
 func (p *platform) submit(class, id, timeout string, change ...func(*http.Request)) answer {
 	p.t.Helper()
 	r, err := http.NewRequestWithContext(p.t.Context(), http.MethodPost, "http://"+p.addr+"/"+class,
@@ -349,20 +362,20 @@
 	}
 	resp, err := do(r)
 	if err != nil {
-		p.t.Fatalf("%s: %v", id, err)
+		p.t.Fatalf("no response to message %s: %v", id, err)
 	}
 	return resp
 }
 
-// submitAccepted hands a message in that has to be taken on.
+// submitAccepted submits a message for destination 7 and fails the test if the relay does not accept it.
 func (p *platform) submitAccepted(class, id, timeout string) {
 	p.t.Helper()
 	if resp := p.submit(class, id, timeout); resp.StatusCode != http.StatusAccepted {
-		p.t.Fatalf("%s: %s", id, resp.Status)
+		p.t.Fatalf("message %s got status %s, want 202", id, resp.Status)
 	}
 }
 
-// respondAfter is a host's answer that waits until it is let go.
+// respondAfter returns a respond function that answers 200 once hold is closed or receives a value.
 func (p *platform) respondAfter(hold chan bool) func(*http.Request) int {
 	return func(r *http.Request) int {
 		select {
--- a/internal/relay/stored_test.go
+++ b/internal/relay/stored_test.go
@@ -14,7 +14,7 @@
 	"milletsail/internal/journal"
 )
 
-// setDiskFull has a relay's files not grow any more, or lets them.
+// setDiskFull sets or removes a limit on the relay process under which none of its files can grow, as on a full disk.
 func (c *child) setDiskFull(t *testing.T, full bool) {
 	t.Helper()
 	var old unix.Rlimit
@@ -31,8 +31,9 @@
 	}
 }
 
-// With a full disk nothing is taken on and the operators are told why, but what is held and may be repeated is
-// delivered; the rest goes once there is room again, and nothing is lost.
+// A relay that can't write its journal must neither accept messages that a crash would lose nor send fragile ones without a
+// record. It has to reject new messages, to report the error at the admin endpoint and to deliver retryable messages meanwhile;
+// the fragile ones follow once the disk has space again.
 func TestFullDisk(t *testing.T) {
 	p := newPlatform(t)
 	hold := make(chan bool)
@@ -40,7 +41,7 @@
 	p.addHost("h1", 7)
 	p.admin = closedAddress(t)
 	c := p.start()
-	for _, id := range []string{"a", "b", "c", "d"} { // all slots that one destination may have
+	for _, id := range []string{"a", "b", "c", "d"} { // as many as one destination may have slots
 		p.submitAccepted("status", id, "25")
 	}
 	p.waitUntil("all slots are taken", func() bool { return len(p.calls()) == 4 })
@@ -49,47 +50,50 @@
 	c.setDiskFull(t, true)
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	close(hold)
-	p.waitUntil("what may be repeated goes out", func() bool { return slices.Contains(p.calls(), "safe") })
-	p.waitUntil("the operators are told", func() bool {
+	p.waitUntil("the retryable message is sent", func() bool { return slices.Contains(p.calls(), "safe") })
+	p.waitUntil("the admin endpoint reports the error", func() bool {
 		return strings.HasPrefix(sendAdminCommand(t, p.admin, "health\n"),
 			"ERR nothing is taken on")
 	})
 	resp := p.submit("status", "late", "25")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("with a full disk: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
+		t.Errorf("with a full disk, a message got %s with Retry-After %q; want 503 with a Retry-After",
+			resp.Status, resp.Header.Get("Retry-After"))
 	}
 	if slices.Contains(p.calls(), "unsafe") {
-		t.Error("a message that may not be repeated goes out without a record")
+		t.Error("a fragile message was sent without a record of the attempt")
 	}
 	c.setDiskFull(t, false)
-	p.waitUntil("it is taken on again", func() bool { return sendAdminCommand(t, p.admin, "health\n") == "OK\n" })
-	p.waitUntil("the rest goes out", func() bool { return slices.Contains(p.calls(), "unsafe") })
+	p.waitUntil("the relay accepts messages again", func() bool { return sendAdminCommand(t, p.admin, "health\n") == "OK\n" })
+	p.waitUntil("the fragile message is sent", func() bool { return slices.Contains(p.calls(), "unsafe") })
 	p.submitAccepted("status", "after", "25")
-	p.waitUntil("all are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.waitUntil("all messages have ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 	if n := p.notifications(); len(n) != 0 {
-		t.Errorf("notices %v", n)
+		t.Errorf("notifications %v, want none", n)
 	}
 }
 
-// The tools can tell a folder that a running relay owns, and one that is free.
-func TestOwned(t *testing.T) {
+// A tool that changed the state directory of a running relay would damage its journal. journal.IsOwned has to report ownership
+// while a relay runs, and none after it was killed or in an unused directory.
+func TestIsOwnedWhileRelayRuns(t *testing.T) {
 	p := newPlatform(t)
 	c := p.start()
 	if owned, err := journal.IsOwned(p.stateDir); !owned || err != nil {
-		t.Errorf("while it runs: %v, %v", owned, err)
+		t.Errorf("IsOwned while the relay runs: %v, error %v; want true", owned, err)
 	}
 	p.kill(c)
 	if owned, err := journal.IsOwned(p.stateDir); owned || err != nil {
-		t.Errorf("after its end: %v, %v", owned, err)
+		t.Errorf("IsOwned after the relay was killed: %v, error %v; want false", owned, err)
 	}
 	if owned, err := journal.IsOwned(t.TempDir()); owned || err != nil {
-		t.Errorf("never used: %v, %v", owned, err)
+		t.Errorf("IsOwned of an unused directory: %v, error %v; want false", owned, err)
 	}
 }
 
-// A wall clock that was an hour ahead when the folder was written, or an hour behind, makes no attempt younger than it is: a
-// keyed message whose window is over is not sent again, and another one has just the time that it had left.
-func TestClockSetBack(t *testing.T) {
+// A wall clock that was set by an hour between the writing and the reading of the journal must not shift the times there. A keyed
+// message whose idempotency window is over must not be sent again, and another message has to keep exactly the time that it had
+// left.
+func TestWallClockSetBetweenProcesses(t *testing.T) {
 	for _, ahead := range []time.Duration{time.Hour, -time.Hour} {
 		p := newPlatform(t)
 		p.addHost("h1", 7)
@@ -108,22 +112,23 @@
 		commit(t, j)
 		for _, e := range readEntries(t, p.stateDir) {
 			if left := clock.Until(e.ExpiresAt); left > 25*time.Second || left < 20*time.Second {
-				t.Errorf("%v ahead: %s has %v left", ahead, e.ID, left)
+				t.Errorf("wall clock %v ahead: message %s has %v left, want 20 s to 25 s", ahead, e.ID, left)
 			}
 		}
 		p.start()
 		if id := p.nextCall(); id != "status" {
-			t.Errorf("%v ahead: %s is sent", ahead, id)
+			t.Errorf("wall clock %v ahead: message %s was sent, want only the retryable one", ahead, id)
 		}
-		p.waitUntil("both are over", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+		p.waitUntil("both messages have ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 		if n := p.notifications(); len(n) != 1 || n[0].ID != "payment" {
-			t.Errorf("%v ahead: notices %v", ahead, n)
+			t.Errorf("wall clock %v ahead: notifications %v, want one for the keyed message", ahead, n)
 		}
 	}
 }
 
-// BenchmarkStart is the time from the start of a process to its first 202, with so many live messages in its folder: of
-// a destination that answers, or whose time was up while the machine was off. Notices is when the last of those is told.
+// BenchmarkStart measures the time from the start of a process to its first response of 202 or 429, with a number of live
+// messages in its journal. Their deadline is either in the future or has passed while no relay ran; for expired ones,
+// s-to-last-notice is the time until the notification of the last of them.
 func BenchmarkStart(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -153,12 +158,12 @@
 				for id := 0; ; id++ {
 					resp := p.submit("order", fmt.Sprint("new", id), "25", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=7") })
 					if resp.StatusCode == http.StatusAccepted || resp.StatusCode == http.StatusTooManyRequests && c.left > 0 {
-						break // with so much held before it, it is refused at once, which is an answer too
+						break // with so many messages before it, the new one is rejected at once, which counts as served
 					}
 				}
 				b.StopTimer()
 				if c.left < 0 {
-					p.waitUntil("all notices are there", func() bool { return len(p.notifications()) >= c.live })
+					p.waitUntil("all notifications are received", func() bool { return len(p.notifications()) >= c.live })
 					notices += time.Since(begun)
 				}
 				p.kill(child)
--- a/internal/relay/wire_admin_test.go
+++ b/internal/relay/wire_admin_test.go
@@ -17,18 +17,18 @@
 	"time"
 )
 
-// Masks of the replies to operators.
+// Masks for replies of the admin endpoint.
 var (
-	// maskSeconds hides times, ages and what is left of an order.
+	// maskSeconds hides times, ages and the remaining duration of an operator's order.
 	maskSeconds = mask{regexp.MustCompile(`"(age_s|known_s|for_s|until_s)":[0-9.e+-]+`), `"$1":SECONDS`}
-	// maskProcess hides what differs from process to process: when it started, the digest of what it knows, and the
-	// number of its beat.
+	// maskProcess hides values that differ between processes and over time: the incarnation, the digest of the facts, and the
+	// values of facts, such as the sequence number of a heartbeat.
 	maskProcess = mask{regexp.MustCompile(`"(incarnation|digest|value)":\d+`), `"$1":NUMBER`}
-	// maskVersion hides the version of the program, which is the key of a member.
+	// maskVersion hides the version of the program, which is the key of the facts of kind "member".
 	maskVersion = mask{regexp.MustCompile(`"kind":"member","key":"\w*"`), `"kind":"member","key":"VERSION"`}
 )
 
-// sendAdminCommand sends an operator's line and gives the whole reply.
+// sendAdminCommand sends a line to an admin endpoint and returns the whole reply.
 func sendAdminCommand(tb testing.TB, addr, line string) string {
 	tb.Helper()
 	conn, err := (&net.Dialer{}).DialContext(tb.Context(), "tcp", addr)
@@ -47,8 +47,8 @@
 	return string(reply)
 }
 
-// writeModifiedConfig is the path of the platform's configuration with values changed: at its top, in its settings, and in
-// their limits.
+// writeModifiedConfig writes the platform's configuration after change has modified its top level, its settings and their limits.
+// It returns the path of the file.
 func (p *platform) writeModifiedConfig(change func(top, settings, limits map[string]any)) string {
 	p.t.Helper()
 	path := p.writeConfig()
@@ -63,7 +63,7 @@
 	settings, isObject := top["settings"].(map[string]any)
 	limits, hasLimits := settings["limits"].(map[string]any)
 	if !isObject || !hasLimits {
-		p.t.Fatalf("settings %v", top["settings"])
+		p.t.Fatalf("configuration has settings %v, want an object with limits", top["settings"])
 	}
 	change(top, settings, limits)
 	if text, err = json.Marshal(top); err != nil {
@@ -75,7 +75,7 @@
 	return path
 }
 
-// startWithConfig starts a relay with a configuration file in a process of its own, and waits until it is ready.
+// startWithConfig starts a relay with a configuration file in a child process, and waits until it serves clients.
 func (p *platform) startWithConfig(path string) {
 	p.t.Helper()
 	relay := exec.CommandContext(context.WithoutCancel(p.t.Context()), os.Args[0])
@@ -90,20 +90,21 @@
 	p.waitUntilReady()
 }
 
-// waitUntilReady waits until the relay takes clients.
+// waitUntilReady waits until the relay reports that it serves clients.
 func (p *platform) waitUntilReady() {
 	p.t.Helper()
-	p.waitUntil("the relay is ready", func() bool {
+	p.waitUntil("the relay reports that it is healthy", func() bool {
 		resp, err := p.health()
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
 }
 
-// writeConfigWithPeer gives a relay's configuration with another relay, whose notes come and go at a socket.
+// writeConfigWithPeer writes the configuration of a relay in a fleet of two, whose other relay is represented by a socket for
+// gossip, and returns the path of the file.
 func (p *platform) writeConfigWithPeer(other *net.UDPConn, change func(top map[string]any)) string {
 	own := listenUDP(p.t)
 	addr := own.LocalAddr().String()
-	_ = own.Close() // for the relay
+	_ = own.Close() // the relay listens at this address
 	return p.writeModifiedConfig(func(top, settings, limits map[string]any) {
 		top["peer_listen"], top["peers"] = addr, []string{addr, other.LocalAddr().String()}
 		top["peers_all"] = other.LocalAddr().String()
@@ -112,7 +113,7 @@
 	})
 }
 
-// listenUDP opens a socket for notes.
+// listenUDP opens a socket for gossip. It is closed when the test ends.
 func listenUDP(tb testing.TB) *net.UDPConn {
 	tb.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -123,19 +124,19 @@
 	return conn
 }
 
-// TestAdminOnTheWire pins the replies to operators, with every part on that answers them.
-func TestAdminOnTheWire(t *testing.T) {
+// Operators' scripts match replies of the admin endpoint. The test compares them byte for byte, with all optional features on.
+func TestAdminRepliesOnTheWire(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.admin = closedAddress(t)
 	p.startWithConfig(p.writeConfigWithPeer(listenUDP(t), func(top map[string]any) {
 		top["fleet"], top["zones"], top["newcomers"] = true, true, true
 	}))
-	p.waitUntil("it takes clients", func() bool { return sendAdminCommand(t, p.admin, "health\n") == "OK\n" })
+	p.waitUntil("the relay serves clients", func() bool { return sendAdminCommand(t, p.admin, "health\n") == "OK\n" })
 	p.exchangeRaw(clientRequest("POST /unknown", "hi"))
 	p.exchangeRaw(clientRequest("POST /status", "hi", "X-Envelope: dest=9"))
 	p.submitAccepted("status", "delivered", "25")
-	p.waitUntil("it is counted", func() bool {
+	p.waitUntil("the delivery is counted", func() bool {
 		return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), `{lane="status",result="completed"} 1`)
 	})
 	text := ""
@@ -148,23 +149,23 @@
 	compareWire(t, "admin.txt", applyMasks(text, maskSeconds, maskProcess, maskVersion))
 }
 
-// fleetView is the reply to "fleet", once the relay has told of itself and of a destination's pace.
+// fleetView returns the reply to the command "fleet", once it contains the relay's own fact and one about a destination's pace.
 func (p *platform) fleetView() (view string) {
 	p.t.Helper()
-	p.waitUntil("the relay has told of itself", func() bool {
+	p.waitUntil("the reply has facts of the kinds member and pace", func() bool {
 		view = sendAdminCommand(p.t, p.admin, "fleet\n")
 		return strings.Contains(view, `"kind":"member"`) && strings.Contains(view, `"kind":"pace"`)
 	})
 	return view
 }
 
-// TestAdminWithoutPartsOnTheWire pins the replies of a relay whose parts that answer operators are off.
-func TestAdminWithoutPartsOnTheWire(t *testing.T) {
+// The test compares the replies of the admin endpoint byte for byte with all optional features off.
+func TestAdminRepliesWithoutFeaturesOnTheWire(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.admin = closedAddress(t)
 	p.start()
-	p.waitUntil("it takes clients", func() bool { return sendAdminCommand(t, p.admin, "health\n") == "OK\n" })
+	p.waitUntil("the relay serves clients", func() bool { return sendAdminCommand(t, p.admin, "health\n") == "OK\n" })
 	text := ""
 	for _, line := range []string{"health", "counters", "diagnostics", "zone status", "servers", "fleet"} {
 		text += section(line, sendAdminCommand(t, p.admin, line+"\n"))
@@ -172,7 +173,7 @@
 	compareWire(t, "admin_without_parts.txt", text)
 }
 
-// nextDatagram waits for a note that begins as given, past others.
+// nextDatagram returns the next datagram that begins with the given bytes, and drops others.
 func nextDatagram(t *testing.T, conn *net.UDPConn, begins string) []byte {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(long))
@@ -180,7 +181,7 @@
 		buffer := make([]byte, 1<<10)
 		size, err := conn.Read(buffer)
 		if err != nil {
-			t.Fatalf("no note that begins with %x: %v", begins, err)
+			t.Fatalf("received no datagram that begins with %x: %v", begins, err)
 		}
 		if strings.HasPrefix(string(buffer[:size]), begins) {
 			return buffer[:size]
@@ -188,15 +189,14 @@
 	}
 }
 
-// refuseCall answers a call with a refusal for 700 ms, which the relay tells others of.
+// refuseCall answers a call with 429 and a wait of 700 ms, which the relay reports to other relays.
 func refuseCall(recordedRequest) string {
 	return "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 700\r\nContent-Length: 0\r\n\r\n"
 }
 
-// TestNotesOnTheWire pins the datagrams that a relay sends others of what it has met: the module's own notes as they
-// are where it shares nothing else, and as facts of its fleet where it does. The bytes of the fleet's notes are pinned
-// there.
-func TestNotesOnTheWire(t *testing.T) {
+// Relays of different versions exchange gossip. The test compares the datagrams that report a refusal: in the policy's own format
+// with the option "fleet" off, and as a fact with it on. Package fleet tests all bytes of the facts' format.
+func TestGossipOnTheWire(t *testing.T) {
 	text := ""
 	for _, shares := range []bool{false, true} {
 		p, other := newPlatform(t), listenUDP(t)
@@ -215,23 +215,23 @@
 	compareWire(t, "notes.txt", text)
 }
 
-// formatRefusal gives a note of a refusal without its last number, which is the age.
+// formatRefusal formats the policy's report of a refusal, with the age at its end masked.
 func formatRefusal(t *testing.T, note []byte) string {
 	t.Helper()
-	const lengthWithoutAge = 4 // of a mark, the destination, and the wait in two bytes
+	const lengthWithoutAge = 4 // a type byte, the destination, and the wait in two bytes
 	if len(note) <= lengthWithoutAge {
-		t.Fatalf("a short note: %x", note)
+		t.Fatalf("report of a refusal is too short: %x", note)
 	}
 	if _, size := binary.Uvarint(note[lengthWithoutAge:]); size != len(note)-lengthWithoutAge {
-		t.Fatalf("no age at the end: %x", note)
+		t.Fatalf("report of a refusal does not end with an age: %x", note)
 	}
 	return hex.Dump(note[:lengthWithoutAge]) + "AGE\n"
 }
 
-// formatFact gives a note with a fact, number by number, without those that vary: the incarnation, the fact's number and
-// its age.
+// formatFact formats a datagram with one fact, number by number. It masks the incarnation, the fact's sequence number and its
+// age, which vary between runs.
 func formatFact(note []byte) string {
-	const headLength = 4 // mark, version, flags, kind
+	const headLength = 4 // type byte, version, flags, kind
 	text := fmt.Sprintf("% x\n", note[:headLength])
 	rest := note[headLength:]
 	for _, name := range []string{"origin", "INCARNATION", "NUMBER", "value", "AGE", "length of the key"} {
--- a/internal/relay/wire_golden_test.go
+++ b/internal/relay/wire_golden_test.go
@@ -9,34 +9,34 @@
 	"testing"
 )
 
-// The tests of the wire pin the bytes that go out of a relay, as other programs see them: a relay runs, and sockets on
-// the loopback stand in for clients, endpoints, discovery, operators and other relays. They hold none of the relay's
-// inner types, so that they outlast any change of its shape.
+// The tests named ...OnTheWire compare the bytes that a running relay sends to other programs with golden files. Sockets on the
+// loopback interface stand in for clients, endpoints, the discovery service, operators and other relays. These tests use no
+// internal types of the relay, so that they stay valid when its structure changes.
 
-// updateWire has the tests of the wire write their golden files instead of comparing with them. CI never sets it.
-var updateWire = flag.Bool("update-wire", false, "write the golden files of the wire")
+// updateWire makes the tests write the golden files instead of comparing with them. CI never sets it.
+var updateWire = flag.Bool("update-wire", false, "write the golden files in testdata/wire instead of comparing with them")
 
-// mask puts a word in place of what varies from run to run.
+// mask replaces the matches of a pattern, which vary between runs, by a word.
 type mask struct {
 	pattern *regexp.Regexp
 	word    string
 }
 
-// The masks, each for what it says, on text as section gives it; all else on the wire is compared byte for byte.
+// Masks for text in the form that section returns. Everything that no mask replaces is compared byte for byte.
 var (
-	// maskPort hides the port of an address on the loopback, which the system gives.
+	// maskPort hides the port of an address on the loopback interface, which the system chooses.
 	maskPort = mask{regexp.MustCompile(`127\.0\.0\.1:\d+`), "127.0.0.1:PORT"}
-	// maskDate hides the moment of an answer.
+	// maskDate hides the time in the Date header of a response.
 	maskDate = mask{regexp.MustCompile(`(?m)^Date: \w{3}, \d\d \w{3} \d{4} \d\d:\d\d:\d\d GMT\\r$`), `Date: DATE\r`}
-	// maskTimeout hides what is left of a message's time, but not its three decimals.
+	// maskTimeout hides the remaining time of a message, but keeps the fact that it has three decimals.
 	maskTimeout = mask{regexp.MustCompile(`(?m)^Request-Timeout: \d+\.\d{3}\\r$`), `Request-Timeout: SECONDS.3\r`}
-	// maskRetryAfter hides a wait that follows from the clock, but not its three decimals.
+	// maskRetryAfter hides a wait that depends on the clock, but keeps the fact that it has three decimals.
 	maskRetryAfter = mask{regexp.MustCompile(`(?m)^Retry-After: \d+\.\d{3}\\r$`), `Retry-After: SECONDS.3\r`}
-	// maskAgain hides the milliseconds that a client is to stay away, which follow from the clock.
+	// maskAgain hides the milliseconds that a client has to wait, which depend on the clock.
 	maskAgain = mask{regexp.MustCompile(`"again_ms":\d+`), `"again_ms":MILLISECONDS`}
 )
 
-// applyMasks gives a text with what varies hidden.
+// applyMasks returns a text with the matches of the masks replaced.
 func applyMasks(text string, masks ...mask) string {
 	for _, hidden := range masks {
 		text = hidden.pattern.ReplaceAllString(text, hidden.word)
@@ -44,8 +44,8 @@
 	return text
 }
 
-// section gives bytes of the wire as a part of a golden file: a line for each line, where \r stays visible, and so
-// does that the last line has no end.
+// section formats received bytes as a section of a golden file with a title. Carriage returns are written as \r, and a missing
+// newline at the end is marked.
 func section(title, text string) string {
 	text = strings.ReplaceAll(text, "\r", `\r`)
 	if text != "" && !strings.HasSuffix(text, "\n") {
@@ -54,7 +54,7 @@
 	return "== " + title + "\n" + text
 }
 
-// compareWire compares a text with a golden file of testdata/wire.
+// compareWire compares a text with a golden file in testdata/wire.
 func compareWire(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "wire", name)
@@ -69,6 +69,6 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s: the bytes on the wire have changed:\n%s\nwant:\n%s", path, got, want)
+		t.Errorf("%s: the sent bytes differ from the golden file; got:\n%s\nwant:\n%s", path, got, want)
 	}
 }
--- a/internal/relay/wire_handover_proxy_test.go
+++ b/internal/relay/wire_handover_proxy_test.go
@@ -10,17 +10,15 @@
 	"testing"
 )
 
-// handoverProxy stands between an old process and a new one, and keeps each line that goes over their link before it
-// passes it on.
+// handoverProxy sits between a predecessor and a successor. It records each line of their link and then forwards it.
 type handoverProxy struct {
-	t     *testing.T
-	path  string                  // of the old process's socket
-	onLine  func(handoverLine) bool // is called with each line, and tells whether it is to be passed on
-	lines chan handoverLine
+	t      *testing.T
+	path   string                  // path of the predecessor's socket
+	onLine func(handoverLine) bool // called with each line; reports whether to forward it
+	lines  chan handoverLine       // the recorded lines
 }
 
-// proxyHandover puts a proxy in the place of the socket in a folder. The old process's socket goes on under another
-// name.
+// proxyHandover renames the predecessor's socket in a state directory and listens in its place with a proxy.
 func proxyHandover(t *testing.T, dir string, meet func(handoverLine) bool) *handoverProxy {
 	t.Helper()
 	socket := filepath.Join(dir, "handover")
@@ -32,12 +30,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener.SetUnlinkOnClose(false) // by then it is the new process's
+	listener.SetUnlinkOnClose(false) // by then the path belongs to the successor's socket
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
 			newer, err := listener.Accept()
-			if err != nil { // closed
+			if err != nil { // the listener is closed
 				return
 			}
 			go proxy.connect(newer)
@@ -46,7 +44,7 @@
 	return proxy
 }
 
-// connect joins a new process with the old one.
+// connect connects to the predecessor and forwards lines in both directions until both sides have ended.
 func (p *handoverProxy) connect(newer net.Conn) {
 	defer func() { _ = newer.Close() }()
 	old, err := (&net.Dialer{}).DialContext(p.t.Context(), "unix", p.path)
@@ -61,7 +59,8 @@
 	both.Wait()
 }
 
-// forwardLines passes the lines of one process on to the other, and then its end.
+// forwardLines records and forwards the lines that one process sends to the other. At their end it closes the sending side of
+// the other connection.
 func (p *handoverProxy) forwardLines(from string, source, sink net.Conn) {
 	in := bufio.NewReader(source)
 	for {
--- a/internal/relay/wire_handover_test.go
+++ b/internal/relay/wire_handover_test.go
@@ -19,46 +19,46 @@
 	"milletsail/internal/relay/config"
 )
 
-// Masks of the handover.
+// Masks for the lines of a handover link.
 var (
 	// maskMoment hides a wall time in RFC 3339.
 	maskMoment = mask{regexp.MustCompile(`"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.?\d*(Z|[+-]\d\d:\d\d)"`), `"MOMENT"`}
-	// maskMeasured hides what was measured: how long a call took, the moments of what was learned and of the clocks, and
-	// levels that follow from them. Of moments, 0 stays, which is none.
+	// maskMeasured hides measured values: durations of calls, times within the policy's state and the clock readings, and levels
+	// that are computed from them. A time of 0, which means none, is not hidden.
 	maskMeasured = mask{regexp.MustCompile(
 		`"(took|Tokens|N)":[0-9.e+-]+|"(At|Wall|Since|TokensAt|SickAt|Recovered|LastOK|FirstFull|Wait|Hold)":[1-9]\d*`),
 		`"$1$2":MEASURED`}
-	// maskClients hides how many connections of clients are open.
+	// maskClients hides the number of open client connections.
 	maskClients = mask{regexp.MustCompile(`"clients":\d+`), `"clients":NUMBER`}
 )
 
-// handoverLine is one line of the link between two processes, as its bytes came.
+// handoverLine is one line that was sent over a handover link.
 type handoverLine struct {
-	from string // "old" or "new"
-	kind string // its first key, with the step where it is one
-	text string
+	from string // "old" for the predecessor or "new" for the successor
+	kind string // its first key, followed by the value if that is a string
+	text string // the whole line
 }
 
-// handoverKind finds the first key of a line.
+// handoverKind matches the kind of a line.
 var handoverKind = regexp.MustCompile(`^\{"(\w+)":("\w+")?`)
 
-// handoverScript leads clients of the old process through a handover. Each of its steps follows from a line of the
-// link, so that their order is the same in each run.
+// handoverScript performs the actions of the predecessor's clients during a handover. Each action is triggered by a line of the
+// link, so that their order is the same in every run.
 type handoverScript struct {
 	p       *platform
 	mu      sync.Mutex
-	clients map[string]*clientConn // by the id of the message that each hands in
+	clients map[string]*clientConn // by the id of the message that each client submits
 }
 
-// forwardedIDs are the messages that clients hand in at the old process after the handover, in order.
+// forwardedIDs are the ids of the messages that clients submit to the predecessor after the handover, in order.
 var forwardedIDs = []string{"taken on", "refused", "withdrawn"}
 
-// onLine takes the steps that follow from a line.
+// onLine performs the action that a line triggers, and reports whether the proxy is to forward the line.
 func (s *handoverScript) onLine(line handoverLine) (passes bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case line.kind == `{"step":"ready"`: // the old process still takes clients
+	case line.kind == `{"step":"ready"`: // the predecessor still accepts connections
 		for _, id := range forwardedIDs {
 			s.connect(id)
 		}
@@ -70,14 +70,15 @@
 		s.submit(forwardedIDs[2])
 	case line.kind == `{"arrival":` && strings.Contains(line.text, `"withdrawn"`):
 		_ = s.clients["withdrawn"].Close()
-		return false // else the new process could answer it first
+		return false // otherwise the successor could respond before the client has left
 	case line.kind == `{"left":`:
-		return false // the new process knows nothing of it
+		return false // the successor never got the message
 	}
 	return true
 }
 
-// connect opens a client's connection, and has the old process answer on it, so that it is that one's.
+// connect opens a client's connection and gets a response to a health request on it. After that the connection surely belongs to
+// the predecessor: both processes accept on the same socket.
 func (s *handoverScript) connect(id string) {
 	conn, err := (&net.Dialer{}).DialContext(s.p.t.Context(), "tcp", s.p.addr)
 	if err != nil {
@@ -96,7 +97,7 @@
 	}
 }
 
-// submit writes a client's request. The second message is for a destination that there is not.
+// submit sends a client's request with a message. The message "refused" is for a destination that does not exist.
 func (s *handoverScript) submit(id string) {
 	destination := "X-Envelope: dest=7"
 	if id == "refused" {
@@ -108,14 +109,14 @@
 	}
 }
 
-// handoverRecord is what went over a link, by the kinds of lines: lines of one kind have an order, which those of
-// different kinds need not have.
+// handoverRecord holds the lines of a link by their title (see lineTitle). Lines with the same title are in the order in which
+// they were sent; the order of lines with different titles may vary between runs.
 type handoverRecord map[string][]string
 
-// lineTitle is the kind of lines that a line is of, with the process that sent it.
+// lineTitle returns the title of a section of a golden file for the lines of one kind from one process.
 func lineTitle(from, kind string) string { return "from the " + from + " process: " + kind }
 
-// await takes lines until there are so many of a kind from a process that hold a word.
+// await records lines of a proxy until there are count lines of a kind from a process that contain a word.
 func (r handoverRecord) await(proxy *handoverProxy, from, kind, word string, count int) {
 	proxy.t.Helper()
 	title := lineTitle(from, kind)
@@ -126,12 +127,12 @@
 		case line := <-proxy.lines:
 			r[lineTitle(line.from, line.kind)] = append(r[lineTitle(line.from, line.kind)], line.text)
 		case <-deadline:
-			proxy.t.Fatalf("no line %s with %q: %v", title, word, r)
+			proxy.t.Fatalf("timed out waiting for a line %s with %q; recorded lines: %v", title, word, r)
 		}
 	}
 }
 
-// filter gives the texts that a condition holds for.
+// filter returns the texts for which a condition holds.
 func filter(texts []string, holds func(string) bool) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, text := range texts {
@@ -142,21 +143,23 @@
 	}
 }
 
-// callsOfOffer finds the calls of an offer, and callOfOffer each of them.
 var (
+	// callsOfOffer matches the list of calls in flight in an offer.
 	callsOfOffer = regexp.MustCompile(`"out":\[[^\]]*\]`)
-	callOfOffer  = regexp.MustCompile(`\{[^}]*\}`)
+	// callOfOffer matches one call of that list.
+	callOfOffer = regexp.MustCompile(`\{[^}]*\}`)
 )
 
-// sortOfferedCalls puts the calls of an offer in order, of which the old process keeps none.
+// sortOfferedCalls sorts the calls in an offer, whose order varies between runs.
 func sortOfferedCalls(text string) string {
 	return callsOfOffer.ReplaceAllStringFunc(text, func(calls string) string {
 		return `"out":[` + strings.Join(slices.Sorted(slices.Values(callOfOffer.FindAllString(calls, -1))), ",") + "]"
 	})
 }
 
-// text gives the lines of some kinds as a golden file has them, or of all where none is named. Answers to several
-// messages come in any order, and of the lines on clients' connections, which come by chance, there is one.
+// text formats the lines with the given titles, or all lines if none is given, for a golden file. It sorts responses to
+// submissions, whose order varies, and keeps only the first line with the number of client connections, since the number of such
+// lines varies.
 func (r handoverRecord) text(titles ...string) string {
 	if len(titles) == 0 {
 		titles = slices.Sorted(maps.Keys(r))
@@ -175,7 +178,8 @@
 	return applyMasks(text, maskMoment, maskMeasured, maskClients)
 }
 
-// callsInFlight are the messages whose calls the old process has out at the handover, and the answer to each, in order.
+// callsInFlight are the messages whose calls the predecessor has in flight at the handover, and an endpoint's response to each,
+// in the order in which the endpoint answers.
 var callsInFlight = []struct{ id, answer string }{
 	{"delivered", "HTTP/1.1 200 OK\r\nServer-Load: x0=0.5,x1=25\r\nContent-Length: 0\r\n\r\n"},
 	{"turned away", "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n"},
@@ -183,9 +187,9 @@
 	{"spent", emptyResponse("504 Gateway Timeout")},
 }
 
-// startHoldingHost starts an endpoint that answers the first calls of callsOut once it is let, and that of "silent" never.
-// It answers other calls with 200 at once, or, where it holds all, not at all: a call that began later and has ended
-// would have the relay call off those that are out.
+// startHoldingHost starts an endpoint that answers the first call of each message in callsInFlight once its channel in
+// release is closed, and never answers the first call of the message "silent". It answers other calls with 200 at once or,
+// with holdsAll, not before the test ends: the end of a call that began later may make the relay cancel those in flight.
 func startHoldingHost(t *testing.T, holdsAll bool) (host *recorder, release map[string]chan bool) {
 	t.Helper()
 	release = map[string]chan bool{"silent": make(chan bool)}
@@ -195,7 +199,7 @@
 	}
 	done := make(chan bool)
 	t.Cleanup(func() { close(done) })
-	var mu sync.Mutex // guards held
+	var mu sync.Mutex // guards the map held
 	held := map[string]bool{}
 	host = startRecorder(t, func(came recordedRequest) string {
 		_, id, _ := strings.Cut(came.raw, "\r\nRequest-Id: ")
@@ -220,15 +224,15 @@
 	return host, release
 }
 
-// TestHandoverOnTheWire pins the lines between an old process and a new one, both ways: a process of this version
-// follows one of the version before, and is followed by one of the next.
+// A process may take over from one of an earlier version and hand over to one of a later version. The test compares all lines of
+// a handover link, in both directions, byte for byte.
 func TestHandoverOnTheWire(t *testing.T) {
 	host, release := startHoldingHost(t, true)
 	p := newPlatform(t)
 	p.hosts = []Member{memberAt(host.addr)}
 	p.admin = closedAddress(t)
 	p.openClientSocket()
-	t.Setenv("NODE_ZONES", "on") // for a call at the admin endpoint that the loop answers
+	t.Setenv("NODE_ZONES", "on") // enables an admin command that the event loop answers
 	p.start()
 	oldAdmin := p.admin
 	for _, call := range callsInFlight {
@@ -252,7 +256,7 @@
 	compareWire(t, "handover.txt", lines.text()+applyMasks(text, maskDate))
 }
 
-// answer reads the answer that a client has got.
+// answer reads the header of the response to the client that submitted a message.
 func (s *handoverScript) answer(t *testing.T, id string) (text string) {
 	t.Helper()
 	for line := ""; line != "\r\n"; {
@@ -265,8 +269,9 @@
 	return text
 }
 
-// TestCancelOnTheWire pins the line by which a new process calls off a call that the old one has out.
-func TestCancelOnTheWire(t *testing.T) {
+// The test compares the lines by which a successor cancels a call in flight in the predecessor, and the predecessor reports its
+// end.
+func TestHandoverCancelOnTheWire(t *testing.T) {
 	host, _ := startHoldingHost(t, false)
 	p := newPlatform(t)
 	p.hosts = []Member{memberAt(host.addr)}
@@ -284,9 +289,9 @@
 	compareWire(t, "cancel.txt", lines.text(lineTitle("new", `{"cancel":`), lineTitle("old", `{"ends":`)))
 }
 
-// TestUnwrittenOnTheWire pins what a relay says whose journal can't be written: to clients, to operators, and to a
-// newer process, which the journal can't tell then.
-func TestUnwrittenOnTheWire(t *testing.T) {
+// The test compares what a relay sends while it can't write its journal: the response to a client, the reply to "health", and the
+// offer to a successor, which then has to contain the state that is missing from the journal.
+func TestFailedJournalOnTheWire(t *testing.T) {
 	host, release := startHoldingHost(t, false)
 	discovery := startRecorder(t, func(recordedRequest) string { return emptyResponse("503 Service Unavailable") })
 	p := newPlatform(t)
@@ -295,11 +300,11 @@
 	p.admin = closedAddress(t)
 	disk := &fullDisk{FS: journal.Disk}
 	p.runInProcess(func(cfg *config.Config) { cfg.Files = disk })
-	p.submitAccepted("order", "turned away", "0.3") // its end is deferred, and its notice owed
+	p.submitAccepted("order", "turned away", "0.3") // it ends as deferred, and its notification can't be delivered
 	host.next()
 	close(release["turned away"])
 	discovery.nextAt(outcomesPath)
-	p.submitAccepted("order", "delivered", "25") // its call stays out
+	p.submitAccepted("order", "delivered", "25") // its call stays in flight
 	host.next()
 	disk.full.Store(true)
 	text := section("a message", p.exchangeRaw(clientRequest("POST /status", "hi")))
@@ -310,7 +315,7 @@
 	compareWire(t, "unwritten.txt", applyMasks(text, maskDate, maskMoment, maskMeasured, maskClients, maskAgain))
 }
 
-// requestOffer asks the process that owns a folder for it, and gives its offer, which it does not take up.
+// requestOffer requests the state directory from the process that owns it, and returns the offer without accepting it.
 func requestOffer(t *testing.T, dir string) string {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "unix", filepath.Join(dir, "handover"))
@@ -329,7 +334,8 @@
 	return offer
 }
 
-// runInProcess runs a relay in this process, which may change what no file configures, and waits until it is ready.
+// runInProcess runs a relay in the test process and waits until it serves clients. Here change can also set fields of the
+// configuration that the file does not contain.
 func (p *platform) runInProcess(change func(*config.Config)) {
 	p.t.Helper()
 	cfg, err := config.Read(p.writeConfig())
--- a/internal/relay/wire_http_test.go
+++ b/internal/relay/wire_http_test.go
@@ -17,20 +17,20 @@
 	"milletsail/internal/journal"
 )
 
-// recordedRequest is one request as its bytes came.
+// recordedRequest is one request as it was received.
 type recordedRequest struct {
-	raw  string
-	path string
+	raw  string // all bytes of the request
+	path string // path of its URL
 }
 
-// recorder is a listener that keeps each request that comes, byte for byte, and answers it.
+// recorder is an HTTP server that records each request byte for byte and answers it.
 type recorder struct {
 	t        *testing.T
 	addr     string
 	requests chan recordedRequest
 }
 
-// startRecorder starts a recorder; answer gives the whole answer to a request, or nothing to leave it without one.
+// startRecorder starts a recorder. The function answer returns all bytes of the response to a request; empty for no response.
 func startRecorder(t *testing.T, answer func(recordedRequest) string) *recorder {
 	t.Helper()
 	server := &recorder{t: t, requests: make(chan recordedRequest, 100)}
@@ -38,10 +38,10 @@
 	return server
 }
 
-// serve keeps and answers the requests of a connection, until an answer that closes it.
+// serve records and answers the requests of a connection, until a response closes it.
 func (r *recorder) serve(conn net.Conn, answer func(recordedRequest) string) {
 	var raw bytes.Buffer
-	in := bufio.NewReader(io.TeeReader(conn, &raw)) // nothing comes behind a request until it is answered
+	in := bufio.NewReader(io.TeeReader(conn, &raw)) // clients send the next request only after the response
 	for {
 		request, err := http.ReadRequest(in)
 		if err != nil {
@@ -60,7 +60,8 @@
 	}
 }
 
-// serveRaw has each connection to an address served, and closed at the end of that.
+// serveRaw listens at a new address, which it returns, and calls serve for each connection in a goroutine. It closes the
+// connection afterwards.
 func serveRaw(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -71,7 +72,7 @@
 	go func() {
 		for {
 			conn, err := listener.Accept()
-			if err != nil { // closed
+			if err != nil { // the listener is closed
 				return
 			}
 			go func() {
@@ -83,19 +84,19 @@
 	return listener.Addr().String()
 }
 
-// next waits for a request and gives its bytes.
+// next waits for the next request and returns its bytes.
 func (r *recorder) next() string {
 	r.t.Helper()
 	select {
 	case came := <-r.requests:
 		return came.raw
 	case <-time.After(long):
-		r.t.Fatal("no request came")
+		r.t.Fatal("timed out waiting for a request")
 		return ""
 	}
 }
 
-// nextAt waits for a request at a path, past those at others, and gives its bytes.
+// nextAt waits for the next request whose target begins with path, drops others, and returns its bytes.
 func (r *recorder) nextAt(path string) string {
 	r.t.Helper()
 	for end := time.Now().Add(long); time.Now().Before(end); {
@@ -104,27 +105,30 @@
 			return raw
 		}
 	}
-	r.t.Fatalf("no request at %s came", path)
+	r.t.Fatalf("timed out waiting for a request for %s", path)
 	return ""
 }
 
-// The paths of discovery.
+// Paths at the discovery service.
 const (
-	// watchPath is that of the list of endpoints.
+	// watchPath is the path of the endpoint list.
 	watchPath = "/catalog/members"
-	// outcomesPath is that of notices.
+	// outcomesPath is the path to which notifications are posted.
 	outcomesPath = "/v1/outcomes"
 )
 
-// emptyResponse is an answer without a body.
-func emptyResponse(status string) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n" }
+// emptyResponse returns an HTTP response with a status and without a body.
+func emptyResponse(status string) string {
+	return "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n"
+}
 
-// memberAt lists an endpoint of destination 7 at an address.
+// memberAt returns the list entry of an endpoint of destination 7 at an address.
 func memberAt(addr string) Member {
 	return Member{Host: "h1", Dial: addr, Site: "a", Class: "m2", Block: 7, Health: "SERVING", Share: 100}
 }
 
-// TestCallsOnTheWire pins calls to endpoints: of one message, with a key and without one, and of several.
+// Endpoints parse the relay's requests. The test compares calls byte for byte: with several messages, and with one message with a
+// key or without.
 func TestCallsOnTheWire(t *testing.T) {
 	host := startRecorder(t, func(came recordedRequest) string {
 		if came.path != "/inbox/bulk" {
@@ -137,7 +141,7 @@
 	p.maxBatch = 3
 	p.hosts = []Member{memberAt(host.addr)}
 	j := openTestJournal(t, p.stateDir, 3)
-	for id, key := range map[string]string{"a": "key <of> a", "b": ""} { // "b" has none
+	for id, key := range map[string]string{"a": "key <of> a", "b": ""} { // "b" has no key
 		j.Accept(&journal.Entry{ID: id, Class: "status", Dest: 7, Key: key, ExpiresAt: clock.Now().Add(time.Minute),
 			Body: []byte("body of " + id)})
 	}
@@ -151,7 +155,7 @@
 	compareWire(t, "calls.txt", applyMasks(text, maskPort, maskTimeout))
 }
 
-// sortMessages puts the two messages of a call in the order of their ids: the journal does not keep any.
+// sortMessages sorts the messages in the body of a call, whose order varies because the journal keeps none.
 func sortMessages(request string) string {
 	head, body, _ := strings.Cut(request, "\r\n\r\n")
 	parcels := strings.SplitAfter(strings.Trim(body, "[]"), "}")
@@ -163,8 +167,8 @@
 	return head + "\r\n\r\n[" + strings.Join(parcels, ",") + "]"
 }
 
-// clientRequest is a request of a client, head and body; fields are further fields of its head, or others in place of
-// those that it has.
+// clientRequest returns a client's request with a valid header and a body. Each of fields replaces the header field of the same
+// name, adds a new one, or removes the field if it has no value.
 func clientRequest(line string, body string, fields ...string) string {
 	head := []string{"Host: relay", "Tenant: acme", "Request-Id: m", "Idempotency-Key: k", "Request-Timeout: 25",
 		"X-Envelope: dest=7", fmt.Sprint("Content-Length: ", len(body))}
@@ -178,7 +182,7 @@
 	return line + " HTTP/1.1\r\n" + strings.Join(head, "\r\n") + "\r\n\r\n" + body
 }
 
-// exchangeRaw sends a request on a connection of its own and gives the whole answer, byte for byte.
+// exchangeRaw sends a request on a new connection and returns all bytes of the response.
 func (p *platform) exchangeRaw(request string) string {
 	p.t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(p.t.Context(), "tcp", p.addr)
@@ -193,7 +197,7 @@
 	return readRawResponse(p.t, conn)
 }
 
-// readRawResponse reads one answer, byte for byte.
+// readRawResponse reads one response and returns all its bytes.
 func readRawResponse(tb testing.TB, conn net.Conn) string {
 	tb.Helper()
 	var raw bytes.Buffer
@@ -208,8 +212,9 @@
 	return raw.String()
 }
 
-// TestAnswersOnTheWire pins the answers to clients that one request alone decides, head and body.
-func TestAnswersOnTheWire(t *testing.T) {
+// The test compares responses to clients byte for byte, for each kind of request whose response does not depend on earlier
+// requests.
+func TestResponsesOnTheWire(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.start()
@@ -238,9 +243,9 @@
 	compareWire(t, "answers.txt", applyMasks(text, maskDate))
 }
 
-// TestAnswersToRepeatsOnTheWire pins the answers to a message that is handed in once more, while the platform has not
-// yet taken the notice of its end: 502 where it may have run, else 503.
-func TestAnswersToRepeatsOnTheWire(t *testing.T) {
+// The test compares the responses to a message that a client submits again before the notification of its end is delivered: 502
+// if an endpoint may have executed it, else 503.
+func TestResponsesToRepeatsOnTheWire(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.failingPosts = 1 << 30
@@ -249,31 +254,37 @@
 	p.start()
 	text := section("taken on", p.exchangeRaw(clientRequest("POST /order", "hi", "Request-Id: fragile")))
 	p.nextCall()
-	p.waitUntil("it has failed", func() bool { return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), "relay_pending 0\n") })
+	p.waitUntil("the message has failed", func() bool {
+		return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), "relay_pending 0\n")
+	})
 	text += section("failed", p.exchangeRaw(clientRequest("POST /order", "hi", "Request-Id: fragile")))
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusTooManyRequests } })
 	p.exchangeRaw(clientRequest("POST /order", "hi", "Request-Id: refused", "Request-Timeout: 0.3"))
 	p.nextCall()
-	p.waitUntil("its time is up", func() bool { return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), "relay_pending 0\n") })
+	p.waitUntil("the message has expired", func() bool {
+		return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), "relay_pending 0\n")
+	})
 	text += section("refused", p.exchangeRaw(clientRequest("POST /order", "hi", "Request-Id: refused")))
 	compareWire(t, "repeats.txt", applyMasks(text, maskDate))
 }
 
-// TestRefusalOnTheWire pins the answer to a message for a destination that is out: 429 with the time to stay away.
-func TestRefusalOnTheWire(t *testing.T) {
+// The test compares the response to a message for a destination without a usable endpoint: 429 with the time after which to
+// retry.
+func TestRejectionOnTheWire(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.hosts[0].Share = 0.05 // a budget of one knock in many seconds
+	p.hosts[0].Share = 0.05 // allows one probe in many seconds
 	p.hosts[0].Dial = closedAddress(t)
 	p.start()
 	p.submitAccepted("status", "first", "25")
-	p.waitUntil("the outage is noted", func() bool { return readHealth(t, p.stateDir)["h1"].Ejected })
+	p.waitUntil("the ejection of the endpoint is in the journal", func() bool { return readHealth(t, p.stateDir)["h1"].Ejected })
 	text := section("refused", p.exchangeRaw(clientRequest("POST /status", "hi", "Request-Id: second")))
 	compareWire(t, "refusal.txt", applyMasks(text, maskDate, maskRetryAfter))
 }
 
-// TestAnswersAtTheEndOnTheWire pins that the answers of a relay that ends close their connections.
-func TestAnswersAtTheEndOnTheWire(t *testing.T) {
+// A client that keeps its connection to a relay that shuts down would lose its next request. The test compares the responses of
+// such a relay, which close their connections.
+func TestResponsesAtShutdownOnTheWire(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	p.admin = closedAddress(t)
@@ -283,7 +294,7 @@
 	}
 	health := "GET /_health HTTP/1.1\r\nHost: relay\r\n\r\n"
 	answer := ""
-	p.waitUntil("the relay ends", func() bool {
+	p.waitUntil("the relay closes connections", func() bool {
 		answer = p.exchangeRaw(health)
 		return strings.Contains(answer, "Connection: close")
 	})
@@ -292,8 +303,8 @@
 	compareWire(t, "end.txt", applyMasks(text, maskDate))
 }
 
-// TestNoticesOnTheWire pins the post of a notice, for both ends that a message may have.
-func TestNoticesOnTheWire(t *testing.T) {
+// The test compares the posts of notifications byte for byte, for an undeliverable and for a deferred message.
+func TestNotificationsOnTheWire(t *testing.T) {
 	discovery := startRecorder(t, func(came recordedRequest) string {
 		if came.path == outcomesPath {
 			return emptyResponse("204 No Content")
@@ -313,8 +324,9 @@
 	compareWire(t, "notices.txt", applyMasks(text, maskPort, maskAgain))
 }
 
-// TestWatchesOnTheWire pins what is asked of discovery: from the version of the configuration on, again after refusals
-// and a list that was cut short, from a new list's version on, and from none where what came made no sense.
+// The test compares the requests of watches byte for byte. They begin from the version of the configuration's list, also after
+// errors and after a list that breaks off, then from the version of a new list, and from no version after a response that can't
+// be parsed.
 func TestWatchesOnTheWire(t *testing.T) {
 	answers := make(chan string, 10)
 	list := func(body string) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body }
