--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -11,12 +11,12 @@
 	"milletsail/internal/relay/retry"
 )
 
-// A configuration that is being written when its signal comes is read once it is whole, and further signals meanwhile lose
-// nothing.
-func TestReloadOfAFileThatIsBeingWritten(t *testing.T) {
+// Guards against a reload that is lost because the configuration file is only partly written when the signal arrives: the file
+// has to be read again once it is complete.
+func TestReloadOfPartlyWrittenFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	p := newPlatform(t)
-	whole, err := os.ReadFile(p.config())
+	complete, err := os.ReadFile(p.writeConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,17 +26,17 @@
 			t.Fatal(err)
 		}
 	}
-	write(whole[:len(whole)/2])
+	write(complete[:len(complete)/2])
 	signals := make(chan os.Signal, 1)
 	addresses := config.Reloads(t.Context(), path, signals)
 	signals <- syscall.SIGHUP
 	select {
 	case address := <-addresses:
-		t.Fatalf("half a file gives %q", address)
+		t.Fatalf("a partly written file resulted in address %q, want none", address)
 	case <-time.After(2 * retry.StorageInterval):
 	}
-	write(whole)
+	write(complete)
 	if address := <-addresses; address == "" {
-		t.Error("no address")
+		t.Error("the complete file resulted in an empty address")
 	}
 }
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -12,236 +12,240 @@
 	"milletsail/internal/relay/notifier"
 )
 
-// A process is killed with a call out. The next one may make it again only as its class allows, and ends
-// each message exactly once.
-func TestKilledWithCallsOut(t *testing.T) {
+// Guards against calls that a restart repeats wrongly: after a kill with a call in flight, the next process may repeat the call
+// only if the message's class and its idempotency window allow that, and otherwise notifies the platform once.
+func TestKilledWithCallsInFlight(t *testing.T) {
 	tests := []struct {
 		name, class string
 		memory      float64
-		again       bool
+		repeated    bool
 	}{
-		{"safe", "status", 15, true},
-		{"keyed, remembered", "payment", 15, true},
-		{"keyed, forgotten", "payment", 0.05, false},
-		{"unsafe", "order", 15, false},
+		{"idempotent", "status", 15, true},
+		{"idempotency key, window open", "payment", 15, true},
+		{"idempotency key, window closed", "payment", 0.05, false},
+		{"not idempotent", "order", 15, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			p := newPlatform(t)
-			p.memory = tt.memory
+			p.idempotencyWindow = tt.memory
 			p.addHost("h1", 7)
-			p.answer = func(*http.Request) int { return 0 }
+			p.respond = func(*http.Request) int { return 0 }
 			c := p.start()
-			p.take(tt.class, "m", "25")
-			p.called()
+			p.submitAccepted(tt.class, "m", "25")
+			p.nextCall()
 			p.kill(c)
-			time.Sleep(100 * time.Millisecond) // past the short memory
+			time.Sleep(100 * time.Millisecond) // longer than the short idempotency window
 			var key string
-			p.set(func() {
-				p.answer = func(r *http.Request) int {
+			p.update(func() {
+				p.respond = func(r *http.Request) int {
 					key = r.Header.Get("Idempotency-Key")
 					return http.StatusOK
 				}
 			})
 			p.start()
-			if tt.again {
-				p.called()
+			if tt.repeated {
+				p.nextCall()
 				if key != "key-m" {
-					t.Errorf("key %q", key)
+					t.Errorf("repeated call has idempotency key %q, want key-m", key)
 				}
 			}
-			p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			want := map[bool]int{true: 2, false: 1}[tt.again]
-			if got := p.sent(); len(got) != want {
-				t.Errorf("calls %v, want %d", got, want)
+			p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			want := map[bool]int{true: 2, false: 1}[tt.repeated]
+			if got := p.calls(); len(got) != want {
+				t.Errorf("calls %v, want %d of them", got, want)
 			}
-			if n := p.told(); len(n) != map[bool]int{true: 0, false: 1}[tt.again] {
-				t.Errorf("notices %v", n)
+			if n := p.notifications(); len(n) != map[bool]int{true: 0, false: 1}[tt.repeated] {
+				t.Errorf("unexpected notifications %v", n)
 			} else if tt.class == "order" && n[0].Status != notifier.StatusUndeliverable {
-				t.Errorf("an unsafe message that may have run was handed back: %v", n)
+				t.Errorf("a message that may have been executed was not reported as undeliverable: %v", n)
 			}
 		})
 	}
 }
 
-// A window for repeats of 1 s counts from the first sending, whatever ends the process: killed and back at once, the message
-// goes out again within it; after a planned end, which takes longer while the call hangs, it ends as its class says.
-func TestWindowOfASecond(t *testing.T) {
+// Guards against a restart that extends the idempotency window (1 s here), which counts from the first attempt. A message is sent
+// again if the process is killed and restarted within it, but not after a later restart, nor after a graceful shutdown, which
+// waits longer than that for the call in flight.
+func TestIdempotencyWindowAcrossRestart(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		signal syscall.Signal
-		wait   time.Duration
-		again  bool
-	}{{"killed", syscall.SIGKILL, 0, true}, {"killed, back late", syscall.SIGKILL, time.Second, false}, {"told to end",
-		syscall.SIGTERM, 0, false}} {
+		name     string
+		signal   syscall.Signal
+		wait     time.Duration
+		repeated bool
+	}{{"killed, restarted at once", syscall.SIGKILL, 0, true}, {"killed, restarted late", syscall.SIGKILL, time.Second, false},
+		{"graceful shutdown", syscall.SIGTERM, 0, false}} {
 		t.Run(tt.name, func(t *testing.T) {
 			p := newPlatform(t)
-			p.memory = 1
+			p.idempotencyWindow = 1
 			p.addHost("h1", 7)
-			p.answer = func(*http.Request) int { return 0 }
+			p.respond = func(*http.Request) int { return 0 }
 			c := p.start()
-			p.take("payment", "m", "25")
-			p.called()
+			p.submitAccepted("payment", "m", "25")
+			p.nextCall()
 			sent := time.Now()
 			if err := c.Process.Signal(tt.signal); err != nil {
 				t.Fatal(err)
 			}
 			_ = receive(t, c.exited)
 			time.Sleep(tt.wait)
-			var again time.Duration
-			p.set(func() {
-				p.answer = func(*http.Request) int {
-					again = time.Since(sent)
+			var repeatedAfter time.Duration
+			p.update(func() {
+				p.respond = func(*http.Request) int {
+					repeatedAfter = time.Since(sent)
 					return http.StatusOK
 				}
 			})
 			p.start()
-			p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			calls, told := p.sent(), p.told()
-			if again > time.Second {
-				t.Errorf("sent again after %v", again)
+			p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			calls, notifications := p.calls(), p.notifications()
+			if repeatedAfter > time.Second {
+				t.Errorf("sent again after %v", repeatedAfter)
 			}
-			if !tt.again && (len(calls) != 1 || len(told) != 1 || told[0].Status != notifier.StatusDeferred) {
-				t.Errorf("calls %v, notices %v", calls, told)
+			if !tt.repeated && (len(calls) != 1 || len(notifications) != 1 || notifications[0].Status != notifier.StatusDeferred) {
+				t.Errorf("calls %v and notifications %v, want one call and one notification of a deferred message", calls,
+					notifications)
 			}
-			if tt.again && len(calls)+len(told) != 2 { // once more, or, on a machine too slow for that, its end
-				t.Errorf("calls %v, notices %v", calls, told)
+			if tt.repeated && len(calls)+len(notifications) != 2 { // on a slow machine a notification
+				t.Errorf("calls %v and notifications %v, want a second call or one notification", calls, notifications)
 			}
 		})
 	}
 }
 
-// Attempts that never ran do not bind the next process, and a message keeps its time: one whose time ran
-// out between two processes still gets its end.
-func TestKilledWhileHolding(t *testing.T) {
+// Guards against messages that a kill with pending attempts loses or delays: attempts that were not executed must not keep the
+// next process from sending, and a message that expires while no process runs must still end by a notification.
+func TestKilledWithPendingMessages(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addHost("h1", 7)
 	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1 // tried rarely, so that attempts remain
 	c := p.start()
-	p.take("order", "late", "0.6")
-	p.take("order", "kept", "25")
-	p.until("an attempt is noted", func() bool {
-		e := readEntries(t, p.dir)
+	p.submitAccepted("order", "late", "0.6")
+	p.submitAccepted("order", "kept", "25")
+	p.waitUntil("the journal has an attempt that was not executed", func() bool {
+		e := readEntries(t, p.stateDir)
 		return len(e) > 0 && len(e[0].Attempts) > 0 && e[0].Attempts[0].NotExecuted
 	})
 	p.kill(c)
 	time.Sleep(600 * time.Millisecond)
-	p.set(func() { p.hosts[0] = h })
+	p.update(func() { p.hosts[0] = h })
 	p.start()
-	if id := p.called(); id != "kept" {
-		t.Errorf("call for %s", id)
+	if id := p.nextCall(); id != "kept" {
+		t.Errorf("got a call for message %s, want kept", id)
 	}
-	p.until("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.told(); len(n) != 1 || n[0].ID != "late" {
-		t.Errorf("notices %v", n)
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if n := p.notifications(); len(n) != 1 || n[0].ID != "late" {
+		t.Errorf("notifications %v, want a single one for message late", n)
 	}
 }
 
-// A planned end: answers close their connections, nothing that was read goes unanswered, calls out come to
-// their end, and the rest is for the next process.
-func TestPlannedRestart(t *testing.T) {
+// Guards against messages that a graceful restart loses: requests during the shutdown must be accepted and delivered, responses
+// must close their connections, and the next process must deliver what remains.
+func TestGracefulRestart(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addHost("h1", 7)
 	p.addHost("h8", 8)
 	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1 // tried rarely, so that attempts remain
 	c := p.start()
-	p.take("order", "before", "25")
+	p.submitAccepted("order", "before", "25")
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
-	p.until("answers close connections", func() bool {
+	p.waitUntil("responses close their connections", func() bool {
 		n++
-		resp := p.handIn("status", "after"+string(rune('a'+n%26))+string(rune('a'+n/26%26)), "25",
+		resp := p.submit("status", "after"+string(rune('a'+n%26))+string(rune('a'+n/26%26)), "25",
 			func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 		if resp.StatusCode != http.StatusAccepted {
-			t.Fatalf("while it ends: %s", resp.Status)
+			t.Fatalf("message during the shutdown was answered %s, want 202", resp.Status)
 		}
 		return resp.Close
 	})
 	select {
 	case err := <-c.exited:
 		if err != nil {
-			t.Errorf("exit: %v", err)
+			t.Errorf("relay exited with an error: %v", err)
 		}
-	case <-time.After(long):
-		t.Fatal("no exit after SIGTERM")
+	case <-time.After(testTimeout):
+		t.Fatal("relay did not exit after SIGTERM")
 	}
-	if got := len(p.sent()); got != n {
-		t.Errorf("%d of %d delivered before the end", got, n)
+	if got := len(p.calls()); got != n {
+		t.Errorf("%d of %d messages delivered before the exit, want all", got, n)
 	}
-	if e := readEntries(t, p.dir); len(e) != 1 || e[0].ID != "before" {
-		t.Fatalf("left for the next process: %v", e)
+	if e := readEntries(t, p.stateDir); len(e) != 1 || e[0].ID != "before" {
+		t.Fatalf("journal entries %v, want only message before", e)
 	}
-	p.set(func() { p.hosts[0] = h })
+	p.update(func() { p.hosts[0] = h })
 	p.start()
-	p.until("the rest is delivered", func() bool { return slices.Contains(p.sent(), "before") })
+	p.waitUntil("the remaining message is delivered", func() bool { return slices.Contains(p.calls(), "before") })
 }
 
-// A notice that the platform has not received is owed by the next process too.
-func TestNoticeOwedThroughRestart(t *testing.T) {
+// Guards against a notification that is lost or a message that is sent again when the process is killed before the platform has
+// received the notification.
+func TestPendingNotificationSurvivesRestart(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
-	p.deaf = 1 << 30
+	p.respond = func(*http.Request) int { return 0 }
+	p.failingPosts = 1 << 30
 	c := p.start()
-	p.take("order", "m", "0.3")
-	p.until("the notice is owed", func() bool {
-		e := readEntries(t, p.dir)
+	p.submitAccepted("order", "m", "0.3")
+	p.waitUntil("the journal has a pending notification", func() bool {
+		e := readEntries(t, p.stateDir)
 		return len(e) == 1 && e[0].PendingNotification != nil
 	})
 	p.kill(c)
-	p.set(func() { p.deaf = 0 })
+	p.update(func() { p.failingPosts = 0 })
 	p.start()
-	p.until("the notice is received", func() bool { return len(p.told()) == 1 })
-	p.until("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.sent(); len(n) != 1 {
-		t.Errorf("calls: %v", n)
+	p.waitUntil("the notification is received", func() bool { return len(p.notifications()) == 1 })
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if n := p.calls(); len(n) != 1 {
+		t.Errorf("calls %v, want one", n)
 	}
 }
 
-// An outage that was seen outlasts the process, for a host that the configuration's list lacks as well.
+// Guards against a restart that forgets an ejected endpoint and sends to it at once, also if the list in the configuration lacks
+// the endpoint.
 func TestEjectionSurvivesRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		p := newPlatform(t)
 		p.addHost("h1", 7)
-		p.hosts[0].Share = 0.05 // a budget of one knock in many seconds
+		p.hosts[0].Share = 0.05 // allows one probe in many seconds
 		up := p.hosts[0]
 		p.hosts[0].Dial = closedAddress(t)
 		c := p.start()
-		p.take("status", "a", "25")
-		p.until("the outage is noted", func() bool { return readHealth(t, p.dir)["h1"].Ejected })
+		p.submitAccepted("status", "a", "25")
+		p.waitUntil("the ejection is recorded", func() bool { return readHealth(t, p.stateDir)["h1"].Ejected })
 		p.kill(c)
-		p.set(func() { p.hosts[0] = up })
+		p.update(func() { p.hosts[0] = up })
 		if !known {
-			p.set(func() { p.unknown = true })
+			p.update(func() { p.omitEndpoints = true })
 		}
 		p.start()
-		resp := p.handIn("status", "b", "25")
-		for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.handIn("status", "b", "25") {
-			time.Sleep(10 * time.Millisecond) // not listed yet
+		resp := p.submit("status", "b", "25")
+		for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.submit("status", "b", "25") {
+			time.Sleep(10 * time.Millisecond) // the endpoint is not listed yet
 		}
-		// A fresh relay would take it on and send at once; in an outage the next knock is too far off.
+		// A relay without the record would accept the message and send it at once. After an ejection the next probe is too late.
 		if resp.StatusCode != http.StatusTooManyRequests {
-			t.Errorf("known %v: %s", known, resp.Status)
+			t.Errorf("endpoint in the configuration: %v: message was answered %s, want 429", known, resp.Status)
 		}
-		if got := p.sent(); len(got) > 1 {
-			t.Errorf("known %v: %v sent at once to a destination that was out", known, got)
+		if got := p.calls(); len(got) > 1 {
+			t.Errorf("endpoint in the configuration: %v: calls %v, want at most one to an ejected endpoint", known, got)
 		}
 	}
 }
 
-// A message whose class the settings no longer have is ended all the same.
+// Guards against a message that never ends because the settings no longer have its class.
 func TestClassRemovedFromSettings(t *testing.T) {
 	dir := t.TempDir()
 	j := openTestJournal(t, dir, 3)
 	j.Accept(&journal.Entry{ID: "m", Class: "parcel", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 	commit(t, j)
 	p := newPlatform(t)
-	p.dir = dir
+	p.stateDir = dir
 	p.start()
-	p.until("its notice is received", func() bool { return len(p.told()) == 1 })
-	if n := p.told()[0]; n != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
-		t.Errorf("notice %v", n)
+	p.waitUntil("the notification is received", func() bool { return len(p.notifications()) == 1 })
+	if n := p.notifications()[0]; n != (journal.Notification{ID: "m", Status: notifier.StatusUndeliverable}) {
+		t.Errorf("got notification %v, want one that message m is undeliverable", n)
 	}
 }
