--- a/internal/relay/admin/server.go
+++ b/internal/relay/admin/server.go
@@ -92,8 +92,8 @@
 		if err != nil { // the listener is closed
 			return
 		}
-		if session := s.enter(conn); session != nil {
-			go s.answer(session)
+		if session := s.openSession(conn); session != nil {
+			go s.serveSession(session)
 		}
 	}
 }
@@ -106,9 +106,9 @@
 	return s.listener.Close()
 }
 
-// enter opens a session for a connection. At maxConnections it evicts the oldest session that has sent no command; if all
+// openSession opens a session for a connection. At maxConnections it evicts the oldest session that has sent no command; if all
 // sessions have sent theirs, it closes the connection and returns nil.
-func (s *Server) enter(conn net.Conn) *session {
+func (s *Server) openSession(conn net.Conn) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.open) >= maxConnections {
@@ -133,39 +133,39 @@
 	return slices.Contains(s.open, c)
 }
 
-// leave closes a session's connection and removes the session from the open ones.
-func (s *Server) leave(c *session) {
+// closeSession closes a session's connection and removes the session from the open ones.
+func (s *Server) closeSession(c *session) {
 	_ = c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open = slices.DeleteFunc(s.open, func(o *session) bool { return o == c })
 }
 
-// answer reads a session's command, writes the reply and ends the session.
-func (s *Server) answer(caller *session) {
-	defer s.leave(caller)
-	_ = caller.SetDeadline(time.Now().Add(ioTimeout))
-	line, err := bufio.NewReader(io.LimitReader(caller, maxCommandSize)).ReadString('\n')
-	if !s.markReceived(caller) {
+// serveSession reads a session's command, writes the reply and ends the session.
+func (s *Server) serveSession(session *session) {
+	defer s.closeSession(session)
+	_ = session.SetDeadline(time.Now().Add(ioTimeout))
+	line, err := bufio.NewReader(io.LimitReader(session, maxCommandSize)).ReadString('\n')
+	if !s.markReceived(session) {
 		return
 	}
-	_ = caller.SetDeadline(time.Now().Add(ioTimeout))
+	_ = session.SetDeadline(time.Now().Add(ioTimeout))
 	// A caller may close its sending side instead of sending the newline.
 	complete := err == nil || errors.Is(err, io.EOF) && len(line) < maxCommandSize
 	reply := []byte(malformedCommand)
 	if complete {
 		reply = s.reply(strings.TrimSpace(line))
 	}
-	if _, err := caller.Write(reply); err != nil {
+	if _, err := session.Write(reply); err != nil {
 		slog.Debug("admin reply not written", "error", err)
 	}
 	// Closing a connection with unread data would reset it, and the caller could lose the reply. So only the sending side is
 	// closed first, and data that the caller sent after its command is discarded.
-	if half, ok := caller.Conn.(*net.TCPConn); ok {
-		_ = half.CloseWrite()
+	if tcp, ok := session.Conn.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite()
 	}
-	_ = caller.SetDeadline(time.Now().Add(drainTimeout))
-	_, _ = io.CopyN(io.Discard, caller, protocol.MaxBodySize)
+	_ = session.SetDeadline(time.Now().Add(drainTimeout))
+	_, _ = io.CopyN(io.Discard, session, protocol.MaxBodySize)
 }
 
 // reply returns the reply to one command, with its final newline.
--- a/internal/relay/config/config_test.go
+++ b/internal/relay/config/config_test.go
@@ -10,7 +10,7 @@
 // The test guards against a relay that starts with a configuration it can't work with: Read has to reject each invalid value with
 // a one-line error that names the key.
 func TestReadRejectsInvalidConfiguration(t *testing.T) {
-	good := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","limits":
+	valid := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","limits":
 	 {"cores":1,"memory_mb":192,"sockets":1024,"disk_mb":3},"settings":` + testSettings + `}`
 	tests := []struct{ name, old, new, want string }{
 		{"valid file", "", "", ""},
@@ -27,7 +27,7 @@
 	}
 	for _, tt := range tests {
 		path := filepath.Join(t.TempDir(), "c.json")
-		if err := os.WriteFile(path, []byte(strings.Replace(good, tt.old, tt.new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(valid, tt.old, tt.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Read(path)
--- a/internal/relay/config/endpoints.go
+++ b/internal/relay/config/endpoints.go
@@ -37,8 +37,8 @@
 }
 
 // decode decodes a configuration. The endpoint list is passed to deliver in batches; all other fields are stored in c.
-func decode(from io.Reader, c *Config, deliver func(endpoints.Batch) error) error {
-	decoder := json.NewDecoder(from)
+func decode(input io.Reader, c *Config, deliver func(endpoints.Batch) error) error {
+	decoder := json.NewDecoder(input)
 	token, err := decoder.Token()
 	if err != nil {
 		return err
--- a/internal/relay/handover/link.go
+++ b/internal/relay/handover/link.go
@@ -23,13 +23,13 @@
 // the steps of the protocol. After the transfer, any goroutine may call Send; one goroutine runs Write and another one calls
 // Receive, and both end when the link is closed.
 type Link struct {
-	conn     net.Conn
-	incoming *json.Decoder
-	outgoing chan Message
-	closed   chan struct{} // closed by Close
-	close    sync.Once
-	state    State
-	clocks   clock.Pair // the clock readings in the offer, with which both processes convert times
+	conn      net.Conn
+	incoming  *json.Decoder
+	outgoing  chan Message
+	closed    chan struct{} // closed by Close
+	closeOnce sync.Once
+	state     State
+	clocks    clock.Pair // the clock readings in the offer, with which both processes convert times
 }
 
 // newLink returns a link over a connection, in the state StateConnected.
@@ -75,7 +75,7 @@
 
 // Close closes the connection and ends Write and Receive. It may be called more than once.
 func (l *Link) Close() {
-	l.close.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.closed)
 		_ = l.conn.Close()
 	})
--- a/internal/relay/handover/predecessor.go
+++ b/internal/relay/handover/predecessor.go
@@ -35,16 +35,16 @@
 			}
 			socket, err = listenInDirectory(dir)
 		}
-		accepting := listener.New(socket, "handover", reasons)
-		defer context.AfterFunc(ctx, func() { _ = accepting.Close() })()
-		acceptSuccessors(accepting, onRequest)
+		socketListener := listener.New(socket, "handover", reasons)
+		defer context.AfterFunc(ctx, func() { _ = socketListener.Close() })()
+		acceptSuccessors(socketListener, onRequest)
 	}()
 }
 
 // acceptSuccessors passes links of successors to onRequest until the listener is closed.
-func acceptSuccessors(accepting net.Listener, onRequest func(*Link)) {
+func acceptSuccessors(socketListener net.Listener, onRequest func(*Link)) {
 	for {
-		conn, err := accepting.Accept()
+		conn, err := socketListener.Accept()
 		if err != nil { // the listener is closed
 			return
 		}
--- a/internal/relay/handover/successor.go
+++ b/internal/relay/handover/successor.go
@@ -51,21 +51,21 @@
 // handover from the owner and, if that does not succeed within requestTimeout, kills the owner. It returns an error if the
 // directory can't be used, and the error of ctx if that ends first.
 func Acquire(ctx context.Context, dir string) (*Acquired, error) {
-	last := clock.Now().Add(retry.StorageTimeout)
+	storageDeadline := clock.Now().Add(retry.StorageTimeout)
 	for deadline := clock.Now().Add(requestTimeout); ; {
 		ownership, err := journal.AcquireOwnership(dir)
 		owned := errors.As(err, new(*journal.OwnedError))
 		if err == nil {
 			return &Acquired{Ownership: ownership}, nil
 		}
-		if !owned && (!journal.IsTransient(err) || clock.Now() > last) {
+		if !owned && (!journal.IsTransient(err) || clock.Now() > storageDeadline) {
 			return nil, err
 		}
 		var acquired *Acquired
 		if owned {
 			acquired, err = Request(ctx, dir, deadline)
 		}
-		if resource.IsExhausted(err) && clock.Now() < last {
+		if resource.IsExhausted(err) && clock.Now() < storageDeadline {
 			deadline = clock.Now().Add(requestTimeout) // a shortage of resources here is no reason to kill the predecessor
 		}
 		if err == nil {
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -123,8 +123,8 @@
 		t.Errorf("predecessor exited with an error: %v", err)
 	}
 	p.waitUntil("all messages have ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
-	if sent, told := p.calls(), p.notifications(); len(sent) != 3 || len(told) != 0 {
-		t.Errorf("calls %v, notifications %v; want 3 calls and no notification", sent, told)
+	if sent, notifications := p.calls(), p.notifications(); len(sent) != 3 || len(notifications) != 0 {
+		t.Errorf("calls %v, notifications %v; want 3 calls and no notification", sent, notifications)
 	}
 	// The successor of the first upgrade is the predecessor of a second one.
 	p.startSuccessor()
@@ -173,10 +173,10 @@
 	p.startSuccessor()
 	p.submitAccepted("status", "new", "25")
 	p.waitUntil("the successor sends a message", func() bool { return slices.Contains(p.calls(), "new") })
-	once := func() bool {
+	sentOnce := func() bool {
 		return len(slices.DeleteFunc(p.calls(), func(id string) bool { return id != "out" })) == 1
 	}
-	if !once() {
+	if !sentOnce() {
 		t.Errorf("the message with a call in flight was sent again: calls %v", p.calls())
 	}
 	close(hold)
@@ -184,7 +184,7 @@
 		t.Errorf("predecessor exited with an error: %v", err)
 	}
 	p.waitUntil("all messages have ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
-	if !once() || len(p.notifications()) != 0 {
+	if !sentOnce() || len(p.notifications()) != 0 {
 		t.Errorf("calls %v, notifications %v; want one call for the message in flight and no notification",
 			p.calls(), p.notifications())
 	}
@@ -193,7 +193,7 @@
 // An endpoint's request to wait, received by the predecessor, has to bind the successor too; it is transferred in the offer.
 func TestRetryAfterSurvivesUpgrade(t *testing.T) {
 	p := newPlatform(t)
-	var told time.Time
+	var refusedAt time.Time
 	addr := serveRaw(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		for {
@@ -203,9 +203,9 @@
 			}
 			text := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 			p.update(func() {
-				if told.IsZero() {
-					told, text = time.Now(), "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n"
-				} else if wait := time.Since(told); wait < 1500*time.Millisecond {
+				if refusedAt.IsZero() {
+					refusedAt, text = time.Now(), "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n"
+				} else if wait := time.Since(refusedAt); wait < 1500*time.Millisecond {
 					t.Errorf("sent again after %v, want at least 1.5 s", wait)
 				}
 			})
@@ -262,7 +262,7 @@
 	}
 	steps := []struct {
 		name string
-		take func(net.Conn) error
+		act  func(net.Conn) error
 	}{
 		{"before the request", func(net.Conn) error { return nil }},
 		{"after the request", request},
@@ -283,7 +283,7 @@
 			t.Fatal(err)
 		}
 		_ = c.SetDeadline(time.Now().Add(long))
-		if err := s.take(c); err != nil {
+		if err := s.act(c); err != nil {
 			t.Errorf("successor that dies %s: %v", s.name, err)
 		}
 		_ = c.Close()
--- a/internal/relay/list_bench_test.go
+++ b/internal/relay/list_bench_test.go
@@ -38,9 +38,9 @@
 		p.diskMB, p.admin, p.hosts = 1000, closedAddress(b), fillerHosts(maxPlannedHosts)
 		p.serveWatch = func(a *watchResponse) { a.keepAlive() }
 		for _, from := range []string{"configuration", "disk"} {
-			begun := time.Now()
+			start := time.Now()
 			c := p.start()
-			b.ReportMetric(time.Since(begun).Seconds(), from+"-s")
+			b.ReportMetric(time.Since(start).Seconds(), from+"-s")
 			if n := p.memberCount(); n != maxPlannedHosts {
 				b.Fatalf("relay has %d endpoints on its list, want all", n)
 			}
@@ -71,13 +71,13 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			var longest, all time.Duration
+			var longest, total time.Duration
 			timed := func(work func()) {
-				begun := time.Now()
+				start := time.Now()
 				work()
-				took := time.Since(begun)
-				all += took
-				longest = max(longest, took)
+				elapsed := time.Since(start)
+				total += elapsed
+				longest = max(longest, elapsed)
 			}
 			version := deliverObjects(b, text, func(batch discovery.Batch) {
 				timed(func() {
@@ -95,7 +95,7 @@
 				timed(func() { l.step(b.Context()) })
 			}
 			b.ReportMetric(longest.Seconds()*1e3, step.name+"-longest-ms")
-			b.ReportMetric(all.Seconds()*1e3, step.name+"-all-ms")
+			b.ReportMetric(total.Seconds()*1e3, step.name+"-all-ms")
 		}
 	}
 }
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -36,17 +36,17 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	kept, _, err := journal.Open(dir, journal.Options{DiskMB: (1 - listShare) * diskMB})
+	store, _, err := journal.Open(dir, journal.Options{DiskMB: (1 - listShare) * diskMB})
 	if err != nil {
 		tb.Fatal(err)
 	}
-	l := &loop{cfg: cfg, dispatcher: d, endpoints: list, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: kept,
+	l := &loop{cfg: cfg, dispatcher: d, endpoints: list, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: store,
 		messages: map[string]*message{},
 		pool:     upstream.NewPool(time.Second, time.Second, 10, nil)}
 	l.openEndpoints(tb.Context(), dir)
 	tb.Cleanup(func() {
 		l.endpoints.close()
-		_ = kept.Close()
+		_ = store.Close()
 	})
 	return l
 }
@@ -125,13 +125,13 @@
 			l.endpoints.maintainStore()
 		}
 		before := directorySize(t, dir)
-		drains := hosts[0]
-		drains.Health = draining
-		l.applyObject(t, Members{Seq: 51, Hosts: []Member{drains}})
+		changed := hosts[0]
+		changed.Health = draining
+		l.applyObject(t, Members{Seq: 51, Hosts: []Member{changed}})
 		written[n] = directorySize(t, dir) - before
 	}
 	t.Logf("bytes written for a change, by the number of endpoints on the list: %v", written)
-	if few, many := written[300], written[30_000]; few != many || few == 0 {
+	if short, long := written[300], written[30_000]; short != long || short == 0 {
 		t.Errorf("bytes written for a change, by the number of endpoints on the list: %v; want equal numbers above 0", written)
 	}
 }
@@ -182,15 +182,15 @@
 	l := newListLoop(t, t.TempDir(), 100)
 	hosts := fillerHosts(manyHosts)
 	l.applyObject(t, Members{Seq: 50, Whole: true, Hosts: hosts})
-	stays, goes := hosts[17].Host, hosts[manyHosts-1].Host
-	for _, host := range []string{stays, goes, "never listed"} {
+	listed, unlisted := hosts[17].Host, hosts[manyHosts-1].Host
+	for _, host := range []string{listed, unlisted, "never listed"} {
 		l.journal.RecordHealth(host, journal.HealthRecord{Ejected: true, ChangedAt: clock.Now()})
 	}
 	l.applyObject(t, Members{Seq: 51, Whole: true, Hosts: hosts[:manyHosts-1]})
 	if l.endpoints.table.Len() != manyHosts-1 {
 		t.Errorf("%d endpoints are on the list, want one fewer than before", l.endpoints.table.Len())
 	}
-	if health := l.journal.Health(); len(health) != 1 || !health[stays].Ejected {
+	if health := l.journal.Health(); len(health) != 1 || !health[listed].Ejected {
 		t.Errorf("health records in the journal: %v, want only the ejected endpoint that is still listed", health)
 	}
 }
@@ -229,19 +229,19 @@
 // store it together with later changes, and to remove it from the journal, so that it does not replace a newer list later.
 func TestListInJournalOfEarlierVersion(t *testing.T) {
 	p, known := newListPlatform(t)
-	drains := known
-	drains.Health = draining
-	fresh := p.addHost("h2", 7)
+	changed := known
+	changed.Health = draining
+	added := p.addHost("h2", 7)
 	p.update(func() { p.hosts = []Member{known} }) // the list in the configuration
-	before, _, err := journal.Open(p.stateDir, journal.Options{DiskMB: 100})
+	earlier, _, err := journal.Open(p.stateDir, journal.Options{DiskMB: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
-	before.RecordLegacyList(journal.LegacyEndpointList{Text: []byte(completeList(t, 45, []Member{drains, fresh})), Endpoints: 2})
-	if err := before.Commit(); err != nil {
+	earlier.RecordLegacyList(journal.LegacyEndpointList{Text: []byte(completeList(t, 45, []Member{changed, added})), Endpoints: 2})
+	if err := earlier.Commit(); err != nil {
 		t.Fatal(err)
 	}
-	if err := before.Close(); err != nil {
+	if err := earlier.Close(); err != nil {
 		t.Fatal(err)
 	}
 	indexes := make(chan string, 1000)
--- a/internal/relay/list_watch_test.go
+++ b/internal/relay/list_watch_test.go
@@ -97,19 +97,19 @@
 func TestLongListStalled(t *testing.T) {
 	p, known := newListPlatform(t)
 	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
-	type ask struct {
+	type request struct {
 		index string
 		at    time.Time
 	}
-	asks, silent := make(chan ask, 1000), make(chan time.Time, 1)
+	requests, stalled := make(chan request, 1000), make(chan time.Time, 1)
 	first := true
 	p.serveWatch = func(a *watchResponse) {
-		asks <- ask{a.index(), time.Now()}
+		requests <- request{a.index(), time.Now()}
 		if first {
 			first = false
 			half, _ := splitWithinEntry(list)
 			a.send(half)
-			silent <- time.Now()
+			stalled <- time.Now()
 			a.keepAlive()
 			return
 		}
@@ -117,11 +117,11 @@
 		a.keepAlive()
 	}
 	p.start()
-	one, from, two := receive(t, asks), receive(t, silent), receive(t, asks)
+	one, stalledAt, two := receive(t, requests), receive(t, stalled), receive(t, requests)
 	if one.index != "40" || two.index != "40" {
 		t.Errorf("watches began from versions %s and %s, want 40 and 40", one.index, two.index)
 	}
-	if after := two.at.Sub(from); after < discovery.SilenceTimeout || after > 6*time.Second {
+	if after := two.at.Sub(stalledAt); after < discovery.SilenceTimeout || after > 6*time.Second {
 		t.Errorf("watched again %v after the last data of the list, want after the silence timeout and within 6 s", after)
 	}
 	p.waitForMembers(manyHosts + 1)
@@ -192,12 +192,12 @@
 // An endpoint that a complete list does not contain must get no further calls, however long the list is: the relay has to remove
 // it and to tell the policy so.
 func TestCompleteListRemovesEndpoints(t *testing.T) {
-	p, gone := newListPlatform(t)
-	stays := p.addHost("h2", 7)
+	p, removed := newListPlatform(t)
+	kept := p.addHost("h2", 7)
 	served := make(chan bool)
 	p.serveWatch = func(a *watchResponse) {
 		a.waitFor(served)
-		a.send(completeList(t, 50, append(fillerHosts(manyHosts), stays)))
+		a.send(completeList(t, 50, append(fillerHosts(manyHosts), kept)))
 		a.keepAlive()
 	}
 	c := p.start()
@@ -208,10 +208,10 @@
 		hosts, seq := readStoredList(t, p.stateDir)
 		return seq == 50 && len(hosts) == manyHosts+1
 	})
-	var hit []string
+	var called []string
 	p.update(func() {
 		p.respond = func(r *http.Request) int {
-			hit = append(hit, r.Host)
+			called = append(called, r.Host)
 			return http.StatusOK
 		}
 	})
@@ -219,8 +219,8 @@
 		p.submitAccepted("status", fmt.Sprint("m", i), "20")
 		p.nextCall()
 	}
-	for _, dial := range hit {
-		if dial == gone.Dial {
+	for _, dial := range called {
+		if dial == removed.Dial {
 			t.Fatal("a removed endpoint was called")
 		}
 	}
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -309,9 +309,9 @@
 }
 
 // waitUntil waits until a condition holds, and fails the test if it does not hold in time; what describes the condition.
-func (p *platform) waitUntil(what string, true func() bool) {
+func (p *platform) waitUntil(what string, condition func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(long); !true(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(long); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatalf("timed out waiting until %s", what)
 		}
@@ -376,10 +376,10 @@
 }
 
 // respondAfter returns a respond function that answers 200 once hold is closed or receives a value.
-func (p *platform) respondAfter(hold chan bool) func(*http.Request) int {
+func (p *platform) respondAfter(release chan bool) func(*http.Request) int {
 	return func(r *http.Request) int {
 		select {
-		case <-hold:
+		case <-release:
 		case <-r.Context().Done():
 		}
 		return http.StatusOK
--- a/internal/relay/stored_test.go
+++ b/internal/relay/stored_test.go
@@ -136,7 +136,7 @@
 		left time.Duration
 	}{{"empty", 0, 0}, {"live/10000", 10_000, time.Minute}, {"expired/10000", 10_000, -time.Minute}} {
 		b.Run(c.name, func(b *testing.B) {
-			var notices time.Duration
+			var notificationTime time.Duration
 			for b.Loop() {
 				b.StopTimer()
 				p := newPlatform(b)
@@ -153,7 +153,7 @@
 				commit(b, j)
 				_ = j.Close()
 				b.StartTimer()
-				begun := time.Now()
+				start := time.Now()
 				child := p.start()
 				for id := 0; ; id++ {
 					resp := p.submit("order", fmt.Sprint("new", id), "25", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=7") })
@@ -164,13 +164,13 @@
 				b.StopTimer()
 				if c.left < 0 {
 					p.waitUntil("all notifications are received", func() bool { return len(p.notifications()) >= c.live })
-					notices += time.Since(begun)
+					notificationTime += time.Since(start)
 				}
 				p.kill(child)
 				b.StartTimer()
 			}
-			if notices > 0 {
-				b.ReportMetric(notices.Seconds()/float64(b.N), "s-to-last-notice")
+			if notificationTime > 0 {
+				b.ReportMetric(notificationTime.Seconds()/float64(b.N), "s-to-last-notice")
 			}
 		})
 	}
--- a/internal/relay/wire_admin_test.go
+++ b/internal/relay/wire_admin_test.go
@@ -174,16 +174,16 @@
 }
 
 // nextDatagram returns the next datagram that begins with the given bytes, and drops others.
-func nextDatagram(t *testing.T, conn *net.UDPConn, begins string) []byte {
+func nextDatagram(t *testing.T, conn *net.UDPConn, prefix string) []byte {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(long))
 	for {
 		buffer := make([]byte, 1<<10)
 		size, err := conn.Read(buffer)
 		if err != nil {
-			t.Fatalf("received no datagram that begins with %x: %v", begins, err)
+			t.Fatalf("received no datagram that begins with %x: %v", prefix, err)
 		}
-		if strings.HasPrefix(string(buffer[:size]), begins) {
+		if strings.HasPrefix(string(buffer[:size]), prefix) {
 			return buffer[:size]
 		}
 	}
@@ -198,15 +198,15 @@
 // with the option "fleet" off, and as a fact with it on. Package fleet tests all bytes of the facts' format.
 func TestGossipOnTheWire(t *testing.T) {
 	text := ""
-	for _, shares := range []bool{false, true} {
+	for _, fleet := range []bool{false, true} {
 		p, other := newPlatform(t), listenUDP(t)
 		p.hosts = []Member{memberAt(startRecorder(t, refuseCall).addr)}
-		p.startWithConfig(p.writeConfigWithPeer(other, func(top map[string]any) { top["fleet"] = shares }))
-		if shares {
+		p.startWithConfig(p.writeConfigWithPeer(other, func(top map[string]any) { top["fleet"] = fleet }))
+		if fleet {
 			text += section("a newcomer asks", hex.Dump(nextDatagram(t, other, "F\x01\x04")))
 		}
 		p.submitAccepted("status", "m", "25")
-		if shares {
+		if fleet {
 			text += section("a refusal, as a fact", formatFact(nextDatagram(t, other, "F\x01\x00\x02")))
 		} else {
 			text += section("a refusal, as the module's note", formatRefusal(t, nextDatagram(t, other, "c")))
@@ -216,24 +216,24 @@
 }
 
 // formatRefusal formats the policy's report of a refusal, with the age at its end masked.
-func formatRefusal(t *testing.T, note []byte) string {
+func formatRefusal(t *testing.T, datagram []byte) string {
 	t.Helper()
 	const lengthWithoutAge = 4 // a type byte, the destination, and the wait in two bytes
-	if len(note) <= lengthWithoutAge {
-		t.Fatalf("report of a refusal is too short: %x", note)
+	if len(datagram) <= lengthWithoutAge {
+		t.Fatalf("report of a refusal is too short: %x", datagram)
 	}
-	if _, size := binary.Uvarint(note[lengthWithoutAge:]); size != len(note)-lengthWithoutAge {
-		t.Fatalf("report of a refusal does not end with an age: %x", note)
+	if _, size := binary.Uvarint(datagram[lengthWithoutAge:]); size != len(datagram)-lengthWithoutAge {
+		t.Fatalf("report of a refusal does not end with an age: %x", datagram)
 	}
-	return hex.Dump(note[:lengthWithoutAge]) + "AGE\n"
+	return hex.Dump(datagram[:lengthWithoutAge]) + "AGE\n"
 }
 
 // formatFact formats a datagram with one fact, number by number. It masks the incarnation, the fact's sequence number and its
 // age, which vary between runs.
-func formatFact(note []byte) string {
+func formatFact(datagram []byte) string {
 	const headLength = 4 // type byte, version, flags, kind
-	text := fmt.Sprintf("% x\n", note[:headLength])
-	rest := note[headLength:]
+	text := fmt.Sprintf("% x\n", datagram[:headLength])
+	rest := datagram[headLength:]
 	for _, name := range []string{"origin", "INCARNATION", "NUMBER", "value", "AGE", "length of the key"} {
 		value, size := binary.Uvarint(rest)
 		rest = rest[max(0, size):]
--- a/internal/relay/wire_handover_proxy_test.go
+++ b/internal/relay/wire_handover_proxy_test.go
@@ -34,29 +34,29 @@
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			newer, err := listener.Accept()
+			successor, err := listener.Accept()
 			if err != nil { // the listener is closed
 				return
 			}
-			go proxy.connect(newer)
+			go proxy.connect(successor)
 		}
 	}()
 	return proxy
 }
 
 // connect connects to the predecessor and forwards lines in both directions until both sides have ended.
-func (p *handoverProxy) connect(newer net.Conn) {
-	defer func() { _ = newer.Close() }()
-	old, err := (&net.Dialer{}).DialContext(p.t.Context(), "unix", p.path)
+func (p *handoverProxy) connect(successor net.Conn) {
+	defer func() { _ = successor.Close() }()
+	predecessor, err := (&net.Dialer{}).DialContext(p.t.Context(), "unix", p.path)
 	if err != nil {
 		p.t.Error(err)
 		return
 	}
-	defer func() { _ = old.Close() }()
-	var both sync.WaitGroup
-	both.Go(func() { p.forwardLines("new", newer, old) })
-	both.Go(func() { p.forwardLines("old", old, newer) })
-	both.Wait()
+	defer func() { _ = predecessor.Close() }()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forwardLines("new", successor, predecessor) })
+	directions.Go(func() { p.forwardLines("old", predecessor, successor) })
+	directions.Wait()
 }
 
 // forwardLines records and forwards the lines that one process sends to the other. At their end it closes the sending side of
@@ -66,15 +66,15 @@
 	for {
 		text, err := in.ReadString('\n')
 		if err != nil {
-			if half, ok := sink.(*net.UnixConn); ok {
-				_ = half.CloseWrite()
+			if unixConn, ok := sink.(*net.UnixConn); ok {
+				_ = unixConn.CloseWrite()
 			}
 			return
 		}
 		line := handoverLine{from: from, kind: handoverKind.FindString(text), text: text}
-		passes := p.onLine(line)
+		forward := p.onLine(line)
 		p.lines <- line
-		if passes {
+		if forward {
 			_, _ = io.WriteString(sink, text)
 		}
 	}
--- a/internal/relay/wire_handover_test.go
+++ b/internal/relay/wire_handover_test.go
@@ -54,7 +54,7 @@
 var forwardedIDs = []string{"taken on", "refused", "withdrawn"}
 
 // onLine performs the action that a line triggers, and reports whether the proxy is to forward the line.
-func (s *handoverScript) onLine(line handoverLine) (passes bool) {
+func (s *handoverScript) onLine(line handoverLine) (forward bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -201,8 +201,8 @@
 	t.Cleanup(func() { close(done) })
 	var mu sync.Mutex // guards the map held
 	held := map[string]bool{}
-	host = startRecorder(t, func(came recordedRequest) string {
-		_, id, _ := strings.Cut(came.raw, "\r\nRequest-Id: ")
+	host = startRecorder(t, func(request recordedRequest) string {
+		_, id, _ := strings.Cut(request.raw, "\r\nRequest-Id: ")
 		id, _, _ = strings.Cut(id, "\r\n")
 		mu.Lock()
 		first := release[id] != nil && !held[id]
@@ -303,7 +303,7 @@
 	p.submitAccepted("order", "turned away", "0.3") // it ends as deferred, and its notification can't be delivered
 	host.next()
 	close(release["turned away"])
-	discovery.nextAt(outcomesPath)
+	discovery.nextForPath(outcomesPath)
 	p.submitAccepted("order", "delivered", "25") // its call stays in flight
 	host.next()
 	disk.full.Store(true)
--- a/internal/relay/wire_http_test.go
+++ b/internal/relay/wire_http_test.go
@@ -50,10 +50,10 @@
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		came := recordedRequest{raw: raw.String(), path: request.URL.Path}
+		recorded := recordedRequest{raw: raw.String(), path: request.URL.Path}
 		raw.Reset()
-		r.requests <- came
-		text := answer(came)
+		r.requests <- recorded
+		text := answer(recorded)
 		if _, err := io.WriteString(conn, text); err != nil || strings.Contains(text, "\r\nConnection: close\r\n") {
 			return
 		}
@@ -88,16 +88,16 @@
 func (r *recorder) next() string {
 	r.t.Helper()
 	select {
-	case came := <-r.requests:
-		return came.raw
+	case request := <-r.requests:
+		return request.raw
 	case <-time.After(long):
 		r.t.Fatal("timed out waiting for a request")
 		return ""
 	}
 }
 
-// nextAt waits for the next request whose target begins with path, drops others, and returns its bytes.
-func (r *recorder) nextAt(path string) string {
+// nextForPath waits for the next request whose target begins with path, drops others, and returns its bytes.
+func (r *recorder) nextForPath(path string) string {
 	r.t.Helper()
 	for end := time.Now().Add(long); time.Now().Before(end); {
 		raw := r.next()
@@ -130,8 +130,8 @@
 // Endpoints parse the relay's requests. The test compares calls byte for byte: with several messages, and with one message with a
 // key or without.
 func TestCallsOnTheWire(t *testing.T) {
-	host := startRecorder(t, func(came recordedRequest) string {
-		if came.path != "/inbox/bulk" {
+	host := startRecorder(t, func(request recordedRequest) string {
+		if request.path != "/inbox/bulk" {
 			return emptyResponse("200 OK")
 		}
 		body := `[{"id":"a","state":"delivered"},{"id":"b","state":"delivered"}]`
@@ -158,13 +158,13 @@
 // sortMessages sorts the messages in the body of a call, whose order varies because the journal keeps none.
 func sortMessages(request string) string {
 	head, body, _ := strings.Cut(request, "\r\n\r\n")
-	parcels := strings.SplitAfter(strings.Trim(body, "[]"), "}")
-	for i := range parcels {
-		parcels[i] = strings.TrimPrefix(parcels[i], ",")
+	messages := strings.SplitAfter(strings.Trim(body, "[]"), "}")
+	for i := range messages {
+		messages[i] = strings.TrimPrefix(messages[i], ",")
 	}
-	parcels = slices.DeleteFunc(parcels, func(parcel string) bool { return parcel == "" })
-	slices.Sort(parcels)
-	return head + "\r\n\r\n[" + strings.Join(parcels, ",") + "]"
+	messages = slices.DeleteFunc(messages, func(parcel string) bool { return parcel == "" })
+	slices.Sort(messages)
+	return head + "\r\n\r\n[" + strings.Join(messages, ",") + "]"
 }
 
 // clientRequest returns a client's request with a valid header and a body. Each of fields replaces the header field of the same
@@ -305,8 +305,8 @@
 
 // The test compares the posts of notifications byte for byte, for an undeliverable and for a deferred message.
 func TestNotificationsOnTheWire(t *testing.T) {
-	discovery := startRecorder(t, func(came recordedRequest) string {
-		if came.path == outcomesPath {
+	discovery := startRecorder(t, func(request recordedRequest) string {
+		if request.path == outcomesPath {
 			return emptyResponse("204 No Content")
 		}
 		return emptyResponse("503 Service Unavailable")
@@ -317,10 +317,10 @@
 	p.respond = func(*http.Request) int { return http.StatusInternalServerError }
 	p.start()
 	p.submitAccepted("order", "may <have> run", "25")
-	text := section("undeliverable", discovery.nextAt(outcomesPath))
+	text := section("undeliverable", discovery.nextForPath(outcomesPath))
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusTooManyRequests } })
 	p.submitAccepted("order", "never ran", "0.3")
-	text += section("deferred", discovery.nextAt(outcomesPath))
+	text += section("deferred", discovery.nextForPath(outcomesPath))
 	compareWire(t, "notices.txt", applyMasks(text, maskPort, maskAgain))
 }
 
@@ -356,7 +356,7 @@
 	p.start()
 	text := ""
 	for _, step := range steps {
-		text += section(step.title, discovery.nextAt(watchPath))
+		text += section(step.title, discovery.nextForPath(watchPath))
 	}
 	compareWire(t, "watches.txt", applyMasks(text, maskPort))
 }
