--- a/internal/relay/admin/server_test.go
+++ b/internal/relay/admin/server_test.go
@@ -38,7 +38,7 @@
 	}
 	reply, err := io.ReadAll(c)
 	if err != nil {
-		t.Fatalf("%q: %v", line, err)
+		t.Fatalf("reply to %q not read to its end: %v", line, err)
 	}
 	return string(reply)
 }
--- a/internal/relay/handover/messages.go
+++ b/internal/relay/handover/messages.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Attempt is an attempt of the predecessor that is in flight.
+// Attempt describes an attempt at delivering a message whose call is in flight in the predecessor.
 type Attempt struct {
 	// ID is the id of the message.
 	ID string `json:"id"`
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -85,7 +85,7 @@
 		b := discovery.Batch{Batch: batch, Applied: make(chan struct{})}
 		take(b)
 		if !applied(b) {
-			tb.Fatalf("a batch of version %d was not applied", batch.Seq)
+			tb.Fatalf("batch of version %d not marked as applied", batch.Seq)
 		}
 		if batch.End {
 			version = batch.Seq
