--- a/internal/relay/discovery/helpers_test.go
+++ b/internal/relay/discovery/helpers_test.go
@@ -12,39 +12,41 @@
 	"milletsail/internal/endpoints"
 )
 
-// Members is an object of discovery's, a list or a change of it, and Member one of its entries.
+// Members is one object of a watch's response: a complete list, or the changes since the previous one.
 type Members struct {
 	Seq   int64    `json:"seq"`
 	Whole bool     `json:"whole"`
 	Hosts []Member `json:"hosts"`
 }
 
+// Member is one entry of Members.
 type Member = endpoints.Entry
 
 const draining = endpoints.Draining
 
-// long is longer than anything that a test waits for in vain.
-const long = 20 * time.Second
+// testTimeout bounds every wait of a test; it is far longer than any expected wait.
+const testTimeout = 20 * time.Second
 
-// receive waits for a value.
+// receive returns the next value of a channel, and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(long):
-		t.Fatal("waited in vain")
+	case <-time.After(testTimeout):
+		t.Fatal("no value received within the time-out")
 		panic("not reached")
 	}
 }
 
-// roundTripper stands for discovery.
+// roundTripper is a function that takes the place of discovery's HTTP server.
 type roundTripper func(*http.Request) (*http.Response, error)
 
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// inObjects gathers batches into the objects that they are of, and has the watch go on at once.
-func inObjects(told func(Members)) func(Batch) {
+// collectBatches returns a batch handler that joins the batches of each object, passes the whole object to onMembers, and marks
+// every batch as applied at once.
+func collectBatches(onMembers func(Members)) func(Batch) {
 	var object Members
 	return func(b Batch) {
 		if b.First {
@@ -53,26 +55,28 @@
 		object.Hosts = append(object.Hosts, b.Entries...)
 		if b.End {
 			object.Seq, object.Whole = b.Seq, b.Complete
-			told(object)
+			onMembers(object)
 		}
 		close(b.Applied)
 	}
 }
 
-// watchOf follows a handler's watches and returns what the watcher tells.
-func watchOf(t *testing.T, silence time.Duration, serve http.HandlerFunc) (*Watcher, chan Members, chan bool) {
+// watchMembers starts a watcher of a server with the given handler. It returns a channel of the objects received, and one that
+// receives a value when a watch ends.
+func watchMembers(t *testing.T, silence time.Duration, serve http.HandlerFunc) (*Watcher, chan Members, chan bool) {
 	t.Helper()
 	members := make(chan Members, 10)
-	w, failed := startWatch(t, silence, serve, inObjects(func(m Members) { members <- m }))
+	w, failed := startWatch(t, silence, serve, collectBatches(func(m Members) { members <- m }))
 	return w, members, failed
 }
 
-// startWatch starts a watcher of a handler, from version 40 on.
-func startWatch(t *testing.T, silence time.Duration, serve http.HandlerFunc, told func(Batch)) (*Watcher, chan bool) {
+// startWatch starts a watcher of a server with the given handler, and requests a watch from version 40 on. It returns a channel that
+// receives a value when a watch ends.
+func startWatch(t *testing.T, silence time.Duration, serve http.HandlerFunc, onBatch func(Batch)) (*Watcher, chan bool) {
 	t.Helper()
 	s := httptest.NewServer(serve)
 	failed := make(chan bool, 10)
-	w := New(strings.TrimPrefix(s.URL, "http://"), 0, told, func() { failed <- true })
+	w := New(strings.TrimPrefix(s.URL, "http://"), 0, onBatch, func() { failed <- true })
 	w.silenceTimeout, w.Version = silence, 40
 	t.Cleanup(func() {
 		s.CloseClientConnections()
@@ -83,8 +87,8 @@
 	return w, failed
 }
 
-// filler are hosts of destinations of their own, which no message is for.
-func filler(n int) (hosts []Member) {
+// fillerHosts returns n list entries, each with a block of its own, which serve only to make a list long.
+func fillerHosts(n int) (hosts []Member) {
 	for i := range n {
 		hosts = append(hosts, Member{Host: fmt.Sprintf("filler-%06d", i), Dial: fmt.Sprintf("127.0.0.1:%d", 10_000+i%1000),
 			Site: "a", Class: "m2",
@@ -93,8 +97,8 @@
 	return hosts
 }
 
-// wholeList is a whole list as discovery writes it.
-func wholeList(t *testing.T, seq int64, hosts []Member) string {
+// encodeCompleteList returns a complete list in the format of discovery.
+func encodeCompleteList(t *testing.T, seq int64, hosts []Member) string {
 	t.Helper()
 	text, err := json.Marshal(Members{Seq: seq, Whole: true, Hosts: hosts})
 	if err != nil {
--- a/internal/relay/discovery/timing.go
+++ b/internal/relay/discovery/timing.go
@@ -8,42 +8,46 @@
 	"milletsail/internal/settings"
 )
 
-// The protocol has a change of the list count as received 6 s after discovery had it and could be reached, and 4 s after a
-// reload. The policy waits 0.5 s before it requests another watch. The longest times until a request is sent are then, in
-// seconds:
+// The protocol holds a relay responsible for a change of the endpoint list 6 s after discovery had the change and was
+// reachable, and 4 s after a reload. The policy waits 0.5 s before it requests another watch. The timings below therefore
+// bound the time until the next request is sent, in seconds:
 //
-//	a watch stalls:            SilenceTimeout 2.5 + 0.5 + maxJitter 2.5              = 5.5
-//	a request gets no answer:  SilenceTimeout 2.5 + 0.5 + maxJitter 2.5              = 5.5
-//	a request is rejected:     0.5 + (Retry-After and jitter, together at most 2 maxJitter) 5.0 = 5.5
-//	after a reload:            maxJitter                                                    = 2.5
+//	a watch stalls:             SilenceTimeout 2.5 + 0.5 + maxJitter 2.5                          = 5.5
+//	a request gets no response: SilenceTimeout 2.5 + 0.5 + maxJitter 2.5                          = 5.5
+//	a request is rejected:      0.5 + (Retry-After and jitter, together at most 2*maxJitter) 5.0  = 5.5
+//	after a reload:             maxJitter                                                         = 2.5
 //
-// Where a relay is alone at discovery, or has an agent of its own to ask, a change counts at once: then responseTimeout 1 + 0.5
-// after a request without an answer, and 0.5 + maxRetryJitterAlone 0.5 after a rejection without a Retry-After.
+// A relay that is the only one of its fleet, or that queries an agent on its own machine, is responsible for a change at
+// once. Its bounds are responseTimeout 1 + 0.5 after a request without a response, and 0.5 + maxRetryJitterAlone 0.5 after a
+// rejection without a Retry-After.
 const (
-	// SilenceTimeout without a byte means that a watch is dead: an empty line comes every 2 s.
+	// SilenceTimeout is the time without a received byte after which a watch counts as stalled. Discovery sends an empty line
+	// every 2 s as a keep-alive.
 	SilenceTimeout = 2500 * time.Millisecond
-	// responseTimeout is how long a relay without others waits for a response to begin.
+	// responseTimeout bounds the wait for a response to begin where requests have no jitter, that is, where the relay shares
+	// discovery with no other relay.
 	responseTimeout = time.Second
-	// jitterPerRelay is the span that each relay of the fleet adds to the jitter of requests, since a cause that ends one
-	// watch mostly ends all.
+	// jitterPerRelay is how much each further relay of the fleet adds to the maximum jitter of a request. The watches of a
+	// fleet mostly end together, and jitter spreads out the requests that follow.
 	jitterPerRelay = 80 * time.Millisecond
-	// maxJitter bounds the jitter of a request.
+	// maxJitter bounds the jitter of a request when nothing has failed.
 	maxJitter = 2500 * time.Millisecond
-	// minRetryJitter is the least jitter after a rejection. It doubles with each further one.
+	// minRetryJitter is added to twice the previous jitter after each rejection.
 	minRetryJitter = 250 * time.Millisecond
-	// maxRetryJitter bounds that, or twice the fleet's jitter where that is more. It also bounds discovery's Retry-After.
+	// maxRetryJitter bounds the jitter after a rejection, unless twice the fleet's normal jitter is larger and bounds it
+	// instead. It also bounds the Retry-After that discovery asks for.
 	maxRetryJitter = 2 * time.Second
-	// maxRetryJitterAlone bounds it for a relay that is alone.
+	// maxRetryJitterAlone bounds the jitter after a rejection for a relay whose requests normally have no jitter.
 	maxRetryJitterAlone = 500 * time.Millisecond
-	// localFailureJitter is the jitter after a request that failed on this machine.
+	// localFailureJitter bounds the jitter after a request that failed on this machine, for example for lack of descriptors.
 	localFailureJitter = time.Second
 )
 
-// pushMode is the setting of discovery by which changes come to the relay's machine unasked.
+// pushMode is the value of the discovery setting with which discovery pushes changes to an agent on the relay's machine.
 const pushMode = "automatic"
 
-// RequestJitter returns the span from which the relays of a fleet draw their delays before a request. Where changes come
-// unasked, all that a relay asks is the agent on its own machine, and what that has counts at once.
+// RequestJitter returns the maximum jitter before a relay of the fleet requests a watch. It is 0 in push mode: there a relay
+// queries only the agent on its own machine, and is responsible at once for every change that the agent has.
 func RequestJitter(s *settings.Settings) time.Duration {
 	if s.Discovery == pushMode {
 		return 0
@@ -51,20 +55,20 @@
 	return min(time.Duration(s.NInstances-1)*jitterPerRelay, maxJitter)
 }
 
-// delay is how long a request waits: a fixed part, and a random one of the span of the jitter.
+// delay is the wait before a request for a watch: minimum, plus a random time between 0 and jitter.
 type delay struct {
 	minimum time.Duration
 	jitter  time.Duration
 }
 
-// nextDelay returns the delay of the next request, after a watch that brought some lists and ended with an error; last is
-// the jitter of the request before. A watch that was open, or a request that got no answer, has taken its time already;
-// rejections come quickly, and are spaced out.
+// nextDelay returns the delay before the next request. The previous watch delivered the given number of lists and ended with
+// err, and its request was delayed with a jitter of last. A watch that delivered lists, or that stalled, lasted long enough to
+// need no backoff; rejections arrive quickly and back off exponentially.
 func (w *Watcher) nextDelay(last time.Duration, lists int, err error) delay {
 	if lists > 0 || errors.Is(err, ErrWatchStalled) {
 		return delay{jitter: w.jitter}
 	}
-	if resource.IsLocalFailure(err) { // there is no crowd at discovery that this relay has to make way for
+	if resource.IsLocalFailure(err) { // discovery is not overloaded, so no backoff is needed
 		return delay{jitter: min(w.jitter, localFailureJitter)}
 	}
 	maxSpan := maxRetryJitterAlone
--- a/internal/relay/discovery/timing_test.go
+++ b/internal/relay/discovery/timing_test.go
@@ -18,9 +18,9 @@
 	"milletsail/internal/settings"
 )
 
-// A relay of a fleet asks after a time drawn from a span that the fleet sets, the first time too, and that grows
-// while discovery turns it away; what was told starts it anew.
-func TestWatchesSpreadOut(t *testing.T) {
+// Guards against a fleet overloading discovery: requests have a jitter that depends on the size of the fleet, also the first one,
+// and that grows with each rejection until a list arrives.
+func TestRequestJitterGrowsWithRejections(t *testing.T) {
 	lists := make(chan bool, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		select {
@@ -34,7 +34,7 @@
 	t.Cleanup(s.Close)
 	const fleet = 800 * time.Millisecond
 	failed, spans := make(chan bool, 10), make(chan time.Duration, 10)
-	w := New(strings.TrimPrefix(s.URL, "http://"), fleet, inObjects(func(Members) {}), func() { failed <- true })
+	w := New(strings.TrimPrefix(s.URL, "http://"), fleet, collectBatches(func(Members) {}), func() { failed <- true })
 	w.randomDelay = func(span time.Duration) time.Duration {
 		spans <- span
 		return 0
@@ -47,14 +47,14 @@
 		}
 		w.Request()
 		if got := receive(t, spans); got != min(want, max(2*fleet, maxRetryJitter)) {
-			t.Errorf("ask %d: drawn from %v, want %v", i, got, want)
+			t.Errorf("request %d: maximum jitter %v, want %v", i, got, want)
 		}
 		receive(t, failed)
 	}
 }
 
-// A relay asks so soon that what discovery tells arrives before it counts as told, however large the fleet: after a
-// reload that is 4 s, and where changes come unasked it is at once.
+// Guards against a jitter that delays a change beyond the time after which the protocol counts it as received: 4 s after a reload,
+// whatever the size of the fleet, and no time at all in push mode.
 func TestRequestJitter(t *testing.T) {
 	for _, tt := range []struct {
 		mode   string
@@ -64,36 +64,36 @@
 		{"subscribe", 1, 0}, {"subscribe", 11, 10 * jitterPerRelay}, {"subscribe", 300, maxJitter}, {"automatic", 300, 0},
 	} {
 		if got := RequestJitter(&settings.Settings{Discovery: tt.mode, NInstances: tt.relays}); got != tt.want {
-			t.Errorf("%d relays, %s: %v, want %v", tt.relays, tt.mode, got, tt.want)
+			t.Errorf("%d relays, mode %s: jitter %v, want %v", tt.relays, tt.mode, got, tt.want)
 		}
 	}
 }
 
-// outage is a time in which discovery tells nothing: watches that are open fall silent for good, and what is asked
-// meanwhile gets no answer, or is turned away.
-type outage struct {
+// simulatedOutage is a period in which discovery sends nothing. Open watches stall for good, and requests get no response or, if
+// rejects is set, status 503.
+type simulatedOutage struct {
 	from, until time.Time
-	refuses     bool
+	rejects     bool
 }
 
-// toldAfter plays a watcher through an outage that begins after a watch has been open for a while, and gives the time from
-// the moment at which discovery had a change and could be reached to that at which the watcher told it. Draws are the
-// longest ones.
-func toldAfter(t *testing.T, relays int, mode string, open, lasts time.Duration, refuses bool) (took time.Duration) {
+// deliveryDelayAfterOutage runs a watcher through an outage that begins when a watch has been open for openFor and lasts for
+// duration. It returns the time from the end of the outage, when discovery has a change, until the watcher delivers the change.
+// Every random delay has its maximum value.
+func deliveryDelayAfterOutage(t *testing.T, relays int, mode string, openFor, duration time.Duration, rejects bool) (delay time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		spread := RequestJitter(&settings.Settings{Discovery: mode, NInstances: relays})
-		begun := time.Now().Add(spread + open)
-		down := outage{begun, begun.Add(lasts), refuses}
-		told := make(chan time.Time, 100)
+		begun := time.Now().Add(spread + openFor)
+		down := simulatedOutage{begun, begun.Add(duration), rejects}
+		delivered := make(chan time.Time, 100)
 		var w *Watcher
-		w = New("discovery", spread, inObjects(func(m Members) {
+		w = New("discovery", spread, collectBatches(func(m Members) {
 			if m.Seq == 42 {
-				told <- time.Now()
+				delivered <- time.Now()
 			}
 		}), func() {
-			time.AfterFunc(500*time.Millisecond, w.Request) // as the module does
+			time.AfterFunc(500*time.Millisecond, w.Request) // the delay that the policy uses
 		})
 		w.Immediate = true
 		w.randomDelay = func(span time.Duration) time.Duration { return span }
@@ -110,7 +110,7 @@
 					}
 				}()
 				return &http.Response{StatusCode: http.StatusOK, Body: in}, nil
-			case now.Before(down.until) && down.refuses:
+			case now.Before(down.until) && down.rejects:
 				return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody,
 					Header: http.Header{"Retry-After": {"9"}}}, nil
 			case now.Before(down.until):
@@ -121,46 +121,46 @@
 		})
 		go w.Run(ctx)
 		w.Request()
-		took = (<-told).Sub(down.until)
+		delay = (<-delivered).Sub(down.until)
 		stop()
-		time.Sleep(time.Minute) // what still waits ends
+		time.Sleep(time.Minute) // lets the remaining goroutines end
 	})
-	return took
+	return delay
 }
 
-// Discovery's changes are here before they count as told, which is after 6 s, at each phase of a watch that falls silent
-// and of an outage, whatever the size of the fleet; and far sooner where the relay has nobody beside it to spare.
-func TestToldInTime(t *testing.T) {
-	const counts = 6 * time.Second
+// Guards against a change that arrives later than 6 s after an outage of discovery, when the protocol counts it as received, for
+// any fleet size, phase of the watch and length of the outage. A relay without jitter has to receive it much sooner.
+func TestChangeArrivesInTimeAfterOutage(t *testing.T) {
+	const receivedAfter = 6 * time.Second
 	for _, tt := range []struct {
 		mode   string
 		relays int
 		most   time.Duration
 	}{
 		{"subscribe", 1, SilenceTimeout + time.Second}, {"automatic", 300, SilenceTimeout + time.Second},
-		{"subscribe", 2, counts}, {"subscribe", 12, counts}, {"subscribe", 60, counts}, {"subscribe", 300, counts},
+		{"subscribe", 2, receivedAfter}, {"subscribe", 12, receivedAfter}, {"subscribe", 60, receivedAfter}, {"subscribe", 300, receivedAfter},
 	} {
-		for _, refuses := range []bool{false, true} {
+		for _, rejects := range []bool{false, true} {
 			worst, when := time.Duration(0), ""
 			for open := 50 * time.Millisecond; open < 2*time.Second; open += 130 * time.Millisecond {
 				for lasts := time.Duration(0); lasts < 20*time.Second; lasts += 410 * time.Millisecond {
-					if took := toldAfter(t, tt.relays, tt.mode, open, lasts, refuses); took > worst {
-						worst, when = took, fmt.Sprintf("silent after %v for %v", open, lasts)
+					if took := deliveryDelayAfterOutage(t, tt.relays, tt.mode, open, lasts, rejects); took > worst {
+						worst, when = took, fmt.Sprintf("outage after %v for %v", open, lasts)
 					}
 				}
 			}
-			t.Logf("%s, %d relays, refuses %v: told after %v at worst (%s)", tt.mode, tt.relays, refuses, worst, when)
+			t.Logf("mode %s, %d relays, rejects %v: change delivered after %v at most (%s)", tt.mode, tt.relays, rejects, worst, when)
 			if worst > tt.most {
-				t.Errorf("%s, %d relays, refuses %v: told after %v (%s), at most %v", tt.mode, tt.relays, refuses, worst, when, tt.most)
+				t.Errorf("mode %s, %d relays, rejects %v: change delivered after %v (%s), want at most %v", tt.mode, tt.relays, rejects, worst, when, tt.most)
 			}
 		}
 	}
 }
 
-// A process that took over from another asks at once: what changes meanwhile would come too late.
-func TestWatchAfterHandover(t *testing.T) {
+// Guards against jitter before the first watch of a process after a handover (Immediate): a change in that time would arrive late.
+func TestImmediateWatchHasNoJitter(t *testing.T) {
 	spans := make(chan time.Duration, 1)
-	w := New("127.0.0.1:0", 47*jitterPerRelay, inObjects(func(Members) {}), func() {})
+	w := New("127.0.0.1:0", 47*jitterPerRelay, collectBatches(func(Members) {}), func() {})
 	w.Immediate = true
 	w.randomDelay = func(span time.Duration) time.Duration {
 		spans <- span
@@ -169,32 +169,33 @@
 	go w.Run(t.Context())
 	w.Request()
 	if got := receive(t, spans); got != 0 {
-		t.Errorf("first ask drawn from %v", got)
+		t.Errorf("maximum jitter of the first request: %v, want 0", got)
 	}
 }
 
-// transport stands in for discovery: it notes when each ask comes, and answers none.
-type transport struct {
-	mu   sync.Mutex
-	asks []time.Time
-	to   []string
+// recordingTransport takes the place of discovery: it records the time and host of each request, and fails the request.
+type recordingTransport struct {
+	mu           sync.Mutex
+	requestTimes []time.Time
+	requestHosts []string
 }
 
-func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *recordingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.asks, t.to = append(t.asks, time.Now()), append(t.to, r.URL.Host)
-	return nil, errors.New("not here")
+	t.requestTimes, t.requestHosts = append(t.requestTimes, time.Now()), append(t.requestHosts, r.URL.Host)
+	return nil, errors.New("discovery is unreachable in this test")
 }
 
-// New addresses of discovery in quick succession put an ask off no further than one does, and it goes to the last of them.
-func TestMovesInQuickSuccession(t *testing.T) {
+// Guards against redirects in quick succession that postpone a request again and again, since each one restarts its delay. The request
+// has to be sent within one maximum jitter, to the last address.
+func TestRedirectsDoNotPostponeRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const moves, between = 10, 200 * time.Millisecond
-		discovery := &transport{}
+		discovery := &recordingTransport{}
 		w := New("old:1", maxJitter, func(Batch) {}, func() {})
 		w.client.Transport = discovery
-		w.randomDelay = func(span time.Duration) time.Duration { return span } // the longest that may be drawn
+		w.randomDelay = func(span time.Duration) time.Duration { return span } // the maximum delay
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan bool)
 		go func() {
@@ -213,26 +214,27 @@
 		<-done
 		discovery.mu.Lock()
 		defer discovery.mu.Unlock()
-		if len(discovery.asks) == 0 {
-			t.Fatal("nothing was asked")
+		if len(discovery.requestTimes) == 0 {
+			t.Fatal("no request was sent")
 		}
-		if after := discovery.asks[0].Sub(begun); after > maxJitter || discovery.to[0] != addresses[(moves-1)%2] {
-			t.Errorf("%s is asked after %v", discovery.to[0], after)
+		if after := discovery.requestTimes[0].Sub(begun); after > maxJitter || discovery.requestHosts[0] != addresses[(moves-1)%2] {
+			t.Errorf("first request went to %s after %v; want the last address, within the maximum jitter", discovery.requestHosts[0], after)
 		}
 	})
 }
 
-// An ask that failed for a lack of this machine comes again soon, however often that happens: it is no crowd at discovery.
-func TestAskAgainAfterALack(t *testing.T) {
+// Guards against a growing backoff after local failures, such as a missing route: they say nothing about the load of discovery.
+// Rejected connections do back off.
+func TestNoBackoffAfterLocalFailure(t *testing.T) {
 	w := New("here:1", maxJitter, func(Batch) {}, func() {})
 	next := delay{jitter: w.jitter}
 	for range 5 {
 		next = w.nextDelay(next.jitter, 0, &net.OpError{Op: "dial", Err: syscall.ENETUNREACH})
 		if next.jitter > localFailureJitter || next.minimum > 0 {
-			t.Fatalf("a span of %v behind %v", next.jitter, next.minimum)
+			t.Fatalf("after a local failure: maximum jitter %v after a minimum wait of %v", next.jitter, next.minimum)
 		}
 	}
 	if next = w.nextDelay(next.jitter, 0, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}); next.jitter <= minRetryJitter {
-		t.Errorf("after a refusal a span of %v", next.jitter)
+		t.Errorf("after a refused connection: maximum jitter %v, want a longer one", next.jitter)
 	}
 }
--- a/internal/relay/discovery/watch.go
+++ b/internal/relay/discovery/watch.go
@@ -13,27 +13,29 @@
 	"milletsail/internal/settings"
 )
 
-// ErrWatchStalled says that a watch, or a request for one, has brought nothing for too long.
-var ErrWatchStalled = errors.New("watch stalled")
+// ErrWatchStalled reports that no data arrived on a watch, or no response to the request for one, within the time-out.
+var ErrWatchStalled = errors.New("discovery watch stalled")
 
-// ErrListTooLong says that a watch brought a list that would not fit into memory.
-var ErrListTooLong = errors.New("list too long")
+// ErrListTooLong reports that a list exceeds Watcher.MaxListSize, which bounds the memory that a list takes.
+var ErrListTooLong = errors.New("endpoint list too long for the memory limit")
 
-// errStreamEnded says that discovery ended its response.
-var errStreamEnded = errors.New("end of the response")
+// errStreamEnded reports that discovery ended the response of a watch.
+var errStreamEnded = errors.New("discovery ended the watch response")
 
-// UnavailableError is a response other than 200.
+// UnavailableError reports that discovery answered a request for a watch with a status other than 200.
 type UnavailableError struct {
-	// Status is that of the response.
+	// Status is the status line of the response, such as "503 Service Unavailable".
 	Status string
-	// RetryAfter is how long discovery wants to be left alone.
+	// RetryAfter is the wait that discovery asked for in the Retry-After header, at most maxRetryJitter; 0 for none.
 	RetryAfter time.Duration
 }
 
-func (e *UnavailableError) Error() string { return "discovery answered " + e.Status }
+func (e *UnavailableError) Error() string {
+	return "discovery answered the watch request with status " + e.Status
+}
 
-// watch follows one watch to its end and returns how many lists it brought. It hands on one batch of entries at a time,
-// and reads no further until that one is applied.
+// watch requests one watch, reads it to its end and returns the number of lists that arrived completely. It delivers one batch
+// of entries at a time, and reads on only once that batch is applied.
 func (w *Watcher) watch(ctx context.Context, address string) (lists int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -42,38 +44,38 @@
 			err = ErrWatchStalled
 		}
 	}()
-	// Guards against a watch that has stalled: a cut link ends no connection.
+	// A broken network link does not close the connection, so only this timer detects that a watch has stalled.
 	headTimeout := w.silenceTimeout
 	if w.jitter == 0 {
 		headTimeout = min(headTimeout, responseTimeout)
 	}
-	stalled := time.AfterFunc(headTimeout, func() { cancel(ErrWatchStalled) })
-	defer stalled.Stop()
+	stallTimer := time.AfterFunc(headTimeout, func() { cancel(ErrWatchStalled) })
+	defer stallTimer.Stop()
 	body, err := w.open(ctx, address)
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = body.Close() }()
-	stalled.Reset(w.silenceTimeout)
-	return w.follow(ctx, body, stalled)
+	stallTimer.Reset(w.silenceTimeout)
+	return w.follow(ctx, body, stallTimer)
 }
 
-// follow reads a watch to its end. The timer is reset whenever more comes, and is stopped while a batch is applied: a busy
-// relay says nothing about the watch.
-func (w *Watcher) follow(ctx context.Context, body io.Reader, stalled *time.Timer) (lists int, err error) {
+// follow reads the response of a watch to its end. It resets stallTimer whenever data arrives, and stops it while a batch is
+// applied: a relay that is slow to apply a batch does not mean that the watch has stalled.
+func (w *Watcher) follow(ctx context.Context, body io.Reader, stallTimer *time.Timer) (lists int, err error) {
 	stream := &boundedStream{Reader: body, limit: w.MaxListSize}
 	reader := endpoints.NewReader(stream)
-	reader.Alive = func() { stalled.Reset(w.silenceTimeout) }
+	reader.Alive = func() { stallTimer.Reset(w.silenceTimeout) }
 	for {
 		batch, err := reader.Next()
 		if err != nil {
 			return lists, w.streamError(err)
 		}
-		stalled.Stop()
+		stallTimer.Stop()
 		if err := w.deliver(ctx, batch); err != nil {
 			return lists, err
 		}
-		stalled.Reset(w.silenceTimeout)
+		stallTimer.Reset(w.silenceTimeout)
 		if batch.End {
 			w.Version = batch.Seq
 			lists++
@@ -82,7 +84,7 @@
 	}
 }
 
-// open requests a watch from the last version on.
+// open requests a watch that starts from w.Version, and returns the body of the response.
 func (w *Watcher) open(ctx context.Context, address string) (io.ReadCloser, error) {
 	query := url.Values{"stream": {"1"}, "index": {strconv.FormatInt(w.Version, 10)}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address+"?"+query.Encode(), nil)
@@ -101,8 +103,8 @@
 	return resp.Body, nil
 }
 
-// streamError returns why a watch can't be read on, and sets the version from which the next one starts: the last one that came
-// completely, or none where what came makes no sense, since the changes that follow lack what it held.
+// streamError returns the reason why a watch ended, given the error of the reader. Where the data could not be parsed it resets
+// the version, so that the next watch starts with a complete list: the unparsed part may have held changes.
 func (w *Watcher) streamError(err error) error {
 	switch {
 	case errors.Is(err, io.EOF):
@@ -114,7 +116,7 @@
 	return err
 }
 
-// deliver hands a batch on and waits until it is applied.
+// deliver passes a batch to onBatch and waits until it is applied or ctx ends.
 func (w *Watcher) deliver(ctx context.Context, batch endpoints.Batch) error {
 	applied := make(chan struct{})
 	w.onBatch(Batch{Batch: batch, Applied: applied})
@@ -126,11 +128,11 @@
 	}
 }
 
-// boundedStream is the body of a watch, with a bound on what one list may hold.
+// boundedStream reads the body of a watch and fails with ErrListTooLong once one list exceeds the limit.
 type boundedStream struct {
 	io.Reader
-	limit int64 // bytes of one list
-	size  int64 // bytes read since the last list
+	limit int64 // maximum size of one list in bytes
+	size  int64 // bytes read since the end of the previous list
 }
 
 func (s *boundedStream) Read(b []byte) (int, error) {
--- a/internal/relay/discovery/watcher.go
+++ b/internal/relay/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery follows the platform's endpoint list by list and watch: each watch starts from the last version that came
-// completely, and brings a list or changes of it.
+// Package discovery keeps the endpoint list up to date by watching the platform's discovery service. Each watch starts from the
+// last version that was received completely, and delivers a complete list or changes to it.
 package discovery
 
 import (
@@ -17,44 +17,46 @@
 	"milletsail/internal/instant"
 )
 
-// membersPath is discovery's path of the endpoint list.
+// membersPath is the path of the endpoint list at discovery.
 const membersPath = "/catalog/members"
 
-// Batch is a part of an object that discovery sent. The receiver closes Applied once it has applied the batch: until then the
-// watch reads no further.
+// Batch is one part of a list, or of a set of changes, that discovery sent.
 type Batch struct {
 	endpoints.Batch
+	// Applied is closed by the receiver once it has applied the batch. The watch reads on only after that.
 	Applied chan struct{}
 }
 
-// Watcher keeps a watch on discovery's list. It starts one for each Request, and reports when it ends: whether and when to
-// request another is the policy's decision, the backoff while discovery is down is the watcher's.
+// Watcher watches the endpoint list at discovery. It starts one watch for each Request and reports when the watch ends. The
+// policy decides whether and when to request another; the watcher adds the backoff while discovery is unavailable.
 type Watcher struct {
-	// Version is that of the list as it stands, from which the next watch starts. It is set before Run, and belongs to Run then.
+	// Version is the version of the last list that was received completely, from which the next watch starts; 0 requests a
+	// complete list. It is set before Run, and only Run accesses it afterwards.
 	Version int64
-	// MaxListSize bounds the bytes of one list. It is set before Run.
+	// MaxListSize is the maximum size of one list in bytes. It is set before Run.
 	MaxListSize int64
-	// Immediate has the first watch begin without jitter. It is set before Run.
+	// Immediate makes the first watch start without jitter. It is set before Run.
 	Immediate bool
 
 	client         *http.Client
-	silenceTimeout time.Duration // without a byte, until a watch is stalled
-	jitter         time.Duration // of a request, where nothing has failed
-	randomDelay    func(span time.Duration) time.Duration
-	requests       chan struct{}
+	silenceTimeout time.Duration                          // time without a received byte after which a watch is stalled
+	jitter         time.Duration                          // maximum jitter of a request when nothing has failed
+	randomDelay    func(span time.Duration) time.Duration // returns a random time between 0 and span
+	requests       chan struct{}                          // holds at most one pending request for a watch
 	onBatch        func(Batch)
 	onEnd          func()
 
 	mu       sync.Mutex
-	url      string
-	endWatch context.CancelCauseFunc // ends the watch in progress; nil before the first
+	url      string                  // of the endpoint list at discovery's current address
+	endWatch context.CancelCauseFunc // cancels the current watch or the delay before it; nil before the first
 }
 
-// errRedirected is why a watch ends when discovery has another address.
-var errRedirected = errors.New("discovery has moved")
+// errRedirected is the cause with which a watch is canceled when discovery's address changes.
+var errRedirected = errors.New("discovery address changed")
 
-// New returns a watcher of the list at discovery's address. Requests are delayed by jitter at random. It calls onBatch for
-// each batch, which has it applied sooner or later, and onEnd for each watch that ends.
+// New returns a watcher of the endpoint list at discovery's address. Requests are delayed by a random time of at most jitter.
+// The watcher calls onBatch for each batch; the callee has to close Batch.Applied once the batch is applied. It calls onEnd
+// after each watch that ended for another reason than a redirect.
 func New(address string, jitter time.Duration, onBatch func(Batch), onEnd func()) *Watcher {
 	w := &Watcher{onBatch: onBatch, MaxListSize: math.MaxInt64, onEnd: onEnd, silenceTimeout: SilenceTimeout, jitter: jitter,
 		randomDelay: func(span time.Duration) time.Duration { return rand.N(span + 1) },
@@ -63,8 +65,8 @@
 	return w
 }
 
-// Redirect has the list watched at another address of discovery: a watch in progress, or a delay of the next one, ends, and a
-// new watch begins.
+// Redirect makes the watcher use another address of discovery. It cancels the current watch, or the delay before it, and a new
+// watch is requested at the new address.
 func (w *Watcher) Redirect(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,45 +76,46 @@
 	}
 }
 
-// begin returns the URL to watch, and a context that ends when discovery moves.
-func (w *Watcher) begin(ctx context.Context) (context.Context, string) {
+// beginWatch returns the URL to watch, and a context that Redirect cancels.
+func (w *Watcher) beginWatch(ctx context.Context) (context.Context, string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ctx, w.endWatch = context.WithCancelCause(ctx)
 	return ctx, w.url
 }
 
-// Request wants a watch; it never blocks.
+// Request requests a watch. It never blocks; while a request is pending, further ones have no effect.
 func (w *Watcher) Request() {
 	select {
 	case w.requests <- struct{}{}:
-	default: // one is wanted already
+	default: // a request is pending already
 	}
 }
 
-// Run serves requests until ctx ends. It runs in one goroutine, which its caller waits for, and starts no other.
+// Run carries out the requested watches, one at a time, until ctx ends. It starts no goroutines; its caller waits for it to
+// return.
 func (w *Watcher) Run(ctx context.Context) {
 	next := delay{jitter: w.jitter}
 	if w.Immediate {
 		next.jitter = 0
 	}
-	var due instant.Time // of a request whose delay a move has cut short: further moves do not put it off
+	var latestStart instant.Time // bounds the delay of a request after redirects, so that repeated redirects cannot postpone it
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-w.requests:
 		}
-		watchCtx, url := w.begin(ctx)
+		watchCtx, url := w.beginWatch(ctx)
 		var lists int
 		var err error
 		wait := next.minimum + w.randomDelay(next.jitter)
-		if !due.IsZero() {
-			wait = min(wait, clock.Until(due))
+		if !latestStart.IsZero() {
+			wait = min(wait, clock.Until(latestStart))
 		}
-		due = clock.Now().Add(wait)
+		latestStart = clock.Now().Add(wait)
 		if clock.Sleep(watchCtx, wait) {
-			due = 0
+			latestStart = 0
 			lists, err = w.watch(watchCtx, url)
 		}
 		if ctx.Err() != nil {
@@ -124,7 +127,7 @@
 			continue
 		}
 		w.endWatch(nil)
-		slog.Warn("watch ended", "lists", lists, "error", err)
+		slog.Warn("discovery watch ended", "lists", lists, "error", err)
 		next = w.nextDelay(next.jitter, lists, err)
 		w.onEnd()
 	}
--- a/internal/relay/frontend/connection.go
+++ b/internal/relay/frontend/connection.go
@@ -10,45 +10,48 @@
 )
 
 const (
-	// lingerTimeout is how long a connection is read off after its last response: a close over unread bytes resets it, and
-	// what the client has not read of the response is lost.
+	// lingerTimeout bounds how long the relay reads and discards input after the last response on a connection. Closing a
+	// socket with unread input resets the connection, which would destroy the part of the response that the client has not
+	// read yet.
 	lingerTimeout = 500 * time.Millisecond
-	// minLinger of it is granted even where others want the place.
+	// minLinger is the part of lingerTimeout during which the connection cannot be evicted in favour of a new one.
 	minLinger = 100 * time.Millisecond
-	// maxLingerBytes are read off at most: who sends more does not wait for a response.
+	// maxLingerBytes bounds the input that is discarded. A client that sends more is not waiting for a response.
 	maxLingerBytes = 1 << 20
 )
 
-// state is what a connection does, in the order of how likely a message comes of it:
+// state is the state of a connection. A lower state is evicted before a higher one, since it is less likely to lead to a
+// message. The transitions are:
 //
 //	idle -> reading -> response pending -> idle
-//	any of these -> lingering, once a response was written and the connection is closed
+//	any of these -> lingering, when the connection is closed shortly after a write to it
 type state int
 
 const (
-	stateIdle            state = iota // waits for the first byte of a request
-	stateLingering                    // its last response is out and the sending side ended: what still comes is read off
-	stateReading                      // in the middle of a request
-	stateResponsePending              // its request is complete, and waits for its response
+	stateIdle            state = iota // no byte of the next request has been read
+	stateLingering                    // the last response is written and the sending side closed; input is discarded
+	stateReading                      // a request has been read in part
+	stateResponsePending              // a complete request waits for its response
 )
 
-// Connection is a connection of a client. A request on it is either accepted, and then answered before the relay closes the
-// connection, or the relay's close goes before it, and then it is not accepted: startRequest and Close decide that under one
-// lock, that of the limiter.
+// Connection is a connection of a client. If a request is complete before the relay closes the connection, it is answered before
+// the close; if the relay's close comes first, the request is discarded. startRequest and Close decide which came first, under
+// the limiter's lock.
 type Connection struct {
 	net.Conn
 	limiter    *ConnectionLimiter
-	state      state        // the limiter's lock guards this and all that follows
-	lastActive instant.Time // when its last bytes came, or its last request ended
-	lastWrite  instant.Time // when the last bytes were written to it
-	closed     bool         // by the relay
+	state      state        // the limiter's lock guards this field and all below
+	lastActive instant.Time // when the client last sent bytes, or its last request ended
+	lastWrite  instant.Time // when the relay last wrote to the connection
+	closed     bool         // whether the relay has closed or evicted the connection
 	acceptedAt instant.Time
-	// queueDelay is how long it may have queued in the kernel while accepts failed, up to its first request: a peer that
-	// sends no proper request has to get its close from when it came.
+	// queueDelay is how long the connection may have waited in the kernel's queue while accepts failed; 0 after its first
+	// request. It shortens the read deadline, since the protocol counts the time to close the connection of a peer without
+	// a valid request from when that peer connected.
 	queueDelay time.Duration
 }
 
-// Read notes that the client is active. What crosses the relay's close is not read as a request.
+// Read records that the client is active. Bytes that arrive once the relay has closed the connection are discarded.
 func (c *Connection) Read(b []byte) (int, error) {
 	count, err := c.Conn.Read(b)
 	if count > 0 {
@@ -61,14 +64,14 @@
 		if c.state == stateIdle {
 			c.state = stateReading
 		}
-		if c.queueDelay > 0 { // whoever writes on, however slowly, has the whole time
+		if c.queueDelay > 0 { // a client that keeps sending gets the whole ReadTimeout
 			_ = c.Conn.SetReadDeadline(clock.Deadline(min(c.acceptedAt.Add(ReadTimeout), c.lastActive.Add(stallTimeout))))
 		}
 	}
 	return count, err
 }
 
-// SetReadDeadline is how net/http bounds the time to read a request.
+// SetReadDeadline sets the deadline by which net/http bounds the time to read a request, earlier by the queue delay.
 func (c *Connection) SetReadDeadline(t time.Time) error {
 	c.limiter.mu.Lock()
 	queueDelay := c.queueDelay
@@ -79,7 +82,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Write notes that there may be a response that the client has not read yet.
+// Write records when a response was written: the client may not have read it yet.
 func (c *Connection) Write(b []byte) (int, error) {
 	c.limiter.mu.Lock()
 	c.lastWrite = clock.Now()
@@ -87,8 +90,8 @@
 	return c.Conn.Write(b)
 }
 
-// startRequest notes that a request is complete and has to be answered. It reports false where the relay has closed the
-// connection: then the request does not count.
+// startRequest records that a request is complete and has to be answered. It reports false if the relay has closed the
+// connection already: the request must be discarded then.
 func (c *Connection) startRequest() bool {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
@@ -99,7 +102,7 @@
 	return !c.closed
 }
 
-// finishRequest notes that the last response on the connection is written.
+// finishRequest records that the response to the current request is written, and makes the connection idle.
 func (c *Connection) finishRequest() {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
@@ -110,31 +113,32 @@
 	}
 }
 
-// Close closes the connection and frees its place. Where a response has just been written it ends only the sending side at
-// once, and reads off what still comes, for a bounded time, so that no reset destroys the response. The goroutine that does
-// so ends within lingerTimeout; the limiter's count tells when.
+// Close closes the connection and removes it from the limiter. If the relay wrote to the connection less than lingerTimeout ago,
+// Close shuts down only the sending side, and a goroutine discards further input for at most lingerTimeout before the socket
+// is closed, so that a reset does not destroy the response. ConnectionLimiter.Count includes the connection until then.
 func (c *Connection) Close() error {
 	c.limiter.mu.Lock()
-	closedBefore, freshlyWritten := c.closed, clock.Since(c.lastWrite) < lingerTimeout
+	alreadyClosed, recentlyWritten := c.closed, clock.Since(c.lastWrite) < lingerTimeout
 	c.closed = true
-	if freshlyWritten && !closedBefore {
+	if recentlyWritten && !alreadyClosed {
 		c.state, c.lastActive = stateLingering, clock.Now()
 	}
 	c.limiter.mu.Unlock()
 	switch {
-	case closedBefore:
+	case alreadyClosed:
 		return nil
-	case freshlyWritten:
+	case recentlyWritten:
 		go c.linger()
 		return nil
 	}
 	return c.remove()
 }
 
-// CloseWrite is what net/http begins a close with where it knows that more will come.
+// CloseWrite closes the connection as Close does. net/http calls it first where it expects further input from the client.
 func (c *Connection) CloseWrite() error { return c.Close() }
 
-// linger ends the sending side, and the connection once the client has ended its own or the time for that is over.
+// linger shuts down the sending side and discards input until the client closes its side, lingerTimeout is over or
+// maxLingerBytes were read. Then it closes the connection.
 func (c *Connection) linger() {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
@@ -143,7 +147,7 @@
 	_ = c.remove()
 }
 
-// remove frees the connection's place and closes the socket.
+// remove removes the connection from the limiter and closes the socket.
 func (c *Connection) remove() error {
 	c.limiter.mu.Lock()
 	delete(c.limiter.connections, c)
--- a/internal/relay/frontend/connection_test.go
+++ b/internal/relay/frontend/connection_test.go
@@ -15,20 +15,20 @@
 	"milletsail/internal/relay/metrics"
 )
 
-// A close over unread bytes resets the connection, and the answer goes with it: what a client still sends is read off,
-// and is no request.
-func TestAnswerOutlivesTheClose(t *testing.T) {
+// Guards against losing a response: closing a socket with unread input resets the connection, and the client may not get the response.
+// Input after the response has to be discarded, and must not be handled as a request.
+func TestResponseSurvivesClose(t *testing.T) {
 	more := strings.Repeat("and more\r\n", 25_000)
 	for _, tt := range []struct{ name, text, want string }{
-		{"an answer that closes, and the next request", posted("a") + posted("b") + more, "HTTP/1.1 202 "},
-		{"no proper request", "POST /parcel HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n" + more, "HTTP/1.1 404 "},
-		{"no HTTP", "what?\r\n\r\n" + more, "HTTP/1.1 400 "},
-		{"a head too large", "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", len(more)), "HTTP/1.1 431 "},
-		{"a body too large", strings.Replace(posted("c"), ": 2\r\n", fmt.Sprintf(": %d\r\n", len(more)+2), 1) + more, "HTTP/1.1 413 "},
+		{"a response that closes, and another request", messageRequest("a") + messageRequest("b") + more, "HTTP/1.1 202 "},
+		{"a request for an unknown class", "POST /parcel HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n" + more, "HTTP/1.1 404 "},
+		{"not an HTTP request", "what?\r\n\r\n" + more, "HTTP/1.1 400 "},
+		{"a header too large", "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", len(more)), "HTTP/1.1 431 "},
+		{"a body too large", strings.Replace(messageRequest("c"), ": 2\r\n", fmt.Sprintf(": %d\r\n", len(more)+2), 1) + more, "HTTP/1.1 413 "},
 	} {
-		admitted := make(chan string, 9)
+		submitted := make(chan string, 9)
 		s, g := testServer(t, func(a *Submission) {
-			admitted <- a.Entry.ID
+			submitted <- a.Entry.ID
 			a.Response <- Response{Status: http.StatusAccepted}
 		}, func(*Submission) {})
 		s.draining.Store(true)
@@ -41,23 +41,24 @@
 			_, err := io.WriteString(c, tt.text)
 			wrote <- errors.Join(err, closeWrite(c))
 		}()
-		_ = c.SetReadDeadline(time.Now().Add(long))
+		_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 		got, err := io.ReadAll(c)
 		if err != nil || receive(t, wrote) != nil {
-			t.Errorf("%s: the connection broke: %v", tt.name, err)
+			t.Errorf("%s: reading the response or writing the request failed: %v", tt.name, err)
 		}
 		if !strings.HasPrefix(string(got), tt.want) || strings.Count(string(got), "HTTP/1.1 ") != 1 {
-			t.Errorf("%s: answer %q", tt.name, got)
+			t.Errorf("%s: got %q, want exactly one response", tt.name, got)
 		}
-		if strings.Contains(tt.want, "202") && receive(t, admitted) != "a" || len(admitted) != 0 {
-			t.Errorf("%s: more was taken up than answered", tt.name)
+		if strings.Contains(tt.want, "202") && receive(t, submitted) != "a" || len(submitted) != 0 {
+			t.Errorf("%s: a message was submitted whose request got no response", tt.name)
 		}
 		_ = c.Close()
 	}
 }
 
-// A peer that never stops sending after its answer loses its place all the same, within a bounded time and amount.
-func TestLingeringEnds(t *testing.T) {
+// Guards against a peer that holds a connection open after its last response, by sending without end or by sending nothing: lingering is
+// bounded in time and bytes.
+func TestLingeringIsBounded(t *testing.T) {
 	_, g := testServer(t, nil, nil)
 	silent, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", g.Addr().String())
 	if err != nil {
@@ -70,37 +71,38 @@
 	}
 	defer func() { _ = flood.Close() }()
 	_, _ = io.WriteString(silent, "what?\r\n\r\n")
-	for err = nil; err == nil; { // ends with the connection
+	for err = nil; err == nil; { // until the relay closes the connection
 		_, err = io.WriteString(flood, strings.Repeat("what?\r\n\r\n", 1000))
 	}
-	for end := time.Now().Add(long); g.Count() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); g.Count() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections stay", g.Count())
+			t.Fatalf("%d connections still open after the time-out", g.Count())
 		}
 	}
 }
 
-// bytesAt is a connection on which bytes come when the test lets them.
-type bytesAt struct {
+// gatedConn is a connection whose reads each wait for a value from readable.
+type gatedConn struct {
 	net.Conn
-	come chan bool
+	readable chan bool
 }
 
-func (c bytesAt) Read(b []byte) (int, error) {
-	<-c.come
+func (c gatedConn) Read(b []byte) (int, error) {
+	<-c.readable
 	return copy(b, "POST"), nil
 }
 
-func (c bytesAt) Close() error { return nil }
+func (c gatedConn) Close() error { return nil }
 
-// Bytes that come in the instant of the relay's close are read as a request before it, and then answered, or not at all.
-func TestBytesThatCrossTheClose(t *testing.T) {
+// Guards against losing a request whose bytes arrive just as the relay closes the connection: once the close comes first, they must not
+// be read, so that the client knows that the request was not handled.
+func TestReadRacesWithClose(t *testing.T) {
 	for _, closes := range []struct {
 		name string
 		do   func(*Connection)
 	}{
-		{"for another's place", func(c *Connection) { c.closed = true }},
-		{"after its last answer", func(c *Connection) {
+		{"evicted for a new connection", func(c *Connection) { c.closed = true }},
+		{"closed after its last response", func(c *Connection) {
 			c.limiter.mu.Unlock()
 			_ = c.Close()
 			c.limiter.mu.Lock()
@@ -108,7 +110,7 @@
 	} {
 		g := &ConnectionLimiter{connections: map[*Connection]bool{}}
 		g.changed.L = &g.mu
-		raw := bytesAt{come: make(chan bool)}
+		raw := gatedConn{readable: make(chan bool)}
 		c := &Connection{Conn: raw, limiter: g}
 		g.connections[c] = true
 		read := make(chan int, 1)
@@ -117,20 +119,21 @@
 			read <- n
 		}()
 		g.mu.Lock()
-		raw.come <- true // they are read now, and the close is first at the lock
+		raw.readable <- true // the bytes are read now, but the close gets the lock first
 		closes.do(c)
 		g.mu.Unlock()
 		if n := receive(t, read); n != 0 {
-			t.Errorf("%s: %d bytes were read on a closed connection", closes.name, n)
+			t.Errorf("%s: %d bytes were read from a closed connection, want 0", closes.name, n)
 		}
 		if c.startRequest() {
-			t.Errorf("%s: a request was taken up on a closed connection", closes.name)
+			t.Errorf("%s: a request was started on a closed connection", closes.name)
 		}
 	}
 }
 
-// A request whose connection the relay has closed meanwhile is not taken up, wherever its bytes are.
-func TestRequestBehindTheClose(t *testing.T) {
+// Guards against submitting the message of a request that is read completely after the relay has closed its connection: the client could
+// not get a response.
+func TestRequestOnClosedConnectionIsNotSubmitted(t *testing.T) {
 	admitted := make(chan string, 9)
 	s, g := testServer(t, func(a *Submission) {
 		admitted <- a.Entry.ID
@@ -138,10 +141,10 @@
 	}, func(*Submission) {})
 	serve := s.http.Handler
 	s.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// The whole request is here, and the place goes to another before it is taken up.
+		// The request is read completely, and the connection is evicted before the handler runs.
 		c, ok := r.Context().Value(connectionKey{}).(*Connection)
 		if !ok {
-			t.Error("a request without its connection")
+			t.Error("the request context holds no Connection")
 			return
 		}
 		g.mu.Lock()
@@ -154,20 +157,21 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_, _ = io.WriteString(c, posted("a"))
+	_, _ = io.WriteString(c, messageRequest("a"))
 	_ = closeWrite(c)
-	for end := time.Now().Add(long); g.any(func(c *Connection) bool { return c.state == stateResponsePending }) &&
+	for end := time.Now().Add(testTimeout); g.any(func(c *Connection) bool { return c.state == stateResponsePending }) &&
 		time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(time.Second))
 	if got, _ := io.ReadAll(c); len(got) > 0 || len(admitted) > 0 {
-		t.Errorf("answer %q, %d taken up", got, len(admitted))
+		t.Errorf("got response %q and %d submitted messages, want neither", got, len(admitted))
 	}
 }
 
-// A client that ends only its sending before its answer counts as gone, and is not told that its message is taken on.
-func TestClientThatEndsItsSending(t *testing.T) {
+// Guards against answering a client that closed only its sending side before the response: it counts as disconnected, its message is
+// withdrawn, and it must not get a response that says otherwise.
+func TestHalfClosedClientCountsAsDisconnected(t *testing.T) {
 	left := make(chan bool, 1)
 	_, g := testServer(t, func(*Submission) {}, func(*Submission) { left <- true })
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", g.Addr().String())
@@ -175,26 +179,26 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	_, _ = io.WriteString(c, posted("a"))
+	_, _ = io.WriteString(c, messageRequest("a"))
 	_ = closeWrite(c)
 	receive(t, left)
-	_ = c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	if got, err := io.ReadAll(c); len(got) > 0 {
-		t.Errorf("answer %q (%v)", got, err)
+		t.Errorf("got response %q (error %v), want none", got, err)
 	}
 }
 
-// A peer that stood in the system's queue while accepts failed, and sends nothing or stops in the middle of a request, gets
-// its close from when it came; one that writes on slowly has the whole time, and the next request too.
-func TestPeersThatWaitedForAnAccept(t *testing.T) {
-	const waited = ReadTimeout - stallTimeout
+// Guards against closing the connection of a silent or stalled peer too late after a period of failed accepts: its time counts from when
+// it connected, which includes the wait in the kernel's queue. A client that sends slowly but without pauses gets the whole time.
+func TestReadTimeoutIncludesQueueDelay(t *testing.T) {
+	const maxQueueDelay = ReadTimeout - stallTimeout
 	for _, c := range []struct {
 		name  string
-		write []string // a piece each half of patience
-		open  bool     // behind these
+		write []string // sent in turn, each followed by a wait of half of stallTimeout
+		open  bool     // whether the connection is still open after the last piece
 	}{
 		{"silent", nil, false},
-		{"half a head", []string{"POST /status"}, false},
+		{"stalled in the header", []string{"POST /status"}, false},
 		{"slow", []string{"POST /", "status ", "HTTP/1.1\r\n", "Host: x\r\n"}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -224,13 +228,13 @@
 			if c.open {
 				_ = peer.SetReadDeadline(time.Now().Add(stallTimeout / 5))
 				if n, err := peer.Read(make([]byte, 1)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Errorf("closed after %v: %v", time.Since(begun), err)
+					t.Errorf("connection not open after %v: read returned %v", time.Since(begun), err)
 				}
 				return
 			}
 			_ = peer.SetReadDeadline(time.Now().Add(ReadTimeout))
-			if _, err := peer.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) > ReadTimeout-waited/2 {
-				t.Errorf("after %v: %v", time.Since(begun), err)
+			if _, err := peer.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) > ReadTimeout-maxQueueDelay/2 {
+				t.Errorf("connection not closed in time: after %v, read returned %v", time.Since(begun), err)
 			}
 		})
 	}
--- a/internal/relay/frontend/endings_test.go
+++ b/internal/relay/frontend/endings_test.go
@@ -15,12 +15,12 @@
 	"milletsail/internal/relay/socket"
 )
 
-// The tests of this file force the order of events at the end of something, on real connections: docs/endings.md lists
-// the rows that they belong to.
+// The tests of this file force a certain order of concurrent events at the end of a request or connection, on real connections.
+// docs/endings.md lists these orders and the test of each.
 
-// A request that arrives after the idle limit of its connection has passed and before the relay closes it is not read: it
-// is no request, the client sees its connection end without an answer, and may send it again.
-func TestRequestThatCrossesTheIdleClose(t *testing.T) {
+// Guards against handling a request that arrives between the idle time-out of its connection and the relay's close: it must not be
+// accepted, and the client has to see the connection end without a response, so that it may send the request again.
+func TestRequestRacesWithIdleClose(t *testing.T) {
 	t.Parallel()
 	expired, arrived := make(chan *hookedConn, 1), make(chan bool)
 	ids := make(chan string, 9)
@@ -29,36 +29,36 @@
 			expired <- c
 			<-arrived
 		}
-	}}, accepting(ids), nil)
+	}}, acceptAll(ids), nil)
 	c := dial(t, g)
-	write(t, c, posted("first"))
-	wantAccepted(t, "before the idle limit", c)
+	write(t, c, messageRequest("first"))
+	wantAccepted(t, "request before the idle time-out", c)
 
 	relaySide := receive(t, expired)
-	write(t, c, posted("crossing"))
+	write(t, c, messageRequest("crossing"))
 	eventually(t, "the request is in the relay's buffer", func() bool { return socket.HasUnread(relaySide) })
 	close(arrived)
 	if got, err := io.ReadAll(c); len(got) > 0 || err != nil && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("on the closed connection: %q, %v", got, err)
+		t.Errorf("on the closed connection: read %q and error %v, want no data", got, err)
 	}
-	eventually(t, "its place is free", func() bool { return g.Count() == 0 })
-	if got := drained(ids); !slices.Equal(got, []string{"first"}) {
-		t.Errorf("accepted %v", got)
+	eventually(t, "the connection is removed from the limiter", func() bool { return g.Count() == 0 })
+	if got := drainSorted(ids); !slices.Equal(got, []string{"first"}) {
+		t.Errorf("accepted %v, want only the first request", got)
 	}
 
 	again := dial(t, g)
-	write(t, again, posted("crossing"))
-	wantAccepted(t, "sent again", again)
-	if got := drained(ids); !slices.Equal(got, []string{"crossing"}) {
-		t.Errorf("accepted afterwards %v", got)
+	write(t, again, messageRequest("crossing"))
+	wantAccepted(t, "request sent again", again)
+	if got := drainSorted(ids); !slices.Equal(got, []string{"crossing"}) {
+		t.Errorf("accepted %v after the first request, want only the one sent again", got)
 	}
 }
 
-// A connection whose request has arrived and has not been read keeps its place, though it would be the first to lose it:
-// another connection is closed for the new one.
-func TestUnreadRequestKeepsItsPlace(t *testing.T) {
-	readOn := make(chan bool)
-	release := sync.OnceFunc(func() { close(readOn) })
+// Guards against evicting a connection whose request has arrived but is not read yet. As the one idle for longest it would be evicted
+// first; another connection has to be evicted instead.
+func TestConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
+	resumeRead := make(chan bool)
+	release := sync.OnceFunc(func() { close(resumeRead) })
 	t.Cleanup(release)
 	relaySides := make(chan *hookedConn, 1)
 	var held atomic.Bool
@@ -66,36 +66,36 @@
 	g := hookedServer(t, 2, readHooks{before: func(c *hookedConn) {
 		if c.number == 1 && held.CompareAndSwap(false, true) {
 			relaySides <- c
-			<-readOn
-			_ = c.SetReadDeadline(time.Time{}) // the test held the read up, not the client
+			<-resumeRead
+			_ = c.SetReadDeadline(time.Time{}) // the delay came from the test, not from the client
 		}
-	}}, accepting(ids), nil)
+	}}, acceptAll(ids), nil)
 	oldest := dial(t, g)
 	relaySide := receive(t, relaySides)
 	silent := dial(t, g)
-	eventually(t, "all places are taken", func() bool { return g.Count() == 2 })
-	write(t, oldest, posted("unread"))
+	eventually(t, "the limiter is at its capacity", func() bool { return g.Count() == 2 })
+	write(t, oldest, messageRequest("unread"))
 	eventually(t, "the request is in the relay's buffer", func() bool { return socket.HasUnread(relaySide) })
 
 	newest := dial(t, g)
-	write(t, newest, posted("new"))
+	write(t, newest, messageRequest("new"))
 	if got, err := io.ReadAll(silent); len(got) > 0 || err != nil {
-		t.Errorf("the silent connection: %q, %v", got, err)
+		t.Errorf("evicted connection: read %q and error %v, want its end without data", got, err)
 	}
 	wantAccepted(t, "the new connection", newest)
 	release()
 	wantAccepted(t, "the connection with the unread request", oldest)
-	if got := drained(ids); !slices.Equal(got, []string{"new", "unread"}) {
-		t.Errorf("accepted %v", got)
+	if got := drainSorted(ids); !slices.Equal(got, []string{"new", "unread"}) {
+		t.Errorf("accepted %v, want new and unread", got)
 	}
 }
 
-// The last byte of a request arrives after the read limit has passed and before the relay acts on that: nothing is
-// accepted, and the client sees its connection end, with an error as its answer where the head had come whole.
-func TestRequestBehindTheReadLimit(t *testing.T) {
+// Guards against accepting a request whose last byte arrives after the read time-out, before the relay handles that time-out. The client
+// has to see its connection end, after an error response if the header had arrived completely.
+func TestRequestCompletedAfterReadTimeout(t *testing.T) {
 	for _, tt := range []struct{ name, early, late, want string }{
-		{"in the head", strings.TrimSuffix(posted("late"), "\r\nhi"), "\r\nhi", ""},
-		{"in the body", strings.TrimSuffix(posted("late"), "i"), "i", "HTTP/1.1 400 "},
+		{"in the header", strings.TrimSuffix(messageRequest("late"), "\r\nhi"), "\r\nhi", ""},
+		{"in the body", strings.TrimSuffix(messageRequest("late"), "i"), "i", "HTTP/1.1 400 "},
 	} {
 		t.Run(strings.ReplaceAll(tt.name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
@@ -106,7 +106,7 @@
 					expired <- c
 					<-arrived
 				}
-			}}, accepting(ids), nil)
+			}}, acceptAll(ids), nil)
 			c := dial(t, g)
 			write(t, c, tt.early)
 			relaySide := receive(t, expired)
@@ -115,37 +115,38 @@
 			close(arrived)
 			got, err := io.ReadAll(c)
 			if !strings.HasPrefix(string(got), tt.want) || tt.want == "" && len(got) > 0 {
-				t.Errorf("answer %q", got)
+				t.Errorf("got response %q", got)
 			}
 			if err != nil && (tt.want != "" || !errors.Is(err, syscall.ECONNRESET)) {
-				t.Errorf("the connection broke: %v", err)
+				t.Errorf("reading the response failed: %v", err)
 			}
-			if got := drained(ids); len(got) > 0 {
-				t.Errorf("accepted %v", got)
+			if got := drainSorted(ids); len(got) > 0 {
+				t.Errorf("accepted %v, want none", got)
 			}
 			again := dial(t, g)
-			write(t, again, posted("late"))
-			wantAccepted(t, "sent again", again)
+			write(t, again, messageRequest("late"))
+			wantAccepted(t, "request sent again", again)
 		})
 	}
 }
 
-// A request whose last byte is read within the read limit gets its answer, also where that is decided after the limit.
-func TestAnswerDecidedBehindTheReadLimit(t *testing.T) {
+// Guards against a read time-out that also applies to the time until the response: a request that was read in time gets its response,
+// however late that is decided.
+func TestResponseAfterReadTimeout(t *testing.T) {
 	t.Parallel()
 	accepted := make(chan *Submission, 1)
 	var withdrawn atomic.Bool
 	g := hookedServer(t, 9, readHooks{}, func(a *Submission) { accepted <- a }, func(*Submission) { withdrawn.Store(true) })
 	c := dial(t, g)
 	begun := time.Now()
-	write(t, c, posted("m"))
+	write(t, c, messageRequest("m"))
 	a := receive(t, accepted)
 	for time.Since(begun) < ReadTimeout+200*time.Millisecond && !withdrawn.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	a.Response <- Response{Status: http.StatusAccepted}
-	wantAccepted(t, "an answer decided behind the limit", c)
+	wantAccepted(t, "response decided after the read time-out", c)
 	if withdrawn.Load() {
-		t.Error("the message was withdrawn as though its client had left")
+		t.Error("the message was withdrawn although its client is still connected")
 	}
 }
--- a/internal/relay/frontend/helpers_test.go
+++ b/internal/relay/frontend/helpers_test.go
@@ -18,23 +18,23 @@
 	"milletsail/policy"
 )
 
-// long is longer than anything that a test waits for in vain.
-const long = 20 * time.Second
+// testTimeout bounds every wait of a test; it is far longer than any expected wait.
+const testTimeout = 20 * time.Second
 
-// receive waits for a value.
+// receive returns the next value of a channel, and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(long):
-		t.Fatal("waited in vain")
+	case <-time.After(testTimeout):
+		t.Fatal("no value received within the time-out")
 		panic("not reached")
 	}
 }
 
-// testServer serves clients without a relay behind it: what is handed in goes to admit.
-func testServer(t *testing.T, admit, gone func(*Submission)) (*Server, *ConnectionLimiter) {
+// testServer starts a server for clients, without a relay behind it. Messages go to submit, and to withdraw if their client disconnects.
+func testServer(t *testing.T, submit, withdraw func(*Submission)) (*Server, *ConnectionLimiter) {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,34 +43,34 @@
 	g := newLimiter(l, 9)
 	c := &config.Config{}
 	c.Policy.Classes = []policy.Class{{Name: "status", Deadline: time.Minute}}
-	s := NewServer(c, new(metrics.ReasonCounters), admit, gone)
+	s := NewServer(c, new(metrics.ReasonCounters), submit, withdraw)
 	go func() { _ = s.http.Serve(g) }()
 	t.Cleanup(func() { _ = s.http.Close() })
 	return s, g
 }
 
-// posted is a whole request for destination 7.
-func posted(id string) string {
+// messageRequest returns the text of a complete request with a message for destination 7.
+func messageRequest(id string) string {
 	return fmt.Sprintf("POST /status HTTP/1.1\r\nHost: relay\r\nTenant: acme\r\nRequest-Id: %s\r\nRequest-Timeout: 25\r\n"+
 		"X-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi", id)
 }
 
-// readHooks are called by the relay's side of a connection, in the goroutine that reads. Each may be nil.
+// readHooks are functions that the relay's side of a connection calls in the goroutine that reads from it. Each may be nil.
 type readHooks struct {
-	// before is called ahead of each read.
+	// before is called before each read.
 	before func(*hookedConn)
-	// expired is called once a read has ended by its deadline, and before the relay learns of it.
+	// expired is called when a read has failed by its deadline, before the error is returned to the relay.
 	expired func(*hookedConn)
 }
 
-// hookedListener accepts TCP connections whose reads go through hooks.
+// hookedListener accepts TCP connections whose reads call hooks.
 type hookedListener struct {
 	net.Listener
 	hooks    readHooks
-	accepted int
+	accepted int // number of connections so far
 }
 
-// Accept numbers the connections from 1 on.
+// Accept returns the next connection. It numbers connections from 1 on.
 func (l *hookedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -88,10 +88,10 @@
 type hookedConn struct {
 	*net.TCPConn
 	hooks  readHooks
-	number int
+	number int // order in which the connection was accepted, from 1 on
 
 	mu       sync.Mutex
-	deadline time.Time // of reads
+	deadline time.Time // current read deadline
 }
 
 func (c *hookedConn) SetReadDeadline(at time.Time) error {
@@ -112,50 +112,50 @@
 	return n, err
 }
 
-// interrupted tells whether net/http has ended a pending read of its own accord, which it does by a deadline in 1970.
+// interrupted reports whether net/http has aborted a pending read, which it does by setting a deadline in 1970.
 func (c *hookedConn) interrupted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.deadline.Unix() == 1
 }
 
-// hookedServer serves clients like testServer, through hooks, with room for so many connections.
-func hookedServer(t *testing.T, room int, hooks readHooks, admit, gone func(*Submission)) *ConnectionLimiter {
+// hookedServer starts a server like testServer, whose connections call hooks, with a limiter of the given capacity.
+func hookedServer(t *testing.T, capacity int, hooks readHooks, submit, withdraw func(*Submission)) *ConnectionLimiter {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newLimiter(&hookedListener{Listener: l, hooks: hooks}, room)
+	g := newLimiter(&hookedListener{Listener: l, hooks: hooks}, capacity)
 	c := &config.Config{}
 	c.Policy.Classes = []policy.Class{{Name: "status", Deadline: time.Minute}}
-	s := NewServer(c, new(metrics.ReasonCounters), admit, gone)
+	s := NewServer(c, new(metrics.ReasonCounters), submit, withdraw)
 	go func() { _ = s.http.Serve(g) }()
 	t.Cleanup(func() { _ = s.http.Close() })
 	return g
 }
 
-// accepting answers each request 202 and records its id.
-func accepting(ids chan<- string) func(*Submission) {
+// acceptAll returns a submit function that sends the id of each message to ids and answers the request with 202.
+func acceptAll(ids chan<- string) func(*Submission) {
 	return func(a *Submission) {
 		ids <- a.Entry.ID
 		a.Response <- Response{Status: http.StatusAccepted}
 	}
 }
 
-// dial opens a client's connection to a gate, with a bound on how long the test reads from it.
-func dial(t *testing.T, g *ConnectionLimiter) net.Conn {
+// dial opens a client connection to a limiter. Reads from it fail after testTimeout.
+func dial(t *testing.T, limiter *ConnectionLimiter) net.Conn {
 	t.Helper()
-	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", g.Addr().String())
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", limiter.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-// write sends bytes on a client's connection.
+// write sends text on a client connection.
 func write(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -163,27 +163,27 @@
 	}
 }
 
-// wantAccepted reads one answer, which has to be 202.
+// wantAccepted reads one response and fails the test if its status is not 202.
 func wantAccepted(t *testing.T, what string, c net.Conn) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test's end closes the connection
 	if err != nil || resp.StatusCode != http.StatusAccepted {
-		t.Errorf("%s: %v, %v", what, resp, err)
+		t.Errorf("%s: got response %v and error %v, want status 202", what, resp, err)
 	}
 }
 
-// eventually waits for a condition; how long that takes decides nothing.
+// eventually polls until a condition holds, and fails the test after testTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(long); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("condition did not hold within the time-out: %s", what)
 		}
 	}
 }
 
-// drained gives all that a channel holds now, sorted.
-func drained(ids chan string) (all []string) {
+// drainSorted removes all values that a channel holds now and returns them sorted.
+func drainSorted(ids chan string) (all []string) {
 	for len(ids) > 0 {
 		all = append(all, <-ids)
 	}
@@ -191,7 +191,7 @@
 	return all
 }
 
-// closeWrite ends the sending side of a connection.
+// closeWrite shuts down the sending side of a connection.
 func closeWrite(c net.Conn) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
--- a/internal/relay/frontend/limiter.go
+++ b/internal/relay/frontend/limiter.go
@@ -20,39 +20,43 @@
 )
 
 const (
-	// UpstreamShare of the descriptors is for idle connections to endpoints.
+	// UpstreamShare is the share of the process's descriptors that idle connections to endpoints may take.
 	UpstreamShare = 0.25
-	// clientShare of the descriptors is for client connections at most.
+	// clientShare is the maximum share of the descriptors for client connections.
 	clientShare = 0.5
-	// guaranteedClientDivisor divides the descriptors: the platform lets clients use that many in any case.
+	// guaranteedClientDivisor sets the minimum capacity for client connections: the platform guarantees clients one third of
+	// the descriptors.
 	guaranteedClientDivisor = 3
-	// fixedDescriptors is what a process has open whatever its load: files, listeners, discovery, operators, the runtime, the
-	// posts of notifications.
+	// fixedDescriptors is the number of descriptors that a process needs at any load: files, listeners, the discovery watch,
+	// admin connections, the Go runtime and the posts of notifications.
 	fixedDescriptors = 22 + notifier.MaxSinglePosts
-	// minShareInHandover of the capacity is left to a new process while its predecessor has the rest.
+	// minShareInHandover is the share of the capacity that a new process may use even while its predecessor holds more than the
+	// rest.
 	minShareInHandover = 0.25
-	// stallTimeout is how long a client may be silent in the middle of a request before it counts as stalled: some take 2 s
-	// to write one, and write on all the while.
+	// stallTimeout is how long a client may send nothing in the middle of a request before it counts as stalled. Some clients
+	// take 2 s to send a request, but without pauses of that length.
 	stallTimeout = 500 * time.Millisecond
 )
 
-// ConnectionLimiter is a listener that bounds the connections of clients, those that the predecessor still has included. With
-// all places taken, a new connection evicts the one that is least likely to bring a message, so that a crowd that never
-// completes one keeps no client out. Its methods are safe for concurrent use, but Accept is for one goroutine.
+// ConnectionLimiter is a listener that bounds the number of client connections of this process and its predecessor together. At
+// the limit, a new connection evicts the one that is least likely to submit a message, so that peers that never complete a
+// request cannot keep clients out. Its methods are safe for concurrent use, except that only one goroutine may call Accept.
 type ConnectionLimiter struct {
 	net.Listener
-	capacity   int
-	queueDelay func() time.Duration // of the connection that was accepted last; nil for never
+	capacity int // maximum number of client connections, the predecessor's included
+	// queueDelay returns how long the last accepted connection may have waited in the kernel's queue while accepts failed. Nil
+	// stands for no delay.
+	queueDelay func() time.Duration
 
 	mu          sync.Mutex
 	changed     sync.Cond
-	connections map[*Connection]bool // of this process
-	reserved    int                  // for the predecessor's connections
-	closed      bool
+	connections map[*Connection]bool // open connections of this process
+	reserved    int                  // part of the capacity that the predecessor's connections take
+	closed      bool                 // whether Close was called
 }
 
-// Listen accepts client connections at the socket that the platform holds, where it says so, else at the address that the
-// configuration names. The end of ctx does not interrupt it.
+// Listen opens the listening socket for clients: the one inherited from the platform if the configuration names one, else a new
+// one at the configured address. It retries transient failures for a bounded time. Cancellation of ctx does not interrupt it.
 func Listen(ctx context.Context, c *config.Config, reasons *metrics.ReasonCounters) (*ConnectionLimiter, error) {
 	ctx = context.WithoutCancel(ctx)
 	opened, err := listener.Listen(ctx, "clients", func() (net.Listener, error) { return openSocket(ctx, c) })
@@ -65,21 +69,22 @@
 	return l, nil
 }
 
-// newLimiter returns a limiter of a listener's connections.
+// newLimiter returns a limiter of the given capacity for the connections of a listener.
 func newLimiter(accepting net.Listener, capacity int) *ConnectionLimiter {
 	l := &ConnectionLimiter{Listener: accepting, capacity: capacity, connections: map[*Connection]bool{}}
 	l.changed.L = &l.mu
 	return l
 }
 
-// capacityFor is how many client connections fit beside what else needs descriptors, the calls of all slots and another
-// process in a handover included, but no fewer than the platform lets clients use.
+// capacityFor returns the maximum number of client connections for a process that may open the given number of sockets. It
+// leaves descriptors for idle endpoint connections, one call in each slot, and the fixed needs of this process and of a second
+// one during a handover, but returns no less than the number that the platform guarantees to clients.
 func capacityFor(sockets, slots int) int {
 	remaining := sockets - int(UpstreamShare*float64(sockets)) - slots - 2*fixedDescriptors
 	return max(1, sockets/guaranteedClientDivisor, min(int(clientShare*float64(sockets)), remaining))
 }
 
-// openSocket opens the configured socket.
+// openSocket returns a listener on the inherited socket, or on the configured address if none is inherited.
 func openSocket(ctx context.Context, c *config.Config) (net.Listener, error) {
 	if c.InheritedSocket == "" {
 		var listen net.ListenConfig
@@ -87,17 +92,17 @@
 	}
 	fd, err := strconv.Atoi(c.InheritedSocket)
 	if err != nil {
-		return nil, fmt.Errorf("inherited socket: %w", err)
+		return nil, fmt.Errorf("inherited client socket: descriptor number: %w", err)
 	}
 	f := os.NewFile(uintptr(fd), "clients")
 	if f == nil {
-		return nil, errors.New("inherited socket: no descriptor " + c.InheritedSocket)
+		return nil, errors.New("inherited client socket: invalid descriptor " + c.InheritedSocket)
 	}
 	defer func() { _ = f.Close() }()
 	return net.FileListener(f)
 }
 
-// Accept waits for a client, and for a place for it.
+// Accept returns the next client connection, once there is capacity for it.
 func (l *ConnectionLimiter) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil { // closed
@@ -118,23 +123,24 @@
 	return c, nil
 }
 
-// full reports whether all places are taken. The caller holds the lock.
+// full reports whether another connection would exceed the capacity. The caller holds the lock.
 func (l *ConnectionLimiter) full() bool {
 	return len(l.connections) >= max(l.capacity-l.reserved, int(minShareInHandover*float64(l.capacity)), 1)
 }
 
-// evictOrWait evicts a connection, or reports false once something has changed. The caller holds the lock.
+// evictOrWait evicts a connection and reports true. If it cannot, it reports false once the limiter may have changed, and the
+// caller checks again. The caller holds the lock.
 func (l *ConnectionLimiter) evictOrWait() bool {
 	candidate := l.evictionCandidate(clock.Now())
 	if candidate == nil {
-		// No connection may be evicted yet. One that falls silent may be, after stallTimeout.
+		// No connection can be evicted yet. One that is reading a request can be once it has sent nothing for stallTimeout.
 		retry := time.AfterFunc(stallTimeout, l.changed.Broadcast)
 		l.changed.Wait()
 		retry.Stop()
 		return false
 	}
 	if candidate.state == stateIdle && socket.HasUnread(candidate.Conn) {
-		// Its request is here, and only the goroutine that reads it has not come to it.
+		// A request has arrived, but its goroutine has not read it yet.
 		candidate.state, candidate.lastActive = stateReading, clock.Now()
 		return false
 	}
@@ -144,10 +150,10 @@
 	return true
 }
 
-// evictionCandidate returns the connection to close for a new one, or nil. Idle ones (nothing of a request has come) go before
-// lingering ones (the last response is out), and these before ones that stalled in the middle of a request; of the same state
-// the one that was silent longest goes. One whose response is pending is never evicted, nor is one that was active within
-// stallTimeout, or whose response may still be on its way (minLinger). The caller holds the lock.
+// evictionCandidate returns the connection to evict for a new one, or nil if none can be evicted. Idle connections are evicted
+// before lingering ones, and lingering ones before those that stalled in the middle of a request; within a state, the one
+// inactive for longest is evicted first. A connection is never evicted while its response is pending, while it is reading a
+// request and was active within stallTimeout, or during the first minLinger of lingering. The caller holds the lock.
 func (l *ConnectionLimiter) evictionCandidate(now instant.Time) (candidate *Connection) {
 	for c := range l.connections {
 		silent := now.Sub(c.lastActive)
@@ -162,7 +168,8 @@
 	return candidate
 }
 
-// Close stops accepting clients. The socket itself stays open where the platform or another process has it too.
+// Close stops accepting clients. It closes this process's descriptor; the socket stays open if the platform or another process
+// holds a descriptor of it too.
 func (l *ConnectionLimiter) Close() error {
 	l.mu.Lock()
 	l.closed = true
@@ -171,7 +178,7 @@
 	return l.Listener.Close()
 }
 
-// Reserve sets how many connections of clients the predecessor has.
+// Reserve sets the number of client connections that the predecessor holds, which reduces the capacity of this process.
 func (l *ConnectionLimiter) Reserve(connections int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -179,24 +186,24 @@
 	l.changed.Broadcast()
 }
 
-// Count returns how many connections are open.
+// Count returns the number of open connections of this process, lingering ones included.
 func (l *ConnectionLimiter) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.connections)
 }
 
-// Busy reports whether a request is being read or waits for its response on some connection.
+// Busy reports whether any connection has a request that is being read or waits for its response.
 func (l *ConnectionLimiter) Busy() bool {
 	return l.any(func(c *Connection) bool { return c.state >= stateReading })
 }
 
-// ResponsesUnread reports whether some client may still be waiting for a response, or reading one.
+// ResponsesUnread reports whether any client may still be waiting for a response or reading one.
 func (l *ConnectionLimiter) ResponsesUnread() bool {
 	return l.any(func(c *Connection) bool { return c.state == stateLingering || c.state == stateResponsePending })
 }
 
-// any reports whether some connection matches.
+// any reports whether any open connection matches.
 func (l *ConnectionLimiter) any(matches func(*Connection) bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/relay/frontend/limiter_test.go
+++ b/internal/relay/frontend/limiter_test.go
@@ -7,24 +7,25 @@
 	"milletsail/internal/clock"
 )
 
-func TestLeastPromise(t *testing.T) {
+// Guards against evicting the wrong connection for a new one: one with a pending or recent response, or an active client, must stay.
+func TestEvictionCandidate(t *testing.T) {
 	now := clock.Now()
 	ago := func(s state, d time.Duration) *Connection { return &Connection{state: s, lastActive: now.Add(-d)} }
 	tests := []struct {
 		name string
-		open []*Connection // the first one goes, if any does
+		open []*Connection // the first one is expected to be evicted, unless none is set
 		none bool
 	}{
-		{"the oldest that sent nothing", []*Connection{ago(stateIdle, 3*time.Second), ago(stateIdle, time.Second)}, false},
-		{"one that sent nothing before one that stalls", []*Connection{ago(stateIdle, time.Millisecond), ago(stateReading,
+		{"the idle connection inactive for longest", []*Connection{ago(stateIdle, 3*time.Second), ago(stateIdle, time.Second)}, false},
+		{"an idle connection before a stalled one", []*Connection{ago(stateIdle, time.Millisecond), ago(stateReading,
 			2*time.Second)}, false},
-		{"the one stalled longest", []*Connection{ago(stateReading, 2*time.Second), ago(stateReading, time.Second),
+		{"the connection stalled for longest", []*Connection{ago(stateReading, 2*time.Second), ago(stateReading, time.Second),
 			ago(stateResponsePending, time.Minute)}, false},
-		{"one whose last answer is out before one that stalls", []*Connection{ago(stateLingering, minLinger), ago(stateReading,
+		{"a lingering connection before a stalled one", []*Connection{ago(stateLingering, minLinger), ago(stateReading,
 			2*time.Second)}, false},
-		{"none whose answer is on its way", []*Connection{ago(stateLingering, minLinger/2), ago(stateResponsePending, time.Minute)},
+		{"no connection with a recent or pending response", []*Connection{ago(stateLingering, minLinger/2), ago(stateResponsePending, time.Minute)},
 			true},
-		{"none that writes on or is owed its answer", []*Connection{ago(stateReading, stallTimeout/2), ago(stateResponsePending,
+		{"no connection with an active client or a pending response", []*Connection{ago(stateReading, stallTimeout/2), ago(stateResponsePending,
 			time.Minute)}, true},
 	}
 	for _, tt := range tests {
@@ -37,17 +38,18 @@
 			want = nil
 		}
 		if got := g.evictionCandidate(now); got != want {
-			t.Errorf("%s: got %+v", tt.name, got)
+			t.Errorf("%s: wrong candidate %+v", tt.name, got)
 		}
 	}
 }
 
-// Clients get what is left beside calls, idle connections and another process, within their share.
+// Guards against a capacity for clients that leaves too few descriptors for calls, idle connections and a second process, or that is
+// below the third that the platform guarantees.
 func TestCapacity(t *testing.T) {
 	for _, tt := range []struct{ sockets, slots, want int }{{1024, 33, 512}, {224, 33, 85}, {192, 33, 64}, {192, 100, 64}, {3, 9,
 		1}} {
 		if got := capacityFor(tt.sockets, tt.slots); got != tt.want {
-			t.Errorf("%d descriptors, %d slots: room %d, want %d", tt.sockets, tt.slots, got, tt.want)
+			t.Errorf("%d descriptors, %d slots: capacity %d, want %d", tt.sockets, tt.slots, got, tt.want)
 		}
 	}
 }
--- a/internal/relay/frontend/server.go
+++ b/internal/relay/frontend/server.go
@@ -1,5 +1,5 @@
-// Package frontend is the side of a relay that clients see: an HTTP server that turns requests into submissions, and a
-// limiter of client connections.
+// Package frontend serves the clients of a relay: it has an HTTP server that turns requests into submissions, and a limiter of
+// client connections.
 package frontend
 
 import (
@@ -18,35 +18,35 @@
 )
 
 const (
-	// maxHeaderSize bounds the head of a request in bytes.
+	// maxHeaderSize is the maximum size of the request line and header of a request in bytes.
 	maxHeaderSize = 16 << 10
-	// ReadTimeout bounds the time to read a request: clients send at once, and a peer that sends nothing or no proper
-	// request has to get a close or an error within 3 s.
+	// ReadTimeout bounds the time to read a request. Clients send a request without delay, and the protocol requires that a
+	// peer without a valid request gets an error or a closed connection within 3 s.
 	ReadTimeout = 2500 * time.Millisecond
-	// idleTimeout is how long a client may keep a connection without a request: as short as the platform allows, so that
-	// peers that open connections and leave them idle do not take those of clients.
+	// idleTimeout is how long a client may keep a connection open without a request. It is the shortest time that the platform
+	// allows, so that peers with idle connections do not use up the capacity for clients.
 	idleTimeout = 2 * time.Second
 )
 
-// malformedRequests counts malformed requests by status.
+// malformedRequests is the name of the counter of malformed requests by response status.
 const malformedRequests = "relay_malformed_requests"
 
-// connectionKey finds the connection of a request in its context.
+// connectionKey is the context key of the Connection that a request arrived on.
 type connectionKey struct{}
 
-// Server answers the requests of clients. Each has a goroutine of net/http, which ends with its response.
+// Server answers the requests of clients. net/http runs its handler in one goroutine for each connection.
 type Server struct {
 	classes  map[string]*policy.Class
 	tenants  map[string]bool
 	submit   func(*Submission)
 	withdraw func(*Submission)
 	reasons  *metrics.ReasonCounters
-	draining atomic.Bool // answer with Connection: close
+	draining atomic.Bool // whether responses have the header Connection: close
 	http     *http.Server
 }
 
-// NewServer returns a server that hands each message to submit, and again to withdraw where its client leaves before the
-// response. Both may block, and are called by many goroutines.
+// NewServer returns a server that passes each message to submit, and passes it to withdraw if its client disconnects before the
+// response. Both functions may block and have to be safe for concurrent use.
 func NewServer(c *config.Config, reasons *metrics.ReasonCounters, submit, withdraw func(*Submission)) *Server {
 	server := &Server{reasons: reasons, classes: map[string]*policy.Class{}, tenants: map[string]bool{}, submit: submit,
 		withdraw: withdraw}
@@ -65,24 +65,25 @@
 	return server
 }
 
-// connectionStateChanged tells a connection that its last response is written.
+// connectionStateChanged makes a connection idle when net/http reports that its response is written.
 func connectionStateChanged(c net.Conn, state http.ConnState) {
 	if c, ok := c.(*Connection); ok && state == http.StateIdle {
 		c.finishRequest()
 	}
 }
 
-// Serve answers requests on the limiter's connections until it is closed.
+// Serve answers requests on the connections that the limiter accepts, until the limiter is closed.
 func (s *Server) Serve(limiter *ConnectionLimiter) error { return s.http.Serve(limiter) }
 
-// StartDraining has responses close their connections from now on.
+// StartDraining makes every further response close its connection.
 func (s *Server) StartDraining() { s.draining.Store(true) }
 
-// Shutdown closes the connections: those that are idle at once, the others once their responses are written, until ctx ends.
+// Shutdown stops accepting clients, closes idle connections at once, and waits until the other connections have had their
+// responses and are closed, or ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// handle separates messages from health checks. Those are answered 200: the relay listens only once its journal is
-// replayed.
+// handle dispatches a request to the health check or to handleMessage. The health check always answers 200, since the relay
+// accepts connections only once its journal is replayed.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/_health" && r.Method == http.MethodGet:
@@ -105,7 +106,7 @@
 	w.WriteHeader(response.Status)
 }
 
-// handleMessage submits a message, and writes the response to it.
+// handleMessage parses a request, submits its message and writes the response.
 func (s *Server) handleMessage(w http.ResponseWriter, r *http.Request) {
 	submission, err := s.parseMessage(w, r)
 	if err != nil {
@@ -113,21 +114,21 @@
 		return
 	}
 	if c, ok := r.Context().Value(connectionKey{}).(*Connection); ok && !c.startRequest() {
-		panic(http.ErrAbortHandler) // the relay's close went before it
+		panic(http.ErrAbortHandler) // the relay closed the connection before the request was complete
 	}
 	s.submit(submission)
 	select {
 	case response := <-submission.Response:
 		s.respond(w, response)
 	case <-r.Context().Done():
-		// The client left before its response: it may submit the message again, and this one counts for nothing. One that
-		// ended only its sending must not be told 200 by a handler that returns.
+		// The client disconnected before its response. It may submit the message again, so this submission is withdrawn. The
+		// panic prevents net/http from sending 200 to a client that closed only its sending side.
 		s.withdraw(submission)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// rejectMalformed answers a malformed request.
+// rejectMalformed counts and logs a malformed request, answers it with the status of err and closes the connection.
 func (s *Server) rejectMalformed(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	if e := new(requestError); errors.As(err, &e) {
@@ -135,7 +136,7 @@
 	}
 	slog.Debug("request malformed", "status", status, "error", err)
 	s.reasons.Add(malformedRequests, strconv.Itoa(status), 1)
-	// Where one request ended and the next began may be in doubt as well.
+	// The boundary between this request and the next may be unknown, so the connection is not reused.
 	w.Header().Set("Connection", "close")
 	s.respond(w, Response{Status: status})
 }
--- a/internal/relay/frontend/submission.go
+++ b/internal/relay/frontend/submission.go
@@ -17,32 +17,32 @@
 	"milletsail/policy"
 )
 
-// MaxIDSize bounds an id or a key that a client sends, in bytes.
+// MaxIDSize is the maximum size in bytes of a Request-Id and of an Idempotency-Key.
 const MaxIDSize = 256
 
-// destinationField finds the destination in the X-Envelope header.
+// destinationField matches the destination number in an X-Envelope header, such as "dest=7".
 var destinationField = regexp.MustCompile(`(?:^|[,;\s])dest=(\d{1,9})(?:$|[,;\s])`)
 
-// timeoutFormat is the form of a Request-Timeout, in seconds.
+// timeoutFormat matches a Request-Timeout header: a decimal number of seconds.
 var timeoutFormat = regexp.MustCompile(`^\d{1,9}(?:\.\d+)?$`)
 
 // Submission is a message that a client submits.
 type Submission struct {
-	// Entry is the message.
+	// Entry is the message as it is written to the journal.
 	Entry *journal.Entry
-	// Response receives one response, for which it has capacity.
+	// Response receives exactly one response. It is buffered, so that sending the response never blocks.
 	Response chan Response
 }
 
 // Response is the answer to a submission.
 type Response struct {
-	// Status is an HTTP status.
+	// Status is the HTTP status.
 	Status int
-	// RetryAfter is when the client may submit the message again; 0 for nothing said.
+	// RetryAfter is the wait after which the client may submit the message again; 0 sends no Retry-After header.
 	RetryAfter time.Duration
 }
 
-// requestError is why a request is malformed, with the status that it gets.
+// requestError describes why a request is malformed, and holds the HTTP status of the response.
 type requestError struct {
 	status int
 	err    error
@@ -52,33 +52,33 @@
 
 func (e *requestError) Unwrap() error { return e.err }
 
-// malformed returns a requestError.
+// malformed returns a requestError with a status and a formatted message.
 func malformed(status int, format string, args ...any) error {
 	return &requestError{status, fmt.Errorf(format, args...)}
 }
 
-// parseMessage checks a request. An error is a requestError: a malformed request gets a plain 4xx.
+// parseMessage validates a request and returns its message. Every error is a requestError with a 4xx status.
 func (s *Server) parseMessage(w http.ResponseWriter, request *http.Request) (*Submission, error) {
 	now := clock.Now()
 	name := strings.Split(strings.TrimPrefix(request.URL.Path, "/"), "/")[0]
 	class := s.classes[name]
 	if class == nil {
-		return nil, malformed(http.StatusNotFound, "unknown class %q", name)
+		return nil, malformed(http.StatusNotFound, "unknown class %q in the path", name)
 	}
 	if tenant := request.Header.Get("Tenant"); len(s.tenants) > 0 && !s.tenants[tenant] {
-		return nil, malformed(http.StatusBadRequest, "unknown tenant %q", tenant)
+		return nil, malformed(http.StatusBadRequest, "unknown tenant %q in the Tenant header", tenant)
 	}
 	if len(request.TransferEncoding) > 0 {
-		// net/http hides a Content-Length that contradicts the chunks, and what follows them may then be a body
-		// made to look like a further request.
-		return nil, malformed(http.StatusLengthRequired, "no plain Content-Length")
+		// net/http discards a Content-Length that contradicts the chunked encoding. The bytes after the chunks could then be a
+		// part of the body that is crafted to look like another request (request smuggling).
+		return nil, malformed(http.StatusLengthRequired, "Transfer-Encoding is set, but a Content-Length is required")
 	}
 	id, key := request.Header.Get("Request-Id"), request.Header.Get("Idempotency-Key")
 	if id == "" || len(id) > MaxIDSize || len(key) > MaxIDSize {
-		return nil, malformed(http.StatusBadRequest, "no id, or an id or key too long")
+		return nil, malformed(http.StatusBadRequest, "Request-Id missing, or Request-Id or Idempotency-Key longer than %d bytes", MaxIDSize)
 	}
 	if key == "" && class.Effect == policy.IdempotentWithKey {
-		return nil, malformed(http.StatusBadRequest, "no key in a class with idempotency keys")
+		return nil, malformed(http.StatusBadRequest, "Idempotency-Key missing, but class %q requires one", name)
 	}
 	destination, err := parseDestination(request.Header.Get("X-Envelope"))
 	if err != nil {
@@ -92,35 +92,35 @@
 	if err != nil {
 		return nil, err
 	}
-	// The client counts from when it sent; no class gives a message more than its deadline.
+	// The client's time-out began when it sent the request. The deadline of the class bounds the time that a message gets.
 	expiresAt := now.Add(settings.Seconds(min(timeout, class.Deadline.Seconds())))
 	return &Submission{Response: make(chan Response, 1),
 		Entry: &journal.Entry{ID: id, Class: name, Dest: destination, Key: key, ExpiresAt: expiresAt, Body: body}}, nil
 }
 
-// parseDestination returns the destination in a header.
+// parseDestination returns the destination number in an X-Envelope header.
 func parseDestination(header string) (int, error) {
 	match := destinationField.FindStringSubmatch(header)
 	if match == nil {
-		return 0, malformed(http.StatusBadRequest, "no destination")
+		return 0, malformed(http.StatusBadRequest, "no destination in X-Envelope %q", header)
 	}
 	destination, err := strconv.Atoi(match[1])
 	if err != nil {
-		return 0, malformed(http.StatusBadRequest, "destination: %w", err)
+		return 0, malformed(http.StatusBadRequest, "destination in X-Envelope: %w", err)
 	}
 	return destination, nil
 }
 
-// parseTimeout returns the seconds in a header.
+// parseTimeout returns the number of seconds in a Request-Timeout header.
 func parseTimeout(header string) (float64, error) {
 	seconds, err := strconv.ParseFloat(header, 64)
 	if err != nil || !(seconds > 0) || !timeoutFormat.MatchString(header) {
-		return 0, malformed(http.StatusBadRequest, "time-out %q", header)
+		return 0, malformed(http.StatusBadRequest, "Request-Timeout %q is not a positive number of seconds", header)
 	}
 	return seconds, nil
 }
 
-// readBody reads a body of bounded size.
+// readBody reads the body of a request, of at most protocol.MaxBodySize bytes.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodySize))
 	if errors.As(err, new(*http.MaxBytesError)) {
--- a/internal/relay/gossip/gossip.go
+++ b/internal/relay/gossip/gossip.go
@@ -1,4 +1,5 @@
-// Package gossip carries gossip messages between the relays of a fleet over UDP. They help, and nothing depends on them.
+// Package gossip exchanges gossip messages between the relays of a fleet over UDP. Delivery is best effort: a lost message only
+// delays what the relays know about each other, and nothing else depends on it.
 package gossip
 
 import (
@@ -14,39 +15,39 @@
 )
 
 const (
-	// MaxMessageSize bounds a datagram in bytes.
+	// MaxMessageSize is the maximum size of a gossip message in bytes. Each message is one datagram.
 	MaxMessageSize = 256
-	// listenRetryInterval is the wait between attempts to listen at an address that a predecessor may still have.
+	// listenRetryInterval is the wait between attempts to open the socket, whose address a predecessor may still hold.
 	listenRetryInterval = time.Second
 )
 
-// Options say where messages come from and go to.
+// Options configure a Transport.
 type Options struct {
-	// Allowed says whether relays may send to each other at all.
+	// Allowed enables gossip. If it is false, New returns nil.
 	Allowed bool
-	// Listen is the address at which messages arrive.
+	// Listen is the local address that the relay sends and receives gossip messages on; empty disables gossip.
 	Listen string
-	// Broadcast is the address that reaches all other relays.
+	// Broadcast is the address that forwards a datagram to all other relays; empty disables gossip.
 	Broadcast string
-	// Peers are the addresses of all relays of the fleet, by ordinal.
+	// Peers are the gossip addresses of all relays of the fleet, this one included, indexed by ordinal.
 	Peers []string
 	// Self is the ordinal of this relay.
 	Self int
 }
 
-// Transport sends and receives gossip messages. Without a socket it loses them. A nil Transport is one without a fleet: it
-// sends and receives nothing. Its methods are safe for concurrent use.
+// Transport sends and receives gossip messages. While its socket is not open, messages to send are dropped. A nil Transport
+// stands for disabled gossip: it sends and receives nothing. Its methods are safe for concurrent use.
 type Transport struct {
 	listen    string
 	broadcast netip.AddrPort
-	ordinals  map[netip.AddrPort]int // of the other relays
-	peers     []netip.AddrPort       // by ordinal
+	ordinals  map[netip.AddrPort]int // ordinals of the other relays by address
+	peers     []netip.AddrPort       // addresses of the other relays by ordinal; invalid for this relay
 	onMessage func(from int, message []byte)
-	conn      atomic.Pointer[net.UDPConn]
+	conn      atomic.Pointer[net.UDPConn] // nil while the socket is not open
 }
 
-// New returns a transport that hands each message to onMessage, with the ordinal of its sender. It returns nil where the
-// options have no use for one or their addresses can't be parsed.
+// New returns a transport that passes each received message to onMessage, with the ordinal of its sender. It returns nil if the
+// options disable gossip or the broadcast address cannot be parsed. A peer whose address cannot be parsed is left out.
 func New(options Options, onMessage func(from int, message []byte)) *Transport {
 	if !options.Allowed || options.Listen == "" || options.Broadcast == "" {
 		return nil
@@ -71,7 +72,8 @@
 	return transport
 }
 
-// Run receives messages until ctx ends. It runs in one goroutine, which its caller waits for, and starts no other.
+// Run opens the socket and receives messages until ctx ends. After a failure it opens the socket again. It starts no goroutines;
+// its caller waits for it to return.
 func (t *Transport) Run(ctx context.Context) {
 	if t == nil {
 		return
@@ -88,7 +90,7 @@
 	}
 }
 
-// receive hands on messages until ctx ends or the socket fails.
+// receive passes messages from relays of the fleet to onMessage until ctx ends or the socket fails.
 func (t *Transport) receive(ctx context.Context, conn *net.UDPConn) {
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	t.conn.Store(conn)
@@ -98,12 +100,12 @@
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			if ctx.Err() == nil {
-				slog.Warn("gossip not received", "error", err)
+				slog.Warn("gossip receive failed", "error", err)
 			}
 			_ = conn.Close()
 			return
 		}
-		// Anyone can send to the address: only relays of the configuration are trusted.
+		// Any host can send to the address, so messages are accepted only from the configured addresses of other relays.
 		ordinal, known := t.ordinals[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if n > 0 && n <= MaxMessageSize && known {
 			t.onMessage(ordinal, slices.Clone(buffer[:n]))
@@ -111,25 +113,26 @@
 	}
 }
 
-// Broadcast sends a message to all other relays, if it can.
+// Broadcast sends a message to all other relays, on a best-effort basis.
 func (t *Transport) Broadcast(message []byte) {
 	if t != nil {
 		t.send(t.broadcast, message)
 	}
 }
 
-// Send sends a message to another relay by its ordinal, if it can.
+// Send sends a message to the relay with an ordinal, on a best-effort basis. An ordinal without an address is ignored.
 func (t *Transport) Send(ordinal int, message []byte) {
 	if t != nil && ordinal >= 0 && ordinal < len(t.peers) && t.peers[ordinal].IsValid() {
 		t.send(t.peers[ordinal], message)
 	}
 }
 
-// send sends a message to an address; one that is too long is lost.
+// send sends a message to an address. It drops a message that is longer than MaxMessageSize, and every message while the
+// socket is not open.
 func (t *Transport) send(to netip.AddrPort, message []byte) {
 	if conn := t.conn.Load(); conn != nil && len(message) <= MaxMessageSize {
 		if _, err := conn.WriteToUDPAddrPort(message, to); err != nil {
-			slog.Warn("gossip not sent", "error", err)
+			slog.Warn("gossip send failed", "error", err)
 		}
 	}
 }
--- a/internal/relay/gossip/gossip_test.go
+++ b/internal/relay/gossip/gossip_test.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// optionsOf are those of relay self of the ones at the addresses; datagrams to all go to one of them.
-func optionsOf(self int, all string, addrs ...string) Options {
+// testOptions returns the options of the relay with ordinal self in a fleet with the given addresses. Broadcasts go to the address
+// all.
+func testOptions(self int, all string, addrs ...string) Options {
 	return Options{Allowed: true, Listen: addrs[self], Broadcast: all, Peers: addrs, Self: self}
 }
 
-// udp opens a socket that is closed at the end of the test.
+// udp opens a UDP socket on the loopback interface, which is closed at the end of the test.
 func udp(t *testing.T) *net.UDPConn {
 	t.Helper()
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -24,23 +25,24 @@
 	return c
 }
 
-// Notes come from the other relays of the configuration alone, in one piece of a bounded size.
-func TestMessagesOfPeers(t *testing.T) {
-	own, friend, stranger := udp(t), udp(t), udp(t)
+// Guards against gossip messages from unknown senders, and empty or oversized ones, reaching the relay; anyone can send to the
+// address. Messages that are too long to send, or sent without a socket, have to be dropped.
+func TestOnlyMessagesOfPeersAreReceived(t *testing.T) {
+	own, peer, unknownSender := udp(t), udp(t), udp(t)
 	addr := own.LocalAddr().String()
-	_ = own.Close() // for the relay
+	_ = own.Close() // frees the address for the relay
 	got := make(chan string, 9)
-	p := New(optionsOf(0, friend.LocalAddr().String(), addr, friend.LocalAddr().String()), func(from int,
-		note []byte) {
-		got <- fmt.Sprint(from, " ", string(note))
+	transport := New(testOptions(0, peer.LocalAddr().String(), addr, peer.LocalAddr().String()), func(from int,
+		message []byte) {
+		got <- fmt.Sprint(from, " ", string(message))
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
 	go func() {
-		p.Run(ctx)
+		transport.Run(ctx)
 		close(done)
 	}()
-	for p.conn.Load() == nil {
+	for transport.conn.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	to, err := net.ResolveUDPAddr("udp4", addr)
@@ -48,42 +50,43 @@
 		t.Fatal(err)
 	}
 	for _, d := range []struct {
-		from *net.UDPConn
-		note string
-	}{{stranger, "from a stranger"}, {friend, string(make([]byte, MaxMessageSize+1))}, {friend, ""}, {friend, "good"}} {
-		if _, err := d.from.WriteToUDP([]byte(d.note), to); err != nil {
+		from    *net.UDPConn
+		message string
+	}{{unknownSender, "from a stranger"}, {peer, string(make([]byte, MaxMessageSize+1))}, {peer, ""}, {peer, "good"}} {
+		if _, err := d.from.WriteToUDP([]byte(d.message), to); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if note := <-got; note != "1 good" {
-		t.Errorf("heard %q", note)
+	if message := <-got; message != "1 good" {
+		t.Errorf("received %q, want \"1 good\"", message)
 	}
-	p.Broadcast(make([]byte, MaxMessageSize+1))
-	p.Broadcast([]byte("mine"))
+	transport.Broadcast(make([]byte, MaxMessageSize+1))
+	transport.Broadcast([]byte("mine"))
 	buf := make([]byte, MaxMessageSize+1)
-	if n, _, err := friend.ReadFromUDP(buf); err != nil || string(buf[:n]) != "mine" {
-		t.Errorf("told %q, %v", buf[:n], err)
+	if n, _, err := peer.ReadFromUDP(buf); err != nil || string(buf[:n]) != "mine" {
+		t.Errorf("the peer received %q (error %v), want \"mine\"", buf[:n], err)
 	}
 	stop()
 	<-done
-	p.Broadcast([]byte("too late")) // without a socket a note is lost, and that is all
+	transport.Broadcast([]byte("too late")) // without a socket the message is dropped silently
 }
 
-// A configuration that has no use for notes, or whose addresses can't be read, gives a relay without them.
-func TestWithoutPeers(t *testing.T) {
+// Guards against a crash without gossip: where the options disable it or the broadcast address is invalid, New returns nil, whose
+// methods do nothing.
+func TestDisabledTransport(t *testing.T) {
 	for name, change := range map[string]func(*Options){
-		"not allowed":   func(o *Options) { o.Allowed = false },
-		"no address":    func(o *Options) { o.Listen = "" },
-		"no one to ask": func(o *Options) { o.Broadcast = "" },
-		"unreadable":    func(o *Options) { o.Broadcast = "everyone" },
+		"not allowed":               func(o *Options) { o.Allowed = false },
+		"no listen address":         func(o *Options) { o.Listen = "" },
+		"no broadcast address":      func(o *Options) { o.Broadcast = "" },
+		"invalid broadcast address": func(o *Options) { o.Broadcast = "everyone" },
 	} {
-		options := optionsOf(0, "127.0.0.1:9", "127.0.0.1:8")
+		options := testOptions(0, "127.0.0.1:9", "127.0.0.1:8")
 		change(&options)
-		p := New(options, func(int, []byte) {})
-		if p != nil {
-			t.Errorf("%s: a carrier of notes", name)
+		transport := New(options, func(int, []byte) {})
+		if transport != nil {
+			t.Errorf("%s: New returned a transport, want nil", name)
 		}
-		p.Run(t.Context())
-		p.Broadcast([]byte("m"))
+		transport.Run(t.Context())
+		transport.Broadcast([]byte("m"))
 	}
 }
--- a/internal/relay/listener/listener.go
+++ b/internal/relay/listener/listener.go
@@ -1,4 +1,4 @@
-// Package listener opens sockets and accepts connections in spite of failures that pass.
+// Package listener opens listening sockets and accepts connections, and retries after transient failures.
 package listener
 
 import (
@@ -16,37 +16,38 @@
 )
 
 const (
-	// initialAcceptBackoff is the wait after a failed accept; it doubles with each further failure.
+	// initialAcceptBackoff is the wait after the first failed accept. It doubles with each further failure in a row.
 	initialAcceptBackoff = 5 * time.Millisecond
-	// maxAcceptBackoff bounds that wait, so that a relay serves again at once when the fault is over.
+	// maxAcceptBackoff bounds the wait after a failed accept, so that the relay accepts again soon after the fault is over.
 	maxAcceptBackoff = 100 * time.Millisecond
-	// backlogWindow is enough time to accept the connections that queued up in the kernel during an outage.
+	// backlogWindow is the time after a period of failed accepts within which the connections that the kernel queued during
+	// that period are accepted.
 	backlogWindow = 200 * time.Millisecond
-	// listenTimeout bounds the attempts to listen at a start.
+	// listenTimeout bounds the time for attempts to open a listening socket when the relay starts.
 	listenTimeout = 5 * time.Second
-	// listenRetryInterval is the wait between them.
+	// listenRetryInterval is the wait between attempts to open a listening socket.
 	listenRetryInterval = 50 * time.Millisecond
 )
 
-// acceptFailures counts failed accepts by listener.
+// acceptFailures is the name of the counter of failed accepts by listener.
 const acceptFailures = "relay_accept_failures"
 
-// Listener accepts connections whatever a single accept fails with: only the close of its socket ends it.
+// Listener accepts connections and retries every failed accept. Only closing its socket ends it.
 type Listener struct {
 	net.Listener
-	name    string // for logs and counters
+	name    string // names the listener in logs and counters
 	reasons *metrics.ReasonCounters
 
-	lastOutage   time.Duration // how long accepts failed the last time
-	backlogUntil instant.Time  // until then connections may have queued for that long
+	lastOutage   time.Duration // how long accepts failed in the last period of failures
+	backlogUntil instant.Time  // connections accepted before this time may have been queued for up to lastOutage
 }
 
-// New wraps a socket; the name stands for it in logs and counters.
+// New returns a Listener on a socket. The name identifies it in logs and counters.
 func New(socket net.Listener, name string, reasons *metrics.ReasonCounters) *Listener {
 	return &Listener{Listener: socket, name: name, reasons: reasons}
 }
 
-// Accept returns the next connection, or net.ErrClosed. It is for one goroutine.
+// Accept returns the next connection, or net.ErrClosed once the socket is closed. Only one goroutine may call it.
 func (l *Listener) Accept() (net.Conn, error) {
 	started := clock.Now()
 	for backoff := initialAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// QueueDelay returns how long the connection that was accepted last may have queued in the kernel while accepts failed.
-// It is for the goroutine that calls Accept.
+// QueueDelay returns how long the last accepted connection may have waited in the kernel's queue while accepts failed. Only the
+// goroutine that calls Accept may call it.
 func (l *Listener) QueueDelay() time.Duration {
 	if clock.Now() >= l.backlogUntil {
 		return 0
@@ -72,8 +73,9 @@
 	return l.lastOutage
 }
 
-// Listen calls listen, and again for a while where a system call fails: an address that another process is about to leave
-// refuses no start. An address that makes no sense is an error at once. The name is for logs.
+// Listen calls listen to open a socket, and retries for up to listenTimeout if a system call fails: another process may still
+// hold the address and be about to release it. Other errors, such as an invalid address, are returned at once. The name
+// identifies the listener in logs.
 func Listen(ctx context.Context, name string, listen func() (net.Listener, error)) (socket net.Listener, err error) {
 	policy := retry.Policy{Timeout: listenTimeout, Interval: listenRetryInterval, Retryable: resource.IsSystemError,
 		OnRetry: func(err error) { slog.Warn("listen failed", "listener", name, "error", err) }}
--- a/internal/relay/listener/listener_test.go
+++ b/internal/relay/listener/listener_test.go
@@ -11,11 +11,11 @@
 	"milletsail/internal/relay/metrics"
 )
 
-// failingListener fails a number of accepts with an error before each connection.
+// failingListener fails its first accepts with an error.
 type failingListener struct {
 	net.Listener
 	errno syscall.Errno
-	left  atomic.Int64
+	left  atomic.Int64 // accepts that still fail; negative once none does
 }
 
 func (f *failingListener) Accept() (net.Conn, error) {
@@ -25,7 +25,8 @@
 	return f.Listener.Accept()
 }
 
-// No error of accept(2) ends the taking of connections; the close of the listener does.
+// Guards against a relay that stops accepting connections after an error of accept(2), such as a lack of descriptors. Only closing
+// the listener may end it, and each failure has to be counted.
 func TestAcceptFailures(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPROTO,
@@ -44,20 +45,21 @@
 		}
 		taken, err := a.Accept()
 		if err != nil {
-			t.Fatalf("%v: %v", errno, err)
+			t.Fatalf("accepts failed with %v: Accept returned %v, want a connection", errno, err)
 		}
 		_, _ = c.Close(), taken.Close()
 		_ = l.Close()
 		if _, err := a.Accept(); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("%v: closed, and %v", errno, err)
+			t.Errorf("accepts failed with %v, listener closed: Accept returned %v, want net.ErrClosed", errno, err)
 		}
 		if text := a.reasons.Text(); text != "relay_accept_failures{reason=\"clients\"} 2\nEND" {
-			t.Errorf("%v: counted %q", errno, text)
+			t.Errorf("accepts failed with %v: wrong counters %q", errno, text)
 		}
 	}
 }
 
-// A listen that fails for a moment is tried again; an address that makes no sense is an error at once.
+// Guards against a start that fails because another process still holds the address: Listen has to retry. An invalid address has to
+// be an error at once.
 func TestListenFailures(t *testing.T) {
 	tries := 0
 	l, err := Listen(t.Context(), "clients", func() (net.Listener, error) {
@@ -67,7 +69,7 @@
 		return (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	})
 	if err != nil || tries != 3 {
-		t.Fatalf("%d tries: %v", tries, err)
+		t.Fatalf("Listen made %d attempts and returned error %v; want 3 attempts and no error", tries, err)
 	}
 	_ = l.Close()
 	begun := time.Now()
@@ -75,6 +77,6 @@
 		return (&net.ListenConfig{}).Listen(t.Context(),
 			"tcp", "no address")
 	}); err == nil || time.Since(begun) > listenTimeout/2 {
-		t.Errorf("after %v: %v", time.Since(begun), err)
+		t.Errorf("invalid address: Listen returned after %v with error %v; want an error at once", time.Since(begun), err)
 	}
 }
--- a/internal/relay/metrics/metrics.go
+++ b/internal/relay/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a relay does, for its admin endpoint. Everything in it is safe for concurrent use, and no
-// reader waits for the event loop.
+// Package metrics holds the counters and gauges that the admin endpoint of a relay reports. All its types are safe for concurrent
+// use, so that reading them does not wait for the relay's event loop.
 package metrics
 
 import (
@@ -10,46 +10,46 @@
 	"milletsail/policy"
 )
 
-// Result is how a message ended, as operators see it.
+// Result is the result label under which the end of a message is counted.
 type Result int
 
 const (
 	// Completed counts a message that was delivered.
 	Completed Result = iota
-	// Rejected counts a message that was rejected, or handed back to its client.
+	// Rejected counts a message that was rejected, or returned to its client to be sent again.
 	Rejected
-	// Failed counts a message that was finally given up.
+	// Failed counts a message that was given up as undeliverable.
 	Failed
 
 	// resultCount is the number of results.
 	resultCount
 )
 
-// resultNames are the label values of the results.
+// resultNames are the values of the result label.
 var resultNames = [resultCount]string{"completed", "rejected", "failed"}
 
-// Metrics are the counters and gauges of one process, from its start on.
+// Metrics are the counters and gauges of one process since its start.
 type Metrics struct {
-	classes []string
-	results [][resultCount]atomic.Int64 // by class
+	classes []string                    // class names, by index
+	results [][resultCount]atomic.Int64 // ended messages by class index and result
 
-	// UpstreamRequests counts the messages that were written completely to endpoints.
+	// UpstreamRequests counts messages whose request was written completely to an endpoint. Each message of a batch counts.
 	UpstreamRequests atomic.Int64
-	// Pending is the number of messages that were accepted and have not ended.
+	// Pending is the number of accepted messages that have not ended.
 	Pending atomic.Int64
-	// Endpoints is the length of the endpoint list.
+	// Endpoints is the number of endpoints in the endpoint list.
 	Endpoints atomic.Int64
-	// UnavailableEndpoints is how many of the listed endpoints get no requests now.
+	// UnavailableEndpoints is the number of listed endpoints that the relay currently sends no calls to.
 	UnavailableEndpoints atomic.Int64
-	// Serving tells whether this process accepts clients.
+	// Serving reports whether this process accepts clients.
 	Serving atomic.Bool
-	// Reasons counts events by their reason.
+	// Reasons counts events by name and reason.
 	Reasons ReasonCounters
-	// StorageError is why the journal can't be written; nil while it can.
+	// StorageError is the error for which the journal cannot be written; nil while it can be written.
 	StorageError atomic.Pointer[string]
 }
 
-// New returns zero metrics for the classes of the settings.
+// New returns zero metrics for the classes of the settings, whose order defines the class indexes.
 func New(classes []policy.Class) *Metrics {
 	m := &Metrics{results: make([][resultCount]atomic.Int64, len(classes))}
 	for _, c := range classes {
@@ -58,15 +58,15 @@
 	return m
 }
 
-// CountResult counts the end of a message by the index of its class. A negative index stands for a class that the
-// settings no longer have, and counts nowhere.
+// CountResult counts the end of a message of the class with an index. A negative index stands for a class that is no longer in
+// the settings; such a message is not counted.
 func (m *Metrics) CountResult(class int, result Result) {
 	if class >= 0 {
 		m.results[class][result].Add(1)
 	}
 }
 
-// Text returns the metrics in the format of the admin endpoint, one a line.
+// Text returns the metrics in the format of the admin endpoint, one on each line.
 func (m *Metrics) Text() []byte {
 	var b bytes.Buffer
 	for i, class := range m.classes {
--- a/internal/relay/metrics/metrics_test.go
+++ b/internal/relay/metrics/metrics_test.go
@@ -6,7 +6,8 @@
 	"milletsail/policy"
 )
 
-// A message of a class that the settings no longer have is counted nowhere; all others by class and result.
+// Guards against counting a result under a wrong label, and against a panic for a message whose class is no longer in the
+// settings (index -1): that one must not be counted.
 func TestTextCountsResultsByClass(t *testing.T) {
 	m := New([]policy.Class{{Name: "a"}})
 	m.CountResult(0, Rejected)
@@ -21,6 +22,6 @@
 relay_members_unavailable 0
 `
 	if got := string(m.Text()); got != want {
-		t.Errorf("text:\n%s", got)
+		t.Errorf("wrong metrics text:\n%s", got)
 	}
 }
--- a/internal/relay/metrics/reasons.go
+++ b/internal/relay/metrics/reasons.go
@@ -8,13 +8,13 @@
 	"sync"
 )
 
-// endOfText follows the last counter at the admin endpoint.
+// endOfText is the last line of the counters at the admin endpoint, after which no more data follows.
 const endOfText = "END"
 
-// ReasonCounters count events by a name and a reason, for on-call staff. The zero value is ready to use.
+// ReasonCounters count events by counter name and reason, for diagnosis by operators. The zero value is ready to use.
 type ReasonCounters struct {
 	mu     sync.Mutex
-	counts map[string]int64
+	counts map[string]int64 // by name and reason as written in the text, such as NAME{reason="REASON"}
 }
 
 // Increment adds one to the counter of a name and a reason.
@@ -30,7 +30,7 @@
 	c.counts[fmt.Sprintf("%s{reason=%q}", name, reason)] += n
 }
 
-// Text returns the counters sorted by name, one a line, and a line that marks the end.
+// Text returns the counters sorted by name and reason, one on each line, followed by the line END without a newline.
 func (c *ReasonCounters) Text() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/notifier/notifier.go
+++ b/internal/relay/notifier/notifier.go
@@ -1,4 +1,4 @@
-// Package notifier tells the platform how messages ended that were accepted and not delivered.
+// Package notifier sends the platform notifications of accepted messages that were not delivered.
 package notifier
 
 import (
@@ -19,45 +19,48 @@
 	"milletsail/internal/relay/protocol"
 )
 
-// The final states of a message that was accepted and not delivered.
+// The statuses that a notification can report for a message.
 const (
-	// StatusUndeliverable is final: the client does not send the message again.
+	// StatusUndeliverable says that the message was given up. The client does not send it again.
 	StatusUndeliverable = "undeliverable"
-	// StatusDeferred has the client send the message again.
+	// StatusDeferred returns the message to its client, which sends it again.
 	StatusDeferred = "deferred"
 )
 
 const (
-	// postTimeout bounds one post: the platform answers at once, and a notification has to arrive 300 ms after its message has
-	// expired, with a second post where the first one's connection has gone silent.
+	// postTimeout bounds one POST request. A notification has to arrive within 300 ms after its message expired, which leaves
+	// time for a second request if the connection of the first one is dead. The platform normally answers at once.
 	postTimeout = 200 * time.Millisecond
-	// initialRetryBackoff is the wait after a failed post; for a notification that is posted singly it doubles.
+	// initialRetryBackoff is the wait after a failed post. For a notification that is posted by itself it doubles with each
+	// further failure; for batches it stays the same.
 	initialRetryBackoff = 50 * time.Millisecond
-	// maxRetryBackoff bounds that wait.
+	// maxRetryBackoff bounds the wait between posts of the same single notification.
 	maxRetryBackoff = 500 * time.Millisecond
-	// MaxSinglePosts is how many posts of single notifications may be in flight beside the one of the queue.
+	// MaxSinglePosts is the maximum number of concurrent posts of single notifications, in addition to one post of a batch.
 	MaxSinglePosts = 3
 )
 
-// notificationsPath is the platform's path for notifications.
+// notificationsPath is the path at the platform that receives notifications.
 const notificationsPath = "/v1/outcomes"
 
-// Notifier posts notifications to the platform until it has received them. Each notification has one owner: the queue, the
-// post in flight, or, where that one hung or the platform did not understand it, a post of its own, so that it delays no
-// other.
+// Notifier posts notifications to the platform and repeats each one until the platform has received it. At any time, a
+// notification is in the queue, in the batch that is being posted, or in a goroutine that posts only it. The latter happens
+// after a batch timed out or the platform could not parse it, so that a notification that causes such failures does not delay
+// others.
 type Notifier struct {
 	client      *http.Client
 	onReceived  func(ids []string)
-	notEmpty    chan struct{} // the queue is not empty
-	singlePosts chan struct{} // holds one for each single post in flight
-	singles     sync.WaitGroup
+	notEmpty    chan struct{}  // signals Run that the queue may not be empty
+	singlePosts chan struct{}  // semaphore of MaxSinglePosts
+	singles     sync.WaitGroup // the goroutines that post single notifications
 
 	mu    sync.Mutex
-	url   string
+	url   string // that notifications are posted to
 	queue []journal.Notification
 }
 
-// New returns a notifier that posts to discovery's address, and reports the messages whose notifications were received.
+// New returns a notifier that posts to discovery's address. It calls onReceived with the ids of the messages whose notifications
+// the platform has received.
 func New(discovery string, onReceived func(ids []string)) *Notifier {
 	n := &Notifier{onReceived: onReceived, notEmpty: make(chan struct{}, 1), singlePosts: make(chan struct{}, MaxSinglePosts),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: postTimeout}}
@@ -65,14 +68,14 @@
 	return n
 }
 
-// Redirect has notifications posted to another address of discovery from now on.
+// Redirect makes further posts go to another address of discovery.
 func (n *Notifier) Redirect(discovery string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.url = "http://" + discovery + notificationsPath
 }
 
-// Enqueue wants a notification posted. It never blocks, since Run may be waiting for the caller.
+// Enqueue adds a notification to the queue. It never blocks, since Run may itself be waiting for the caller in onReceived.
 func (n *Notifier) Enqueue(notification journal.Notification) {
 	n.mu.Lock()
 	n.queue = append(n.queue, notification)
@@ -83,7 +86,7 @@
 	}
 }
 
-// Run posts what is queued until ctx ends, and returns once no post is in flight.
+// Run posts queued notifications until ctx ends, and returns once no post is in flight.
 func (n *Notifier) Run(ctx context.Context) {
 	defer n.singles.Wait()
 	for {
@@ -100,19 +103,19 @@
 	}
 }
 
-// postBatch posts a batch, and hands on those of its notifications that have to be posted again. It reports false where ctx
-// ended meanwhile.
+// postBatch posts a batch. If that fails, it starts a goroutine for each notification or puts the batch back into the queue, as
+// the error requires. It reports false if ctx ended during the wait after a failure.
 func (n *Notifier) postBatch(ctx context.Context, batch []journal.Notification, body []byte) bool {
 	err := n.post(ctx, body)
 	if err == nil {
 		n.onReceived(idsOf(batch))
 		return true
 	}
-	if mayBeOneNotification(err) {
+	if mayBeCausedByOneNotification(err) {
 		for _, notification := range batch {
 			n.singles.Go(func() { n.postSingly(ctx, notification) })
 		}
-	} else { // the platform can't be reached
+	} else { // the platform could not be reached or failed to process the post
 		n.mu.Lock()
 		n.queue = append(batch, n.queue...)
 		n.mu.Unlock()
@@ -120,22 +123,25 @@
 			return false
 		}
 	}
-	slog.Warn("notifications not received", "notifications", len(batch), "first_id", batch[0].ID, "error", err)
+	slog.Warn("posting notifications failed", "notifications", len(batch), "first_id", batch[0].ID, "error", err)
 	return true
 }
 
-// malformedError is an answer that says that the platform could not read a post.
+// malformedError reports that the platform answered a post with 400: it could not parse the notifications.
 type malformedError struct{ status string }
 
-func (e *malformedError) Error() string { return "the platform answered " + e.status }
+func (e *malformedError) Error() string {
+	return "platform answered the notification post with status " + e.status
+}
 
-// mayBeOneNotification reports whether a post failed in a way that one of its notifications may be the cause of.
-func mayBeOneNotification(err error) bool {
+// mayBeCausedByOneNotification reports whether one notification of a batch may have caused the failure of its post: the platform
+// could not parse the batch, or the post timed out.
+func mayBeCausedByOneNotification(err error) bool {
 	timedOut := new(url.Error)
 	return errors.As(err, new(*malformedError)) || errors.As(err, &timedOut) && timedOut.Timeout()
 }
 
-// postSingly posts one notification by itself until the platform has received it or ctx ends.
+// postSingly posts a notification by itself, and repeats that until the platform has received it or ctx ends.
 func (n *Notifier) postSingly(ctx context.Context, notification journal.Notification) {
 	for backoff := initialRetryBackoff; ; backoff = min(2*backoff, maxRetryBackoff) {
 		select {
@@ -149,23 +155,23 @@
 			n.onReceived([]string{notification.ID})
 			return
 		}
-		slog.Warn("notification not received", "request_id", notification.ID, "error", err)
+		slog.Warn("posting notification failed", "request_id", notification.ID, "error", err)
 		if !clock.Sleep(ctx, backoff) {
 			return
 		}
 	}
 }
 
-// encode returns a notification as it goes in a body.
+// encode returns a notification as one line of JSON.
 func encode(notification journal.Notification) []byte {
 	text, err := json.Marshal(notification)
 	if err != nil {
-		panic(err) // two strings and a number can always be encoded
+		panic(err) // cannot happen: a notification has only strings and a number
 	}
 	return append(text, '\n')
 }
 
-// idsOf returns the messages of some notifications.
+// idsOf returns the message ids of notifications.
 func idsOf(notifications []journal.Notification) (all []string) {
 	for _, notification := range notifications {
 		all = append(all, notification.ID)
@@ -173,7 +179,8 @@
 	return all
 }
 
-// nextBatch takes the oldest notifications from the queue, as many as a body may hold, and returns them with their text.
+// nextBatch removes the oldest notifications from the queue, as many as fit into a body of protocol.MaxBodySize, and returns them
+// with the encoded body. The batch is empty if the queue is.
 func (n *Notifier) nextBatch() (batch []journal.Notification, body []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -187,7 +194,7 @@
 	return batch, body
 }
 
-// post makes one attempt to post notifications.
+// post makes one attempt to post a body of encoded notifications. A nil error means that the platform has received them.
 func (n *Notifier) post(ctx context.Context, body []byte) error {
 	n.mu.Lock()
 	url := n.url
@@ -206,7 +213,7 @@
 		return &malformedError{resp.Status}
 	}
 	if resp.StatusCode/100 != 2 {
-		return fmt.Errorf("the platform answered %s", resp.Status)
+		return fmt.Errorf("platform answered the notification post with status %s", resp.Status)
 	}
 	return nil
 }
--- a/internal/relay/notifier/notifier_capacity_bench_test.go
+++ b/internal/relay/notifier/notifier_capacity_bench_test.go
@@ -12,8 +12,9 @@
 	"milletsail/internal/journal"
 )
 
-// BenchmarkNoticesAtOnce measures how fast notices go out that are all owed at once, to a platform that answers at once.
-func BenchmarkNoticesAtOnce(b *testing.B) {
+// BenchmarkNotificationBurst measures how fast the notifier posts many notifications that are queued at once, to a platform that
+// answers without delay.
+func BenchmarkNotificationBurst(b *testing.B) {
 	for _, notices := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(notices), func(b *testing.B) {
 			var posts, size atomic.Int64
--- a/internal/relay/notifier/notifier_test.go
+++ b/internal/relay/notifier/notifier_test.go
@@ -15,37 +15,39 @@
 	"milletsail/internal/relay/protocol"
 )
 
-// A body holds what the protocol allows, and the rest of what is owed waits for the next one.
-func TestBatchFitsABody(t *testing.T) {
+// Guards against a body beyond protocol.MaxBodySize, which the platform would reject: the notifications that do not fit have to stay
+// in the queue. Their encoding is longer than the ids, since each control character takes six bytes in JSON.
+func TestBatchFitsMaxBodySize(t *testing.T) {
 	n := New("127.0.0.1:0", nil)
-	const owed = 1000
-	for i := range owed {
+	const queued = 1000
+	for i := range queued {
 		n.Enqueue(journal.Notification{ID: fmt.Sprintf("%04d%s", i, strings.Repeat("\x01", 100)), Status: StatusDeferred,
 			RetryAfterMS: 5})
 	}
 	batch, body := n.nextBatch()
-	if len(batch) == 0 || len(batch) == owed || len(body) > protocol.MaxBodySize {
-		t.Fatalf("%d notices in %d bytes", len(batch), len(body))
+	if len(batch) == 0 || len(batch) == queued || len(body) > protocol.MaxBodySize {
+		t.Fatalf("batch of %d notifications in %d bytes; want a part of the queue, within MaxBodySize", len(batch), len(body))
 	}
 	lines := strings.Split(strings.TrimSpace(string(body)), "\n")
 	if len(lines) != len(batch) {
-		t.Fatalf("%d lines for %d notices", len(lines), len(batch))
+		t.Fatalf("body has %d lines for %d notifications", len(lines), len(batch))
 	}
 	for i, line := range lines {
-		var notice journal.Notification
-		if err := json.Unmarshal([]byte(line), &notice); err != nil || notice != batch[i] || notice.RetryAfterMS != 5 {
-			t.Fatalf("line %d: %s (%v)", i, line, err)
+		var notification journal.Notification
+		if err := json.Unmarshal([]byte(line), &notification); err != nil || notification != batch[i] || notification.RetryAfterMS != 5 {
+			t.Fatalf("line %d of the body does not match its notification: %s (error %v)", i, line, err)
 		}
 	}
 }
 
-// roundTrip stands for the platform.
+// roundTrip is a function that takes the place of the platform's HTTP server.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// A post whose connection has gone silent is given up in time for the next one to bring the notice.
-func TestNoticeBesideSilence(t *testing.T) {
+// Guards against a notification that arrives late because the connection of its first post is dead: that post has to time out early
+// enough for a second one to arrive within 300 ms.
+func TestPostRetriedAfterDeadConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan []string, 1)
 		n := New("platform", func(ids []string) { got <- ids })
@@ -58,24 +60,24 @@
 			return &http.Response{StatusCode: http.StatusNoContent, Body: http.NoBody}, nil
 		})
 		go n.Run(t.Context())
-		owed := time.Now()
+		enqueuedAt := time.Now()
 		n.Enqueue(journal.Notification{ID: "m", Status: StatusDeferred})
 		if ids := <-got; len(ids) != 1 || ids[0] != "m" {
-			t.Errorf("received %v", ids)
+			t.Errorf("notifications received for %v, want only m", ids)
 		}
-		if late := time.Since(owed); late > 300*time.Millisecond {
-			t.Errorf("received after %v", late)
+		if late := time.Since(enqueuedAt); late > 300*time.Millisecond {
+			t.Errorf("notification received after %v, want at most 300 ms", late)
 		}
 	})
 }
 
-// platformUntil stands for a platform that receives all notifications but the one of message "odd", up to a time: a post with
-// that one hangs, or is answered 400.
-func platformUntil(healed time.Time, hangs bool) roundTrip {
+// failingPlatform returns a platform that fails every post with a notification of the message "odd" until recoversAt: the post hangs
+// or, if hang is false, is answered 400. It receives all other posts.
+func failingPlatform(recoversAt time.Time, hang bool) roundTrip {
 	return func(r *http.Request) (*http.Response, error) {
 		body, _ := io.ReadAll(r.Body)
-		switch odd := strings.Contains(string(body), `"odd"`) && time.Now().Before(healed); {
-		case odd && hangs:
+		switch odd := strings.Contains(string(body), `"odd"`) && time.Now().Before(recoversAt); {
+		case odd && hang:
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		case odd:
@@ -85,9 +87,9 @@
 	}
 }
 
-// A notice that the platform does not take for its form, or whose post hangs each time, holds up no other beyond 300 ms, and
-// gets there itself once the platform takes it; nothing is received twice.
-func TestNoticeThatIsNotTaken(t *testing.T) {
+// Guards against one notification that delays others: where the platform rejects it, or its posts hang, all others still have to
+// arrive within 300 ms. It has to arrive itself once the platform accepts it, and none may be received twice.
+func TestFailingNotificationDoesNotDelayOthers(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
@@ -101,10 +103,10 @@
 					got <- receipt{id, time.Now()}
 				}
 			})
-			healed := time.Now().Add(5 * time.Second)
-			n.client.Transport = platformUntil(healed, hangs)
+			recoversAt := time.Now().Add(5 * time.Second)
+			n.client.Transport = failingPlatform(recoversAt, hangs)
 			go n.Run(ctx)
-			due := map[string]time.Time{"odd": healed}
+			due := map[string]time.Time{"odd": recoversAt}
 			for i := range 40 {
 				for _, id := range []string{fmt.Sprint(i, "a"), fmt.Sprint(i, "b")} {
 					due[id] = time.Now()
@@ -121,9 +123,9 @@
 				if r.id == "odd" {
 					most = maxRetryBackoff + postTimeout
 				}
-				at, owed := due[r.id]
-				if late := r.at.Sub(at); !owed || late > most {
-					t.Errorf("hangs %v: %s received after %v, owed %v", hangs, r.id, late, owed)
+				at, expected := due[r.id]
+				if late := r.at.Sub(at); !expected || late > most {
+					t.Errorf("hangs %v: notification of %s received after %v (still expected: %v)", hangs, r.id, late, expected)
 				}
 				delete(due, r.id)
 			}
--- a/internal/relay/protocol/protocol.go
+++ b/internal/relay/protocol/protocol.go
@@ -1,5 +1,5 @@
-// Package protocol holds the bounds that the platform's protocol sets on all sides of a relay.
+// Package protocol defines the limits of the platform's protocol that apply to clients, endpoints and notifications alike.
 package protocol
 
-// MaxBodySize is the largest body in bytes, of one message or of several.
+// MaxBodySize is the maximum size of a body in bytes, whether it holds one message or a batch.
 const MaxBodySize = 64 << 10
--- a/internal/relay/resource/resource_test.go
+++ b/internal/relay/resource/resource_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// What went wrong here is told from what went wrong at the peer, through any wrapping.
+// Guards against counting a local failure, such as a lack of descriptors, as a failure of the peer. Errors arrive wrapped.
 func TestClassification(t *testing.T) {
 	for _, tt := range []struct {
 		err                      error
@@ -21,13 +21,13 @@
 		{nil, false, false, false},
 	} {
 		if got := IsLocalFailure(tt.err); got != tt.local {
-			t.Errorf("%v: local %v", tt.err, got)
+			t.Errorf("IsLocalFailure(%v) = %v", tt.err, got)
 		}
 		if got := IsExhausted(tt.err); got != tt.exhausted {
-			t.Errorf("%v: exhausted %v", tt.err, got)
+			t.Errorf("IsExhausted(%v) = %v", tt.err, got)
 		}
 		if got := IsSystemError(tt.err); got != tt.system {
-			t.Errorf("%v: system %v", tt.err, got)
+			t.Errorf("IsSystemError(%v) = %v", tt.err, got)
 		}
 	}
 }
--- a/internal/relay/retry/retry.go
+++ b/internal/relay/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry repeats an operation that fails for a moment, at a constant interval and up to a bound.
+// Package retry repeats an operation that fails transiently, at a constant interval and up to a time limit.
 package retry
 
 import (
@@ -8,19 +8,19 @@
 	"milletsail/internal/clock"
 )
 
-// Policy says which failures of an operation are worth a retry, and for how long.
+// Policy defines which errors of an operation are retried, how often and for how long.
 type Policy struct {
-	// Timeout bounds the time from the first attempt in which a failed one is followed by another.
+	// Timeout is the time since the start of the first attempt after which a failed attempt is not retried.
 	Timeout time.Duration
-	// Interval is the wait between two attempts.
+	// Interval is the wait between attempts.
 	Interval time.Duration
-	// Retryable reports whether another attempt may succeed; nil stands for always.
+	// Retryable reports whether another attempt may succeed after an error; nil retries every error.
 	Retryable func(error) bool
-	// OnRetry is called after each failed attempt that is followed by a wait.
+	// OnRetry is called with the error of each failed attempt that will be retried. It must not be nil.
 	OnRetry func(error)
 }
 
-// Do calls attempt until it succeeds, fails with an error that is not retryable, the policy's timeout is over or ctx is
+// Do calls attempt until it succeeds, fails with an error that is not retryable, the policy's timeout has passed or ctx is
 // done. It returns the error of the last attempt.
 func Do(ctx context.Context, p Policy, attempt func() error) error {
 	end := clock.Now().Add(p.Timeout)
--- a/internal/relay/retry/retry_test.go
+++ b/internal/relay/retry/retry_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-var errFails = errors.New("fails")
+var errFails = errors.New("attempt failed")
 
-// An operation is attempted again until it succeeds, its error is final, the time is up or the caller gives up.
+// Guards against a retry loop that stops early, or that runs on after a final error, the timeout or a cancellation.
 func TestDo(t *testing.T) {
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -45,7 +45,7 @@
 			return tt.attempt(attempts)
 		})
 		if !errors.Is(err, tt.want) || attempts != tt.attempts {
-			t.Errorf("%s: %v after %d attempts and %d waits", tt.name, err, attempts, waits)
+			t.Errorf("%s: got error %v after %d attempts and %d retries", tt.name, err, attempts, waits)
 		}
 	}
 }
--- a/internal/relay/socket/socket.go
+++ b/internal/relay/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket looks at the receive buffers of connections without reading from them.
+// Package socket inspects the receive buffers of connections without consuming data.
 package socket
 
 import (
@@ -9,13 +9,14 @@
 	"syscall"
 )
 
-// HasUnread reports whether bytes wait to be read from a connection.
+// HasUnread reports whether received bytes wait to be read from a connection.
 func HasUnread(c net.Conn) bool { return peek(c) == nil }
 
-// IsQuiet reports whether a connection is open and has nothing to read.
+// IsQuiet reports whether a connection is open and has no received bytes to read.
 func IsQuiet(c net.Conn) bool { return errors.Is(peek(c), syscall.EAGAIN) }
 
-// peek looks for a byte to read. It returns EAGAIN where none has come yet, and io.EOF where none will come.
+// peek checks for a byte to read, without consuming it or blocking. It returns nil if there is one, EAGAIN if none has arrived
+// yet, and io.EOF if the peer has closed its sending side.
 func peek(c net.Conn) error {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/relay/socket/socket_test.go
+++ b/internal/relay/socket/socket_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A connection is quiet until bytes come, has unread bytes then, and is neither once its peer has closed it.
-func TestPeek(t *testing.T) {
+// Guards against taking a closed connection, or one with unread bytes, for one that can be reused.
+func TestReceiveBufferState(t *testing.T) {
 	var listen net.ListenConfig
 	l, err := listen.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,27 +27,27 @@
 	}
 	defer func() { _ = c.Close() }()
 	if !IsQuiet(c) || HasUnread(c) {
-		t.Error("a fresh connection is not quiet")
+		t.Error("new connection: want IsQuiet true and HasUnread false")
 	}
 	if _, err := io.WriteString(peer, "x"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, func() bool { return HasUnread(c) && !IsQuiet(c) })
+	waitUntil(t, func() bool { return HasUnread(c) && !IsQuiet(c) })
 	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	if err := peer.Close(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, func() bool { return errors.Is(peek(c), io.EOF) && !IsQuiet(c) && !HasUnread(c) })
+	waitUntil(t, func() bool { return errors.Is(peek(c), io.EOF) && !IsQuiet(c) && !HasUnread(c) })
 }
 
-// until waits for a condition.
-func until(t *testing.T, holds func() bool) {
+// waitUntil polls until a condition holds, and fails the test after 20 s.
+func waitUntil(t *testing.T, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain")
+			t.Fatal("condition did not hold within 20 s")
 		}
 	}
 }
--- a/internal/relay/upstream/call.go
+++ b/internal/relay/upstream/call.go
@@ -14,65 +14,67 @@
 	"milletsail/internal/instant"
 )
 
-// The paths of an endpoint.
+// The URL paths of calls to an endpoint.
 const (
-	// singlePath takes one message.
+	// singlePath is the path of calls with one message.
 	singlePath = "/inbox"
-	// batchPath takes several.
+	// batchPath is the path of calls with several messages.
 	batchPath = "/inbox/bulk"
 )
 
-// userAgent names the relay to endpoints.
+// userAgent is the User-Agent header of all calls.
 const userAgent = "milletsail"
 
-// Call is one request to an endpoint, with one message or with several.
+// Call is one HTTP request to an endpoint, with one or more messages.
 type Call struct {
-	// Addr is the address of the endpoint.
+	// Addr is the address of the endpoint, as host:port.
 	Addr string
-	// Messages has at least one.
+	// Messages holds at least one message. Two or more are sent as a batch.
 	Messages []Message
-	// Timeout bounds the whole call.
+	// Timeout bounds the whole call, from connecting to reading the response.
 	Timeout time.Duration
-	// WriteTimeout is the time within which the request has to be written, or isn't written at all; 0 for no bound.
+	// WriteTimeout bounds the time to connect and to write the request. If a connection is not ready within it, the request is not
+	// written at all. 0 sets no bound beyond Timeout.
 	WriteTimeout time.Duration
-	// ResponseDeadline is when the response to several messages has to be read completely to count for any of them; zero for
-	// no bound. It is checked once the response is read, since a timer may fire late.
+	// ResponseDeadline is the time by which the response to a batch has to be read completely; a later response counts as a
+	// time-out for every message. Zero sets no bound beyond Timeout. It is checked after the response is read, since the timer
+	// that ends the call may fire late.
 	ResponseDeadline instant.Time
 }
 
-// responseTooLate reports whether a response that has been read by now counts for nothing.
+// responseTooLate reports whether the response deadline has passed, so that a response read by now does not count.
 func (c Call) responseTooLate() bool {
 	return !c.ResponseDeadline.IsZero() && clock.Now() >= c.ResponseDeadline
 }
 
-// Message is one message of a call. Its JSON form is that of a batch.
+// Message is one message of a call. Its JSON encoding is an element of the body of a batch.
 type Message struct {
 	ID   string `json:"id"`
 	Key  string `json:"key,omitempty"`
 	Body []byte `json:"body"`
-	// Claim decides whether the message is still written; nil where it always is.
+	// Claim has to be acquired before the message is written; nil if the message is written in any case.
 	Claim *WriteClaim `json:"-"`
 }
 
-// WriteClaim decides between the writing of a message and its end while its call waits for a connection: the first to take
-// the claim wins. It is safe for concurrent use.
+// WriteClaim ensures that a message either is written to an endpoint or ends before that, while its call waits for a connection:
+// only the side that acquires the claim first may proceed. It is safe for concurrent use.
 type WriteClaim struct{ acquired atomic.Bool }
 
-// Acquire claims the message, and reports false where it was claimed already.
+// Acquire acquires the claim and reports true, or reports false if it was acquired before. On a nil claim it always reports true.
 func (c *WriteClaim) Acquire() bool { return c == nil || c.acquired.CompareAndSwap(false, true) }
 
-// claimMessages returns the call with those of its messages that may be written.
+// claimMessages acquires the claims of the messages, and returns the call with only those messages whose claim it acquired.
 func (c Call) claimMessages() Call {
 	c.Messages = slices.DeleteFunc(slices.Clone(c.Messages), func(m Message) bool { return !m.Claim.Acquire() })
 	return c
 }
 
-// indexOf returns the index of a message, or -1.
+// indexOf returns the index of the message with an id, or -1.
 func (c Call) indexOf(id string) int {
 	return slices.IndexFunc(c.Messages, func(m Message) bool { return m.ID == id })
 }
 
-// encode returns the request as it goes on the wire.
+// encode returns the HTTP request in wire format. timeLeft is sent in the Request-Timeout header, as at least 1 ms.
 func (c Call) encode(ctx context.Context, timeLeft time.Duration) ([]byte, error) {
 	path, body := singlePath, c.Messages[0].Body
 	if len(c.Messages) > 1 {
--- a/internal/relay/upstream/conn.go
+++ b/internal/relay/upstream/conn.go
@@ -18,41 +18,45 @@
 )
 
 const (
-	// responseStallTimeout is how long an endpoint may be silent in the middle of a response: no more of it is to be expected
-	// then, and the call occupies a slot.
+	// responseStallTimeout is how long an endpoint may send nothing in the middle of a response. After that the rest is not
+	// expected to arrive, and the call would only occupy a slot.
 	responseStallTimeout = 500 * time.Millisecond
-	// bodyDrainTimeout is how long the body of a response may take before its connection is given up.
+	// bodyDrainTimeout bounds the time to read and discard the body of a response for the sake of reusing its connection. It also
+	// bounds the wait for the rest of a response whose status line says that the message was delivered.
 	bodyDrainTimeout = 100 * time.Millisecond
-	// maxResponseSize bounds the bytes of a response, head included: what an endpoint sends must not fill the memory.
+	// maxResponseSize is the maximum size of a response in bytes, header included. It bounds the memory that an endpoint can make
+	// the relay use.
 	maxResponseSize = 2 * protocol.MaxBodySize
-	// maxInterimResponses is how many 1xx responses may precede the final one.
+	// maxInterimResponses bounds the 1xx responses of a call: the final response has to be among the first maxInterimResponses
+	// responses.
 	maxInterimResponses = 8
-	// maxLateReads bounds the reads of what has arrived before a deadline: the end of the call may set its deadline once more
-	// beside each.
+	// maxLateReads bounds the retries of a read that failed by the deadline although data had arrived. Several can be needed,
+	// since the end of the call may concurrently set the deadline to the past again.
 	maxLateReads = 3
 )
 
-// okStatusLine is the status line of a response that says that a message was delivered. Without its line end it says
-// nothing yet.
+// okStatusLine matches the complete status line of a response with status 200. The line end is required: without it, the rest of
+// the line has not arrived.
 var okStatusLine = regexp.MustCompile(`^HTTP/1\.[01] 200(?: [^\r\n]*)?\r?\n$`)
 
-// pastDeadline is a deadline that has passed.
+// pastDeadline is a deadline in the past, which makes pending and further reads and writes fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// errTooManyInterim says that an endpoint sends interim responses and no final one.
-var errTooManyInterim = errors.New("too many interim responses")
+// errTooManyInterim reports that an endpoint sent maxInterimResponses interim responses and no final one.
+var errTooManyInterim = errors.New("too many interim (1xx) responses from the endpoint")
 
-// conn is a connection to an endpoint. It carries one call at a time, and belongs to that call's goroutine or to the pool.
+// conn is a connection to an endpoint. It carries one call at a time. While it does, only the goroutine of that call uses it;
+// while it is idle, it belongs to the pool.
 type conn struct {
 	net.Conn
-	limited      *io.LimitedReader // what may still be read for the call
+	limited      *io.LimitedReader // bounds the bytes that may still be read for the current response
 	reader       *bufio.Reader     // reads from limited
-	idleSince    instant.Time
-	callErr      func() error  // why the call that the connection carries has ended; nil before the first call
-	stallTimeout time.Duration // bounds the silence before the next bytes; 0 for no bound
+	idleSince    instant.Time      // when the connection became idle
+	callErr      func() error      // returns why the current call has ended, or nil while it lasts; nil before the first call
+	stallTimeout time.Duration     // bounds the wait of each read for data; 0 for no bound
 }
 
-// newConn wraps a connection that carries no call yet.
+// newConn returns a conn on a new network connection.
 func newConn(raw net.Conn) *conn {
 	c := &conn{Conn: raw}
 	c.limited = &io.LimitedReader{R: c, N: maxResponseSize}
@@ -60,11 +64,12 @@
 	return c
 }
 
-// Read fails where the rest of a response does not follow in time.
+// Read reads from the network connection, within stallTimeout where that is set. If the deadline of the call has passed but data
+// had arrived, it still returns that data.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.stallTimeout > 0 {
 		_ = c.SetReadDeadline(time.Now().Add(c.stallTimeout))
-		if err := c.callErr(); err != nil { // its end may have set a deadline just before
+		if err := c.callErr(); err != nil { // the call may have set pastDeadline as it ended, which the line above has overwritten
 			_ = c.SetReadDeadline(pastDeadline)
 		}
 	}
@@ -76,23 +81,24 @@
 	return n, err
 }
 
-// arrivedInTime reports whether a read has failed by the deadline of its call although there is something to read: a relay
-// that was suspended finds both at once, and the response was there before.
+// arrivedInTime reports whether a read failed with err because the deadline of its call has passed although data has arrived. A
+// relay that was suspended finds the deadline passed and the data arrived at once; the data is then taken to have come first.
 func (c *conn) arrivedInTime(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) && c.callErr != nil && errors.Is(c.callErr(), context.DeadlineExceeded) &&
 		socket.HasUnread(c.Conn)
 }
 
-// readResponse reads the response to a request, past any interim ones. Where the rest of it can't be read, a status line
-// that says 200 still gives a response, beside the error; for a call with one message it tells all that is needed.
+// readResponse reads the response to a request and skips interim responses. If the status line says 200 but the rest of the header
+// cannot be read, it returns both a response with that status and the error: for a call with one message, the status line
+// alone tells that the message was delivered. single says whether the call has one message.
 func (c *conn) readResponse(single bool) (*http.Response, error) {
 	c.limited.N = maxResponseSize
 	for range maxInterimResponses {
-		c.stallTimeout = 0 // an endpoint may work for as long as the call lasts
+		c.stallTimeout = 0 // the endpoint may take until the end of the call to begin its response
 		_ = c.SetReadDeadline(time.Time{})
 		switch err := c.callErr(); {
 		case errors.Is(err, context.DeadlineExceeded):
-			_ = c.SetReadDeadline(pastDeadline) // only what has arrived counts
+			_ = c.SetReadDeadline(pastDeadline) // only data that has already arrived counts
 		case err != nil:
 			return nil, err
 		}
@@ -115,8 +121,8 @@
 	return nil, errTooManyInterim
 }
 
-// peekStatusLine waits for the next line and returns it without consuming it: with its end, unless that does not come or the
-// line is longer than the buffer.
+// peekStatusLine waits for the next line and returns it without consuming it. The result includes the line end, unless reading
+// fails before that or the line is longer than the buffer.
 func (c *conn) peekStatusLine() []byte {
 	for n := 1; ; n = c.reader.Buffered() + 1 {
 		_, err := c.reader.Peek(n)
@@ -130,6 +136,6 @@
 	}
 }
 
-// reusable reports whether an idle connection is open and has nothing to read: an endpoint may close one at any time, and a
-// request that is written after that would end as a reset, which may have been executed.
+// reusable reports whether an idle connection is open and has no unread data. An endpoint may close a connection at any time; a
+// request written after that would end in a reset, and would have to be treated as possibly executed.
 func (c *conn) reusable() bool { return socket.IsQuiet(c.Conn) }
--- a/internal/relay/upstream/helpers_test.go
+++ b/internal/relay/upstream/helpers_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// long is longer than anything that a test waits for in vain.
-const long = 20 * time.Second
+// testTimeout bounds every wait of a test; it is far longer than any expected wait.
+const testTimeout = 20 * time.Second
 
-// rawHost serves each connection to a host by a function.
-func rawHost(t *testing.T, serve func(net.Conn)) string {
+// startEndpoint starts an endpoint that handles each connection with serve and closes it afterwards. It returns its address.
+func startEndpoint(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,8 +36,8 @@
 	return l.Addr().String()
 }
 
-// readCall reads one complete request.
-func readCall(in *bufio.Reader) error {
+// readRequest reads one complete request and discards it.
+func readRequest(in *bufio.Reader) error {
 	r, err := http.ReadRequest(in)
 	if err == nil {
 		_, err = io.Copy(io.Discard, r.Body)
@@ -45,19 +45,19 @@
 	return err
 }
 
-// resetAtClose has a connection end with a reset.
-func resetAtClose(c net.Conn) {
+// resetOnClose makes closing a connection send a reset.
+func resetOnClose(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// answering gives every request of a connection the same answer.
-func answering(text string) func(net.Conn) {
+// respondAlways returns a connection handler that answers every request with the same text.
+func respondAlways(text string) func(net.Conn) {
 	return func(c net.Conn) {
 		in := bufio.NewReader(c)
 		for {
-			if err := readCall(in); err != nil {
+			if err := readRequest(in); err != nil {
 				return
 			}
 			if _, err := io.WriteString(c, text); err != nil {
@@ -70,17 +70,17 @@
 func testPool() *Pool { return NewPool(time.Second, 10*time.Second, 4, &atomic.Int64{}) }
 
 func testCall(addr string) Call {
-	return Call{Addr: addr, Messages: []Message{{ID: "m1", Key: "k1", Body: []byte("a\x00b")}}, Timeout: long}
+	return Call{Addr: addr, Messages: []Message{{ID: "m1", Key: "k1", Body: []byte("a\x00b")}}, Timeout: testTimeout}
 }
 
-// receive waits for a value.
+// receive returns the next value of a channel, and fails the test if none arrives within testTimeout.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(long):
-		t.Fatal("waited in vain")
+	case <-time.After(testTimeout):
+		t.Fatal("no value received within the time-out")
 		panic("not reached")
 	}
 }
--- a/internal/relay/upstream/pool.go
+++ b/internal/relay/upstream/pool.go
@@ -1,5 +1,5 @@
-// Package upstream makes calls to endpoints over a pool of connections, and tells for each message of a call whether it may
-// have been executed.
+// Package upstream makes calls to endpoints over a pool of connections, and determines for each message of a call whether the
+// endpoint may have executed it.
 package upstream
 
 import (
@@ -20,38 +20,40 @@
 	"milletsail/policy"
 )
 
-// idleTimeoutShare is how much of the time after which endpoints close an idle connection the pool keeps it: a request that
-// crosses the endpoint's close ends as a reset. With 0.95 endpoints closed some first, and goodput gained nothing.
+// idleTimeoutShare is the pool's idle time-out as a share of the endpoints' idle time-out. The pool closes idle connections first,
+// since a request that is sent while the endpoint closes the connection ends in a reset. At a share of 0.95 endpoints closed some
+// connections before the pool did, without a gain in goodput.
 const idleTimeoutShare = 0.8
 
-// Pool makes calls to endpoints over connections that carry one call at a time. It is not an http.Transport, since that
-// sends a request with an Idempotency-Key again by itself when a cached connection breaks, which is a second execution, and
-// does not tell whether the last byte was written, which separates "not executed" from "may have been executed".
+// Pool makes calls to endpoints over connections that carry one call at a time. It does not use http.Transport for two reasons:
+// http.Transport resends a request with an Idempotency-Key when a cached connection breaks, which may execute it twice; and it
+// does not report whether the last byte of a request was written, which separates "not executed" from "may have been executed".
 //
-// A pool is safe for concurrent use. It starts no goroutines: connections are closed by the callers of its methods.
+// A Pool is safe for concurrent use. It has no background goroutine: idle connections are closed only in calls of its methods.
 type Pool struct {
 	dialer      net.Dialer
 	idleTimeout time.Duration
-	// written counts the messages whose last byte was written.
+	// written counts the messages of requests that were written completely.
 	written *atomic.Int64
 
 	mu         sync.Mutex
-	capacity   int                // idle connections at most
-	idle       map[string][]*conn // by address, the one used last at the end
-	idleCount  int
-	canceledAt map[string]instant.Time // by address, when unwritten calls were last canceled
+	capacity   int                     // maximum number of idle connections
+	idle       map[string][]*conn      // idle connections by address, the most recently used one last
+	idleCount  int                     // number of idle connections to all addresses
+	canceledAt map[string]instant.Time // by address, the time of the last CancelUnwritten
 }
 
-// NewPool returns a pool that keeps at most capacity idle connections, each for less time than endpoints do, which close one
-// after endpointIdleTimeout. It counts written messages in written.
+// NewPool returns a pool that keeps at most capacity idle connections. Endpoints close an idle connection after
+// endpointIdleTimeout, and the pool does so earlier. connectTimeout bounds the time to open a connection. The pool adds the
+// number of messages of each completely written request to written.
 func NewPool(connectTimeout, endpointIdleTimeout time.Duration, capacity int, written *atomic.Int64) *Pool {
 	return &Pool{dialer: net.Dialer{Timeout: connectTimeout, KeepAlive: -1}, capacity: capacity, idle: map[string][]*conn{},
 		canceledAt: map[string]instant.Time{}, written: written,
 		idleTimeout: time.Duration(idleTimeoutShare * float64(endpointIdleTimeout))}
 }
 
-// Do makes one call and returns a result for each of its messages, in their order. When it returns, the call is off the
-// wire: it was answered, or its connection is closed.
+// Do makes one call and returns the result of each message, in the order of call.Messages. When it returns, the call is no longer
+// in flight: it was never written, it has its response, or its connection is closed.
 func (p *Pool) Do(ctx context.Context, call Call) []Result {
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
@@ -67,11 +69,11 @@
 		if err == nil {
 			p.release(call.Addr, conn)
 		}
-		return call.resultForAll(Result{Outcome: policy.NotSent}) // too late to write it, which tells nothing of the endpoint
+		return call.resultForAll(Result{Outcome: policy.NotSent}) // not written; this says nothing about the endpoint's health
 	}
 	if err != nil && resource.IsLocalFailure(err) {
 		slog.Warn("call not started", "endpoint", call.Addr, "messages", len(call.Messages), "error", err)
-		return call.resultForAll(Result{Outcome: policy.NotStarted}) // which tells nothing of the endpoint either
+		return call.resultForAll(Result{Outcome: policy.NotStarted}) // a local failure says nothing about the endpoint's health
 	}
 	if err != nil {
 		return call.resultForAll(Result{Outcome: policy.ConnectError})
@@ -80,11 +82,11 @@
 		_ = conn.SetWriteDeadline(deadline)
 	}
 	claimed := call.claimMessages()
-	if len(claimed.Messages) == 0 { // all have ended while the connection came up
+	if len(claimed.Messages) == 0 { // all messages ended while the connection was being opened
 		p.release(call.Addr, conn)
 		return call.resultForAll(Result{Outcome: policy.NotSent})
 	}
-	results, reuse := p.carry(ctx, conn, claimed)
+	results, reuse := p.roundTripUntilDone(ctx, conn, claimed)
 	if reuse {
 		p.release(call.Addr, conn)
 	} else {
@@ -93,14 +95,16 @@
 	return call.merge(claimed, results)
 }
 
-// carry makes a call on a connection, until ctx ends. reuse reports whether the connection may carry another.
-func (p *Pool) carry(ctx context.Context, conn *conn, call Call) (results []Result, reuse bool) {
+// roundTripUntilDone writes a request on a connection and reads its response, and interrupts that when ctx ends. reuse reports
+// whether the connection may carry another call.
+func (p *Pool) roundTripUntilDone(ctx context.Context, conn *conn, call Call) (results []Result, reuse bool) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(pastDeadline) })
 	results, reuse = p.roundTrip(ctx, conn, call)
 	return results, stop() && reuse
 }
 
-// merge returns the results of all messages of a call, of which only the claimed ones were written.
+// merge returns the results of all messages of the call. results are those of the messages of claimed; the other messages were not
+// written, and their outcome is NotSent.
 func (c Call) merge(claimed Call, results []Result) []Result {
 	all := c.resultForAll(Result{Outcome: policy.NotSent})
 	for i, m := range claimed.Messages {
@@ -109,22 +113,22 @@
 	return all
 }
 
-// roundTrip writes a request and reads its response; reuse reports whether the connection may carry another.
+// roundTrip writes a request and reads its response. reuse reports whether the connection may carry another call.
 func (p *Pool) roundTrip(ctx context.Context, conn *conn, call Call) (results []Result, reuse bool) {
 	deadline, _ := ctx.Deadline()
-	out, err := call.encode(ctx, time.Until(deadline)) // by the monotonic reading that every deadline of a context holds
+	out, err := call.encode(ctx, time.Until(deadline)) // uses the monotonic clock, which a context deadline carries
 	if err != nil {
 		return call.resultForAll(Result{Outcome: policy.ConnectError}), false
 	}
 	conn.callErr = ctx.Err
 	if n, _ := conn.Write(out); n < len(out) {
-		return call.resultForAll(Result{Outcome: policy.ConnectError}), false // the last byte never left: it was not executed
+		return call.resultForAll(Result{Outcome: policy.ConnectError}), false // an incomplete request is not executed
 	}
 	p.written.Add(int64(len(call.Messages)))
 	single := len(call.Messages) == 1
-	resp, err := conn.readResponse(single) //nolint:bodyclose // a Close would read on; the connection is closed or drained instead
+	resp, err := conn.readResponse(single) //nolint:bodyclose // Close would keep reading; the connection is closed or drained instead
 	if err != nil && resp != nil && single {
-		return call.resultForAll(classifyResponse(resp)), false // its status line is true, whatever else it lacks
+		return call.resultForAll(classifyResponse(resp)), false // the status line is reliable even if the rest is incomplete
 	}
 	if err != nil {
 		return call.resultForAll(Result{Outcome: interruptedOutcome(ctx)}), false
@@ -132,7 +136,7 @@
 	if single || resp.StatusCode != http.StatusOK {
 		results = call.resultForAll(call.resultOfResponse(resp))
 	} else {
-		// Only the complete body tells the messages' results.
+		// The results of the messages of a batch are known only from the complete body.
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			return call.resultForAll(Result{Outcome: interruptedOutcome(ctx)}), false
@@ -140,14 +144,15 @@
 		if call.responseTooLate() {
 			late := classifyResponse(resp)
 			late.Outcome, late.Completed = policy.TimedOut, false
-			return call.resultForAll(late), false // a Retry-After that it brings counts all the same
+			return call.resultForAll(late), false // the response's RetryAfter and LoadReport still apply
 		}
 		results = call.parseResults(resp, body)
 	}
 	return results, conn.drain(resp)
 }
 
-// drain reads off the rest of a response, and reports whether the connection may carry another call.
+// drain reads and discards the rest of a response, for at most bodyDrainTimeout, and reports whether the connection may carry
+// another call.
 func (c *conn) drain(resp *http.Response) bool {
 	c.stallTimeout = 0
 	_ = c.SetDeadline(time.Now().Add(bodyDrainTimeout))
@@ -155,7 +160,7 @@
 	return err == nil && !resp.Close && c.reader.Buffered() == 0 && c.SetDeadline(time.Time{}) == nil
 }
 
-// acquire returns an idle connection that is still open, or a new one.
+// acquire returns the most recently used idle connection to an address that is still usable, or opens a new one.
 func (p *Pool) acquire(ctx context.Context, addr string) (*conn, error) {
 	p.mu.Lock()
 	for list := p.idle[addr]; len(list) > 0; list = p.idle[addr] {
@@ -175,7 +180,7 @@
 	return newConn(raw), nil
 }
 
-// release keeps a connection for the next call, or closes it where the pool is full.
+// release keeps a connection as idle for a later call, or closes it if the pool is full.
 func (p *Pool) release(addr string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,7 +193,7 @@
 	p.idleCount++
 }
 
-// removeIdle removes connection i from an address's list. The caller holds the lock.
+// removeIdle removes the idle connection with index i from the list of an address. The caller holds the lock.
 func (p *Pool) removeIdle(addr string, i int) {
 	list := p.idle[addr]
 	if list = append(list[:i], list[i+1:]...); len(list) > 0 {
@@ -199,14 +204,15 @@
 	p.idleCount--
 }
 
-// CancelUnwritten has the calls to an address that still wait for a connection return unwritten.
+// CancelUnwritten cancels the calls to an address that are still waiting for a connection. Such a call ends with
+// the outcome NotSent once its connection is open; if the connection cannot be opened, the call ends with that failure.
 func (p *Pool) CancelUnwritten(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.canceledAt[addr] = clock.Now()
 }
 
-// canceledSince reports whether unwritten calls to an address were canceled since a time.
+// canceledSince reports whether CancelUnwritten was called for an address at or after a time.
 func (p *Pool) canceledSince(addr string, since instant.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -214,7 +220,7 @@
 	return ok && at >= since
 }
 
-// DisableKeepAlives closes the idle connections and keeps none from now on.
+// DisableKeepAlives closes all idle connections, and makes every later call close its connection.
 func (p *Pool) DisableKeepAlives() {
 	p.mu.Lock()
 	p.capacity = 0
@@ -222,13 +228,14 @@
 	p.closeIdleIf(func(string, *conn) bool { return true })
 }
 
-// CloseIdle closes the idle connections to an address.
+// CloseIdle closes all idle connections to an address.
 func (p *Pool) CloseIdle(addr string) {
 	p.closeIdleIf(func(a string, _ *conn) bool { return a == addr })
 }
 
-// Sweep closes idle connections that are too old, or that the endpoint has closed, and drops cancellations that are older
-// than any call that still waits for a connection. Its owner calls it from time to time.
+// Sweep closes idle connections that have passed the idle time-out or that the endpoint has closed. It also forgets calls of
+// CancelUnwritten that are too old to concern a call that still waits for a connection. The owner of the pool calls it
+// periodically.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	maps.DeleteFunc(p.canceledAt, func(_ string, at instant.Time) bool { return clock.Since(at) > 2*p.dialer.Timeout })
@@ -236,7 +243,7 @@
 	p.closeIdleIf(func(_ string, c *conn) bool { return clock.Since(c.idleSince) >= p.idleTimeout || !c.reusable() })
 }
 
-// closeIdleIf closes the idle connections that are unwanted.
+// closeIdleIf closes the idle connections for which unwanted reports true.
 func (p *Pool) closeIdleIf(unwanted func(addr string, c *conn) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/upstream/pool_capacity_bench_test.go
+++ b/internal/relay/upstream/pool_capacity_bench_test.go
@@ -10,12 +10,12 @@
 	"milletsail/policy"
 )
 
-// BenchmarkCallConnection measures a call to an endpoint on the same machine, on a connection that is kept and on a new one, and
-// the processor time of this process for it, the endpoint's part included.
+// BenchmarkCallConnection measures the duration of a call to an endpoint on the same machine, on a kept and on a new connection, and
+// the processor time that this process spends on it, including that of the endpoint.
 func BenchmarkCallConnection(b *testing.B) {
 	for _, c := range []struct {
-		name string
-		room int
+		name     string
+		capacity int
 	}{{"kept", 4}, {"new", 0}} {
 		b.Run(c.name, func(b *testing.B) {
 			listener, err := (&net.ListenConfig{}).Listen(b.Context(), "tcp", "127.0.0.1:0")
@@ -23,7 +23,7 @@
 				b.Fatal(err)
 			}
 			defer func() { _ = listener.Close() }()
-			serve := answering("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+			serve := respondAlways("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			go func() {
 				for {
 					conn, err := listener.Accept()
@@ -36,7 +36,7 @@
 					}()
 				}
 			}()
-			p := NewPool(time.Second, 10*time.Second, c.room, &atomic.Int64{})
+			p := NewPool(time.Second, 10*time.Second, c.capacity, &atomic.Int64{})
 			call := testCall(listener.Addr().String())
 			before := processorTime(b)
 			for b.Loop() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// processorTime is what this process has spent in all.
+// processorTime returns the user and system processor time that this process has used so far.
 func processorTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
--- a/internal/relay/upstream/response.go
+++ b/internal/relay/upstream/response.go
@@ -14,29 +14,30 @@
 	"milletsail/policy"
 )
 
-// maxRetryAfter bounds the wait that an endpoint may ask for.
+// maxRetryAfter bounds the wait that an endpoint can ask for.
 const maxRetryAfter = time.Hour
 
-// Result is how a call ended for one of its messages.
+// Result is the result of a call for one of its messages.
 type Result struct {
+	// Outcome is how the attempt to deliver the message ended.
 	Outcome policy.Outcome
-	// RetryAfter is how long the endpoint wants to be left alone; 0 where it says nothing.
+	// RetryAfter is the wait that the endpoint asked for before further calls; 0 if it asked for none.
 	RetryAfter time.Duration
-	// Completed says that the message needs no further attempt.
+	// Completed reports that the message needs no further attempt, since it was delivered by this call or no longer has to be.
 	Completed bool
-	// AttemptsExhausted says that the endpoint accepts no further attempt of the message.
+	// AttemptsExhausted reports that the endpoint accepts no further attempt for the message.
 	AttemptsExhausted bool
-	// LoadReport is the endpoint's, or nil.
+	// LoadReport is the destination's load as reported in the Server-Load header of the response, or nil.
 	LoadReport *policy.LoadReport
 }
 
-// messageStatus is what a response says of one message of several.
+// messageStatus is the status of one message in the response to a batch.
 type messageStatus struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 }
 
-// The states of messages in a response.
+// The states of a message in the response to a batch.
 const (
 	stateDelivered         = "delivered"
 	stateRejected          = "refused"
@@ -44,7 +45,8 @@
 	stateAttemptsExhausted = "spent"
 )
 
-// interruptedOutcome is the outcome of a call whose last byte was written and whose response did not come completely.
+// interruptedOutcome returns the outcome of a call with the context ctx whose request was written completely but whose response was
+// not read completely.
 func interruptedOutcome(ctx context.Context) policy.Outcome {
 	switch err := ctx.Err(); {
 	case err == nil:
@@ -55,12 +57,12 @@
 	return policy.Canceled
 }
 
-// resultForAll gives every message of a call the same result.
+// resultForAll returns the same result for every message of the call.
 func (c Call) resultForAll(result Result) []Result {
 	return slices.Repeat([]Result{result}, len(c.Messages))
 }
 
-// resultOfResponse is the result that the head of a response gives all messages of a call.
+// resultOfResponse returns the result that the status and header of a response define for every message of the call.
 func (c Call) resultOfResponse(resp *http.Response) Result {
 	result := classifyResponse(resp)
 	if len(c.Messages) > 1 && (resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusRequestEntityTooLarge) {
@@ -69,8 +71,8 @@
 	return result
 }
 
-// parseResults reads the messages' results from the body of a response. A message that it does not name, or names with an
-// unknown state, may have been executed.
+// parseResults returns the results of the messages of a batch from the body of its response. A message that is missing from the
+// body, or has an unknown state in it, may have been executed; its outcome is Failed.
 func (c Call) parseResults(resp *http.Response, body []byte) []Result {
 	failed := classifyResponse(resp)
 	failed.Outcome, failed.Completed = policy.Failed, false
@@ -99,7 +101,7 @@
 	return results
 }
 
-// classifyResponse reads a result from the head of a response, as the protocol defines it.
+// classifyResponse returns the result that the protocol defines for the status and header of a response.
 func classifyResponse(resp *http.Response) Result {
 	result := Result{Outcome: policy.Failed, RetryAfter: parseRetryAfter(resp),
 		LoadReport: parseLoadReport(resp.Header.Get("Server-Load"))}
@@ -121,7 +123,7 @@
 	return result
 }
 
-// parseRetryAfter reads the wait that an endpoint asks for, or 0.
+// parseRetryAfter returns the wait that an endpoint asks for in the X-Retry-In-Ms header, or 0 if that is missing or invalid.
 func parseRetryAfter(resp *http.Response) time.Duration {
 	ms, err := strconv.ParseFloat(resp.Header.Get("X-Retry-In-Ms"), 64)
 	if err != nil || !(ms > 0) {
@@ -130,7 +132,8 @@
 	return time.Duration(min(ms, float64(maxRetryAfter.Milliseconds())) * float64(time.Millisecond))
 }
 
-// parseLoadReport reads a load report such as "x0=0.4,x1=25", or returns nil.
+// parseLoadReport parses a Server-Load header such as "x0=0.4,x1=25", where x0 is the share of the destination's call rate
+// that is left and x1 its limit in calls per second. It returns nil if either is missing or invalid.
 func parseLoadReport(text string) *policy.LoadReport {
 	report, remaining, limit := &policy.LoadReport{}, false, false
 	for field := range strings.SplitSeq(text, ",") {
--- a/internal/relay/upstream/response_test.go
+++ b/internal/relay/upstream/response_test.go
@@ -15,6 +15,8 @@
 	"milletsail/policy"
 )
 
+// Guards against a wrong outcome of a call with one message: for each response or failure it has to say whether the message was
+// delivered, was not executed, or may have been executed.
 func TestOutcomes(t *testing.T) {
 	closed, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -22,65 +24,65 @@
 	}
 	_ = closed.Close()
 	readThen := func(do func(c net.Conn)) string {
-		return rawHost(t, func(c net.Conn) {
-			if err := readCall(bufio.NewReader(c)); err == nil {
+		return startEndpoint(t, func(c net.Conn) {
+			if err := readRequest(bufio.NewReader(c)); err == nil {
 				do(c)
 			}
 		})
 	}
-	reply := func(text string) string { return rawHost(t, answering(text)) }
+	reply := func(text string) string { return startEndpoint(t, respondAlways(text)) }
 	tests := []struct {
 		name string
 		addr string
 		want Result
 	}{
 		{"delivered", reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), Result{Outcome: policy.OK, Completed: true}},
-		{"an interim answer ahead", reply("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
+		{"an interim response first", reply("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
 			Result{Outcome: policy.OK, Completed: true}},
 		{"error", reply("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.Failed}},
-		{"told to wait", reply("HTTP/1.1 429 No\r\nX-Retry-In-Ms: 250\r\nContent-Length: 0\r\n\r\n"),
+		{"rejected with a retry time", reply("HTTP/1.1 429 No\r\nX-Retry-In-Ms: 250\r\nContent-Length: 0\r\n\r\n"),
 			Result{Outcome: policy.Rejected, RetryAfter: 250 * time.Millisecond}},
-		{"turned away", reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.Rejected}},
+		{"unavailable", reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.Rejected}},
 		{"no slot", reply("HTTP/1.1 503 No\r\nX-No-Slot: 1\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent}},
-		{"attempts spent", reply("HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent,
+		{"attempts exhausted", reply("HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent,
 			AttemptsExhausted: true}},
-		{"over", reply("HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent, Completed: true}},
+		{"completed before", reply("HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent, Completed: true}},
 		{"connection refused", closed.Addr().String(), Result{Outcome: policy.ConnectError}},
-		{"closed with no answer", readThen(func(net.Conn) {}), Result{Outcome: policy.Reset}},
-		{"reset", readThen(func(c net.Conn) { resetAtClose(c) }), Result{Outcome: policy.Reset}},
-		{"a head without end", readThen(func(c net.Conn) {
+		{"closed without a response", readThen(func(net.Conn) {}), Result{Outcome: policy.Reset}},
+		{"reset", readThen(func(c net.Conn) { resetOnClose(c) }), Result{Outcome: policy.Reset}},
+		{"an endless header", readThen(func(c net.Conn) {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 			for err == nil {
 				_, err = io.WriteString(c, "X-More: and more\r\n")
 			}
 		}), Result{Outcome: policy.OK, Completed: true}},
-		{"a head that can't be read", reply("HTTP/1.1 200 OK\r\nno header\r\n\r\n"), Result{Outcome: policy.OK, Completed: true}},
-		{"an error's head that can't be read", reply("HTTP/1.1 500 No\r\nno header\r\n\r\n"),
+		{"a malformed header after status 200", reply("HTTP/1.1 200 OK\r\nno header\r\n\r\n"), Result{Outcome: policy.OK, Completed: true}},
+		{"a malformed header after status 500", reply("HTTP/1.1 500 No\r\nno header\r\n\r\n"),
 			Result{Outcome: policy.Reset}},
-		{"half a first line, then an end", readThen(func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK") }),
+		{"part of the status line, then a close", readThen(func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK") }),
 			Result{Outcome: policy.Reset}},
-		{"half a first line, then a reset", readThen(func(c net.Conn) {
+		{"part of the status line, then a reset", readThen(func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 ")
-			resetAtClose(c)
+			resetOnClose(c)
 		}), Result{Outcome: policy.Reset}},
-		{"half a first line, then silence", readThen(func(c net.Conn) {
+		{"part of the status line, then silence", readThen(func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r")
 			_, _ = c.Read(make([]byte, 1))
 		}), Result{Outcome: policy.Reset}},
-		{"a first line in pieces", readThen(func(c net.Conn) {
+		{"a status line in pieces", readThen(func(c net.Conn) {
 			for _, piece := range []string{"HTTP/1", ".1 200 O", "K\r", "\n"} {
 				_, _ = io.WriteString(c, piece)
-				time.Sleep(time.Millisecond) // so that most come apart; the outcome is the same if they do not
+				time.Sleep(time.Millisecond) // makes the pieces arrive separately in most runs; the outcome does not depend on it
 			}
 		}), Result{Outcome: policy.OK, Completed: true}},
-		{"a longer status", reply("HTTP/1.1 2000 OK\r\n\r\n"), Result{Outcome: policy.Reset}},
-		{"a body without end", readThen(func(c net.Conn) {
+		{"a status of four digits", reply("HTTP/1.1 2000 OK\r\n\r\n"), Result{Outcome: policy.Reset}},
+		{"an endless body", readThen(func(c net.Conn) {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 			for err == nil {
 				_, err = io.WriteString(c, strings.Repeat("more", 1000))
 			}
 		}), Result{Outcome: policy.OK, Completed: true}},
-		{"no HTTP", readThen(func(c net.Conn) { _, _ = io.WriteString(c, "what?\r\n\r\n") }), Result{Outcome: policy.Reset}},
+		{"not an HTTP response", readThen(func(c net.Conn) { _, _ = io.WriteString(c, "what?\r\n\r\n") }), Result{Outcome: policy.Reset}},
 	}
 	for _, tt := range tests {
 		if got := testPool().Do(t.Context(), testCall(tt.addr))[0]; got != tt.want {
@@ -89,8 +91,9 @@
 	}
 }
 
-// A call with several messages tells each one's end, or one for all.
-func TestBulkOutcomes(t *testing.T) {
+// Guards against wrong results for the messages of a batch: each message has a state of its own in the body of the response, and other
+// responses apply to all messages.
+func TestBatchOutcomes(t *testing.T) {
 	reply := func(head, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	}
@@ -100,24 +103,24 @@
 		name, answer string
 		want         []Result
 	}{
-		{"each its end", reply("200 OK\r\nX-Retry-In-Ms: 250", `[{"id":"e","state":"spent"},{"id":"a","state":"delivered"},
+		{"a state for each message", reply("200 OK\r\nX-Retry-In-Ms: 250", `[{"id":"e","state":"spent"},{"id":"a","state":"delivered"},
 		 {"id":"b","state":"failed"},{"id":"c","state":"refused"},{"id":"d","state":"over"},{"id":"z","state":"delivered"}]`),
 			[]Result{{Outcome: policy.OK, Completed: true, RetryAfter: wait}, {Outcome: policy.Failed, RetryAfter: wait},
 				{Outcome: policy.Rejected, RetryAfter: wait}, {Outcome: policy.NotSent, Completed: true, RetryAfter: wait},
 				{Outcome: policy.NotSent, AttemptsExhausted: true, RetryAfter: wait}}},
-		{"one is missing", reply("200 OK", `[{"id":"a","state":"delivered"},{"id":"b","state":"odd"}]`),
+		{"missing messages and an unknown state", reply("200 OK", `[{"id":"a","state":"delivered"},{"id":"b","state":"odd"}]`),
 			[]Result{{Outcome: policy.OK, Completed: true}, failed, failed, failed, failed}},
-		{"unreadable", reply("200 OK", `delivered`), slices.Repeat([]Result{failed}, 5)},
-		{"cut off", "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n[{", slices.Repeat([]Result{{Outcome: policy.Reset}}, 5)},
+		{"malformed body", reply("200 OK", `delivered`), slices.Repeat([]Result{failed}, 5)},
+		{"incomplete body", "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n[{", slices.Repeat([]Result{{Outcome: policy.Reset}}, 5)},
 		{"error", reply("500 No", ""), slices.Repeat([]Result{failed}, 5)},
-		{"told to wait", reply("429 No\r\nX-Retry-In-Ms: 250", ""),
+		{"rejected with a retry time", reply("429 No\r\nX-Retry-In-Ms: 250", ""),
 			slices.Repeat([]Result{{Outcome: policy.Rejected, RetryAfter: wait}}, 5)},
-		{"too many", reply("413 No", ""), slices.Repeat([]Result{{Outcome: policy.NotSent}}, 5)},
-		{"not understood", reply("400 No", ""), slices.Repeat([]Result{{Outcome: policy.NotSent}}, 5)},
+		{"batch too large", reply("413 No", ""), slices.Repeat([]Result{{Outcome: policy.NotSent}}, 5)},
+		{"batch not parsed by the endpoint", reply("400 No", ""), slices.Repeat([]Result{{Outcome: policy.NotSent}}, 5)},
 	}
 	for _, tt := range tests {
 		paths, bodies := make(chan string, 1), make(chan []byte, 1)
-		addr := rawHost(t, func(c net.Conn) {
+		addr := startEndpoint(t, func(c net.Conn) {
 			r, err := http.ReadRequest(bufio.NewReader(c))
 			if err != nil {
 				return
@@ -127,7 +130,7 @@
 			bodies <- body
 			_, _ = io.WriteString(c, tt.answer)
 		})
-		call := Call{Addr: addr, Timeout: long}
+		call := Call{Addr: addr, Timeout: testTimeout}
 		for _, id := range []string{"a", "b", "c", "d", "e"} {
 			call.Messages = append(call.Messages, Message{ID: id, Key: "k" + id, Body: []byte("hello")})
 		}
@@ -137,28 +140,29 @@
 		var sent []map[string]string
 		if err := json.Unmarshal(<-bodies, &sent); err != nil || len(sent) != 5 || sent[1]["id"] != "b" ||
 			sent[1]["key"] != "kb" || sent[1]["body"] != "aGVsbG8=" {
-			t.Errorf("%s: sent %v (%v)", tt.name, sent, err)
+			t.Errorf("%s: wrong request body %v (error %v)", tt.name, sent, err)
 		}
 		if path := <-paths; path != "/inbox/bulk" {
-			t.Errorf("%s: path %s", tt.name, path)
+			t.Errorf("%s: request path %s, want /inbox/bulk", tt.name, path)
 		}
 	}
 }
 
+// Guards against using an incomplete or malformed load report: it has to be ignored as a whole.
 func TestParseLoadReport(t *testing.T) {
 	for text, want := range map[string]*policy.LoadReport{
 		"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3, x0=0": {Limit: 3}, "": nil, "x0=0.4": nil, "x0=NaN,x1=1": nil,
 		"x0=-1,x1=2": nil, "x0=a,x1=2": nil, "x0=1;x1=2": nil,
 	} {
 		if got := parseLoadReport(text); (got == nil) != (want == nil) || got != nil && *got != *want {
-			t.Errorf("%q: got %v, want %v", text, got, want)
+			t.Errorf("Server-Load %q: got %v, want %v", text, got, want)
 		}
 	}
 }
 
-// A host that stops in the middle of its answer does not hold the call to its end; one that works long before it
-// answers, or between an interim answer and the real one, does.
-func TestStalledAnswers(t *testing.T) {
+// Guards against a call that waits until its time-out for the rest of a stalled response, and against ending a call whose endpoint is
+// only slow to begin its response, also after an interim response.
+func TestStalledResponses(t *testing.T) {
 	slow := make(chan bool)
 	time.AfterFunc(3*responseStallTimeout/2, func() { close(slow) })
 	tests := []struct {
@@ -166,20 +170,20 @@
 		bulk              bool
 		want              policy.Outcome
 	}{
-		{"in the first line", "HTTP/1.1 20", "", false, policy.Reset},
-		{"after a first line that says 200", "HTTP/1.1 200 OK\r\nContent-Le", "", false, policy.OK},
-		{"the same, but only the body tells", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n[", "", true, policy.Reset},
-		{"in the head of a refusal", "HTTP/1.1 503 no\r\n", "", false, policy.Reset},
+		{"in the status line", "HTTP/1.1 20", "", false, policy.Reset},
+		{"after a status line with status 200", "HTTP/1.1 200 OK\r\nContent-Le", "", false, policy.OK},
+		{"in the body of a batch response", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n[", "", true, policy.Reset},
+		{"in the header of a rejection", "HTTP/1.1 503 no\r\n", "", false, policy.Reset},
 		{"before the first byte", "", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false, policy.OK},
-		{"after an interim answer", "HTTP/1.1 103 wait\r\n\r\n", "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n", false, policy.Failed},
+		{"after an interim response", "HTTP/1.1 103 wait\r\n\r\n", "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n", false, policy.Failed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			gone := make(chan error, 1)
-			addr := rawHost(t, func(c net.Conn) {
+			addr := startEndpoint(t, func(c net.Conn) {
 				in := bufio.NewReader(c)
-				if err := readCall(in); err != nil {
+				if err := readRequest(in); err != nil {
 					return
 				}
 				_, _ = io.WriteString(c, tt.first)
@@ -191,7 +195,7 @@
 				gone <- err
 			})
 			p, call := testPool(), testCall(addr)
-			call.Timeout = time.Hour // a stalled answer that is waited for fails by the test's own end
+			call.Timeout = time.Hour // if the call waits for a stalled response, the test fails by its own time-out
 			if tt.bulk {
 				call.Messages = append(call.Messages, Message{ID: "m2"})
 			}
