--- a/internal/relay/discovery/helpers_test.go
+++ b/internal/relay/discovery/helpers_test.go
@@ -70,8 +70,8 @@
 	return w, members, failed
 }
 
-// startWatch starts a watcher of a server with the given handler, and requests a watch from version 40 on. It returns a channel that
-// receives a value when a watch ends.
+// startWatch starts a watcher of a server with the given handler, and requests a watch from version 40 on. It returns a channel
+// that receives a value when a watch ends.
 func startWatch(t *testing.T, silence time.Duration, serve http.HandlerFunc, onBatch func(Batch)) (*Watcher, chan bool) {
 	t.Helper()
 	s := httptest.NewServer(serve)
--- a/internal/relay/discovery/timing_test.go
+++ b/internal/relay/discovery/timing_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Guards against a jitter that delays a change beyond the time after which the protocol counts it as received: 4 s after a reload,
-// whatever the size of the fleet, and no time at all in push mode.
+// Guards against a jitter that delays a change beyond the time after which the protocol counts it as received: 4 s after a
+// reload, whatever the size of the fleet, and no time at all in push mode.
 func TestRequestJitter(t *testing.T) {
 	for _, tt := range []struct {
 		mode   string
@@ -79,7 +79,8 @@
 // deliveryDelayAfterOutage runs a watcher through an outage that begins when a watch has been open for openFor and lasts for
 // duration. It returns the time from the end of the outage, when discovery has a change, until the watcher delivers the change.
 // Every random delay has its maximum value.
-func deliveryDelayAfterOutage(t *testing.T, relays int, mode string, openFor, duration time.Duration, rejects bool) (delay time.Duration) {
+func deliveryDelayAfterOutage(t *testing.T, relays int, mode string, openFor, duration time.Duration,
+	rejects bool) (delay time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -138,7 +139,8 @@
 		most   time.Duration
 	}{
 		{"subscribe", 1, SilenceTimeout + time.Second}, {"automatic", 300, SilenceTimeout + time.Second},
-		{"subscribe", 2, receivedAfter}, {"subscribe", 12, receivedAfter}, {"subscribe", 60, receivedAfter}, {"subscribe", 300, receivedAfter},
+		{"subscribe", 2, receivedAfter}, {"subscribe", 12, receivedAfter}, {"subscribe", 60, receivedAfter},
+		{"subscribe", 300, receivedAfter},
 	} {
 		for _, rejects := range []bool{false, true} {
 			worst, when := time.Duration(0), ""
@@ -149,15 +151,18 @@
 					}
 				}
 			}
-			t.Logf("mode %s, %d relays, rejects %v: change delivered after %v at most (%s)", tt.mode, tt.relays, rejects, worst, when)
+			t.Logf("mode %s, %d relays, rejects %v: change delivered after %v at most (%s)",
+				tt.mode, tt.relays, rejects, worst, when)
 			if worst > tt.most {
-				t.Errorf("mode %s, %d relays, rejects %v: change delivered after %v (%s), want at most %v", tt.mode, tt.relays, rejects, worst, when, tt.most)
+				t.Errorf("mode %s, %d relays, rejects %v: change delivered after %v (%s), want at most %v",
+					tt.mode, tt.relays, rejects, worst, when, tt.most)
 			}
 		}
 	}
 }
 
-// Guards against jitter before the first watch of a process after a handover (Immediate): a change in that time would arrive late.
+// Guards against jitter before the first watch of a process after a handover (Immediate): a change in that time would arrive
+// late.
 func TestImmediateWatchHasNoJitter(t *testing.T) {
 	spans := make(chan time.Duration, 1)
 	w := New("127.0.0.1:0", 47*jitterPerRelay, collectBatches(func(Members) {}), func() {})
@@ -187,8 +192,8 @@
 	return nil, errors.New("discovery is unreachable in this test")
 }
 
-// Guards against redirects in quick succession that postpone a request again and again, since each one restarts its delay. The request
-// has to be sent within one maximum jitter, to the last address.
+// Guards against redirects in quick succession that postpone a request again and again, since each one restarts its delay. The
+// request has to be sent within one maximum jitter, to the last address.
 func TestRedirectsDoNotPostponeRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const moves, between = 10, 200 * time.Millisecond
@@ -218,7 +223,8 @@
 			t.Fatal("no request was sent")
 		}
 		if after := discovery.requestTimes[0].Sub(begun); after > maxJitter || discovery.requestHosts[0] != addresses[(moves-1)%2] {
-			t.Errorf("first request went to %s after %v; want the last address, within the maximum jitter", discovery.requestHosts[0], after)
+			t.Errorf("first request went to %s after %v; want the last address, within the maximum jitter",
+				discovery.requestHosts[0], after)
 		}
 	})
 }
--- a/internal/relay/discovery/watch_test.go
+++ b/internal/relay/discovery/watch_test.go
@@ -14,8 +14,8 @@
 	"milletsail/internal/endpoints"
 )
 
-// Guards against a watch that stalls unnoticed, when the connection stays open but no data arrives. The next watch has to start from
-// the last version received.
+// Guards against a watch that stalls unnoticed, when the connection stays open but no data arrives. The next watch has to start
+// from the last version received.
 func TestStalledWatch(t *testing.T) {
 	asked := make(chan string, 10)
 	w, members, failed := watchMembers(t, 300*time.Millisecond, func(rw http.ResponseWriter, r *http.Request) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// Guards against a reader that relies on one list per line or per read: a list may span lines and reads, and one read may hold the
-// end of a list and the start of the next.
+// Guards against a reader that relies on one list per line or per read: a list may span lines and reads, and one read may hold
+// the end of a list and the start of the next.
 func TestListsInPieces(t *testing.T) {
 	hosts := []Member{{Host: "h1", Dial: "127.0.0.1:1", Block: 7, Health: "SERVING"}, {Host: "h2", Block: 8, Health: draining}}
 	var text []byte
@@ -65,8 +65,8 @@
 	}
 }
 
-// Guards against keep-alive lines that hide a stalled list: with empty lines after an incomplete list, the rest does not arrive any
-// more. The watch has to count as stalled, and the next one to start from the last complete version.
+// Guards against keep-alive lines that hide a stalled list: with empty lines after an incomplete list, the rest does not arrive
+// any more. The watch has to count as stalled, and the next one to start from the last complete version.
 func TestIncompleteListStallsWatch(t *testing.T) {
 	asked := make(chan string, 10)
 	w, _, failed := watchMembers(t, 300*time.Millisecond, func(rw http.ResponseWriter, r *http.Request) {
@@ -152,8 +152,8 @@
 	receive(t, failed) // the server sends nothing more, so the watch stalls
 }
 
-// Guards against a redirect that waits for a batch to be applied: the watch at the new address has to start at once, from the last
-// complete version.
+// Guards against a redirect that waits for a batch to be applied: the watch at the new address has to start at once, from the
+// last complete version.
 func TestRedirectWhileBatchIsApplied(t *testing.T) {
 	list := encodeCompleteList(t, 50, fillerHosts(2*endpoints.BatchSize))
 	batches := make(chan Batch, 100)
--- a/internal/relay/frontend/connection_test.go
+++ b/internal/relay/frontend/connection_test.go
@@ -15,8 +15,8 @@
 	"milletsail/internal/relay/metrics"
 )
 
-// Guards against losing a response: closing a socket with unread input resets the connection, and the client may not get the response.
-// Input after the response has to be discarded, and must not be handled as a request.
+// Guards against losing a response: closing a socket with unread input resets the connection, and the client may not get the
+// response. Input after the response has to be discarded, and must not be handled as a request.
 func TestResponseSurvivesClose(t *testing.T) {
 	more := strings.Repeat("and more\r\n", 25_000)
 	for _, tt := range []struct{ name, text, want string }{
@@ -24,7 +24,8 @@
 		{"a request for an unknown class", "POST /parcel HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n" + more, "HTTP/1.1 404 "},
 		{"not an HTTP request", "what?\r\n\r\n" + more, "HTTP/1.1 400 "},
 		{"a header too large", "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", len(more)), "HTTP/1.1 431 "},
-		{"a body too large", strings.Replace(messageRequest("c"), ": 2\r\n", fmt.Sprintf(": %d\r\n", len(more)+2), 1) + more, "HTTP/1.1 413 "},
+		{"a body too large", strings.Replace(messageRequest("c"), ": 2\r\n", fmt.Sprintf(": %d\r\n", len(more)+2), 1) + more,
+			"HTTP/1.1 413 "},
 	} {
 		submitted := make(chan string, 9)
 		s, g := testServer(t, func(a *Submission) {
@@ -56,8 +57,8 @@
 	}
 }
 
-// Guards against a peer that holds a connection open after its last response, by sending without end or by sending nothing: lingering is
-// bounded in time and bytes.
+// Guards against a peer that holds a connection open after its last response, by sending without end or by sending nothing:
+// lingering is bounded in time and bytes.
 func TestLingeringIsBounded(t *testing.T) {
 	_, g := testServer(t, nil, nil)
 	silent, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", g.Addr().String())
@@ -94,8 +95,8 @@
 
 func (c gatedConn) Close() error { return nil }
 
-// Guards against losing a request whose bytes arrive just as the relay closes the connection: once the close comes first, they must not
-// be read, so that the client knows that the request was not handled.
+// Guards against losing a request whose bytes arrive just as the relay closes the connection: once the close comes first, they
+// must not be read, so that the client knows that the request was not handled.
 func TestReadRacesWithClose(t *testing.T) {
 	for _, closes := range []struct {
 		name string
@@ -131,12 +132,12 @@
 	}
 }
 
-// Guards against submitting the message of a request that is read completely after the relay has closed its connection: the client could
-// not get a response.
+// Guards against submitting the message of a request that is read completely after the relay has closed its connection: the
+// client could not get a response.
 func TestRequestOnClosedConnectionIsNotSubmitted(t *testing.T) {
-	admitted := make(chan string, 9)
+	submitted := make(chan string, 9)
 	s, g := testServer(t, func(a *Submission) {
-		admitted <- a.Entry.ID
+		submitted <- a.Entry.ID
 		a.Response <- Response{Status: http.StatusAccepted}
 	}, func(*Submission) {})
 	serve := s.http.Handler
@@ -164,13 +165,13 @@
 		time.Sleep(time.Millisecond)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(time.Second))
-	if got, _ := io.ReadAll(c); len(got) > 0 || len(admitted) > 0 {
-		t.Errorf("got response %q and %d submitted messages, want neither", got, len(admitted))
+	if got, _ := io.ReadAll(c); len(got) > 0 || len(submitted) > 0 {
+		t.Errorf("got response %q and %d submitted messages, want neither", got, len(submitted))
 	}
 }
 
-// Guards against answering a client that closed only its sending side before the response: it counts as disconnected, its message is
-// withdrawn, and it must not get a response that says otherwise.
+// Guards against answering a client that closed only its sending side before the response: it counts as disconnected, its
+// message is withdrawn, and it must not get a response that says otherwise.
 func TestHalfClosedClientCountsAsDisconnected(t *testing.T) {
 	left := make(chan bool, 1)
 	_, g := testServer(t, func(*Submission) {}, func(*Submission) { left <- true })
@@ -188,8 +189,9 @@
 	}
 }
 
-// Guards against closing the connection of a silent or stalled peer too late after a period of failed accepts: its time counts from when
-// it connected, which includes the wait in the kernel's queue. A client that sends slowly but without pauses gets the whole time.
+// Guards against closing the connection of a silent or stalled peer too late after a period of failed accepts: its time counts
+// from when it connected, which includes the wait in the kernel's queue. A client that sends slowly but without pauses gets the
+// whole time.
 func TestReadTimeoutIncludesQueueDelay(t *testing.T) {
 	const maxQueueDelay = ReadTimeout - stallTimeout
 	for _, c := range []struct {
@@ -233,7 +235,8 @@
 				return
 			}
 			_ = peer.SetReadDeadline(time.Now().Add(ReadTimeout))
-			if _, err := peer.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) > ReadTimeout-maxQueueDelay/2 {
+			if _, err := peer.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) ||
+				time.Since(begun) > ReadTimeout-maxQueueDelay/2 {
 				t.Errorf("connection not closed in time: after %v, read returned %v", time.Since(begun), err)
 			}
 		})
--- a/internal/relay/frontend/endings_test.go
+++ b/internal/relay/frontend/endings_test.go
@@ -18,8 +18,8 @@
 // The tests of this file force a certain order of concurrent events at the end of a request or connection, on real connections.
 // docs/endings.md lists these orders and the test of each.
 
-// Guards against handling a request that arrives between the idle time-out of its connection and the relay's close: it must not be
-// accepted, and the client has to see the connection end without a response, so that it may send the request again.
+// Guards against handling a request that arrives between the idle time-out of its connection and the relay's close: it must not
+// be accepted, and the client has to see the connection end without a response, so that it may send the request again.
 func TestRequestRacesWithIdleClose(t *testing.T) {
 	t.Parallel()
 	expired, arrived := make(chan *hookedConn, 1), make(chan bool)
@@ -54,8 +54,8 @@
 	}
 }
 
-// Guards against evicting a connection whose request has arrived but is not read yet. As the one idle for longest it would be evicted
-// first; another connection has to be evicted instead.
+// Guards against evicting a connection whose request has arrived but is not read yet. As the one idle for longest it would be
+// evicted first; another connection has to be evicted instead.
 func TestConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	resumeRead := make(chan bool)
 	release := sync.OnceFunc(func() { close(resumeRead) })
@@ -90,8 +90,8 @@
 	}
 }
 
-// Guards against accepting a request whose last byte arrives after the read time-out, before the relay handles that time-out. The client
-// has to see its connection end, after an error response if the header had arrived completely.
+// Guards against accepting a request whose last byte arrives after the read time-out, before the relay handles that time-out.
+// The client has to see its connection end, after an error response if the header had arrived completely.
 func TestRequestCompletedAfterReadTimeout(t *testing.T) {
 	for _, tt := range []struct{ name, early, late, want string }{
 		{"in the header", strings.TrimSuffix(messageRequest("late"), "\r\nhi"), "\r\nhi", ""},
@@ -130,8 +130,8 @@
 	}
 }
 
-// Guards against a read time-out that also applies to the time until the response: a request that was read in time gets its response,
-// however late that is decided.
+// Guards against a read time-out that also applies to the time until the response: a request that was read in time gets its
+// response, however late that is decided.
 func TestResponseAfterReadTimeout(t *testing.T) {
 	t.Parallel()
 	accepted := make(chan *Submission, 1)
--- a/internal/relay/frontend/helpers_test.go
+++ b/internal/relay/frontend/helpers_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// testServer starts a server for clients, without a relay behind it. Messages go to submit, and to withdraw if their client disconnects.
+// testServer starts a server for clients, without a relay behind it. Messages go to submit, and to withdraw if their client
+// disconnects.
 func testServer(t *testing.T, submit, withdraw func(*Submission)) (*Server, *ConnectionLimiter) {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
--- a/internal/relay/frontend/limiter_test.go
+++ b/internal/relay/frontend/limiter_test.go
@@ -7,7 +7,8 @@
 	"milletsail/internal/clock"
 )
 
-// Guards against evicting the wrong connection for a new one: one with a pending or recent response, or an active client, must stay.
+// Guards against evicting the wrong connection for a new one: one with a pending or recent response, or an active client, must
+// stay.
 func TestEvictionCandidate(t *testing.T) {
 	now := clock.Now()
 	ago := func(s state, d time.Duration) *Connection { return &Connection{state: s, lastActive: now.Add(-d)} }
@@ -16,17 +17,20 @@
 		open []*Connection // the first one is expected to be evicted, unless none is set
 		none bool
 	}{
-		{"the idle connection inactive for longest", []*Connection{ago(stateIdle, 3*time.Second), ago(stateIdle, time.Second)}, false},
+		{"the idle connection inactive for longest",
+			[]*Connection{ago(stateIdle, 3*time.Second), ago(stateIdle, time.Second)}, false},
 		{"an idle connection before a stalled one", []*Connection{ago(stateIdle, time.Millisecond), ago(stateReading,
 			2*time.Second)}, false},
 		{"the connection stalled for longest", []*Connection{ago(stateReading, 2*time.Second), ago(stateReading, time.Second),
 			ago(stateResponsePending, time.Minute)}, false},
 		{"a lingering connection before a stalled one", []*Connection{ago(stateLingering, minLinger), ago(stateReading,
 			2*time.Second)}, false},
-		{"no connection with a recent or pending response", []*Connection{ago(stateLingering, minLinger/2), ago(stateResponsePending, time.Minute)},
+		{"no connection with a recent or pending response",
+			[]*Connection{ago(stateLingering, minLinger/2), ago(stateResponsePending, time.Minute)},
 			true},
-		{"no connection with an active client or a pending response", []*Connection{ago(stateReading, stallTimeout/2), ago(stateResponsePending,
-			time.Minute)}, true},
+		{"no connection with an active client or a pending response",
+			[]*Connection{ago(stateReading, stallTimeout/2), ago(stateResponsePending,
+				time.Minute)}, true},
 	}
 	for _, tt := range tests {
 		g := &ConnectionLimiter{connections: map[*Connection]bool{}}
@@ -43,8 +47,8 @@
 	}
 }
 
-// Guards against a capacity for clients that leaves too few descriptors for calls, idle connections and a second process, or that is
-// below the third that the platform guarantees.
+// Guards against a capacity for clients that leaves too few descriptors for calls, idle connections and a second process, or
+// that is below the third that the platform guarantees.
 func TestCapacity(t *testing.T) {
 	for _, tt := range []struct{ sockets, slots, want int }{{1024, 33, 512}, {224, 33, 85}, {192, 33, 64}, {192, 100, 64}, {3, 9,
 		1}} {
--- a/internal/relay/frontend/submission.go
+++ b/internal/relay/frontend/submission.go
@@ -26,7 +26,7 @@
 // timeoutFormat matches a Request-Timeout header: a decimal number of seconds.
 var timeoutFormat = regexp.MustCompile(`^\d{1,9}(?:\.\d+)?$`)
 
-// Submission is a message that a client submits.
+// Submission is a message that a client submits, with the channel for the response to it.
 type Submission struct {
 	// Entry is the message as it is written to the journal.
 	Entry *journal.Entry
@@ -34,7 +34,7 @@
 	Response chan Response
 }
 
-// Response is the answer to a submission.
+// Response is the relay's HTTP response to a submission. It has no body.
 type Response struct {
 	// Status is the HTTP status.
 	Status int
@@ -75,7 +75,8 @@
 	}
 	id, key := request.Header.Get("Request-Id"), request.Header.Get("Idempotency-Key")
 	if id == "" || len(id) > MaxIDSize || len(key) > MaxIDSize {
-		return nil, malformed(http.StatusBadRequest, "Request-Id missing, or Request-Id or Idempotency-Key longer than %d bytes", MaxIDSize)
+		return nil, malformed(http.StatusBadRequest,
+			"Request-Id missing, or Request-Id or Idempotency-Key longer than %d bytes", MaxIDSize)
 	}
 	if key == "" && class.Effect == policy.IdempotentWithKey {
 		return nil, malformed(http.StatusBadRequest, "Idempotency-Key missing, but class %q requires one", name)
@@ -124,10 +125,10 @@
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxBodySize))
 	if errors.As(err, new(*http.MaxBytesError)) {
-		return nil, &requestError{http.StatusRequestEntityTooLarge, err}
+		return nil, malformed(http.StatusRequestEntityTooLarge, "body longer than %d bytes: %w", protocol.MaxBodySize, err)
 	}
 	if err != nil {
-		return nil, &requestError{http.StatusBadRequest, err}
+		return nil, malformed(http.StatusBadRequest, "body not read completely: %w", err)
 	}
 	return body, nil
 }
--- a/internal/relay/gossip/gossip_test.go
+++ b/internal/relay/gossip/gossip_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// testOptions returns the options of the relay with ordinal self in a fleet with the given addresses. Broadcasts go to the address
-// all.
+// testOptions returns the options of the relay with ordinal self in a fleet with the given addresses. Broadcasts go to the
+// address all.
 func testOptions(self int, all string, addrs ...string) Options {
 	return Options{Allowed: true, Listen: addrs[self], Broadcast: all, Peers: addrs, Self: self}
 }
--- a/internal/relay/listener/listener_test.go
+++ b/internal/relay/listener/listener_test.go
@@ -25,8 +25,8 @@
 	return f.Listener.Accept()
 }
 
-// Guards against a relay that stops accepting connections after an error of accept(2), such as a lack of descriptors. Only closing
-// the listener may end it, and each failure has to be counted.
+// Guards against a relay that stops accepting connections after an error of accept(2), such as a lack of descriptors. Only
+// closing the listener may end it, and each failure has to be counted.
 func TestAcceptFailures(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPROTO,
@@ -58,8 +58,8 @@
 	}
 }
 
-// Guards against a start that fails because another process still holds the address: Listen has to retry. An invalid address has to
-// be an error at once.
+// Guards against a start that fails because another process still holds the address: Listen has to retry. An invalid address
+// has to be an error at once.
 func TestListenFailures(t *testing.T) {
 	tries := 0
 	l, err := Listen(t.Context(), "clients", func() (net.Listener, error) {
--- a/internal/relay/notifier/notifier_capacity_bench_test.go
+++ b/internal/relay/notifier/notifier_capacity_bench_test.go
@@ -15,8 +15,8 @@
 // BenchmarkNotificationBurst measures how fast the notifier posts many notifications that are queued at once, to a platform that
 // answers without delay.
 func BenchmarkNotificationBurst(b *testing.B) {
-	for _, notices := range []int{1_000, 10_000, 100_000} {
-		b.Run(fmt.Sprint(notices), func(b *testing.B) {
+	for _, notifications := range []int{1_000, 10_000, 100_000} {
+		b.Run(fmt.Sprint(notifications), func(b *testing.B) {
 			var posts, size atomic.Int64
 			platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				n, _ := io.Copy(io.Discard, r.Body)
@@ -25,18 +25,18 @@
 				w.WriteHeader(http.StatusNoContent)
 			}))
 			defer platform.Close()
-			arrived := make(chan int, notices)
+			arrived := make(chan int, notifications)
 			n := New(strings.TrimPrefix(platform.URL, "http://"), func(ids []string) { arrived <- len(ids) })
 			go n.Run(b.Context())
 			for b.Loop() {
-				for i := range notices {
+				for i := range notifications {
 					n.Enqueue(journal.Notification{ID: fmt.Sprintf("%016x", i), Status: StatusDeferred, RetryAfterMS: 500})
 				}
-				for left := notices; left > 0; {
+				for left := notifications; left > 0; {
 					left -= <-arrived
 				}
 			}
-			all := float64(notices) * float64(b.N)
+			all := float64(notifications) * float64(b.N)
 			b.ReportMetric(all/b.Elapsed().Seconds(), "notices/s")
 			b.ReportMetric(float64(size.Load())/all, "B/notice")
 			b.ReportMetric(all/float64(posts.Load()), "notices/post")
--- a/internal/relay/notifier/notifier_test.go
+++ b/internal/relay/notifier/notifier_test.go
@@ -15,8 +15,8 @@
 	"milletsail/internal/relay/protocol"
 )
 
-// Guards against a body beyond protocol.MaxBodySize, which the platform would reject: the notifications that do not fit have to stay
-// in the queue. Their encoding is longer than the ids, since each control character takes six bytes in JSON.
+// Guards against a body beyond protocol.MaxBodySize, which the platform would reject: the notifications that do not fit have to
+// stay in the queue. Their encoding is longer than the ids, since each control character takes six bytes in JSON.
 func TestBatchFitsMaxBodySize(t *testing.T) {
 	n := New("127.0.0.1:0", nil)
 	const queued = 1000
@@ -34,7 +34,8 @@
 	}
 	for i, line := range lines {
 		var notification journal.Notification
-		if err := json.Unmarshal([]byte(line), &notification); err != nil || notification != batch[i] || notification.RetryAfterMS != 5 {
+		if err := json.Unmarshal([]byte(line), &notification); err != nil || notification != batch[i] ||
+			notification.RetryAfterMS != 5 {
 			t.Fatalf("line %d of the body does not match its notification: %s (error %v)", i, line, err)
 		}
 	}
@@ -45,8 +46,8 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// Guards against a notification that arrives late because the connection of its first post is dead: that post has to time out early
-// enough for a second one to arrive within 300 ms.
+// Guards against a notification that arrives late because the connection of its first post is dead: that post has to time out
+// early enough for a second one to arrive within 300 ms.
 func TestPostRetriedAfterDeadConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan []string, 1)
@@ -71,8 +72,8 @@
 	})
 }
 
-// failingPlatform returns a platform that fails every post with a notification of the message "odd" until recoversAt: the post hangs
-// or, if hang is false, is answered 400. It receives all other posts.
+// failingPlatform returns a platform that fails every post with a notification of the message "odd" until recoversAt: the post
+// hangs or, if hang is false, is answered 400. It receives all other posts.
 func failingPlatform(recoversAt time.Time, hang bool) roundTrip {
 	return func(r *http.Request) (*http.Response, error) {
 		body, _ := io.ReadAll(r.Body)
--- a/internal/relay/upstream/call.go
+++ b/internal/relay/upstream/call.go
@@ -33,8 +33,8 @@
 	Messages []Message
 	// Timeout bounds the whole call, from connecting to reading the response.
 	Timeout time.Duration
-	// WriteTimeout bounds the time to connect and to write the request. If a connection is not ready within it, the request is not
-	// written at all. 0 sets no bound beyond Timeout.
+	// WriteTimeout bounds the time to connect and to write the request. If a connection is not ready within it, the request is
+	// not written at all. 0 sets no bound beyond Timeout.
 	WriteTimeout time.Duration
 	// ResponseDeadline is the time by which the response to a batch has to be read completely; a later response counts as a
 	// time-out for every message. Zero sets no bound beyond Timeout. It is checked after the response is read, since the timer
--- a/internal/relay/upstream/conn.go
+++ b/internal/relay/upstream/conn.go
@@ -88,9 +88,9 @@
 		socket.HasUnread(c.Conn)
 }
 
-// readResponse reads the response to a request and skips interim responses. If the status line says 200 but the rest of the header
-// cannot be read, it returns both a response with that status and the error: for a call with one message, the status line
-// alone tells that the message was delivered. single says whether the call has one message.
+// readResponse reads the response to a request and skips interim responses. If the status line says 200 but the rest of the
+// header cannot be read, it returns both a response with that status and the error: for a call with one message, the status
+// line alone tells that the message was delivered. single says whether the call has one message.
 func (c *conn) readResponse(single bool) (*http.Response, error) {
 	c.limited.N = maxResponseSize
 	for range maxInterimResponses {
--- a/internal/relay/upstream/deadline_test.go
+++ b/internal/relay/upstream/deadline_test.go
@@ -20,8 +20,8 @@
 	"milletsail/policy"
 )
 
-// Guards against counting a batch response that is read after the response deadline, when the timer that should end the call fires
-// late. In this test that timer does not fire at all.
+// Guards against counting a batch response that is read after the response deadline, when the timer that should end the call
+// fires late. In this test that timer does not fire at all.
 func TestBatchResponseAfterDeadline(t *testing.T) {
 	statuses := `[{"id":"a","state":"delivered"},{"id":"b","state":"delivered"}]`
 	addr := startEndpoint(t, func(c net.Conn) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Guards against discarding a response that arrived before the deadline of its call, when the relay was suspended and reads it only
-// after the deadline. A canceled call does not get its response.
+// Guards against discarding a response that arrived before the deadline of its call, when the relay was suspended and reads it
+// only after the deadline. A canceled call does not get its response.
 func TestResponseArrivedBeforeDeadline(t *testing.T) {
 	single := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 	bulk := `[{"id":"a","state":"delivered"},{"id":"b","state":"delivered"}]`
@@ -77,9 +77,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answered := make(chan bool)
-			addr := startEndpoint(t, func(host net.Conn) {
-				if readRequest(bufio.NewReader(host)) == nil {
-					_, _ = host.Write([]byte(c.answer))
+			addr := startEndpoint(t, func(server net.Conn) {
+				if readRequest(bufio.NewReader(server)) == nil {
+					_, _ = server.Write([]byte(c.answer))
 					close(answered)
 					<-t.Context().Done()
 				}
@@ -116,8 +116,8 @@
 	}
 }
 
-// delayedConn is a connection that calls beforeRead and then afterWait ahead of its first read. beforeRead waits for data to arrive,
-// and afterWait ends the call.
+// delayedConn is a connection that calls beforeRead and then afterWait ahead of its first read. beforeRead waits for data to
+// arrive, and afterWait ends the call.
 type delayedConn struct {
 	net.Conn
 	beforeRead, afterWait func()
@@ -154,12 +154,12 @@
 	return nil
 }
 
-// lateResetDelay is how long an endpoint processes a call before it resets the connection. It is longer than all time limits within
-// a call other than Call.Timeout: those for connecting and for a stalled response.
+// lateResetDelay is how long an endpoint processes a call before it resets the connection. It is longer than all time limits
+// within a call other than Call.Timeout: those for connecting and for a stalled response.
 const lateResetDelay = 2 * time.Second
 
-// Guards against missing or misclassifying a reset that comes seconds after the request was written. Like an early reset, it means that
-// the message may have been executed.
+// Guards against missing or misclassifying a reset that comes seconds after the request was written. Like an early reset, it
+// means that the message may have been executed.
 func TestLateConnectionReset(t *testing.T) {
 	for _, tt := range []struct{ name, first string }{
 		{"before the response", ""},
--- a/internal/relay/upstream/pool.go
+++ b/internal/relay/upstream/pool.go
@@ -20,9 +20,9 @@
 	"milletsail/policy"
 )
 
-// idleTimeoutShare is the pool's idle time-out as a share of the endpoints' idle time-out. The pool closes idle connections first,
-// since a request that is sent while the endpoint closes the connection ends in a reset. At a share of 0.95 endpoints closed some
-// connections before the pool did, without a gain in goodput.
+// idleTimeoutShare is the pool's idle time-out as a share of the endpoints' idle time-out. The pool closes idle connections
+// first, since a request that is sent while the endpoint closes the connection ends in a reset. At a share of 0.95 endpoints
+// closed some connections before the pool did, without a gain in goodput.
 const idleTimeoutShare = 0.8
 
 // Pool makes calls to endpoints over connections that carry one call at a time. It does not use http.Transport for two reasons:
@@ -103,8 +103,8 @@
 	return results, stop() && reuse
 }
 
-// merge returns the results of all messages of the call. results are those of the messages of claimed; the other messages were not
-// written, and their outcome is NotSent.
+// merge returns the results of all messages of the call. results are those of the messages of claimed; the other messages were
+// not written, and their outcome is NotSent.
 func (c Call) merge(claimed Call, results []Result) []Result {
 	all := c.resultForAll(Result{Outcome: policy.NotSent})
 	for i, m := range claimed.Messages {
@@ -126,7 +126,7 @@
 	}
 	p.written.Add(int64(len(call.Messages)))
 	single := len(call.Messages) == 1
-	resp, err := conn.readResponse(single) //nolint:bodyclose // Close would keep reading; the connection is closed or drained instead
+	resp, err := conn.readResponse(single) //nolint:bodyclose // the connection is closed or drained instead
 	if err != nil && resp != nil && single {
 		return call.resultForAll(classifyResponse(resp)), false // the status line is reliable even if the rest is incomplete
 	}
--- a/internal/relay/upstream/pool_capacity_bench_test.go
+++ b/internal/relay/upstream/pool_capacity_bench_test.go
@@ -10,8 +10,8 @@
 	"milletsail/policy"
 )
 
-// BenchmarkCallConnection measures the duration of a call to an endpoint on the same machine, on a kept and on a new connection, and
-// the processor time that this process spends on it, including that of the endpoint.
+// BenchmarkCallConnection measures the duration of a call to an endpoint on the same machine, on a kept and on a new
+// connection, and the processor time that this process spends on it, including that of the endpoint.
 func BenchmarkCallConnection(b *testing.B) {
 	for _, c := range []struct {
 		name     string
--- a/internal/relay/upstream/pool_test.go
+++ b/internal/relay/upstream/pool_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Guards against a call that timed out or was canceled but stays in flight: when Do returns, its connection has to be closed, which the
-// endpoint sees.
+// Guards against a call that timed out or was canceled but stays in flight: when Do returns, its connection has to be closed,
+// which the endpoint sees.
 func TestEndedCallIsNotInFlight(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		began, ended := make(chan bool, 1), make(chan error, 1)
@@ -110,8 +110,8 @@
 	}
 }
 
-// Guards against writing a call that CancelUnwritten canceled while its connection was being opened. The connection has to be kept and
-// used by the next call.
+// Guards against writing a call that CancelUnwritten canceled while its connection was being opened. The connection has to be
+// kept and used by the next call.
 func TestCancelUnwritten(t *testing.T) {
 	addr := startEndpoint(t, respondAlways("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	p := testPool()
@@ -169,12 +169,13 @@
 		return nil
 	}
 	if got := p.Do(t.Context(), call); got[0].Outcome != policy.NotSent || got[1].Outcome != policy.NotSent || p.idleCount != 1 {
-		t.Errorf("all messages ended: results %v, %d connections kept; want NotSent for both and 1 connection", got, p.idleCount)
+		t.Errorf("all messages ended: results %v, %d connections kept; want NotSent for both and 1 connection",
+			got, p.idleCount)
 	}
 }
 
-// Guards against a second execution by an automatic resend: a call that is reset on a kept connection must not be sent again, even if
-// its message has an idempotency key. Also checks that open connections are reused and closed ones are not.
+// Guards against a second execution by an automatic resend: a call that is reset on a kept connection must not be sent again,
+// even if its message has an idempotency key. Also checks that open connections are reused and closed ones are not.
 func TestConnectionReuse(t *testing.T) {
 	var conns, calls atomic.Int32
 	var mode atomic.Value // what the endpoint does with a request
@@ -222,8 +223,8 @@
 	}
 }
 
-// Guards against taking bytes that an endpoint sent on an idle connection, part of a line or a whole response, for the response to the
-// next call.
+// Guards against taking bytes that an endpoint sent on an idle connection, part of a line or a whole response, for the response
+// to the next call.
 func TestUnsolicitedBytesOnIdleConnection(t *testing.T) {
 	for _, stray := range []string{"HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"} {
 		var conns atomic.Int32
@@ -248,13 +249,14 @@
 		}
 		receive(t, sent)
 		if got := p.Do(t.Context(), testCall(addr))[0]; got.Outcome != policy.Failed || conns.Load() != 2 {
-			t.Errorf("unsolicited bytes %q: second call ended with outcome %v after %d connections, want Failed after 2", stray, got.Outcome, conns.Load())
+			t.Errorf("unsolicited bytes %q: second call ended with outcome %v after %d connections, want Failed after 2",
+				stray, got.Outcome, conns.Load())
 		}
 	}
 }
 
-// Guards against a call that hangs while connecting to an endpoint that drops connection attempts: it has to end after the connect
-// time-out, as not executed.
+// Guards against a call that hangs while connecting to an endpoint that drops connection attempts: it has to end after the
+// connect time-out, as not executed.
 func TestConnectTimeout(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -286,8 +288,8 @@
 	}
 }
 
-// Guards against blaming an endpoint for a local failure to connect, such as a lack of descriptors: the outcome is NotStarted. Errors
-// that the peer or network causes have the outcome ConnectError.
+// Guards against blaming an endpoint for a local failure to connect, such as a lack of descriptors: the outcome is NotStarted.
+// Errors that the peer or network causes have the outcome ConnectError.
 func TestConnectErrorClassification(t *testing.T) {
 	for errno, want := range map[syscall.Errno]policy.Outcome{syscall.EMFILE: policy.NotStarted,
 		syscall.ENFILE: policy.NotStarted, syscall.ENOBUFS: policy.NotStarted,
@@ -303,7 +305,8 @@
 	}
 }
 
-// Guards against idle connections beyond the capacity or the idle time-out, and against CloseIdle closing those of other endpoints.
+// Guards against idle connections beyond the capacity or the idle time-out, and against CloseIdle closing those of other
+// endpoints.
 func TestPoolCapacity(t *testing.T) {
 	p := NewPool(time.Second, 10*time.Second, 2, &atomic.Int64{})
 	var addrs []string
--- a/internal/relay/upstream/response.go
+++ b/internal/relay/upstream/response.go
@@ -45,8 +45,8 @@
 	stateAttemptsExhausted = "spent"
 )
 
-// interruptedOutcome returns the outcome of a call with the context ctx whose request was written completely but whose response was
-// not read completely.
+// interruptedOutcome returns the outcome of a call with the context ctx whose request was written completely but whose response
+// was not read completely.
 func interruptedOutcome(ctx context.Context) policy.Outcome {
 	switch err := ctx.Err(); {
 	case err == nil:
@@ -66,7 +66,7 @@
 func (c Call) resultOfResponse(resp *http.Response) Result {
 	result := classifyResponse(resp)
 	if len(c.Messages) > 1 && (resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusRequestEntityTooLarge) {
-		result.Outcome = policy.NotSent // a batch that the endpoint could not read was not executed
+		result.Outcome = policy.NotSent // the endpoint rejects a batch as a whole before executing any message
 	}
 	return result
 }
--- a/internal/relay/upstream/response_test.go
+++ b/internal/relay/upstream/response_test.go
@@ -46,7 +46,8 @@
 		{"no slot", reply("HTTP/1.1 503 No\r\nX-No-Slot: 1\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent}},
 		{"attempts exhausted", reply("HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent,
 			AttemptsExhausted: true}},
-		{"completed before", reply("HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent, Completed: true}},
+		{"completed before",
+			reply("HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent, Completed: true}},
 		{"connection refused", closed.Addr().String(), Result{Outcome: policy.ConnectError}},
 		{"closed without a response", readThen(func(net.Conn) {}), Result{Outcome: policy.Reset}},
 		{"reset", readThen(func(c net.Conn) { resetOnClose(c) }), Result{Outcome: policy.Reset}},
@@ -56,7 +57,8 @@
 				_, err = io.WriteString(c, "X-More: and more\r\n")
 			}
 		}), Result{Outcome: policy.OK, Completed: true}},
-		{"a malformed header after status 200", reply("HTTP/1.1 200 OK\r\nno header\r\n\r\n"), Result{Outcome: policy.OK, Completed: true}},
+		{"a malformed header after status 200",
+			reply("HTTP/1.1 200 OK\r\nno header\r\n\r\n"), Result{Outcome: policy.OK, Completed: true}},
 		{"a malformed header after status 500", reply("HTTP/1.1 500 No\r\nno header\r\n\r\n"),
 			Result{Outcome: policy.Reset}},
 		{"part of the status line, then a close", readThen(func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK") }),
@@ -82,7 +84,8 @@
 				_, err = io.WriteString(c, strings.Repeat("more", 1000))
 			}
 		}), Result{Outcome: policy.OK, Completed: true}},
-		{"not an HTTP response", readThen(func(c net.Conn) { _, _ = io.WriteString(c, "what?\r\n\r\n") }), Result{Outcome: policy.Reset}},
+		{"not an HTTP response",
+			readThen(func(c net.Conn) { _, _ = io.WriteString(c, "what?\r\n\r\n") }), Result{Outcome: policy.Reset}},
 	}
 	for _, tt := range tests {
 		if got := testPool().Do(t.Context(), testCall(tt.addr))[0]; got != tt.want {
@@ -91,8 +94,8 @@
 	}
 }
 
-// Guards against wrong results for the messages of a batch: each message has a state of its own in the body of the response, and other
-// responses apply to all messages.
+// Guards against wrong results for the messages of a batch: each message has a state of its own in the body of the response,
+// and other responses apply to all messages.
 func TestBatchOutcomes(t *testing.T) {
 	reply := func(head, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
@@ -160,8 +163,8 @@
 	}
 }
 
-// Guards against a call that waits until its time-out for the rest of a stalled response, and against ending a call whose endpoint is
-// only slow to begin its response, also after an interim response.
+// Guards against a call that waits until its time-out for the rest of a stalled response, and against ending a call whose
+// endpoint is only slow to begin its response, also after an interim response.
 func TestStalledResponses(t *testing.T) {
 	slow := make(chan bool)
 	time.AfterFunc(3*responseStallTimeout/2, func() { close(slow) })
