--- a/internal/relay/gossip/gossip.go
+++ b/internal/relay/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip exchanges gossip messages between the relays of a fleet over UDP. Delivery is best effort: a lost message only
-// delays what the relays know about each other, and nothing else depends on it.
+// Package gossip exchanges gossip messages between the relays of a fleet over UDP. Delivery is best effort, and
+// the delivery of client messages does not depend on it.
 package gossip
 
 import (
@@ -27,7 +27,7 @@
 	Allowed bool
 	// Listen is the local address that the relay sends and receives gossip messages on; empty disables gossip.
 	Listen string
-	// Broadcast is the address that forwards a datagram to all other relays; empty disables gossip.
+	// Broadcast is the address whose datagrams reach all other relays; empty disables gossip.
 	Broadcast string
 	// Peers are the gossip addresses of all relays of the fleet, this one included, indexed by ordinal.
 	Peers []string
