--- a/cmd/milletsail/fleet.go
+++ b/cmd/milletsail/fleet.go
@@ -85,7 +85,7 @@
 			if fact.Fading {
 				fading = "fading"
 			}
-			rows.printf("%d\t%s\t%s\t%d\t%d\t%.3f\t%.0f\t%s\n", view.Self, fact.Kind, fact.Key, fact.Origin, fact.Value, fact.AgeS, fact.BoundS, fading)
+			rows.printf("%d\t%s\t%s\t%d\t%d\t%.3f\t%.0f\t%s\n", view.Self, fact.Kind, fact.Key, fact.Origin, fact.Value, fact.AgeS, fact.ExpiresAfterS, fading)
 		}
 	}
 	return rows.flush()
--- a/internal/fleet/broadcast.go
+++ b/internal/fleet/broadcast.go
@@ -58,7 +58,7 @@
 	due := n.broadcasts.nextBatch(n.Store, n.losses.transmitLimit(), now)
 	for len(due) > 0 {
 		data, sent := encodeMessage(0, 0, due, now)
-		out = append(out, Outgoing{Everyone, data})
+		out = append(out, Outgoing{AllRelays, data})
 		due = due[max(1, sent):] // a fact that fits into no message is dropped
 	}
 	return out
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -32,7 +32,7 @@
 		n.Merge(fact, now)
 	}
 	data, _ := encodeMessage(0, 0, facts, now)
-	return Outgoing{Everyone, data}
+	return Outgoing{AllRelays, data}
 }
 
 // heartbeatID identifies one heartbeat of a member.
--- a/internal/fleet/join_test.go
+++ b/internal/fleet/join_test.go
@@ -40,7 +40,7 @@
 		s.loss = loss
 		node := NewNode(44, 60, 2, "v", 0, 9, s.now)
 		targets := joinRequestTargets(s, 44, node, 2*time.Second)
-		if len(targets) < 1 || len(targets) > maxJoinRequests || targets[Everyone] || loss == 0 && len(targets) > 2 {
+		if len(targets) < 1 || len(targets) > maxJoinRequests || targets[AllRelays] || loss == 0 && len(targets) > 2 {
 			t.Errorf("loss %v: state was requested from %v", loss, targets)
 		}
 		rates := 0
--- a/internal/fleet/live/service.go
+++ b/internal/fleet/live/service.go
@@ -31,7 +31,7 @@
 	Version     string // of the program
 	Zone        int    // of this relay
 	Seed        uint64 // of random numbers
-	// Send sends a message to a relay, or to all others for fleet.Everyone. It must not block.
+	// Send sends a message to a relay, or to all others for fleet.AllRelays. It must not block.
 	Send func(to int, message []byte)
 	// OnAssessment is called when a new fact changes the assessment of a destination or endpoint. It must not block.
 	OnAssessment func(PeerAssessment)
@@ -95,7 +95,7 @@
 
 // Accepts reports whether a datagram has the mark of gossip messages.
 func (s *Service) Accepts(datagram []byte) bool {
-	return s != nil && len(datagram) > 0 && datagram[0] == fleet.MessageMark
+	return s != nil && len(datagram) > 0 && datagram[0] == fleet.MessageMagic
 }
 
 // Receive takes in a message of another relay, sends the answers, and calls OnFact and OnAssessment for what was new.
--- a/internal/fleet/live/view.go
+++ b/internal/fleet/live/view.go
@@ -13,9 +13,9 @@
 	Origin      int     `json:"origin"`
 	Value       uint64  `json:"value"`
 	AgeS        float64 `json:"age_s"`
-	BoundS      float64 `json:"bound_s"` // the age at which it expires
+	ExpiresAfterS      float64 `json:"bound_s"` // the age at which it expires
 	Fading      bool    `json:"fading,omitempty"`
-	KnownS      float64 `json:"known_s"` // how long this relay has had facts of the kind and key
+	KnownForS      float64 `json:"known_s"` // how long this relay has had facts of the kind and key
 	Via         int     `json:"via"`     // the relay from which it was received
 	Incarnation uint32  `json:"incarnation"`
 }
@@ -48,9 +48,9 @@
 			Origin:      int(fact.Origin),
 			Value:       fact.Value,
 			AgeS:        fact.Age.Seconds(),
-			BoundS:      lifetime.ExpiresAfter.Seconds(),
+			ExpiresAfterS:      lifetime.ExpiresAfter.Seconds(),
 			Fading:      fact.Fading,
-			KnownS:      s.node.KnownFor(fact.Kind, fact.Key, now).Seconds(),
+			KnownForS:      s.node.KnownFor(fact.Kind, fact.Key, now).Seconds(),
 			Via:         int(fact.Via),
 			Incarnation: fact.Incarnation,
 		})
--- a/internal/fleet/live/view_capacity_bench_test.go
+++ b/internal/fleet/live/view_capacity_bench_test.go
@@ -21,7 +21,7 @@
 			for len(datagrams) < 10_000 {
 				sender.Observe(fleet.KindDestinationClosed, fmt.Sprint(len(datagrams)), 1000, false, now, now)
 				for _, send := range sender.Tick(now + 20*time.Millisecond) {
-					if send.To == fleet.Everyone {
+					if send.To == fleet.AllRelays {
 						datagrams = append(datagrams, send.Message)
 					}
 				}
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -13,8 +13,8 @@
 //	facts: kind 1, origin, incarnation, seq, value, age in ms, key size (varints), key
 
 const (
-	// MessageMark is the first byte of a message. Datagrams of the other formats between relays start with another byte.
-	MessageMark byte = 'F'
+	// MessageMagic is the first byte of a message. Datagrams of the other formats between relays start with another byte.
+	MessageMagic byte = 'F'
 	// FormatVersion is the version of the format. Messages of another version are ignored: relays work without gossip
 	// during a rolling upgrade.
 	FormatVersion = 1
@@ -78,7 +78,7 @@
 	if buckets != nil {
 		flags |= flagBucketDigests
 	}
-	data = []byte{MessageMark, FormatVersion, flags}
+	data = []byte{MessageMagic, FormatVersion, flags}
 	if flags&flagDigest != 0 {
 		data = binary.LittleEndian.AppendUint32(data, digest)
 	}
@@ -101,7 +101,7 @@
 // decodeMessage decodes a datagram. The error is errMalformedMessage if it is truncated, of another version, or contains
 // values out of range.
 func decodeMessage(data []byte) (decoded message, err error) {
-	if len(data) < headerSize || len(data) > MaxMessageSize || data[0] != MessageMark || data[1] != FormatVersion {
+	if len(data) < headerSize || len(data) > MaxMessageSize || data[0] != MessageMagic || data[1] != FormatVersion {
 		return decoded, errMalformedMessage
 	}
 	decoded.flags, data = data[2], data[headerSize:]
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Everyone is the receiver of a message to all other relays.
-const Everyone = -1
+// AllRelays is the receiver of a message to all other relays.
+const AllRelays = -1
 
 // Outgoing is a message to send.
 type Outgoing struct {
-	To      int // number of a relay, or Everyone
+	To      int // number of a relay, or AllRelays
 	Message []byte
 }
 
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -40,7 +40,7 @@
 	for _, message := range messages {
 		s.bytesSent += len(message.Message)
 		for to := range s.nodes {
-			if to == from || message.To != Everyone && message.To != to {
+			if to == from || message.To != AllRelays && message.To != to {
 				continue
 			}
 			s.bytes += len(message.Message)
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -64,7 +64,7 @@
 	fmt.Fprintf(&text, "== %s\n", title)
 	for _, message := range messages {
 		to := fmt.Sprint("relay ", message.To)
-		if message.To == fleet.Everyone {
+		if message.To == fleet.AllRelays {
 			to = "all relays"
 		}
 		fmt.Fprintf(&text, "to %s, %d bytes\n%s", to, len(message.Message), hex.Dump(message.Message))
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -16,7 +16,7 @@
 	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(),
 		Zone: s.Az, Seed: uint64(l.cfg.RandomSeed),
 		Send: func(to int, message []byte) {
-			if to == fleet.Everyone {
+			if to == fleet.AllRelays {
 				l.gossip.Broadcast(message)
 			} else {
 				l.gossip.Send(to, message)
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -199,7 +199,7 @@
 // send sends a datagram to a relay, or to all.
 func (r *relay) send(to int, datagram []byte) {
 	address := r.group.all
-	if to != fleet.Everyone {
+	if to != fleet.AllRelays {
 		address = r.group.peers[to]
 	}
 	if _, err := r.conn.WriteToUDPAddrPort(datagram, address); err != nil {
