--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock reads the machine's clocks and sleeps with a context. No other package of the relay reads the wall clock.
+// Package clock reads the machine's monotonic clock and wall clock, converts between their readings, and sleeps with a context.
+// No other package of the relay reads the wall clock.
 package clock
 
 import (
@@ -13,17 +14,19 @@
 	"milletsail/internal/instant"
 )
 
-// reference relates the standard library's monotonic readings to the machine's monotonic clock.
+// reference relates the monotonic readings of the standard library, which are relative to the process, to the machine's monotonic
+// clock.
 var reference = readReference()
 
 // clockReference is a reading of both clocks at the start of the process.
 type clockReference struct {
 	started time.Time
 	at      instant.Time
-	shared  bool // at was read from the machine's clock, so that it is comparable between processes
+	shared  bool // whether at was read from the machine's clock, so that moments are comparable between processes
 }
 
-// readReference reads both clocks. If the machine's can't be read, the process gets a scale of its own.
+// readReference reads both clocks. If the machine's clock can't be read, moments are relative to the start of the process and not
+// comparable with those of other processes.
 func readReference() clockReference {
 	started := time.Now()
 	var now unix.Timespec
@@ -33,17 +36,17 @@
 	return clockReference{started: started, at: instant.Boot.Add(time.Duration(now.Nano())), shared: true}
 }
 
-// Now returns the current reading of the machine's monotonic clock.
+// Now returns the current moment, by the machine's monotonic clock.
 func Now() instant.Time { return reference.at.Add(time.Since(reference.started)) }
 
 // Since returns the time elapsed since t.
 func Since(t instant.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the duration until t.
+// Until returns the duration from now until t.
 func Until(t instant.Time) time.Duration { return t.Sub(Now()) }
 
-// Deadline converts a moment for the deadlines of the standard library. The result has a monotonic reading, so that steps of
-// the wall clock do not move it.
+// Deadline converts a moment to a time.Time, for use as a deadline in the standard library. The result has a monotonic reading, so
+// steps of the wall clock do not affect the deadline.
 func Deadline(t instant.Time) time.Time { return reference.started.Add(t.Sub(reference.at)) }
 
 // Uptime returns the time since the machine's boot, or 0 if the monotonic clock can't be read.
@@ -54,22 +57,23 @@
 	return Now().Sub(instant.Boot)
 }
 
-// BootID identifies the machine's current boot. Moments are comparable between processes with the same ID. It is empty if the
-// ID is unknown; then they are not comparable.
+// BootID returns the ID of the machine's current boot. Moments of two processes are comparable if both have the same ID. An empty
+// ID means that it is unknown, and that moments are not comparable between processes.
 func BootID() string { return bootID() }
 
 const (
-	// bootIDPath is where Linux provides the boot ID.
+	// bootIDPath is the file in which Linux provides the boot ID.
 	bootIDPath = "/proc/sys/kernel/random/boot_id"
 	// bootIDLength is the length of a boot ID, a UUID, in bytes.
 	bootIDLength = 36
-	// bootIDAttempts bounds how often it is read: that may fail temporarily, for example for lack of file descriptors.
+	// bootIDAttempts is the maximum number of attempts to read the boot ID. Reading may fail temporarily, for example for lack of
+	// file descriptors.
 	bootIDAttempts = 50
-	// bootIDRetryInterval is the delay between two attempts.
+	// bootIDRetryInterval is the delay between two attempts to read the boot ID.
 	bootIDRetryInterval = 20 * time.Millisecond
 )
 
-// bootID reads the boot ID once.
+// bootID returns the boot ID, which it reads at the first call, or "" if it can't be read.
 var bootID = sync.OnceValue(func() string {
 	if !reference.shared {
 		return ""
@@ -87,27 +91,27 @@
 	return ""
 })
 
-// Wall is a wall time, in nanoseconds since 1970. Use it for logs and for data that outlives a boot only: operators and NTP
-// may step the wall clock.
+// Wall is a wall time, in nanoseconds since 1970. Use it only for logs and for data that outlives a boot, because operators and
+// NTP can step the wall clock.
 type Wall int64
 
-// ReadWall returns the current reading of the wall clock.
+// ReadWall returns the current wall time.
 func ReadWall() Wall { return Wall(time.Now().UnixNano()) }
 
-// Time converts a wall time for formatting by the standard library.
+// Time converts a wall time to a time.Time, for formatting.
 func (w Wall) Time() time.Time { return time.Unix(0, int64(w)) }
 
 // Seconds returns a wall time in whole seconds since 1970.
 func (w Wall) Seconds() int64 { return int64(w) / int64(time.Second) }
 
-// Pair is a simultaneous reading of both clocks. It converts moments to wall times and back, as the wall clock was set at
+// Pair is a simultaneous reading of both clocks. It converts moments to wall times and back by the difference of the two clocks at
 // that reading.
 type Pair struct {
 	At   instant.Time `json:"At"`
 	Wall Wall         `json:"Wall"`
 }
 
-// ReadPair reads both clocks.
+// ReadPair returns the current readings of both clocks.
 func ReadPair() Pair { return Pair{At: Now(), Wall: ReadWall()} }
 
 // WallOf converts a moment to a wall time. The zero Time becomes 0.
@@ -126,13 +130,14 @@
 	return p.At.Add(time.Duration(w - p.Wall))
 }
 
-// SteppedBy returns by how much the wall clock was stepped between two readings, its drift included.
+// SteppedBy returns the change of the wall clock relative to the monotonic clock between p and a later reading. It is positive if
+// the wall clock was set forward, and includes drift.
 func (p Pair) SteppedBy(later Pair) time.Duration {
 	return time.Duration(later.Wall-p.Wall) - later.At.Sub(p.At)
 }
 
-// Sleep blocks for d or until ctx is done, and reports whether ctx is still active. It returns immediately if d is not
-// positive.
+// Sleep blocks for d or until ctx is done, whichever comes first. It returns false if ctx was done first. If d is not positive, it
+// returns immediately.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -15,24 +15,24 @@
 	"milletsail/internal/instant"
 )
 
-// A step of the wall clock is told from the time that passes; translations go by the readings of a pair.
+// A pair must distinguish a step of the wall clock from elapsed time, and convert moments to wall times and back by its readings.
 func TestPair(t *testing.T) {
 	before := Pair{At: instant.Boot.Add(time.Hour), Wall: 1.7e18}
 	after := Pair{At: before.At.Add(time.Minute), Wall: before.Wall + Wall(time.Minute-10*time.Second)}
 	if by := before.SteppedBy(after); by != -10*time.Second {
-		t.Errorf("stepped by %v", by)
+		t.Errorf("got a wall clock step of %v, want -10s", by)
 	}
 	at := before.At.Add(-5 * time.Second)
 	if wall := before.WallOf(at); wall != before.Wall-Wall(5*time.Second) || before.InstantOf(wall) != at {
-		t.Errorf("%v is at %v, and back at %v", at, wall, before.InstantOf(wall))
+		t.Errorf("moment %v was converted to wall time %v, and back to moment %v", at, wall, before.InstantOf(wall))
 	}
 	if before.WallOf(0) != 0 || before.InstantOf(0) != 0 {
-		t.Error("long ago does not stay so")
+		t.Error("zero moment or zero wall time was not converted to zero")
 	}
 }
 
-// Moments mean the same to all processes of a boot: they are those of the system's monotonic clock.
-func TestNowIsTheMachines(t *testing.T) {
+// Now must return readings of the system's monotonic clock, so that moments are comparable between all processes of a boot.
+func TestNowMatchesSystemClock(t *testing.T) {
 	read := func() instant.Time {
 		var now unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
@@ -44,34 +44,34 @@
 	now := Now()
 	after := read()
 	if now < before.Add(-time.Millisecond) || now > after.Add(time.Millisecond) {
-		t.Errorf("%v is not between %v and %v", now, before, after)
+		t.Errorf("got moment %v, want it between the system clock readings %v and %v", now, before, after)
 	}
 	if d := time.Until(Deadline(now.Add(time.Hour))); d > time.Hour || d < time.Hour-time.Minute {
-		t.Errorf("a deadline in an hour is in %v", d)
+		t.Errorf("the deadline for a moment in one hour is in %v", d)
 	}
 }
 
-// wallReaders are the packages that may take a wall time from the standard library, with the reason. All others of the
-// relay get one from this package.
-var wallReaders = map[string]string{
-	"internal/clock": "the one place where the wall clock is read",
+// wallClockReaders holds the packages that may read the wall clock with the standard library, with the reason. All other packages
+// of the relay read it with this package.
+var wallClockReaders = map[string]string{
+	"internal/clock": "the only package that reads the wall clock",
 }
 
-// wallMethods give a wall time, or compare one with the present.
-var wallMethods = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro"}
+// wallTimeMethods holds the methods of time.Time that return a wall time as a number.
+var wallTimeMethods = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro"}
 
-// relayPackages are the parts of the program that run in a relay.
+// relayPackages holds the directories of the packages that run in a relay.
 var relayPackages = []string{"policy", "internal/relay", "internal/journal", "internal/endpoints", "internal/fleet", "internal/zones",
 	"internal/settings", "internal/clock", "internal/instant", "internal/atomicfile", "cmd/relay"}
 
-// translators are the files beside this package that turn a time of the standard library into a wall time, or a number into
-// a moment: on the link of a handover, in format 1 of the journal and in the file of orders moments are written as wall times,
-// and a segment's header holds one as a number.
-var translators = map[string]bool{"internal/relay/handover/link.go": true, "internal/journal/v1.go": true, "internal/zones/zones.go": true,
+// wallTimeConverters holds the files outside this package that may convert a time.Time to a wall time, or a number to a moment. The
+// handover messages, format 1 of the journal and the file of zone orders hold moments as wall times; the header of a journal
+// segment holds a moment as a number.
+var wallTimeConverters = map[string]bool{"internal/relay/handover/link.go": true, "internal/journal/v1.go": true, "internal/zones/zones.go": true,
 	"internal/journal/header.go": true}
 
-// No part of the relay reads the wall clock by itself, or makes a moment out of a number: a difference between such a
-// reading and a moment is what lost messages in issue 31.
+// No package of the relay except those listed may read the wall clock or convert a number to a moment. Messages were lost in
+// issue 31 because a wall time was subtracted from a moment.
 func TestWallClockIsReadInOnePlace(t *testing.T) {
 	root := filepath.Join("..", "..")
 	for _, dir := range relayPackages {
@@ -80,7 +80,7 @@
 				return err
 			}
 			rel, err := filepath.Rel(root, path)
-			if err == nil && wallReaders[filepath.ToSlash(filepath.Dir(rel))] == "" && !translators[filepath.ToSlash(rel)] {
+			if err == nil && wallClockReaders[filepath.ToSlash(filepath.Dir(rel))] == "" && !wallTimeConverters[filepath.ToSlash(rel)] {
 				reportWallTimes(t, path)
 			}
 			return err
@@ -91,7 +91,8 @@
 	}
 }
 
-// reportWallTimes fails the test for each call of a source file that gives a wall time, and each conversion to a moment.
+// reportWallTimes reports an error for each call in a source file that returns a wall time and each conversion of a number to a
+// moment.
 func reportWallTimes(t *testing.T, path string) {
 	t.Helper()
 	files := token.NewFileSet()
@@ -109,11 +110,11 @@
 			return true
 		}
 		if from, ok := selector.X.(*ast.Ident); ok && from.Name == "instant" && selector.Sel.Name == "Time" {
-			t.Errorf("%s: a number becomes a moment", files.Position(call.Pos()))
+			t.Errorf("%s: a number is converted to a moment", files.Position(call.Pos()))
 		}
-		for _, name := range wallMethods {
+		for _, name := range wallTimeMethods {
 			if selector.Sel.Name == name && len(call.Args) == 0 {
-				t.Errorf("%s: %s gives a wall time", files.Position(call.Pos()), name)
+				t.Errorf("%s: call of %s returns a wall time", files.Position(call.Pos()), name)
 			}
 		}
 		return true
--- a/internal/fleet/antientropy.go
+++ b/internal/fleet/antientropy.go
@@ -5,12 +5,17 @@
 	"time"
 )
 
-// Anti-entropy repairs what broadcasts missed (Demers and others, "Epidemic algorithms for replicated database
-// maintenance", 1987). Each relay sends its digest to a random peer. A peer whose own differs answers with its bucket
-// digests; the first relay answers with its facts of the buckets that differ and its own bucket digests; and the peer
-// answers with its facts. Facts that both have are not sent.
+// Anti-entropy sends facts to the relays that missed their broadcasts (Demers and others, "Epidemic algorithms for
+// replicated database maintenance", 1987). It has four steps:
+//
+//  1. Each relay periodically sends the digest of its store to a random peer.
+//  2. If the peer's own digest differs, it answers with its bucket digests.
+//  3. The first relay answers with its facts in the buckets whose digests differ, and with its own bucket digests.
+//  4. The peer answers with its facts in those buckets.
+//
+// Facts in buckets with equal digests are not sent.
 
-// sendDigest returns a message with this relay's digest to a random peer, after expired facts are removed.
+// sendDigest removes expired facts and returns a message with this relay's digest to a random peer.
 func (n *Node) sendDigest(now time.Duration) (out []Outgoing) {
 	n.nextDigestAt = now + n.jitter(digestInterval)
 	n.RemoveExpired(now)
@@ -22,7 +27,7 @@
 	return []Outgoing{{peer, data}}
 }
 
-// reconcile returns the answer to a message's digests, if it has any that differ.
+// reconcile returns the answer to the digests in a message, or nil if there are none or the digest equals this relay's own.
 func (n *Node) reconcile(from int, received *message, now time.Duration) []Outgoing {
 	switch {
 	case received.flags&flagBucketDigests != 0:
@@ -35,8 +40,9 @@
 	return nil
 }
 
-// sendDifferences returns the facts of the buckets whose digests differ, a random selection if they don't fit, and this
-// relay's bucket digests if the peer does not have them yet.
+// sendDifferences returns messages with the facts in the buckets whose digests differ. If the facts don't fit into
+// maxAnswerMessages messages, a random selection is sent. If the received message is itself the answer to a digest, the
+// peer does not have this relay's bucket digests yet, and they are sent too.
 func (n *Node) sendDifferences(to int, received *message, now time.Duration) (out []Outgoing) {
 	own := n.BucketDigests(now)
 	var digests *BucketDigests
@@ -49,7 +55,7 @@
 			facts = append(facts, fact)
 		}
 	})
-	// The selection depends on the seed alone, not on the iteration order of a map.
+	// Sorting first makes the shuffle depend on the seed only, not on the iteration order of a map.
 	slices.SortFunc(facts, func(a, b Fact) int { return compareID(a.FactID, b.FactID) })
 	n.rng.Shuffle(len(facts), func(i, j int) { facts[i], facts[j] = facts[j], facts[i] })
 	for len(out) < maxAnswerMessages && (len(facts) > 0 || digests != nil) {
--- a/internal/fleet/assessment.go
+++ b/internal/fleet/assessment.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// Assessment summarizes the reports of the fleet that one destination or endpoint is unhealthy. The zero value is returned
-// if there are none.
+// Assessment summarizes the fleet's reports that one destination or endpoint is unhealthy. The zero value means that there
+// are no such reports.
 type Assessment struct {
-	Observers       int           // that report it as unhealthy, with no later report of it as healthy by anyone
-	RecentObservers int           // those of Observers whose reports are not fading
-	OldestAge       time.Duration // age of the oldest of the reports
-	NewestAge       time.Duration // age of the newest
-	ValidFor        time.Duration // how long the assessment may be used
+	Observers       int           // number of independent observers with an unhealthy report newer than any healthy report
+	RecentObservers int           // number of Observers with a report that is not fading
+	OldestAge       time.Duration // age of the oldest unhealthy report that counts
+	NewestAge       time.Duration // age of the newest unhealthy report that counts
+	ValidFor        time.Duration // remaining time until the newest report expires
 }
 
-// Assess summarizes the reports on a key, of one kind for unhealthy and another for healthy. If include is not nil, only
-// facts for which it returns true count: a relay in another network may itself be partitioned.
+// Assess summarizes the reports on the destination or endpoint with the given key: facts of kind unhealthy, unless a fact
+// of kind healthy was observed later. If include is not nil, only facts for which it returns true count. A caller can thus
+// leave out relays in another zone, which may fail to reach an endpoint because of a network partition.
 //
-// All second-hand reports that were received from one relay count as one observer: neither a faulty relay nor one that is
-// alone with its observation can pass for several.
+// Each first-hand report counts as one observer. All second-hand reports that were received through one relay count
+// together as one observer, so that a single faulty relay cannot appear as several observers.
 func (s *Store) Assess(unhealthy, healthy Kind, key string, include func(Fact) bool, now time.Duration) (result Assessment) {
 	lastHealthy := time.Duration(math.MinInt64)
 	s.each(healthy, key, now, func(report AgedFact) {
@@ -28,7 +29,7 @@
 		}
 	})
 	firstHand, recent := 0, 0
-	secondHand := map[uint16]bool{} // by the relay that forwarded: whether any of its reports is not fading
+	secondHand := map[uint16]bool{} // keyed by the forwarding relay; true if any report through that relay is not fading
 	s.each(unhealthy, key, now, func(report AgedFact) {
 		if report.ObservedAt <= lastHealthy || include != nil && !include(report.Fact) {
 			return
--- a/internal/fleet/assessment_test.go
+++ b/internal/fleet/assessment_test.go
@@ -8,7 +8,7 @@
 // assessedAt is the time at which the reports are received and assessed.
 const assessedAt = 8 * time.Second
 
-// receiveReport has a node receive origin's report on endpoint h from the relay via.
+// receiveReport passes the node a message from relay via with a report by relay origin on endpoint h.
 func receiveReport(node *Node, kind Kind, origin, via int, value uint64, seq uint32, observedAt time.Duration) {
 	report := Fact{
 		FactID:      FactID{kind, uint16(origin), "h"},
@@ -20,22 +20,22 @@
 	node.Receive(via, data, assessedAt)
 }
 
-// An assessment counts the observers of an unhealthy endpoint that nobody has observed as healthy since. One relay counts
-// once, however many reports it forwards, and reports that the filter excludes don't count.
+// An assessment must count only observers with a report newer than any healthy report. All reports forwarded by one relay count
+// as one observer, so that a faulty relay cannot appear as several; reports that the filter excludes don't count.
 func TestAssess(t *testing.T) {
 	const now = assessedAt
 	node := NewNode(0, 9, 1, "v", 0, 1, 0)
 	for origin := 1; origin <= 3; origin++ {
 		receiveReport(node, KindEndpointEjected, origin, origin, uint64(origin%2), 1, time.Duration(origin)*time.Second)
 	}
-	for origin := 5; origin <= 8; origin++ { // forwarded, or forged, by relay 4
+	for origin := 5; origin <= 8; origin++ { // reports that relay 4 forwarded or forged
 		receiveReport(node, KindEndpointEjected, origin, 4, 1, 1, 4*time.Second)
 	}
 	sameZone := func(f Fact) bool { return f.Value == 1 }
 	for _, c := range []struct {
 		name      string
 		include   func(Fact) bool
-		healthyAt time.Duration // when relay 5 observes it as healthy; 0 for never
+		healthyAt time.Duration // time at which relay 5 observes the endpoint as healthy; 0 if it does not
 		want      Assessment
 	}{
 		{"all", nil, 0, Assessment{4, 0, 7 * time.Second, 4 * time.Second, 26 * time.Second}},
@@ -48,16 +48,16 @@
 			receiveReport(node, KindEndpointRecovered, 5, 5, 1, uint32(c.healthyAt/time.Millisecond), c.healthyAt)
 		}
 		if got := node.Assess(KindEndpointEjected, KindEndpointRecovered, "h", c.include, now); got != c.want {
-			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
+			t.Errorf("%s: got assessment %+v, want %+v", c.name, got, c.want)
 		}
 	}
 	receiveReport(node, KindEndpointEjected, 6, 6, 1, 9000, now-time.Second)
 	got := node.Assess(KindEndpointEjected, KindEndpointRecovered, "h", nil, now)
 	if got.RecentObservers != 1 || got.Observers != 1 {
-		t.Errorf("with a recent one: %+v", got)
+		t.Errorf("after one recent report: got assessment %+v, want 1 observer and 1 recent observer", got)
 	}
 	expired := now + Lifetimes[KindEndpointEjected].ExpiresAfter
 	if got := node.Assess(KindEndpointEjected, KindEndpointRecovered, "h", nil, expired); got != (Assessment{}) {
-		t.Errorf("after expiry: %+v", got)
+		t.Errorf("after all reports expired: got assessment %+v, want the zero value", got)
 	}
 }
--- a/internal/fleet/digest.go
+++ b/internal/fleet/digest.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// digestBuckets is the number of buckets that facts are hashed into. It is part of the message format: with two bytes
-	// a bucket, the digests take half of a message.
+	// digestBuckets is the number of buckets that facts are hashed into. It is part of the message format: at two bytes
+	// per bucket, the bucket digests take up half of a message.
 	digestBuckets = 64
-	// digestMargin is the remaining lifetime below which a fact is left out of digests: the clocks of two relays disagree
-	// on the moment at which it expires.
+	// digestMargin is the remaining lifetime below which a fact is left out of digests. Two relays disagree slightly on a
+	// fact's age; without the margin, their digests would differ whenever only one of them counts a fact as expired.
 	digestMargin = time.Second
 )
 
-// BucketDigests holds a digest for each bucket of facts. Two relays whose digests of a bucket differ hold different facts
-// in it.
+// BucketDigests holds one digest for each bucket of facts. If the digests of a bucket differ between two relays, so do their
+// facts in that bucket.
 type BucketDigests [digestBuckets]uint16
 
-// BucketDigests returns the digests of the facts that anti-entropy compares: all but periodic ones and those about to expire.
+// BucketDigests returns the digests, by bucket, of the facts that anti-entropy compares (see eachComparable).
 func (s *Store) BucketDigests(now time.Duration) (digests BucketDigests) {
 	s.eachComparable(now, func(fact Fact) {
 		hash := fact.hash()
@@ -28,21 +28,23 @@
 	return digests
 }
 
-// Digest returns one digest of the same facts. It is a sum over hashes, so it does not depend on their order.
+// Digest returns one digest over all facts that anti-entropy compares. It is a sum of hashes, so the order of the facts does
+// not matter.
 func (s *Store) Digest(now time.Duration) uint32 {
 	var sum uint64
 	s.eachComparable(now, func(fact Fact) { sum += fact.hash() })
 	return uint32(sum ^ sum>>32)
 }
 
-// eachComparable calls yield with each fact that anti-entropy compares.
+// eachComparable calls yield with each fact that anti-entropy compares: all facts except those of periodic kinds and those
+// that expire within digestMargin.
 func (s *Store) eachComparable(now time.Duration, yield func(Fact)) {
-	for about, origins := range s.origins {
-		if about.kind.periodic() {
+	for factSubject, origins := range s.origins {
+		if factSubject.kind.periodic() {
 			continue
 		}
 		for _, origin := range origins {
-			fact := s.facts[FactID{about.kind, origin, about.key}]
+			fact := s.facts[FactID{factSubject.kind, origin, factSubject.key}]
 			if now-fact.ObservedAt < Lifetimes[fact.Kind].ExpiresAfter-digestMargin {
 				yield(fact)
 			}
@@ -50,10 +52,10 @@
 	}
 }
 
-// bucket returns the bucket of the fact's ID.
+// bucket returns the index of the bucket that the fact's ID is hashed into.
 func (f Fact) bucket() int {
 	return int(xxhash.Sum64String(f.Key+"\x00"+string(rune(f.Kind))+string(rune(f.Origin))) % digestBuckets)
 }
 
-// hash returns a hash of the fact without its age, which differs between relays.
+// hash returns a hash of the fact. The age is left out because it differs between relays.
 func (f Fact) hash() uint64 { return xxhash.Sum64(f.appendTo(nil, 0)) }
--- a/internal/fleet/dissemination_test.go
+++ b/internal/fleet/dissemination_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// A fact reaches 99% of 200 relays within 300 ms with a tenth of all messages lost, and within 1 s with three tenths.
+// A new fact must reach 99% of 200 relays within 300 ms at a loss rate of up to 10%, within 1 s at 30%, and within 8 s at 50%.
+// Too few transmissions for the loss rate make it slower.
 func TestDissemination(t *testing.T) {
 	for _, c := range []struct {
 		loss   float64
@@ -17,7 +18,7 @@
 		for seed := range uint64(5) {
 			s := newSimulation(200, c.loss, seed)
 			s.run(3*time.Second, nil)
-			for _, node := range s.nodes { // the estimate takes several heartbeats: see TestLossEstimator
+			for _, node := range s.nodes { // set directly, since an estimate takes many heartbeats: see TestLossEstimator
 				node.losses.rate = c.loss
 			}
 			s.nodes[17].Observe(KindDestinationClosed, "7", 500, false, s.now, s.now)
@@ -31,8 +32,8 @@
 	}
 }
 
-// A fact reaches a fleet of a thousand, and of ten thousand, as fast as one of two hundred, and an idle relay sends no more
-// there.
+// A new fact must reach 99% of a fleet of 1,000 or 10,000 relays within 1 s, and an idle relay must send at most 40 bytes a second
+// there, so that the protocol scales with the size of the fleet.
 func TestLargeFleet(t *testing.T) {
 	for _, c := range []struct {
 		relays int
@@ -60,7 +61,7 @@
 	}
 }
 
-// Relays estimate the loss rate by heartbeats and adapt the transmit limit to it.
+// Relays must estimate the loss rate from gaps in heartbeats to within 0.15, and adapt the transmit limit to it.
 func TestLossEstimator(t *testing.T) {
 	for _, c := range []struct {
 		loss             float64
@@ -71,13 +72,13 @@
 		for i, node := range s.nodes {
 			limit := node.losses.transmitLimit()
 			if math.Abs(node.losses.rate-c.loss) > 0.15 || limit < c.minTransmitLimit || c.loss == 0 && limit > 1 {
-				t.Errorf("loss %v: relay %d estimates %.2f and transmits %d times", c.loss, i, node.losses.rate, limit)
+				t.Errorf("loss %v: relay %d estimates a loss rate of %.2f and transmits facts %d times", c.loss, i, node.losses.rate, limit)
 			}
 		}
 	}
 }
 
-// An idle relay sends less than 40 bytes a second, also in a large fleet.
+// An idle relay must send at most 40 bytes a second, independent of the size of the fleet, and count all relays as live.
 func TestIdleTraffic(t *testing.T) {
 	for _, relays := range []int{10, 60, 300} {
 		s := newSimulation(relays, 0.1, 1)
@@ -87,18 +88,18 @@
 		rate := float64(s.bytesSent-before) / 60 / float64(relays)
 		t.Logf("%d relays: %.1f B/s each", relays, rate)
 		if rate > 40 {
-			t.Errorf("%d relays send %.1f B/s each when idle", relays, rate)
+			t.Errorf("%d relays: each sends %.1f B/s when idle, want at most 40", relays, rate)
 		}
 		for _, node := range s.nodes {
 			if live := node.LiveMembers(s.now); len(live) != relays {
-				t.Fatalf("of %d relays one counts %d as live", relays, len(live))
+				t.Fatalf("fleet of %d relays: a relay counts only %d as live", relays, len(live))
 			}
 		}
 	}
 }
 
-// A fleet that was partitioned, with new facts on both sides, converges after the partition heals, a relay that joins
-// included.
+// After a partition during which each side gained new facts, all relays must have the same facts within 20 s, including a relay
+// that starts when the partition heals. Broadcasts don't cross the partition, so this depends on anti-entropy.
 func TestPartitionHeals(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
 		s := newSimulation(60, loss, 3)
@@ -110,20 +111,21 @@
 		}
 		s.run(s.now+3*time.Second, nil)
 		if s.coverage(KindEndpointEjected, "left0") > 0.5 || s.coverage(KindEndpointEjected, "right0") > 0.5 {
-			t.Fatal("messages pass the partition")
+			t.Fatal("facts crossed the partition: the simulation does not drop messages between the two sides")
 		}
 		s.cut = func(int, int) bool { return false }
 		s.nodes[44] = NewNode(44, 60, 2, "v", 0, 9, s.now)
 		healed := s.now
 		at, ok := s.run(s.now+20*time.Second, s.converged)
 		if !ok || s.coverage(KindEndpointEjected, "left3") < 1 || s.coverage(KindEndpointEjected, "right3") < 1 {
-			t.Errorf("loss %v: not converged %v after the partition healed", loss, at-healed)
+			t.Errorf("loss %v: relays still have different facts %v after the partition healed", loss, at-healed)
 		}
 		t.Logf("loss %v: converged after %v", loss, at-healed)
 	}
 }
 
-// A relay that has stopped is suspected and then no longer live, and one that was isolated for long has no expired facts.
+// A relay without contact must become suspected and no longer count as live at the others, and must itself drop facts that expire
+// while it is isolated.
 func TestFailureDetection(t *testing.T) {
 	s := newSimulation(20, 0.1, 1)
 	s.run(10*time.Second, nil)
@@ -132,9 +134,9 @@
 	s.cut = func(from, to int) bool { return from == 5 || to == 5 }
 	s.run(s.now+5*minHeartbeatInterval+3*time.Second, nil)
 	if live := s.nodes[0].LiveMembers(s.now); slices.Contains(live, 5) || len(live) != 19 || !s.nodes[0].Suspected(5, s.now) {
-		t.Errorf("live members: %v", live)
+		t.Errorf("live members %v, want 19 members, without relay 5, which is suspected", live)
 	}
 	if facts := s.nodes[5].Facts(KindDestinationClosed, s.now); len(facts) > 0 {
-		t.Errorf("the isolated relay still has %+v", facts)
+		t.Errorf("the isolated relay still returns the expired facts %+v", facts)
 	}
 }
--- a/internal/fleet/gossip_capacity_bench_test.go
+++ b/internal/fleet/gossip_capacity_bench_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// nodeWithFacts returns a node of a fleet of 1,200 that has facts about closed destinations, five origins for each.
+// nodeWithFacts returns a node of a fleet of 1,200 relays that has the given number of facts about closed destinations, with five
+// origins for each destination.
 func nodeWithFacts(facts int) *Node {
 	const relays, origins = 1200, 5
 	n := NewNode(0, relays, 1, "v", 0, 1, 0)
@@ -18,14 +19,15 @@
 	return n
 }
 
-// BenchmarkFacts measures what facts cost a node by their number: memory, and the digests and the removal of expired facts that
-// run with each comparison. A caller waits for them at most that long.
+// BenchmarkFacts measures the cost per fact of a node's store, by the number of facts: the memory, and the time to compute the
+// digest ("digest") and the bucket digests ("sums") and to remove expired facts ("sweep"). Anti-entropy runs these while other
+// callers of the service wait for its lock.
 func BenchmarkFacts(b *testing.B) {
 	for _, facts := range []int{490, 4_900, 49_000, 98_000} {
 		before := heapInUse()
 		n := nodeWithFacts(facts)
 		memory := (heapInUse() - before) / float64(len(n.facts))
-		parts := []struct {
+		operations := []struct {
 			name string
 			work func()
 		}{
@@ -33,10 +35,10 @@
 			{"sums", func() { n.BucketDigests(time.Second) }},
 			{"sweep", func() { n.RemoveExpired(time.Second) }},
 		}
-		for _, part := range parts {
-			b.Run(fmt.Sprintf("%s/%d", part.name, facts), func(b *testing.B) {
+		for _, operation := range operations {
+			b.Run(fmt.Sprintf("%s/%d", operation.name, facts), func(b *testing.B) {
 				for b.Loop() {
-					part.work()
+					operation.work()
 				}
 				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(len(n.facts)), "ns/fact")
 				b.ReportMetric(memory, "B/fact")
@@ -46,7 +48,7 @@
 	}
 }
 
-// BenchmarkReceivedFact measures a received datagram with one new fact: its size, and the time to merge it.
+// BenchmarkReceivedFact measures the size of a datagram with one new fact, and the time to encode, decode and merge it.
 func BenchmarkReceivedFact(b *testing.B) {
 	for _, facts := range []int{490, 49_000} {
 		b.Run(fmt.Sprint(facts), func(b *testing.B) {
@@ -65,7 +67,8 @@
 	}
 }
 
-// BenchmarkHeartbeat measures a received heartbeat, and the list of live members, by their number.
+// BenchmarkHeartbeat measures the time to process a received heartbeat ("heard") and to list the live members ("live"), by the
+// number of relays.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, relays := range []int{60, 300, 1200} {
 		b.Run(fmt.Sprintf("heard/%d", relays), func(b *testing.B) {
@@ -90,8 +93,8 @@
 	}
 }
 
-// BenchmarkDetection measures in virtual time, with a tenth of the datagrams lost, how long a fleet takes to detect a relay that
-// crashed, and what each relay sends when idle. 1,200 relays take minutes: -benchtime 1x.
+// BenchmarkDetection measures in virtual time, at a loss rate of 10%, how long the relays of a fleet take to count a crashed relay
+// as failed, and the traffic of each relay meanwhile. A simulation of 1,200 relays takes minutes: use -benchtime 1x.
 func BenchmarkDetection(b *testing.B) {
 	for _, relays := range []int{60, 300, 1200} {
 		b.Run(fmt.Sprint(relays), func(b *testing.B) {
@@ -107,7 +110,7 @@
 	b.Helper()
 	s := newSimulation(relays, 0.1, seed)
 	interval := s.nodes[0].HeartbeatInterval()
-	s.run(6*interval, nil) // all have received heartbeats of all, and none counts as just started
+	s.run(6*interval, nil) // by now heartbeats have reached all relays, and the failure timeout has passed since the start
 	sent, received, crashedAt := s.bytesSent, s.bytes, s.now
 	unknown := 0
 	for _, node := range s.nodes {
@@ -125,7 +128,7 @@
 	}
 	all := s.now - crashedAt
 	if detected < relays-1 {
-		b.Fatalf("%d of %d have detected it after %v", detected, relays-1, all)
+		b.Fatalf("%d of %d relays have detected the crash after %v", detected, relays-1, all)
 	}
 	seconds := all.Seconds()
 	b.ReportMetric(interval.Seconds(), "s-heartbeat")
@@ -136,7 +139,7 @@
 	b.ReportMetric(100*float64(unknown)/float64(relays*relays), "%-members-unknown")
 }
 
-// countDetected returns the number of relays that count a crashed one as failed.
+// countDetected returns the number of relays that count the crashed relay as failed.
 func (s *simulation) countDetected(crashed int) (detected int) {
 	for i, node := range s.nodes {
 		if i != crashed && node.silence(crashed, s.now) >= node.heartbeatIntervals(failureTimeout) {
@@ -154,8 +157,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkHeal measures in virtual time how long a fleet of 60 takes to converge after a partition, by the number of new facts
-// on each side, and the bytes that each relay receives until then. It runs for less than the 30 s after which the facts expire.
+// BenchmarkHeal measures in virtual time how long a fleet of 60 relays takes to converge after a partition, by the number of new
+// facts on each side, and the rate at which each relay receives bytes until then. A run ends before the facts expire after 30 s.
 func BenchmarkHeal(b *testing.B) {
 	const relays = 60
 	for _, facts := range []int{10, 100, 300, 1_000} {
@@ -174,7 +177,7 @@
 				healed, before := s.now, s.bytes
 				at, ok := s.run(healed+25*time.Second, s.converged)
 				if !ok {
-					b.Logf("%d facts on each side: not converged %v after the partition healed", facts, at-healed)
+					b.Logf("%d facts on each side: relays still have different facts %v after the partition healed", facts, at-healed)
 				}
 				seconds += (at - healed).Seconds()
 				received += float64(s.bytes-before) / relays
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -8,10 +8,10 @@
 // zoneBits is the number of low bits of a heartbeat's value that hold the zone; the others hold its sequence number.
 const zoneBits = 8
 
-// zoneMask covers the zone in a heartbeat's value.
+// zoneMask selects the zone in a heartbeat's value.
 const zoneMask = 1<<zoneBits - 1
 
-// Zone returns the zone of the origin of a heartbeat.
+// Zone returns the zone of the origin. The fact must be a heartbeat (KindMember).
 func (f Fact) Zone() int { return int(f.Value & zoneMask) }
 
 // HeartbeatInterval returns the mean interval between the heartbeats of one relay.
@@ -19,7 +19,7 @@
 	return max(minHeartbeatInterval, time.Duration(n.size)*heartbeatIntervalPerRelay)
 }
 
-// heartbeat returns a message to all relays with a heartbeat and the send rates that were set since the last one.
+// heartbeat returns a message to all relays with a heartbeat and the send rates that were set since the previous heartbeat.
 func (n *Node) heartbeat(now time.Duration) Outgoing {
 	n.nextHeartbeatAt = now + n.jitter(n.HeartbeatInterval())
 	n.heartbeatSeq++
@@ -41,17 +41,18 @@
 	seq         uint64
 }
 
-// lossEstimator estimates the share of messages that are lost by gaps in the sequence numbers of members' heartbeats.
+// lossEstimator estimates the share of messages that the network loses, from gaps in the sequence numbers of the heartbeats
+// of other relays.
 type lossEstimator struct {
-	rate float64
-	last map[int]heartbeatID // the latest of each member that was received first-hand
+	rate float64             // estimated loss rate, from 0 to 1
+	last map[int]heartbeatID // latest heartbeat received directly from each relay, by its number
 }
 
 func newLossEstimator() lossEstimator {
 	return lossEstimator{rate: initialLossRate, last: map[int]heartbeatID{}}
 }
 
-// record takes in a heartbeat that was received first-hand.
+// record updates the estimate with a heartbeat that was received directly from its origin.
 func (e *lossEstimator) record(fact Fact) {
 	last := e.last[int(fact.Origin)]
 	current := heartbeatID{fact.Incarnation, fact.Value >> zoneBits}
@@ -65,7 +66,8 @@
 	}
 }
 
-// transmitLimit returns how often to broadcast a fact so that it misses at most acceptedMissShare of the fleet.
+// transmitLimit returns how many times to broadcast a fact so that the expected share of relays that receive none of the
+// broadcasts is at most acceptedMissShare. The result is between 1 and maxTransmits.
 func (e *lossEstimator) transmitLimit() int {
 	lossRate := min(maxLossRate, max(minLossRate, e.rate))
 	wanted := math.Log(acceptedMissShare) / math.Log(lossRate)
--- a/internal/fleet/join_test.go
+++ b/internal/fleet/join_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// joinRequestTargets runs a simulation for some time with a node in place of relay self, and returns the relays from which it
-// requests state.
+// joinRequestTargets replaces relay self by the node, runs the simulation for the duration, and returns the relays to which the
+// node sends join requests.
 func joinRequestTargets(s *simulation, self int, node *Node, duration time.Duration) map[int]bool {
 	s.nodes[self] = node
 	targets := map[int]bool{}
@@ -26,8 +26,8 @@
 	return targets
 }
 
-// A joining relay requests state from one relay, from another if that does not answer, never from all; and soon has the
-// send rates of the fleet.
+// A joining relay must send each join request to a single relay, at most maxJoinRequests in total and few if answers arrive. Within
+// 2 s it must have the send rates and reports that the fleet already knew, although it received no broadcast of them.
 func TestJoin(t *testing.T) {
 	for _, loss := range []float64{0, 0.3, 1} {
 		s := newSimulation(60, 0, 1)
@@ -41,7 +41,7 @@
 		node := NewNode(44, 60, 2, "v", 0, 9, s.now)
 		targets := joinRequestTargets(s, 44, node, 2*time.Second)
 		if len(targets) < 1 || len(targets) > maxJoinRequests || targets[AllRelays] || loss == 0 && len(targets) > 2 {
-			t.Errorf("loss %v: state was requested from %v", loss, targets)
+			t.Errorf("loss %v: join requests were sent to %v, want 1 to 4 single relays, and at most 2 without loss", loss, targets)
 		}
 		rates := 0
 		for destination := range 10 {
@@ -50,7 +50,8 @@
 			}
 		}
 		if closed, _ := node.CountReporters(KindDestinationClosed, "7", s.now); loss < 1 && (rates < 10 || closed == 0) {
-			t.Errorf("loss %v: has the rates of %d of 10 destinations, and %d reports of a closed one", loss, rates, closed)
+			t.Errorf("loss %v: the joined relay has the rates of %d of 10 destinations and %d reports of the closed destination",
+				loss, rates, closed)
 		}
 	}
 }
--- a/internal/fleet/live/incarnation.go
+++ b/internal/fleet/live/incarnation.go
@@ -11,12 +11,12 @@
 	"milletsail/internal/clock"
 )
 
-// incarnationFile is the file of the last incarnation in a relay's state directory.
+// incarnationFile is the name of the file in a relay's state directory that holds the incarnation of its last process.
 const incarnationFile = "incarnation"
 
-// NextIncarnation returns and stores the incarnation of a process that starts. It is higher than that of the process before
-// with the same state directory, even if the wall clock was set back; if the directory was lost, it is the wall clock's time in
-// seconds since 1970.
+// NextIncarnation returns the incarnation of a starting process and stores it in dir, the relay's state directory. It is the
+// wall time in seconds since 1970, or one more than the stored incarnation if that is higher, so that incarnations increase even
+// if the wall clock is set back. Without a readable stored incarnation, it is the wall time.
 func NextIncarnation(dir string) uint32 {
 	path := filepath.Join(dir, incarnationFile)
 	next := uint32(clock.ReadWall().Seconds())
@@ -26,7 +26,7 @@
 		}
 	}
 	if err := atomicfile.Replace(path, []byte(strconv.FormatUint(uint64(next), 10)+"\n")); err != nil {
-		// If the wall clock is set back before the next start, other relays take that process's facts for old ones.
+		// If the wall clock is set back before the next start, other relays will ignore the facts of the next process as old.
 		slog.Warn("incarnation not stored", "incarnation", next, "error", err)
 	}
 	return next
--- a/internal/fleet/live/observe.go
+++ b/internal/fleet/live/observe.go
@@ -7,8 +7,8 @@
 	"milletsail/internal/fleet"
 )
 
-// Observe broadcasts an observation that this relay made some time ago, and calls OnAssessment. A common one is made by many
-// relays at once, of which only some broadcast it.
+// Observe broadcasts an observation that this relay made the given age ago, and calls OnAssessment. If common is set, many relays
+// make the same observation at about the same time, and only some of them broadcast it (see fleet.Node.Observe).
 func (s *Service) Observe(kind fleet.Kind, key string, value uint64, common bool, age time.Duration) {
 	s.mu.Lock()
 	now := s.now()
@@ -22,7 +22,8 @@
 	}
 }
 
-// observeEndpoint broadcasts an observation on an endpoint, unless this relay has done so within the repeat interval.
+// observeEndpoint broadcasts an observation on an endpoint, unless this relay has a report of the same kind that is younger than
+// repeatInterval.
 func (s *Service) observeEndpoint(kind fleet.Kind, endpoint string) {
 	s.mu.Lock()
 	own, ok := s.node.Get(fleet.FactID{Kind: kind, Origin: uint16(s.options.Self), Key: endpoint}, s.now())
@@ -32,7 +33,7 @@
 	}
 }
 
-// ObserveHealth broadcasts that this relay has ejected an endpoint, or that the endpoint has recovered.
+// ObserveHealth broadcasts that this relay has ejected the endpoint or, if ejected is false, that the endpoint has recovered.
 func (s *Service) ObserveHealth(endpoint string, ejected bool) {
 	if s == nil {
 		return
@@ -44,8 +45,8 @@
 	s.observeEndpoint(kind, endpoint)
 }
 
-// ObserveFailure broadcasts that a request to an endpoint failed, if any relay has it ejected: the endpoint has not
-// recovered.
+// ObserveFailure is called when a request to an endpoint failed. If any relay has reported the endpoint as ejected, this relay
+// reports it as ejected too, because the failure shows that it has not recovered.
 func (s *Service) ObserveFailure(endpoint string) {
 	if s == nil {
 		return
@@ -58,8 +59,8 @@
 	}
 }
 
-// ObserveRate sets this relay's send rate to a destination, as a multiple of an even share of the listed rate, and the number
-// of requests a second that arrive for it. The next heartbeat announces them.
+// ObserveRate sets this relay's rates for a destination, which the next heartbeat announces: rateShare is the send rate as a
+// multiple of an even share of the listed rate, arrivalRate the number of requests a second that arrive for the destination.
 func (s *Service) ObserveRate(dest int, rateShare, arrivalRate float64) {
 	if s == nil {
 		return
--- a/internal/fleet/live/view_capacity_bench_test.go
+++ b/internal/fleet/live/view_capacity_bench_test.go
@@ -8,7 +8,8 @@
 	"milletsail/internal/fleet"
 )
 
-// BenchmarkReceivedFact measures a received message with one new fact, including the assessment that follows from it.
+// BenchmarkReceivedFact measures the time to process a received message with one new fact, including the new assessment, by the
+// number of relays.
 func BenchmarkReceivedFact(b *testing.B) {
 	for _, relays := range []int{60, 300, 1200} {
 		b.Run(fmt.Sprint(relays), func(b *testing.B) {
@@ -25,7 +26,7 @@
 						datagrams = append(datagrams, send.Message)
 					}
 				}
-				now += time.Minute // each is broadcast in a message of its own
+				now += time.Minute // each fact is broadcast in a message of its own
 				sender.RemoveExpired(now)
 			}
 			i := 0
@@ -39,16 +40,16 @@
 				i++
 			}
 			if reported == 0 {
-				b.Fatal("no fact was new")
+				b.Fatal("OnAssessment was not called: no received fact was new")
 			}
-			// Heartbeats, which are among the messages and cause no assessment, cost little in comparison.
+			// The messages include heartbeats. These cause no assessment, and their cost is small in comparison.
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(reported), "ns/fact")
 		})
 	}
 }
 
-// BenchmarkView measures a view as JSON by the number of facts: the time for which the service is locked and the text is
-// encoded, and its size.
+// BenchmarkView measures the time to create a view and encode it as JSON, and the size of the JSON, per fact and by the number of
+// facts. The service is locked while the view is created.
 func BenchmarkView(b *testing.B) {
 	for _, facts := range []int{490, 4_900, 49_000} {
 		b.Run(fmt.Sprint(facts), func(b *testing.B) {
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// A message is one datagram: a header, then as many facts as fit.
+// A message is one datagram: a header, followed by as many facts as fit. Numbers are sizes in bytes.
 //
-//	mark 1 | version 1 | flags 1 | digest 4, with flagDigest | bucket digests 2 each, with flagBucketDigests
-//	facts: kind 1, origin, incarnation, seq, value, age in ms, key size (varints), key
+//	header: magic 1 | version 1 | flags 1 | digest 4, if flagDigest | bucket digests 2 each, if flagBucketDigests
+//	fact:   kind 1 | origin, incarnation, seq, value, age in ms, key size: one varint each | key
 
 const (
-	// MessageMagic is the first byte of a message. Datagrams of the other formats between relays start with another byte.
+	// MessageMagic is the first byte of a gossip message. The other kinds of datagrams between relays start with another byte.
 	MessageMagic byte = 'F'
-	// FormatVersion is the version of the format. Messages of another version are ignored: relays work without gossip
-	// during a rolling upgrade.
+	// FormatVersion is the version of the message format. Messages of another version are ignored. Relays work without
+	// gossip, so this does no harm during a rolling upgrade.
 	FormatVersion = 1
 	// MaxMessageSize is the maximum size of a datagram between relays, in bytes.
 	MaxMessageSize = 256
 	// maxKeySize is the maximum size of a fact's key, in bytes.
 	maxKeySize = 64
-	// headerSize is the size of mark, version and flags, in bytes.
+	// headerSize is the size of magic byte, version and flags, in bytes.
 	headerSize = 3
 	// digestSize is the size of a digest, in bytes.
 	digestSize = 4
 	// bucketDigestSize is the size of one bucket's digest, in bytes.
 	bucketDigestSize = 2
-	// maxAge is the age that older facts are decoded with. It exceeds all lifetimes.
+	// maxAge is the upper bound of the decoded age of a fact. It exceeds all lifetimes, so no usable fact is affected.
 	maxAge = time.Hour
 )
 
 // Flags of a message.
 const (
-	flagDigest        byte = 1 << iota // a digest follows
-	flagAnswer                         // the sender answers a digest that differed, and wants the bucket digests of its peer
-	flagJoin                           // the sender has just started and asks for state
-	flagJoinAnswer                     // the answer to flagJoin
-	flagBucketDigests                  // bucket digests follow
+	flagDigest        byte = 1 << iota // the message contains a digest
+	flagAnswer                         // the message answers a digest that differs, and requests the peer's bucket digests
+	flagJoin                           // the sender has just started and requests facts
+	flagJoinAnswer                     // the message answers a message with flagJoin
+	flagBucketDigests                  // the message contains bucket digests
 )
 
-// errMalformedMessage says that a datagram is no complete message of this version.
+// errMalformedMessage is returned for a datagram that is not a complete, valid message of this format version.
 var errMalformedMessage = errors.New("malformed gossip message")
 
 // message is a decoded message.
@@ -49,29 +49,30 @@
 	flags   byte
 	digest  uint32
 	buckets BucketDigests
-	facts   []Fact // ObservedAt is the negated age: the receiver adds its clock
+	facts   []Fact // ObservedAt holds the negated age; the receiver adds its current time
 }
 
-// appendTo appends the encoding of the fact at an age.
+// appendTo appends the encoding of the fact, with the given age, to data.
 func (f Fact) appendTo(data []byte, age time.Duration) []byte {
 	data = append(data, byte(f.Kind))
 	data = binary.AppendUvarint(data, uint64(f.Origin))
 	data = binary.AppendUvarint(data, uint64(f.Incarnation))
 	data = binary.AppendUvarint(data, uint64(f.Seq))
 	data = binary.AppendUvarint(data, f.Value)
-	// Rounded up: no hop makes a fact younger.
+	// The age is rounded up, so that a fact does not get younger as relays forward it.
 	data = binary.AppendUvarint(data, uint64((max(0, age)+time.Millisecond-1)/time.Millisecond))
 	data = binary.AppendUvarint(data, uint64(len(f.Key)))
 	return append(data, f.Key...)
 }
 
-// encodeMessage returns a message with a digest, if flagDigest is set, and the leading facts that fit; encoded is their
-// number.
+// encodeMessage returns a message with the given facts, up to the first that does not fit; encoded is the number of facts
+// included. The digest is included only if flagDigest is set.
 func encodeMessage(flags byte, digest uint32, facts []Fact, now time.Duration) (data []byte, encoded int) {
 	return encodeWithBuckets(flags, digest, nil, facts, now)
 }
 
-// encodeWithBuckets is encodeMessage with bucket digests, unless they are nil.
+// encodeWithBuckets is like encodeMessage, and also includes the bucket digests and sets flagBucketDigests if buckets is
+// not nil.
 func encodeWithBuckets(
 	flags byte, digest uint32, buckets *BucketDigests, facts []Fact, now time.Duration,
 ) (data []byte, encoded int) {
@@ -129,7 +130,7 @@
 	return decoded, nil
 }
 
-// decodeFact decodes the fact at the start of data, which must not be empty, and returns what follows it.
+// decodeFact decodes the fact at the start of data, which must not be empty, and returns the bytes that follow it.
 func decodeFact(data []byte) (fact Fact, remaining []byte, err error) {
 	fact.Kind, remaining = Kind(data[0]), data[1:]
 	var origin, incarnation, seq, ageMillis, keySize uint64
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// AllRelays is the receiver of a message to all other relays.
+// AllRelays is the value of Outgoing.To for a message to all other relays.
 const AllRelays = -1
 
 // Outgoing is a message to send.
 type Outgoing struct {
-	To      int // number of a relay, or AllRelays
+	To      int // number of the receiving relay, or AllRelays
 	Message []byte
 }
 
-// Node is the gossip protocol of one relay. Times are durations since an arbitrary start, by a monotonic clock.
+// Node runs the gossip protocol of one relay. All times are durations since an arbitrary start, by a monotonic clock that the
+// caller reads.
 type Node struct {
 	*Store
-	self        uint16
-	size        int // number of relays in the configuration
+	self        uint16 // number of this relay
+	size        int    // number of relays in the configuration
 	incarnation uint32
-	seq         uint32 // of the last fact
-	version     string
-	zone        uint64
+	seq         uint32 // sequence number of the last fact that this relay published
+	version     string // version of the program
+	zone        uint64 // zone of this relay, within zoneMask
 	rng         *rand.Rand
 	startedAt   time.Duration
 
 	broadcasts      transmitLimitedQueue
 	join            joinState
 	losses          lossEstimator
-	lastReceivedAt  map[int]time.Duration // time of the last message, by relay
+	lastReceivedAt  map[int]time.Duration // time of the last message from each relay, by its number
 	nextHeartbeatAt time.Duration
 	nextDigestAt    time.Duration
-	heartbeatSeq    uint64
+	heartbeatSeq    uint64            // sequence number of the last heartbeat of this relay
 	pendingRates    map[string]uint64 // send rates to announce with the next heartbeat, by destination
 }
 
-// NewNode returns a node without facts. incarnation must grow with each process of a relay.
+// NewNode returns a node without facts. Each process of a relay must have a higher incarnation than the process before, since
+// other relays ignore facts with a lower one.
 func NewNode(self, size int, incarnation uint32, version string, zone int, seed uint64, now time.Duration) *Node {
 	node := &Node{
 		Store:          NewStore(),
@@ -56,9 +58,9 @@
 	return node
 }
 
-// Observe records an observation of this relay, made at observedAt, and enqueues it for broadcast. Many relays make a
-// common observation at about the same time: if one was reported within the dedup window, only a random few of the others
-// report theirs, since each further report adds little and costs as much.
+// Observe records an observation that this relay made at observedAt, and enqueues it for broadcast. A common observation is
+// one that many relays make at about the same time: if it was already reported within dedupWindow, only a random few of the
+// other relays record and report it too, since each further report adds little information at the same cost.
 func (n *Node) Observe(kind Kind, key string, value uint64, common bool, observedAt, now time.Duration) {
 	if len(key) > maxKeySize {
 		return
@@ -73,7 +75,7 @@
 	n.broadcasts.enqueue(fact, now)
 }
 
-// newFact returns a fact of this relay with the next version.
+// newFact returns a fact of this relay with the next sequence number.
 func (n *Node) newFact(kind Kind, key string, value uint64, observedAt time.Duration) Fact {
 	n.seq++
 	return Fact{
@@ -85,15 +87,15 @@
 	}
 }
 
-// ObserveRate sets this relay's send rate to a destination, as EncodeRate returns it. The next heartbeat announces the
-// latest value.
+// ObserveRate sets this relay's send rate to the destination with the given key; value is the result of EncodeRate. The next
+// heartbeat announces the latest value.
 func (n *Node) ObserveRate(key string, value uint64) {
 	if len(key) <= maxKeySize {
 		n.pendingRates[key] = value
 	}
 }
 
-// NextTick returns the time at which Tick has work to do.
+// NextTick returns the time at which Tick has to be called next.
 func (n *Node) NextTick() time.Duration {
 	next := min(n.nextHeartbeatAt, n.nextDigestAt)
 	if n.joining() {
@@ -102,7 +104,7 @@
 	return n.broadcasts.nextDueAt(next)
 }
 
-// Tick returns the messages that are due.
+// Tick returns the messages that are due at now: heartbeats, join requests, broadcasts and digests.
 func (n *Node) Tick(now time.Duration) (out []Outgoing) {
 	if now >= n.nextHeartbeatAt {
 		out = append(out, n.heartbeat(now))
@@ -117,8 +119,8 @@
 	return out
 }
 
-// Receive takes in a message of another relay, and returns the answers and the facts that were new. A message that can't be
-// decoded is ignored.
+// Receive processes a message from another relay. It returns the answers to send and the facts that were new to this relay.
+// A message that can't be decoded is ignored.
 func (n *Node) Receive(from int, data []byte, now time.Duration) (out []Outgoing, fresh []Fact) {
 	received, err := decodeMessage(data)
 	if err != nil || from == int(n.self) {
@@ -135,8 +137,8 @@
 	return n.reconcile(from, &received, now), fresh
 }
 
-// mergeAll merges the facts of a message and returns the new ones. This relay is the only writer of its own facts: those of
-// a message come from an earlier process or are forged, and are ignored.
+// mergeAll merges the facts of a message and returns the new ones. Facts with this relay as their origin are ignored: only
+// this relay writes them, so those in a message are copies, date from an earlier process or are forged.
 func (n *Node) mergeAll(from int, facts []Fact, now time.Duration) (fresh []Fact) {
 	for _, fact := range facts {
 		fact.ObservedAt += now
@@ -151,7 +153,7 @@
 	return fresh
 }
 
-// randomPeer returns another relay, if there is one.
+// randomPeer returns the number of a random other relay, or false if the fleet has no other.
 func (n *Node) randomPeer() (int, bool) {
 	if n.size < 2 {
 		return 0, false
@@ -163,7 +165,7 @@
 	return peer, true
 }
 
-// jitter returns a random duration around an interval.
+// jitter returns the interval multiplied by a random factor: see jitterMin.
 func (n *Node) jitter(interval time.Duration) time.Duration {
 	return time.Duration((jitterMin + jitterSpan*n.rng.Float64()) * float64(interval))
 }
--- a/internal/fleet/rate.go
+++ b/internal/fleet/rate.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// rateScale is the number of units of the encoding in a share of one, or in one request a second.
+	// rateScale is the encoding of a share of 1, and of 1 request a second: rates are encoded in thousandths.
 	rateScale = 1000
-	// arrivalRateShift is the position of the arrival rate in the encoding; the send rate is in the bits below.
+	// arrivalRateShift is the lowest bit of the arrival rate in the encoding; the bits below hold the send rate.
 	arrivalRateShift = 16
-	// rateZoneShift is the position of the zone in the encoding.
+	// rateZoneShift is the lowest bit of the zone in the encoding.
 	rateZoneShift = 48
 )
 
-// RateSummary summarizes the send rates that other relays announce for one destination. The zero value is returned if there
-// are none.
+// RateSummary summarizes the send rates that other relays announce for one destination. The zero value means that no rate
+// is known.
 type RateSummary struct {
 	Reporters         int             // number of relays that announce a rate
 	RateShare         float64         // median send rate, as a multiple of an even share of the listed rate
 	ArrivalRate       float64         // mean number of requests a second that arrive at one relay for the destination
 	ArrivalRateError  float64         // standard error of ArrivalRate
-	ArrivalRateByZone map[int]float64 // ArrivalRate over the reporters of each zone
-	ValidFor          time.Duration   // how long the summary may be used
+	ArrivalRateByZone map[int]float64 // mean arrival rate at one relay of each zone that has a reporter, by zone
+	ValidFor          time.Duration   // remaining time until the youngest of the rates fades
 }
 
-// EncodeRate returns the value of a KindSendRate fact: the send rate as a multiple of an even share, the requests a second that
-// arrive, and the zone of the relay.
+// EncodeRate returns the value of a KindSendRate fact: the send rate as a multiple of an even share of the listed rate, the
+// arrival rate in requests a second, and the zone of the relay. Rates outside the range of the encoding are clamped to it.
 func EncodeRate(rateShare, arrivalRate float64, zone int) uint64 {
 	encode := func(rate, upper float64) uint64 { return uint64(math.Round(min(max(0, rate)*rateScale, upper))) }
 	return uint64(zone&zoneMask)<<rateZoneShift |
@@ -35,12 +35,13 @@
 		encode(rateShare, math.MaxUint16)
 }
 
-// decodeRate returns the rates of a value of EncodeRate.
+// decodeRate returns the rates in a value that EncodeRate returned.
 func decodeRate(value uint64) (rateShare, arrivalRate float64) {
 	return float64(value&math.MaxUint16) / rateScale, float64(value>>arrivalRateShift&math.MaxUint32) / rateScale
 }
 
-// SummarizeRates summarizes the send rates for a destination that relays other than self announce. Fading ones don't count.
+// SummarizeRates summarizes the send rates that relays other than self announce for the destination with the given key.
+// Fading rates are left out.
 func (s *Store) SummarizeRates(key string, self int, now time.Duration) (summary RateSummary) {
 	var shares, arrivals []float64
 	reportersByZone := map[int]float64{}
@@ -67,7 +68,7 @@
 	return summary
 }
 
-// median returns the median of values, which it sorts.
+// median returns the median of values. It sorts values in place.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	return (values[(len(values)-1)/2] + values[len(values)/2]) / 2
--- a/internal/fleet/rendezvous_test.go
+++ b/internal/fleet/rendezvous_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Keys are distributed evenly, and a member that leaves does not change the order of the others.
+// Keys must be distributed evenly over the members, and a member that leaves must not change the order of the others.
 func TestRank(t *testing.T) {
 	var live []int
 	for member := range 60 {
@@ -22,13 +22,13 @@
 			}
 			after := Rank(key, live[:59], member)
 			if rank > leaving && after != rank-1 || rank < leaving && after != rank {
-				t.Fatalf("key %s: member %d goes from rank %d to %d as the member of rank %d leaves", key, member, rank, after, leaving)
+				t.Fatalf("key %s: member %d went from rank %d to %d when the member of rank %d left", key, member, rank, after, leaving)
 			}
 		}
 	}
-	for member, keys := range owned { // 50 expected; five standard deviations
+	for member, keys := range owned { // the expected number is 50; the bounds are five standard deviations away
 		if keys < 15 || keys > 85 {
-			t.Errorf("member %d owns %d keys", member, keys)
+			t.Errorf("member %d owns %d keys, want 15 to 85", member, keys)
 		}
 	}
 }
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -8,19 +8,19 @@
 // simulationStep is the resolution of a simulation's clock.
 const simulationStep = 5 * time.Millisecond
 
-// simulation is a fleet in virtual time, which runs the same code as relays.
+// simulation runs a fleet of nodes in virtual time, with a network that loses and delays datagrams.
 type simulation struct {
 	nodes     []*Node
 	rng       *rand.Rand
 	loss      float64                 // share of lost datagrams
-	cut       func(from, to int) bool // whether the network drops all datagrams between two relays
+	cut       func(from, to int) bool // whether the network drops all datagrams from one relay to another
 	now       time.Duration
 	inFlight  []datagram
-	bytes     int // sent, counted once for each receiver
-	bytesSent int // sent, a broadcast counted once
+	bytes     int // total bytes sent, with a broadcast counted once for each receiver
+	bytesSent int // total bytes sent, with a broadcast counted once
 }
 
-// datagram is a message on its way.
+// datagram is a message in transit.
 type datagram struct {
 	arrivesAt time.Duration
 	from, to  int
@@ -35,7 +35,7 @@
 	return s
 }
 
-// send puts messages on their way, except those that are lost.
+// send puts messages into transit with a random delay of 1 to 20 ms, except those that are lost.
 func (s *simulation) send(from int, messages []Outgoing) {
 	for _, message := range messages {
 		s.bytesSent += len(message.Message)
@@ -52,7 +52,8 @@
 	}
 }
 
-// run advances the clock until a condition holds or the time is over, and reports whether it holds.
+// run advances the clock until the condition, if any, holds or until is reached. It returns the time and whether the condition
+// held.
 func (s *simulation) run(until time.Duration, condition func() bool) (at time.Duration, ok bool) {
 	for ; s.now < until; s.now += simulationStep {
 		s.deliver()
@@ -68,7 +69,7 @@
 	return s.now, false
 }
 
-// deliver has the relays receive the datagrams that have arrived.
+// deliver passes the datagrams that have arrived to their receivers and sends the answers.
 func (s *simulation) deliver() {
 	remaining := s.inFlight[:0]
 	var arrived []datagram
@@ -86,7 +87,7 @@
 	}
 }
 
-// coverage is the share of the fleet that has a fact of a kind and key.
+// coverage returns the share of the fleet that has an unexpired fact of the given kind and key.
 func (s *simulation) coverage(kind Kind, key string) float64 {
 	informed := 0
 	for _, node := range s.nodes {
@@ -97,7 +98,7 @@
 	return float64(informed) / float64(len(s.nodes))
 }
 
-// converged reports whether all relays have the same digest.
+// converged reports whether all relays have the same digest, and so the same facts.
 func (s *simulation) converged() bool {
 	for _, node := range s.nodes {
 		if node.Digest(s.now) != s.nodes[0].Digest(s.now) {
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// subject is what facts of several origins are about: one kind and key.
+// subject identifies all facts with the same kind and key; each origin has at most one such fact.
 type subject struct {
 	kind Kind
 	key  string
@@ -14,8 +14,8 @@
 // Store holds the facts that one relay knows. It is a state-based CRDT: Merge is commutative, associative and idempotent.
 type Store struct {
 	facts      map[FactID]Fact
-	origins    map[subject][]uint16      // that have a fact about the subject
-	knownSince map[subject]time.Duration // when the first fact about the subject was merged
+	origins    map[subject][]uint16      // origins of the stored facts about each subject
+	knownSince map[subject]time.Duration // time at which the first fact about each subject was merged
 }
 
 // NewStore returns an empty store.
@@ -23,8 +23,9 @@
 	return &Store{facts: map[FactID]Fact{}, origins: map[subject][]uint16{}, knownSince: map[subject]time.Duration{}}
 }
 
-// Merge adds a fact and reports whether it is both new and not expired. The later version wins; for equal versions the
-// earlier observation does.
+// Merge adds a fact to the store unless the store has a later version of it. It reports whether the fact is new, or newer than
+// the stored version, and has not expired. Two copies of the same version are combined (see mergeDuplicate). A fact of an
+// unknown kind is ignored.
 func (s *Store) Merge(fact Fact, now time.Duration) (fresh bool) {
 	if fact.Kind == 0 || fact.Kind >= kindEnd {
 		return false
@@ -45,7 +46,8 @@
 	return false
 }
 
-// mergeDuplicate merges two copies of one version, which may differ by the way on which each was received.
+// mergeDuplicate combines two copies of the same version, which may have been received through different relays. The result
+// has the earlier observation time and the higher value, and a copy that was received first-hand determines Via.
 func mergeDuplicate(old, duplicate Fact) Fact {
 	old.ObservedAt = min(old.ObservedAt, duplicate.ObservedAt)
 	old.Value = max(old.Value, duplicate.Value)
@@ -59,16 +61,16 @@
 	return old
 }
 
-// index adds a new ID to the indexes by subject.
+// index adds a new ID to origins and knownSince.
 func (s *Store) index(id FactID, now time.Duration) {
-	about := subject{id.Kind, id.Key}
-	if len(s.origins[about]) == 0 {
-		s.knownSince[about] = now
+	factSubject := subject{id.Kind, id.Key}
+	if len(s.origins[factSubject]) == 0 {
+		s.knownSince[factSubject] = now
 	}
-	s.origins[about] = append(s.origins[about], id.Origin)
+	s.origins[factSubject] = append(s.origins[factSubject], id.Origin)
 }
 
-// Get returns the fact with an ID, and whether there is one that has not expired.
+// Get returns the fact with the given ID, and reports whether it exists and has not expired.
 func (s *Store) Get(id FactID, now time.Duration) (AgedFact, bool) {
 	fact, ok := s.facts[id]
 	if !ok {
@@ -77,7 +79,7 @@
 	return fact.withAge(now)
 }
 
-// Facts returns the facts of one kind, or of all kinds for 0, that have not expired, ordered by kind, key and origin.
+// Facts returns the unexpired facts of one kind, or of all kinds if kind is 0, ordered by kind, key and origin.
 func (s *Store) Facts(kind Kind, now time.Duration) []AgedFact {
 	var all []AgedFact
 	for _, fact := range s.facts {
@@ -89,7 +91,7 @@
 	return all
 }
 
-// each calls yield with each fact of a kind and key that has not expired.
+// each calls yield with each unexpired fact of the given kind and key.
 func (s *Store) each(kind Kind, key string, now time.Duration, yield func(AgedFact)) {
 	for _, origin := range s.origins[subject{kind, key}] {
 		if aged, ok := s.facts[FactID{kind, origin, key}].withAge(now); ok {
@@ -98,13 +100,14 @@
 	}
 }
 
-// KnownFor returns how long ago the first fact of a kind and key was merged.
+// KnownFor returns the time since the first fact of the given kind and key was merged. The result is meaningful only while the
+// store has such a fact.
 func (s *Store) KnownFor(kind Kind, key string, now time.Duration) time.Duration {
 	return now - s.knownSince[subject{kind, key}]
 }
 
-// CountReporters returns the number of origins with a fact of a kind and key that has not expired, and the age of the
-// youngest such fact, or the kind's ExpiresAfter if there is none.
+// CountReporters returns the number of origins with an unexpired fact of the given kind and key, and the age of the youngest
+// such fact, or ExpiresAfter of the kind if there is none.
 func (s *Store) CountReporters(kind Kind, key string, now time.Duration) (origins int, youngest time.Duration) {
 	youngest = Lifetimes[kind].ExpiresAfter
 	s.each(kind, key, now, func(fact AgedFact) {
@@ -114,19 +117,19 @@
 	return origins, youngest
 }
 
-// RemoveExpired deletes expired facts. A deleted version can be received again only with the same or an earlier time of
-// observation, so it can't become usable again.
+// RemoveExpired deletes expired facts. If another relay sends a deleted version again, its age is at least as high as before,
+// so it cannot become usable again.
 func (s *Store) RemoveExpired(now time.Duration) {
 	for id, fact := range s.facts {
 		if now-fact.ObservedAt < Lifetimes[fact.Kind].ExpiresAfter {
 			continue
 		}
 		delete(s.facts, id)
-		about := subject{id.Kind, id.Key}
-		s.origins[about] = slices.DeleteFunc(s.origins[about], func(origin uint16) bool { return origin == id.Origin })
-		if len(s.origins[about]) == 0 {
-			delete(s.origins, about)
-			delete(s.knownSince, about)
+		factSubject := subject{id.Kind, id.Key}
+		s.origins[factSubject] = slices.DeleteFunc(s.origins[factSubject], func(origin uint16) bool { return origin == id.Origin })
+		if len(s.origins[factSubject]) == 0 {
+			delete(s.origins, factSubject)
+			delete(s.knownSince, factSubject)
 		}
 	}
 }
--- a/internal/fleet/store_test.go
+++ b/internal/fleet/store_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawFacts draws facts, many of them under the same few IDs.
+// drawFacts draws up to 12 facts. The IDs are drawn from a small set, so that many facts have the same ID.
 func drawFacts(t *rapid.T) []Fact {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Fact {
 		return Fact{
@@ -29,43 +29,43 @@
 	}), 0, 12).Draw(t, "facts")
 }
 
-// Merging is commutative, associative and idempotent, for any order and repetition of facts, and monotonic: no ID goes back
-// to an earlier version, and no fact gets younger.
+// Merging must give the same store for any order and repetition of the same facts, and must never return to an earlier version of a
+// fact or make a fact younger. Otherwise stores would not converge when messages are reordered or duplicated.
 func TestMerge(t *testing.T) {
 	const now = 5 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawFacts(t)
-		inOrder, shuffled := NewStore(), NewStore()
+		ordered, shuffled := NewStore(), NewStore()
 		for _, f := range all {
-			before, existed := inOrder.facts[f.FactID]
-			inOrder.Merge(f, now)
-			after := inOrder.facts[f.FactID]
+			before, existed := ordered.facts[f.FactID]
+			ordered.Merge(f, now)
+			after := ordered.facts[f.FactID]
 			order := after.Compare(before.FactVersion)
 			if existed && (order < 0 || order == 0 && after.ObservedAt > before.ObservedAt) {
-				t.Fatalf("%+v becomes %+v by %+v", before, after, f)
+				t.Fatalf("fact %+v became the older or younger fact %+v by merging %+v", before, after, f)
 			}
 		}
 		repeated := append(slices.Clone(all), rapid.SliceOf(rapid.SampledFrom(append(all, Fact{}))).Draw(t, "repeated")...)
 		for _, f := range rapid.Permutation(repeated).Draw(t, "order") {
 			shuffled.Merge(f, now)
 		}
-		if !reflect.DeepEqual(inOrder.facts, shuffled.facts) {
-			t.Fatalf("in order %v, shuffled %v", inOrder.facts, shuffled.facts)
+		if !reflect.DeepEqual(ordered.facts, shuffled.facts) {
+			t.Fatalf("facts merged in the drawn order: %v; shuffled and repeated: %v", ordered.facts, shuffled.facts)
 		}
 	})
 }
 
-// No fact is read after its expiry by the reader's clock, whatever age the sender claims and however often it is received.
+// A fact must expire by the reader's clock, even if a sender keeps sending the same version and claims that its age is 0.
 func TestExpiry(t *testing.T) {
 	for kind, lifetime := range Lifetimes {
 		node := NewNode(1, 3, 1, "v", 0, 1, 0)
 		for at := time.Duration(0); at < 2*lifetime.ExpiresAfter; at += 100 * time.Millisecond {
-			claim := Fact{FactID: FactID{kind, 0, "7"}, FactVersion: FactVersion{1, 1}, ObservedAt: at} // always of age 0
+			claim := Fact{FactID: FactID{kind, 0, "7"}, FactVersion: FactVersion{1, 1}, ObservedAt: at} // claims an age of 0 each time
 			data, _ := encodeMessage(0, 0, []Fact{claim}, at)
 			node.Receive(0, data, at)
 			fact, ok := node.Get(claim.FactID, at)
 			if ok != (at < lifetime.ExpiresAfter) || ok && (fact.Age != at || fact.Fading != (at >= lifetime.FadesAfter)) {
-				t.Fatalf("%s at %v: %v, %+v", lifetime.Name, at, ok, fact)
+				t.Fatalf("kind %s at %v: unexpired is %v, fact %+v", lifetime.Name, at, ok, fact)
 			}
 		}
 	}
--- a/internal/fleet/suspicion.go
+++ b/internal/fleet/suspicion.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// LiveMembers returns the members that count as live, this relay included, in ascending order: those from which any message
-// was received within the failure timeout. Until this relay has run for that long, all relays of the configuration count.
+// LiveMembers returns the numbers of the members that count as live, in ascending order: this relay, and those from which any
+// message was received within the failure timeout. Until this relay has run for that long, all relays of the configuration
+// count as live.
 func (n *Node) LiveMembers(now time.Duration) (live []int) {
 	timeout := n.heartbeatIntervals(failureTimeout)
 	for member := range n.size {
@@ -17,12 +18,12 @@
 	return live
 }
 
-// Suspected reports whether the suspicion timeout of a member has passed without a message from it.
+// Suspected reports whether no message was received from the member for at least the suspicion timeout.
 func (n *Node) Suspected(member int, now time.Duration) bool {
 	return n.silence(member, now) >= n.heartbeatIntervals(suspicionTimeout)
 }
 
-// heartbeatIntervals returns the duration of a number of heartbeat intervals.
+// heartbeatIntervals returns the duration of the given number of heartbeat intervals.
 func (n *Node) heartbeatIntervals(count float64) time.Duration {
 	return time.Duration(count * float64(n.HeartbeatInterval()))
 }
@@ -36,8 +37,9 @@
 	return now - last
 }
 
-// LiveByZone returns the number of live members by zone. Members whose zone is not known are distributed like the others.
-// live must be in ascending order, as LiveMembers returns it.
+// LiveByZone returns the number of live members in each zone. Live members without a known zone are assigned to the zones in
+// proportion to those with a known one, so the numbers can be fractional. live must be in ascending order, as LiveMembers
+// returns it.
 func (n *Node) LiveByZone(live []int, now time.Duration) map[int]float64 {
 	members, known := map[int]float64{}, 0.0
 	for id, fact := range n.facts {
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -13,28 +13,28 @@
 	"milletsail/internal/fleet"
 )
 
-// updateWire has the tests of the wire write their golden files instead of comparing with them. CI never sets it.
+// updateWire makes the tests rewrite the golden files in testdata/wire instead of comparing with them. CI never sets it.
 var updateWire = flag.Bool("update-wire", false, "write the golden files of the wire")
 
-// The relays of the tests, and what they are made with.
+// Parameters of the relays in these tests.
 const (
-	// sender is the relay whose messages are pinned.
+	// sender is the number of the relay whose messages are compared with the golden files.
 	sender = 3
-	// receiver is the relay that answers them.
+	// receiver is the number of the relay that answers the sender.
 	receiver = 1
-	// fleetSize is how many relays there are.
+	// fleetSize is the number of relays in the fleet.
 	fleetSize = 4
-	// incarnation is that of each relay's process.
+	// incarnation is the incarnation of each relay's process.
 	incarnation = 1_700_000_000
-	// zone is that of each relay.
+	// zone is the zone of each relay.
 	zone = 2
-	// seed is that of each relay's random numbers.
+	// seed is the seed of each relay's random numbers.
 	seed = 7
-	// settled is a time after the first heartbeat and after all join requests.
-	settled = 20 * time.Second
+	// afterJoin is a time after the first heartbeat and after all join requests.
+	afterJoin = 20 * time.Second
 )
 
-// compareGolden compares a text with a golden file of testdata/wire.
+// compareGolden fails the test unless got equals the golden file with the given name in testdata/wire.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "wire", name)
@@ -53,12 +53,12 @@
 	}
 }
 
-// newNode returns a node without facts.
+// newNode returns the node of relay self, without facts.
 func newNode(self int) *fleet.Node {
 	return fleet.NewNode(self, fleetSize, incarnation, "0a1b2c3d", zone, seed, 0)
 }
 
-// transcript formats messages: the receiver of each, and a dump of its bytes. The titles are part of the recorded files.
+// transcript formats messages with the receiver of each and a hex dump of its bytes. The title is part of the golden file.
 func transcript(title string, messages []fleet.Outgoing) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "== %s\n", title)
@@ -72,48 +72,49 @@
 	return text.String()
 }
 
-// TestFactMessagesOnTheWire pins the message that broadcasts a new fact, for each kind: relays of other versions decode it.
-// Kinds are numbers here, as they are on the wire.
+// TestFactMessagesOnTheWire compares the messages that broadcast a new fact of each kind with their golden file, since relays of
+// other versions must be able to decode them. Kinds are given by number, as in the message format.
 func TestFactMessagesOnTheWire(t *testing.T) {
 	const (
 		// observedAge is the age of each fact when it is reported.
 		observedAge = 250 * time.Millisecond
-		// value takes more than one byte.
+		// value is encoded in more than one byte.
 		value = 1500
 	)
 	var text strings.Builder
 	for kind := fleet.Kind(1); kind <= 7; kind++ {
 		node := newNode(sender)
-		node.Tick(settled)
-		node.Observe(kind, "endpoint-9", value, false, settled-observedAge, settled)
-		text.WriteString(transcript(fmt.Sprint("a fact of kind ", kind), node.Tick(settled+20*time.Millisecond)))
+		node.Tick(afterJoin)
+		node.Observe(kind, "endpoint-9", value, false, afterJoin-observedAge, afterJoin)
+		text.WriteString(transcript(fmt.Sprint("a fact of kind ", kind), node.Tick(afterJoin+20*time.Millisecond)))
 	}
 	compareGolden(t, "facts.txt", text.String())
 }
 
-// TestPeriodicMessagesOnTheWire pins the messages that a relay sends unasked: join requests, heartbeats with send rates, and
-// digests.
+// TestPeriodicMessagesOnTheWire compares the messages that a relay sends on its own timers with their golden file: join requests,
+// heartbeats with send rates, and digests.
 func TestPeriodicMessagesOnTheWire(t *testing.T) {
 	node := newNode(sender)
 	text := transcript("a newcomer's first notes", node.Tick(0))
 	node.ObserveRate("7", fleet.EncodeRate(0.5, 12.25, zone))
-	text += transcript("a beat with a pace, and a digest", node.Tick(settled))
-	for node.NextTick() < settled+time.Second {
+	text += transcript("a beat with a pace, and a digest", node.Tick(afterJoin))
+	for node.NextTick() < afterJoin+time.Second {
 		text += transcript("what follows within a second", node.Tick(node.NextTick()))
 	}
 	compareGolden(t, "own.txt", text)
 }
 
-// TestAnswersOnTheWire pins the answers to a joining relay and the three steps of anti-entropy.
+// TestAnswersOnTheWire compares the answers to a join request, to a digest, to bucket digests and to facts with bucket digests with
+// their golden file.
 func TestAnswersOnTheWire(t *testing.T) {
 	one, other := newNode(receiver), newNode(sender)
-	one.Tick(settled)
-	other.Tick(settled)
-	one.Observe(fleet.KindDestinationClosed, "7", 1500, false, settled, settled)
-	one.Observe(fleet.KindEndpointEjected, "endpoint-9", zone, false, settled, settled)
-	other.Observe(fleet.KindConnectionRejected, "endpoint-8", 0, false, settled, settled)
+	one.Tick(afterJoin)
+	other.Tick(afterJoin)
+	one.Observe(fleet.KindDestinationClosed, "7", 1500, false, afterJoin, afterJoin)
+	one.Observe(fleet.KindEndpointEjected, "endpoint-9", zone, false, afterJoin, afterJoin)
+	other.Observe(fleet.KindConnectionRejected, "endpoint-8", 0, false, afterJoin, afterJoin)
 	answer := func(node *fleet.Node, from int, data []byte) []fleet.Outgoing {
-		messages, _ := node.Receive(from, data, settled+time.Second)
+		messages, _ := node.Receive(from, data, afterJoin+time.Second)
 		return messages
 	}
 	joinRequest := []byte{'F', 1, 4}
@@ -124,6 +125,6 @@
 	facts := answer(other, receiver, bucketDigests[0].Message)
 	text += transcript("to sums that differ", facts)
 	text += transcript("to facts with sums that differ", answer(one, sender, facts[0].Message))
-	text += transcript("a digest of facts, and facts told again", one.Tick(settled+time.Second))
+	text += transcript("a digest of facts, and facts told again", one.Tick(afterJoin+time.Second))
 	compareGolden(t, "answers.txt", text)
 }
--- a/internal/instant/instant.go
+++ b/internal/instant/instant.go
@@ -1,8 +1,8 @@
-// Package instant defines the type of a moment on the machine's monotonic clock. It reads no clock; package clock does.
+// Package instant defines the type of a moment on the machine's monotonic clock. It does not read a clock: package clock does.
 //
-// A moment, a duration and a wall time are three types (Time, time.Duration and clock.Wall), so that the compiler rejects
-// code that mixes them. Deadlines, windows, timeouts and grace periods are based on this type: steps of the wall clock do
-// not affect them.
+// Moments, durations and wall times have three different types (Time, time.Duration and clock.Wall), so that the compiler rejects
+// code that mixes them. Deadlines, windows, timeouts and grace periods are computed with Time, so steps of the wall clock do not
+// affect them.
 package instant
 
 import (
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Time is a moment on the machine's monotonic clock, in nanoseconds. All processes of one boot share the scale; on another
-// machine or after a reboot the number has no meaning. The zero Time is long ago: decades before the machine's boot.
+// Time is a moment on the machine's monotonic clock, in nanoseconds. It has the same meaning in all processes of one boot, and none
+// on another machine or after a reboot. The zero Time lies decades before the machine's boot.
 type Time int64
 
-// Boot is the moment of the machine's boot. It lies decades after the zero Time, so that the zero Time precedes any
-// deadline or window.
+// Boot is the moment of the machine's boot. It lies decades after the zero Time, so that the zero Time is earlier than any deadline
+// or the start of any window.
 const Boot Time = 1 << 60
 
-// Never is later than all moments.
+// Never is the latest Time. It represents a moment that is never reached.
 const Never Time = math.MaxInt64
 
 // Add returns the moment d after t.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"milletsail/policy"
 )
 
-const valid = `{"categories":[{"name":"a","aim_s":0.5,"deadline_s":5,"group":"all","idempotency":"dedup","points":2}],
+const validSettings = `{"categories":[{"name":"a","aim_s":0.5,"deadline_s":5,"group":"all","idempotency":"dedup","points":2}],
 	"discovery":"subscribe","limits":{"max_attempts":4,"max_retry_after_s":9},"n_instances":3,"shapes":["m1","m2"],
 	"specifics":{"bundle_max":[7],"loses_worth":"halving","separate_routes":[false,true]},"weights":"rough"}`
 
@@ -17,7 +17,7 @@
 func decode(t *testing.T, old, replacement string) *Settings {
 	t.Helper()
 	var s Settings
-	if err := json.Unmarshal([]byte(strings.Replace(valid, old, replacement, 1)), &s); err != nil {
+	if err := json.Unmarshal([]byte(strings.Replace(validSettings, old, replacement, 1)), &s); err != nil {
 		t.Fatal(err)
 	}
 	return &s
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -113,7 +113,7 @@
 	for _, id := range s.schedule {
 		if scheduled := s.instances[id]; scheduled != nil && scheduled.scheduled {
 			scheduled.scheduled = false
-			s.act(&reply, id, scheduled)
+			s.handleEvents(&reply, id, scheduled)
 		}
 	}
 	s.schedule, s.crashes = s.schedule[:0], s.crashes[:0]
@@ -121,8 +121,8 @@
 	return reply.Bytes()
 }
 
-// act has one instance handle its events. A panic is reported as a crash, without the actions before it.
-func (s *session) act(reply *bytes.Buffer, id int64, scheduled *instance) {
+// handleEvents has one instance handle its events. A panic is reported as a crash, without the actions before it.
+func (s *session) handleEvents(reply *bytes.Buffer, id int64, scheduled *instance) {
 	start := reply.Len()
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// begin starts instance 0.
-const begin = `["begin",0,7,{"categories":[{"aim_s":1,"deadline_s":5,"group":"all","idempotency":"retryable","points":1}],` +
+// beginLine starts instance 0.
+const beginLine = `["begin",0,7,{"categories":[{"aim_s":1,"deadline_s":5,"group":"all","idempotency":"retryable","points":1}],` +
 	`"discovery":"automatic","limits":{"max_attempts":4,"max_open":20},"n_instances":1,"quantum_s":0.005,"news":1,` +
 	`"shapes":["k"],"specifics":{"max_calls":3,"bundle_max":[1]},"weights":"off"}]`
 
@@ -20,7 +20,7 @@
 
 // Gossip messages are sent and received in base64; an empty one is ignored.
 func TestGossip(t *testing.T) {
-	withGossip := strings.Replace(strings.Replace(begin, `"max_open":20`, `"max_open":20,"peers":true`, 1), `"off"`, `"nominal"`, 1)
+	withGossip := strings.Replace(strings.Replace(beginLine, `"max_open":20`, `"max_open":20,"peers":true`, 1), `"off"`, `"nominal"`, 1)
 	list := `["manifest",0,[[0,5,"h1",4,"in_service",0,null]]]`
 	call := `["call",0,"m",false,0,false,false,null,4.5,null,0,5]`
 	out, err := run(t, `["round",1]`, withGossip, list, `["update",0,"SAVED",1,0]`, call, `["your_turn"]`,
@@ -53,15 +53,15 @@
 		unwanted []string
 	}{
 		{"an empty batch", []string{`["round",1]`, `["your_turn"]`}, []string{`["ready"]`}, nil},
-		{"a message is forwarded", []string{`["round",1]`, begin, list, `["update",0,"SAVED",1,0]`, call("m", "5"),
+		{"a message is forwarded", []string{`["round",1]`, beginLine, list, `["update",0,"SAVED",1,0]`, call("m", "5"),
 			`["your_turn"]`}, []string{`["relay",0,"m","h1",1.5]`}, nil},
-		{"a list replaced in a batch", []string{`["round",1]`, begin, list, `["update",0,"SAVED",1,0]`, other,
+		{"a list replaced in a batch", []string{`["round",1]`, beginLine, list, `["update",0,"SAVED",1,0]`, other,
 			`["update",0,"INCREMENTAL",2,0]`, call("m", "5"), call("n", "6"), `["your_turn"]`},
 			[]string{`"m","h1"`, `"n","h2"`}, nil},
-		{"killed and restarted in one batch", []string{`["round",1]`, begin, list, `["update",0,"SAVED",1,0]`,
-			call("m", "5"), `["killed",0]`, begin, `["update",0,"SAVED",1,0]`, call("n", "5"), `["your_turn"]`},
+		{"killed and restarted in one batch", []string{`["round",1]`, beginLine, list, `["update",0,"SAVED",1,0]`,
+			call("m", "5"), `["killed",0]`, beginLine, `["update",0,"SAVED",1,0]`, call("n", "5"), `["your_turn"]`},
 			[]string{`"n","h1"`}, []string{`"m"`}},
-		{"unknown events and instances", []string{`["round",1]`, begin, `["eclipse",0,4]`, `["left",9,"m"]`,
+		{"unknown events and instances", []string{`["round",1]`, beginLine, `["eclipse",0,4]`, `["left",9,"m"]`,
 			`["your_turn"]`}, []string{`["ready"]`}, nil},
 		{"bad settings", []string{`["round",1]`, `["begin",3,7,{"weights":"heavy","discovery":"automatic"}]`,
 			`["your_turn"]`}, []string{`["die",3,`, "weights"}, nil},
@@ -88,7 +88,7 @@
 func TestMalformedLines(t *testing.T) {
 	for _, bad := range []string{`nonsense`, `["round","x"]`, `["answer",0,"m","h",0,"Odd"]`, `["call",0,5]`,
 		`["update",0,"FULL",1,9]`, `["begin",0,1,[]]`} {
-		out, err := run(t, `["round",1]`, begin, bad, `["your_turn"]`)
+		out, err := run(t, `["round",1]`, beginLine, bad, `["your_turn"]`)
 		if err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", bad, err)
 		}
@@ -100,7 +100,7 @@
 
 // Any line is served without a panic.
 func FuzzServe(f *testing.F) {
-	f.Add(begin)
+	f.Add(beginLine)
 	f.Add(`["answer",0,"m","h",0,"Ok",null,0.1,true,{"x0":1}]`)
 	f.Fuzz(func(t *testing.T, line string) {
 		_, _ = run(t, `["round",1]`, line, `["your_turn"]`)
--- a/internal/zones/command.go
+++ b/internal/zones/command.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// Action is what a command asks for.
+// Action is the first word of a command.
 type Action string
 
-// The actions.
+// The actions of commands.
 const (
-	Evacuate Action = "evacuate"
-	Restore  Action = "restore"
-	Status   Action = "status"
+	Evacuate Action = "evacuate" // stores an order that evacuates a zone
+	Restore  Action = "restore"  // ends the order for a zone
+	Status   Action = "status"   // returns the state of the zones
 )
 
-// fields holds the number of words of a command with an action, the action included.
-var fields = map[Action]int{Status: 1, Restore: 2, Evacuate: 3}
+// wordCounts holds the number of words of a command by its action, which is the first word.
+var wordCounts = map[Action]int{Status: 1, Restore: 2, Evacuate: 3}
 
 // Command is a parsed command: "status", "restore ZONE" or "evacuate ZONE DURATION".
 type Command struct {
 	Action   Action
-	Zone     string        // unless Status
-	Duration time.Duration // of Evacuate
+	Zone     string        // name of the zone; empty for Status
+	Duration time.Duration // duration of the evacuation; 0 unless the action is Evacuate
 }
 
-// ParseCommand parses a command. The error says which word is invalid; its text is the reply at the admin endpoint.
+// ParseCommand parses a command of the admin endpoint. The error says what is invalid; its text is part of the reply to the
+// operator.
 func ParseCommand(text string) (command Command, err error) {
 	words := strings.Fields(text)
 	if len(words) == 0 {
 		return command, errors.New("nothing is asked for")
 	}
 	command.Action = Action(words[0])
-	switch wanted := fields[command.Action]; {
+	switch wanted := wordCounts[command.Action]; {
 	case wanted == 0:
 		return command, fmt.Errorf("%q is not evacuate, restore or status", words[0])
 	case len(words) != wanted:
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,8 +1,8 @@
-// Package zones stores the orders by which operators evacuate zones, and parses the commands that give them.
+// Package zones parses the commands by which operators evacuate and restore zones, and stores the resulting orders.
 //
-// An order that was confirmed survives restarts until it expires. The file is replaced atomically; a corrupt one is an error
-// with its position, and no orders. Whether an order makes sense is checked by the caller before it is stored. An OrderStore is
-// not safe for concurrent use.
+// A confirmed order survives restarts until it expires. The file of orders is replaced atomically. If it is corrupt, Open returns
+// an error that says where, and no orders. The caller checks whether an order is valid, for example whether the zone exists,
+// before it stores the order. An OrderStore is not safe for concurrent use.
 package zones
 
 import (
@@ -22,17 +22,17 @@
 )
 
 const (
-	// fileName is the file of the orders in the state directory.
+	// fileName is the name of the file in the state directory that holds the orders.
 	fileName = "zones.json"
-	// format is the version of the file's format. A file of a later version is an error.
+	// format is the version of the file format that is written. A file of a later version is an error.
 	format = 2
-	// formatWall is the version before, which has wall clock times only.
+	// formatWall is the earlier version of the file format, which holds wall times only. It is still read.
 	formatWall = 1
-	// maxDuration is the longest duration of an order: a forgotten one must not route around a zone for good.
+	// maxDuration is the maximum duration of an order, so that a forgotten order does not keep a zone evacuated forever.
 	maxDuration = 24 * time.Hour
 )
 
-// Order evacuates a zone until a time.
+// Order is an operator's order to evacuate a zone until a moment.
 type Order struct {
 	Zone  string
 	Until instant.Time
@@ -44,8 +44,8 @@
 	orders []Order
 }
 
-// file is the content of the file. Its times are wall clock times, for people who read it; the pair of clock readings converts
-// them exactly as long as the machine has not rebooted.
+// file is the content of the file of orders. Its times are wall times, so that people can read them. Until the machine reboots,
+// the stored readings of both clocks convert them exactly into moments.
 type file struct {
 	Format int         `json:"format"`
 	Boot   string      `json:"boot,omitempty"`
@@ -59,8 +59,9 @@
 	Until time.Time `json:"until"`
 }
 
-// until returns the end of an order. After a reboot, and in formatWall, only the wall clock gives it, and maxDuration bounds it:
-// the wall clock may have been set.
+// until returns the end of an order in the file. If the machine has rebooted since the file was written, or the file is of
+// formatWall, the end is determined by the current wall clock. It is then at most maxDuration from now, because the wall clock may
+// have been set in the meantime.
 func (f *file) until(order fileOrder) instant.Time {
 	end := clock.Wall(order.Until.UnixNano())
 	if boot := clock.BootID(); f.Format == format && boot != "" && f.Boot == boot {
@@ -70,19 +71,19 @@
 	return min(now.InstantOf(end), now.At.Add(maxDuration))
 }
 
-// CorruptError says that the file of orders can't be decoded, or holds an order that is invalid.
+// CorruptError is returned if the file of orders can't be decoded or holds an invalid order.
 type CorruptError struct {
 	Path string
-	Err  error // with the position
+	Err  error // the cause, with the position of the fault: a byte offset or the index of an order
 }
 
 func (e *CorruptError) Error() string { return e.Path + ": " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the error.
 func (e *CorruptError) Unwrap() error { return e.Err }
 
-// Open reads the orders in a state directory. With an error, the store is empty and may still be used; the error is a
-// *CorruptError if the file could be read but not decoded.
+// Open reads the orders in the state directory dir; if there is no file, the store is empty. If Open returns an error, the store is
+// empty and can still be used. The error is a *CorruptError if the file could be read but its content is invalid.
 func Open(dir string) (*OrderStore, error) {
 	store := &OrderStore{path: filepath.Join(dir, fileName)}
 	text, err := os.ReadFile(store.path)
@@ -102,7 +103,7 @@
 	return store, nil
 }
 
-// decodeFile decodes the content of the file strictly.
+// decodeFile decodes the content of the file of orders. Unknown keys and invalid orders are errors.
 func decodeFile(text []byte) (*file, error) {
 	var decoded file
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -111,17 +112,17 @@
 		return nil, fmt.Errorf("byte %d: %w", decoder.InputOffset(), err)
 	}
 	if decoded.Format != format && decoded.Format != formatWall {
-		return nil, fmt.Errorf("unknown format %d", decoded.Format)
+		return nil, fmt.Errorf("unknown file format %d", decoded.Format)
 	}
 	for i, order := range decoded.Orders {
 		if order.Zone == "" || order.Until.IsZero() {
-			return nil, fmt.Errorf("order %d: zone or end is missing", i)
+			return nil, fmt.Errorf("order %d: zone name or end time is missing", i)
 		}
 	}
 	return &decoded, nil
 }
 
-// Active returns a copy of the orders in force at a time, and removes the expired ones.
+// Active removes the orders that have expired at now, and returns a copy of the remaining ones.
 func (s *OrderStore) Active(now instant.Time) []Order {
 	var active []Order
 	for _, order := range s.orders {
@@ -133,8 +134,8 @@
 	return slices.Clone(active)
 }
 
-// Put puts an order in force in place of one for the same zone, or ends that if until is zero. It returns when the change is on
-// disk. With an error, the orders before it are still in force.
+// Put stores an order for a zone, in place of any order for the same zone. If until is zero, it removes the zone's order instead.
+// It returns after the change is on disk. If it returns an error, the previous orders stay in force.
 func (s *OrderStore) Put(zone string, until, now instant.Time) error {
 	var orders []Order
 	for _, order := range s.Active(now) {
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -12,7 +12,7 @@
 	"milletsail/internal/clock"
 )
 
-// Orders survive a restart until they expire; a second one for a zone replaces the first.
+// Orders must survive a restart until they expire. A second order for a zone replaces the first.
 func TestOrderStore(t *testing.T) {
 	dir, now := t.TempDir(), clock.Now()
 	store, err := Open(dir)
@@ -24,7 +24,7 @@
 		{"b", now.Add(time.Minute)},
 		{"a", now.Add(2 * time.Hour)},
 		{"c", now.Add(time.Hour)},
-		{"c", 0}, // ends it
+		{"c", 0}, // removes the order for zone c
 	}
 	for _, o := range orders {
 		if err := store.Put(o.Zone, o.Until, now); err != nil {
@@ -36,16 +36,16 @@
 		t.Fatal(err)
 	}
 	if all := reopened.Active(now); len(all) != 2 || all[0].Zone != "b" || all[1].Until != now.Add(2*time.Hour) {
-		t.Errorf("after a restart: %v", all)
+		t.Errorf("after a restart: got orders %v, want those for zones b and a", all)
 	}
 	if all := reopened.Active(now.Add(time.Minute)); len(all) != 1 || all[0].Zone != "a" {
-		t.Errorf("after a minute: %v", all)
+		t.Errorf("a minute later: got orders %v, want only that for zone a", all)
 	}
 }
 
-// What a caller does with the active orders does not change the stored ones: a relay removes those that it has applied from its
-// list, and stores another one later.
-func TestActiveIsACopy(t *testing.T) {
+// Active must return a copy. A relay removes the orders that it has applied from the returned list; in a shared list, that would
+// corrupt the stored orders, and the next Put would write them to disk.
+func TestActiveReturnsCopy(t *testing.T) {
 	now := clock.Now()
 	store, err := Open(t.TempDir())
 	if err != nil {
@@ -62,11 +62,11 @@
 		t.Fatal(err)
 	}
 	if all := store.Active(now); len(all) != 3 || len(pending) != 1 {
-		t.Errorf("active orders %v, want those for zones a, b and c", all)
+		t.Errorf("got active orders %v, want those for zones a, b and c", all)
 	}
 }
 
-// A corrupt file gives a CorruptError that names it, and no orders; and it can be replaced.
+// A corrupt file must give no orders and a CorruptError that names the file. Storing an order must then replace the file.
 func TestCorruptFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
@@ -84,15 +84,15 @@
 		store, err := Open(dir)
 		var corrupt *CorruptError
 		if !errors.As(err, &corrupt) || !strings.Contains(err.Error(), path) || len(store.Active(1)) > 0 {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("file %q: got error %v, want a CorruptError with the path, and no orders", text, err)
 		}
 		if err := store.Put("a", 99, 1); err != nil {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("file %q: storing an order failed: %v", text, err)
 		}
 	}
 }
 
-// An order that can't be stored is not in force.
+// An order that could not be written to disk must not be in force, since a restart would lose it.
 func TestUnwritableDirectory(t *testing.T) {
 	store, err := Open(t.TempDir())
 	if err != nil {
@@ -100,11 +100,11 @@
 	}
 	store.path = filepath.Join(store.path, "no", "folder")
 	if err := store.Put("a", 99, 1); err == nil || len(store.Active(1)) > 0 {
-		t.Errorf("%v: %v", err, store.orders)
+		t.Errorf("got error %v and orders %v, want an error and no orders", err, store.orders)
 	}
 }
 
-// Commands with all their arguments are parsed; others are errors.
+// Commands with valid arguments must be parsed. An unknown action, a wrong number of words or a duration out of range is an error.
 func TestParseCommand(t *testing.T) {
 	for text, want := range map[string]Command{
 		"status":           {Action: Status},
@@ -112,18 +112,18 @@
 		"evacuate b 1m30s": {Action: Evacuate, Zone: "b", Duration: 90 * time.Second},
 	} {
 		if got, err := ParseCommand(text); err != nil || got != want {
-			t.Errorf("%q: %+v, %v", text, got, err)
+			t.Errorf("command %q: got %+v, error %v", text, got, err)
 		}
 	}
 	for _, text := range []string{"", "leave b", "status b", "restore", "evacuate b", "evacuate b 10", "evacuate b -1s",
 		"evacuate b 0s", "evacuate b 25h", "evacuate b 1m x"} {
 		if got, err := ParseCommand(text); err == nil {
-			t.Errorf("%q: %+v", text, got)
+			t.Errorf("command %q: got %+v, want an error", text, got)
 		}
 	}
 }
 
-// A process that is killed while it writes leaves a prefix of the new file beside the old one, which is still read.
+// A process that is killed while it writes leaves a truncated new file beside the old file. Open must still read the old file.
 func TestTornWrite(t *testing.T) {
 	dir, now := t.TempDir(), clock.Now()
 	store, err := Open(dir)
@@ -143,18 +143,18 @@
 		}
 		reopened, err := Open(dir)
 		if err != nil || len(reopened.Active(now)) != 1 {
-			t.Fatalf("%d of %d bytes: %v, %v", n, len(text), err, reopened.Active(now))
+			t.Fatalf("after %d of %d bytes were written: got error %v and orders %v", n, len(text), err, reopened.Active(now))
 		}
 	}
 }
 
-// An order keeps its duration even if the wall clock is set before the next process reads it. After a reboot, or in the format
-// with wall clock times only, it ends by the wall clock, and after maxDuration at the latest.
+// An order must keep its end even if the wall clock is set before the next process reads the file. After a reboot, or in the
+// format with wall times only, the wall clock determines the end, which is at most maxDuration from now.
 func TestOrderAfterRestart(t *testing.T) {
 	now := clock.ReadPair()
 	orders := func(until clock.Wall) []fileOrder { return []fileOrder{{"a", until.Time()}} }
 	end := now.At.Add(time.Minute)
-	// When the file was written, the wall clock was an hour ahead.
+	// The file was written while the wall clock was an hour ahead.
 	stepped := clock.Pair{At: now.At, Wall: now.Wall + clock.Wall(time.Hour)}
 	for _, c := range []struct {
 		name string
@@ -169,7 +169,7 @@
 			maxDuration},
 	} {
 		if got := c.file.until(c.file.Orders[0]).Sub(now.At); got < c.want-time.Second || got > c.want+time.Second {
-			t.Errorf("%s: it ends after %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: the order ends after %v, want %v", c.name, got, c.want)
 		}
 	}
 }
