--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -1,8 +1,8 @@
-// Package compat decides whether two versions of the relay are compatible: which journal formats and gossip formats each
-// reads and writes, compared before one version replaces the other.
+// Package compat decides whether one version of the relay can replace another, by comparing the journal and gossip formats that
+// each of them reads and writes.
 //
-// A version that does not report its formats, or whose report can't be parsed, is an error and never counts as
-// compatible. A query of a program is bounded in time and in the size of its output.
+// A version that does not report its formats, or whose report can't be parsed, is an error and never counts as compatible. The run
+// time and the output size of a queried program are limited.
 package compat
 
 import (
@@ -16,34 +16,34 @@
 	"time"
 )
 
-// Format is the format versions of one kind of data that is stored or sent to other relays.
+// Format holds the format versions of one kind of data that is stored or sent to other relays.
 type Format struct {
-	Writes int   `json:"writes"`
-	Reads  []int `json:"reads"`
+	Writes int   `json:"writes"` // the format version that is written; at least 1
+	Reads  []int `json:"reads"`  // all format versions that can be read, including Writes
 }
 
-// FormatVersions is what a version of the relay reads and writes. Versions query one another in a rollout, so the JSON keys and
-// the flag keep the spelling of earlier ones.
+// FormatVersions holds the format versions that a version of the relay reads and writes. Different versions query each other in a
+// rollout, so the JSON keys and the name of the flag must not change.
 type FormatVersions struct {
 	Journal Format `json:"journal"`
-	Gossip  Format `json:"notes"` // datagrams between relays; one that can't be decoded is ignored
+	Gossip  Format `json:"notes"` // gossip datagrams between relays; a relay ignores those that it can't decode
 }
 
 // VersionsFlag is the name of the relay's flag that prints its FormatVersions, as JSON on one line, and exits.
 const VersionsFlag = "forms"
 
 const (
-	// queryTimeout bounds the run of a program that is queried for its formats.
+	// queryTimeout limits the run time of a program that is queried for its formats.
 	queryTimeout = 5 * time.Second
-	// pipeTimeout is how long to wait for the output to be closed after the program has ended: a child process may keep it
+	// pipeTimeout limits the wait for the output to be closed after the program has ended, since a child process may keep it
 	// open.
 	pipeTimeout = time.Second
-	// maxOutputSize bounds the buffered output, in bytes.
+	// maxOutputSize is the maximum size of the buffered output of a program, in bytes.
 	maxOutputSize = 4096
 )
 
-// QueryProgram runs a relay's program and returns the formats that it reports. The program runs in an empty environment, and
-// is killed if it does not exit within queryTimeout.
+// QueryProgram runs the relay executable at the path program and returns the formats that it reports. The executable runs with an
+// empty environment, and is killed if it does not exit within queryTimeout.
 func QueryProgram(ctx context.Context, program string) (versions FormatVersions, err error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -69,16 +69,17 @@
 // limitedBuffer keeps the first maxOutputSize bytes written to it and discards the rest.
 type limitedBuffer struct{ bytes.Buffer }
 
+// Write reports all of p as written, so that the program does not fail because of the limit.
 func (b *limitedBuffer) Write(p []byte) (int, error) {
 	b.Buffer.Write(p[:min(len(p), max(0, maxOutputSize-b.Len()))])
 	return len(p), nil
 }
 
-// ErrNoRollback means that the old version can't read the journals that the new one writes.
+// ErrNoRollback is returned if the old version can't read the journals that the new version writes.
 var ErrNoRollback = errors.New("rollback would not be possible")
 
-// CheckUpgrade returns nil if the version next can replace old and be rolled back, and otherwise the reason. Gossip
-// formats are no reason: relays work without gossip, and GossipCompatible reports them.
+// CheckUpgrade returns nil if version next can replace version old and can be rolled back, and otherwise an error with the reason.
+// Gossip formats are not compared, because relays work without gossip: see GossipCompatible.
 func CheckUpgrade(old, next FormatVersions) error {
 	if !slices.Contains(next.Journal.Reads, old.Journal.Writes) {
 		return fmt.Errorf("the new version reads journals of the formats %v, and the old one writes %d",
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// GossipCompatible reports whether each of two versions can decode the other's gossip datagrams.
+// GossipCompatible reports whether each of the two versions can decode the gossip datagrams of the other.
 func GossipCompatible(a, b FormatVersions) bool {
 	return slices.Contains(a.Gossip.Reads, b.Gossip.Writes) && slices.Contains(b.Gossip.Reads, a.Gossip.Writes)
 }
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// A program that does not report its formats, reports invalid ones, prints too much, or does not exit is an error, in time.
+// A program that does not report its formats, reports invalid ones, prints too much or does not exit must be an error: a rollout must
+// neither hang on it nor take it for compatible.
 func TestQueryProgram(t *testing.T) {
 	for _, c := range []struct {
 		name, script string
@@ -35,7 +36,7 @@
 				defer cancel()
 			}
 			if versions, err := QueryProgram(ctx, path); (err == nil) != c.valid {
-				t.Errorf("%+v, %v", versions, err)
+				t.Errorf("got formats %+v, error %v", versions, err)
 			}
 		})
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,4 @@
-// Package config decodes TOML configuration files strictly: an unknown key or an invalid value is an error that names
-// the file and the line.
+// Package config decodes TOML configuration files. An unknown key or an invalid value is an error that names the file and the line.
 package config
 
 import (
@@ -12,10 +11,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a duration in a configuration file, written with its unit, such as "1.5s" or "300ms".
+// Duration is a duration in a configuration file. It is written with a unit, such as "1.5s" or "300ms".
 type Duration time.Duration
 
-// UnmarshalText parses a duration; one without a unit, or below zero, is an error.
+// UnmarshalText parses a duration. A duration without a unit or below zero is an error.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil || parsed < 0 {
@@ -34,7 +33,8 @@
 // Seconds returns the duration as a number of seconds.
 func (d Duration) Seconds() float64 { return time.Duration(d).Seconds() }
 
-// Decode decodes text into the value that into points to. name is the file's name in errors, which also give the line.
+// Decode decodes the TOML document text into the variable that into points to. Errors contain the file name, and the line if it is
+// known.
 func Decode(name string, text []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 	if err == nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// An unknown key, a value of another type, and a duration without a unit are errors with the file's name and the line.
+// An unknown key, a value of the wrong type, and an invalid duration must be errors that start with the file name and the line, so that
+// the operator finds the place.
 func TestDecode(t *testing.T) {
 	type file struct {
 		Name  string   `toml:"name"`
@@ -23,15 +24,15 @@
 		var decoded file
 		err := Decode("file", []byte(c.text), &decoded)
 		if c.want == "" && (err != nil || decoded.Name != "a" || decoded.Delay.AsDuration() != 1500*time.Millisecond) {
-			t.Errorf("%q: %+v, %v", c.text, decoded, err)
+			t.Errorf("document %q: got %+v, error %v, want name a and a delay of 1.5s", c.text, decoded, err)
 		}
 		if c.want != "" && (err == nil || !strings.HasPrefix(err.Error(), c.want)) {
-			t.Errorf("%q: %v, want %s", c.text, err, c.want)
+			t.Errorf("document %q: got error %v, want one that starts with %s", c.text, err, c.want)
 		}
 	}
 }
 
-// A duration is encoded in the format that is decoded.
+// Encoding and decoding a duration must return the same duration.
 func TestDurationRoundTrip(t *testing.T) {
 	want := Duration(1500 * time.Millisecond)
 	text, err := want.MarshalText()
@@ -40,6 +41,6 @@
 	}
 	var got Duration
 	if err := got.UnmarshalText(text); err != nil || got != want || got.Seconds() != 1.5 {
-		t.Errorf("%v, %v from %s, want %v", got, err, text, want)
+		t.Errorf("got duration %v, error %v from %s, want %v", got, err, text, want)
 	}
 }
--- a/internal/procfs/procfs.go
+++ b/internal/procfs/procfs.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// kilobytesPerMegabyte converts the unit of /proc/PID/status.
+// kilobytesPerMegabyte converts from kilobytes, the unit of memory sizes in /proc/PID/status.
 const kilobytesPerMegabyte = 1024
 
-// ResidentMB returns the resident memory of a process in megabytes. It is 0 for a process that has exited but was not yet
-// waited for, which has no entry in its status.
+// ResidentMB returns the resident memory of a process in megabytes of 1024 kilobytes. It returns 0 for a zombie process (one that
+// has exited but has not been waited for), whose status file has no VmRSS line.
 func ResidentMB(pid int) (float64, error) {
 	path := fmt.Sprintf("/proc/%d/status", pid)
 	status, err := os.ReadFile(path)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings decodes the settings object that an instance receives at its start, from the simulator or in the
+// Package settings decodes the settings object that an instance receives when it starts, from the simulator or from the
 // configuration of a relay, and converts it into the settings of package policy.
 package settings
 
@@ -10,11 +10,11 @@
 	"milletsail/policy"
 )
 
-// Settings is the settings object. Durations are in seconds. A key that is missing here is ignored.
+// Settings is the settings object in JSON. Durations are in seconds. Keys of the object without a field here are ignored.
 type Settings struct {
-	Az         int        `json:"az"`         // zone of this instance, an index in Localities
+	Az         int        `json:"az"`         // zone of this instance, as an index into Localities
 	Categories []Category `json:"categories"` // classes of messages
-	Discovery  string     `json:"discovery"`  // "subscribe" or "automatic"
+	Discovery  string     `json:"discovery"`  // how endpoint updates are obtained: "subscribe" or "automatic"
 	Limits     Limits     `json:"limits"`
 	Localities []string   `json:"localities"`  // names of zones
 	NInstances int        `json:"n_instances"` // number of relays in the fleet
@@ -24,7 +24,7 @@
 	Shapes     []string   `json:"shapes"` // names of the kinds of endpoints
 	Specifics  Specifics  `json:"specifics"`
 	Tenants    []Tenant   `json:"tenants"`
-	Weights    string     `json:"weights"` // meaning of endpoint weights: "off", "nominal" or "rough"
+	Weights    string     `json:"weights"` // how endpoint weights are interpreted: "off", "nominal" or "rough"
 }
 
 // Category holds the settings of one class of messages.
@@ -53,7 +53,7 @@
 	HedgedRequests   bool    `json:"second_copies"`
 }
 
-// Rules holds what is agreed with the operators of endpoints.
+// Rules holds parameters that were agreed with the operators of endpoints.
 type Rules struct {
 	SlowStartInitialShare float64 `json:"cold_share"`
 	OverloadFactor        float64 `json:"overload_factor"`
@@ -62,13 +62,13 @@
 	OrderedKeyDelayS      float64 `json:"order_pause_s"`
 }
 
-// Specifics holds settings by the index of an endpoint kind, or of a zone.
+// Specifics holds settings for each kind of endpoints or each zone, and settings of the whole instance.
 type Specifics struct {
-	MaxBatch       []int     `json:"bundle_max"`  // by endpoint kind
-	LateDecay      string    `json:"loses_worth"` // "halving" if the value of late messages decays exponentially
-	Slots          int       `json:"max_calls"`   // maximum number of requests in flight
-	ZoneCost       []float64 `json:"route_fee"`   // by zone
-	SeparateRoutes []bool    `json:"separate_routes"`
+	MaxBatch       []int     `json:"bundle_max"`      // maximum number of messages in a request, indexed like Shapes
+	LateDecay      string    `json:"loses_worth"`     // "halving" if the value of late messages decays exponentially
+	Slots          int       `json:"max_calls"`       // maximum number of requests in flight of the instance
+	ZoneCost       []float64 `json:"route_fee"`       // cost of a request to each zone, indexed like Localities
+	SeparateRoutes []bool    `json:"separate_routes"` // indexed like Shapes
 }
 
 // Tenant is a client with settings of its own.
@@ -76,21 +76,21 @@
 	Name string `json:"name"`
 }
 
-// effects maps the values of Category.Idempotency.
+// effects maps the values of Category.Idempotency to the effects of package policy.
 var effects = map[string]policy.Effect{
 	"retryable": policy.Idempotent,
 	"dedup":     policy.IdempotentWithKey,
 	"fragile":   policy.NotIdempotent,
 }
 
-// weights maps the values of Settings.Weights.
+// weights maps the values of Settings.Weights to the constants of package policy.
 var weights = map[string]policy.Weights{
 	"off":     policy.WeightsOff,
 	"nominal": policy.WeightsNominal,
 	"rough":   policy.WeightsRough,
 }
 
-// Policy converts the settings into those of package policy. The error names the key with an unknown value.
+// Policy converts the settings into those of package policy. If a value is unknown, the error names its key.
 func (s *Settings) Policy() (policy.Settings, error) {
 	converted := policy.Settings{
 		FleetSize: s.NInstances, Zone: s.Az, ZoneCost: s.Specifics.ZoneCost, Slots: s.Specifics.Slots,
@@ -121,7 +121,7 @@
 	return converted, err
 }
 
-// classes converts the categories.
+// classes converts the categories into classes of package policy.
 func (s *Settings) classes() (classes []policy.Class, err error) {
 	for i, category := range s.Categories {
 		effect, ok := effects[category.Idempotency]
@@ -144,8 +144,8 @@
 	return classes, nil
 }
 
-// kinds returns the settings of each kind of endpoints. One without an entry in Specifics has batches of one message and shared
-// routes.
+// kinds returns the settings of each kind of endpoints. A kind without entries in Specifics has batches of one message and no
+// separate routes.
 func (s *Settings) kinds() (kinds []policy.Kind) {
 	for i := range s.Shapes {
 		kind := policy.Kind{MaxBatch: 1}
--- a/internal/wire/action.go
+++ b/internal/wire/action.go
@@ -7,7 +7,7 @@
 	"milletsail/policy"
 )
 
-// writeAction writes one action of an instance. Actions that the simulator does not have are dropped.
+// writeAction writes one action of an instance to the reply. Actions without a counterpart in the simulator's protocol are dropped.
 func writeAction(reply *bytes.Buffer, id int64, action policy.Action) {
 	switch action := action.(type) {
 	case policy.Send:
@@ -29,11 +29,11 @@
 	}
 }
 
-// writeLine writes one line of a reply.
+// writeLine writes one line of a reply: the values as a JSON array.
 func writeLine(reply *bytes.Buffer, values ...any) {
 	line, err := json.Marshal(values)
 	if err != nil {
-		panic(err) // only an infinite or NaN duration, which no action has
+		panic(err) // unreachable: only infinite or NaN numbers can't be encoded, and durations are finite
 	}
 	reply.Write(line)
 	reply.WriteByte('\n')
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -7,7 +7,7 @@
 	"milletsail/policy"
 )
 
-// outcomes maps the simulator's names of an attempt's outcome.
+// outcomes maps the simulator's names for the outcome of an attempt to the constants of package policy.
 var outcomes = map[string]policy.Outcome{
 	"Ok":           policy.OK,
 	"Failed":       policy.Failed,
@@ -19,10 +19,11 @@
 	"Ignored":      policy.NotSent,
 }
 
-// errUnknownList says that an update refers to an endpoint list that was not sent.
-var errUnknownList = errors.New("unknown list")
+// errUnknownList is returned for an update that refers to an endpoint list that was not sent before.
+var errUnknownList = errors.New("update refers to an endpoint list that was not sent")
 
-// decodeEvent converts an event of an instance, or returns nil if policy has no such event. An invalid one sets fields.err.
+// decodeEvent converts an event with the given name into one of package policy, or returns nil if that has no such event. If the
+// event is invalid, fields.err is set.
 func (s *session) decodeEvent(name string, fields *fieldReader) policy.Event {
 	switch name {
 	case "call":
@@ -47,6 +48,7 @@
 	return nil
 }
 
+// decodeAttemptEnded converts an "answer" event: the end of an attempt.
 func decodeAttemptEnded(fields *fieldReader) policy.Event {
 	ended := policy.AttemptEnded{
 		ID:         fields.text(2),
@@ -63,6 +65,7 @@
 	return ended
 }
 
+// decodeUpdate converts an "update" event: the failure of the watch, or an endpoint list that was sent before.
 func (s *session) decodeUpdate(fields *fieldReader) policy.Event {
 	scope := fields.text(2)
 	if scope == "FAILED" {
--- a/internal/wire/field.go
+++ b/internal/wire/field.go
@@ -10,21 +10,21 @@
 	"milletsail/policy"
 )
 
-// fieldReader decodes the values of one line by position and keeps the first error. A value that is missing or null is
-// decoded as the zero value.
+// fieldReader decodes the values of one line by their position, counted from 0, and keeps the first error. A value that is missing
+// or null is decoded as the zero value.
 type fieldReader struct {
 	values []json.RawMessage
 	err    error
 }
 
-// fail keeps err unless there was an error before.
+// fail records err, unless an error was recorded before.
 func (f *fieldReader) fail(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
-// decode decodes value i into the value that into points to, which stays as it is if the value is missing or null.
+// decode decodes value i into the variable that into points to. If the value is missing or null, the variable is left unchanged.
 func (f *fieldReader) decode(i int, into any) {
 	if i >= len(f.values) {
 		return
@@ -42,7 +42,7 @@
 // seconds decodes a duration in seconds.
 func (f *fieldReader) seconds(i int) time.Duration { return settings.Seconds(f.number(i)) }
 
-// integer decodes an integer, which may have the form of a float.
+// integer decodes an integer, which may be written as a floating-point number, such as 3.0.
 func (f *fieldReader) integer(i int) int64 {
 	var number json.Number
 	f.decode(i, &number)
@@ -51,7 +51,7 @@
 	}
 	v, err := number.Float64()
 	if err != nil || v != math.Trunc(v) {
-		f.fail(fmt.Errorf("value %d: not a whole number", i))
+		f.fail(fmt.Errorf("value %d: expected an integer, got %q", i, number))
 	}
 	return int64(v)
 }
@@ -61,12 +61,13 @@
 	name := f.text(i)
 	outcome, ok := outcomes[name]
 	if !ok {
-		f.fail(fmt.Errorf("unknown outcome %q", name))
+		f.fail(fmt.Errorf("value %d: unknown outcome %q of an attempt", i, name))
 	}
 	return outcome
 }
 
-// loadReport decodes an endpoint's load report, or returns nil if it is incomplete.
+// loadReport decodes an endpoint's load report: an object with the remaining capacity in x0 and the limit in x1. It returns nil if
+// either is missing.
 func (f *fieldReader) loadReport(i int) *policy.LoadReport {
 	var report map[string]float64
 	f.decode(i, &report)
@@ -78,7 +79,7 @@
 	return &policy.LoadReport{Remaining: remaining, Limit: limit}
 }
 
-// endpoints decodes an endpoint list: an array of arrays with kind, destination, ID, weight, state and zone.
+// endpoints decodes an endpoint list: an array of arrays, each with the kind, destination, ID, weight, state and zone of an endpoint.
 func (f *fieldReader) endpoints(i int) []policy.Endpoint {
 	var rows [][]json.RawMessage
 	f.decode(i, &rows)
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -10,23 +10,23 @@
 	"milletsail/policy"
 )
 
-// instance is one relay of the simulator, with its events of the current batch.
+// instance is one simulated relay with its events of the current batch.
 type instance struct {
 	dispatcher *policy.Dispatcher
 	events     []policy.Event
-	scheduled  bool // in session.schedule
+	scheduled  bool // whether the instance is in session.schedule
 }
 
-// session is the state of one process.
+// session is the state of the conversation with the simulator: the running instances and the current batch.
 type session struct {
-	instances map[int64]*instance
-	lists     map[int64][]policy.Endpoint // endpoint lists, by their numbers
-	now       instant.Time
-	schedule  []int64 // instances with events in this batch, in the order of their first one
-	crashes   []crash // of this batch
+	instances map[int64]*instance         // running instances, by their number
+	lists     map[int64][]policy.Endpoint // endpoint lists that the simulator has sent, by their number
+	now       instant.Time                // time of the current batch by the simulator's clock
+	schedule  []int64                     // numbers of the instances with events in this batch, in the order of their first event
+	crashes   []crash                     // instances that could not be started in this batch
 }
 
-// crash is an instance that could not be started.
+// crash reports an instance that could not be started.
 type crash struct {
 	id     int64
 	reason string
@@ -36,11 +36,11 @@
 	return &session{instances: map[int64]*instance{}, lists: map[int64][]policy.Endpoint{}}
 }
 
-// readLine takes in one line and reports whether it ended the batch.
+// readLine processes one line from the simulator and reports whether it ended the batch.
 func (s *session) readLine(line []byte) (batchEnded bool, err error) {
 	var values []json.RawMessage
 	if err := json.Unmarshal(line, &values); err != nil {
-		return false, fmt.Errorf("not an array: %w", err)
+		return false, fmt.Errorf("line is not a JSON array: %w", err)
 	}
 	fields := &fieldReader{values: values}
 	name := fields.text(0)
@@ -66,7 +66,7 @@
 	return false, nil
 }
 
-// enqueue adds an event to an instance's batch. Events of instances that don't run are dropped.
+// enqueue adds an event to the current batch of instance id. Events for instances that don't run are dropped.
 func (s *session) enqueue(id int64, event policy.Event) {
 	target := s.instances[id]
 	if target == nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// start starts an instance. One with invalid settings is reported as crashed.
+// start starts the instance that a "begin" line describes. An instance with invalid settings is reported as crashed.
 func (s *session) start(fields *fieldReader) {
 	id, seed := fields.integer(1), fields.integer(2)
 	var decoded settings.Settings
@@ -96,6 +96,7 @@
 	s.instances[id] = &instance{dispatcher: dispatcher}
 }
 
+// newDispatcher returns a dispatcher with the given settings and random seed.
 func newDispatcher(decoded *settings.Settings, seed int64) (*policy.Dispatcher, error) {
 	converted, err := decoded.Policy()
 	if err != nil {
@@ -104,7 +105,7 @@
 	return policy.New(converted, seed)
 }
 
-// reply lets each instance with events act, and returns the reply to the batch.
+// reply has each instance handle its events of the batch, and returns the reply: their actions and the instances that crashed.
 func (s *session) reply() []byte {
 	var reply bytes.Buffer
 	for _, crashed := range s.crashes {
@@ -121,7 +122,8 @@
 	return reply.Bytes()
 }
 
-// handleEvents has one instance handle its events. A panic is reported as a crash, without the actions before it.
+// handleEvents has one instance handle its events and writes its actions to the reply. If the dispatcher panics, the instance is
+// reported as crashed instead, and none of its actions are written.
 func (s *session) handleEvents(reply *bytes.Buffer, id int64, scheduled *instance) {
 	start := reply.Len()
 	defer func() {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,7 +1,8 @@
-// Package wire converts between the simulator's protocol and package policy. It decides nothing.
+// Package wire converts the simulator's protocol into events of package policy, and actions of package policy into replies. It
+// makes no delivery decisions itself.
 //
-// Both directions are lines with a JSON array each, whose first value is the name of the event or action. The simulator ends
-// a batch of events with "your_turn", and gets the actions of all instances, ended by "ready".
+// In both directions, each line is a JSON array whose first value is the name of an event or action. The simulator sends a batch of
+// events that ends with "your_turn". The reply holds the actions of all instances and ends with "ready".
 package wire
 
 import (
@@ -12,13 +13,14 @@
 )
 
 const (
-	// maxLineSize is the maximum size of one line, in bytes. A complete list of endpoints is the longest.
+	// maxLineSize is the maximum size of one line, in bytes. The longest lines are complete lists of endpoints.
 	maxLineSize = 64 << 20
 	// initialLineSize is the initial size of the line buffer, in bytes.
 	initialLineSize = 64 << 10
 )
 
-// Serve reads batches from r and writes a reply to each to w, until r ends or a line is invalid. The error names the line.
+// Serve reads batches from r and writes a reply to each batch to w, until r ends or a line is invalid. The error for an invalid line
+// contains its number, counted from 1.
 func Serve(r io.Reader, w io.Writer) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, initialLineSize), maxLineSize)
--- a/internal/wire/wire_golden_test.go
+++ b/internal/wire/wire_golden_test.go
@@ -10,22 +10,22 @@
 	"milletsail/internal/wire"
 )
 
-// updateWire has the tests of the wire write their golden files instead of comparing with them. CI never sets it.
+// updateWire makes the test rewrite the golden files in testdata/wire instead of comparing with them. CI never sets it.
 var updateWire = flag.Bool("update-wire", false, "write the golden files of the wire")
 
-// TestRepliesOnTheWire pins replies to the simulator, byte for byte. A file of testdata/wire holds the lines that the
-// simulator sends, after "> ", and the reply to each batch, after "< ".
+// TestRepliesOnTheWire compares the replies to the simulator with golden files, byte for byte. A file in testdata/wire holds one
+// session: the lines that the simulator sends start with "> ", and the lines of the reply to each batch with "< ".
 func TestRepliesOnTheWire(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join("testdata", "wire", "*.txt"))
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no sessions: %v", err)
+		t.Fatalf("no golden files found in testdata/wire: %v", err)
 	}
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) { compareSession(t, path) })
 	}
 }
 
-// compareSession compares the replies to one session with the recorded ones.
+// compareSession fails the test unless the replies in one session equal those in its golden file.
 func compareSession(t *testing.T, path string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -51,12 +51,12 @@
 		return
 	}
 	if got != string(text) {
-		t.Errorf("the bytes on the wire have changed:\n%s\nwant:\n%s", got, text)
+		t.Errorf("replies differ from the golden file:\n%s\nwant:\n%s", got, text)
 	}
 }
 
-// lastReply returns the reply to the last batch of a session, which it serves from the start: the same input has the same
-// replies.
+// lastReply returns the reply to the last batch of a session. It serves the session from the start, which is possible because the
+// same input always has the same replies.
 func lastReply(t *testing.T, session string) string {
 	t.Helper()
 	var out strings.Builder
@@ -66,7 +66,7 @@
 	const end = "[\"ready\"]\n"
 	replies := strings.SplitAfter(out.String(), end)
 	if len(replies) < 2 || replies[len(replies)-1] != "" {
-		t.Fatalf("incomplete reply: %q", out.String())
+		t.Fatalf("replies do not end with \"ready\": %q", out.String())
 	}
 	reply := ""
 	for line := range strings.Lines(replies[len(replies)-2]) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// beginLine starts instance 0.
+// beginLine is a line that starts instance 0 with valid settings and without gossip.
 const beginLine = `["begin",0,7,{"categories":[{"aim_s":1,"deadline_s":5,"group":"all","idempotency":"retryable","points":1}],` +
 	`"discovery":"automatic","limits":{"max_attempts":4,"max_open":20},"n_instances":1,"quantum_s":0.005,"news":1,` +
 	`"shapes":["k"],"specifics":{"max_calls":3,"bundle_max":[1]},"weights":"off"}]`
 
-// run serves some lines and returns the replies.
+// run serves the lines of a session and returns all replies.
 func run(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
@@ -18,7 +18,8 @@
 	return out.String(), err
 }
 
-// Gossip messages are sent and received in base64; an empty one is ignored.
+// Gossip messages must be sent and received in base64. A received report that a destination rejects must keep an instance from
+// sending to it; an empty message must have no effect.
 func TestGossip(t *testing.T) {
 	withGossip := strings.Replace(strings.Replace(beginLine, `"max_open":20`, `"max_open":20,"peers":true`, 1), `"off"`, `"nominal"`, 1)
 	list := `["manifest",0,[[0,5,"h1",4,"in_service",0,null]]]`
@@ -26,20 +27,20 @@
 	out, err := run(t, `["round",1]`, withGossip, list, `["update",0,"SAVED",1,0]`, call, `["your_turn"]`,
 		`["round",2]`, `["answer",0,"m","h1",0,"QueueFull",700,0.1,false,null]`, `["your_turn"]`)
 	if err != nil || !strings.Contains(out, `["announce",0,"*","YwW8BegH"]`) {
-		t.Errorf("no message about the rejection in %s, %v", out, err)
+		t.Errorf("reply without a gossip message about the rejection: %s, error %v", out, err)
 	}
 	out, err = run(t, `["round",1]`, withGossip, list, `["update",0,"SAVED",1,0]`, `["peer_data",0,1,"YwW8BegH"]`, call,
 		`["your_turn"]`)
 	if err != nil || strings.Contains(out, `["relay"`) {
-		t.Errorf("forwarded in spite of a message: %s, %v", out, err)
+		t.Errorf("message sent although gossip reported the destination as closed: %s, error %v", out, err)
 	}
 	out, err = run(t, `["round",1]`, withGossip, list, `["update",0,"SAVED",1,0]`, `["peer_data",0,1,null]`, call, `["your_turn"]`)
 	if err != nil || !strings.Contains(out, `["relay",0,"m","h1"`) {
-		t.Errorf("with an empty message: %s, %v", out, err)
+		t.Errorf("message not sent after an empty gossip message: %s, error %v", out, err)
 	}
 }
 
-// Each batch has a reply; unknown events and instances are ignored.
+// Each batch must have one reply that ends with "ready". Unknown events, and events for unknown instances, are ignored.
 func TestServe(t *testing.T) {
 	list := `["manifest",0,[[0,5,"h1",1,"in_service",0,null]]]`
 	other := `["manifest",0,[[0,6,"h2",1,"in_service",0,null]]]`
@@ -73,32 +74,32 @@
 		}
 		for _, want := range tt.want {
 			if !strings.Contains(out, want) {
-				t.Errorf("%s: no %s in %s", tt.name, want, out)
+				t.Errorf("%s: %s is missing in the reply %s", tt.name, want, out)
 			}
 		}
 		for _, unwanted := range tt.unwanted {
 			if strings.Contains(out, unwanted) {
-				t.Errorf("%s: %s in %s", tt.name, unwanted, out)
+				t.Errorf("%s: unexpected %s in the reply %s", tt.name, unwanted, out)
 			}
 		}
 	}
 }
 
-// A malformed line is an error on one line, and its batch has no reply.
+// A malformed line must end the session with an error whose text is a single line, and its batch must have no reply.
 func TestMalformedLines(t *testing.T) {
 	for _, bad := range []string{`nonsense`, `["round","x"]`, `["answer",0,"m","h",0,"Odd"]`, `["call",0,5]`,
 		`["update",0,"FULL",1,9]`, `["begin",0,1,[]]`} {
 		out, err := run(t, `["round",1]`, beginLine, bad, `["your_turn"]`)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", bad, err)
+			t.Errorf("line %s: got error %v, want an error of one line", bad, err)
 		}
 		if out != "" {
-			t.Errorf("%s: incomplete reply: %q", bad, out)
+			t.Errorf("line %s: got reply %q, want none", bad, out)
 		}
 	}
 }
 
-// Any line is served without a panic.
+// Serving an arbitrary line must not panic.
 func FuzzServe(f *testing.F) {
 	f.Add(beginLine)
 	f.Add(`["answer",0,"m","h",0,"Ok",null,0.1,true,{"x0":1}]`)
