--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A program that does not report its formats, reports invalid ones, prints too much or does not exit must be an error: a rollout must
-// neither hang on it nor take it for compatible.
+// A program that does not report its formats, reports invalid ones, prints too much or does not exit must be an error: a rollout
+// must neither hang on it nor take it for compatible.
 func TestQueryProgram(t *testing.T) {
 	for _, c := range []struct {
 		name, script string
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An unknown key, a value of the wrong type, and an invalid duration must be errors that start with the file name and the line, so that
-// the operator finds the place.
+// An unknown key, a value of the wrong type, and an invalid duration must be errors that start with the file name and the line, so
+// that the operator finds the place.
 func TestDecode(t *testing.T) {
 	type file struct {
 		Name  string   `toml:"name"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -30,45 +30,45 @@
 // Category holds the settings of one class of messages.
 type Category struct {
 	Name               string  `json:"name"`
-	LatencyObjectiveS  float64 `json:"aim_s"`
-	DeadlineS          float64 `json:"deadline_s"`
-	Idempotency        string  `json:"idempotency"` // "retryable", "dedup" or "fragile"
-	Group              string  `json:"group"`       // "all" if idempotency keys are shared by all zones
-	Ordered            bool    `json:"fifo_by_key"`
-	LateValueShare     float64 `json:"late_share"`
-	IdempotencyWindowS float64 `json:"memory_span_s"`
-	PriorityWeight     float64 `json:"points"`
+	LatencyObjectiveS  float64 `json:"aim_s"`         // latency up to which a message has its full value
+	DeadlineS          float64 `json:"deadline_s"`    // time after its arrival at which a message expires
+	Idempotency        string  `json:"idempotency"`   // "retryable", "dedup" or "fragile"
+	Group              string  `json:"group"`         // "all" if idempotency keys are shared by all zones
+	Ordered            bool    `json:"fifo_by_key"`   // whether messages with the same key are sent one at a time, in order
+	LateValueShare     float64 `json:"late_share"`    // share of its value that a message still has at the deadline
+	IdempotencyWindowS float64 `json:"memory_span_s"` // time for which a destination remembers an idempotency key
+	PriorityWeight     float64 `json:"points"`        // full value of a message
 }
 
 // Limits holds the limits and optional features of an instance.
 type Limits struct {
-	CanCancel        bool    `json:"cancel"`
-	IdleConnTimeoutS float64 `json:"conn_idle_s"`
-	ConnTimeoutS     float64 `json:"connect_timeout_s"`
-	MaxAttempts      int     `json:"max_attempts"`
-	QueueCapacity    int     `json:"max_open"`
-	MaxRetryAfterS   float64 `json:"max_retry_after_s"`
-	Gossip           bool    `json:"peers"`
-	RetryAfter       bool    `json:"retry_after"`
-	HedgedRequests   bool    `json:"second_copies"`
+	CanCancel        bool    `json:"cancel"`            // whether attempts can be cancelled
+	IdleConnTimeoutS float64 `json:"conn_idle_s"`       // time after which an idle connection closes; 0 for never
+	ConnTimeoutS     float64 `json:"connect_timeout_s"` // time limit for opening a connection to an endpoint
+	MaxAttempts      int     `json:"max_attempts"`      // maximum number of attempts of a message
+	QueueCapacity    int     `json:"max_open"`          // maximum number of unfinished messages, sent or not
+	MaxRetryAfterS   float64 `json:"max_retry_after_s"` // longest Retry-After that clients honour; used only if RetryAfter is set
+	Gossip           bool    `json:"peers"`             // whether relays may exchange gossip messages
+	RetryAfter       bool    `json:"retry_after"`       // whether rejections of clients carry a Retry-After
+	HedgedRequests   bool    `json:"second_copies"`     // whether two attempts of a message may run at once
 }
 
 // Rules holds parameters that were agreed with the operators of endpoints.
 type Rules struct {
-	SlowStartInitialShare float64 `json:"cold_share"`
-	OverloadFactor        float64 `json:"overload_factor"`
-	OverloadWindowS       float64 `json:"overload_for_s"`
-	SlowStartWindowS      float64 `json:"ramp_time_s"`
-	OrderedKeyDelayS      float64 `json:"order_pause_s"`
+	SlowStartInitialShare float64 `json:"cold_share"`      // share of its capacity that a destination has right after an outage
+	OverloadFactor        float64 `json:"overload_factor"` // multiple of its current capacity that overloads a destination in slow start
+	OverloadWindowS       float64 `json:"overload_for_s"`  // time at more than OverloadFactor after which the destination is overloaded
+	SlowStartWindowS      float64 `json:"ramp_time_s"`     // time after an outage until a destination has its full capacity
+	OrderedKeyDelayS      float64 `json:"order_pause_s"`   // time for which a key stays blocked after an attempt that may still run
 }
 
 // Specifics holds settings for each kind of endpoints or each zone, and settings of the whole instance.
 type Specifics struct {
-	MaxBatch       []int     `json:"bundle_max"`      // maximum number of messages in a request, indexed like Shapes
+	MaxBatch       []int     `json:"bundle_max"`      // maximum number of messages in a call, by kind of endpoint
 	LateDecay      string    `json:"loses_worth"`     // "halving" if the value of late messages decays exponentially
-	Slots          int       `json:"max_calls"`       // maximum number of requests in flight of the instance
-	ZoneCost       []float64 `json:"route_fee"`       // cost of a request to each zone, indexed like Localities
-	SeparateRoutes []bool    `json:"separate_routes"` // indexed like Shapes
+	Slots          int       `json:"max_calls"`       // maximum number of calls in flight of the instance
+	ZoneCost       []float64 `json:"route_fee"`       // cost of sending all messages to a zone, in mean priority weights, by zone
+	SeparateRoutes []bool    `json:"separate_routes"` // by kind of endpoint: whether each endpoint has a limit, send rate and health of its own
 }
 
 // Tenant is a client with settings of its own.
--- a/internal/wire/field.go
+++ b/internal/wire/field.go
@@ -79,7 +79,8 @@
 	return &policy.LoadReport{Remaining: remaining, Limit: limit}
 }
 
-// endpoints decodes an endpoint list: an array of arrays, each with the kind, destination, ID, weight, state and zone of an endpoint.
+// endpoints decodes an endpoint list: an array of arrays, each with the kind, destination, ID, weight, state and zone of one
+// endpoint.
 func (f *fieldReader) endpoints(i int) []policy.Endpoint {
 	var rows [][]json.RawMessage
 	f.decode(i, &rows)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -19,8 +19,8 @@
 	initialLineSize = 64 << 10
 )
 
-// Serve reads batches from r and writes a reply to each batch to w, until r ends or a line is invalid. The error for an invalid line
-// contains its number, counted from 1.
+// Serve reads batches from r and writes a reply to each batch to w, until r ends or a line is invalid. The error for an invalid
+// line contains its number, counted from 1.
 func Serve(r io.Reader, w io.Writer) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, initialLineSize), maxLineSize)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,8 +18,8 @@
 	return out.String(), err
 }
 
-// Gossip messages must be sent and received in base64. A received report that a destination rejects must keep an instance from
-// sending to it; an empty message must have no effect.
+// Gossip messages must be sent and received in base64. A received report that a destination rejects must keep an instance
+// from sending to it; an empty message must have no effect.
 func TestGossip(t *testing.T) {
 	withGossip := strings.Replace(strings.Replace(beginLine, `"max_open":20`, `"max_open":20,"peers":true`, 1), `"off"`, `"nominal"`, 1)
 	list := `["manifest",0,[[0,5,"h1",4,"in_service",0,null]]]`
