--- a/internal/fleet/fact.go
+++ b/internal/fleet/fact.go
@@ -87,8 +87,8 @@
 	FactID
 	FactVersion
 	Value uint64 // its meaning depends on the kind: see the Kind constants
-	// ObservedAt is the time of the observation by the local clock. Messages carry the age of a fact, and the receiver
-	// subtracts it from its own time, so a fact never gets younger as it is forwarded.
+	// ObservedAt is the time of the observation by the local clock. Messages carry the age of a fact, which the receiver
+	// subtracts from the time of receipt. The time in transit is not counted, but the age never decreases from relay to relay.
 	ObservedAt time.Duration
 	// Via is the number of the relay from which the fact was received: its origin, or a relay that forwarded it.
 	Via uint16
--- a/internal/fleet/rate_test.go
+++ b/internal/fleet/rate_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Rates outside the range of the encoding must be clamped to it: an overflow would spill into the neighboring bits.
+// Rates outside the range of the encoding must be clamped to it: an overflow would change the neighbouring bits.
 func TestRateBounds(t *testing.T) {
 	for _, rate := range []float64{-1, 0, 65, 1e12, math.Inf(1)} {
 		if share, arrival := decodeRate(EncodeRate(rate, rate, 2)); share < 0 || share > 66 || arrival < 0 || arrival > 5e6 {
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -117,8 +117,8 @@
 	return origins, youngest
 }
 
-// RemoveExpired deletes expired facts. If another relay sends a deleted version again, its age is at least as high as before,
-// so it cannot become usable again.
+// RemoveExpired deletes expired facts. A relay whose copy of a deleted fact has not quite expired could send it again;
+// anti-entropy avoids that by leaving out facts that expire within digestMargin.
 func (s *Store) RemoveExpired(now time.Duration) {
 	for id, fact := range s.facts {
 		if now-fact.ObservedAt < Lifetimes[fact.Kind].ExpiresAfter {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -70,7 +70,7 @@
 	for _, tt := range tests {
 		out, err := run(t, tt.lines...)
 		if err != nil {
-			t.Errorf("%s: %v", tt.name, err)
+			t.Errorf("%s: serving the session failed: %v", tt.name, err)
 		}
 		for _, want := range tt.want {
 			if !strings.Contains(out, want) {
