--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -15,28 +15,28 @@
 // Format 1, which the previous programs wrote, is measured in the same run: its code is still here.
 
 const (
-	// benchMB is a size limit that no benchmark reaches, in 10^6 bytes.
-	benchMB = 4000
+	// benchDiskMB is a size limit that no benchmark reaches, in 10^6 bytes.
+	benchDiskMB = 4000
 	// benchHost is an endpoint's name.
 	benchHost = "s-3740d6df"
 )
 
-// message returns a request of a usual size.
-func message(i int) *Entry {
+// benchEntry returns a request of a usual size.
+func benchEntry(i int) *Entry {
 	return &Entry{ID: fmt.Sprintf("%016x", i), Class: "payment", Dest: 7, Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
 		ExpiresAt: clock.Now().Add(time.Hour), AcceptedAt: clock.Now(), Body: make([]byte, 200)}
 }
 
-// sink is the log of format 1.
-type sink struct {
+// logV1 is the log of format 1.
+type logV1 struct {
 	f    *os.File
 	b    []byte
 	size int
 }
 
-func (s *sink) add(r recordV1, body []byte) { s.b, _ = appendV1(s.b, r, body) }
+func (s *logV1) add(r recordV1, body []byte) { s.b, _ = appendV1(s.b, r, body) }
 
-func (s *sink) commit(b *testing.B) {
+func (s *logV1) commit(b *testing.B) {
 	b.Helper()
 	n, err := s.f.Write(s.b)
 	if err != nil {
@@ -65,20 +65,20 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = f.Close() })
-	s := &sink{f: f}
+	s := &logV1{f: f}
 	for b.Loop() {
 		for i := range n {
-			e := message(i)
+			e := benchEntry(i)
 			s.add(recordV1{Op: "taken", Entry: &entryV1{e.ID, e.Class, e.Dest, e.Key, time.Unix(2e9, 0)}}, e.Body)
 		}
 		s.commit(b)
 		for i := range n {
-			s.add(recordV1{Op: "begun", ID: message(i).ID, Host: benchHost, At: time.Now()}, nil)
+			s.add(recordV1{Op: "begun", ID: benchEntry(i).ID, Host: benchHost, At: time.Now()}, nil)
 		}
 		s.commit(b)
 		for i := range n {
-			s.add(recordV1{Op: "ended", ID: message(i).ID}, nil)
-			s.add(recordV1{Op: "over", ID: message(i).ID}, nil)
+			s.add(recordV1{Op: "ended", ID: benchEntry(i).ID}, nil)
+			s.add(recordV1{Op: "over", ID: benchEntry(i).ID}, nil)
 		}
 		s.commit(b)
 	}
@@ -88,7 +88,7 @@
 // openForBenchmark opens a journal in a new directory.
 func openForBenchmark(b *testing.B, power bool) *Journal {
 	b.Helper()
-	j, _, err := Open(b.TempDir(), Options{DiskMB: benchMB, SurvivesPowerLoss: power})
+	j, _, err := Open(b.TempDir(), Options{DiskMB: benchDiskMB, SurvivesPowerLoss: power})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 	all := make([]*Entry, n)
 	for b.Loop() {
 		for i := range n {
-			all[i] = message(i)
+			all[i] = benchEntry(i)
 			j.Accept(all[i])
 		}
 		commitAll()
@@ -133,7 +133,7 @@
 	j := openForBenchmark(b, true)
 	for b.Loop() {
 		for i := range n {
-			e := message(i)
+			e := benchEntry(i)
 			steps := []func(){
 				func() { j.Accept(e) },
 				func() { j.StartAttempt(e, benchHost, clock.Now()) },
@@ -165,7 +165,7 @@
 // heap meanwhile as a multiple of the state's size.
 func BenchmarkOpen(b *testing.B) {
 	for _, live := range []int{0, 5000, 100_000, 500_000} {
-		formatOne, segment := encodeBoth(b, live)
+		formatOne, segment := encodeBothFormats(b, live)
 		b.Run(fmt.Sprintf("before/%d", 2*live), func(b *testing.B) {
 			path := filepath.Join(b.TempDir(), formatV1File)
 			writeFile(b, path, formatOne)
@@ -187,12 +187,12 @@
 	}
 }
 
-// encodeBoth returns a journal with so many live messages in format 1 and as a segment.
-func encodeBoth(b *testing.B, live int) (formatOne, segment []byte) {
+// encodeBothFormats returns a journal with so many live messages in format 1 and as a segment.
+func encodeBothFormats(b *testing.B, live int) (formatOne, segment []byte) {
 	b.Helper()
 	s := newState()
 	for i := range live {
-		e := message(i)
+		e := benchEntry(i)
 		s.apply(&record{op: opAccepted, entrySeq: uint64(i + 1), entry: e})
 		e.Attempts = []Attempt{{Host: benchHost, StartedAt: clock.Now()}}
 	}
@@ -224,7 +224,7 @@
 	runtime.ReadMemStats(&base)
 	var peak atomic.Uint64
 	done := make(chan bool)
-	go watchHeap(&peak, done) // ends when done is closed
+	go recordPeakHeap(&peak, done) // ends when done is closed
 	latest := make([]*state, 1)
 	for b.Loop() {
 		b.StopTimer()
@@ -250,8 +250,8 @@
 	runtime.KeepAlive(latest)
 }
 
-// watchHeap keeps the largest heap until done is closed.
-func watchHeap(peak *atomic.Uint64, done <-chan bool) {
+// recordPeakHeap keeps the largest heap until done is closed.
+func recordPeakHeap(peak *atomic.Uint64, done <-chan bool) {
 	var stats runtime.MemStats
 	for {
 		select {
--- a/internal/journal/commit.go
+++ b/internal/journal/commit.go
@@ -67,11 +67,11 @@
 
 // DropLegacyList removes the legacy list once its owner stores it elsewhere, and begins a segment without it.
 func (j *Journal) DropLegacyList() {
-	if j.list.Text == nil {
+	if j.legacyList.Text == nil {
 		return
 	}
-	j.liveSize -= j.listSize
-	j.list, j.listSize = LegacyEndpointList{}, 0
+	j.liveSize -= j.legacyListSize
+	j.legacyList, j.legacyListSize = LegacyEndpointList{}, 0
 	if j.writeError != nil {
 		return // the next segment is written without it
 	}
--- a/internal/journal/compaction.go
+++ b/internal/journal/compaction.go
@@ -154,8 +154,8 @@
 	for _, e := range j.order {
 		add(record{op: opSnapshotEntry, entrySeq: e.seq, entry: e})
 	}
-	if j.list.Text != nil {
-		add(record{op: opLegacyList, list: j.list})
+	if j.legacyList.Text != nil {
+		add(record{op: opLegacyList, list: j.legacyList})
 	}
 	for host, health := range j.health {
 		add(record{op: opHealth, host: host, ejected: health.Ejected, at: health.ChangedAt})
--- a/internal/journal/crashfs_test.go
+++ b/internal/journal/crashfs_test.go
@@ -26,145 +26,147 @@
 	file     *inode
 }
 
-// model is a file system that knows what a power loss may leave. Each call is a point at which the machine may stop.
-type model struct {
-	now     map[string]*inode
-	durable map[string]*inode
-	pending []dirOp
-	calls   int
-	failAt  int // from this call on, and failFor calls long; 0 for never
-	failFor int
-	failure error // a short write, where it is nil
-	stopped func(m *model, call string)
-}
-
-func newModel() *model { return &model{now: map[string]*inode{}, durable: map[string]*inode{}} }
-
-// call counts a call, and tells how it fails.
-func (m *model) call() (failed bool, err error) {
+// crashFS is a file system that knows what a power loss may leave. Each call is a point at which the machine may stop.
+type crashFS struct {
+	files        map[string]*inode
+	durableFiles map[string]*inode
+	unsyncedOps  []dirOp
+	calls        int
+	failFromCall int // from this call on, and failFor calls long; 0 for never
+	failedCalls  int
+	failure      error // a short write, where it is nil
+	afterCall    func(m *crashFS, call string)
+}
+
+func newCrashFS() *crashFS {
+	return &crashFS{files: map[string]*inode{}, durableFiles: map[string]*inode{}}
+}
+
+// countCall counts a countCall, and tells how it fails.
+func (m *crashFS) countCall() (failed bool, err error) {
 	m.calls++
-	if m.failAt > 0 && m.calls >= m.failAt && m.calls < m.failAt+m.failFor {
+	if m.failFromCall > 0 && m.calls >= m.failFromCall && m.calls < m.failFromCall+m.failedCalls {
 		return true, m.failure
 	}
 	return false, nil
 }
 
-func (m *model) done(name string) {
-	if m.stopped != nil {
-		m.stopped(m, name)
+func (m *crashFS) callDone(name string) {
+	if m.afterCall != nil {
+		m.afterCall(m, name)
 	}
 }
 
-type modelFile struct {
-	m *model
+type crashFile struct {
+	m *crashFS
 	f *inode
 }
 
-func (m *model) Create(path string) (File, error) {
-	if failed, err := m.call(); failed {
+func (m *crashFS) Create(path string) (File, error) {
+	if failed, err := m.countCall(); failed {
 		return nil, errors.Join(err, syscall.ENOSPC)
 	}
 	f := &inode{}
-	m.now[path] = f
-	m.pending = append(m.pending, dirOp{"create", "", path, f})
-	m.done("create")
-	return &modelFile{m, f}, nil
+	m.files[path] = f
+	m.unsyncedOps = append(m.unsyncedOps, dirOp{"create", "", path, f})
+	m.callDone("create")
+	return &crashFile{m, f}, nil
 }
 
-func (f *modelFile) Write(b []byte) (int, error) {
-	if failed, err := f.m.call(); failed {
+func (f *crashFile) Write(b []byte) (int, error) {
+	if failed, err := f.m.countCall(); failed {
 		n := len(b) / 2
 		f.f.data = append(f.f.data, b[:n]...)
-		f.m.done("short write")
+		f.m.callDone("short write")
 		return n, err
 	}
 	f.f.data = append(f.f.data, b...)
-	f.m.done("write")
+	f.m.callDone("write")
 	return len(b), nil
 }
 
-func (f *modelFile) Sync() error {
-	if failed, err := f.m.call(); failed {
+func (f *crashFile) Sync() error {
+	if failed, err := f.m.countCall(); failed {
 		// The system drops what it could not write and calls it clean: a later sync would prove nothing.
 		return errors.Join(err, syscall.EIO)
 	}
 	f.f.synced = bytes.Clone(f.f.data)
-	f.m.done("sync")
+	f.m.callDone("sync")
 	return nil
 }
 
-func (f *modelFile) Truncate(size int64) error {
-	if failed, err := f.m.call(); failed {
+func (f *crashFile) Truncate(size int64) error {
+	if failed, err := f.m.countCall(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
 	f.f.data = bytes.Clone(f.f.data[:size])
-	f.m.done("truncate")
+	f.m.callDone("truncate")
 	return nil
 }
 
-func (f *modelFile) Close() error { return nil }
+func (f *crashFile) Close() error { return nil }
 
-func (m *model) Open(path string) (io.ReadCloser, int64, error) {
-	f, ok := m.now[path]
+func (m *crashFS) Open(path string) (io.ReadCloser, int64, error) {
+	f, ok := m.files[path]
 	if !ok {
 		return nil, 0, fs.ErrNotExist
 	}
 	return io.NopCloser(bytes.NewReader(f.data)), int64(len(f.data)), nil
 }
 
-func (m *model) Rename(from, to string) error {
-	if failed, err := m.call(); failed {
+func (m *crashFS) Rename(from, to string) error {
+	if failed, err := m.countCall(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
-	m.now[to] = m.now[from]
-	delete(m.now, from)
-	m.pending = append(m.pending, dirOp{"rename", from, to, m.now[to]})
-	m.done("rename")
+	m.files[to] = m.files[from]
+	delete(m.files, from)
+	m.unsyncedOps = append(m.unsyncedOps, dirOp{"rename", from, to, m.files[to]})
+	m.callDone("rename")
 	return nil
 }
 
-func (m *model) Remove(path string) error {
-	if failed, err := m.call(); failed {
+func (m *crashFS) Remove(path string) error {
+	if failed, err := m.countCall(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
-	if m.now[path] == nil {
+	if m.files[path] == nil {
 		return fs.ErrNotExist
 	}
-	delete(m.now, path)
-	m.pending = append(m.pending, dirOp{"remove", path, "", nil})
-	m.done("remove")
+	delete(m.files, path)
+	m.unsyncedOps = append(m.unsyncedOps, dirOp{"remove", path, "", nil})
+	m.callDone("remove")
 	return nil
 }
 
-func (m *model) List(dir string) (names []string, err error) {
-	for path := range m.now {
+func (m *crashFS) List(dir string) (names []string, err error) {
+	for path := range m.files {
 		names = append(names, filepath.Base(path))
 	}
 	return names, nil
 }
 
-func (m *model) SyncDir(string) error {
-	if failed, err := m.call(); failed {
+func (m *crashFS) SyncDir(string) error {
+	if failed, err := m.countCall(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
-	m.durable = map[string]*inode{}
-	for path, f := range m.now {
-		m.durable[path] = f
+	m.durableFiles = map[string]*inode{}
+	for path, f := range m.files {
+		m.durableFiles[path] = f
 	}
-	m.pending = nil
-	m.done("sync folder")
+	m.unsyncedOps = nil
+	m.callDone("sync folder")
 	return nil
 }
 
-// after returns a file system as a power loss may leave it: which pending changes of the directory happened, and which
+// afterPowerLoss returns a file system as a power loss may leave it: which pending changes of the directory happened, and which
 // blocks of what was never synced, are drawn by pick.
-func (m *model) after(pick func(n int) int) *model {
-	left := newModel()
+func (m *crashFS) afterPowerLoss(pick func(n int) int) *crashFS {
+	left := newCrashFS()
 	dir := map[string]*inode{}
-	for path, f := range m.durable {
+	for path, f := range m.durableFiles {
 		dir[path] = f
 	}
-	for _, op := range m.pending {
+	for _, op := range m.unsyncedOps {
 		if pick(2) == 0 {
 			continue
 		}
@@ -198,7 +200,7 @@
 			}
 		}
 		copied := &inode{data: data, synced: bytes.Clone(data)}
-		left.now[path], left.durable[path] = copied, copied
+		left.files[path], left.durableFiles[path] = copied, copied
 	}
 	return left
 }
@@ -211,4 +213,4 @@
 	return all
 }
 
-func unchanged(m *model) FS { return m }
+func withoutWrapper(m *crashFS) FS { return m }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -164,7 +164,7 @@
 func (j *Journal) Health() map[string]HealthRecord { return j.health }
 
 // LegacyList returns the endpoint list that an older program stored in the journal; its Text is nil if there is none.
-func (j *Journal) LegacyList() LegacyEndpointList { return j.list }
+func (j *Journal) LegacyList() LegacyEndpointList { return j.legacyList }
 
 // WriteError returns why the journal can't be written, or nil if it can.
 func (j *Journal) WriteError() error { return j.writeError }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// fill notes three messages: one over, one tried twice, one that owes a notice.
-func fill(t *testing.T, j *Journal, at instant.Time) {
+// recordSampleEntries notes three messages: one over, one tried twice, one that owes a notice.
+func recordSampleEntries(t *testing.T, j *Journal, at instant.Time) {
 	t.Helper()
 	for _, id := range []string{"over", "tried", "owing"} {
 		j.Accept(&Entry{ID: id, Class: "order", Dest: 7, Key: "k", ExpiresAt: at.Add(time.Minute), Body: []byte("body\x00" + id)})
@@ -52,7 +52,7 @@
 
 func TestReplay(t *testing.T) {
 	dir, at := t.TempDir(), clock.Now().Add(-time.Second)
-	fill(t, openJournal(t, dir, 3), at)
+	recordSampleEntries(t, openJournal(t, dir, 3), at)
 	for range 2 { // from the log, and from its compaction
 		j := openJournal(t, dir, 3)
 		list := j.Entries()
@@ -77,8 +77,8 @@
 	}
 }
 
-// segmentOf returns the only segment of a directory.
-func segmentOf(t *testing.T, dir string) string {
+// onlySegment returns the only segment of a directory.
+func onlySegment(t *testing.T, dir string) string {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join(dir, segmentPrefix+"*"))
 	if err != nil || len(found) != 1 {
@@ -97,7 +97,7 @@
 	completeSize := j.segmentSize
 	j.Accept(&Entry{ID: "b", Body: []byte("2")})
 	commit(t, j)
-	path := segmentOf(t, dir)
+	path := onlySegment(t, dir)
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 	}
 	j.Accept(&Entry{ID: "last"}) // the end of a file is a case of its own
 	commit(t, j)
-	path := segmentOf(t, dir)
+	path := onlySegment(t, dir)
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -177,7 +177,7 @@
 		}
 		differ := 0
 		for _, want := range j.Entries() {
-			if differs(t, at, got.Get(want.ID), want) {
+			if entryDiffers(t, at, got.Get(want.ID), want) {
 				differ++
 			}
 		}
@@ -187,9 +187,9 @@
 	}
 }
 
-// differs reports whether what was read of a message differs from what was written. It fails the test where a possible
+// entryDiffers reports whether what was read of a message entryDiffers from what was written. It fails the test where a possible
 // attempt is lost.
-func differs(t *testing.T, offset int, got, want *Entry) bool {
+func entryDiffers(t *testing.T, offset int, got, want *Entry) bool {
 	t.Helper()
 	if got == nil {
 		return true
@@ -219,7 +219,7 @@
 		j.Accept(e)
 		commit(t, j)
 	}
-	path := segmentOf(t, dir)
+	path := onlySegment(t, dir)
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -316,7 +316,7 @@
 func TestFormat1(t *testing.T) {
 	dir, at := t.TempDir(), clock.Now().Add(-time.Second)
 	old := openJournal(t, t.TempDir(), 3)
-	fill(t, old, at)
+	recordSampleEntries(t, old, at)
 	raw, err := old.encodeV1()
 	if err != nil {
 		t.Fatal(err)
@@ -358,7 +358,7 @@
 		if j.segmentSize+j.liveSize > mb*1e6 {
 			t.Fatalf("%d bytes on disk with %d live", j.segmentSize, j.liveSize)
 		}
-		if st, err := os.Stat(segmentOf(t, dir)); err != nil || int(st.Size()) != j.segmentSize {
+		if st, err := os.Stat(onlySegment(t, dir)); err != nil || int(st.Size()) != j.segmentSize {
 			t.Fatalf("file of %v bytes (%v), %d counted", st, err, j.segmentSize)
 		}
 	}
--- a/internal/journal/live_capacity_bench_test.go
+++ b/internal/journal/live_capacity_bench_test.go
@@ -14,13 +14,13 @@
 	for _, live := range []int{1_000, 10_000, 100_000, 500_000} {
 		b.Run(fmt.Sprint(live), func(b *testing.B) {
 			before := heapInUse()
-			j, _, err := Open(b.TempDir(), Options{DiskMB: benchMB})
+			j, _, err := Open(b.TempDir(), Options{DiskMB: benchDiskMB})
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.Cleanup(func() { _ = j.Close() })
 			for i := range live {
-				e := message(i)
+				e := benchEntry(i)
 				j.Accept(e)
 				j.StartAttempt(e, "s-3740d6df", clock.Now())
 				j.EndAttempt(e, true)
--- a/internal/journal/payload.go
+++ b/internal/journal/payload.go
@@ -95,8 +95,8 @@
 
 func (r *payloadReader) instant() instant.Time { return r.clocks.InstantOf(clampWall(r.varint())) }
 
-// tail returns a copy of all that follows.
-func (r *payloadReader) tail() []byte {
+// remainder returns a copy of all that follows.
+func (r *payloadReader) remainder() []byte {
 	v := append([]byte(nil), r.unread...)
 	r.unread = nil
 	return v
@@ -200,7 +200,7 @@
 		r.host, r.ejected, r.at = shared.intern(in.bytes()), in.boolean(), in.instant()
 	case opLegacyList:
 		r.list.Endpoints = int(min(in.uvarint(), maxPayloadSize))
-		r.list.Text = in.tail()
+		r.list.Text = in.remainder()
 	case opSnapshotEnd:
 		r.snapshotRecords, r.snapshotChecksum = in.uvarint(), uint32(in.uvarint())
 	default:
@@ -233,5 +233,5 @@
 			entry.PendingNotification = &Notification{ID: entry.ID, Status: shared.intern(in.bytes()), RetryAfterMS: in.varint()}
 		}
 	}
-	entry.Body = in.tail()
+	entry.Body = in.remainder()
 }
--- a/internal/journal/prefix_test.go
+++ b/internal/journal/prefix_test.go
@@ -13,7 +13,7 @@
 	j := openJournal(t, dir, 3)
 	j.Accept(&Entry{ID: "before", Class: "order", Body: []byte("body")})
 	commit(t, j)
-	path := segmentOf(t, dir)
+	path := onlySegment(t, dir)
 	committed := readAll(t, path)
 	for _, id := range []string{"one", "two"} {
 		j.Accept(&Entry{ID: id, Class: "order", Body: []byte("body")})
@@ -51,7 +51,7 @@
 	j.Accept(&Entry{ID: "before", Class: "order", Body: []byte("body")})
 	commit(t, j)
 	_ = j.Close()
-	path := segmentOf(t, dir)
+	path := onlySegment(t, dir)
 	old := readAll(t, path)
 	for n := range len(old) {
 		cut := t.TempDir()
--- a/internal/journal/repair_test.go
+++ b/internal/journal/repair_test.go
@@ -15,8 +15,8 @@
 // A directory whose log is damaged is told so, is left as it is by a repair, and what comes of that is whole.
 func TestRepair(t *testing.T) {
 	dir, at := t.TempDir(), clock.Now().Add(-time.Second)
-	fill(t, openJournal(t, dir, 3), at)
-	path := segmentOf(t, dir)
+	recordSampleEntries(t, openJournal(t, dir, 3), at)
+	path := onlySegment(t, dir)
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 func TestConvert(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
-	fill(t, j, clock.Now().Add(-time.Second))
+	recordSampleEntries(t, j, clock.Now().Add(-time.Second))
 	want, err := j.encodeV1()
 	if err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 // The keys of a dump are read by scripts, so they stay as they were before the fields were renamed.
 func TestDumpKeepsItsKeys(t *testing.T) {
 	dir := t.TempDir()
-	fill(t, openJournal(t, dir, 3), clock.Now().Add(-time.Second))
+	recordSampleEntries(t, openJournal(t, dir, 3), clock.Now().Add(-time.Second))
 	var out strings.Builder
 	if err := Dump(dir, &out, true); err != nil {
 		t.Fatal(err)
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -17,12 +17,12 @@
 
 // segmentReplay replays one segment.
 type segmentReplay struct {
-	scanner  *scanner
-	state    *state
-	report   *Report
-	clocks   clock.Pair
-	shared   interner
-	headless bool // the header can't be read
+	scanner          *scanner
+	state            *state
+	report           *Report
+	clocks           clock.Pair
+	shared           interner
+	headerUnreadable bool // the header can't be read
 
 	lastSequence     uint64
 	records          uint64 // number of records applied
@@ -57,7 +57,7 @@
 		return nil, replay.report, false, fmt.Errorf("%s: %w", name, err)
 	}
 	replay.report.LastSequence = replay.lastSequence
-	if replay.report.Rebooted && !head.survivesPowerLoss || replay.headless {
+	if replay.report.Rebooted && !head.survivesPowerLoss || replay.headerUnreadable {
 		// Nothing was synced, or that is unknown: any record may be missing.
 		replay.state.addUncertainAttempts()
 	}
@@ -66,7 +66,7 @@
 
 // begin takes over what the segment's header says. A headless one is replayed as far as its records are valid.
 func (p *segmentReplay) begin(head header, headless bool, boot string) {
-	p.headless = headless
+	p.headerUnreadable = headless
 	p.clocks = head.clocks
 	if p.clocks == (clock.Pair{}) {
 		p.clocks = wallClockOnly
@@ -126,11 +126,11 @@
 		p.scanner.advance(len(found))
 		return
 	}
-	if gap := sequence - p.lastSequence - 1; gap > 0 && (!p.headless || p.records > 0) {
+	if gap := sequence - p.lastSequence - 1; gap > 0 && (!p.headerUnreadable || p.records > 0) {
 		p.recordGap(gap, found.previousDigest(), decoded.op)
 	}
 	if decoded.op == opSnapshotEnd {
-		p.snapshotComplete = decoded.snapshotRecords == p.records && decoded.snapshotChecksum == p.checksum && !p.headless
+		p.snapshotComplete = decoded.snapshotRecords == p.records && decoded.snapshotChecksum == p.checksum && !p.headerUnreadable
 		p.inSnapshot = false
 	} else {
 		p.state.apply(&decoded)
--- a/internal/journal/revoked_test.go
+++ b/internal/journal/revoked_test.go
@@ -11,7 +11,7 @@
 	const maxCalls = 6 // of a Commit that begins a segment: create, write, sync, rename, sync of the folder, remove
 	for _, compaction := range []bool{false, true} {
 		for call := 1; call <= maxCalls; call++ {
-			m := newModel()
+			m := newCrashFS()
 			j, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: true, Files: m, Boot: "one"})
 			if err != nil {
 				t.Fatal(err)
@@ -22,9 +22,9 @@
 				j.segmentSize = j.sizeLimit
 			}
 			j.Accept(&Entry{ID: "fresh", Class: "order"})
-			m.failAt, m.failFor, m.failure = m.calls+call, 1, syscall.EIO
+			m.failFromCall, m.failedCalls, m.failure = m.calls+call, 1, syscall.EIO
 			failed := j.Commit() != nil
-			m.failAt = 0
+			m.failFromCall = 0
 			after, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: true, Files: m, Boot: "one"})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/journal/stat.go
+++ b/internal/journal/stat.go
@@ -33,7 +33,7 @@
 		Complete:      report.Complete(),
 		ByClass:       map[string]int{},
 		RequiredBytes: opened.liveSize,
-		Hosts:         opened.list.Endpoints,
+		Hosts:         opened.legacyList.Endpoints,
 	}
 	for _, e := range opened.Entries() {
 		summary.addEntry(e, now)
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -6,13 +6,13 @@
 
 // state is what the records up to a point amount to.
 type state struct {
-	entries  map[string]*Entry // live entries by ID
-	bySeq    map[uint64]*Entry // the same by the sequence of the record that accepted them
-	order    []*Entry          // as accepted; completed ones are removed by the next compaction
-	health   map[string]HealthRecord
-	list     LegacyEndpointList
-	listSize int // disk space reserved for the list, in bytes
-	liveSize int // disk space reserved for the entries and the list, in bytes
+	entries        map[string]*Entry // live entries by ID
+	bySeq          map[uint64]*Entry // the same by the sequence of the record that accepted them
+	order          []*Entry          // as accepted; completed ones are removed by the next compaction
+	health         map[string]HealthRecord
+	legacyList     LegacyEndpointList
+	legacyListSize int // disk space reserved for the list, in bytes
+	liveSize       int // disk space reserved for the entries and the list, in bytes
 }
 
 func newState() *state {
@@ -27,9 +27,9 @@
 	case opHealth:
 		s.health[r.host] = HealthRecord{Ejected: r.ejected, ChangedAt: r.at}
 	case opLegacyList:
-		s.liveSize -= s.listSize
-		s.list, s.listSize = r.list, max(len(r.list.Text), r.list.Endpoints*endpointReserve)
-		s.liveSize += s.listSize
+		s.liveSize -= s.legacyListSize
+		s.legacyList, s.legacyListSize = r.list, max(len(r.list.Text), r.list.Endpoints*endpointReserve)
+		s.liveSize += s.legacyListSize
 	default:
 		if e := s.bySeq[r.entrySeq]; e != nil {
 			s.update(e, r)
--- a/internal/journal/stored_describe_test.go
+++ b/internal/journal/stored_describe_test.go
@@ -14,8 +14,8 @@
 	"milletsail/internal/instant"
 )
 
-// sameBytes fails with the place of the first byte that differs.
-func sameBytes(t *testing.T, name string, got, want []byte) {
+// checkBytes fails with the place of the first byte that differs.
+func checkBytes(t *testing.T, name string, got, want []byte) {
 	t.Helper()
 	if bytes.Equal(got, want) {
 		return
@@ -28,8 +28,8 @@
 		got[place:min(len(got), place+32)], want[place:min(len(want), place+32)])
 }
 
-// describe tells all that a journal holds and how it was found, in words of this test's own.
-func describe(journal *Journal, report *Report, base instant.Time) string {
+// describeJournal tells all that a journal holds and how it was found, in words of this test's own.
+func describeJournal(journal *Journal, report *Report, base instant.Time) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "format %d, relay %s, power %t, records %d, last %d, torn %d,", report.Format, report.Relay,
 		report.SurvivesPowerLoss, report.Records, report.LastSequence, report.Torn)
@@ -38,25 +38,25 @@
 		fmt.Fprintf(&out, "passed over %s\n", name)
 	}
 	for _, entry := range journal.Entries() {
-		describeMessage(&out, entry, base)
+		describeEntry(&out, entry, base)
 	}
 	if list := journal.LegacyList(); list.Text != nil {
 		fmt.Fprintf(&out, "list of %d hosts: %s\n", list.Endpoints, list.Text)
 	}
 	health := journal.Health()
 	for _, host := range slices.Sorted(maps.Keys(health)) {
-		fmt.Fprintf(&out, "health of %s: sick %t, at %s\n", host, health[host].Ejected, spanFrom(base, health[host].ChangedAt))
+		fmt.Fprintf(&out, "health of %s: sick %t, at %s\n", host, health[host].Ejected, formatOffset(base, health[host].ChangedAt))
 	}
 	return out.String()
 }
 
-// describeMessage tells one message.
-func describeMessage(out *strings.Builder, entry *Entry, base instant.Time) {
-	accepted, expires := spanFrom(base, entry.AcceptedAt), spanFrom(base, entry.ExpiresAt)
+// describeEntry tells one message.
+func describeEntry(out *strings.Builder, entry *Entry, base instant.Time) {
+	accepted, expires := formatOffset(base, entry.AcceptedAt), formatOffset(base, entry.ExpiresAt)
 	fmt.Fprintf(out, "message %s: class %s, destination %d, key %s, taken %s, expires %s, body %q\n",
 		entry.ID, entry.Class, entry.Dest, entry.Key, accepted, expires, entry.Body)
 	for _, attempt := range entry.Attempts {
-		fmt.Fprintf(out, "  attempt at %s, begun %s", attempt.Host, spanFrom(base, attempt.StartedAt))
+		fmt.Fprintf(out, "  attempt at %s, begun %s", attempt.Host, formatOffset(base, attempt.StartedAt))
 		for _, mark := range []struct {
 			set  bool
 			name string
@@ -72,24 +72,24 @@
 	}
 }
 
-// spanFrom tells a moment by its span from a base.
-func spanFrom(base, at instant.Time) string {
+// formatOffset tells a moment by its span from a base.
+func formatOffset(base, at instant.Time) string {
 	if at.IsZero() {
 		return "never"
 	}
-	return signedSpan(at.Sub(base))
+	return formatSigned(at.Sub(base))
 }
 
-// signedSpan writes a span with its sign.
-func signedSpan(span time.Duration) string {
+// formatSigned writes a span with its sign.
+func formatSigned(span time.Duration) string {
 	if span < 0 {
 		return span.String()
 	}
 	return "+" + span.String()
 }
 
-// sameText fails with both texts where they differ.
-func sameText(t *testing.T, got, want string) {
+// checkText fails with both texts where they differ.
+func checkText(t *testing.T, got, want string) {
 	t.Helper()
 	if got != want {
 		t.Errorf("got:\n%s\nwant:\n%s", got, want)
--- a/internal/journal/stored_format1_test.go
+++ b/internal/journal/stored_format1_test.go
@@ -51,7 +51,7 @@
 	dir := t.TempDir()
 	copyDir(t, filepath.Join(storedDir, storedFormat1), dir)
 	const later = 20 * time.Second
-	m := &machine{now: instant.Boot.Add(3 * time.Second), wall: storedWall + clock.Wall(later), boot: "another"}
+	m := &fakeMachine{now: instant.Boot.Add(3 * time.Second), wall: storedWall + clock.Wall(later), boot: "another"}
 	journal, report := openStored(t, dir, m, false)
 	want := `format 1, relay , power false, records 16, last 16, torn 0, whole true, rebooted false, by wall true
 message queued: class order, destination 7, key key-queued, taken never, expires +1m0s, body "body\x00\xffqueued"
@@ -67,7 +67,7 @@
 health of h1: sick false, at never
 health of h2: sick true, at +6s
 `
-	sameText(t, describe(journal, report, m.now.Add(-later)), want)
+	checkText(t, describeJournal(journal, report, m.now.Add(-later)), want)
 }
 
 // timeInText is a time within the JSON of a record of format 1.
@@ -113,12 +113,12 @@
 {"op":"list","list":{"hosts":["h1"]},"hosts":1} + ""
 {"op":"health","host":"h2","health":{"sick":true,"at":"-4s"}} + ""
 `
-	sameText(t, framesOfFormat1(t, fileBytes(t, filepath.Join(dir, "journal")), pair.Wall.Time()), want)
+	checkText(t, describeFramesV1(t, fileBytes(t, filepath.Join(dir, "journal")), pair.Wall.Time()), want)
 }
 
-// framesOfFormat1 tells the frames of a file: a head of three big-endian numbers (the lengths of the JSON and of
+// describeFramesV1 tells the frames of a file: a head of three big-endian numbers (the lengths of the JSON and of
 // the body, and the CRC-32C of all else), JSON with its times masked, and body.
-func framesOfFormat1(t *testing.T, text []byte, start time.Time) string {
+func describeFramesV1(t *testing.T, text []byte, start time.Time) string {
 	t.Helper()
 	var out strings.Builder
 	for len(text) > 0 {
@@ -130,15 +130,15 @@
 			t.Fatalf("%d bytes are left of %d", len(text), 12+record+body)
 		}
 		covered := append(bytes.Clone(text[:8]), text[12:12+record+body]...)
-		if sum := binary.BigEndian.Uint32(text[8:]); sum != crc32c(covered) {
-			t.Errorf("checksum %08x, want %08x", sum, crc32c(covered))
+		if sum := binary.BigEndian.Uint32(text[8:]); sum != bitwiseCRC32C(covered) {
+			t.Errorf("checksum %08x, want %08x", sum, bitwiseCRC32C(covered))
 		}
 		masked := timeInText.ReplaceAllStringFunc(string(text[12:12+record]), func(quoted string) string {
 			at, err := time.Parse(time.RFC3339Nano, strings.Trim(quoted, `"`))
 			if err != nil {
 				t.Fatal(err)
 			}
-			return fmt.Sprintf(`"%s"`, signedSpan(at.Sub(start).Round(time.Second)))
+			return fmt.Sprintf(`"%s"`, formatSigned(at.Sub(start).Round(time.Second)))
 		})
 		fmt.Fprintf(&out, "%s + %q\n", masked, text[12+record:12+record+body])
 		text = text[12+record+body:]
@@ -146,8 +146,8 @@
 	return out.String()
 }
 
-// crc32c reckons a CRC-32C bit by bit, by the standard's reversed polynomial and not by the journal's own table.
-func crc32c(text []byte) uint32 {
+// bitwiseCRC32C reckons a CRC-32C bit by bit, by the standard's reversed polynomial and not by the journal's own table.
+func bitwiseCRC32C(text []byte) uint32 {
 	const polynomial = 0x82f63b78
 	sum := ^uint32(0)
 	for _, next := range text {
--- a/internal/journal/stored_test.go
+++ b/internal/journal/stored_test.go
@@ -30,9 +30,9 @@
 	storedLog = "log"
 	// storedSnapshot is the directory of that log's compaction: a segment with a snapshot, and one record behind it.
 	storedSnapshot = "snapshot"
-	// storedSeveral is a directory after a power loss: a whole segment, a newer one whose snapshot is torn, one in the
+	// storedAfterPowerLoss is a directory after a power loss: a whole segment, a newer one whose snapshot is torn, one in the
 	// making.
-	storedSeveral = "several"
+	storedAfterPowerLoss = "several"
 	// storedFormat1 is the directory of a journal of format 1.
 	storedFormat1 = "format1"
 	// storedBoot is the identity of the boot in which the files were written.
@@ -50,12 +50,12 @@
 )
 
 // storedMachine is the machine that wrote the files, when its clocks had run on for a while.
-func storedMachine(later time.Duration) *machine {
-	return &machine{now: storedStart.Add(later), wall: storedWall + clock.Wall(later), boot: storedBoot}
+func storedMachine(later time.Duration) *fakeMachine {
+	return &fakeMachine{now: storedStart.Add(later), wall: storedWall + clock.Wall(later), boot: storedBoot}
 }
 
 // openStored opens a directory as the relay of the stored files does.
-func openStored(t *testing.T, dir string, m *machine, power bool) (*Journal, *Report) {
+func openStored(t *testing.T, dir string, m *fakeMachine, power bool) (*Journal, *Report) {
 	t.Helper()
 	journal, report, err := Open(dir, Options{DiskMB: storedDiskMB, Relay: storedRelay, SurvivesPowerLoss: power, Boot: m.boot,
 		Clocks: Clocks{Now: func() instant.Time { return m.now }, Wall: func() clock.Wall { return m.wall },
@@ -74,7 +74,7 @@
 	journal, _ := openStored(t, dir, m, power)
 	journal.RecordLegacyList(LegacyEndpointList{Text: []byte(`{"hosts":["h1","h2"]}`), Endpoints: 2})
 	for number, id := range []string{"queued", "called", "tried", "owing", "ended"} {
-		m.passes(time.Millisecond)
+		m.advance(time.Millisecond)
 		journal.Accept(&Entry{ID: id, Class: "order", Dest: 7 + number, Key: "key-" + id,
 			ExpiresAt: storedStart.Add(time.Minute), Body: []byte("body\x00\xff" + id)})
 	}
@@ -110,9 +110,9 @@
 	}
 }
 
-// writeStoredSeveral writes what a power loss can leave: the compacted segment, a copy of a newer one that ends
+// writeStoredAfterPowerLoss writes what a power loss can leave: the compacted segment, a copy of a newer one that ends
 // within its snapshot, and one that never got its name.
-func writeStoredSeveral(t *testing.T, dir string) {
+func writeStoredAfterPowerLoss(t *testing.T, dir string) {
 	t.Helper()
 	writeStoredSnapshot(t, dir, true)
 	newer := t.TempDir()
@@ -126,21 +126,21 @@
 	putFile(t, filepath.Join(dir, "segment-4.new"), whole[:len(whole)/4])
 }
 
-// storedFolders are the directories of storedDir, and what writes each.
-var storedFolders = []struct {
+// storedCases are the directories of storedDir, and what writes each.
+var storedCases = []struct {
 	name  string
 	write func(t *testing.T, dir string)
 }{
 	{storedLog, func(t *testing.T, dir string) { t.Helper(); writeStoredLog(t, dir, false) }},
 	{storedSnapshot, func(t *testing.T, dir string) { t.Helper(); writeStoredSnapshot(t, dir, false) }},
-	{storedSeveral, writeStoredSeveral},
+	{storedAfterPowerLoss, writeStoredAfterPowerLoss},
 	{storedFormat1, writeStoredFormat1},
 }
 
 // The same operations at the same times give the same bytes as at commit 569f7cf, which can so read what later code
 // writes: header, snapshot, and each operation of the log.
 func TestWritesStoredBytes(t *testing.T) {
-	for _, folder := range storedFolders {
+	for _, folder := range storedCases {
 		t.Run(folder.name, func(t *testing.T) {
 			stored, written := filepath.Join(storedDir, folder.name), t.TempDir()
 			folder.write(t, written)
@@ -156,14 +156,14 @@
 			}
 			for _, name := range want {
 				got, want := fileBytes(t, filepath.Join(written, name)), fileBytes(t, filepath.Join(stored, name))
-				sameBytes(t, name, got, want)
+				checkBytes(t, name, got, want)
 			}
 		})
 	}
 }
 
-// logMessages are the messages of the stored segments.
-const logMessages = "message queued: class order, destination 7, key key-queued, taken +1ms, expires +1m0s, " +
+// storedEntries are the messages of the stored segments.
+const storedEntries = "message queued: class order, destination 7, key key-queued, taken +1ms, expires +1m0s, " +
 	`body "body\x00\xffqueued"
 message called: class order, destination 8, key key-called, taken +2ms, expires +1m0s, body "body\x00\xffcalled"
   attempt at h1, begun +2s
@@ -183,25 +183,25 @@
 	storedList = "list of 2 hosts: {\"hosts\":[\"h1\",\"h2\"]}\n"
 	// storedHealth is the health that each of them holds.
 	storedHealth = "health of h2: sick true, at +6s\n"
-	// laterMessage is the message that came behind the compaction.
-	laterMessage = "message later: class audit, destination 0, key , taken +10s, expires never, body \"later\"\n"
-	// sameBoot is how a directory is found that is whole and of this boot.
-	sameBoot = " whole true, rebooted false, by wall false\n"
+	// storedLaterEntry is the message that came behind the compaction.
+	storedLaterEntry = "message later: class audit, destination 0, key , taken +10s, expires never, body \"later\"\n"
+	// storedSameBoot is how a directory is found that is whole and of this boot.
+	storedSameBoot = " whole true, rebooted false, by wall false\n"
 )
 
 // A process of the same boot reads of the stored segments all that was written, at the very moments.
 func TestReadsStoredSegments(t *testing.T) {
 	for _, folder := range []struct{ name, want string }{
-		{storedLog, "format 2, relay relay-3, power false, records 19, last 19, torn 0," + sameBoot +
-			logMessages + storedList + storedHealth},
-		{storedSnapshot, "format 2, relay relay-3, power false, records 9, last 28, torn 0," + sameBoot +
-			logMessages + laterMessage + storedList + storedHealth},
+		{storedLog, "format 2, relay relay-3, power false, records 19, last 19, torn 0," + storedSameBoot +
+			storedEntries + storedList + storedHealth},
+		{storedSnapshot, "format 2, relay relay-3, power false, records 9, last 28, torn 0," + storedSameBoot +
+			storedEntries + storedLaterEntry + storedList + storedHealth},
 	} {
 		t.Run(folder.name, func(t *testing.T) {
 			dir := t.TempDir()
 			copyDir(t, filepath.Join(storedDir, folder.name), dir)
 			journal, report := openStored(t, dir, storedMachine(30*time.Second), false)
-			sameText(t, describe(journal, report, storedStart), folder.want)
+			checkText(t, describeJournal(journal, report, storedStart), folder.want)
 		})
 	}
 }
@@ -212,9 +212,9 @@
 	whole := fileBytes(t, filepath.Join(storedDir, storedLog, "segment-1"))
 	putFile(t, filepath.Join(dir, "segment-1"), whole[:len(whole)-tornBytes])
 	journal, report := openStored(t, dir, storedMachine(30*time.Second), false)
-	want := "format 2, relay relay-3, power false, records 18, last 18, torn 33," + sameBoot +
-		strings.Replace(logMessages, "  attempt at h2, begun +7s\n", "", 1) + storedList + storedHealth
-	sameText(t, describe(journal, report, storedStart), want)
+	want := "format 2, relay relay-3, power false, records 18, last 18, torn 33," + storedSameBoot +
+		strings.Replace(storedEntries, "  attempt at h2, begun +7s\n", "", 1) + storedList + storedHealth
+	checkText(t, describeJournal(journal, report, storedStart), want)
 }
 
 // After another boot the newest segment whose snapshot is whole counts, with its moments carried over by the wall
@@ -222,14 +222,14 @@
 // is uncertain.
 func TestReadsStoredSegmentsAfterAnotherBoot(t *testing.T) {
 	const later = 20 * time.Second
-	m := &machine{now: instant.Boot.Add(3 * time.Second), wall: storedWall + clock.Wall(later), boot: "another"}
+	m := &fakeMachine{now: instant.Boot.Add(3 * time.Second), wall: storedWall + clock.Wall(later), boot: "another"}
 	base := m.now.Add(-later)
 	dir := t.TempDir()
-	copyDir(t, filepath.Join(storedDir, storedSeveral), dir)
+	copyDir(t, filepath.Join(storedDir, storedAfterPowerLoss), dir)
 	journal, report := openStored(t, dir, m, true)
-	sameText(t, describe(journal, report, base),
+	checkText(t, describeJournal(journal, report, base),
 		"format 2, relay relay-3, power true, records 9, last 28, torn 0, whole false, rebooted true, by wall true\n"+
-			"passed over segment-3\n"+logMessages+laterMessage+storedList+storedHealth)
+			"passed over segment-3\n"+storedEntries+storedLaterEntry+storedList+storedHealth)
 	if left := fileNames(t, dir); !slices.Equal(left, []string{"segment-4"}) {
 		t.Errorf("files %q are left", left)
 	}
--- a/internal/journal/timescale_test.go
+++ b/internal/journal/timescale_test.go
@@ -54,28 +54,28 @@
 	return pairs
 }
 
-// machine is a machine whose clocks a test sets.
-type machine struct {
+// fakeMachine is a fakeMachine whose clocks a test sets.
+type fakeMachine struct {
 	now  instant.Time
 	wall clock.Wall
 	boot string
 }
 
-// passes lets time pass.
-func (m *machine) passes(d time.Duration) {
+// advance lets time pass.
+func (m *fakeMachine) advance(d time.Duration) {
 	m.now = m.now.Add(d)
 	m.wall += clock.Wall(d)
 }
 
-// steps steps the wall clock alone.
-func (m *machine) steps(d time.Duration) { m.wall += clock.Wall(d) }
+// stepWallClock stepWallClock the wall clock alone.
+func (m *fakeMachine) stepWallClock(d time.Duration) { m.wall += clock.Wall(d) }
 
-// boots starts the machine anew, after a while of which its monotonic clock knows nothing.
-func (m *machine) boots(uptime time.Duration) {
+// reboot starts the machine anew, after a while of which its monotonic clock knows nothing.
+func (m *fakeMachine) reboot(uptime time.Duration) {
 	m.now, m.boot = instant.Boot.Add(uptime), m.boot+"+"
 }
 
-func (m *machine) open(t *testing.T, dir string) *Journal {
+func (m *fakeMachine) open(t *testing.T, dir string) *Journal {
 	t.Helper()
 	j, _, err := Open(dir, Options{DiskMB: 3, Boot: m.boot, Clocks: Clocks{Now: func() instant.Time { return m.now },
 		Wall: func() clock.Wall { return m.wall }, Uptime: func() time.Duration { return m.now.Sub(instant.Boot) }}})
@@ -92,36 +92,36 @@
 	const left, sentAgo = deadline - sentAfter - gone, gone
 	for _, c := range []struct {
 		name      string
-		after     func(m *machine) // beside gone, which passes
+		after     func(m *fakeMachine) // beside gone, which passes
 		left      time.Duration
 		ago       time.Duration // since the attempt
 		ejectedAt time.Duration // ago
 	}{
-		{"no step", func(*machine) {}, left, sentAgo, sentAgo},
-		{"an hour forward", func(m *machine) { m.steps(time.Hour) }, left, sentAgo, sentAgo},
-		{"an hour back", func(m *machine) { m.steps(-time.Hour) }, left, sentAgo, sentAgo},
-		{"a second back", func(m *machine) { m.steps(-time.Second) }, left, sentAgo, sentAgo},
-		{"there and back", func(m *machine) { m.steps(time.Hour); m.steps(-time.Hour) }, left, sentAgo, sentAgo},
-		{"another boot", func(m *machine) { m.boots(time.Second) }, left, sentAgo, sentAgo},
-		{"another boot, forward", func(m *machine) { m.boots(time.Second); m.steps(5 * time.Second) },
+		{"no step", func(*fakeMachine) {}, left, sentAgo, sentAgo},
+		{"an hour forward", func(m *fakeMachine) { m.stepWallClock(time.Hour) }, left, sentAgo, sentAgo},
+		{"an hour back", func(m *fakeMachine) { m.stepWallClock(-time.Hour) }, left, sentAgo, sentAgo},
+		{"a second back", func(m *fakeMachine) { m.stepWallClock(-time.Second) }, left, sentAgo, sentAgo},
+		{"there and back", func(m *fakeMachine) { m.stepWallClock(time.Hour); m.stepWallClock(-time.Hour) }, left, sentAgo, sentAgo},
+		{"another boot", func(m *fakeMachine) { m.reboot(time.Second) }, left, sentAgo, sentAgo},
+		{"another boot, forward", func(m *fakeMachine) { m.reboot(time.Second); m.stepWallClock(5 * time.Second) },
 			left - 5*time.Second, sentAgo + 5*time.Second, sentAgo + 5*time.Second},
-		{"another boot, back by less than it was gone", func(m *machine) { m.boots(2 * time.Second); m.steps(-2 * time.Second) },
+		{"another boot, back by less than it was gone", func(m *fakeMachine) { m.reboot(2 * time.Second); m.stepWallClock(-2 * time.Second) },
 			left + time.Second, sentAgo - time.Second, sentAgo - time.Second},
-		{"another boot, an hour back", func(m *machine) { m.boots(time.Second); m.steps(-time.Hour) }, 0, 1 << 40, 0},
+		{"another boot, an hour back", func(m *fakeMachine) { m.reboot(time.Second); m.stepWallClock(-time.Hour) }, 0, 1 << 40, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m, dir := &machine{now: instant.Boot.Add(time.Hour), wall: 1.7e18, boot: "one"}, t.TempDir()
+			m, dir := &fakeMachine{now: instant.Boot.Add(time.Hour), wall: 1.7e18, boot: "one"}, t.TempDir()
 			j := m.open(t, dir)
-			m.steps(20 * time.Minute) // within the first process: its times do not show it
+			m.stepWallClock(20 * time.Minute) // within the first process: its times do not show it
 			e := &Entry{ID: "m", ExpiresAt: m.now.Add(deadline)}
 			j.Accept(e)
-			m.passes(sentAfter)
+			m.advance(sentAfter)
 			j.StartAttempt(e, "h", m.now)
 			j.RecordHealth("h", HealthRecord{Ejected: true, ChangedAt: m.now})
 			commit(t, j)
 			_ = j.Close()
-			m.steps(-20 * time.Minute)
-			m.passes(gone)
+			m.stepWallClock(-20 * time.Minute)
+			m.advance(gone)
 			c.after(m)
 			for range 2 { // from the log, and from its compaction
 				j = m.open(t, dir)
@@ -143,22 +143,22 @@
 
 // A directory of a program that kept no clocks is read by the wall clock.
 func TestDirectoryWithoutClocks(t *testing.T) {
-	m, dir := &machine{now: instant.Boot.Add(time.Hour), wall: 1.7e18, boot: "one"}, t.TempDir()
+	m, dir := &fakeMachine{now: instant.Boot.Add(time.Hour), wall: 1.7e18, boot: "one"}, t.TempDir()
 	j := m.open(t, dir)
 	e := &Entry{ID: "m", ExpiresAt: m.now.Add(10 * time.Second)}
 	j.Accept(e)
 	commit(t, j)
 	_ = j.Close()
-	dropClocks(t, segmentOf(t, dir))
-	m.passes(2 * time.Second)
+	removeClocks(t, onlySegment(t, dir))
+	m.advance(2 * time.Second)
 	j = m.open(t, dir)
 	if got := j.Get("m").ExpiresAt.Sub(m.now); got != 8*time.Second {
 		t.Errorf("%v are left", got)
 	}
 }
 
-// dropClocks takes the clocks out of a segment's header, as a program wrote it that knew none.
-func dropClocks(t *testing.T, path string) {
+// removeClocks takes the clocks out of a segment's header, as a program wrote it that knew none.
+func removeClocks(t *testing.T, path string) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/journal/v1.go
+++ b/internal/journal/v1.go
@@ -200,8 +200,8 @@
 			add(recordV1{Op: opNotificationPendingV1, ID: entry.ID, Notification: entry.PendingNotification}, nil)
 		}
 	}
-	if s.list.Text != nil {
-		add(recordV1{Op: opLegacyListV1, List: s.list.Text, Hosts: s.list.Endpoints}, nil)
+	if s.legacyList.Text != nil {
+		add(recordV1{Op: opLegacyListV1, List: s.legacyList.Text, Hosts: s.legacyList.Endpoints}, nil)
 	}
 	for host, health := range s.health {
 		add(recordV1{Op: opHealthV1, Host: host, Health: &healthV1{health.Ejected, wallTime(clocks, health.ChangedAt)}}, nil)
--- a/internal/journal/workload_test.go
+++ b/internal/journal/workload_test.go
@@ -11,25 +11,25 @@
 	"milletsail/internal/instant"
 )
 
-// promises is what a workload was told, whatever a journal makes of it.
-type promises struct {
+// guarantees is what a workload was told, whatever a journal makes of it.
+type guarantees struct {
 	power               bool
 	answered            map[string]bool // 202 was sent
 	completed           map[string]bool // its end was committed
-	ending              map[string]bool // its end was noted, committed or not
-	ran                 map[string]bool // an attempt went out that may have run
+	completing          map[string]bool // its end was noted, committed or not
+	attempted           map[string]bool // an attempt went out that may have run
 	pendingNotification map[string]bool
 }
 
-func newPromises(power bool) *promises {
-	return &promises{power, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}}
+func newGuarantees(power bool) *guarantees {
+	return &guarantees{power, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}}
 }
 
 // check reports whether what a start finds keeps the promises.
-func (p *promises) check(j *Journal) error {
+func (p *guarantees) check(j *Journal) error {
 	for id := range p.answered {
 		e := j.Get(id)
-		if e == nil && p.power && !p.ending[id] {
+		if e == nil && p.power && !p.completing[id] {
 			return fmt.Errorf("%s was answered 202 and is gone", id)
 		}
 		if e != nil && p.power && p.pendingNotification[id] && e.PendingNotification == nil {
@@ -42,15 +42,15 @@
 		}
 		mayHaveRun := e.PendingNotification != nil ||
 			slices.ContainsFunc(e.Attempts, func(a Attempt) bool { return !a.Ended || !a.NotExecuted })
-		if (p.ran[e.ID] || p.completed[e.ID]) && !mayHaveRun {
+		if (p.attempted[e.ID] || p.completed[e.ID]) && !mayHaveRun {
 			return fmt.Errorf("%s may have run, and that is forgotten", e.ID)
 		}
 	}
 	return nil
 }
 
-// workload runs a journal through some rounds, and notes what was promised. answerEarly plants a fault.
-func workload(files FS, p *promises, answerEarly bool, rounds int) {
+// runWorkload runs a journal through some rounds, and notes what was promised. answerEarly plants a fault.
+func runWorkload(files FS, p *guarantees, answerEarly bool, rounds int) {
 	at := instant.Boot.Add(1000 * time.Second)
 	clocks := Clocks{
 		Now:    func() instant.Time { at = at.Add(time.Second); return at },
@@ -62,7 +62,7 @@
 		return
 	}
 	for i := range rounds {
-		round := workloadRound{journal: j, promises: p, number: i}
+		round := workloadRound{journal: j, guarantees: p, number: i}
 		round.accept(answerEarly)
 		round.advanceAttempts(&at)
 		round.notify()
@@ -77,9 +77,9 @@
 
 // workloadRound is what a workload does between two commits.
 type workloadRound struct {
-	journal  *Journal
-	promises *promises
-	number   int
+	journal    *Journal
+	guarantees *guarantees
+	number     int
 
 	accepted []string
 	sent     []string
@@ -97,7 +97,7 @@
 		r.journal.Accept(e)
 		r.accepted = append(r.accepted, e.ID)
 		if answerEarly {
-			r.promises.answered[e.ID] = true
+			r.guarantees.answered[e.ID] = true
 		}
 	}
 }
@@ -108,11 +108,11 @@
 		switch {
 		case e.PendingNotification != nil, len(e.Attempts) == 1 && !e.Attempts[0].NotExecuted && r.number%2 == 0:
 			r.journal.Complete(e)
-			r.promises.ending[e.ID] = true
+			r.guarantees.completing[e.ID] = true
 			r.ended = append(r.ended, e.ID)
 		case len(e.Attempts) == 1 && !e.Attempts[0].Ended && r.number%3 == 1:
 			r.journal.EndAttempt(e, false)
-		case len(e.Attempts) == 0 && r.promises.answered[e.ID]:
+		case len(e.Attempts) == 0 && r.guarantees.answered[e.ID]:
 			r.journal.StartAttempt(e, "h1", *at)
 			r.sent = append(r.sent, e.ID)
 		}
@@ -125,7 +125,7 @@
 		return
 	}
 	for _, e := range r.journal.Entries() {
-		if r.promises.answered[e.ID] && e.PendingNotification == nil {
+		if r.guarantees.answered[e.ID] && e.PendingNotification == nil {
 			r.notified = e
 		}
 	}
@@ -137,22 +137,22 @@
 // committed notes the promises that a successful commit makes.
 func (r *workloadRound) committed() {
 	for _, id := range r.accepted {
-		r.promises.answered[id] = true
+		r.guarantees.answered[id] = true
 	}
 	for _, id := range r.sent {
-		r.promises.ran[id] = true
+		r.guarantees.attempted[id] = true
 	}
 	for _, id := range r.ended {
-		r.promises.completed[id] = true
+		r.guarantees.completed[id] = true
 	}
 	if r.notified != nil {
-		r.promises.pendingNotification[r.notified.ID] = true
+		r.guarantees.pendingNotification[r.notified.ID] = true
 	}
 }
 
-// restart opens what a crash left, and looks at it; where the start itself may be cut short, it is, and once more.
-func restart(left *model, p *promises, pick func(int) int, again bool) error {
-	before := left.after(func(int) int { return 1 })
+// checkAfterPowerLoss opens what a crash left, and looks at it; where the start itself may be cut short, it is, and once more.
+func checkAfterPowerLoss(left *crashFS, p *guarantees, pick func(int) int, loseAgain bool) error {
+	before := left.afterPowerLoss(func(int) int { return 1 })
 	j, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: p.power, Files: left, Boot: "two"})
 	if err != nil {
 		return fmt.Errorf("the start fails: %w", err)
@@ -160,13 +160,13 @@
 	if err := p.check(j); err != nil {
 		return err
 	}
-	if !again {
+	if !loseAgain {
 		return nil
 	}
 	var second error
-	before.stopped = func(m *model, call string) {
+	before.afterCall = func(m *crashFS, call string) {
 		if second == nil {
-			if err := restart(m.after(pick), p, pick, false); err != nil {
+			if err := checkAfterPowerLoss(m.afterPowerLoss(pick), p, pick, false); err != nil {
 				second = fmt.Errorf("after a second loss at a %s: %w", call, err)
 			}
 		}
@@ -177,25 +177,25 @@
 	return second
 }
 
-// lose runs a workload and has the power fail at each call, in so many ways each; it gives what is broken first.
-func lose(power bool, wrap func(*model) FS, answerEarly bool, ways int, seed uint64,
-	prepare func(*model)) (states int, err error) {
+// simulatePowerLosses runs a workload and has the power fail at each call, in so many ways each; it gives what is broken first.
+func simulatePowerLosses(power bool, wrap func(*crashFS) FS, answerEarly bool, statesPerCall int, seed uint64,
+	prepare func(*crashFS)) (states int, err error) {
 	rng := rand.New(rand.NewPCG(seed, 0))
-	m, p := newModel(), newPromises(power)
+	m, p := newCrashFS(), newGuarantees(power)
 	if prepare != nil {
 		prepare(m)
 	}
-	m.stopped = func(m *model, call string) {
-		for range ways {
+	m.afterCall = func(m *crashFS, call string) {
+		for range statesPerCall {
 			if err != nil {
 				return
 			}
 			states++
-			if broken := restart(m.after(rng.IntN), p, rng.IntN, states%8 == 0); broken != nil {
+			if broken := checkAfterPowerLoss(m.afterPowerLoss(rng.IntN), p, rng.IntN, states%8 == 0); broken != nil {
 				err = fmt.Errorf("power lost after call %d, a %s: %w", m.calls, call, broken)
 			}
 		}
 	}
-	workload(wrap(m), p, answerEarly, 9)
+	runWorkload(wrap(m), p, answerEarly, 9)
 	return states, err
 }
