--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -8,11 +8,11 @@
 	"path/filepath"
 )
 
-// temporarySuffix ends the name of the file that Replace writes before it renames it.
+// temporarySuffix ends the name of the temporary file that Replace writes and then renames.
 const temporarySuffix = ".new"
 
 // Replace atomically replaces the content of the file at path, or creates it. The new content is durable when Replace returns
-// nil. It writes path + ".new" first, so a file must have only one writer at a time.
+// nil. Its temporary file is path + ".new", so two calls for the same path must not overlap.
 func Replace(path string, content []byte) error {
 	temporary := path + temporarySuffix
 	file, err := os.OpenFile(temporary, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -12,22 +12,22 @@
 	"milletsail/internal/clock"
 )
 
-// Format 1, which the previous programs wrote, is measured in the same run: its code is still here.
+// The benchmarks named "before" measure format 1, which older programs wrote, for comparison in the same run.
 
 const (
-	// benchDiskMB is a size limit that no benchmark reaches, in 10^6 bytes.
+	// benchDiskMB is a size limit of the directory that no benchmark reaches, in 10^6 bytes.
 	benchDiskMB = 4000
-	// benchHost is an endpoint's name.
+	// benchHost is the name of the endpoint that all attempts use.
 	benchHost = "s-3740d6df"
 )
 
-// benchEntry returns a request of a usual size.
+// benchEntry returns an entry with a body of 200 bytes. Its ID is derived from i.
 func benchEntry(i int) *Entry {
 	return &Entry{ID: fmt.Sprintf("%016x", i), Class: "payment", Dest: 7, Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
 		ExpiresAt: clock.Now().Add(time.Hour), AcceptedAt: clock.Now(), Body: make([]byte, 200)}
 }
 
-// logV1 is the log of format 1.
+// logV1 writes a journal of format 1. It counts the bytes written in size.
 type logV1 struct {
 	f    *os.File
 	b    []byte
@@ -46,7 +46,8 @@
 	s.b = s.b[:0]
 }
 
-// BenchmarkCommit accepts so many messages at once, starts an attempt of each, and completes them, in three commits.
+// BenchmarkCommit accepts the number of messages in the name of the benchmark, starts an attempt for each and completes
+// them, with one commit for each of these three steps.
 func BenchmarkCommit(b *testing.B) {
 	for _, n := range []int{1, 64, 1000} {
 		b.Run(fmt.Sprintf("before/%d", n), func(b *testing.B) { benchmarkCommitV1(b, n) })
@@ -57,7 +58,7 @@
 	b.Run("one sync a message/64", func(b *testing.B) { benchmarkSyncEach(b, 64) })
 }
 
-// benchmarkCommitV1 writes n messages to a log of format 1.
+// benchmarkCommitV1 writes n messages to a journal of format 1, with one write for each step.
 func benchmarkCommitV1(b *testing.B, n int) {
 	b.Helper()
 	f, err := os.Create(filepath.Join(b.TempDir(), formatV1File))
@@ -96,7 +97,7 @@
 	return j
 }
 
-// benchmarkCommit writes n messages with a commit for all of them after each step.
+// benchmarkCommit writes n messages, with one commit for all of them after each step.
 func benchmarkCommit(b *testing.B, n int, power bool) {
 	b.Helper()
 	j := openForBenchmark(b, power)
@@ -127,7 +128,7 @@
 	reportThroughput(b, n, written)
 }
 
-// benchmarkSyncEach writes n messages with a commit for each step of each.
+// benchmarkSyncEach writes n messages under durability Power, with a separate commit for each step of each message.
 func benchmarkSyncEach(b *testing.B, n int) {
 	b.Helper()
 	j := openForBenchmark(b, true)
@@ -150,7 +151,7 @@
 	reportThroughput(b, n, 0)
 }
 
-// reportThroughput reports the records a second, and the time and the bytes a message.
+// reportThroughput reports the records per second, and the time and the bytes written per message.
 func reportThroughput(b *testing.B, n, written int) {
 	b.Helper()
 	messages := float64(n) * float64(b.N)
@@ -161,8 +162,8 @@
 	}
 }
 
-// BenchmarkOpen opens a directory with so many live messages and an attempt each, in both formats. It reports the largest
-// heap meanwhile as a multiple of the state's size.
+// BenchmarkOpen replays live messages with one attempt each, in both formats; the name of the benchmark holds the number of
+// records. It reports the peak heap size during the replay as a multiple of the size of the replayed state.
 func BenchmarkOpen(b *testing.B) {
 	for _, live := range []int{0, 5000, 100_000, 500_000} {
 		formatOne, segment := encodeBothFormats(b, live)
@@ -187,7 +188,7 @@
 	}
 }
 
-// encodeBothFormats returns a journal with so many live messages in format 1 and as a segment.
+// encodeBothFormats returns a journal with the given number of live messages, in format 1 and as a segment.
 func encodeBothFormats(b *testing.B, live int) (formatOne, segment []byte) {
 	b.Helper()
 	s := newState()
@@ -216,7 +217,7 @@
 	return formatOne, segment
 }
 
-// benchmarkOpen measures a way to read a state with so many live messages.
+// benchmarkOpen measures read, which must return a state with the given number of live messages.
 func benchmarkOpen(b *testing.B, live int, read func() (*state, error)) {
 	b.Helper()
 	runtime.GC()
@@ -224,11 +225,11 @@
 	runtime.ReadMemStats(&base)
 	var peak atomic.Uint64
 	done := make(chan bool)
-	go recordPeakHeap(&peak, done) // ends when done is closed
+	go recordPeakHeap(&peak, done) // returns when done is closed
 	latest := make([]*state, 1)
 	for b.Loop() {
 		b.StopTimer()
-		clear(latest) // the collector takes the last round's before the next one begins
+		clear(latest) // so that the garbage collector frees the previous state before the next replay
 		runtime.GC()
 		b.StartTimer()
 		got, err := read()
@@ -237,7 +238,7 @@
 		}
 		latest[0] = got
 		if len(got.entries) != live {
-			b.Fatalf("%d live", len(got.entries))
+			b.Fatalf("the replayed state has %d live entries", len(got.entries))
 		}
 	}
 	close(done)
@@ -250,7 +251,7 @@
 	runtime.KeepAlive(latest)
 }
 
-// recordPeakHeap keeps the largest heap until done is closed.
+// recordPeakHeap stores the largest observed heap size in peak, in bytes, until done is closed.
 func recordPeakHeap(peak *atomic.Uint64, done <-chan bool) {
 	var stats runtime.MemStats
 	for {
--- a/internal/journal/commit.go
+++ b/internal/journal/commit.go
@@ -43,29 +43,32 @@
 	j.appendRecord(record{op: opAttemptEnded, entrySeq: e.seq, notExecuted: notExecuted})
 }
 
-// RecordPendingNotification records that a request ended with a notification that the platform has to receive.
+// RecordPendingNotification records that a request ended undelivered, and that the platform has not yet acknowledged the
+// notification of it.
 func (j *Journal) RecordPendingNotification(e *Entry, n Notification) {
 	j.appendRecord(record{op: opNotificationPending, entrySeq: e.seq, notification: n})
 }
 
-// Complete records that nothing is pending for a request, and removes its entry.
+// Complete records that a request is finished, with no attempt or notification outstanding, and removes its entry.
 func (j *Journal) Complete(e *Entry) { j.appendRecord(record{op: opCompleted, entrySeq: e.seq}) }
 
-// RecordHealth records the health of an endpoint for the next process.
+// RecordHealth records the health of an endpoint, so that the next process can restore it.
 func (j *Journal) RecordHealth(host string, h HealthRecord) {
 	j.appendRecord(record{op: opHealth, host: host, ejected: h.Ejected, at: h.ChangedAt})
 }
 
-// DropHealth removes the health of an endpoint that has left the list. It takes effect on disk with the next segment.
+// DropHealth removes the health of an endpoint that has left the endpoint list. No record is written for it: the next
+// segment omits the health.
 func (j *Journal) DropHealth(host string) { delete(j.health, host) }
 
-// RecordLegacyList records an endpoint list as older programs did. It serves tests and directories that are converted
-// back for such a program.
+// RecordLegacyList records an endpoint list in the way that older programs did. Only tests call it, to write the
+// directories of such programs.
 func (j *Journal) RecordLegacyList(l LegacyEndpointList) {
-	j.appendRecord(record{op: opLegacyList, list: l})
+	j.appendRecord(record{op: opLegacyList, legacyList: l})
 }
 
-// DropLegacyList removes the legacy list once its owner stores it elsewhere, and begins a segment without it.
+// DropLegacyList removes the legacy endpoint list, and begins a segment without it. The caller must have stored the list
+// elsewhere before.
 func (j *Journal) DropLegacyList() {
 	if j.legacyList.Text == nil {
 		return
@@ -73,7 +76,7 @@
 	j.liveSize -= j.legacyListSize
 	j.legacyList, j.legacyListSize = LegacyEndpointList{}, 0
 	if j.writeError != nil {
-		return // the next segment is written without it
+		return // Commit recovers with a new segment, which omits the list
 	}
 	if err := j.compact(); err != nil {
 		j.markUnwritable(err)
@@ -166,8 +169,8 @@
 	}
 }
 
-// Retry reports whether the journal can be written. If it could not, Retry first tries to begin a new segment, at the
-// rate that Commit describes.
+// Retry reports whether the journal can be written. After a failed write it first tries to recover by beginning a new
+// segment, at most as often as Commit does.
 func (j *Journal) Retry() bool { return j.writeError == nil || j.Commit() == nil }
 
 // markUnwritable closes the segment after a failed write.
@@ -187,21 +190,21 @@
 	if j.file == nil {
 		return
 	}
-	_ = j.file.Close() // what matters was synced before
+	_ = j.file.Close() // the committed records have been written, and synced under durability Power
 	j.file = nil
 	j.obsolete = append(j.obsolete, filepath.Join(j.dir, segmentFileName(j.segment)))
 }
 
-// ShortWriteError says that a file accepted only a part of a write without giving a reason.
+// ShortWriteError reports that a file accepted only a part of a write and returned no error.
 type ShortWriteError struct {
 	Written, Length int // bytes
 }
 
 func (e *ShortWriteError) Error() string {
-	return fmt.Sprintf("%d of %d bytes written", e.Written, e.Length)
+	return fmt.Sprintf("short write: %d of %d bytes written", e.Written, e.Length)
 }
 
-// writeAll writes b. A short write is an error.
+// writeAll writes b to f. It returns a *ShortWriteError if f accepts only a part of b without an error.
 func writeAll(f File, b []byte) error {
 	n, err := f.Write(b)
 	if err == nil && n < len(b) {
--- a/internal/journal/compaction.go
+++ b/internal/journal/compaction.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// compactionSlack is how far a segment may outgrow twice its live entries before it is compacted, in bytes. It keeps
-	// nearly empty journals from being compacted by each Commit.
+	// compactionSlack is the size, in bytes, by which a segment may exceed twice the size of its live entries before it is
+	// compacted. It keeps nearly empty journals from being compacted by each Commit.
 	compactionSlack = 256 << 10
-	// maxReusedBuffer bounds the snapshot buffer that is kept between compactions, in bytes.
+	// maxReusedBuffer is the largest capacity of a snapshot buffer that is kept for the next compaction, in bytes.
 	maxReusedBuffer = 4 << 20
 )
 
-// scanDir removes unfinished segments that an earlier process left, and finds the segments to remove after the next
-// compaction. Quarantined ranges count against the size limit.
+// scanDir removes unfinished segments that an earlier process left, and collects the segments to remove after the next
+// compaction. It also sets the number that the next segment follows, and counts quarantined ranges against the size limit.
 func (j *Journal) scanDir() error {
 	names, err := j.options.Files.List(j.dir)
 	if err != nil {
@@ -42,7 +42,7 @@
 			j.obsolete = append(j.obsolete, path)
 		case strings.HasPrefix(name, quarantinePrefix):
 			if f, size, err := j.options.Files.Open(path); err == nil {
-				_ = f.Close() // only its size was wanted
+				_ = f.Close() // the file was opened only to learn its size
 				quarantined, quarantinedSize = append(quarantined, path), quarantinedSize+size
 			}
 		}
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// isUnfinished reports whether a file is a segment, or a journal of format 1, that did not get its final name.
+// isUnfinished reports whether name is the temporary name of a segment or of a journal of format 1, which a process
+// leaves if it ends before it renames the file.
 func isUnfinished(name string) bool {
 	return strings.HasSuffix(name, unfinishedSuffix) &&
 		(strings.HasPrefix(name, segmentPrefix) || name == formatV1File+unfinishedSuffix)
@@ -70,10 +71,11 @@
 	}
 	if j.options.SurvivesPowerLoss {
 		if err := j.options.Files.SyncDir(j.dir); err != nil {
-			// The rename may or may not survive a power loss: the previous segment stays, and this one is not used.
+			// The rename may or may not survive a power loss, so nothing is appended to the new segment, and the previous one
+			// stays until a later segment is durable.
 			j.lastSequence, j.previousDigest, j.clocks = lastSequence, lastDigest, clocks
 			j.revokeUncommitted(file)
-			_ = file.Close() // SyncDir's error is the one to return
+			_ = file.Close() // SyncDir's error is returned instead
 			j.closeSegment()
 			j.segment = number
 			j.obsolete = append(j.obsolete, path)
@@ -107,14 +109,14 @@
 		err = j.options.Files.Rename(temporary, path)
 	}
 	if err != nil {
-		_ = file.Close()                      // the write's error is the one to return
-		_ = j.options.Files.Remove(temporary) // otherwise scanDir removes it
+		_ = file.Close()                      // the error of the failed step is returned instead
+		_ = j.options.Files.Remove(temporary) // if this fails, scanDir removes the file at the next start
 		return nil, err
 	}
 	return file, nil
 }
 
-// removeObsolete removes the segments that the current one replaces. What can't be removed is tried again after the
+// removeObsolete removes the segments that the current one replaces. A segment that can't be removed is retried after the
 // next compaction.
 func (j *Journal) removeObsolete() {
 	var remaining []string
@@ -155,7 +157,7 @@
 		add(record{op: opSnapshotEntry, entrySeq: e.seq, entry: e})
 	}
 	if j.legacyList.Text != nil {
-		add(record{op: opLegacyList, list: j.legacyList})
+		add(record{op: opLegacyList, legacyList: j.legacyList})
 	}
 	for host, health := range j.health {
 		add(record{op: opHealth, host: host, ejected: health.Ejected, at: health.ChangedAt})
--- a/internal/journal/crashfs_test.go
+++ b/internal/journal/crashfs_test.go
@@ -10,31 +10,31 @@
 	"syscall"
 )
 
-// blockSize is what a power loss keeps or loses as a whole.
+// blockSize is the size of the unit that a power loss keeps or loses as a whole, in bytes.
 const blockSize = 512
 
-// inode is a file of the model.
+// inode is the content of a file in a crashFS.
 type inode struct {
-	data   []byte
-	synced []byte
+	data   []byte // content as the process reads it
+	synced []byte // content that survives a power loss
 }
 
-// dirOp is a change of the directory that no SyncDir has made durable yet.
+// dirOp is a change of the directory that no SyncDir has made durable.
 type dirOp struct {
 	kind     string // create, rename, remove
 	from, to string
 	file     *inode
 }
 
-// crashFS is a file system that knows what a power loss may leave. Each call is a point at which the machine may stop.
+// crashFS is a file system in memory that simulates failing calls and power losses. The power may fail after each call.
 type crashFS struct {
 	files        map[string]*inode
 	durableFiles map[string]*inode
 	unsyncedOps  []dirOp
 	calls        int
-	failFromCall int // from this call on, and failFor calls long; 0 for never
+	failFromCall int // number of the first call that fails; 0 for none
 	failedCalls  int
-	failure      error // a short write, where it is nil
+	failure      error // error of the failed calls; if it is nil, writes are short and other calls return a fixed error
 	afterCall    func(m *crashFS, call string)
 }
 
@@ -42,7 +42,7 @@
 	return &crashFS{files: map[string]*inode{}, durableFiles: map[string]*inode{}}
 }
 
-// countCall counts a countCall, and tells how it fails.
+// countCall counts a call. It reports whether the call fails, and with which error.
 func (m *crashFS) countCall() (failed bool, err error) {
 	m.calls++
 	if m.failFromCall > 0 && m.calls >= m.failFromCall && m.calls < m.failFromCall+m.failedCalls {
@@ -87,7 +87,7 @@
 
 func (f *crashFile) Sync() error {
 	if failed, err := f.m.countCall(); failed {
-		// The system drops what it could not write and calls it clean: a later sync would prove nothing.
+		// As in the kernel, the data that could not be written is not made durable, and a later Sync may succeed without it.
 		return errors.Join(err, syscall.EIO)
 	}
 	f.f.synced = bytes.Clone(f.f.data)
@@ -154,12 +154,12 @@
 		m.durableFiles[path] = f
 	}
 	m.unsyncedOps = nil
-	m.callDone("sync folder")
+	m.callDone("directory sync")
 	return nil
 }
 
-// afterPowerLoss returns a file system as a power loss may leave it: which pending changes of the directory happened, and which
-// blocks of what was never synced, are drawn by pick.
+// afterPowerLoss returns the file system in a state in which a power loss may leave it. The function pick, which returns a
+// number below n, decides which unsynced changes of the directory took effect and which unsynced blocks were written.
 func (m *crashFS) afterPowerLoss(pick func(n int) int) *crashFS {
 	left := newCrashFS()
 	dir := map[string]*inode{}
@@ -184,12 +184,12 @@
 		f := dir[path]
 		data := bytes.Clone(f.synced)
 		switch rest := f.data[len(f.synced):]; pick(4) {
-		case 0: // nothing
-		case 1: // all
+		case 0: // none of the unsynced data was written
+		case 1: // all of it was written
 			data = bytes.Clone(f.data)
-		case 2: // a first part
+		case 2: // a prefix of it was written
 			data = append(data, rest[:pick(len(rest)+1)]...)
-		case 3: // some blocks and not others, which read as zeros
+		case 3: // some blocks were written, and the others read as zeros
 			data = bytes.Clone(f.data)
 			for at := len(f.synced); at < len(data); {
 				end := min(len(data), (at/blockSize+1)*blockSize)
--- a/internal/journal/doc.go
+++ b/internal/journal/doc.go
@@ -1,11 +1,11 @@
 // Package journal is the write-ahead log of the requests that a relay has accepted.
 //
-// The log is a directory of segments. Each begins with a snapshot of the live entries, followed by one record for each
-// change. A new segment replaces the older ones: that is compaction.
+// The log is a directory of segments. Each segment begins with a snapshot of the live entries, the requests that have not
+// completed, followed by one record for each change. Compaction writes a new segment that replaces the older ones.
 //
 // What Commit guarantees once it has returned nil depends on the configured durability:
-//   - Durability Process: records survive any end of the process, SIGKILL included. After a power loss, recognized by a
-//     changed boot ID, records may be missing, so every entry gets an uncertain attempt.
+//   - Durability Process: records survive any end of the process, including SIGKILL. After a reboot, recognized by a
+//     changed boot ID, records may be missing, so every live entry without a pending notification gets an uncertain attempt.
 //   - Durability Power: records survive a power loss as well. A failed fsync is never retried on the same file, because
 //     the kernel may have dropped the dirty pages: the live entries are written to a new segment, and nothing is
 //     accepted until that segment is durable.
--- a/internal/journal/dump.go
+++ b/internal/journal/dump.go
@@ -9,7 +9,7 @@
 	"milletsail/internal/instant"
 )
 
-// dumpedEntry is one live entry as Dump writes it, with wall times.
+// dumpedEntry is one live entry as Dump writes it, with wall-clock times. Scripts read its JSON keys, so they stay.
 type dumpedEntry struct {
 	ID                  string          `json:"id"`
 	Class               string          `json:"class,omitempty"`
@@ -19,11 +19,11 @@
 	AcceptedAt          time.Time       `json:"taken,omitzero"`
 	Attempts            []dumpedAttempt `json:"attempts,omitempty"`
 	PendingNotification *Notification   `json:"owed,omitempty"`
-	Bytes               int             `json:"body_bytes"`
+	Bytes               int             `json:"body_bytes"` // length of the body, which is written only on request
 	Body                []byte          `json:"body,omitempty"`
 }
 
-// dumpedAttempt is one attempt as Dump writes it.
+// dumpedAttempt is one attempt as Dump writes it, with wall-clock times. Scripts read its JSON keys, so they stay.
 type dumpedAttempt struct {
 	Host        string    `json:"Host"`
 	StartedAt   time.Time `json:"Begun"`
@@ -32,7 +32,8 @@
 	Uncertain   bool      `json:"Doubt"`
 }
 
-// wallTime translates a moment by a reading of both clocks. The zero Time becomes the zero time.Time.
+// wallTime converts a monotonic time to a wall-clock time by a simultaneous reading of both clocks. The zero Time becomes
+// the zero time.Time.
 func wallTime(clocks clock.Pair, t instant.Time) time.Time {
 	if t.IsZero() {
 		return time.Time{}
@@ -41,7 +42,7 @@
 }
 
 // Dump writes the live entries of the directory dir to w as one line of JSON each, in the order in which they were
-// accepted.
+// accepted. Bodies are included only if withBodies is set.
 func Dump(dir string, w io.Writer, withBodies bool) error {
 	j, _, err := Read(dir)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// newDumpedEntry translates an entry for Dump.
+// newDumpedEntry converts an entry to its dumped form, with times converted by clocks.
 func newDumpedEntry(entry *Entry, clocks clock.Pair, withBody bool) dumpedEntry {
 	dumped := dumpedEntry{
 		ID:                  entry.ID,
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -5,44 +5,44 @@
 )
 
 const (
-	// laterRecordsReserve is reserved for the later records of an entry when it is accepted, in bytes: a dozen attempts
-	// at endpoints with long names fit.
+	// laterRecordsReserve is the disk space reserved for the later records of an entry when it is accepted, in bytes. It
+	// holds a dozen attempts at endpoints with long names.
 	laterRecordsReserve = 2048
-	// endpointReserve is reserved for each endpoint of the legacy list, in bytes.
+	// endpointReserve is the disk space reserved for each endpoint of the legacy endpoint list, in bytes.
 	endpointReserve = 256
 )
 
 // Entry is an accepted request that has not completed.
 type Entry struct {
 	ID                  string
-	Class               string
-	Dest                int
-	Key                 string
-	ExpiresAt           instant.Time
-	AcceptedAt          instant.Time // Accept sets it if it is zero
+	Class               string       // name of the message class
+	Dest                int          // number of the destination
+	Key                 string       // ordering key; empty for none
+	ExpiresAt           instant.Time // deadline for the delivery
+	AcceptedAt          instant.Time // when the relay accepted the request; Journal.Accept sets it if it is zero
 	Body                []byte
-	Attempts            []Attempt
-	PendingNotification *Notification // nil unless the request has failed and the platform has not acknowledged that
+	Attempts            []Attempt     // in the order in which they started
+	PendingNotification *Notification // nil unless the request ended undelivered and the platform has not acknowledged that
 
-	seq uint64 // sequence of the record that accepted it; later records refer to the entry by it
+	seq uint64 // sequence of the record that accepted the entry; later records refer to the entry by this number
 }
 
 // Attempt is one call to an endpoint.
 type Attempt struct {
-	Host        string
+	Host        string // name of the endpoint
 	StartedAt   instant.Time
-	Ended       bool
-	NotExecuted bool // the endpoint has proved that it did not execute the request
-	// Uncertain marks an attempt that was inferred, since its record may have been lost. Its Host is empty and its
-	// StartedAt the earliest possible time.
+	Ended       bool // the result is recorded
+	NotExecuted bool // the result proves that the endpoint did not execute the request
+	// Uncertain marks an attempt that may never have been made: it stands for records that may be lost. Its Host is empty,
+	// and its StartedAt is the earliest possible time.
 	Uncertain bool
 }
 
 // Notification tells the platform that a request ended undelivered.
 type Notification struct {
-	ID           string `json:"id"`
-	Status       string `json:"status"`
-	RetryAfterMS int64  `json:"again_ms,omitempty"`
+	ID           string `json:"id"`                 // ID of the request
+	Status       string `json:"status"`             // how the request ended
+	RetryAfterMS int64  `json:"again_ms,omitempty"` // delay after which the platform may send the request again, in milliseconds
 }
 
 // LegacyEndpointList is an endpoint list in the encoding of its owner. Older programs stored it in the journal.
@@ -53,8 +53,8 @@
 
 // HealthRecord is the persisted health of an endpoint.
 type HealthRecord struct {
-	Ejected   bool
-	ChangedAt instant.Time
+	Ejected   bool         // the endpoint was ejected as unhealthy
+	ChangedAt instant.Time // when Ejected last changed
 }
 
 // requiredSize is the disk space to reserve for an entry and its later records, in bytes.
--- a/internal/journal/filesystem.go
+++ b/internal/journal/filesystem.go
@@ -7,8 +7,8 @@
 	"milletsail/internal/atomicfile"
 )
 
-// FS is the part of a file system that a journal uses. All programs use Disk; tests replace it to simulate crashes and
-// full disks. Paths are those of package os.
+// FS is the set of file system operations that a journal uses. All programs use Disk; tests replace it to simulate
+// crashes and full disks. Paths have the form that package os expects.
 type FS interface {
 	// Create opens a file for writing, and truncates it if it exists.
 	Create(path string) (File, error)
@@ -27,8 +27,8 @@
 // File is a file that is open for writing.
 type File interface {
 	io.WriteCloser
-	// Sync makes what was written durable. It must not be retried after an error: the kernel may have marked pages as
-	// clean that it failed to write, so that a second call would succeed without them.
+	// Sync makes all written data durable. It must not be retried after an error: the kernel may have marked pages as
+	// clean that it failed to write, so a second call could succeed although their data is lost.
 	Sync() error
 	// Truncate shortens the file; the next write continues at its new end.
 	Truncate(size int64) error
@@ -50,7 +50,7 @@
 	}
 	info, err := f.Stat()
 	if err != nil {
-		_ = f.Close() // Stat's error is the one to return
+		_ = f.Close() // Stat's error is returned instead
 		return nil, 0, err
 	}
 	return f, info.Size(), nil
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -10,7 +10,7 @@
 	"milletsail/internal/instant"
 )
 
-// sampleSegment returns a segment with each operation.
+// sampleSegment returns a segment that contains every operation except opSnapshotEntry.
 func sampleSegment(tb testing.TB) []byte {
 	tb.Helper()
 	dir := tb.TempDir()
@@ -34,7 +34,7 @@
 	_ = j.Close()
 	found, err := filepath.Glob(filepath.Join(dir, segmentPrefix+"*"))
 	if err != nil || len(found) != 1 {
-		tb.Fatalf("%v, %v", found, err)
+		tb.Fatalf("segment files %v (error %v), want exactly one", found, err)
 	}
 	raw, err := os.ReadFile(found[0])
 	if err != nil {
@@ -43,7 +43,8 @@
 	return raw
 }
 
-// Any bytes give a state or an error, and what was read can be written and read again.
+// FuzzSegment guards against segments that make Open crash, return an unexpected error or reserve an absurd size: any bytes
+// must yield a state, which can be read again after Open has written it to a new segment, or a *NewerError.
 func FuzzSegment(f *testing.F) {
 	raw := sampleSegment(f)
 	f.Add(raw)
@@ -66,16 +67,18 @@
 		defer func() { _ = j.Close() }()
 		largest := 200*len(raw) + (len(raw)/recordHeaderSize+1)*(laterRecordsReserve+endpointReserve*maxPayloadSize)
 		if size := j.liveSize + len(j.entries); size > largest {
-			t.Fatalf("%d bytes need room for %d", len(raw), size)
+			t.Fatalf("a segment of %d bytes leads to a reservation of %d bytes", len(raw), size)
 		}
 		again, whole, err := Read(dir)
 		if err != nil || len(again.Entries()) != len(j.Entries()) || !whole.Complete() {
-			t.Fatalf("%v: %d messages, %d when read again, from %+v", err, len(j.Entries()), len(again.Entries()), r)
+			t.Fatalf("reading the rewritten segment: error %v; %d entries before, %d after; first report %+v",
+				err, len(j.Entries()), len(again.Entries()), r)
 		}
 	})
 }
 
-// So do any bytes in format 1, and they can be given back in it.
+// FuzzFormat1 guards against files of format 1 that crash the replay or lose entries when their state is written in format
+// 1 and replayed again.
 func FuzzFormat1(f *testing.F) {
 	s, _, _, err := readSegment(bytes.NewReader(sampleSegment(f)), 1<<20, "x", "")
 	if err != nil {
@@ -93,16 +96,18 @@
 		s.replayV1(raw, &Report{})
 		back, err := s.encodeV1()
 		if err != nil {
-			t.Skip(err) // a list that is no JSON, say
+			t.Skip(err) // for example, an endpoint list that is not valid JSON
 		}
 		again := newState()
 		if rest, _ := again.replayV1(back, &Report{}); rest > 0 || len(again.liveEntries()) != len(s.liveEntries()) {
-			t.Fatalf("%d messages, %d when given back, %d bytes unread", len(s.liveEntries()), len(again.liveEntries()), rest)
+			t.Fatalf("%d entries were replayed, %d after a rewrite in format 1, with %d bytes unreadable",
+				len(s.liveEntries()), len(again.liveEntries()), rest)
 		}
 	})
 }
 
-// Any payload gives an error or a record that is written as it was read.
+// FuzzPayload guards against payloads that crash the decoder, or that decode to a record whose encoding does not decode to
+// the same record.
 func FuzzPayload(f *testing.F) {
 	w := &scanner{source: bytes.NewReader(sampleSegment(f)), size: 1 << 20}
 	if _, err := w.readHeader("x"); err != nil {
@@ -120,7 +125,8 @@
 		first := r.appendPayload(nil, wallClockOnly)
 		err := again.decodePayload(first, interner{}, wallClockOnly)
 		if err != nil || !bytes.Equal(again.appendPayload(nil, wallClockOnly), first) {
-			t.Fatalf("%q is read as %q, and that as %q (%v)", payload, first, again.appendPayload(nil, wallClockOnly), err)
+			t.Fatalf("payload %q is re-encoded as %q, and that as %q (error %v)",
+				payload, first, again.appendPayload(nil, wallClockOnly), err)
 		}
 	})
 }
--- a/internal/journal/header.go
+++ b/internal/journal/header.go
@@ -13,8 +13,8 @@
 )
 
 // A segment is a file segment-N: a header, a snapshot of the entries that were live when the segment was begun, closed by
-// a record with the snapshot's record count and checksum, and then one record for each change. The numbers of fixed
-// size are little-endian.
+// a record with the snapshot's record count and checksum, and then one record for each change. Integers of fixed size are
+// little-endian. The lengths in the layouts below are in bytes.
 //
 //	header: magic 8 | format 4 | length of the fields 4 | fields | CRC-32C 4
 //	fields: segment, first sequence, durability, boot ID, relay, clocks
@@ -23,45 +23,45 @@
 var ReadableFormats = []int{formatV1, Format}
 
 const (
-	// Format is the storage format that this program writes, and the newest one that it reads.
+	// Format is the storage format that this program writes, and the newest that it reads.
 	Format = 2
-	// formatV1 is the previous storage format; see v1.go.
+	// formatV1 is the storage format of older programs; v1.go describes it.
 	formatV1 = 1
 
-	// magic begins each segment.
+	// magic is the byte sequence at the start of each segment.
 	magic = "MSAILJNL"
-	// headerFormatOffset is where a segment header holds the format.
+	// headerFormatOffset is the offset of the format in a segment header, in bytes.
 	headerFormatOffset = len(magic)
-	// headerLengthOffset is where a segment header holds the length of its fields.
+	// headerLengthOffset is the offset of the length of the fields in a segment header, in bytes.
 	headerLengthOffset = headerFormatOffset + 4
-	// segmentHeaderSize is the length of a segment header in front of its fields, in bytes.
+	// segmentHeaderSize is the length of the part of a segment header that precedes its fields, in bytes.
 	segmentHeaderSize = headerLengthOffset + 4
-	// maxSegmentHeaderSize bounds the fields of a segment header, in bytes.
+	// maxSegmentHeaderSize is the largest valid length of the fields of a segment header, in bytes.
 	maxSegmentHeaderSize = 4096
 	// checksumSize is the length of a CRC-32C, in bytes.
 	checksumSize = 4
 
-	// segmentPrefix and the segment's number are the name of a segment file.
+	// segmentPrefix begins the name of a segment file; the segment's number in decimal follows it.
 	segmentPrefix = "segment-"
-	// unfinishedSuffix ends the name of a file until its content is written.
+	// unfinishedSuffix ends the temporary name of a file, which is renamed once its content is complete.
 	unfinishedSuffix = ".new"
-	// quarantinePrefix begins the name of a file that holds a damaged range.
+	// quarantinePrefix begins the name of a file that holds a copy of a damaged range.
 	quarantinePrefix = "damaged-"
-	// formatV1File is the name of a journal of format 1.
+	// formatV1File is the name of the only file of a journal of format 1.
 	formatV1File = "journal"
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// header begins a segment.
+// header is the first part of a segment: its identity and the circumstances in which it was written.
 type header struct {
 	format            uint32
 	segment           uint64
-	firstSequence     uint64 // sequence of the segment's first record
-	survivesPowerLoss bool   // durability
-	boot              string
-	relay             string
-	clocks            clock.Pair // readings when the segment was begun; zero if the program that wrote it stored none
+	firstSequence     uint64     // sequence of the segment's first record
+	survivesPowerLoss bool       // the segment was written with durability Power
+	boot              string     // boot ID of the machine that wrote the segment
+	relay             string     // name of the relay that the directory belongs to; empty if it was not set
+	clocks            clock.Pair // clock readings at the start of the segment; zero if the writing program stored none
 }
 
 // encode returns the header as it is stored.
@@ -81,13 +81,13 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// errMalformedHeader says that a segment does not begin with a valid header.
+// errMalformedHeader reports that a segment does not begin with a valid header.
 var errMalformedHeader = errors.New("malformed segment header")
 
-// NewerError says that a newer program than this one wrote a file.
+// NewerError reports that a file has a storage format newer than Format.
 type NewerError struct {
-	File   string
-	Format uint32
+	File   string // name of the file, without its directory
+	Format uint32 // storage format of the file
 }
 
 func (e *NewerError) Error() string {
@@ -109,7 +109,7 @@
 	if crc32.Checksum(s.buf[:end], castagnoli) != binary.LittleEndian.Uint32(s.buf[end:]) {
 		return h, errMalformedHeader
 	}
-	if h.format > Format { // behind the checksum: a flipped bit is damage and not a newer format
+	if h.format > Format { // checked after the checksum, so that a flipped bit counts as damage and not as a newer format
 		return h, &NewerError{name, h.format}
 	}
 	fields := payloadReader{unread: s.buf[segmentHeaderSize:end]}
@@ -120,14 +120,14 @@
 		return h, errMalformedHeader
 	}
 	h.clocks = clock.Pair{At: instant.Time(fields.varint()), Wall: clock.Wall(fields.varint())}
-	if fields.malformed { // older programs stored no clocks
+	if fields.malformed { // older programs stored no clock readings
 		h.clocks = clock.Pair{}
 	}
 	s.advance(end + checksumSize)
 	return h, nil
 }
 
-// parseSegmentFileName returns the number of the segment file with a name. It reports false for other names.
+// parseSegmentFileName returns the number of the segment in a file name. It reports false if name is not that of a segment.
 func parseSegmentFileName(name string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(name, segmentPrefix)
 	if !ok {
@@ -137,5 +137,5 @@
 	return number, err == nil
 }
 
-// segmentFileName returns the name of the segment file with a number.
+// segmentFileName returns the file name of the segment with the given number.
 func segmentFileName(number uint64) string { return segmentPrefix + strconv.FormatUint(number, 10) }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// usableShare is the part of DiskMB that segments may use; the rest covers partly filled blocks and other files of
-	// the directory.
+	// usableShare is the fraction of DiskMB that segments and quarantined ranges may use. The rest covers partly filled
+	// blocks and the other files of the directory.
 	usableShare = 0.9
 	// bytesPerMB converts DiskMB to bytes.
 	bytesPerMB = 1e6
-	// maxReadAttempts bounds how often Read starts again when a running relay removes a segment under it.
+	// maxReadAttempts is how often Read lists and reads the directory before it gives up because a running relay keeps
+	// removing segments.
 	maxReadAttempts = 10
 )
 
-// Options configure Open.
+// Options configures Open.
 type Options struct {
-	DiskMB            float64 // size limit of the directory, in 10^6 bytes
+	DiskMB            float64 // disk space that the directory may use, in 10^6 bytes
 	Relay             string  // name of the relay that the directory belongs to; empty to accept any
-	SurvivesPowerLoss bool    // durability Power; otherwise Process
-	Files             FS      // nil for Disk
+	SurvivesPowerLoss bool    // whether the durability is Power; otherwise it is Process
+	Files             FS      // Disk if nil
 	Boot              string  // boot ID of the machine; empty to read it from the system
-	Clocks            Clocks  // SystemClocks if its Now is nil
+	Clocks            Clocks  // SystemClocks if Clocks.Now is nil
 }
 
-// ForeignDirError says that a directory holds the journal of another relay.
+// ForeignDirError reports that a directory holds the journal of another relay.
 type ForeignDirError struct {
 	Dir   string
 	Owner string // the relay that wrote the journal
@@ -42,10 +43,10 @@
 }
 
 var (
-	// ErrReadOnly is the write error of a journal that Read opened.
-	ErrReadOnly = errors.New("opened read-only")
+	// ErrReadOnly is the error that WriteError returns for a journal that Read opened.
+	ErrReadOnly = errors.New("write to a journal that was opened read-only")
 	// ErrClosed is returned by Commit on a closed journal.
-	ErrClosed = errors.New("closed")
+	ErrClosed = errors.New("write to a closed journal")
 )
 
 // Journal is the write-ahead log of a running relay. It is not safe for concurrent use.
@@ -53,24 +54,24 @@
 	*state
 	options   Options
 	dir       string
-	sizeLimit int // in bytes, of the old and the new segment together
+	sizeLimit int // limit of the total size of the old and the new segment during a compaction, in bytes
 
-	file           File // the current segment; nil when none is open for writing
-	segment        uint64
-	segmentSize    int
-	clocks         clock.Pair // the clock readings in the segment's header
-	lastSequence   uint64
-	previousDigest uint32   // digest of the last record
-	obsolete       []string // paths of segments to remove once the next one is durable
+	file           File       // the current segment; nil when none is open for writing
+	segment        uint64     // number of the current segment
+	segmentSize    int        // size of the current segment up to its last committed record, in bytes
+	clocks         clock.Pair // clock readings in the current segment's header
+	lastSequence   uint64     // sequence of the last appended record
+	previousDigest uint32     // digest of the last appended record
+	obsolete       []string   // paths of segments to remove once the next one is durable
 
-	reserved    int      // bytes reserved for entries that may be accepted before the next Commit
-	buffered    []byte   // records since the last Commit
-	uncommitted []*Entry // accepted since the last Commit
+	reserved    int      // bytes reserved by Reserve since the last Commit
+	buffered    []byte   // encoded records appended since the last Commit
+	uncommitted []*Entry // entries accepted since the last Commit
 
-	writeError          error // why the segment can't be written; nil when it can
-	lastRecoveryAttempt instant.Time
+	writeError          error        // why the journal can't be written; nil if it can
+	lastRecoveryAttempt instant.Time // when a new segment last failed to begin after a failed write
 
-	snapshotBuffer []byte // reused by compact
+	snapshotBuffer []byte // reused by encodeSnapshot between compactions
 }
 
 // Open replays the journal in dir and begins a new segment. If that segment can't be written, Open still succeeds: the
@@ -104,14 +105,15 @@
 	return j, report, nil
 }
 
-// withDefaults fills in the file system, the clocks and the boot ID of this machine where they are not set.
+// withDefaults returns the options with unset ones replaced: by the operating system's file system, the machine's clocks
+// and its boot ID.
 func (o Options) withDefaults() Options {
 	if o.Files == nil {
 		o.Files = Disk
 	}
 	if o.Clocks.Now == nil {
 		o.Clocks = SystemClocks
-		if o.Boot != "" { // the machine's uptime says nothing about a boot ID that the caller has set
+		if o.Boot != "" { // the machine's uptime does not belong to a boot ID that the caller has set
 			o.Clocks.Uptime = func() time.Duration { return 0 }
 		}
 	}
@@ -157,10 +159,10 @@
 // Entries returns the live entries in the order in which they were accepted.
 func (j *Journal) Entries() []*Entry { return j.liveEntries() }
 
-// Get returns the live entry with an ID, or nil.
+// Get returns the live entry with the given ID, or nil if there is none.
 func (j *Journal) Get(id string) *Entry { return j.entries[id] }
 
-// Health returns the persisted health by endpoint. The caller must not change the map.
+// Health returns the persisted health of the endpoints by name. The caller must not change the map.
 func (j *Journal) Health() map[string]HealthRecord { return j.health }
 
 // LegacyList returns the endpoint list that an older program stored in the journal; its Text is nil if there is none.
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -13,7 +13,7 @@
 	"milletsail/internal/instant"
 )
 
-// maxBody is the largest body of a message.
+// maxBody is the size of the largest message body that a relay accepts, in bytes.
 const maxBody = 64 << 10
 
 func openJournal(t *testing.T, dir string, mb float64) *Journal {
@@ -33,7 +33,8 @@
 	}
 }
 
-// recordSampleEntries notes three messages: one over, one tried twice, one that owes a notice.
+// recordSampleEntries accepts three requests: one that completes, one with two attempts, and one with a pending
+// notification. It also records an ejected endpoint.
 func recordSampleEntries(t *testing.T, j *Journal, at instant.Time) {
 	t.Helper()
 	for _, id := range []string{"over", "tried", "owing"} {
@@ -50,45 +51,46 @@
 	commit(t, j)
 }
 
+// TestReplay guards against entries or health that a restart loses or changes.
 func TestReplay(t *testing.T) {
 	dir, at := t.TempDir(), clock.Now().Add(-time.Second)
 	recordSampleEntries(t, openJournal(t, dir, 3), at)
-	for range 2 { // from the log, and from its compaction
+	for range 2 { // the first Open replays the records, the second replays the snapshot that the first wrote
 		j := openJournal(t, dir, 3)
 		list := j.Entries()
 		if len(list) != 2 || list[0].ID != "tried" || list[1].ID != "owing" {
-			t.Fatalf("entries: %v", list)
+			t.Fatalf("replayed entries %v, want tried and owing", list)
 		}
 		e := list[0]
 		if e.Class != "order" || e.Dest != 7 || e.Key != "k" || e.ExpiresAt != at.Add(time.Minute) ||
 			!bytes.Equal(e.Body, []byte("body\x00tried")) {
-			t.Errorf("entry: %+v", e)
+			t.Errorf("replayed entry %+v differs from the accepted one", e)
 		}
 		if len(e.Attempts) != 2 || !e.Attempts[0].NotExecuted || e.Attempts[1].Ended || e.Attempts[1].Host != "h2" ||
 			e.Attempts[1].StartedAt != at.Add(time.Second) {
-			t.Errorf("attempts: %+v", e.Attempts)
+			t.Errorf("replayed attempts %+v differ from the recorded ones", e.Attempts)
 		}
 		if n := list[1].PendingNotification; n == nil || *n != (Notification{ID: "owing", Status: "deferred", RetryAfterMS: 30}) {
-			t.Errorf("notice: %v", n)
+			t.Errorf("pending notification %v differs from the recorded one", n)
 		}
 		if h := j.Health()["h2"]; !h.Ejected || h.ChangedAt != at {
-			t.Errorf("health: %v", j.Health())
+			t.Errorf("replayed health %v, want h2 ejected at the recorded time", j.Health())
 		}
 	}
 }
 
-// onlySegment returns the only segment of a directory.
+// onlySegment returns the path of the only segment of a directory. It fails the test if there is not exactly one.
 func onlySegment(t *testing.T, dir string) string {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join(dir, segmentPrefix+"*"))
 	if err != nil || len(found) != 1 {
-		t.Fatalf("segments %v, %v", found, err)
+		t.Fatalf("segment files %v (error %v), want exactly one", found, err)
 	}
 	return found[0]
 }
 
-// A file that ends anywhere gives all whole records before that, and so does one whose last record is corrupted; what is
-// noted after it is found again.
+// TestTornTail guards against a crash during the last write that costs earlier records or prevents later ones. It cuts the
+// segment at each byte of its last record, or corrupts that byte, and accepts another entry after the recovery.
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
@@ -120,23 +122,23 @@
 			}
 			j := openJournal(t, other, 3)
 			if list := j.Entries(); len(list) != want || list[0].ID != "a" {
-				t.Fatalf("cut %d at byte %d: %d entries, want %d", i, end, len(list), want)
+				t.Fatalf("case %d (0 cut, 1 corrupted) at byte %d: replayed %d entries, want %d", i, end, len(list), want)
 			}
 			if i == 0 && len(j.Entries()[0].Attempts) > 0 {
-				t.Fatalf("cut at byte %d: an unfinished record puts what came before it in doubt", end)
+				t.Fatalf("cut at byte %d: a torn record adds an uncertain attempt to an earlier entry", end)
 			}
 			j.Accept(&Entry{ID: "c"})
 			commit(t, j)
 			if again := openJournal(t, other, 3); again.Get("c") == nil {
-				t.Fatalf("cut %d at byte %d: what came later is lost", i, end)
+				t.Fatalf("case %d (0 cut, 1 corrupted) at byte %d: an entry accepted after the recovery is lost", i, end)
 			}
 		}
 	}
 }
 
-// Any single flipped bit in a log costs the record that it is in and no other; where that record began an attempt, the
-// message counts as one that may have executed, and where it completed a message, that stays completed.
-func TestTurnedBit(t *testing.T) {
+// TestBitFlip guards against a single flipped bit that affects more than the record that contains it. If that record started
+// an attempt, the entry must get an uncertain attempt; if it completed an entry, the entry must stay completed.
+func TestBitFlip(t *testing.T) {
 	const n = 40
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
@@ -152,7 +154,7 @@
 			j.RecordPendingNotification(e, Notification{ID: e.ID, Status: "deferred"})
 		}
 	}
-	j.Accept(&Entry{ID: "last"}) // the end of a file is a case of its own
+	j.Accept(&Entry{ID: "last"}) // flips in the last record are left out: TestTornTail covers the end of a file
 	commit(t, j)
 	path := onlySegment(t, dir)
 	raw, err := os.ReadFile(path)
@@ -170,10 +172,10 @@
 		}
 		got, r, err := Read(other)
 		if err != nil {
-			t.Fatalf("byte %d: %v", at, err)
+			t.Fatalf("flip at byte %d: %v", at, err)
 		}
 		if len(r.Damage) == 0 && !r.Partial {
-			t.Fatalf("byte %d: nothing is noticed", at)
+			t.Fatalf("flip at byte %d: the report contains no damage", at)
 		}
 		differ := 0
 		for _, want := range j.Entries() {
@@ -182,20 +184,21 @@
 			}
 		}
 		if differ > 1 || len(got.Entries()) > len(j.Entries()) {
-			t.Fatalf("byte %d: %d messages differ, %d live, %d before", at, differ, len(got.Entries()), len(j.Entries()))
+			t.Fatalf("flip at byte %d: %d entries differ, want at most 1; %d live entries, at most %d expected",
+				at, differ, len(got.Entries()), len(j.Entries()))
 		}
 	}
 }
 
-// entryDiffers reports whether what was read of a message entryDiffers from what was written. It fails the test where a possible
-// attempt is lost.
+// entryDiffers reports whether a replayed entry differs from the recorded one. It fails the test if an attempt that may have
+// executed the request is lost.
 func entryDiffers(t *testing.T, offset int, got, want *Entry) bool {
 	t.Helper()
 	if got == nil {
 		return true
 	}
 	if len(want.Attempts) > 0 && len(got.Attempts) == 0 {
-		t.Fatalf("byte %d: an attempt of %s is forgotten", offset, want.ID)
+		t.Fatalf("flip at byte %d: the attempt of entry %s is lost", offset, want.ID)
 	}
 	if len(got.Attempts) != len(want.Attempts) || (got.PendingNotification == nil) != (want.PendingNotification == nil) {
 		return true
@@ -204,13 +207,14 @@
 		return false
 	}
 	if !got.Attempts[0].Uncertain && got.Attempts[0].NotExecuted {
-		t.Fatalf("byte %d: an attempt counts as one that never ran", offset)
+		t.Fatalf("flip at byte %d: an attempt that may have executed the request is replayed as not executed", offset)
 	}
 	return true
 }
 
-// A range of several records that can't be read makes all live entries uncertain, is quarantined, and what follows it
-// counts.
+// TestDamagedRange guards against a damaged range that hides possible attempts or the records after it. Zeros overwrite
+// several records: the entries before them must get an uncertain attempt, those after them must be replayed, and the range
+// must be quarantined.
 func TestDamagedRange(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
@@ -234,23 +238,25 @@
 	}
 	t.Cleanup(func() { _ = again.Close() })
 	if len(r.Damage) != 1 || r.Damage[0].Missing < 3 || uint64(len(again.Entries())) != 20-r.Damage[0].Missing {
-		t.Errorf("%d live, damage %+v", len(again.Entries()), r.Damage)
+		t.Errorf("%d live entries, damage %+v; want one range of at least 3 records, and all other entries live",
+			len(again.Entries()), r.Damage)
 	}
 	for _, e := range again.Entries() {
 		n := 0
 		if _, err := fmt.Sscanf(e.ID, "m%d", &n); err != nil {
 			t.Fatal(err)
 		}
-		if doubted := len(e.Attempts) == 1 && e.Attempts[0].Uncertain; doubted != (n < 10) {
-			t.Errorf("%s: attempts %+v", e.ID, e.Attempts)
+		if uncertain := len(e.Attempts) == 1 && e.Attempts[0].Uncertain; uncertain != (n < 10) {
+			t.Errorf("entry %s has attempts %+v, want an uncertain one only before the damage", e.ID, e.Attempts)
 		}
 	}
 	if found, _ := filepath.Glob(filepath.Join(dir, quarantinePrefix+"*")); len(found) != 1 {
-		t.Errorf("set aside: %v", found)
+		t.Errorf("quarantine files %v, want exactly one", found)
 	}
 }
 
-// A machine that has started anew may have lost records where none was synced.
+// TestReboot guards against a reboot after which unsynced records are taken to be complete: under durability Process an
+// entry must get an uncertain attempt if the boot ID has changed.
 func TestReboot(t *testing.T) {
 	for _, power := range []bool{false, true} {
 		dir := t.TempDir()
@@ -267,15 +273,16 @@
 				t.Fatal(err)
 			}
 			_ = j.Close()
-			doubted := len(j.Get("m").Attempts) == 1
-			if want := boot == "two" && !power; doubted != want || r.Rebooted != (boot == "two") {
-				t.Errorf("power %v, boot %s: doubt %v, rebooted %v", power, boot, doubted, r.Rebooted)
+			uncertain := len(j.Get("m").Attempts) == 1
+			if want := boot == "two" && !power; uncertain != want || r.Rebooted != (boot == "two") {
+				t.Errorf("durability Power %v, opened in boot %s, written in boot one: uncertain attempt %v, reported as rebooted %v",
+					power, boot, uncertain, r.Rebooted)
 			}
 		}
 	}
 }
 
-// A directory of a newer program or of another relay is rejected, and nothing in it is touched.
+// TestRejectedDirectories guards against opening or changing a directory of another relay or of a newer program.
 func TestRejectedDirectories(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := Open(dir, Options{DiskMB: 3, Relay: "n1"})
@@ -284,7 +291,7 @@
 	}
 	_ = j.Close()
 	if _, _, err := Open(dir, Options{DiskMB: 3, Relay: "n2"}); !errors.As(err, new(*ForeignDirError)) {
-		t.Errorf("another relay's folder is taken: %v", err)
+		t.Errorf("opening the directory of another relay returned %v, want a *ForeignDirError", err)
 	}
 	path := filepath.Join(dir, segmentFileName(7))
 	newer := header{format: Format + 1, segment: 7, firstSequence: 1}.encode()
@@ -294,25 +301,25 @@
 	before, _ := os.ReadDir(dir)
 	_, _, err = Open(dir, Options{DiskMB: 3, Relay: "n1"})
 	if want := new(NewerError); !errors.As(err, &want) {
-		t.Errorf("a newer form: %v", err)
+		t.Errorf("opening a directory with a newer format returned %v, want a *NewerError", err)
 	}
 	after, _ := os.ReadDir(dir)
 	if len(before) != len(after) {
-		t.Errorf("files %v, then %v", before, after)
+		t.Errorf("a rejected Open changed the files from %v to %v", before, after)
 	}
-	// A bit that turned in the number of the form is no newer form.
+	// A flipped bit in the format number is damage, and not a newer format.
 	newer[8] ^= 8
 	if err := os.WriteFile(path, newer, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	j, r, err := Open(dir, Options{DiskMB: 3, Relay: "n1"})
 	if err != nil || len(r.SkippedSegments) != 1 {
-		t.Errorf("%v, passed over %v", err, r.SkippedSegments)
+		t.Errorf("open after a flipped bit in the format: error %v, skipped segments %v, want one", err, r.SkippedSegments)
 	}
 	_ = j.Close()
 }
 
-// Format 1 is carried over and can be given back.
+// TestFormat1 guards against an upgrade from format 1 that loses data, or that leaves the old file in place.
 func TestFormat1(t *testing.T) {
 	dir, at := t.TempDir(), clock.Now().Add(-time.Second)
 	old := openJournal(t, t.TempDir(), 3)
@@ -326,15 +333,16 @@
 	}
 	j := openJournal(t, dir, 3)
 	if _, err := os.Stat(filepath.Join(dir, formatV1File)); err == nil {
-		t.Error("the old file stays")
+		t.Error("the file of format 1 still exists after the upgrade")
 	}
 	back, err := j.encodeV1()
 	if err != nil || !sameV1(raw, back) {
-		t.Errorf("carried over and back: %v\n%q\n%q", err, raw, back)
+		t.Errorf("format 1 after an upgrade and back: error %v\nbefore %q\nafter  %q", err, raw, back)
 	}
 }
 
-// Bodies of the largest size never fill the directory beyond its limit, a compaction's new file counted in.
+// TestStaysUnderDiskLimit guards against a directory that outgrows its limit during a compaction, when the old and the new
+// segment exist together. All bodies have the largest size.
 func TestStaysUnderDiskLimit(t *testing.T) {
 	const mb = 1
 	dir := t.TempDir()
@@ -354,34 +362,37 @@
 			j.EndAttempt(e, true)
 		}
 		commit(t, j)
-		// At worst both the old file and a new one with all that is live.
+		// The worst case is the old segment together with a new one that holds all live entries.
 		if j.segmentSize+j.liveSize > mb*1e6 {
-			t.Fatalf("%d bytes on disk with %d live", j.segmentSize, j.liveSize)
+			t.Fatalf("the segment has %d bytes and its live entries need %d, which is more than the limit together",
+				j.segmentSize, j.liveSize)
 		}
 		if st, err := os.Stat(onlySegment(t, dir)); err != nil || int(st.Size()) != j.segmentSize {
-			t.Fatalf("file of %v bytes (%v), %d counted", st, err, j.segmentSize)
+			t.Fatalf("segment file %v (error %v) does not have the size of %d bytes that the journal assumes", st, err, j.segmentSize)
 		}
 	}
 	if rejected == 0 {
-		t.Error("nothing was refused")
+		t.Error("Reserve rejected no entry, so the limit was never reached")
 	}
 }
 
-// Messages of one batch are counted before they are written.
-func TestReserves(t *testing.T) {
+// TestReserveCountsUnwrittenEntries guards against a batch that exceeds the size limit because each Reserve ignores the
+// entries reserved before it.
+func TestReserveCountsUnwrittenEntries(t *testing.T) {
 	j := openJournal(t, t.TempDir(), 1)
 	n := 0
 	for j.Reserve(&Entry{ID: "m", Body: make([]byte, maxBody)}) {
 		if n++; n > 100 {
-			t.Fatal("no end")
+			t.Fatal("Reserve accepted more than 100 entries of the largest size under a limit of 1 MB")
 		}
 	}
 	if n == 0 || 2*n*maxBody > 1e6 {
-		t.Errorf("%d reserved at once", n)
+		t.Errorf("%d entries were reserved, want at least one, with bodies that fit into the limit twice", n)
 	}
 }
 
-// After a failed write nothing is accepted until a new file could be written, and that holds all.
+// TestFailedWrite guards against accepting entries after a failed write, and against losing entries in the recovery: the
+// next Commit must write a new segment with all of them.
 func TestFailedWrite(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
@@ -390,10 +401,10 @@
 	_ = j.file.Close()
 	j.Accept(&Entry{ID: "b"})
 	if j.Commit() == nil || j.Reserve(&Entry{ID: "c"}) {
-		t.Error("a failed write went unnoticed")
+		t.Error("Commit or Reserve succeeded although the segment could not be written")
 	}
 	commit(t, j)
 	if again := openJournal(t, dir, 3); len(again.Entries()) != 2 {
-		t.Errorf("entries after the mend: %d", len(again.Entries()))
+		t.Errorf("%d entries after the recovery, want 2", len(again.Entries()))
 	}
 }
--- a/internal/journal/live_capacity_bench_test.go
+++ b/internal/journal/live_capacity_bench_test.go
@@ -8,8 +8,8 @@
 	"milletsail/internal/clock"
 )
 
-// BenchmarkLiveMessages measures what live messages cost a journal, each with a body of 200 bytes and one attempt: memory and
-// bytes on disk by the message, the space that is reserved, and the time in which a new segment is written with all of them.
+// BenchmarkLiveMessages measures the cost of a live message with a body of 200 bytes and one attempt: memory, bytes on disk,
+// disk space reserved, and time to write a new segment, each per message. The name holds the number of live messages.
 func BenchmarkLiveMessages(b *testing.B) {
 	for _, live := range []int{1_000, 10_000, 100_000, 500_000} {
 		b.Run(fmt.Sprint(live), func(b *testing.B) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// heapInUse is how many bytes are in use.
+// heapInUse returns the size of the reachable heap objects, in bytes.
 func heapInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/journal/load.go
+++ b/internal/journal/load.go
@@ -11,7 +11,7 @@
 	"milletsail/internal/clock"
 )
 
-// loadState replays the newest complete segment of a directory, with its times on this boot's clock.
+// loadState replays the newest complete segment of a directory, and converts its times to this boot's monotonic clock.
 func loadState(files FS, dir, boot string, clocks Clocks) (*state, *Report, error) {
 	loaded, report, err := readNewest(files, dir, boot)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return loaded, report, nil
 }
 
-// readNewest replays the newest complete segment of a directory, with its times as they were written. If no segment is
-// complete it reads a journal of format 1, or else the newest segment as far as it goes.
+// readNewest replays the newest segment of a directory whose snapshot is complete, and leaves its times as stored. If there
+// is none, it replays a journal of format 1, or else the valid records of the newest segment.
 func readNewest(files FS, dir, boot string) (*state, *Report, error) {
 	segments, hasV1, err := listSegments(files, dir)
 	if err != nil {
@@ -56,7 +56,7 @@
 			report.SkippedSegments = skipped
 			powerLoss := report.Rebooted && report.SurvivesPowerLoss
 			if len(skipped) > 0 && !powerLoss {
-				replayed.addUncertainAttempts() // the newer segment was complete once, and its records are lost
+				replayed.addUncertainAttempts() // the skipped segment was once complete and may have recorded attempts
 			}
 			return replayed, report, nil
 		}
@@ -100,18 +100,19 @@
 	return numbers, hasV1, nil
 }
 
-// readSegmentFile opens and replays a segment.
+// readSegmentFile opens and replays the segment at path. It reports whether the segment's snapshot is complete.
 func readSegmentFile(files FS, path, boot string) (s *state, r *Report, complete bool, err error) {
 	f, size, err := files.Open(path)
 	if err != nil {
 		return nil, nil, false, err
 	}
 	s, r, complete, err = readSegment(f, size, filepath.Base(path), boot)
-	_ = f.Close() // it was only read
+	_ = f.Close() // closing a file that was only read loses nothing
 	return s, r, complete, err
 }
 
-// readV1File replays a journal of format 1. All records behind an unreadable one are lost in it, attempts among them.
+// readV1File replays a journal of format 1, or returns an empty state if there is none. Format 1 has no markers, so all
+// records after a damaged one are lost; as they may include attempts, every entry then gets an uncertain attempt.
 func readV1File(files FS, dir string) (*state, *Report, error) {
 	f, size, err := files.Open(filepath.Join(dir, formatV1File))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -121,7 +122,7 @@
 		return nil, nil, err
 	}
 	raw, err := io.ReadAll(f)
-	_ = f.Close() // it was only read
+	_ = f.Close() // closing a file that was only read loses nothing
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -9,29 +9,31 @@
 )
 
 func TestMain(m *testing.M) {
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // models of damage make for thousands of warnings
+	slog.SetDefault(slog.New(slog.DiscardHandler)) // the simulated crashes and damage log thousands of warnings
 	os.Exit(m.Run())
 }
 
-// Whatever a power loss leaves, at any call and twice in a row, the promises are kept.
+// TestPowerLoss guards against a power loss that breaks a guarantee of the journal. It simulates losses after each call of
+// a workload, and some a second time during the recovery, with random outcomes for unsynced data.
 func TestPowerLoss(t *testing.T) {
 	for _, power := range []bool{false, true} {
 		total := 0
 		for seed := range uint64(12) {
 			states, err := simulatePowerLosses(power, withoutWrapper, false, 24, seed, nil)
 			if err != nil {
-				t.Errorf("power %v, seed %d: %v", power, seed, err)
+				t.Errorf("durability Power %v, seed %d: %v", power, seed, err)
 			}
 			total += states
 		}
-		t.Logf("power %v: %d states", power, total)
+		t.Logf("durability Power %v: checked %d states after a power loss", power, total)
 		if total < 5000 {
-			t.Errorf("only %d states were looked at", total)
+			t.Errorf("checked %d states after a power loss, want at least 5000", total)
 		}
 	}
 }
 
-// tryAllChoices tries all ways to choose, in the order of an odometer; a choice among many is one among nine spread over them.
+// tryAllChoices calls attempt once for each combination of results of pick, in the order of an odometer. A pick among more
+// than nine numbers is limited to nine that are spread evenly over them. It returns the number of calls, and the first error.
 func tryAllChoices(attempt func(pick func(int) int) error) (ways int, err error) {
 	var chosen, alternatives []int
 	for {
@@ -60,22 +62,24 @@
 	}
 }
 
-// A few rounds, with every state that a power loss may leave at any of its calls.
+// TestPowerLossExhaustively guards against states after a power loss that the random choices of TestPowerLoss miss. It runs
+// a short workload and checks every state that a power loss may leave after each call.
 func TestPowerLossExhaustively(t *testing.T) {
 	for _, power := range []bool{false, true} {
 		states, m, p := 0, newCrashFS(), newGuarantees(power)
 		m.afterCall = func(m *crashFS, call string) {
 			ways, err := tryAllChoices(func(pick func(int) int) error { return checkAfterPowerLoss(m.afterPowerLoss(pick), p, nil, false) })
 			if states += ways; err != nil {
-				t.Fatalf("power %v, after call %d, a %s: %v", power, m.calls, call, err)
+				t.Fatalf("durability Power %v, power lost after call %d (%s): %v", power, m.calls, call, err)
 			}
 		}
 		runWorkload(m, p, false, 4)
-		t.Logf("power %v: %d states", power, states)
+		t.Logf("durability Power %v: checked %d states after a power loss", power, states)
 	}
 }
 
-// The same with a file system that fails: at each call, for one call or for some, by an error or a short write.
+// TestPowerLossOnFailingDisk guards against a power loss that breaks a guarantee while the recovery from a file system error
+// is under way. One or more calls fail, from each call on, with an error or a short write.
 func TestPowerLossOnFailingDisk(t *testing.T) {
 	calls := 0
 	countCalls := func(m *crashFS) FS {
@@ -89,9 +93,10 @@
 		for _, failure := range []error{syscall.ENOSPC, syscall.EIO, nil} {
 			for at := 1; at <= calls; at++ {
 				for _, long := range []int{1, 3, 1000} {
-					_, err := simulatePowerLosses(power, withoutWrapper, false, 2, uint64(at), func(m *crashFS) { m.failFromCall, m.failedCalls, m.failure = at, long, failure })
+					_, err := simulatePowerLosses(power, withoutWrapper, false, 2, uint64(at),
+						func(m *crashFS) { m.failFromCall, m.failedCalls, m.failure = at, long, failure })
 					if err != nil {
-						t.Fatalf("power %v, %v from call %d for %d: %v", power, failure, at, long, err)
+						t.Fatalf("durability Power %v, error %v from call %d on for %d calls: %v", power, failure, at, long, err)
 					}
 				}
 			}
@@ -99,12 +104,14 @@
 	}
 }
 
-// syncSkippingFS is a file system that leaves syncs out, or only those that should come before a rename.
+// syncSkippingFS is a crashFS whose files ignore Sync. With onlyFirst, each file ignores only its first Sync, which should
+// precede the rename of a segment.
 type syncSkippingFS struct {
 	*crashFS
 	onlyFirst bool
 }
 
+// unsyncedFile is a file that ignores Sync.
 type unsyncedFile struct{ *crashFile }
 
 func (u unsyncedFile) Sync() error { return nil }
@@ -117,14 +124,15 @@
 	file, ok := f.(*crashFile)
 	switch {
 	case !ok:
-		return nil, fmt.Errorf("a file of type %T", f)
+		return nil, fmt.Errorf("created file has type %T, want *crashFile", f)
 	case n.onlyFirst:
 		return &firstSyncSkippingFile{crashFile: file}, nil
 	}
 	return unsyncedFile{file}, nil
 }
 
-// firstSyncSkippingFile leaves its first sync out: the content of a segment is durable only with the commit after its rename.
+// firstSyncSkippingFile is a file that ignores its first Sync, so that the content of a segment becomes durable only with
+// the first Commit after its rename.
 type firstSyncSkippingFile struct {
 	*crashFile
 	skipped bool
@@ -138,24 +146,25 @@
 	return s.crashFile.Sync()
 }
 
-// The checks above find planted faults: a missing sync, one that comes after the rename, an answer before the commit.
-func TestPlantedFaultsAreFound(t *testing.T) {
+// TestInjectedFaultsAreDetected guards against power loss tests that detect nothing. It injects a fault into the file system
+// or the workload, and requires that a simulated power loss reveals it.
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		wrap  func(*crashFS) FS
 		early bool
 	}{
-		"no sync":                {func(m *crashFS) FS { return &syncSkippingFS{crashFS: m} }, false},
-		"rename before the sync": {func(m *crashFS) FS { return &syncSkippingFS{crashFS: m, onlyFirst: true} }, false},
-		"answer before commit":   {withoutWrapper, true},
+		"missing sync":           {func(m *crashFS) FS { return &syncSkippingFS{crashFS: m} }, false},
+		"rename before sync":     {func(m *crashFS) FS { return &syncSkippingFS{crashFS: m, onlyFirst: true} }, false},
+		"response before commit": {withoutWrapper, true},
 	} {
 		var found error
 		for seed := uint64(0); seed < 12 && found == nil; seed++ {
 			_, found = simulatePowerLosses(true, c.wrap, c.early, 24, seed, nil)
 		}
 		if found == nil {
-			t.Errorf("%s: not found", name)
+			t.Errorf("no simulated power loss revealed the injected fault %s", name)
 		} else {
-			t.Logf("%s: %v", name, found)
+			t.Logf("the injected fault %s was revealed: %v", name, found)
 		}
 	}
 }
--- a/internal/journal/ownership.go
+++ b/internal/journal/ownership.go
@@ -12,32 +12,33 @@
 // lockName is the file whose POSIX record lock marks the process that owns a state directory.
 const lockName = "owner"
 
-// Ownership is the exclusive right to write to a state directory. The kernel releases its lock when the process ends in
-// any way, so that a directory never stays owned by a dead process.
+// Ownership is the exclusive right to write to a state directory, held as a file lock. The kernel releases the lock when
+// the process ends for any reason, so a directory is never left owned by a dead process.
 type Ownership struct{ file *os.File }
 
-// OwnedError says that another process owns a state directory.
+// OwnedError reports that another process owns a state directory.
 type OwnedError struct {
 	Dir string
 }
 
 func (e *OwnedError) Error() string { return "another process owns the state directory " + e.Dir }
 
-// AcquireOwnership makes this process the owner of a state directory. It returns an *OwnedError where another process is.
+// AcquireOwnership makes this process the owner of a state directory. It returns an *OwnedError if another process
+// owns the directory.
 func AcquireOwnership(dir string) (*Ownership, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("owner of the state directory: %w", err)
+		return nil, fmt.Errorf("lock file of the state directory: %w", err)
 	}
 	err = fcntlLock(f, syscall.F_SETLK, newWriteLock())
 	if err == nil {
 		return &Ownership{f}, nil
 	}
-	_ = f.Close() // the lock's error is the one to return
+	_ = f.Close() // the lock's error is returned instead
 	if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EACCES) {
 		return nil, &OwnedError{Dir: dir}
 	}
-	return nil, fmt.Errorf("owner of the state directory: %w", err)
+	return nil, fmt.Errorf("lock state directory %s: %w", dir, err)
 }
 
 // Release gives up the ownership.
@@ -64,12 +65,13 @@
 		return false, nil
 	}
 	if err != nil {
-		return false, fmt.Errorf("owner of the state directory: %w", err)
+		return false, fmt.Errorf("query the lock of state directory %s: %w", dir, err)
 	}
 	return lock.Type != syscall.F_UNLCK, nil
 }
 
-// conflictingLock returns the lock that another process holds on a state directory. Its type is F_UNLCK if there is none.
+// conflictingLock returns the lock that another process holds on a state directory. The lock's type is F_UNLCK if no other
+// process holds one.
 func conflictingLock(dir string) (*syscall.Flock_t, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR, 0)
 	if err != nil {
@@ -80,7 +82,7 @@
 	return lock, errors.Join(err, f.Close())
 }
 
-// fcntlLock calls fcntl with a lock, again as long as a signal interrupts it.
+// fcntlLock calls fcntl with a lock, and repeats the call as long as a signal interrupts it.
 func fcntlLock(f *os.File, command int, lock *syscall.Flock_t) error {
 	for {
 		err := syscall.FcntlFlock(f.Fd(), command, lock)
@@ -90,7 +92,7 @@
 	}
 }
 
-// newWriteLock describes an exclusive lock of a whole file.
+// newWriteLock returns a request for an exclusive lock of a whole file.
 func newWriteLock() *syscall.Flock_t {
 	return &syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart}
 }
--- a/internal/journal/payload.go
+++ b/internal/journal/payload.go
@@ -9,16 +9,16 @@
 	"milletsail/internal/instant"
 )
 
-// maxInterned bounds how many strings an interner shares.
+// maxInterned is the largest number of strings that an interner stores.
 const maxInterned = 4096
 
-// errMalformedPayload says that a payload with a valid checksum can't be decoded.
+// errMalformedPayload reports that a payload with a valid checksum can't be decoded.
 var errMalformedPayload = errors.New("malformed payload")
 
 // payloadWriter encodes the fields of a payload.
 type payloadWriter struct {
 	buf    []byte
-	clocks clock.Pair // of the segment
+	clocks clock.Pair // clock readings in the segment's header, by which times are converted
 }
 
 func (w *payloadWriter) uvarint(v uint64) { w.buf = binary.AppendUvarint(w.buf, v) }
@@ -38,15 +38,15 @@
 	w.buf = append(w.buf, v...)
 }
 
-// instant writes a moment as the segment's clocks translate it to a wall time, in nanoseconds since 1970. The zero Time
-// is 0.
+// instant writes t as a wall-clock time in nanoseconds since 1970, converted by the segment's clock readings. The zero Time
+// is written as 0.
 func (w *payloadWriter) instant(t instant.Time) { w.varint(int64(w.clocks.WallOf(t))) }
 
 // payloadReader decodes the fields of a payload. Once malformed is set, the values that it returns are meaningless.
 type payloadReader struct {
-	unread    []byte
-	malformed bool
-	clocks    clock.Pair // of the segment
+	unread    []byte     // the bytes that are not decoded yet
+	malformed bool       // a field could not be decoded
+	clocks    clock.Pair // clock readings in the segment's header, by which times are converted
 }
 
 func (r *payloadReader) uvarint() uint64 {
@@ -95,14 +95,14 @@
 
 func (r *payloadReader) instant() instant.Time { return r.clocks.InstantOf(clampWall(r.varint())) }
 
-// remainder returns a copy of all that follows.
+// remainder returns a copy of the bytes that are not decoded yet, and consumes them.
 func (r *payloadReader) remainder() []byte {
 	v := append([]byte(nil), r.unread...)
 	r.unread = nil
 	return v
 }
 
-// interner shares the memory of strings that occur in many records.
+// interner stores one copy of each string that occurs in many records, such as the names of endpoints and classes.
 type interner map[string]string
 
 func (n interner) intern(b []byte) string {
@@ -116,7 +116,7 @@
 	return s
 }
 
-// appendPayload appends the payload of a record to b, with times on the scale of the segment's clocks.
+// appendPayload appends the payload of a record to b, with times converted by the segment's clock readings.
 func (r *record) appendPayload(b []byte, clocks clock.Pair) []byte {
 	payload := payloadWriter{append(b, byte(r.op)), clocks}
 	switch r.op {
@@ -140,8 +140,8 @@
 		payload.boolean(r.ejected)
 		payload.instant(r.at)
 	case opLegacyList:
-		payload.uvarint(uint64(r.list.Endpoints))
-		payload.buf = append(payload.buf, r.list.Text...)
+		payload.uvarint(uint64(r.legacyList.Endpoints))
+		payload.buf = append(payload.buf, r.legacyList.Text...)
 	case opSnapshotEnd:
 		payload.uvarint(r.snapshotRecords)
 		payload.uvarint(uint64(r.snapshotChecksum))
@@ -149,7 +149,8 @@
 	return payload.buf
 }
 
-// appendEntry writes an entry: an accepted one has no attempts yet, and one of a snapshot has all that is known of it.
+// appendEntry writes the entry of the record. A snapshot includes the entry's attempts and pending notification; the record
+// of a newly accepted entry does not, since it has none.
 func (r *record) appendEntry(payload *payloadWriter) {
 	entry := r.entry
 	payload.uvarint(r.entrySeq)
@@ -177,7 +178,8 @@
 	payload.buf = append(payload.buf, entry.Body...)
 }
 
-// decodePayload decodes a payload of a segment with the given clocks. The record shares no memory with the payload.
+// decodePayload decodes a payload of a segment whose header holds the given clock readings. The record shares no memory
+// with the payload.
 func (r *record) decodePayload(payload []byte, shared interner, clocks clock.Pair) error {
 	if len(payload) == 0 {
 		return errMalformedPayload
@@ -199,8 +201,8 @@
 	case opHealth:
 		r.host, r.ejected, r.at = shared.intern(in.bytes()), in.boolean(), in.instant()
 	case opLegacyList:
-		r.list.Endpoints = int(min(in.uvarint(), maxPayloadSize))
-		r.list.Text = in.remainder()
+		r.legacyList.Endpoints = int(min(in.uvarint(), maxPayloadSize))
+		r.legacyList.Text = in.remainder()
 	case opSnapshotEnd:
 		r.snapshotRecords, r.snapshotChecksum = in.uvarint(), uint32(in.uvarint())
 	default:
@@ -221,7 +223,7 @@
 	entry.Class, entry.ID, entry.Key = shared.intern(in.bytes()), in.str(), in.str()
 	if r.op == opSnapshotEntry {
 		attempts := in.uvarint()
-		if attempts > uint64(len(in.unread)) { // an attempt takes at least a byte, so a larger count is not even looped over
+		if attempts > uint64(len(in.unread)) { // an attempt takes at least one byte, so this count is wrong
 			in.malformed = true
 			return
 		}
--- a/internal/journal/prefix_test.go
+++ b/internal/journal/prefix_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// A kill in the middle of any write leaves a prefix of it. Whatever its length, what was committed before is there, a message
-// of the unfinished write is there with its whole record or not at all, and the next process writes on.
-func TestEachPrefixOfAWrite(t *testing.T) {
+// TestOpenAfterPartialWrite guards against a process killed during a write that costs committed records. It keeps each prefix
+// of the write: committed entries must be replayed, and entries of the write only if their whole record and those before it
+// are in the prefix. The next process must be able to commit.
+func TestOpenAfterPartialWrite(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
 	j.Accept(&Entry{ID: "before", Class: "order", Body: []byte("body")})
@@ -27,25 +28,27 @@
 		writeFile(t, filepath.Join(cut, filepath.Base(path)), complete[:n])
 		after, r, err := Open(cut, Options{DiskMB: 3})
 		if err != nil {
-			t.Fatalf("%d of %d bytes: %v", n, len(complete), err)
+			t.Fatalf("segment cut to %d of %d bytes: %v", n, len(complete), err)
 		}
 		before, one, two := after.Get("before"), after.Get("one"), after.Get("two")
 		if before == nil || two != nil && one == nil || len(r.Damage) > 0 {
-			t.Fatalf("%d of %d bytes: %v, %v, %v, damage %v", n, len(complete), before, one, two, r.Damage)
+			t.Fatalf("segment cut to %d of %d bytes: entry before %v, one %v, two %v, damage %v",
+				n, len(complete), before, one, two, r.Damage)
 		}
 		if n == len(complete) && (two == nil || len(before.Attempts) != 1) {
-			t.Fatalf("all of it: %v, attempts %v", two, before.Attempts)
+			t.Fatalf("complete segment: entry two %v, attempts of entry before %v, want one", two, before.Attempts)
 		}
 		after.Accept(&Entry{ID: "next"})
 		if err := after.Commit(); err != nil {
-			t.Fatalf("%d of %d bytes: %v", n, len(complete), err)
+			t.Fatalf("segment cut to %d of %d bytes: %v", n, len(complete), err)
 		}
 		_ = after.Close()
 	}
 }
 
-// The same of a new segment, which is not in its place yet.
-func TestEachPrefixOfASegment(t *testing.T) {
+// TestOpenWithUnfinishedSegment guards against a process killed during a compaction. It leaves each prefix of the new segment
+// under its temporary name next to the old segment, which must be replayed without damage.
+func TestOpenWithUnfinishedSegment(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
 	j.Accept(&Entry{ID: "before", Class: "order", Body: []byte("body")})
@@ -59,7 +62,7 @@
 		writeFile(t, filepath.Join(cut, segmentFileName(9)+unfinishedSuffix), old[:n])
 		after, r, err := Open(cut, Options{DiskMB: 3})
 		if err != nil || after.Get("before") == nil || !r.Complete() {
-			t.Fatalf("%d of %d bytes: %v, %+v", n, len(old), err, r)
+			t.Fatalf("%d of %d bytes of the unfinished segment: error %v, report %+v", n, len(old), err, r)
 		}
 		_ = after.Close()
 	}
--- a/internal/journal/quarantine.go
+++ b/internal/journal/quarantine.go
@@ -8,14 +8,14 @@
 	"path/filepath"
 )
 
-// quarantineShare is the part of the size limit that copies of damaged ranges may use.
+// quarantineShare is the fraction of the size limit that copies of damaged ranges may use.
 const quarantineShare = 1.0 / 16
 
-// quarantineCapacity is the disk space for copies of damaged ranges, in bytes.
+// quarantineCapacity returns the disk space that copies of damaged ranges may use, in bytes.
 func (j *Journal) quarantineCapacity() float64 { return quarantineShare * float64(j.sizeLimit) }
 
-// limitQuarantine subtracts the quarantined files of earlier recoveries from the size limit, or removes them all if they
-// exceed their share.
+// limitQuarantine subtracts the total size of the quarantine files of earlier recoveries from the size limit, or removes
+// all of these files if they exceed quarantineCapacity.
 func (j *Journal) limitQuarantine(paths []string, size int64) {
 	if float64(size) <= j.quarantineCapacity() {
 		j.sizeLimit -= int(size)
@@ -28,8 +28,8 @@
 	}
 }
 
-// quarantine copies the damaged ranges that a replay found to files of their own, as far as there is space, and logs
-// what is missing.
+// quarantine copies each damaged range that a replay found to a file of its own, unless the copy would exceed the capacity
+// for copies, and logs each range with its missing records.
 func (j *Journal) quarantine(report *Report) {
 	for _, name := range report.SkippedSegments {
 		slog.Warn("journal: segment skipped, its snapshot is incomplete", "file", name)
@@ -56,7 +56,7 @@
 	}
 }
 
-// copyRange copies a damaged range to a file of the journal's directory.
+// copyRange copies a damaged range to a new file, with the name to, in the journal's directory.
 func (j *Journal) copyRange(to string, damage Damage) error {
 	source, _, err := j.options.Files.Open(filepath.Join(j.dir, damage.file))
 	if err != nil {
@@ -73,7 +73,7 @@
 	return errors.Join(writeAll(destination, part), destination.Close())
 }
 
-// readRange reads a range of a file.
+// readRange reads length bytes of a newly opened file, from offset on.
 func readRange(f io.Reader, offset, length int64) ([]byte, error) {
 	if _, err := io.CopyN(io.Discard, f, offset); err != nil {
 		return nil, err
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -9,51 +9,53 @@
 	"milletsail/internal/instant"
 )
 
-// A record is framed as follows; the numbers are little-endian.
+// A record is stored in a frame of this layout. Its integers are little-endian, and lengths are in bytes.
 //
 //	frame: marker 4 | length of the payload 4 | sequence 8 | digest of the previous record 4 | CRC-32C 4 | payload
 //
-// The marker allows a reader to find the next record behind a damaged range, and the sequence tells how many are
-// missing in between. The digest (operation, and the low 24 bits of the entry's sequence) identifies a single missing
-// record by its successor.
+// The marker lets a reader find the next record after a damaged range, and the sequence shows how many records are missing
+// in between. The digest holds a record's operation and the low 24 bits of its entry's sequence. Each frame repeats the
+// digest of its predecessor, which identifies that record if it can't be read.
 
 const (
-	// recordMarker begins each record.
+	// recordMarker is the first field of each frame.
 	recordMarker uint32 = 0xa55e_c0de
-	// payloadLengthOffset is where a frame holds the length of its payload.
+	// payloadLengthOffset is the offset of the payload's length in a frame, in bytes.
 	payloadLengthOffset = 4
-	// sequenceOffset is where a frame holds the record's sequence.
+	// sequenceOffset is the offset of the record's sequence in a frame, in bytes.
 	sequenceOffset = 8
-	// previousDigestOffset is where a frame holds the digest of the previous record.
+	// previousDigestOffset is the offset of the previous record's digest in a frame, in bytes.
 	previousDigestOffset = 16
-	// checksumOffset is where a frame holds its checksum.
+	// checksumOffset is the offset of the checksum in a frame, in bytes.
 	checksumOffset = 20
-	// recordHeaderSize is the length of a frame in front of its payload, in bytes.
+	// recordHeaderSize is the length of the part of a frame that precedes the payload, in bytes.
 	recordHeaderSize = 24
-	// maxPayloadSize bounds a payload, in bytes: a body of 64 KiB with names, or a long endpoint list.
+	// maxPayloadSize is the largest length of a payload, in bytes. The largest payloads are an entry with a body of 64 KiB
+	// and a long endpoint list.
 	maxPayloadSize = 16 << 20
-	// digestOpShift is where a digest holds the operation.
+	// digestOpShift is the position of the lowest bit of the operation in a digest.
 	digestOpShift = 24
 	// digestSeqMask selects the bits of an entry's sequence that a digest holds.
 	digestSeqMask = 1<<digestOpShift - 1
 )
 
-// op is the kind of a record. Its values are stored.
+// op is the operation that a record describes. Its values are stored, so they must not change.
 type op byte
 
 const (
-	opAccepted            op = iota + 1 // a request was accepted
-	opAttemptStarted                    // an attempt started
-	opAttemptEnded                      // the last attempt ended
-	opNotificationPending               // the request failed, and the platform has to be notified
-	opCompleted                         // nothing is pending for the request
-	opHealth                            // the health of an endpoint
-	opLegacyList                        // the endpoint list, as older programs stored it
-	opSnapshotEntry                     // a live entry, in a snapshot
-	opSnapshotEnd                       // the end of a snapshot
+	opAccepted            op = iota + 1 // a relay accepted a request
+	opAttemptStarted                    // an attempt of the entry started
+	opAttemptEnded                      // the entry's last attempt ended
+	opNotificationPending               // the request ended undelivered, and the platform has to acknowledge a notification
+	opCompleted                         // the request is finished, and its entry is removed
+	opHealth                            // the health of an endpoint changed
+	opLegacyList                        // an endpoint list, which only older programs store
+	opSnapshotEntry                     // a live entry of a snapshot, with its attempts
+	opSnapshotEnd                       // the end of a snapshot, with its record count and checksum
 )
 
-// opNames are printed by the tools, as the last record of a damaged range: scripts may match them, so they stay.
+// opNames holds the names that logs and command-line tools print for the operation of the last missing record of a damaged
+// range. Scripts may match them, so they stay.
 var opNames = [...]string{"", "taken", "begun", "ended", "owed", "over", "health", "list", "kept", "snapshot"}
 
 func (o op) String() string {
@@ -63,27 +65,28 @@
 	return "operation " + strconv.Itoa(int(o))
 }
 
-// record is one change of the state. Which fields are set depends on the operation.
+// record is one change of the state. Which fields are set depends on the operation; each field's comment names the
+// operations that use it.
 type record struct {
 	op               op
-	entrySeq         uint64 // sequence of the record that accepted the entry
-	entry            *Entry // opAccepted, opSnapshotEntry
-	host             string // opAttemptStarted, opHealth
-	at               instant.Time
-	notExecuted      bool         // opAttemptEnded
-	ejected          bool         // opHealth
-	notification     Notification // opNotificationPending
-	list             LegacyEndpointList
-	snapshotRecords  uint64 // opSnapshotEnd: number of records in the snapshot
-	snapshotChecksum uint32 // opSnapshotEnd: the records' checksums, combined by addChecksum
+	entrySeq         uint64             // all operations on an entry: sequence of the record that accepted it
+	entry            *Entry             // opAccepted, opSnapshotEntry
+	host             string             // opAttemptStarted, opHealth: name of the endpoint
+	at               instant.Time       // opAttemptStarted: start of the attempt; opHealth: time of the change
+	notExecuted      bool               // opAttemptEnded: the endpoint provably did not execute the request
+	ejected          bool               // opHealth
+	notification     Notification       // opNotificationPending
+	legacyList       LegacyEndpointList // opLegacyList
+	snapshotRecords  uint64             // opSnapshotEnd: number of records in the snapshot
+	snapshotChecksum uint32             // opSnapshotEnd: the records' checksums, combined by addChecksum
 }
 
-// digest identifies the record in the frame of its successor.
+// digest returns the digest that the frame of the next record holds to identify this record.
 func (r *record) digest() uint32 {
 	return uint32(r.op)<<digestOpShift | uint32(r.entrySeq)&digestSeqMask
 }
 
-// appendFramed appends a record with its frame to b. It returns the record's checksum as well.
+// appendFramed appends the frame of a record to b. It returns the extended slice and the frame's checksum.
 func appendFramed(b []byte, r *record, sequence uint64, previousDigest uint32, clocks clock.Pair) ([]byte, uint32) {
 	start := len(b)
 	b = binary.LittleEndian.AppendUint32(b, recordMarker)
@@ -109,10 +112,10 @@
 
 func (f frame) payload() []byte { return f[recordHeaderSize:] }
 
-// computeChecksum is the CRC-32C of all of the frame but the checksum itself.
+// computeChecksum returns the CRC-32C of the frame without its checksum field.
 func (f frame) computeChecksum() uint32 {
 	return crc32.Update(crc32.Checksum(f[:checksumOffset], castagnoli), castagnoli, f[recordHeaderSize:])
 }
 
-// addChecksum adds a record's checksum to the combined checksum of a snapshot.
+// addChecksum returns the combined checksum of a snapshot after one more record, whose checksum is next.
 func addChecksum(sum, next uint32) uint32 { return sum*31 + next }
--- a/internal/journal/repair.go
+++ b/internal/journal/repair.go
@@ -9,7 +9,7 @@
 	"milletsail/internal/clock"
 )
 
-// NotEmptyError says that Repair would write into a directory that has files.
+// NotEmptyError reports that the target directory of Repair is not empty.
 type NotEmptyError struct {
 	Dir string
 }
@@ -18,7 +18,7 @@
 	return e.Dir + " is not empty: repair needs a new or empty directory"
 }
 
-// UnknownFormatError says that a storage format can't be written.
+// UnknownFormatError reports that Convert does not know the requested storage format.
 type UnknownFormatError struct {
 	Format int
 }
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("unknown format %d: the formats are %d to %d", e.Format, formatV1, Format)
 }
 
-// Repair writes what can be read of the directory from into the directory to, which is created if it does not exist. It
-// returns a *NotEmptyError if to has files.
+// Repair replays the journal in the directory from and writes its live entries, its endpoint health and its legacy list to
+// the directory to, which it creates if necessary. It returns a *NotEmptyError if to is not empty.
 func Repair(from, to string) (*Report, error) {
 	source, report, err := Read(from)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return report, &UnknownFormatError{Format: format}
 }
 
-// newDurable returns a journal that holds a replayed state and writes it to dir with durability Power. It has no size
-// limit to enforce, since nothing is accepted.
+// newDurable returns a journal with a replayed state, which its caller writes to dir with durability Power. The journal has
+// no size limit, since it accepts no entries.
 func newDurable(replayed *state, report *Report, dir string) *Journal {
 	return &Journal{
 		state:        replayed,
@@ -87,7 +87,7 @@
 	}
 }
 
-// writeV1 writes a journal of format 1 and removes the segments.
+// writeV1 writes the state as a journal of format 1, and removes the segments once that journal is durable.
 func (j *Journal) writeV1() error {
 	content, err := j.encodeV1()
 	if err != nil {
--- a/internal/journal/repair_test.go
+++ b/internal/journal/repair_test.go
@@ -12,7 +12,8 @@
 	"milletsail/internal/clock"
 )
 
-// A directory whose log is damaged is told so, is left as it is by a repair, and what comes of that is whole.
+// TestRepair guards against damage that Summarize does not report, and against a Repair that changes the damaged directory,
+// overwrites files or writes an incomplete journal.
 func TestRepair(t *testing.T) {
 	dir, at := t.TempDir(), clock.Now().Add(-time.Second)
 	recordSampleEntries(t, openJournal(t, dir, 3), at)
@@ -29,29 +30,29 @@
 	s, err := Summarize(dir, at)
 	if err != nil || s.Complete || s.Live != 1 || s.PendingNotifications != 1 ||
 		len(s.Damage) != 1 || s.Damage[0].LastRecord != "taken" {
-		t.Errorf("%v: %+v", err, s)
+		t.Errorf("summary of the damaged directory: error %v, got %+v", err, s)
 	}
 	to := filepath.Join(t.TempDir(), "new")
 	if _, err := Repair(dir, to); err != nil {
 		t.Fatal(err)
 	}
 	if after, _ := os.ReadFile(path); !bytes.Equal(raw, after) {
-		t.Error("the folder itself has changed")
+		t.Error("Repair changed the damaged segment")
 	}
 	if s, err := Summarize(to, at); err != nil || !s.Complete || s.Live != 1 || s.PendingNotifications != 1 {
-		t.Errorf("%v: %+v", err, s)
+		t.Errorf("summary of the repaired directory: error %v, got %+v", err, s)
 	}
 	if _, err := Repair(dir, to); !errors.As(err, new(*NotEmptyError)) {
-		t.Errorf("a folder that is not empty is written over: %v", err)
+		t.Errorf("Repair into a directory that is not empty returned %v, want a *NotEmptyError", err)
 	}
 	var out strings.Builder
 	if err := Dump(to, &out, true); err != nil || strings.Count(out.String(), "\n") != 1 ||
 		!strings.Contains(out.String(), `"owed":{"id":"owing"`) {
-		t.Errorf("%v: %s", err, out.String())
+		t.Errorf("dump of the repaired directory: error %v, got %s", err, out.String())
 	}
 }
 
-// A directory goes to format 1 and back with nothing lost, and nothing of the other form stays.
+// TestConvert guards against a conversion between the formats that loses data or leaves files of the other format behind.
 func TestConvert(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
@@ -67,23 +68,23 @@
 		}
 		found, _ := filepath.Glob(filepath.Join(dir, "*"))
 		if len(found) != 1 || (filepath.Base(found[0]) == formatV1File) != (format == 1) {
-			t.Errorf("format %d: %v", format, found)
+			t.Errorf("converted to format %d: files %v, want one file of that format", format, found)
 		}
 		got, r, err := Read(dir)
 		if err != nil || int(r.Format) != format || !r.Complete() {
-			t.Fatalf("format %d: %v, %+v", format, err, r)
+			t.Fatalf("converted to format %d: read error %v, report %+v", format, err, r)
 		}
 		if now, err := got.encodeV1(); err != nil || !sameV1(now, want) {
-			t.Errorf("format %d: %v\n%q\n%q", format, err, now, want)
+			t.Errorf("converted to format %d: error %v\ngot  %q\nwant %q", format, err, now, want)
 		}
 	}
 	if _, err := Convert(dir, 3); !errors.As(err, new(*UnknownFormatError)) {
-		t.Errorf("there is no format 3: %v", err)
+		t.Errorf("conversion to format 3 returned %v, want an *UnknownFormatError", err)
 	}
 }
 
-// The keys of a dump are read by scripts, so they stay as they were before the fields were renamed.
-func TestDumpKeepsItsKeys(t *testing.T) {
+// TestDumpKeys guards against renamed JSON keys in a dump, which scripts read.
+func TestDumpKeys(t *testing.T) {
 	dir := t.TempDir()
 	recordSampleEntries(t, openJournal(t, dir, 3), clock.Now().Add(-time.Second))
 	var out strings.Builder
@@ -96,7 +97,7 @@
 		`"body_bytes":10,"body":"`,
 	} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%s is missing in:\n%s", want, out.String())
+			t.Errorf("the dump does not contain %s:\n%s", want, out.String())
 		}
 	}
 }
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// undeliverableStatus is the status of a notification whose record is missing.
+	// undeliverableStatus is the status of a pending notification whose own record can't be read.
 	undeliverableStatus = "undeliverable"
-	// unreadableEnd stands for the operation of the last missing record where no valid record follows the damage.
+	// unreadableEnd is reported in place of the operation of the last missing record if no valid record follows the damage.
 	unreadableEnd = "the end"
 )
 
-// segmentReplay replays one segment.
+// segmentReplay is the progress of the replay of one segment.
 type segmentReplay struct {
 	scanner          *scanner
 	state            *state
 	report           *Report
-	clocks           clock.Pair
-	shared           interner
-	headerUnreadable bool // the header can't be read
+	clocks           clock.Pair // clock readings in the segment's header, by which times are converted
+	shared           interner   // strings shared by the decoded records
+	headerUnreadable bool       // the header can't be read
 
-	lastSequence     uint64
+	lastSequence     uint64 // sequence of the last record that was read
 	records          uint64 // number of records applied
-	checksum         uint32 // their combined checksum
-	inSnapshot       bool   // the snapshot's end is still to come
-	snapshotComplete bool
+	checksum         uint32 // combined checksum of the records applied
+	inSnapshot       bool   // the end of the snapshot was not read yet
+	snapshotComplete bool   // the end of the snapshot was read, and its record count and checksum match
 }
 
-// readSegment replays a segment. It reports whether the segment's snapshot is complete. It returns a *NewerError for a
-// newer format, and otherwise errors of the file system alone: damage is described by the report.
+// readSegment replays a segment, and reports whether the segment's snapshot is complete. It returns a *NewerError for a
+// newer format, or an error of the file system. Damage is not an error: the report describes it.
 func readSegment(source io.Reader, size int64, name string, boot string) (s *state, r *Report, complete bool, err error) {
 	replay := segmentReplay{
 		scanner:    &scanner{source: source, size: size},
@@ -54,17 +54,18 @@
 		replay.applyFrame(found)
 	}
 	if err := replay.scanner.err; err != nil {
-		return nil, replay.report, false, fmt.Errorf("%s: %w", name, err)
+		return nil, replay.report, false, fmt.Errorf("read %s: %w", name, err)
 	}
 	replay.report.LastSequence = replay.lastSequence
 	if replay.report.Rebooted && !head.survivesPowerLoss || replay.headerUnreadable {
-		// Nothing was synced, or that is unknown: any record may be missing.
+		// The segment was not synced before the reboot, or its header is unreadable and does not tell: any record may be missing.
 		replay.state.addUncertainAttempts()
 	}
 	return replay.state, replay.report, replay.snapshotComplete, nil
 }
 
-// begin takes over what the segment's header says. A headless one is replayed as far as its records are valid.
+// begin initializes the replay and its report from the segment's header. If the header is unreadable, the replay accepts
+// valid records from any sequence on.
 func (p *segmentReplay) begin(head header, headless bool, boot string) {
 	p.headerUnreadable = headless
 	p.clocks = head.clocks
@@ -80,8 +81,8 @@
 	r.Rebooted = head.boot != "" && boot != "" && head.boot != boot
 }
 
-// nextFrame returns the next valid record, behind a damaged range if there is one at the offset. It reports false if no
-// valid record follows.
+// nextFrame returns the next valid record. It skips a damaged range at the scanner's offset and adds it to the report. It
+// reports false if no valid record follows.
 func (p *segmentReplay) nextFrame() (frame, bool) {
 	if found, ok := p.scanner.frame(); ok && found.sequence() > p.lastSequence {
 		return found, true
@@ -95,9 +96,9 @@
 	return p.scanner.frame()
 }
 
-// endUnreadable takes into account that no valid record follows an offset. As long as the machine runs, each write that
-// returned is there: then only an interrupted one leaves a torn record, and anything else was damaged later. After a
-// reboot, the end may be missing in any way.
+// endUnreadable handles an end of the segment in which no valid record follows the offset. Without a reboot, every write
+// that returned is in the file: an interrupted write leaves a torn record, and anything else is later damage. After a
+// reboot, any part of the end may be missing, so all of it counts as a torn record.
 func (p *segmentReplay) endUnreadable(offset int64, torn bool) {
 	length := p.report.Bytes - offset
 	if torn || p.report.Rebooted {
@@ -108,12 +109,12 @@
 	p.state.addUncertainAttempts()
 }
 
-// applyFrame applies a valid record and advances behind it.
+// applyFrame applies the record at the scanner's offset, whose checksum is valid, and advances past it.
 func (p *segmentReplay) applyFrame(found frame) {
 	sequence := found.sequence()
 	var decoded record
 	if err := decoded.decodePayload(found.payload(), p.shared, p.clocks); err != nil {
-		// The checksum is valid, so another program wrote an operation that this one does not know.
+		// The checksum is valid, so the record was not damaged: another program wrote a payload that this one can't decode.
 		p.report.addDamage(Damage{
 			Offset:        p.scanner.offset,
 			Length:        int64(len(found)),
@@ -142,7 +143,8 @@
 	p.scanner.advance(len(found))
 }
 
-// recordGap takes into account that records are missing in front of the one at the offset.
+// recordGap handles records that are missing before the one at the scanner's offset, whose operation is next and whose
+// frame holds lastDigest: it reports them, and changes the state by the effects that they may have had.
 func (p *segmentReplay) recordGap(missing uint64, lastDigest uint32, next op) {
 	belongsToSnapshot := next == opSnapshotEntry || next == opHealth || next == opLegacyList || next == opSnapshotEnd
 	damage := p.report.damageEndingAt(p.scanner.offset)
--- a/internal/journal/revoked_test.go
+++ b/internal/journal/revoked_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// A message whose Commit failed was rejected, and a process that reads the directory after a kill must not find it: not after a
-// short write, nor after a sync that failed, be it of a record or of a new segment and its directory.
-func TestRefusedMessagesDoNotComeBack(t *testing.T) {
-	const maxCalls = 6 // of a Commit that begins a segment: create, write, sync, rename, sync of the folder, remove
+// TestRejectedEntriesAreNotReplayed guards against the delivery of a request whose client got an error: if Commit fails, a
+// process that replays the directory after a kill must not find the entry. Each call of Commit fails once: when it appends
+// records, and when it begins a new segment.
+func TestRejectedEntriesAreNotReplayed(t *testing.T) {
+	const maxCalls = 6 // a Commit that begins a segment calls create, write, sync, rename, sync of the directory and remove
 	for _, compaction := range []bool{false, true} {
 		for call := 1; call <= maxCalls; call++ {
 			m := newCrashFS()
@@ -30,7 +31,7 @@
 				t.Fatal(err)
 			}
 			if after.Get("before") == nil || (after.Get("fresh") != nil) == failed {
-				t.Errorf("compaction %v, call %d: commit failed %v, before %v, fresh %v",
+				t.Errorf("compaction %v, call %d fails: commit failed %v, replayed entry before %v, fresh %v",
 					compaction, call, failed, after.Get("before"), after.Get("fresh"))
 			}
 		}
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -4,22 +4,22 @@
 	"slices"
 )
 
-// state is what the records up to a point amount to.
+// state is the result of applying records in their order.
 type state struct {
-	entries        map[string]*Entry // live entries by ID
-	bySeq          map[uint64]*Entry // the same by the sequence of the record that accepted them
-	order          []*Entry          // as accepted; completed ones are removed by the next compaction
-	health         map[string]HealthRecord
+	entries        map[string]*Entry       // live entries by ID
+	bySeq          map[uint64]*Entry       // live entries by the sequence of the record that accepted them
+	order          []*Entry                // entries as accepted; completed ones stay until the next compaction
+	health         map[string]HealthRecord // by name of the endpoint
 	legacyList     LegacyEndpointList
-	legacyListSize int // disk space reserved for the list, in bytes
-	liveSize       int // disk space reserved for the entries and the list, in bytes
+	legacyListSize int // disk space reserved for the legacy list, in bytes
+	liveSize       int // disk space reserved for the live entries, their later records and the legacy list, in bytes
 }
 
 func newState() *state {
 	return &state{entries: map[string]*Entry{}, bySeq: map[uint64]*Entry{}, health: map[string]HealthRecord{}}
 }
 
-// apply changes the state by one record.
+// apply applies one record to the state. A record that refers to an unknown entry has no effect.
 func (s *state) apply(r *record) {
 	switch r.op {
 	case opAccepted, opSnapshotEntry:
@@ -28,7 +28,7 @@
 		s.health[r.host] = HealthRecord{Ejected: r.ejected, ChangedAt: r.at}
 	case opLegacyList:
 		s.liveSize -= s.legacyListSize
-		s.legacyList, s.legacyListSize = r.list, max(len(r.list.Text), r.list.Endpoints*endpointReserve)
+		s.legacyList, s.legacyListSize = r.legacyList, max(len(r.legacyList.Text), r.legacyList.Endpoints*endpointReserve)
 		s.liveSize += s.legacyListSize
 	default:
 		if e := s.bySeq[r.entrySeq]; e != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// add adds an entry. It replaces a live one with the same ID.
+// add adds an entry, which replaces a live entry with the same ID.
 func (s *state) add(e *Entry, seq uint64) {
 	e.seq = seq
 	if previous := s.entries[e.ID]; previous != nil {
@@ -48,7 +48,7 @@
 	s.liveSize += requiredSize(e)
 }
 
-// update changes a live entry by a record that refers to it.
+// update applies a record to the live entry that it refers to.
 func (s *state) update(e *Entry, r *record) {
 	switch r.op {
 	case opAttemptStarted:
@@ -76,24 +76,25 @@
 	return slices.DeleteFunc(slices.Clone(s.order), func(e *Entry) bool { return s.entries[e.ID] != e })
 }
 
-// addUncertainAttempt takes into account that an attempt's record may be missing: an attempt may have executed the
-// request at any time since it was accepted. An entry with a pending notification is not attempted again.
+// addUncertainAttempt adds an uncertain attempt to an entry whose records may be missing: an endpoint may have executed
+// the request at any time since it was accepted. An entry with a pending notification is left as it is, since it is not
+// attempted again.
 func addUncertainAttempt(e *Entry) {
 	if e.PendingNotification == nil {
 		e.Attempts = append(e.Attempts, Attempt{StartedAt: e.AcceptedAt, Uncertain: true})
 	}
 }
 
-// addUncertainAttempts adds an uncertain attempt to all live entries.
+// addUncertainAttempts adds an uncertain attempt to each live entry without a pending notification.
 func (s *state) addUncertainAttempts() {
 	for _, e := range s.entries {
 		addUncertainAttempt(e)
 	}
 }
 
-// inferMissing takes into account that records are missing. The last of them is known by its digest, and so is its
-// effect; the others may have started attempts, unless they are part of a snapshot. It returns the name of the last
-// one's operation.
+// inferMissing changes the state by the effects that missing records may have had. The digest of the last one identifies
+// its operation and its entry, so its effect is applied; the others may have started attempts, unless they are part of a
+// snapshot. It returns the name of the last record's operation.
 func (s *state) inferMissing(missing uint64, lastDigest uint32, inSnapshot bool) (lastRecord string) {
 	if missing == 0 {
 		return ""
@@ -108,7 +109,7 @@
 		}
 		switch lastOp {
 		case opAttemptStarted:
-			if missing == 1 { // otherwise it has its uncertain attempt already
+			if missing == 1 { // if several are missing, addUncertainAttempts has added the uncertain attempt
 				addUncertainAttempt(e)
 			}
 		case opNotificationPending:
--- a/internal/journal/stored_describe_test.go
+++ b/internal/journal/stored_describe_test.go
@@ -14,7 +14,7 @@
 	"milletsail/internal/instant"
 )
 
-// checkBytes fails with the place of the first byte that differs.
+// checkBytes fails the test if got differs from want, and reports the offset of the first difference.
 func checkBytes(t *testing.T, name string, got, want []byte) {
 	t.Helper()
 	if bytes.Equal(got, want) {
@@ -24,43 +24,45 @@
 	for place < min(len(got), len(want)) && got[place] == want[place] {
 		place++
 	}
-	t.Errorf("%s: %d bytes, want %d; they differ from byte %d on:\n%x\n%x", name, len(got), len(want), place,
+	t.Errorf("%s: got %d bytes, want %d; the first difference is at offset %d:\ngot  %x\nwant %x", name, len(got), len(want), place,
 		got[place:min(len(got), place+32)], want[place:min(len(want), place+32)])
 }
 
-// describeJournal tells all that a journal holds and how it was found, in words of this test's own.
+// describeJournal returns a textual description of a report and of all content of a journal. Times are relative to base. The
+// description depends on no identifier of the package, so that renaming does not change it.
 func describeJournal(journal *Journal, report *Report, base instant.Time) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "format %d, relay %s, power %t, records %d, last %d, torn %d,", report.Format, report.Relay,
 		report.SurvivesPowerLoss, report.Records, report.LastSequence, report.Torn)
-	fmt.Fprintf(&out, " whole %t, rebooted %t, by wall %t\n", report.Complete(), report.Rebooted, report.UsedWallClock)
+	fmt.Fprintf(&out, " complete %t, rebooted %t, used wall clock %t\n", report.Complete(), report.Rebooted, report.UsedWallClock)
 	for _, name := range report.SkippedSegments {
-		fmt.Fprintf(&out, "passed over %s\n", name)
+		fmt.Fprintf(&out, "skipped %s\n", name)
 	}
 	for _, entry := range journal.Entries() {
 		describeEntry(&out, entry, base)
 	}
 	if list := journal.LegacyList(); list.Text != nil {
-		fmt.Fprintf(&out, "list of %d hosts: %s\n", list.Endpoints, list.Text)
+		fmt.Fprintf(&out, "legacy list of %d endpoints: %s\n", list.Endpoints, list.Text)
 	}
 	health := journal.Health()
 	for _, host := range slices.Sorted(maps.Keys(health)) {
-		fmt.Fprintf(&out, "health of %s: sick %t, at %s\n", host, health[host].Ejected, formatOffset(base, health[host].ChangedAt))
+		fmt.Fprintf(&out, "health of %s: ejected %t, changed at %s\n",
+			host, health[host].Ejected, formatOffset(base, health[host].ChangedAt))
 	}
 	return out.String()
 }
 
-// describeEntry tells one message.
+// describeEntry writes the description of one entry, with times relative to base.
 func describeEntry(out *strings.Builder, entry *Entry, base instant.Time) {
 	accepted, expires := formatOffset(base, entry.AcceptedAt), formatOffset(base, entry.ExpiresAt)
-	fmt.Fprintf(out, "message %s: class %s, destination %d, key %s, taken %s, expires %s, body %q\n",
+	fmt.Fprintf(out, "message %s: class %s, destination %d, key %s, accepted %s, expires %s, body %q\n",
 		entry.ID, entry.Class, entry.Dest, entry.Key, accepted, expires, entry.Body)
 	for _, attempt := range entry.Attempts {
-		fmt.Fprintf(out, "  attempt at %s, begun %s", attempt.Host, formatOffset(base, attempt.StartedAt))
+		fmt.Fprintf(out, "  attempt at %s, started %s", attempt.Host, formatOffset(base, attempt.StartedAt))
 		for _, mark := range []struct {
 			set  bool
 			name string
-		}{{attempt.Ended, "ended"}, {attempt.NotExecuted, "proved not to have run"}, {attempt.Uncertain, "in doubt"}} {
+		}{{attempt.Ended, "ended"}, {attempt.NotExecuted, "not executed"}, {attempt.Uncertain, "uncertain attempt"}} {
 			if mark.set {
 				fmt.Fprintf(out, ", %s", mark.name)
 			}
@@ -68,11 +70,11 @@
 		fmt.Fprintln(out)
 	}
 	if notice := entry.PendingNotification; notice != nil {
-		fmt.Fprintf(out, "  owes the notice %s: %s, again after %d ms\n", notice.ID, notice.Status, notice.RetryAfterMS)
+		fmt.Fprintf(out, "  pending notification %s: %s, retry after %d ms\n", notice.ID, notice.Status, notice.RetryAfterMS)
 	}
 }
 
-// formatOffset tells a moment by its span from a base.
+// formatOffset returns a time as a signed duration from base, or "never" for the zero Time.
 func formatOffset(base, at instant.Time) string {
 	if at.IsZero() {
 		return "never"
@@ -80,7 +82,7 @@
 	return formatSigned(at.Sub(base))
 }
 
-// formatSigned writes a span with its sign.
+// formatSigned returns a duration with its sign, also if it is positive.
 func formatSigned(span time.Duration) string {
 	if span < 0 {
 		return span.String()
@@ -88,7 +90,7 @@
 	return "+" + span.String()
 }
 
-// checkText fails with both texts where they differ.
+// checkText fails the test if got differs from want, and reports both.
 func checkText(t *testing.T, got, want string) {
 	t.Helper()
 	if got != want {
@@ -96,7 +98,7 @@
 	}
 }
 
-// fileNames lists a directory.
+// fileNames returns the names of the files in a directory.
 func fileNames(t *testing.T, dir string) (names []string) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
--- a/internal/journal/stored_format1_test.go
+++ b/internal/journal/stored_format1_test.go
@@ -15,8 +15,8 @@
 	"milletsail/internal/instant"
 )
 
-// writeStoredFormat1 writes a journal of format 1, record by record, as the programs did that wrote it. Its times
-// are wall times alone.
+// writeStoredFormat1 writes a journal of format 1, record by record, as the programs that used this format did. Its times are
+// wall-clock times without readings of the monotonic clock.
 func writeStoredFormat1(t *testing.T, dir string) {
 	t.Helper()
 	at := func(later time.Duration) time.Time { return (storedWall + clock.Wall(later)).Time().UTC() }
@@ -46,36 +46,37 @@
 	putFile(t, filepath.Join(dir, "journal"), text)
 }
 
-// A journal of format 1 gives all that it tells, carried over by the wall clock.
+// TestReadsStoredFormat1 guards against an upgrade that loses content of a stored journal of format 1, or that converts its
+// times by anything but the wall clock.
 func TestReadsStoredFormat1(t *testing.T) {
 	dir := t.TempDir()
 	copyDir(t, filepath.Join(storedDir, storedFormat1), dir)
 	const later = 20 * time.Second
 	m := &fakeMachine{now: instant.Boot.Add(3 * time.Second), wall: storedWall + clock.Wall(later), boot: "another"}
 	journal, report := openStored(t, dir, m, false)
-	want := `format 1, relay , power false, records 16, last 16, torn 0, whole true, rebooted false, by wall true
-message queued: class order, destination 7, key key-queued, taken never, expires +1m0s, body "body\x00\xffqueued"
-message called: class order, destination 8, key key-called, taken never, expires +1m0s, body "body\x00\xffcalled"
-  attempt at h1, begun +2s
-message tried: class order, destination 9, key key-tried, taken never, expires +1m0s, body "body\x00\xfftried"
-  attempt at h1, begun +3s, ended, proved not to have run
-  attempt at h2, begun +4s, ended
-message owing: class order, destination 10, key key-owing, taken never, expires +1m0s, body "body\x00\xffowing"
-  owes the notice owing: deferred, again after 1500 ms
-message bare: class , destination 0, key , taken never, expires never, body ""
-list of 2 hosts: {"hosts":["h1","h2"]}
-health of h1: sick false, at never
-health of h2: sick true, at +6s
+	want := `format 1, relay , power false, records 16, last 16, torn 0, complete true, rebooted false, used wall clock true
+message queued: class order, destination 7, key key-queued, accepted never, expires +1m0s, body "body\x00\xffqueued"
+message called: class order, destination 8, key key-called, accepted never, expires +1m0s, body "body\x00\xffcalled"
+  attempt at h1, started +2s
+message tried: class order, destination 9, key key-tried, accepted never, expires +1m0s, body "body\x00\xfftried"
+  attempt at h1, started +3s, ended, not executed
+  attempt at h2, started +4s, ended
+message owing: class order, destination 10, key key-owing, accepted never, expires +1m0s, body "body\x00\xffowing"
+  pending notification owing: deferred, retry after 1500 ms
+message bare: class , destination 0, key , accepted never, expires never, body ""
+legacy list of 2 endpoints: {"hosts":["h1","h2"]}
+health of h1: ejected false, changed at never
+health of h2: ejected true, changed at +6s
 `
 	checkText(t, describeJournal(journal, report, m.now.Add(-later)), want)
 }
 
-// timeInText is a time within the JSON of a record of format 1.
+// timeInText matches a quoted time in the JSON of a record of format 1.
 var timeInText = regexp.MustCompile(`"\d{4}-\d\d-\d\dT[^"]*"`)
 
-// A directory that goes back to format 1 has the bytes of that form, as Convert writes them for a rollback. It reads
-// the machine's clocks, so times are masked: each is told as its span, in whole seconds, from when the segment was
-// begun. Lengths and checksums are checked by reading the frames by hand.
+// TestWritesFormat1 guards against a Convert to format 1 whose file older programs can't read after a rollback. Convert uses
+// the machine's clocks, so each time is replaced by its offset from the start of the test, in whole seconds. The test parses
+// the records by itself to check their lengths and checksums.
 func TestWritesFormat1(t *testing.T) {
 	dir := t.TempDir()
 	pair := clock.ReadPair()
@@ -116,22 +117,23 @@
 	checkText(t, describeFramesV1(t, fileBytes(t, filepath.Join(dir, "journal")), pair.Wall.Time()), want)
 }
 
-// describeFramesV1 tells the frames of a file: a head of three big-endian numbers (the lengths of the JSON and of
-// the body, and the CRC-32C of all else), JSON with its times masked, and body.
+// describeFramesV1 returns the records of a file of format 1 as text, one a line: the JSON, with times replaced by offsets
+// from start, and the body. Each record has a header of three big-endian integers: the length of the JSON, the length of the
+// body, and the CRC-32C of all other bytes.
 func describeFramesV1(t *testing.T, text []byte, start time.Time) string {
 	t.Helper()
 	var out strings.Builder
 	for len(text) > 0 {
 		if len(text) < 12 {
-			t.Fatalf("%d bytes are left", len(text))
+			t.Fatalf("%d bytes remain, want a record header of 12", len(text))
 		}
 		record, body := int(binary.BigEndian.Uint32(text)), int(binary.BigEndian.Uint32(text[4:]))
 		if len(text) < 12+record+body {
-			t.Fatalf("%d bytes are left of %d", len(text), 12+record+body)
+			t.Fatalf("%d bytes remain of a record of %d", len(text), 12+record+body)
 		}
 		covered := append(bytes.Clone(text[:8]), text[12:12+record+body]...)
 		if sum := binary.BigEndian.Uint32(text[8:]); sum != bitwiseCRC32C(covered) {
-			t.Errorf("checksum %08x, want %08x", sum, bitwiseCRC32C(covered))
+			t.Errorf("record has checksum %08x, want %08x", sum, bitwiseCRC32C(covered))
 		}
 		masked := timeInText.ReplaceAllStringFunc(string(text[12:12+record]), func(quoted string) string {
 			at, err := time.Parse(time.RFC3339Nano, strings.Trim(quoted, `"`))
@@ -146,7 +148,8 @@
 	return out.String()
 }
 
-// bitwiseCRC32C reckons a CRC-32C bit by bit, by the standard's reversed polynomial and not by the journal's own table.
+// bitwiseCRC32C computes a CRC-32C bit by bit, by the reversed polynomial of the standard. It is independent of the table
+// that the journal uses.
 func bitwiseCRC32C(text []byte) uint32 {
 	const polynomial = 0x82f63b78
 	sum := ^uint32(0)
--- a/internal/journal/stored_test.go
+++ b/internal/journal/stored_test.go
@@ -13,48 +13,48 @@
 	"milletsail/internal/instant"
 )
 
-// These tests pin the write-ahead log on disk. The files of storedDir were written by the code of commit 569f7cf
-// and are never written anew by later code: what it has left on relays' disks has to stay readable (upgrade), and
-// later code has to write the very same bytes (rollback). They compare bytes and meanings, so that renaming
-// identifiers does not touch them.
+// These tests guard against changes of the stored format. The code of commit 569f7cf wrote the files in storedDir, and no
+// later code may rewrite them: files of that version on the disks of relays must stay readable after an upgrade, and later
+// code must write exactly the same bytes, so that a rollback is possible. The tests compare bytes and descriptions of the
+// content, so renaming identifiers does not affect them.
 //
-// All clocks are fixed. Moments are told as spans from storedStart; those that are carried over from another boot
-// are told from the moment of reading.
+// All clocks are fixed. Descriptions give times as offsets from storedStart. If times are converted after a reboot, the
+// offsets are relative to the same moment by the wall clock.
 
-var updateStored = flag.Bool("update-stored", false, "write the stored files anew: at commit 569f7cf alone")
+var updateStored = flag.Bool("update-stored", false, "rewrite the stored files; use it only at commit 569f7cf")
 
 const (
-	// storedDir holds the files of commit 569f7cf.
+	// storedDir is the directory of the files that commit 569f7cf wrote.
 	storedDir = "testdata/569f7cf"
-	// storedLog is the directory of a first segment: an empty snapshot, and a log with every operation.
+	// storedLog is the directory with a first segment: an empty snapshot, followed by records of every operation.
 	storedLog = "log"
-	// storedSnapshot is the directory of that log's compaction: a segment with a snapshot, and one record behind it.
+	// storedSnapshot is the directory with the segment that replaces the one in storedLog: a snapshot and one record after it.
 	storedSnapshot = "snapshot"
-	// storedAfterPowerLoss is a directory after a power loss: a whole segment, a newer one whose snapshot is torn, one in the
-	// making.
+	// storedAfterPowerLoss is a directory as a power loss may leave it: a complete segment, a newer segment whose
+	// snapshot is torn, and an unfinished segment under its temporary name.
 	storedAfterPowerLoss = "several"
-	// storedFormat1 is the directory of a journal of format 1.
+	// storedFormat1 is the directory with a journal of format 1.
 	storedFormat1 = "format1"
-	// storedBoot is the identity of the boot in which the files were written.
+	// storedBoot is the boot ID of the machine when the files were written.
 	storedBoot = "569f7cf0-0000-4000-8000-000000000001"
-	// storedRelay is the relay whose directories they are.
+	// storedRelay is the name of the relay that the directories belong to.
 	storedRelay = "relay-3"
-	// storedDiskMB is a limit of the directory that no test here comes near.
+	// storedDiskMB is a size limit of the directory that no test reaches, in 10^6 bytes.
 	storedDiskMB = 3
-	// storedStart is when the first segment was begun, by the monotonic clock.
+	// storedStart is the monotonic clock's reading at the start of the first segment.
 	storedStart = instant.Boot + instant.Time(1000*time.Second)
-	// storedWall is the same moment by the wall clock: 2026-01-02 03:04:05 UTC.
+	// storedWall is the wall clock's reading at storedStart: 2026-01-02 03:04:05 UTC.
 	storedWall = clock.Wall(1767323045 * int64(time.Second))
-	// tornBytes are cut off the log's end: a part of its last record.
+	// tornBytes is the number of bytes to cut off the end of the last record, to leave a torn record.
 	tornBytes = 5
 )
 
-// storedMachine is the machine that wrote the files, when its clocks had run on for a while.
+// storedMachine returns the machine that wrote the files, with both clocks advanced by later.
 func storedMachine(later time.Duration) *fakeMachine {
 	return &fakeMachine{now: storedStart.Add(later), wall: storedWall + clock.Wall(later), boot: storedBoot}
 }
 
-// openStored opens a directory as the relay of the stored files does.
+// openStored opens a directory as the relay storedRelay on the given machine, with durability Power if power is set.
 func openStored(t *testing.T, dir string, m *fakeMachine, power bool) (*Journal, *Report) {
 	t.Helper()
 	journal, report, err := Open(dir, Options{DiskMB: storedDiskMB, Relay: storedRelay, SurvivesPowerLoss: power, Boot: m.boot,
@@ -67,7 +67,8 @@
 	return journal, report
 }
 
-// writeStoredLog writes the log: a message in each state that one can be in, a list, and a host's health.
+// writeStoredLog writes the segment of storedLog: a message in each possible state, a legacy endpoint list, and the health of
+// an endpoint.
 func writeStoredLog(t *testing.T, dir string, power bool) {
 	t.Helper()
 	m := storedMachine(0)
@@ -97,8 +98,8 @@
 	}
 }
 
-// writeStoredSnapshot writes that log and has it compacted by the next process, which then takes one message more.
-// One host alone has a health: the order of several in a snapshot is left open.
+// writeStoredSnapshot writes the segment of storedLog, and opens it again: this compacts it. It then accepts one more
+// message. Only one endpoint has a health record, since the order of several in a snapshot is unspecified.
 func writeStoredSnapshot(t *testing.T, dir string, power bool) {
 	t.Helper()
 	writeStoredLog(t, dir, power)
@@ -110,8 +111,8 @@
 	}
 }
 
-// writeStoredAfterPowerLoss writes what a power loss can leave: the compacted segment, a copy of a newer one that ends
-// within its snapshot, and one that never got its name.
+// writeStoredAfterPowerLoss writes a directory as a power loss may leave it: the compacted segment, a newer segment that
+// ends within its snapshot, and a part of a segment under its temporary name.
 func writeStoredAfterPowerLoss(t *testing.T, dir string) {
 	t.Helper()
 	writeStoredSnapshot(t, dir, true)
@@ -126,7 +127,7 @@
 	putFile(t, filepath.Join(dir, "segment-4.new"), whole[:len(whole)/4])
 }
 
-// storedCases are the directories of storedDir, and what writes each.
+// storedCases lists the directories in storedDir, each with the function that writes its content.
 var storedCases = []struct {
 	name  string
 	write func(t *testing.T, dir string)
@@ -137,8 +138,8 @@
 	{storedFormat1, writeStoredFormat1},
 }
 
-// The same operations at the same times give the same bytes as at commit 569f7cf, which can so read what later code
-// writes: header, snapshot, and each operation of the log.
+// TestWritesStoredBytes guards against a rollback to commit 569f7cf that can't read newer files: the same operations at the
+// same times must write the same bytes, in header, snapshot and each kind of record.
 func TestWritesStoredBytes(t *testing.T) {
 	for _, folder := range storedCases {
 		t.Run(folder.name, func(t *testing.T) {
@@ -152,7 +153,7 @@
 			}
 			want, got := fileNames(t, stored), fileNames(t, written)
 			if !slices.Equal(got, want) {
-				t.Fatalf("files %q, want %q", got, want)
+				t.Fatalf("wrote files %q, want %q", got, want)
 			}
 			for _, name := range want {
 				got, want := fileBytes(t, filepath.Join(written, name)), fileBytes(t, filepath.Join(stored, name))
@@ -162,34 +163,35 @@
 	}
 }
 
-// storedEntries are the messages of the stored segments.
-const storedEntries = "message queued: class order, destination 7, key key-queued, taken +1ms, expires +1m0s, " +
+// storedEntries describes the live entries that all stored segments contain.
+const storedEntries = "message queued: class order, destination 7, key key-queued, accepted +1ms, expires +1m0s, " +
 	`body "body\x00\xffqueued"
-message called: class order, destination 8, key key-called, taken +2ms, expires +1m0s, body "body\x00\xffcalled"
-  attempt at h1, begun +2s
-  attempt at h2, begun +7s
-message tried: class order, destination 9, key key-tried, taken +3ms, expires +1m0s, body "body\x00\xfftried"
-  attempt at h1, begun +3s, ended, proved not to have run
-  attempt at h2, begun +4s, ended
-message owing: class order, destination 10, key key-owing, taken +4ms, expires +1m0s, body "body\x00\xffowing"
-  attempt at h2, begun +5s, ended
-  owes the notice owing: deferred, again after 1500 ms
-message bare: class , destination -1, key , taken +1s, expires never, body ""
+message called: class order, destination 8, key key-called, accepted +2ms, expires +1m0s, body "body\x00\xffcalled"
+  attempt at h1, started +2s
+  attempt at h2, started +7s
+message tried: class order, destination 9, key key-tried, accepted +3ms, expires +1m0s, body "body\x00\xfftried"
+  attempt at h1, started +3s, ended, not executed
+  attempt at h2, started +4s, ended
+message owing: class order, destination 10, key key-owing, accepted +4ms, expires +1m0s, body "body\x00\xffowing"
+  attempt at h2, started +5s, ended
+  pending notification owing: deferred, retry after 1500 ms
+message bare: class , destination -1, key , accepted +1s, expires never, body ""
 `
 
-// What the stored directories hold beside these.
+// Descriptions of the other content of the stored directories.
 const (
-	// storedList is the list that each of them holds.
-	storedList = "list of 2 hosts: {\"hosts\":[\"h1\",\"h2\"]}\n"
-	// storedHealth is the health that each of them holds.
-	storedHealth = "health of h2: sick true, at +6s\n"
-	// storedLaterEntry is the message that came behind the compaction.
-	storedLaterEntry = "message later: class audit, destination 0, key , taken +10s, expires never, body \"later\"\n"
-	// storedSameBoot is how a directory is found that is whole and of this boot.
-	storedSameBoot = " whole true, rebooted false, by wall false\n"
+	// storedList describes the legacy endpoint list, which all of them contain.
+	storedList = "legacy list of 2 endpoints: {\"hosts\":[\"h1\",\"h2\"]}\n"
+	// storedHealth describes the endpoint health, which all of them contain.
+	storedHealth = "health of h2: ejected true, changed at +6s\n"
+	// storedLaterEntry describes the message that was accepted after the compaction.
+	storedLaterEntry = "message later: class audit, destination 0, key , accepted +10s, expires never, body \"later\"\n"
+	// storedSameBoot is the end of the report of a complete directory that is opened in the boot that wrote it.
+	storedSameBoot = " complete true, rebooted false, used wall clock false\n"
 )
 
-// A process of the same boot reads of the stored segments all that was written, at the very moments.
+// TestReadsStoredSegments guards against an upgrade within the same boot that loses content of the stored segments, or that
+// shifts its times.
 func TestReadsStoredSegments(t *testing.T) {
 	for _, folder := range []struct{ name, want string }{
 		{storedLog, "format 2, relay relay-3, power false, records 19, last 19, torn 0," + storedSameBoot +
@@ -206,21 +208,22 @@
 	}
 }
 
-// A log that ends within its last record gives all that came before it, and nothing is uncertain.
+// TestReadsStoredTornLog guards against a torn record at the end of a stored segment that costs earlier records or adds
+// uncertain attempts.
 func TestReadsStoredTornLog(t *testing.T) {
 	dir := t.TempDir()
 	whole := fileBytes(t, filepath.Join(storedDir, storedLog, "segment-1"))
 	putFile(t, filepath.Join(dir, "segment-1"), whole[:len(whole)-tornBytes])
 	journal, report := openStored(t, dir, storedMachine(30*time.Second), false)
 	want := "format 2, relay relay-3, power false, records 18, last 18, torn 33," + storedSameBoot +
-		strings.Replace(storedEntries, "  attempt at h2, begun +7s\n", "", 1) + storedList + storedHealth
+		strings.Replace(storedEntries, "  attempt at h2, started +7s\n", "", 1) + storedList + storedHealth
 	checkText(t, describeJournal(journal, report, storedStart), want)
 }
 
-// After another boot the newest segment whose snapshot is whole counts, with its moments carried over by the wall
-// clock: 20 s after the first segment was begun, by its own scale. Where only the process was to be outlasted, all
-// is uncertain.
-func TestReadsStoredSegmentsAfterAnotherBoot(t *testing.T) {
+// TestReadsStoredSegmentsAfterReboot guards against an upgrade with a reboot that reads the wrong segment or times. The
+// machine opens the directories 20 s after storedWall: the newest complete segment must be replayed, with times converted by
+// the wall clock. Under durability Process, the entries must get an uncertain attempt.
+func TestReadsStoredSegmentsAfterReboot(t *testing.T) {
 	const later = 20 * time.Second
 	m := &fakeMachine{now: instant.Boot.Add(3 * time.Second), wall: storedWall + clock.Wall(later), boot: "another"}
 	base := m.now.Add(-later)
@@ -228,21 +231,21 @@
 	copyDir(t, filepath.Join(storedDir, storedAfterPowerLoss), dir)
 	journal, report := openStored(t, dir, m, true)
 	checkText(t, describeJournal(journal, report, base),
-		"format 2, relay relay-3, power true, records 9, last 28, torn 0, whole false, rebooted true, by wall true\n"+
-			"passed over segment-3\n"+storedEntries+storedLaterEntry+storedList+storedHealth)
+		"format 2, relay relay-3, power true, records 9, last 28, torn 0, complete false, rebooted true, used wall clock true\n"+
+			"skipped segment-3\n"+storedEntries+storedLaterEntry+storedList+storedHealth)
 	if left := fileNames(t, dir); !slices.Equal(left, []string{"segment-4"}) {
-		t.Errorf("files %q are left", left)
+		t.Errorf("files %q remain, want only segment-4", left)
 	}
 	dir = t.TempDir()
 	copyDir(t, filepath.Join(storedDir, storedSnapshot), dir)
 	journal, _ = openStored(t, dir, m, false)
-	doubts := 0
+	uncertain := 0
 	for _, entry := range journal.Entries() {
 		if count := len(entry.Attempts); count > 0 && entry.Attempts[count-1].Uncertain {
-			doubts++
+			uncertain++
 		}
 	}
-	if doubts != 5 {
-		t.Errorf("%d messages are in doubt, want the 5 that owe no notice", doubts)
+	if uncertain != 5 {
+		t.Errorf("%d entries have an uncertain attempt, want the 5 without a pending notification", uncertain)
 	}
 }
--- a/internal/journal/timescale.go
+++ b/internal/journal/timescale.go
@@ -8,30 +8,30 @@
 	"milletsail/internal/instant"
 )
 
-// Segments store moments as wall times: the wall clock as it stood when the segment was begun, continued by the monotonic
-// clock, so that later steps of the wall clock have no effect. The header stores both clock readings. A process of the
-// same boot translates the times back exactly. After a reboot, or if the writer stored no readings, only the wall clock
-// is left to relate them to the present: see rebase.
+// Segments store times as wall-clock times that are derived from the monotonic clock: the wall clock's reading at the start
+// of the segment, plus the monotonic time since then. Later steps of the wall clock therefore have no effect. The header
+// stores both clock readings, so that a process of the same boot converts the times back exactly. After a reboot, or if the
+// writer stored no readings, only the wall clock relates the stored times to the present; rebase does that.
 
-// Clocks are the clocks that a journal reads. Tests replace them.
+// Clocks provides the clocks that a journal reads. Tests replace it.
 type Clocks struct {
-	Now  func() instant.Time
-	Wall func() clock.Wall
-	// Uptime is the time since the boot: at least this much has passed since anything an earlier boot has written.
+	Now  func() instant.Time // monotonic clock
+	Wall func() clock.Wall   // wall clock
+	// Uptime returns the time since the boot. At least this much time has passed since an earlier boot wrote a file.
 	Uptime func() time.Duration
 }
 
-// SystemClocks are the clocks of the machine.
+// SystemClocks provides the clocks of the machine.
 var SystemClocks = Clocks{Now: clock.Now, Wall: clock.ReadWall, Uptime: clock.Uptime}
 
-// readPair reads both clocks.
+// readPair returns a reading of the monotonic clock and of the wall clock.
 func (c Clocks) readPair() clock.Pair { return clock.Pair{At: c.Now(), Wall: c.Wall()} }
 
-// wallClockOnly translates the times of a segment without clock readings, as if the wall clock were the monotonic one. The
-// result has to be rebased.
+// wallClockOnly takes the place of the clock readings of a file that stores none. It converts times as if the wall clock
+// were the monotonic clock, so the resulting state has to be rebased.
 var wallClockOnly = clock.Pair{At: 1, Wall: 1}
 
-// latestInstant is the latest moment in a state that had passed when it was written.
+// latestInstant returns the latest time in a state, other than deadlines. It had passed when the state was written.
 func (s *state) latestInstant() (latest instant.Time) {
 	for _, e := range s.entries {
 		latest = max(latest, e.AcceptedAt)
@@ -45,11 +45,15 @@
 	return latest
 }
 
-// rebase translates the times of a state that are not on this boot's monotonic clock. present is the wall clock's current
-// reading on the scale of those times; uptime bounds from below how long ago the state was written.
+// rebase converts the times of a state to this boot's monotonic clock, if they were not written on it. present is the
+// current wall-clock time on the scale of the state's times; now is the current reading of the monotonic clock; uptime is a
+// lower bound of the time since the state was written.
 //
-// Neither a deadline nor an idempotency window is extended by it. If the wall clock is behind the state it can't be
-// trusted: then all deadlines have passed, and all else happened long ago.
+// It extends neither a deadline nor an idempotency window, as far as the clocks show: present counts as at least uptime after
+// the latest time in the state, and no past event is placed after now.
+//
+// If present is before the latest time in the state, the wall clock has gone back and can't be trusted: then all deadlines
+// have passed, all entries and attempts are as old as possible, and each endpoint's health changed just now.
 func (s *state) rebase(present, now instant.Time, uptime time.Duration) {
 	latest := s.latestInstant()
 	trusted := present >= latest
@@ -62,7 +66,7 @@
 	}
 	translatePast := func(t instant.Time) instant.Time {
 		if !trusted {
-			return 0 // long ago
+			return 0 // the earliest possible time
 		}
 		return max(0, min(now, translate(t)))
 	}
@@ -79,16 +83,17 @@
 	for host, health := range s.health {
 		health.ChangedAt = translatePast(health.ChangedAt)
 		if !trusted {
-			health.ChangedAt = now // slow start begins again, since it may have begun shortly before
+			health.ChangedAt = now // an endpoint's slow start begins anew, since it may have begun just before the restart
 		}
 		s.health[host] = health
 	}
 }
 
-// maxWall bounds stored times, in nanoseconds, so that differences of two of them can't overflow.
+// maxWall is the largest absolute value of a stored time, in nanoseconds since 1970. It keeps the difference of two times
+// from overflowing.
 const maxWall = math.MaxInt64 / 4
 
-// clampWall limits a stored time to the range in which it can be computed with.
+// clampWall limits a stored time, in nanoseconds since 1970, to the range from -maxWall to maxWall.
 func clampWall(v int64) clock.Wall {
 	return clock.Wall(max(-maxWall, min(v, maxWall)))
 }
--- a/internal/journal/timescale_test.go
+++ b/internal/journal/timescale_test.go
@@ -13,11 +13,11 @@
 	"milletsail/internal/instant"
 )
 
-// clockTolerance is how far two readings of both clocks may lie apart: format 1 knows the wall clock alone, so its
-// times go from one clock to the other and back.
+// clockTolerance is the allowed difference of two times that were converted between the clocks by different readings.
+// Format 1 stores only wall-clock times, so each of its times is converted when it is read and when it is written.
 const clockTolerance = time.Millisecond
 
-// sameV1 reports whether two files of format 1 hold the same records, times within clockTolerance.
+// sameV1 reports whether two files of format 1 contain the same records, with times that differ by at most clockTolerance.
 func sameV1(a, b []byte) bool {
 	for len(a) > 0 && len(b) > 0 {
 		one, oneBody, oneLength, err := decodeV1(a)
@@ -42,7 +42,7 @@
 	return len(a) == 0 && len(b) == 0
 }
 
-// timesV1 pairs the times of two records.
+// timesV1 returns the corresponding times of two records as pairs.
 func timesV1(one, two *recordV1) (pairs [][2]*time.Time) {
 	pairs = append(pairs, [2]*time.Time{&one.At, &two.At})
 	if one.Entry != nil && two.Entry != nil {
@@ -54,23 +54,23 @@
 	return pairs
 }
 
-// fakeMachine is a fakeMachine whose clocks a test sets.
+// fakeMachine is a machine whose clocks and boot ID a test sets.
 type fakeMachine struct {
-	now  instant.Time
-	wall clock.Wall
-	boot string
+	now  instant.Time // monotonic clock
+	wall clock.Wall   // wall clock
+	boot string       // boot ID
 }
 
-// advance lets time pass.
+// advance moves both clocks forward by d.
 func (m *fakeMachine) advance(d time.Duration) {
 	m.now = m.now.Add(d)
 	m.wall += clock.Wall(d)
 }
 
-// stepWallClock stepWallClock the wall clock alone.
+// stepWallClock moves only the wall clock by d.
 func (m *fakeMachine) stepWallClock(d time.Duration) { m.wall += clock.Wall(d) }
 
-// reboot starts the machine anew, after a while of which its monotonic clock knows nothing.
+// reboot changes the boot ID, and sets the monotonic clock to the given time after the boot. The wall clock stays as it is.
 func (m *fakeMachine) reboot(uptime time.Duration) {
 	m.now, m.boot = instant.Boot.Add(uptime), m.boot+"+"
 }
@@ -85,34 +85,38 @@
 	return j
 }
 
-// What a later process reads of a message's time: exact within a boot, whatever the wall clock does; after another boot
-// by the wall clock, which lengthens neither a deadline nor a window, and where it tells nothing all time is up.
-func TestMomentsOverProcesses(t *testing.T) {
+// TestTimesAcrossProcesses guards against a restart that extends a deadline or makes an attempt seem more recent. Within a
+// boot, steps of the wall clock must have no effect. After a reboot, times follow the wall clock, so a step back that is
+// shorter than the downtime goes unnoticed; if the wall clock is behind the stored times, all deadlines must have passed.
+func TestTimesAcrossProcesses(t *testing.T) {
 	const deadline, sentAfter, gone = 10 * time.Second, time.Second, 3 * time.Second
 	const left, sentAgo = deadline - sentAfter - gone, gone
 	for _, c := range []struct {
 		name      string
-		after     func(m *fakeMachine) // beside gone, which passes
-		left      time.Duration
-		ago       time.Duration // since the attempt
-		ejectedAt time.Duration // ago
+		after     func(m *fakeMachine) // changes the clocks between the processes, after they have advanced by gone
+		left      time.Duration        // expected time until the deadline
+		ago       time.Duration        // least expected time since the attempt
+		ejectedAt time.Duration        // expected time since the endpoint was ejected
 	}{
 		{"no step", func(*fakeMachine) {}, left, sentAgo, sentAgo},
-		{"an hour forward", func(m *fakeMachine) { m.stepWallClock(time.Hour) }, left, sentAgo, sentAgo},
-		{"an hour back", func(m *fakeMachine) { m.stepWallClock(-time.Hour) }, left, sentAgo, sentAgo},
-		{"a second back", func(m *fakeMachine) { m.stepWallClock(-time.Second) }, left, sentAgo, sentAgo},
-		{"there and back", func(m *fakeMachine) { m.stepWallClock(time.Hour); m.stepWallClock(-time.Hour) }, left, sentAgo, sentAgo},
-		{"another boot", func(m *fakeMachine) { m.reboot(time.Second) }, left, sentAgo, sentAgo},
-		{"another boot, forward", func(m *fakeMachine) { m.reboot(time.Second); m.stepWallClock(5 * time.Second) },
+		{"wall clock an hour forward", func(m *fakeMachine) { m.stepWallClock(time.Hour) }, left, sentAgo, sentAgo},
+		{"wall clock an hour back", func(m *fakeMachine) { m.stepWallClock(-time.Hour) }, left, sentAgo, sentAgo},
+		{"wall clock a second back", func(m *fakeMachine) { m.stepWallClock(-time.Second) }, left, sentAgo, sentAgo},
+		{"wall clock an hour forward and back", func(m *fakeMachine) { m.stepWallClock(time.Hour); m.stepWallClock(-time.Hour) },
+			left, sentAgo, sentAgo},
+		{"after a reboot", func(m *fakeMachine) { m.reboot(time.Second) }, left, sentAgo, sentAgo},
+		{"after a reboot, wall clock forward", func(m *fakeMachine) { m.reboot(time.Second); m.stepWallClock(5 * time.Second) },
 			left - 5*time.Second, sentAgo + 5*time.Second, sentAgo + 5*time.Second},
-		{"another boot, back by less than it was gone", func(m *fakeMachine) { m.reboot(2 * time.Second); m.stepWallClock(-2 * time.Second) },
+		{"after a reboot, wall clock back by less than the downtime",
+			func(m *fakeMachine) { m.reboot(2 * time.Second); m.stepWallClock(-2 * time.Second) },
 			left + time.Second, sentAgo - time.Second, sentAgo - time.Second},
-		{"another boot, an hour back", func(m *fakeMachine) { m.reboot(time.Second); m.stepWallClock(-time.Hour) }, 0, 1 << 40, 0},
+		{"after a reboot, wall clock an hour back", func(m *fakeMachine) { m.reboot(time.Second); m.stepWallClock(-time.Hour) },
+			0, 1 << 40, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m, dir := &fakeMachine{now: instant.Boot.Add(time.Hour), wall: 1.7e18, boot: "one"}, t.TempDir()
 			j := m.open(t, dir)
-			m.stepWallClock(20 * time.Minute) // within the first process: its times do not show it
+			m.stepWallClock(20 * time.Minute) // a step within the first process, which must not affect the times that it stores
 			e := &Entry{ID: "m", ExpiresAt: m.now.Add(deadline)}
 			j.Accept(e)
 			m.advance(sentAfter)
@@ -123,17 +127,17 @@
 			m.stepWallClock(-20 * time.Minute)
 			m.advance(gone)
 			c.after(m)
-			for range 2 { // from the log, and from its compaction
+			for range 2 { // the first Open replays the records, the second replays the snapshot that the first wrote
 				j = m.open(t, dir)
 				e = j.Get("m")
 				if got := e.ExpiresAt.Sub(m.now); got > c.left || got < c.left-time.Millisecond {
-					t.Errorf("%v are left, want %v", got, c.left)
+					t.Errorf("%v remain until the deadline, want %v", got, c.left)
 				}
 				if got := m.now.Sub(e.Attempts[0].StartedAt); got < c.ago {
-					t.Errorf("the attempt was %v ago, want %v", got, c.ago)
+					t.Errorf("the attempt started %v ago, want at least %v", got, c.ago)
 				}
 				if got := m.now.Sub(j.Health()["h"].ChangedAt); got < c.ejectedAt || got > c.ejectedAt+time.Millisecond {
-					t.Errorf("the outage began %v ago, want %v", got, c.ejectedAt)
+					t.Errorf("the endpoint was ejected %v ago, want %v", got, c.ejectedAt)
 				}
 				_ = j.Close()
 			}
@@ -141,7 +145,8 @@
 	}
 }
 
-// A directory of a program that kept no clocks is read by the wall clock.
+// TestDirectoryWithoutClocks guards against wrong deadlines in a segment of an older program, which stored no clock readings
+// in the header: its times must be converted by the wall clock.
 func TestDirectoryWithoutClocks(t *testing.T) {
 	m, dir := &fakeMachine{now: instant.Boot.Add(time.Hour), wall: 1.7e18, boot: "one"}, t.TempDir()
 	j := m.open(t, dir)
@@ -153,11 +158,11 @@
 	m.advance(2 * time.Second)
 	j = m.open(t, dir)
 	if got := j.Get("m").ExpiresAt.Sub(m.now); got != 8*time.Second {
-		t.Errorf("%v are left", got)
+		t.Errorf("%v remain until the deadline, want 8s", got)
 	}
 }
 
-// removeClocks takes the clocks out of a segment's header, as a program wrote it that knew none.
+// removeClocks removes the clock readings from a segment's header, which then is as older programs wrote it.
 func removeClocks(t *testing.T, path string) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
--- a/internal/journal/transient.go
+++ b/internal/journal/transient.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// transientErrors are the errors of a file system that may go away by themselves. All others mean that the directory is
-// not usable.
+// transientErrors are the file system errors that may clear without intervention. Any other error means that the directory
+// is unusable.
 var transientErrors = []syscall.Errno{
 	syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.EINTR, syscall.EAGAIN, syscall.EBUSY, syscall.ENFILE,
 	syscall.EMFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOLCK, syscall.ETIMEDOUT, syscall.ESTALE,
--- a/internal/journal/v1.go
+++ b/internal/journal/v1.go
@@ -13,21 +13,21 @@
 	"milletsail/internal/instant"
 )
 
-// Format 1, the previous one, is a single file "journal" of records. It is read for upgrades and written for rollbacks.
-// The numbers are big-endian.
+// Format 1, the storage format of older programs, is a single file "journal" of records. It is read for upgrades and
+// written for rollbacks. Its integers are big-endian, and lengths are in bytes.
 //
 //	record: length of the JSON 4 | length of the body 4 | CRC-32C 4 | JSON | body
 
 const (
-	// bodyLengthOffsetV1 is where a record holds the length of its body.
+	// bodyLengthOffsetV1 is the offset of the body's length in a record, in bytes.
 	bodyLengthOffsetV1 = 4
-	// checksumOffsetV1 is where a record holds its checksum.
+	// checksumOffsetV1 is the offset of the checksum in a record, in bytes.
 	checksumOffsetV1 = 8
-	// recordHeaderSizeV1 is the length of a record in front of its JSON, in bytes.
+	// recordHeaderSizeV1 is the length of the part of a record that precedes its JSON, in bytes.
 	recordHeaderSizeV1 = 12
 )
 
-// The operations of format 1, as they are stored.
+// The names of operations, as format 1 stores them.
 const (
 	opAcceptedV1            = "taken"
 	opAttemptStartedV1      = "begun"
@@ -38,7 +38,7 @@
 	opLegacyListV1          = "list"
 )
 
-// recordV1 is the JSON of a record. Which fields are set depends on the operation.
+// recordV1 is the JSON part of a record of format 1. Which fields are set depends on the operation.
 type recordV1 struct {
 	Op           string          `json:"op"`
 	Entry        *entryV1        `json:"entry,omitempty"`
@@ -52,13 +52,13 @@
 	Hosts        int             `json:"hosts,omitempty"` // number of endpoints in List
 }
 
-// healthV1 is the health of an endpoint.
+// healthV1 is the health of an endpoint in format 1. At is the time of the last change of Ejected.
 type healthV1 struct {
 	Ejected bool      `json:"sick,omitempty"`
 	At      time.Time `json:"at,omitzero"`
 }
 
-// entryV1 is an accepted request; its body follows the JSON.
+// entryV1 is an accepted request in format 1. Its body is stored after the JSON. Format 1 has no time of acceptance.
 type entryV1 struct {
 	ID      string    `json:"id"`
 	Class   string    `json:"class,omitempty"`
@@ -67,8 +67,8 @@
 	Expires time.Time `json:"expires,omitzero"`
 }
 
-// replayV1 applies the records of a file. It returns how many bytes at the end can't be read, and whether they are a torn
-// record.
+// replayV1 applies the records of a file of format 1. It stops at the first record that can't be read, and returns the
+// number of bytes from there to the end of the file and whether they are a torn record.
 func (s *state) replayV1(raw []byte, report *Report) (unread int, torn bool) {
 	for len(raw) > 0 {
 		stored, body, length, err := decodeV1(raw)
@@ -88,7 +88,8 @@
 	return 0, false
 }
 
-// toRecord translates a record to the current format. It reports false for one that changes nothing.
+// toRecord converts a record of format 1 to one of the current format, without the body. It reports false if the record is
+// incomplete, refers to an unknown entry or has an unknown operation.
 func (v *recordV1) toRecord(s *state, sequence uint64) (r record, ok bool) {
 	switch {
 	case v.Op == opAcceptedV1 && v.Entry != nil:
@@ -98,7 +99,7 @@
 	case v.Op == opHealthV1 && v.Health != nil:
 		return record{op: opHealth, host: v.Host, ejected: v.Health.Ejected, at: instantV1(v.Health.At)}, true
 	case v.Op == opLegacyListV1 && v.List != nil:
-		return record{op: opLegacyList, list: LegacyEndpointList{v.List, v.Hosts}}, true
+		return record{op: opLegacyList, legacyList: LegacyEndpointList{v.List, v.Hosts}}, true
 	}
 	e := s.entries[v.ID]
 	if e == nil {
@@ -118,15 +119,15 @@
 }
 
 var (
-	// errTornRecord says that the file ends within a record.
+	// errTornRecord reports that the file ends within a record.
 	errTornRecord = errors.New("torn record")
-	// errRecordLength says that a record's lengths exceed the limit.
+	// errRecordLength reports that the lengths of a record's JSON and body together exceed maxPayloadSize.
 	errRecordLength = errors.New("record too long")
-	// errRecordChecksum says that a record's checksum does not match its content.
+	// errRecordChecksum reports that a record's checksum does not match its content.
 	errRecordChecksum = errors.New("record checksum mismatch")
 )
 
-// decodeV1 decodes the first record of raw. It returns the record's length as well.
+// decodeV1 decodes the first record of raw. It returns its JSON part, its body and the length of the whole record in bytes.
 func decodeV1(raw []byte) (r recordV1, body []byte, length int, err error) {
 	if len(raw) < recordHeaderSizeV1 {
 		return r, nil, 0, errTornRecord
@@ -145,12 +146,12 @@
 	}
 	bodyOffset := recordHeaderSizeV1 + int(jsonLength)
 	if err = json.Unmarshal(raw[recordHeaderSizeV1:bodyOffset], &r); err != nil {
-		return r, nil, 0, fmt.Errorf("record: %w", err)
+		return r, nil, 0, fmt.Errorf("JSON of the record: %w", err)
 	}
 	return r, slices.Clone(raw[bodyOffset:length]), length, nil
 }
 
-// appendV1 appends a record to b.
+// appendV1 appends a record of format 1 with its body to b.
 func appendV1(b []byte, r recordV1, body []byte) ([]byte, error) {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -166,12 +167,13 @@
 	return b, nil
 }
 
-// checksumV1 is the CRC-32C of all of a record but the checksum itself.
+// checksumV1 returns the CRC-32C of a record of format 1 without its checksum field.
 func checksumV1(r []byte) uint32 {
 	return crc32.Update(crc32.Checksum(r[:checksumOffsetV1], castagnoli), castagnoli, r[recordHeaderSizeV1:])
 }
 
-// instantV1 reads a time of format 1, which stores wall times alone. The state has to be rebased afterwards.
+// instantV1 converts a time of format 1, which stores wall-clock times without clock readings. The state has to be rebased
+// afterwards.
 func instantV1(t time.Time) instant.Time {
 	if t.IsZero() {
 		return 0
--- a/internal/journal/workload_test.go
+++ b/internal/journal/workload_test.go
@@ -11,45 +11,46 @@
 	"milletsail/internal/instant"
 )
 
-// guarantees is what a workload was told, whatever a journal makes of it.
+// guarantees records which commits of a workload succeeded, and so what a journal must preserve. Its maps are keyed by ID.
 type guarantees struct {
 	power               bool
-	answered            map[string]bool // 202 was sent
-	completed           map[string]bool // its end was committed
-	completing          map[string]bool // its end was noted, committed or not
-	attempted           map[string]bool // an attempt went out that may have run
-	pendingNotification map[string]bool
+	answered            map[string]bool // the client got status 202
+	completed           map[string]bool // the record that completes it was committed
+	completing          map[string]bool // the record that completes it was appended, committed or not
+	attempted           map[string]bool // the start of an attempt was committed, so an endpoint may have executed it
+	pendingNotification map[string]bool // its notification was committed
 }
 
 func newGuarantees(power bool) *guarantees {
 	return &guarantees{power, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}}
 }
 
-// check reports whether what a start finds keeps the promises.
+// check returns an error if a journal that was opened after a power loss violates a guarantee.
 func (p *guarantees) check(j *Journal) error {
 	for id := range p.answered {
 		e := j.Get(id)
 		if e == nil && p.power && !p.completing[id] {
-			return fmt.Errorf("%s was answered 202 and is gone", id)
+			return fmt.Errorf("entry %s was acknowledged with 202 and is lost", id)
 		}
 		if e != nil && p.power && p.pendingNotification[id] && e.PendingNotification == nil {
-			return fmt.Errorf("%s ended by a notice and may be sent again", id)
+			return fmt.Errorf("entry %s lost its pending notification and may be attempted again", id)
 		}
 	}
 	for _, e := range j.Entries() {
 		if p.completed[e.ID] && p.power {
-			return fmt.Errorf("%s is over and comes back", e.ID)
+			return fmt.Errorf("entry %s was completed and is live again", e.ID)
 		}
 		mayHaveRun := e.PendingNotification != nil ||
 			slices.ContainsFunc(e.Attempts, func(a Attempt) bool { return !a.Ended || !a.NotExecuted })
 		if (p.attempted[e.ID] || p.completed[e.ID]) && !mayHaveRun {
-			return fmt.Errorf("%s may have run, and that is forgotten", e.ID)
+			return fmt.Errorf("entry %s may have been executed, but has no attempt that says so", e.ID)
 		}
 	}
 	return nil
 }
 
-// runWorkload runs a journal through some rounds, and notes what was promised. answerEarly plants a fault.
+// runWorkload uses a journal for a number of rounds, and records in p what it must preserve. answerEarly injects a fault:
+// clients get their response before the commit.
 func runWorkload(files FS, p *guarantees, answerEarly bool, rounds int) {
 	at := instant.Boot.Add(1000 * time.Second)
 	clocks := Clocks{
@@ -67,7 +68,7 @@
 		round.advanceAttempts(&at)
 		round.notify()
 		if i%4 == 3 {
-			j.segmentSize = 1 << 30 // the next segment is due
+			j.segmentSize = 1 << 30 // the next Commit begins a new segment
 		}
 		if j.Commit() == nil {
 			round.committed()
@@ -75,19 +76,19 @@
 	}
 }
 
-// workloadRound is what a workload does between two commits.
+// workloadRound is the part of a workload between two commits.
 type workloadRound struct {
 	journal    *Journal
 	guarantees *guarantees
 	number     int
 
-	accepted []string
-	sent     []string
-	ended    []string
-	notified *Entry
+	accepted []string // IDs of the entries that were accepted
+	sent     []string // IDs of the entries with a new attempt
+	ended    []string // IDs of the entries that were completed
+	notified *Entry   // entry that got a pending notification; nil for none
 }
 
-// accept accepts two messages, as far as there is room.
+// accept accepts up to two entries, as far as Reserve permits.
 func (r *workloadRound) accept(answerEarly bool) {
 	for k := range 2 {
 		e := &Entry{ID: fmt.Sprintf("m%d-%d", r.number, k), Class: "order", Body: bytes.Repeat([]byte{byte(r.number)}, 300)}
@@ -102,7 +103,7 @@
 	}
 }
 
-// advanceAttempts starts, ends and completes what is due.
+// advanceAttempts takes the next step of the live entries: it starts or ends an attempt, or completes the entry.
 func (r *workloadRound) advanceAttempts(at *instant.Time) {
 	for _, e := range r.journal.Entries() {
 		switch {
@@ -119,7 +120,7 @@
 	}
 }
 
-// notify ends the last answered message by a notification, in each third round.
+// notify records a pending notification for the last acknowledged entry without one, in every third round.
 func (r *workloadRound) notify() {
 	if r.number%3 != 2 {
 		return
@@ -134,7 +135,7 @@
 	}
 }
 
-// committed notes the promises that a successful commit makes.
+// committed adds the guarantees that follow from the round's successful commit.
 func (r *workloadRound) committed() {
 	for _, id := range r.accepted {
 		r.guarantees.answered[id] = true
@@ -150,12 +151,13 @@
 	}
 }
 
-// checkAfterPowerLoss opens what a crash left, and looks at it; where the start itself may be cut short, it is, and once more.
+// checkAfterPowerLoss opens a journal on the file system left, and checks the guarantees. With loseAgain, it also simulates a
+// second power loss after each call of this Open.
 func checkAfterPowerLoss(left *crashFS, p *guarantees, pick func(int) int, loseAgain bool) error {
 	before := left.afterPowerLoss(func(int) int { return 1 })
 	j, _, err := Open("/d", Options{DiskMB: 3, SurvivesPowerLoss: p.power, Files: left, Boot: "two"})
 	if err != nil {
-		return fmt.Errorf("the start fails: %w", err)
+		return fmt.Errorf("open after the power loss: %w", err)
 	}
 	if err := p.check(j); err != nil {
 		return err
@@ -167,7 +169,7 @@
 	before.afterCall = func(m *crashFS, call string) {
 		if second == nil {
 			if err := checkAfterPowerLoss(m.afterPowerLoss(pick), p, pick, false); err != nil {
-				second = fmt.Errorf("after a second loss at a %s: %w", call, err)
+				second = fmt.Errorf("after a second power loss, at a %s: %w", call, err)
 			}
 		}
 	}
@@ -177,7 +179,8 @@
 	return second
 }
 
-// simulatePowerLosses runs a workload and has the power fail at each call, in so many ways each; it gives what is broken first.
+// simulatePowerLosses runs a workload and simulates power losses after each call, each with statesPerCall random outcomes for
+// unsynced data. It returns the number of states that were checked, and the first violation of a guarantee.
 func simulatePowerLosses(power bool, wrap func(*crashFS) FS, answerEarly bool, statesPerCall int, seed uint64,
 	prepare func(*crashFS)) (states int, err error) {
 	rng := rand.New(rand.NewPCG(seed, 0))
@@ -192,7 +195,7 @@
 			}
 			states++
 			if broken := checkAfterPowerLoss(m.afterPowerLoss(rng.IntN), p, rng.IntN, states%8 == 0); broken != nil {
-				err = fmt.Errorf("power lost after call %d, a %s: %w", m.calls, call, broken)
+				err = fmt.Errorf("power lost after call %d (%s): %w", m.calls, call, broken)
 			}
 		}
 	}
