--- a/internal/journal/crashfs_test.go
+++ b/internal/journal/crashfs_test.go
@@ -21,21 +21,23 @@
 
 // dirOp is a change of the directory that no SyncDir has made durable.
 type dirOp struct {
-	kind     string // create, rename, remove
-	from, to string
-	file     *inode
+	kind     string // create, rename or remove
+	from, to string // paths; from is empty for a create, and to for a remove
+	file     *inode // the created or renamed file; nil for a remove
 }
 
 // crashFS is a file system in memory that simulates failing calls and power losses. The power may fail after each call.
 type crashFS struct {
-	files        map[string]*inode
-	durableFiles map[string]*inode
-	unsyncedOps  []dirOp
-	calls        int
-	failFromCall int // number of the first call that fails; 0 for none
-	failedCalls  int
-	failure      error // error of the failed calls; if it is nil, writes are short and other calls return a fixed error
-	afterCall    func(m *crashFS, call string)
+	files        map[string]*inode // files by path, as the process sees them
+	durableFiles map[string]*inode // files by path at the last SyncDir
+	unsyncedOps  []dirOp           // changes of the directory since the last SyncDir
+	calls        int               // number of calls, successful and failed
+	failFromCall int               // number of the first call that fails; 0 for none
+	failedCalls  int               // number of calls that fail, from failFromCall on
+	// failure is returned by failed calls. If it is nil, failed writes are short and other failed calls return a fixed error.
+	failure error
+	// afterCall is called after each call that changes the files or makes them durable, unless it is nil.
+	afterCall func(m *crashFS, call string)
 }
 
 func newCrashFS() *crashFS {
@@ -51,15 +53,17 @@
 	return false, nil
 }
 
+// callDone calls afterCall with the name of the call that has ended.
 func (m *crashFS) callDone(name string) {
 	if m.afterCall != nil {
 		m.afterCall(m, name)
 	}
 }
 
+// crashFile is a file of a crashFS that is open for writing.
 type crashFile struct {
-	m *crashFS
-	f *inode
+	disk  *crashFS
+	inode *inode
 }
 
 func (m *crashFS) Create(path string) (File, error) {
@@ -74,33 +78,33 @@
 }
 
 func (f *crashFile) Write(b []byte) (int, error) {
-	if failed, err := f.m.countCall(); failed {
+	if failed, err := f.disk.countCall(); failed {
 		n := len(b) / 2
-		f.f.data = append(f.f.data, b[:n]...)
-		f.m.callDone("short write")
+		f.inode.data = append(f.inode.data, b[:n]...)
+		f.disk.callDone("short write")
 		return n, err
 	}
-	f.f.data = append(f.f.data, b...)
-	f.m.callDone("write")
+	f.inode.data = append(f.inode.data, b...)
+	f.disk.callDone("write")
 	return len(b), nil
 }
 
 func (f *crashFile) Sync() error {
-	if failed, err := f.m.countCall(); failed {
+	if failed, err := f.disk.countCall(); failed {
 		// As in the kernel, the data that could not be written is not made durable, and a later Sync may succeed without it.
 		return errors.Join(err, syscall.EIO)
 	}
-	f.f.synced = bytes.Clone(f.f.data)
-	f.m.callDone("sync")
+	f.inode.synced = bytes.Clone(f.inode.data)
+	f.disk.callDone("sync")
 	return nil
 }
 
 func (f *crashFile) Truncate(size int64) error {
-	if failed, err := f.m.countCall(); failed {
+	if failed, err := f.disk.countCall(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
-	f.f.data = bytes.Clone(f.f.data[:size])
-	f.m.callDone("truncate")
+	f.inode.data = bytes.Clone(f.inode.data[:size])
+	f.disk.callDone("truncate")
 	return nil
 }
 
@@ -205,6 +209,7 @@
 	return left
 }
 
+// sortedPaths returns the paths in order, so that a seed determines the outcome of a power loss.
 func sortedPaths(m map[string]*inode) (all []string) {
 	for path := range m {
 		all = append(all, path)
@@ -213,4 +218,5 @@
 	return all
 }
 
+// withoutWrapper returns m itself, for tests that inject no fault.
 func withoutWrapper(m *crashFS) FS { return m }
--- a/internal/journal/model_test.go
+++ b/internal/journal/model_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestPowerLossOnFailingDisk guards against a power loss that breaks a guarantee while the recovery from a file system error
-// is under way. One or more calls fail, from each call on, with an error or a short write.
+// TestPowerLossOnFailingDisk guards against file system errors that, together with a power loss, break a guarantee. One or
+// more calls fail with an error or a short write; every call of the workload is tried as the first one to fail.
 func TestPowerLossOnFailingDisk(t *testing.T) {
 	calls := 0
 	countCalls := func(m *crashFS) FS {
--- a/internal/journal/stored_describe_test.go
+++ b/internal/journal/stored_describe_test.go
@@ -69,8 +69,9 @@
 		}
 		fmt.Fprintln(out)
 	}
-	if notice := entry.PendingNotification; notice != nil {
-		fmt.Fprintf(out, "  pending notification %s: %s, retry after %d ms\n", notice.ID, notice.Status, notice.RetryAfterMS)
+	if notification := entry.PendingNotification; notification != nil {
+		fmt.Fprintf(out, "  pending notification %s: %s, retry after %d ms\n",
+			notification.ID, notification.Status, notification.RetryAfterMS)
 	}
 }
 
--- a/internal/journal/stored_test.go
+++ b/internal/journal/stored_test.go
@@ -141,10 +141,10 @@
 // TestWritesStoredBytes guards against a rollback to commit 569f7cf that can't read newer files: the same operations at the
 // same times must write the same bytes, in header, snapshot and each kind of record.
 func TestWritesStoredBytes(t *testing.T) {
-	for _, folder := range storedCases {
-		t.Run(folder.name, func(t *testing.T) {
-			stored, written := filepath.Join(storedDir, folder.name), t.TempDir()
-			folder.write(t, written)
+	for _, storedCase := range storedCases {
+		t.Run(storedCase.name, func(t *testing.T) {
+			stored, written := filepath.Join(storedDir, storedCase.name), t.TempDir()
+			storedCase.write(t, written)
 			if *updateStored {
 				if err := os.MkdirAll(stored, 0o755); err != nil {
 					t.Fatal(err)
@@ -193,17 +193,17 @@
 // TestReadsStoredSegments guards against an upgrade within the same boot that loses content of the stored segments, or that
 // shifts its times.
 func TestReadsStoredSegments(t *testing.T) {
-	for _, folder := range []struct{ name, want string }{
+	for _, segment := range []struct{ name, want string }{
 		{storedLog, "format 2, relay relay-3, power false, records 19, last 19, torn 0," + storedSameBoot +
 			storedEntries + storedList + storedHealth},
 		{storedSnapshot, "format 2, relay relay-3, power false, records 9, last 28, torn 0," + storedSameBoot +
 			storedEntries + storedLaterEntry + storedList + storedHealth},
 	} {
-		t.Run(folder.name, func(t *testing.T) {
+		t.Run(segment.name, func(t *testing.T) {
 			dir := t.TempDir()
-			copyDir(t, filepath.Join(storedDir, folder.name), dir)
+			copyDir(t, filepath.Join(storedDir, segment.name), dir)
 			journal, report := openStored(t, dir, storedMachine(30*time.Second), false)
-			checkText(t, describeJournal(journal, report, storedStart), folder.want)
+			checkText(t, describeJournal(journal, report, storedStart), segment.want)
 		})
 	}
 }
--- a/internal/journal/timescale_test.go
+++ b/internal/journal/timescale_test.go
@@ -75,6 +75,7 @@
 	m.now, m.boot = instant.Boot.Add(uptime), m.boot+"+"
 }
 
+// open opens a journal on the machine, under durability Process.
 func (m *fakeMachine) open(t *testing.T, dir string) *Journal {
 	t.Helper()
 	j, _, err := Open(dir, Options{DiskMB: 3, Boot: m.boot, Clocks: Clocks{Now: func() instant.Time { return m.now },
