--- a/internal/journal/crashfs_test.go
+++ b/internal/journal/crashfs_test.go
@@ -63,7 +63,7 @@
 // crashFile is a file of a crashFS that is open for writing.
 type crashFile struct {
 	disk  *crashFS
-	inode *inode
+	node *inode
 }
 
 func (m *crashFS) Create(path string) (File, error) {
@@ -80,11 +80,11 @@
 func (f *crashFile) Write(b []byte) (int, error) {
 	if failed, err := f.disk.countCall(); failed {
 		n := len(b) / 2
-		f.inode.data = append(f.inode.data, b[:n]...)
+		f.node.data = append(f.node.data, b[:n]...)
 		f.disk.callDone("short write")
 		return n, err
 	}
-	f.inode.data = append(f.inode.data, b...)
+	f.node.data = append(f.node.data, b...)
 	f.disk.callDone("write")
 	return len(b), nil
 }
@@ -94,7 +94,7 @@
 		// As in the kernel, the data that could not be written is not made durable, and a later Sync may succeed without it.
 		return errors.Join(err, syscall.EIO)
 	}
-	f.inode.synced = bytes.Clone(f.inode.data)
+	f.node.synced = bytes.Clone(f.node.data)
 	f.disk.callDone("sync")
 	return nil
 }
@@ -103,7 +103,7 @@
 	if failed, err := f.disk.countCall(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
-	f.inode.data = bytes.Clone(f.inode.data[:size])
+	f.node.data = bytes.Clone(f.node.data[:size])
 	f.disk.callDone("truncate")
 	return nil
 }
