--- a/internal/journal/crashfs_test.go
+++ b/internal/journal/crashfs_test.go
@@ -62,7 +62,7 @@
 
 // crashFile is a file of a crashFS that is open for writing.
 type crashFile struct {
-	disk  *crashFS
+	disk *crashFS
 	node *inode
 }
 
