--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,4 @@
-// Package admin is the client of a relay's admin endpoint: each connection carries one command line and one reply.
-//
-// A call ends within its timeout for connecting, and again within it for the exchange.
+// Package admin is the client of a relay's admin endpoint. Each connection carries one command line and one reply.
 package admin
 
 import (
@@ -11,7 +9,8 @@
 )
 
 // Call sends one command line to the admin endpoint at address and returns the reply unchanged. timeout bounds
-// connecting, and then sending and receiving together; ctx ends connecting earlier.
+// connecting, and separately the exchange after it, so that a call takes at most twice the timeout. A cancelled ctx ends
+// connecting, but not the exchange.
 func Call(ctx context.Context, address, line string, timeout time.Duration) (string, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// A call returns the reply, or an error in time if there is none.
+// Guards against a caller that hangs or takes an empty reply for success: Call returns an error if the relay accepts the
+// connection and never replies, or if nothing listens at the address.
 func TestCall(t *testing.T) {
 	var config net.ListenConfig
 	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { // ends with the listener
+	go func() { // returns when the listener is closed
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
@@ -31,15 +32,15 @@
 	}()
 	address := listener.Addr().String()
 	if reply, err := Call(t.Context(), address, "health", time.Second); err != nil || reply != "reply to health\n" {
-		t.Errorf("%q, %v", reply, err)
+		t.Errorf("call of health: got reply %q, error %v; want the reply and no error", reply, err)
 	}
 	if reply, err := Call(t.Context(), address, "no reply", 50*time.Millisecond); err == nil {
-		t.Errorf("without a reply: %q", reply)
+		t.Errorf("call of an endpoint that never replies: got %q and no error, want a timeout", reply)
 	}
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if reply, err := Call(t.Context(), address, "health", time.Second); err == nil {
-		t.Errorf("without a listener: %q", reply)
+		t.Errorf("call of an address without a listener: got %q and no error, want an error", reply)
 	}
 }
--- a/internal/rollout/agentconfig.go
+++ b/internal/rollout/agentconfig.go
@@ -21,21 +21,22 @@
 // AgentConfig is the configuration of the agent of one relay.
 type AgentConfig struct {
 	Relay   int      `toml:"relay"`
-	Address string   `toml:"address"` // of the agent, a loopback address
-	Dir     string   `toml:"folder"`  // for programs and the agent's state
-	Program string   `toml:"program"` // the relay's program until the first update
-	Listen  string   `toml:"listen"`  // of the relay's clients; the agent keeps the socket open during updates
-	Admin   []string `toml:"admin"`   // two addresses for the admin endpoint, which successive processes use in turn
-	Env     []string `toml:"env"`     // environment of the relay's processes, with NODE_CONFIG and NODE_STATE
-	Log     string   `toml:"log"`     // file that the relay's output is appended to
+	Address string   `toml:"address"` // loopback address on which the agent listens
+	Dir     string   `toml:"folder"`  // directory of the stored programs and of the agent's state
+	Program string   `toml:"program"` // path of the relay's program until the first update
+	Listen  string   `toml:"listen"`  // address for the relay's clients; the agent keeps the socket open during updates
+	Admin   []string `toml:"admin"`   // two addresses for the admin endpoint; successive processes alternate between them
+	Env     []string `toml:"env"`     // environment of the relay's processes; has to set NODE_CONFIG and NODE_STATE
+	Log     string   `toml:"log"`     // file to which the relay's output is appended
 }
 
-// MissingKeyError says which key a configuration lacks.
+// MissingKeyError is the error for a configuration file that does not set a required key.
 type MissingKeyError struct{ Path, Key string }
 
 func (e *MissingKeyError) Error() string { return fmt.Sprintf("%s: %s is missing", e.Path, e.Key) }
 
-// ReadAgentConfig reads the configuration of an agent. An unknown key is an error, a missing one a *MissingKeyError.
+// ReadAgentConfig reads the configuration file of an agent. It returns a *MissingKeyError for a missing key, and another error for
+// an unknown key.
 func ReadAgentConfig(path string) (*AgentConfig, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return &c, nil
 }
 
-// missingKey returns the first key that is missing, or "".
+// missingKey returns the first required key that is not set, or "" if all are.
 func (c *AgentConfig) missingKey() string {
 	for _, required := range []struct {
 		key   string
@@ -73,7 +74,7 @@
 	return ""
 }
 
-// setsVariable reports whether an environment has a variable.
+// setsVariable reports whether env, a list of NAME=VALUE entries, sets the variable.
 func setsVariable(env []string, name string) bool {
 	return slices.ContainsFunc(env, func(entry string) bool { return strings.HasPrefix(entry, name+"=") })
 }
--- a/internal/rollout/agents.go
+++ b/internal/rollout/agents.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// settlingTime is how long after its update a relay is not sampled: it completes what the old process had in flight.
+	// settlingTime is the time after an update during which a relay is not sampled, since it is still completing the messages that
+	// the old process had in flight.
 	settlingTime = 2 * time.Second
-	// maxConcurrentCalls is the number of agents that are called at once.
+	// maxConcurrentCalls is the maximum number of agents that are called concurrently.
 	maxConcurrentCalls = 32
 )
 
-// agentReply is the result of a call to an agent.
+// agentReply is the result of one call to an agent.
 type agentReply struct {
 	agent      Agent
 	reply      reply
@@ -27,7 +28,7 @@
 	receivedAt time.Time
 }
 
-// callAgents calls do for each agent, some of them at once, and returns the results in the order of the agents.
+// callAgents calls do for each agent, up to maxConcurrentCalls at once, and returns the results in the order of the agents.
 func callAgents(agents []Agent, do func(Agent) (reply, error)) []agentReply {
 	results := make([]agentReply, len(agents))
 	var calls sync.WaitGroup
@@ -50,8 +51,8 @@
 	return call(ctx, agent.Address, q)
 }
 
-// queryVersions returns the version of each relay. It is an error if an agent does not answer, is that of another relay, or is
-// updating.
+// queryVersions returns the version of each relay. It returns an error if an agent does not answer, belongs to another relay than
+// the plan says, or is carrying out an update.
 func (c *Controller) queryVersions(ctx context.Context, plan *Plan) (map[int]string, error) {
 	versions := map[int]string{}
 	for _, agent := range plan.Agents {
@@ -69,9 +70,9 @@
 	return versions, nil
 }
 
-// checkCompatibility returns an error if the new version can't replace the old ones, or can't be rolled back and the plan does
-// not allow that. One agent for each old version stores the new program and reports the formats of both, since formats are
-// determined by the checksum.
+// checkCompatibility returns an error if the new version can't replace the old ones, or if it can't be rolled back and the plan
+// does not allow that. Only one agent for each old version is asked to store the new program and to report the formats of both:
+// programs with the same checksum have the same formats.
 func (c *Controller) checkCompatibility(ctx context.Context, plan *Plan, version string, oldVersions map[int]string) error {
 	results := callAgents(oneAgentPerVersion(plan.Agents, oldVersions), func(agent Agent) (reply, error) {
 		_, err := c.call(ctx, agent, request{Operation: operationStore, Checksum: version, Path: plan.Version})
@@ -80,7 +81,7 @@
 		}
 		return c.call(ctx, agent, request{Operation: operationFormats, Checksum: version})
 	})
-	var first error // one is enough: the others are likely to be the same
+	var first error // only the first error is returned: the others are likely to have the same cause
 	for _, result := range results {
 		relay, err := result.agent.Relay, result.err
 		if err == nil {
@@ -94,7 +95,7 @@
 	return first
 }
 
-// oneAgentPerVersion returns the first agent with each version.
+// oneAgentPerVersion returns, for each version, the first agent that runs it.
 func oneAgentPerVersion(agents []Agent, versions map[int]string) (first []Agent) {
 	included := map[string]bool{}
 	for _, agent := range agents {
@@ -107,7 +108,8 @@
 	return first
 }
 
-// checkFormats compares the formats that an agent reports.
+// checkFormats returns an error if the formats that an agent reports do not permit the update. If the two versions can't read each
+// other's gossip, it only logs a warning.
 func checkFormats(answer *reply, relay int, allowNoRollback bool) error {
 	var err error
 	if answer.CurrentFormats == nil || answer.NextFormats == nil {
@@ -125,8 +127,8 @@
 	return err
 }
 
-// pollAgents returns the status of all agents, and adds a sample to the analysis if it is time to. It returns ErrSuperseded if
-// an agent knows a later controller.
+// pollAgents returns the status of the agents that answer, and adds a sample to the canary analysis once in each sampling interval.
+// It returns ErrSuperseded if an agent has seen a later fencing token.
 func (c *Controller) pollAgents(ctx context.Context) (map[int]AgentStatus, error) {
 	results := callAgents(c.state.Plan.Agents, func(agent Agent) (reply, error) {
 		return c.call(ctx, agent, request{Operation: operationStatus})
@@ -152,7 +154,7 @@
 	return agents, nil
 }
 
-// status returns what the next steps depend on.
+// status returns the part of a reply on which State.Next depends.
 func (r *reply) status() AgentStatus {
 	status := AgentStatus{Reachable: true, Version: r.Version, Settled: r.Settled, Error: r.LastError}
 	if r.Metrics != nil {
@@ -161,7 +163,7 @@
 	return status
 }
 
-// sample adds the metrics to the analysis of the stage once in a sampling interval.
+// sample adds the metrics to the canary analysis of the current stage, at most once in a sampling interval.
 func (c *Controller) sample(metrics map[int]Metrics) {
 	state := &c.state
 	if state.Phase != Running || time.Since(c.sampledAt) < state.Plan.Gate.Interval.AsDuration() || len(state.Updated) == 0 {
@@ -180,8 +182,8 @@
 	c.analysis.AddSample(metrics, func(relay int) bool { return slices.Contains(state.Updated, relay) })
 }
 
-// sendUpdates sends the updates that are recorded as running, again with each step until the agents confirm them. It returns
-// ErrSuperseded if an agent knows a later controller.
+// sendUpdates sends the updates that are recorded as running. It is called with each step, so that an update is sent again until
+// its agent confirms it. It returns ErrSuperseded if an agent has seen a later fencing token.
 func (c *Controller) sendUpdates(ctx context.Context) error {
 	if c.state.Phase == Stopped {
 		return nil
@@ -205,7 +207,7 @@
 	return nil
 }
 
-// sendUpdate has one agent store the new program, unless it has, and start the update.
+// sendUpdate asks one agent to store the new program, unless it has stored it already, and to start the update.
 func (c *Controller) sendUpdate(ctx context.Context, agent Agent) (reply, error) {
 	version := c.state.Updating[agent.Relay]
 	if version == c.state.NewVersion && !c.stored[agent.Relay] {
--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -7,57 +7,58 @@
 )
 
 const (
-	// minMessages is the number of messages of each cohort below which shares and latencies are too skewed to compare.
+	// minMessages is the minimum number of messages of each cohort for a comparison: the distributions of shares and latencies over
+	// fewer messages are too skewed.
 	minMessages = 15
-	// maxMemoryViolations is the number of samples in a row above the memory factor that make a regression: memory does not come
-	// and go within a second.
+	// maxMemoryViolations is the number of consecutive samples above the memory factor that count as a regression. Memory changes
+	// slowly, so that a single sample shows little.
 	maxMemoryViolations = 5
-	// toleratedCrashes is the number of crashes of updated relays that are no regression.
+	// toleratedCrashes is the maximum total of crashes of updated relays that does not count as a regression.
 	toleratedCrashes = 1
-	// testsPerClass is the number of tests for each class: rejected and failed messages.
+	// testsPerClass is the number of sequential tests for each class: one for rejected messages, one for failed messages.
 	testsPerClass = 2
-	// latencyTest is the name of the test of the latency.
+	// latencyTest is the name of the sequential test for latency in CanaryAnalysis.tests.
 	latencyTest = "latency"
 )
 
 // Evaluation is the result of the canary analysis of a stage.
 type Evaluation struct {
-	Regressed  bool   // the new version is worse: stop
-	Conclusive bool   // enough samples to exclude a regression: promote
-	Reason     string // why it regressed, or why the evaluation is not conclusive
+	Regressed  bool   // the new version is worse, and the rollout has to stop
+	Conclusive bool   // the samples exclude a regression, and the stage may be promoted
+	Reason     string // why the version has regressed, or why the evaluation is not conclusive
 }
 
-// cohort is the relays with the old version, or those with the new one.
+// cohort holds the metrics of one group of relays: those with the old version (control) or those with the new one (canary).
 type cohort struct {
-	outcomes  map[string][outcomeCount]float64 // by class, since outcomes were last compared
-	pending   float64                          // messages, in the last sample
-	completed float64                          // messages, between the last two samples
-	memoryMB  float64                          // in the last sample, of all relays
-	relays    float64                          // in the last sample
-	crashes   int                              // in the last sample
+	outcomes  map[string][outcomeCount]float64 // messages by class and outcome since outcomes were last compared
+	pending   float64                          // messages pending in the last sample
+	completed float64                          // messages completed between the last two samples
+	memoryMB  float64                          // memory of all relays of the cohort in the last sample, in MB
+	relays    float64                          // number of relays in the last sample
+	crashes   int                              // crashes of updated relays as of the last sample; 0 in the control cohort
 }
 
 // latencySums holds the messages pending and completed since latencies were last compared. By Little's law their ratio is the
 // latency of a cohort.
 type latencySums struct{ pending, completed float64 }
 
-// CanaryAnalysis compares the relays with the new version to the others. It compares differences over the same time, so that
-// what affects all relays alike cancels out, by sequential tests, which may be evaluated after each sample.
+// CanaryAnalysis compares the relays with the new version to the others. Both cohorts are sampled over the same time, so that
+// influences on all relays cancel out, and the differences are evaluated by sequential tests, which may be done after each sample.
 type CanaryAnalysis struct {
 	gate               Gate
 	minLikelihoodRatio float64
-	last               map[int]Metrics // of the last sample, by relay
+	last               map[int]Metrics // metrics of the last sample, by relay
 	tests              map[string]*sequentialTest
 	control, canary    cohort
 	controlLatency     latencySums
 	canaryLatency      latencySums
-	memoryViolations   int // samples in a row above the memory factor
-	samples            int // with relays in both cohorts
+	memoryViolations   int // consecutive samples above the memory factor
+	samples            int // number of samples that had relays in both cohorts
 	regression         string
 }
 
-// NewCanaryAnalysis returns the analysis of one of some stages, over a number of classes. The false positive rate of the gate is
-// divided among all tests of all stages (Bonferroni).
+// NewCanaryAnalysis returns the analysis of one stage. stages is the number of stages of the rollout, and classes the number of
+// message classes: the false positive rate of the gate is divided among all tests of all stages (Bonferroni correction).
 func NewCanaryAnalysis(gate Gate, stages, classes int) *CanaryAnalysis {
 	tests := max(1, stages) * (testsPerClass*max(1, classes) + 1)
 	return &CanaryAnalysis{
@@ -68,7 +69,7 @@
 	}
 }
 
-// AddSample adds the metrics of all relays at one time; isUpdated reports which have the new version.
+// AddSample adds one sample, the metrics of the relays at one time. isUpdated reports whether a relay has the new version.
 func (c *CanaryAnalysis) AddSample(metrics map[int]Metrics, isUpdated func(relay int) bool) {
 	c.control.startSample()
 	c.canary.startSample()
@@ -97,7 +98,7 @@
 	c.compareOutcomes()
 }
 
-// startSample resets what is of the last sample.
+// startSample resets the fields that describe the last sample; outcomes continue to accumulate.
 func (g *cohort) startSample() {
 	outcomes := g.outcomes
 	if outcomes == nil {
@@ -113,8 +114,8 @@
 	g.relays++
 }
 
-// addOutcomes adds the outcomes of a relay's messages between two samples. Counts that have decreased are of a new process: they
-// are skipped once.
+// addOutcomes adds the outcomes of a relay's messages between two samples. A count that has decreased comes from a new process and
+// adds nothing to this sample.
 func (g *cohort) addOutcomes(sample, before Metrics) {
 	for class, counts := range sample.Outcomes {
 		sum, countsBefore := g.outcomes[class], before.Outcomes[class]
@@ -129,7 +130,7 @@
 	}
 }
 
-// messages returns the number of messages in outcomes.
+// messages returns the number of messages of all classes and outcomes.
 func (g *cohort) messages() (count float64) {
 	for _, outcomes := range g.outcomes {
 		count += total(outcomes)
@@ -141,7 +142,7 @@
 	return outcomes[outcomeCompleted] + outcomes[outcomeRejected] + outcomes[outcomeFailed]
 }
 
-// compareMemory compares the mean memory of the last samples.
+// compareMemory compares the mean memory of the relays of each cohort in the last sample.
 func (c *CanaryAnalysis) compareMemory() {
 	canary, control := c.canary.memoryMB/c.canary.relays, c.control.memoryMB/c.control.relays
 	if canary <= c.gate.MemoryFactor*c.control.memoryMB/c.control.relays {
@@ -154,8 +155,8 @@
 	}
 }
 
-// compareLatency compares latencies, which by Little's law are the pending messages over the completed ones. The difference of
-// logarithms is that of a factor.
+// compareLatency compares latencies, which by Little's law are the pending messages divided by the completed ones. The test is on
+// the difference of the logarithms, since the gate gives the increase to detect as a factor.
 func (c *CanaryAnalysis) compareLatency() {
 	c.controlLatency.add(&c.control)
 	c.canaryLatency.add(&c.canary)
@@ -195,7 +196,7 @@
 	c.control, c.canary = cohort{}, cohort{}
 }
 
-// addDifference adds a difference, of updated relays less the others, to a test.
+// addDifference adds a sample, the value of the canary cohort minus that of the control cohort, to the named test.
 func (c *CanaryAnalysis) addDifference(name string, difference, chanceVariance, effect float64) {
 	test := c.tests[name]
 	if test == nil {
@@ -208,15 +209,15 @@
 	}
 }
 
-// regressed keeps the first reason.
+// regressed records a regression. Only the first reason is kept.
 func (c *CanaryAnalysis) regressed(reason string) {
 	if c.regression == "" {
 		c.regression = reason
 	}
 }
 
-// Evaluate returns the result of all samples so far. The test of the latency may detect a regression but need not exclude one:
-// where latencies are well below the sampling interval, few messages are pending in a sample.
+// Evaluate returns the result of all samples so far. The latency test can detect a regression, but the evaluation is conclusive
+// without it: if latencies are well below the sampling interval, too few messages are pending in a sample for it to conclude.
 func (c *CanaryAnalysis) Evaluate() Evaluation {
 	if c.regression != "" {
 		return Evaluation{Regressed: true, Reason: c.regression}
--- a/internal/rollout/canary_test.go
+++ b/internal/rollout/canary_test.go
@@ -8,36 +8,38 @@
 	"testing"
 )
 
-// simulatedRelays is the number of relays of a simulation.
+// simulatedRelays is the number of relays in a simulated fleet.
 const simulatedRelays = 60
 
-// simulation describes samples of a fleet in which some relays are updated.
+// simulation describes the metrics of a simulated fleet in which some relays have the new version.
 type simulation struct {
-	updated          int
-	samples          int
-	rate             float64 // messages a second at a relay
+	updated          int     // number of relays with the new version
+	samples          int     // number of samples, one a second
+	rate             float64 // mean messages a second at a relay
 	rejected         float64 // share of messages that are rejected
-	rejectedIncrease float64 // of that share, for one of the two classes of updated relays
-	latencyFactor    float64 // of updated relays; 0 for none
-	memoryFactor     float64 // of updated relays; 0 for none
-	crashes          int     // of each updated relay
-	overloadFrom     int     // sample from which all relays are overloaded; 0 for never
+	rejectedIncrease float64 // increase of that share on updated relays, for the second class
+	latencyFactor    float64 // factor on the latency of updated relays; 0 is 1
+	memoryFactor     float64 // factor on the memory of updated relays; 0 is 1
+	crashes          int     // crashes of each updated relay
+	overloadFrom     int     // index of the sample from which all relays are overloaded; 0 is never
 }
 
-// simulatedRelay is one relay of a simulation.
+// simulatedRelay is the state of one relay of a simulation.
 type simulatedRelay struct {
-	weight    float64 // of its load
+	weight    float64 // factor on the rate of messages
 	isUpdated bool
-	totals    Metrics
+	totals    Metrics // since the start of the relay
 }
 
-// simulatedClasses are the classes and their shares of the messages. The second one has the increase of rejections.
+// simulatedClasses are the message classes and their shares of the messages. Rejections of the second class increase by
+// simulation.rejectedIncrease.
 var simulatedClasses = []struct {
 	name  string
 	share float64
 }{{"a", 0.6}, {"b", 0.4}}
 
-// run adds samples to an analysis until it detects a regression, and returns the last evaluation and the number of samples.
+// run adds samples to a canary analysis, until it detects a regression or all samples are used. It returns the last evaluation and
+// the number of samples.
 func (s simulation) run(seed uint64) (evaluation Evaluation, samples int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	analysis := NewCanaryAnalysis(defaults().Gate, 4, len(simulatedClasses))
@@ -47,7 +49,7 @@
 		relays[i] = simulatedRelay{math.Exp(0.5 * rng.NormFloat64()), i < s.updated, totals}
 	}
 	for sample := range s.samples {
-		burst := math.Exp(0.3 * rng.NormFloat64()) // the load varies over time, for all relays alike
+		burst := math.Exp(0.3 * rng.NormFloat64()) // variation of the load over time, the same for all relays
 		metrics := map[int]Metrics{}
 		for i := range relays {
 			metrics[i] = s.sample(rng, &relays[i], burst, s.overloadFrom > 0 && sample >= s.overloadFrom)
@@ -60,7 +62,7 @@
 	return evaluation, s.samples
 }
 
-// sample adds a second's messages to a relay's totals and returns its metrics.
+// sample adds the messages of one second to a relay's totals and returns its metrics.
 func (s simulation) sample(rng *rand.Rand, relay *simulatedRelay, burst float64, isOverloaded bool) Metrics {
 	for i, class := range simulatedClasses {
 		rejected := s.rejected
@@ -94,7 +96,7 @@
 	return metrics
 }
 
-// poisson draws a number with a Poisson distribution.
+// poisson returns a random number with a Poisson distribution, at most 1000.
 func poisson(rng *rand.Rand, mean float64) (n int) {
 	for p := rng.Float64(); p > math.Exp(-mean) && n < 1000; n++ {
 		p *= rng.Float64()
@@ -102,7 +104,7 @@
 	return n
 }
 
-// simulationRuns is the number of runs of a simulation: $ROLLOUT_TRIALS, or few enough for a test beside others.
+// simulationRuns returns the number of runs of each simulation: $ROLLOUT_TRIALS, or by default few enough for the usual test run.
 func simulationRuns() int {
 	if n, err := strconv.Atoi(os.Getenv("ROLLOUT_TRIALS")); err == nil {
 		return n
@@ -110,15 +112,16 @@
 	return 25
 }
 
-// A version that is as good is stopped no more often than the false positive rate allows, however often it is evaluated and
-// whatever affects all relays alike; a worse one is stopped soon.
+// Guards against false positives and missed regressions of the canary analysis, in simulations. A version that equals the old one
+// may be stopped only within the false positive rate, although it is evaluated after each sample and although load and overload
+// affect all relays; a worse version has to be stopped within a number of samples.
 func TestCanaryAnalysis(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		simulation     simulation
-		maxStopped     float64 // share of the runs
-		minStopped     float64 // share of the runs
-		maxMeanSamples float64 // until the stop; 0 if it is not limited
+		maxStopped     float64 // maximum share of the runs that are stopped
+		minStopped     float64 // minimum share of the runs that are stopped
+		maxMeanSamples float64 // maximum of the mean number of samples until the stop; 0 for no limit
 	}{
 		{"equal", simulation{updated: 3, samples: 120, rate: 5, rejected: 0.1}, 0.05, 0, 0},
 		{"equal, one relay", simulation{updated: 1, samples: 120, rate: 5, rejected: 0.1}, 0.05, 0, 0},
@@ -140,25 +143,26 @@
 		}
 		share := float64(stopped) / float64(runs)
 		mean := float64(samples) / math.Max(1, float64(stopped))
-		t.Logf("%s: stopped in %.3f of %d runs, after %.1f samples in the mean", c.name, share, runs, mean)
+		t.Logf("%s: stopped in %.3f of %d runs, after a mean of %.1f samples", c.name, share, runs, mean)
 		isLate := c.maxMeanSamples > 0 && float64(samples) > c.maxMeanSamples*float64(stopped)
 		if share > c.maxStopped || share < c.minStopped || isLate {
-			t.Errorf("%s: stopped in %.3f of the runs, after %.1f samples", c.name, share, mean)
+			t.Errorf("%s: stopped in %.3f of the runs, after a mean of %.1f samples; outside the limits of the case", c.name, share, mean)
 		}
 	}
 }
 
-// With too little traffic the evaluation is not conclusive.
+// Guards against the promotion of a version after too little traffic: the evaluation must not be conclusive until there are enough
+// samples and messages, and has to say why.
 func TestInconclusive(t *testing.T) {
 	if evaluation, _ := (simulation{updated: 3, samples: 30, rate: 5, rejected: 0.1}).run(1); evaluation.Regressed {
-		t.Errorf("%+v", evaluation)
+		t.Errorf("equal versions, 30 samples: got %+v, want no regression", evaluation)
 	}
 	for _, s := range []simulation{{updated: 3, samples: 5, rate: 5}, {updated: 1, samples: 10, rate: 0.2, rejected: 0.3}} {
 		if evaluation, _ := s.run(1); evaluation.Conclusive || evaluation.Regressed || evaluation.Reason == "" {
-			t.Errorf("%+v: %+v", s, evaluation)
+			t.Errorf("simulation %+v: got %+v, want an inconclusive evaluation with a reason", s, evaluation)
 		}
 	}
 	if evaluation, _ := (simulation{updated: 3, samples: 120, rate: 10, rejected: 0.1}).run(1); !evaluation.Conclusive {
-		t.Errorf("with traffic: %+v", evaluation)
+		t.Errorf("equal versions, 120 samples at 10 messages a second: got %+v, want a conclusive evaluation", evaluation)
 	}
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// maxPollInterval is the longest time between two polls of the agents.
+	// maxPollInterval is the maximum time between two polls of the agents.
 	maxPollInterval = 200 * time.Millisecond
-	// minPollInterval is the shortest time between two polls of the agents.
+	// minPollInterval is the minimum time between two polls of the agents.
 	minPollInterval = 20 * time.Millisecond
 	// pollsPerSample is the number of polls in a sampling interval.
 	pollsPerSample = 4
 )
 
-// Controller carries out a rollout. It is not safe for concurrent use.
+// Controller carries out a rollout, which it owns by a lease on the directory of its records. It is not safe for concurrent use.
 type Controller struct {
 	store *Store
 	state State
 
-	analysis      *CanaryAnalysis // of analysisStage; nil before its first sample
+	analysis      *CanaryAnalysis // canary analysis of analysisStage; nil before its first sample
 	analysisStage int
 	sampledAt     time.Time
 
-	stored       map[int]bool      // by relay: whether the agent has stored the new program
-	settledSince map[int]time.Time // by relay: when it was first seen with its current version
+	stored       map[int]bool      // by relay: whether its agent has stored the new program
+	settledSince map[int]time.Time // by relay: when it was last seen with an update running, or else when it was first seen
 }
 
-// Start starts a rollout in an empty directory, or in one whose last rollout has ended. No relay is updated before Run.
+// Start records a new rollout in dir, which has to be empty or hold a rollout that has ended. It checks that the new version is
+// compatible with the old ones. No relay is updated before Run.
 func Start(ctx context.Context, dir string, plan *Plan) (*Controller, error) {
 	version, err := Checksum(plan.Version)
 	if err != nil {
@@ -55,8 +56,8 @@
 	return controller, controller.record(started)
 }
 
-// Open takes over the rollout in a directory, with force even if another controller holds the lease. A running one is resumed or
-// rolled back, as its plan says.
+// Open takes over the rollout in a directory; if force is set, even if another controller holds the lease. A running rollout is
+// resumed or rolled back, depending on Plan.OnControllerFailure.
 func Open(dir string, force bool) (*Controller, error) {
 	controller, err := acquire(dir, force)
 	if err != nil {
@@ -72,13 +73,13 @@
 		const reason = "the controller failed, and on_death is rollback"
 		return controller, controller.record(Record{At: time.Now(), Kind: recordRollback, Reason: reason})
 	}
-	if !controller.state.BakingSince.IsZero() { // time without samples does not count
+	if !controller.state.BakingSince.IsZero() { // restart the bake time: no samples were taken without a controller
 		return controller, controller.record(Record{At: time.Now(), Kind: recordBaking})
 	}
 	return controller, nil
 }
 
-// ReadState returns the state of the rollout in a directory without taking over. Its Plan is nil if there is none.
+// ReadState returns the state of the rollout in a directory without taking it over. State.Plan is nil if there is no rollout.
 func ReadState(dir string) (state State, err error) {
 	records, err := ReadStore(dir)
 	for _, record := range records {
@@ -87,7 +88,7 @@
 	return state, err
 }
 
-// acquire takes over the records in a directory and computes their state.
+// acquire takes over the records in a directory and computes the state of the rollout from them.
 func acquire(dir string, force bool) (*Controller, error) {
 	store, err := OpenStore(dir, time.Now(), force)
 	if err != nil {
@@ -103,10 +104,10 @@
 // State returns the state of the rollout.
 func (c *Controller) State() State { return c.state }
 
-// Close releases the lease. The relays keep their versions.
+// Close releases the lease. The relays keep the versions that they have.
 func (c *Controller) Close() error { return c.store.Close() }
 
-// record appends a record and applies it.
+// record appends a record to the store and applies it to the state.
 func (c *Controller) record(record Record) error {
 	if err := c.store.Append(record); err != nil {
 		return err
@@ -116,8 +117,8 @@
 	return nil
 }
 
-// Run carries out the rollout until it is done, stopped, paused or rolled back, or ctx is cancelled. It returns ErrSuperseded if
-// a later controller has taken over.
+// Run carries out the rollout until it is done, stopped, paused or rolled back, or until ctx is cancelled. It returns
+// ErrSuperseded if a later controller has taken over.
 func (c *Controller) Run(ctx context.Context) error {
 	interval := c.state.Plan.Gate.Interval.AsDuration() / pollsPerSample
 	ticker := time.NewTicker(max(minPollInterval, min(maxPollInterval, interval)))
@@ -137,7 +138,7 @@
 	}
 }
 
-// hasEnded reports whether there is nothing left to do without an order.
+// hasEnded reports whether the controller has nothing left to do unless an operator gives an order.
 func (s *State) hasEnded() bool {
 	switch s.Phase {
 	case Done, RolledBack:
@@ -149,7 +150,7 @@
 	}
 }
 
-// step polls orders and agents, and takes the next steps.
+// step polls the order file and the agents, records the next steps, and sends the updates to the agents.
 func (c *Controller) step(ctx context.Context) error {
 	if err := c.pollOrder(); err != nil {
 		return err
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -13,18 +13,18 @@
 	"milletsail/internal/compat"
 )
 
-// errNoStart is the error of an update to a program that does not start.
+// errNoStart is returned by fakeRunner.Update for a program that does not start.
 var errNoStart = errors.New("it does not start")
 
-// fakeRunner is a Runner without processes. It records the program that would run.
+// fakeRunner is a Runner that starts no processes. It records the program of the last successful update.
 type fakeRunner struct {
 	mu        sync.Mutex
-	program   string
-	updates   int
-	startedAt time.Time
+	program   string        // path of the program that the relay would run
+	updates   int           // calls of Update that were not cancelled
+	startedAt time.Time     // reference of the counters in Metrics
 	broken    string        // checksum of a program that does not start
 	blocked   chan struct{} // if not nil, updates wait until it is closed
-	evacuated []string      // zones
+	evacuated []string      // zones that Metrics reports as evacuated
 }
 
 func (r *fakeRunner) Update(ctx context.Context, program string) error {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// evacuate sets the zones that the relay has evacuated.
+// evacuate sets the zones that Metrics reports as evacuated.
 func (r *fakeRunner) evacuate(zones ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,7 +64,7 @@
 	}, nil
 }
 
-// testFleet is agents with fake runners, and a plan for them.
+// testFleet is a fleet of agents with fake runners, and a plan for their rollout.
 type testFleet struct {
 	dir        string
 	oldProgram string
@@ -72,16 +72,16 @@
 	runners    []*fakeRunner
 	servers    []*Server
 	plan       *Plan
-	formats    map[string]compat.FormatVersions // by the content of a program; others report defaultFormats
+	formats    map[string]compat.FormatVersions // by content of a program; programs without an entry report defaultFormats
 }
 
-// defaultFormats is what a program reports that has no entry in testFleet.formats.
+// defaultFormats is what programs without an entry in testFleet.formats report.
 var defaultFormats = compat.FormatVersions{
 	Journal: compat.Format{Writes: 2, Reads: []int{1, 2}},
 	Gossip:  compat.Format{Writes: 1, Reads: []int{1}},
 }
 
-// queryFormats replaces compat.QueryProgram.
+// queryFormats replaces compat.QueryProgram in the agents. A program with zero formats reports an error.
 func (f *testFleet) queryFormats(_ context.Context, program string) (compat.FormatVersions, error) {
 	content, err := os.ReadFile(program)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return filepath.Join(f.dir, fmt.Sprint("agent", relay))
 }
 
-// addAgent starts the agent of a relay, in zone a or b.
+// addAgent starts the agent of a relay and adds it to the plan. Relays alternate between zones a and b.
 func (f *testFleet) addAgent(t *testing.T, relay int) {
 	t.Helper()
 	runner := &fakeRunner{startedAt: time.Now(), program: f.oldProgram}
@@ -139,7 +139,7 @@
 	f.plan.Agents = append(f.plan.Agents, Agent{Relay: relay, Zone: string(rune('a' + relay%2)), Address: address})
 }
 
-// start starts a rollout by the plan.
+// start starts a rollout of the fleet's plan.
 func (f *testFleet) start(t *testing.T) *Controller {
 	t.Helper()
 	controller, err := Start(t.Context(), f.stateDir(), f.plan)
@@ -149,10 +149,10 @@
 	return controller
 }
 
-// stateDir returns the directory of the controller.
+// stateDir returns the directory of the controller's records.
 func (f *testFleet) stateDir() string { return filepath.Join(f.dir, "state") }
 
-// running returns the number of relays that run a program.
+// running returns the number of relays that run a program, compared by checksum.
 func (f *testFleet) running(t *testing.T, program string) (relays int) {
 	t.Helper()
 	want := checksum(t, program)
@@ -166,7 +166,7 @@
 	return relays
 }
 
-// updates returns the number of updates of all relays.
+// updates returns the total number of updates of all relays.
 func (f *testFleet) updates() (updates int) {
 	for _, runner := range f.runners {
 		updates += runner.updates
@@ -183,7 +183,7 @@
 	return sum
 }
 
-// run runs a controller for 30 s at most.
+// run runs a controller until its rollout ends, for at most 30 s.
 func run(t *testing.T, controller *Controller) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
--- a/internal/rollout/metrics.go
+++ b/internal/rollout/metrics.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Indexes of the outcomes of messages in Metrics.Outcomes.
+// Indexes into the values of Metrics.Outcomes.
 const (
 	outcomeCompleted = iota
 	outcomeRejected
@@ -17,22 +17,23 @@
 
 // Metrics is a sample of a relay's metrics. Counts are totals since the relay's process started.
 type Metrics struct {
-	Outcomes       map[string][outcomeCount]int64 `json:"ends"` // by class: messages completed, rejected and failed
+	Outcomes       map[string][outcomeCount]int64 `json:"ends"` // by class: numbers of messages completed, rejected and failed
 	Pending        int64                          `json:"pending"`
 	MemoryMB       float64                        `json:"memory_mb"`
-	Crashes        int                            `json:"crashes"` // unexpected exits since the last update
+	Crashes        int                            `json:"crashes"` // unexpected exits of the process since the last update
 	EvacuatedZones []string                       `json:"left,omitempty"`
 }
 
+// Beginnings of the names of the relay's metrics that ParseCounters reads.
 const (
 	requestsMetric = "relay_downstream_requests{lane="
 	pendingMetric  = "relay_pending"
 )
 
-// outcomeIndexes maps the label result of the relay's metric of requests.
+// outcomeIndexes maps the values of the label "result" of relay_downstream_requests to indexes of outcomes.
 var outcomeIndexes = map[string]int{"completed": outcomeCompleted, "rejected": outcomeRejected, "failed": outcomeFailed}
 
-// ParseCounters parses the reply of a relay's admin endpoint to "counters". It is an error if there are none of requests.
+// ParseCounters parses the reply of a relay's admin endpoint to "counters". A reply without a counter of requests is an error.
 func ParseCounters(text string) (metrics Metrics, err error) {
 	metrics.Outcomes = map[string][outcomeCount]int64{}
 	for line := range strings.Lines(text) {
@@ -60,8 +61,8 @@
 	return metrics, nil
 }
 
-// ParseZones parses the reply of a relay's admin endpoint to "zone status" and returns the zones that the relay has evacuated;
-// none if the relay does not have the command.
+// ParseZones parses the reply of a relay's admin endpoint to "zone status" and returns the zones that the relay has evacuated. It
+// returns none for a reply that is not JSON, such as that of a relay without the command.
 func ParseZones(text string) (evacuated []string) {
 	var status struct {
 		Zones []struct{ Zone, State string }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -10,41 +10,42 @@
 	"time"
 )
 
-// model is a state of the model checker: the controller's state, and that of the relays. An update takes until the checker
-// decides that it has ended.
+// model is a state of the model checker: the state of the controller and that of the relays. An update runs until the checker
+// chooses to end it.
 type model struct {
 	State     State
 	Relays    map[int]modelRelay
-	Requested map[int]string // updates that were sent; each may arrive later, or be lost
-	IsStopped bool           // a stop was recorded, and no rollback since
+	Requested map[int]string // by relay: version of an update that was sent and has not arrived
+	IsStopped bool           // whether a stop was recorded, and no rollback since
 }
 
-// modelRelay is a relay and its agent.
+// modelRelay is the state of a relay and its agent. UpdatingTo is the version of a running update, or empty; Error is that of the
+// last update.
 type modelRelay struct {
 	Version, UpdatingTo, Error string
 }
 
-// mistake is a fault that is planted in the controller, to show that the checker finds it.
+// mistake is a mutation of the controller, which the model checker has to detect.
 type mistake int
 
 const (
-	noMistake mistake = iota
-	exceedsParallel
-	updatesTwoZones
-	ignoresStop      // starts further updates after a stop
-	forgetsRelay     // ends a rollback with a relay on the new version
-	sendsBeforeWrite // sends an update before it is recorded
-	mistakeEnd
+	noMistake        mistake = iota
+	exceedsParallel          // updates one relay more at once than the plan allows
+	updatesTwoZones          // updates relays of two zones at once
+	ignoresStop              // starts updates after a stop
+	forgetsRelay             // finishes a rollback while a relay still has the new version
+	sendsBeforeWrite         // sends an update that is not recorded
+	mistakeEnd               // one more than the last mutation
 )
 
-// none is the number of no relay.
+// none stands for no relay in modelStep.unreachable.
 const none = -1
 
-// modelTime is the time of all steps: the model's bake time is 0.
+// modelTime is the time of all steps. It need not advance, since the bake time of modelPlan is 0.
 var modelTime = time.Unix(1000, 0)
 
 func (m *model) clone() *model {
-	text, _ := json.Marshal(m) // maps with strings always have an encoding
+	text, _ := json.Marshal(m) // can't fail: a model has only values that JSON can encode
 	var c model
 	_ = json.Unmarshal(text, &c)
 	if c.State.Updating == nil {
@@ -56,13 +57,13 @@
 	return &c
 }
 
-// key identifies a state.
+// key returns a text that identifies a state.
 func (m *model) key() string {
 	text, _ := json.Marshal(m)
 	return string(text)
 }
 
-// agents returns the status of all agents, one of which may not answer.
+// agents returns the status of all agents by relay. The agent of the relay unreachable does not answer.
 func (m *model) agents(unreachable int) map[int]AgentStatus {
 	all := map[int]AgentStatus{}
 	for number, relay := range m.Relays {
@@ -76,16 +77,16 @@
 	return all
 }
 
-// modelStep is one step of the controller.
+// modelStep is one step of the controller, with the disturbances during it.
 type modelStep struct {
-	unreachable int // relay, or none
+	unreachable int // relay whose agent does not answer, or none
 	evaluation  Evaluation
-	crashAfter  int  // the number of records after which the controller crashes, or 0
-	isLost      bool // whether the updates that it sends are lost
+	crashAfter  int  // number of records after which the controller crashes, or 0
+	isLost      bool // whether the updates that the controller sends are lost
 	mistake     mistake
 }
 
-// apply has the controller take a step: append records and then send updates.
+// apply carries out a step of the controller: it applies the records, and then sends the updates to the agents.
 func (m *model) apply(step modelStep) {
 	s := &m.State
 	records := m.next(step)
@@ -116,7 +117,7 @@
 	m.deliver()
 }
 
-// next returns the records of a step, with the step's mistake.
+// next returns the records of a step, by State.Next with the mutation of the step.
 func (m *model) next(step modelStep) []Record {
 	s := &m.State
 	plan, changed := s.Plan, *s.Plan
@@ -146,7 +147,7 @@
 	return s.Next(modelTime, m.agents(step.unreachable), evaluation)
 }
 
-// deliver has the agents start the updates that were sent.
+// deliver starts the updates that were sent to the agents.
 func (m *model) deliver() {
 	for number, version := range m.Requested {
 		relay := m.Relays[number]
@@ -158,7 +159,7 @@
 	clear(m.Requested)
 }
 
-// completeUpdates has all running updates succeed.
+// completeUpdates completes all running updates successfully.
 func (m *model) completeUpdates() {
 	for number, relay := range m.Relays {
 		if relay.UpdatingTo != "" {
@@ -167,7 +168,7 @@
 	}
 }
 
-// violation returns the invariant that a state violates, or "".
+// violation describes the invariant that a state violates; it returns "" if there is none.
 func (m *model) violation() string {
 	zones, updating := map[string]bool{}, 0
 	for _, agent := range m.State.Plan.Agents {
@@ -184,22 +185,22 @@
 	}
 	for number, relay := range m.Relays {
 		if m.State.Phase == RolledBack && (relay.Version != m.State.OldVersions[number] || relay.UpdatingTo != "") {
-			return fmt.Sprintf("rolled back, and relay %d has %+v", number, relay)
+			return fmt.Sprintf("rollback is finished, but relay %d is in state %+v", number, relay)
 		}
 		if relay.UpdatingTo != "" && m.State.Updating[number] == "" {
-			return fmt.Sprintf("relay %d is being updated, and no record says so", number)
+			return fmt.Sprintf("relay %d is being updated without a record of the update", number)
 		}
 	}
 	return ""
 }
 
-// violationAfter returns the invariant that the transition to a state violates, or "".
+// violationAfter describes the invariant that a state or the transition to it violates; it returns "" if there is none.
 func (m *model) violationAfter(before *model) string {
 	if violation := m.violation(); violation != "" {
 		return violation
 	}
 	if m.IsStopped && before.IsStopped && len(m.State.Updating) > len(before.State.Updating) {
-		return "an update is started after a stop"
+		return "an update was started after a stop"
 	}
 	return ""
 }
@@ -214,7 +215,7 @@
 	return &p
 }
 
-// newModel returns the state after the start of a rollout.
+// newModel returns the state after the start of a rollout by modelPlan.
 func newModel() *model {
 	m := &model{Relays: map[int]modelRelay{}, Requested: map[int]string{}}
 	oldVersions := map[int]string{}
@@ -226,7 +227,7 @@
 	return m
 }
 
-// successors returns the states after each possible step of the controller, end of an update, and order.
+// successors returns the states that can follow: one for each possible step of the controller, end of an update, and order.
 func (m *model) successors(planted mistake) (after []*model) {
 	add := func(change func(*model)) {
 		next := m.clone()
@@ -257,7 +258,7 @@
 		if err != nil {
 			continue
 		}
-		record.At = time.Time{} // not part of the state
+		record.At = time.Time{} // states must not differ by the time
 		add(func(next *model) {
 			next.State.Apply(record)
 			if action == OrderAbort || action == OrderRollback {
@@ -268,11 +269,11 @@
 	return after
 }
 
-// explore visits states, breadth first, up to a number. It returns the first violation of an invariant, the number of states,
-// and those in which a controller has work to do.
+// explore visits up to maxStates states, breadth first. It returns the first violation of an invariant, the number of states, and
+// those in which the rollout is running or rolling back.
 func explore(planted mistake, maxStates int) (violation string, states int, active []*model) {
 	first := newModel()
-	if planted != noMistake { // mistakes with several relays show early
+	if planted != noMistake { // fewer stages: several relays are updated within few steps
 		first.State.Plan.Stages = first.State.Plan.Stages[2:]
 	}
 	visited := map[string]bool{first.key(): true}
@@ -298,7 +299,7 @@
 	return "", len(visited), active
 }
 
-// maxModelStates is the number of states to visit: $ROLLOUT_WORLDS, or few enough for a test beside others.
+// maxModelStates returns the number of states to visit: $ROLLOUT_WORLDS, or by default few enough for the usual test run.
 func maxModelStates() int {
 	if n, err := strconv.Atoi(os.Getenv("ROLLOUT_WORLDS")); err == nil {
 		return n
@@ -306,15 +307,15 @@
 	return 2500
 }
 
-// No sequence of steps, crashes, lost requests, failed updates and orders violates an invariant; and from each state a controller
-// without further disturbances ends the rollout: on the old version everywhere if it rolls back, on the new one if nothing is
-// wrong.
+// Guards the guarantees of the package by model checking: no sequence of steps, crashes, lost requests, failed updates and orders
+// violates an invariant. From the visited states, a controller without further disturbances ends the rollout: a rollback is
+// completed, and a running rollout is completed on all relays or stopped.
 func TestModel(t *testing.T) {
 	violation, states, active := explore(noMistake, maxModelStates())
 	if violation != "" {
 		t.Fatal(violation)
 	}
-	t.Logf("%d states", states)
+	t.Logf("visited %d states", states)
 	for i := 0; i < len(active); i += 1 + len(active)/300 {
 		m := active[i].clone()
 		phase := m.State.Phase
@@ -324,21 +325,21 @@
 		}
 		ended := m.State.Phase
 		if phase == RollingBack && ended != RolledBack || phase == Running && ended != Done && ended != Stopped {
-			t.Fatalf("%s ends as %s: %s", phase, ended, active[i].key())
+			t.Fatalf("a rollout in phase %s ended in phase %s, from state %s", phase, ended, active[i].key())
 		}
 		for number, relay := range m.Relays {
 			if ended == Done && relay.Version != "new" {
-				t.Fatalf("done, and relay %d has %+v", number, relay)
+				t.Fatalf("the rollout is done, but relay %d is in state %+v", number, relay)
 			}
 		}
 	}
 }
 
-// The model checker finds planted mistakes.
+// Guards against a model checker that detects nothing: it has to find each mutation of the controller.
 func TestModelFindsMistakes(t *testing.T) {
 	for planted := noMistake + 1; planted < mistakeEnd; planted++ {
 		if violation, states, _ := explore(planted, maxModelStates()); violation == "" {
-			t.Errorf("mistake %d is not found in %d states", planted, states)
+			t.Errorf("mutation %d of the controller was not detected in %d states", planted, states)
 		}
 	}
 }
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -14,7 +14,7 @@
 	"milletsail/internal/atomicfile"
 )
 
-// The actions of orders.
+// Values of Order.Action.
 const (
 	OrderPause    = "pause"
 	OrderResume   = "resume"
@@ -22,20 +22,21 @@
 	OrderRollback = "rollback"
 )
 
-// orderedReason is the reason in the record of an order.
+// orderedReason is the value of Record.Reason for a step that an operator has ordered.
 const orderedReason = "ordered"
 
-// Order is an operator's order. OrderResume may replace the plan.
+// Order is an operator's order to the controller of a rollout. Plan replaces the plan of the rollout; it is used only with
+// OrderResume, and may be nil.
 type Order struct {
 	Action string `json:"what"`
 	Plan   *Plan  `json:"plan,omitempty"`
 }
 
-// orderName is the file of the order in a controller's directory.
+// orderName is the name of the file in a controller's directory that holds a submitted order.
 const orderName = "order"
 
-// SubmitOrder leaves an order for the controller that holds the lease, or for the next one. It replaces an order that was not
-// received yet.
+// SubmitOrder writes an order to the directory of a rollout, where the controller that holds the lease, or the next one, receives
+// it. It replaces an order that has not been received yet.
 func SubmitOrder(dir string, order Order) error {
 	if !slices.Contains([]string{OrderPause, OrderResume, OrderAbort, OrderRollback}, order.Action) {
 		return fmt.Errorf("unknown order %q", order.Action)
@@ -47,10 +48,11 @@
 	return atomicfile.Replace(filepath.Join(dir, orderName), text)
 }
 
-// errNoOrder says that no order was submitted.
+// errNoOrder is returned by receiveOrder if no order has been submitted.
 var errNoOrder = errors.New("no order")
 
-// receiveOrder removes the submitted order and returns it, or errNoOrder.
+// receiveOrder returns the submitted order and removes its file. It returns errNoOrder if there is none. A file that can't be
+// decoded is removed too.
 func receiveOrder(dir string) (*Order, error) {
 	path := filepath.Join(dir, orderName)
 	text, err := os.ReadFile(path)
@@ -67,7 +69,7 @@
 	return &order, os.Remove(path)
 }
 
-// pollOrder handles the submitted order, if there is one.
+// pollOrder carries out the submitted order, if there is one.
 func (c *Controller) pollOrder() error {
 	order, err := receiveOrder(c.store.dir)
 	if errors.Is(err, errNoOrder) {
@@ -82,7 +84,7 @@
 	return c.HandleOrder(*order)
 }
 
-// HandleOrder carries out an order. One that is rejected is logged with the reason and is no error.
+// HandleOrder carries out an order. A rejected order is logged with the reason; it is not returned as an error.
 func (c *Controller) HandleOrder(order Order) error {
 	record, err := c.state.orderRecord(order)
 	var rejected *OrderRejectedError
@@ -93,7 +95,7 @@
 	return c.record(record)
 }
 
-// OrderRejectedError says why an order can't be carried out.
+// OrderRejectedError is the error for an order that can't be carried out in the current state of the rollout.
 type OrderRejectedError struct {
 	Action string
 	Reason string
@@ -124,13 +126,13 @@
 		}
 		record.Kind = recordRollback
 	default:
-		return Record{}, &OrderRejectedError{order.Action, "not possible in this phase"}
+		return Record{}, &OrderRejectedError{order.Action, "not possible in the current phase of the rollout"}
 	}
 	return record, nil
 }
 
-// checkPlanChange returns an error if a rollout can't be resumed by another plan: it has to have the same version and relays, and
-// include what was done so far.
+// checkPlanChange returns an error if a rollout can't be resumed with another plan. The plan has to have the same version and
+// relays, and its current stage has to include the relays that are updated already.
 func (s *State) checkPlanChange(plan *Plan) error {
 	if err := plan.validate(); err != nil {
 		return err
@@ -140,7 +142,7 @@
 		return err
 	}
 	if version != s.NewVersion {
-		return &InvalidPlanError{"version", "is another program than that of the rollout"}
+		return &InvalidPlanError{"version", "has another checksum than the program of this rollout"}
 	}
 	if len(plan.Agents) != len(s.Plan.Agents) {
 		return &InvalidPlanError{"agent", "the relays are not those of the rollout"}
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -21,15 +21,16 @@
 address = "127.0.0.1:2"
 `
 
-// A valid plan is parsed, with the defaults of keys that it does not have.
+// Guards against lost stages and defaults: a valid plan is parsed, and omitted keys have their default values.
 func TestParsePlan(t *testing.T) {
 	p, err := ParsePlan("plan", []byte(validPlan))
 	if err != nil || p.relaysAfter(0) != 1 || p.relaysAfter(1) != 2 || p.Gate.FalsePositiveRate != 0.01 {
-		t.Fatalf("%+v, %v", p, err)
+		t.Fatalf("got plan %+v, error %v; want stages of 1 and 2 relays, and false_stop 0.01", p, err)
 	}
 }
 
-// An invalid plan is an error that starts with its name; an invalid value is an *InvalidPlanError with its key.
+// Guards against a rollout by a plan that makes no sense: an invalid plan is an error that begins with the file's name, and an
+// invalid value is an *InvalidPlanError that names the key.
 func TestInvalidPlan(t *testing.T) {
 	agent := func(relay, keys string) string { return validPlan + "[[agent]]\nrelay = " + relay + "\n" + keys }
 	for _, c := range []struct{ text, key string }{
@@ -51,11 +52,11 @@
 	} {
 		_, err := ParsePlan("plan", []byte(c.text))
 		if err == nil || !strings.HasPrefix(err.Error(), "plan") {
-			t.Errorf("%q: %v", c.text, err)
+			t.Errorf("plan %q: got error %v, want one that begins with the plan's name", c.text, err)
 		}
 		var invalid *InvalidPlanError
 		if c.key != "" && (!errors.As(err, &invalid) || invalid.Key != c.key) {
-			t.Errorf("%q: %v, want an error for %s", c.text, err, c.key)
+			t.Errorf("plan %q: got error %v, want an *InvalidPlanError for %s", c.text, err, c.key)
 		}
 	}
 }
--- a/internal/rollout/process.go
+++ b/internal/rollout/process.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// readyTimeout is how long a new process may take until it serves clients.
+	// readyTimeout bounds the time from the start of a process until it serves clients.
 	readyTimeout = 15 * time.Second
-	// stopTimeout is how long a process may take to exit after SIGTERM, before it is killed.
+	// stopTimeout bounds the time from SIGTERM to the exit of a process; after it the process is killed.
 	stopTimeout = 6 * time.Second
 	// pollInterval is the time between two checks of a process.
 	pollInterval = 50 * time.Millisecond
-	// adminTimeout bounds connecting to an admin endpoint, and again the exchange.
+	// adminTimeout bounds connecting to an admin endpoint, and separately the exchange of command and reply.
 	adminTimeout = time.Second
-	// socketDescriptor is the number of the clients' socket in a process: the first of exec.Cmd.ExtraFiles.
+	// socketDescriptor is the file descriptor of the clients' socket in a process: that of the first entry of exec.Cmd.ExtraFiles.
 	socketDescriptor = 3
 )
 
@@ -29,13 +29,13 @@
 type process struct {
 	cmd        *exec.Cmd
 	program    string
-	admin      string        // address of its admin endpoint
-	adminIndex int           // of admin in AgentConfig.Admin
-	mayExit    bool          // its exit is no crash; guarded by ProcessRunner.mu
-	exited     chan struct{} // closed after its exit
+	admin      string        // address of the process's admin endpoint
+	adminIndex int           // index of that address in AgentConfig.Admin
+	mayExit    bool          // an exit of the process is expected and no crash; guarded by ProcessRunner.mu
+	exited     chan struct{} // closed after the process has exited
 }
 
-// startProcess starts a process of a program in a process group of its own. A goroutine waits for it and closes exited.
+// startProcess starts a program in a process group of its own. A goroutine waits for its exit and then closes process.exited.
 func startProcess(
 	ctx context.Context, config *AgentConfig, socket *os.File, program string, adminIndex int,
 ) (*process, error) {
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has inherited a duplicate of the descriptor
 	started := &process{
 		// The process outlives the update that starts it: stop ends it, not ctx.
 		cmd:        exec.CommandContext(context.WithoutCancel(ctx), program),
@@ -68,7 +68,7 @@
 	return started, nil
 }
 
-// serves reports whether the process serves clients.
+// serves reports whether the process serves clients, according to its admin endpoint.
 func (p *process) serves(ctx context.Context) bool {
 	text, err := p.command(ctx, "health")
 	return err == nil && strings.HasPrefix(text, "OK")
@@ -79,7 +79,7 @@
 	return admin.Call(ctx, p.admin, line, adminTimeout)
 }
 
-// awaitReady waits until the process serves clients.
+// awaitReady waits until the process serves clients. It returns an error if the process exits before, or after readyTimeout.
 func (p *process) awaitReady(ctx context.Context) error {
 	timeout := time.NewTimer(readyTimeout)
 	defer timeout.Stop()
@@ -99,9 +99,9 @@
 	}
 }
 
-// stop sends SIGTERM and waits for the exit of the process, which is killed after stopTimeout.
+// stop sends SIGTERM to the process and waits for its exit. After stopTimeout the process is killed.
 func (p *process) stop() {
-	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails only if it has exited
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails only if the process has exited already
 	select {
 	case <-p.exited:
 		return
--- a/internal/rollout/processes.go
+++ b/internal/rollout/processes.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// minRestartDelay is the backoff before a crashed process is restarted. It doubles with each further crash.
+	// minRestartDelay is the backoff before a process is restarted after its first crash. It doubles with each further crash.
 	minRestartDelay = time.Second
-	// maxRestartDelay bounds the backoff. A process that runs for so long resets it.
+	// maxRestartDelay bounds the backoff. A process that runs for this long resets the backoff to minRestartDelay.
 	maxRestartDelay = 30 * time.Second
-	// maxBusyRetries bounds the retries while a program's file is busy.
+	// maxBusyRetries bounds the retries of starting a program whose file is busy (ETXTBSY).
 	maxBusyRetries = 40
 )
 
-// ProcessRunner is the Runner of an agent. It runs one process of the relay, restarts it after a crash, and replaces it with an
-// update. All processes have the same socket for clients.
+// ProcessRunner is the Runner of an agent. It runs one process of the relay, restarts it after a crash, and replaces it by one of
+// another program on an update. All processes inherit the same listening socket for clients.
 type ProcessRunner struct {
 	config AgentConfig
 	socket *os.File
@@ -31,11 +31,11 @@
 
 	mu      sync.Mutex
 	current *process
-	crashes int // since the last update
+	crashes int // crashes of the relay since the last update
 }
 
-// NewProcessRunner opens the socket for the relay's clients, starts the program and waits until it serves clients. Restarts end
-// with ctx; Stop ends the process.
+// NewProcessRunner opens the socket for the relay's clients, starts the program and waits until it serves clients. Crashed
+// processes are restarted until ctx is cancelled. The caller has to call Stop to end the process.
 func NewProcessRunner(ctx context.Context, config AgentConfig, program string) (*ProcessRunner, error) {
 	socket, err := listenFile(ctx, config.Listen)
 	if err != nil {
@@ -53,14 +53,14 @@
 	return r, nil
 }
 
-// listenFile returns a listening socket as a file, which processes inherit.
+// listenFile returns a listening socket as a file, which can be passed to processes.
 func listenFile(ctx context.Context, address string) (*os.File, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = listener.Close() }() // the file is a duplicate
+	defer func() { _ = listener.Close() }() // the file has a duplicate of the descriptor
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
 		return nil, fmt.Errorf("%s: a %T can't be inherited", address, listener)
@@ -68,13 +68,13 @@
 	return tcp.File()
 }
 
-// start starts a process of a program.
+// start starts a program with one of the two admin addresses.
 func (r *ProcessRunner) start(ctx context.Context, program string, adminIndex int) (*process, error) {
 	return startProcess(ctx, &r.config, r.socket, program, adminIndex)
 }
 
-// startNew starts a process of a program that was just written. Its file is busy as long as another process that was forked
-// meanwhile has the descriptor, until its own exec (golang.org/issue/22315).
+// startNew starts a program that was just written. The file can be busy (ETXTBSY) for a moment: a process that was forked during
+// the write holds a duplicate of the descriptor until its exec (golang.org/issue/22315).
 func (r *ProcessRunner) startNew(ctx context.Context, program string, adminIndex int) (*process, error) {
 	started, err := r.start(ctx, program, adminIndex)
 	for retry := 0; errors.Is(err, syscall.ETXTBSY) && retry < maxBusyRetries; retry++ {
@@ -84,13 +84,13 @@
 	return started, err
 }
 
-// stop stops a process, whose exit is no crash.
+// stop stops a process, and does not count its exit as a crash.
 func (r *ProcessRunner) stop(p *process) {
 	r.allowExit(p, true)
 	p.stop()
 }
 
-// allowExit sets whether the exit of a process is no crash.
+// allowExit sets whether an exit of the process is expected, and so does not count as a crash.
 func (r *ProcessRunner) allowExit(p *process, allowed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +109,7 @@
 	r.current = p
 }
 
-// Update implements Runner: the new process starts beside the old one, which hands over to it and exits.
+// Update implements Runner. The new process starts while the old one still runs; the old one hands over to it and exits.
 func (r *ProcessRunner) Update(ctx context.Context, program string) error {
 	r.update.Lock()
 	defer r.update.Unlock()
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// restore keeps the old process after a failed update, or restarts its program if it has handed over already. ctx must not be
-// cancelled with the update: the relay is restored nevertheless.
+// restore keeps the old process after a failed update, or restarts its program if the process has handed over already. ctx must
+// not be the context of the update: the relay has to be restored even if the update was cancelled.
 func (r *ProcessRunner) restore(ctx context.Context, old *process) error {
 	if old.serves(ctx) {
 		r.allowExit(old, false)
@@ -169,15 +169,15 @@
 			delay = min(2*delay, maxRestartDelay)
 			continue
 		}
-		// An update or Stop ended it: the current process is about to change.
+		// The process was ended by an update, which is about to set the next one, or by Stop.
 		if sleep(ctx, pollInterval) != nil {
 			return
 		}
 	}
 }
 
-// restart restarts a process that has exited after a delay, and reports whether its exit was a crash. The error is that of ctx.
-// A program that can't be started is tried again with the next call.
+// restart waits for the delay and restarts a process that has exited, if its exit was a crash, which it reports. The only error
+// is that of ctx. If the program can't be started, the next call tries again.
 func (r *ProcessRunner) restart(ctx context.Context, exited *process, delay time.Duration) (crashed bool, err error) {
 	r.update.Lock()
 	defer r.update.Unlock()
@@ -193,7 +193,7 @@
 	return true, nil
 }
 
-// countCrash counts the exit of a process, if it was a crash.
+// countCrash reports whether the exit of a process was a crash, and counts it in that case.
 func (r *ProcessRunner) countCrash(exited *process) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,7 +204,7 @@
 	return true
 }
 
-// sleep waits for a duration, or returns the error of ctx if that is cancelled first.
+// sleep waits for a duration. It returns the error of ctx if ctx is cancelled first.
 func sleep(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -219,15 +219,15 @@
 	r.update.Lock()
 	defer r.update.Unlock()
 	r.stop(r.currentProcess())
-	_ = r.socket.Close() // nothing was written to it
+	_ = r.socket.Close() // a listening socket has no buffered writes to lose
 }
 
-// Metrics implements Runner.
+// Metrics implements Runner: it reads the relay's counters, zones and resident memory.
 func (r *ProcessRunner) Metrics() (Metrics, error) {
 	r.mu.Lock()
 	current, crashes := r.current, r.crashes
 	r.mu.Unlock()
-	ctx := context.Background() // bounded by adminTimeout
+	ctx := context.Background() // adminTimeout bounds the commands
 	text, err := current.command(ctx, "counters")
 	if err != nil {
 		return Metrics{}, err
@@ -237,6 +237,6 @@
 	if zones, err := current.command(ctx, "zone status"); err == nil {
 		metrics.EvacuatedZones = ParseZones(zones)
 	}
-	metrics.MemoryMB, _ = procfs.ResidentMB(current.cmd.Process.Pid) // 0 if it has just exited
+	metrics.MemoryMB, _ = procfs.ResidentMB(current.cmd.Process.Pid) // 0 if the process has just exited
 	return metrics, err
 }
--- a/internal/rollout/processes_test.go
+++ b/internal/rollout/processes_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// fakeRelayVariable has the test binary run as a relay in place of the tests: see runFakeRelay.
+// fakeRelayVariable is the environment variable that makes the test binary run as a relay instead of the tests: see runFakeRelay.
 const fakeRelayVariable = "ROLLOUT_TEST_RELAY"
 
 func TestMain(m *testing.M) {
@@ -23,14 +23,14 @@
 	os.Exit(m.Run())
 }
 
-// runFakeRelay answers commands at the admin endpoint until SIGTERM. A program whose file is called "broken" exits at once.
+// runFakeRelay answers commands at the admin endpoint until SIGTERM. A program whose file name is "broken" exits immediately.
 func runFakeRelay() {
 	if filepath.Base(os.Args[0]) == "broken" {
 		os.Exit(2)
 	}
 	terminated := make(chan os.Signal, 1)
 	signal.Notify(terminated, syscall.SIGTERM)
-	listener, err := net.Listen("tcp", os.Getenv("NODE_ADMIN")) //nolint:noctx // a process of its own, ended by a signal
+	listener, err := net.Listen("tcp", os.Getenv("NODE_ADMIN")) //nolint:noctx // the process has no context: a signal ends it
 	if err != nil {
 		os.Exit(3)
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-// freeAddress returns a loopback address with a port that was free.
+// freeAddress returns a loopback address with a port that was free during the call.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	var config net.ListenConfig
@@ -74,7 +74,7 @@
 	return listener.Addr().String()
 }
 
-// linkProgram links the test binary under another name.
+// linkProgram creates a symbolic link to the test binary under another name, which acts as a program of its own.
 func linkProgram(t *testing.T, dir, name string) string {
 	t.Helper()
 	binary, err := os.Executable()
@@ -88,7 +88,7 @@
 	return path
 }
 
-// startTestRunner starts a runner of fake relays.
+// startTestRunner starts a ProcessRunner whose processes are fake relays.
 func startTestRunner(t *testing.T, dir, program string) *ProcessRunner {
 	t.Helper()
 	config := AgentConfig{
@@ -105,7 +105,7 @@
 	return runner
 }
 
-// currentPID returns the process that answers at the admin endpoint, by its metrics.
+// currentPID returns the ID of the process that answers at the admin endpoint. Fake relays report it as a counter.
 func currentPID(t *testing.T, runner *ProcessRunner) int {
 	t.Helper()
 	metrics, err := runner.Metrics()
@@ -115,39 +115,40 @@
 	return int(metrics.Outcomes["a"][outcomeCompleted])
 }
 
-// An update replaces the process; one to a program that does not start keeps it.
+// Guards against a relay that is down after an update: an update replaces the process and ends the old one, and a failed update to
+// a program that does not start keeps the old process.
 func TestProcessRunnerUpdate(t *testing.T) {
 	dir := t.TempDir()
 	runner := startTestRunner(t, dir, linkProgram(t, dir, "old"))
 	first := currentPID(t, runner)
 	if err := runner.Update(t.Context(), linkProgram(t, dir, "broken")); err == nil {
-		t.Error("an update to a program that does not start succeeds")
+		t.Error("an update to a program that does not start succeeded, want an error")
 	}
 	if pid := currentPID(t, runner); pid != first {
-		t.Errorf("after a failed update process %d runs, want %d", pid, first)
+		t.Errorf("after a failed update: process %d serves, want the old process %d", pid, first)
 	}
 	if err := runner.Update(t.Context(), linkProgram(t, dir, "new")); err != nil {
 		t.Fatal(err)
 	}
 	current := runner.currentProcess()
 	if pid := currentPID(t, runner); pid == first || pid != current.cmd.Process.Pid || filepath.Base(current.program) != "new" {
-		t.Errorf("after an update process %d of %s runs, before it %d", pid, current.program, first)
+		t.Errorf("after an update: process %d of program %s serves, want a new process; the old one was %d", pid, current.program, first)
 	}
 	if err := syscall.Kill(first, 0); err == nil {
-		t.Errorf("process %d still runs", first)
+		t.Errorf("old process %d still runs after the update", first)
 	}
 	if metrics, err := runner.Metrics(); err != nil || metrics.Crashes != 0 || metrics.MemoryMB <= 0 {
-		t.Errorf("%+v, %v", metrics, err)
+		t.Errorf("metrics after an update: got %+v, error %v; want no crashes and memory above 0", metrics, err)
 	}
 }
 
-// A process that crashes is counted and restarted after a delay.
+// Guards against a relay that stays down after a crash: the crash is counted and the process restarted.
 func TestProcessRunnerRestart(t *testing.T) {
 	dir := t.TempDir()
 	runner := startTestRunner(t, dir, linkProgram(t, dir, "old"))
 	first := runner.currentProcess()
 	if _, err := first.command(t.Context(), "crash"); err != nil {
-		t.Logf("the crash ended the connection: %v", err)
+		t.Logf("the crash broke the admin connection: %v", err)
 	}
 	<-first.exited
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(pollInterval) {
@@ -155,15 +156,15 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the process was not restarted")
+			t.Fatal("the crashed process was not restarted within 10 s")
 		}
 	}
 	if metrics, err := runner.Metrics(); err != nil || metrics.Crashes != 1 {
-		t.Errorf("after one crash: %+v, %v", metrics, err)
+		t.Errorf("metrics after one crash: got %+v, error %v; want 1 crash", metrics, err)
 	}
 }
 
-// A configuration without a required key is an error that names it.
+// Guards against an agent that starts with an incomplete configuration: a missing or unknown key is an error.
 func TestReadAgentConfig(t *testing.T) {
 	const valid = "relay = 1\naddress = \"a\"\nfolder = \"f\"\nprogram = \"p\"\nlisten = \"l\"\nadmin = [\"x\", \"y\"]\n" +
 		"log = \"log\"\nenv = [\"NODE_CONFIG=c\", \"NODE_STATE=s\"]\n"
@@ -173,7 +174,7 @@
 			t.Fatal(err)
 		}
 		if c, err := ReadAgentConfig(path); (err != nil) != wantErr {
-			t.Errorf("%q: %+v, %v", text, c, err)
+			t.Errorf("configuration %q: got %+v, error %v", text, c, err)
 		}
 	}
 }
--- a/internal/rollout/programs.go
+++ b/internal/rollout/programs.go
@@ -9,10 +9,11 @@
 	"path/filepath"
 )
 
-// versionsName is the directory of programs in an agent's directory. Each file's name is its checksum.
+// versionsName is the subdirectory of an agent's directory that holds the stored programs. The name of each file is its checksum.
 const versionsName = "versions"
 
-// CurrentProgram returns the program that the relay of an agent's directory runs: initial, until a rollout has updated it.
+// CurrentProgram returns the path of the program that a relay runs, from the state in its agent's directory. Without a stored
+// state it returns initial.
 func CurrentProgram(dir, initial string) (string, error) {
 	state, err := readAgentState(dir)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -21,22 +22,23 @@
 	return programPath(dir, state.Version), err
 }
 
-// programPath returns the path of a stored program. Only the last element of a checksum counts: it comes from a request.
+// programPath returns the path of a stored program. The checksum comes from a request and may hold separators: only its last
+// element is used, so that the path can't leave the directory.
 func programPath(dir, checksum string) string {
 	return filepath.Join(dir, versionsName, filepath.Base(checksum))
 }
 
 func (s *Server) programPath(checksum string) string { return programPath(s.dir, checksum) }
 
-// ChecksumError says that a program does not have the expected checksum.
+// ChecksumError is the error for a program that does not have the expected checksum.
 type ChecksumError struct{ Path, Got, Want string }
 
 func (e *ChecksumError) Error() string {
 	return fmt.Sprintf("%s has checksum %.12s, not %.12s", e.Path, e.Got, e.Want)
 }
 
-// storeProgram copies a program into the agent's directory, atomically, and returns its checksum. The error is a *ChecksumError
-// if that is not want, unless want is empty.
+// storeProgram copies a program into the agent's directory, atomically, and returns its checksum. It returns a *ChecksumError if
+// want is not empty and differs from the checksum.
 func (s *Server) storeProgram(path, want string) (checksum string, err error) {
 	checksum, err = Checksum(path)
 	if err != nil {
@@ -56,7 +58,7 @@
 	return checksum, os.Rename(temporary, target)
 }
 
-// copyProgram copies a file and syncs the copy. With an error there is no copy.
+// copyProgram copies a file and syncs the copy. It removes the copy if it fails.
 func copyProgram(from, to string) error {
 	source, err := os.Open(from)
 	if err != nil {
--- a/internal/rollout/recordfile.go
+++ b/internal/rollout/recordfile.go
@@ -13,17 +13,17 @@
 	"strings"
 )
 
-// A file of records has one line for each: the CRC-32C of the JSON in hexadecimal, a space, and the JSON.
+// A record file has one line for each record: the CRC-32C of the JSON in hexadecimal, a space, and the JSON.
 
-// initialLineSize is the initial size of the buffer for one record, in bytes.
+// initialLineSize is the minimum size of the buffer for lines of a record file, in bytes.
 const initialLineSize = 1 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// errChecksum says that a record does not match its checksum.
-var errChecksum = errors.New("the checksum does not match")
+// errChecksum is the error for a record that does not match its checksum.
+var errChecksum = errors.New("record does not match its checksum")
 
-// CorruptRecordError says which line of a file of records can't be decoded.
+// CorruptRecordError is the error for a line of a record file that can't be decoded.
 type CorruptRecordError struct {
 	Path string
 	Line int
@@ -35,7 +35,7 @@
 // Unwrap returns the cause.
 func (e *CorruptRecordError) Unwrap() error { return e.Err }
 
-// writeRecord writes one line.
+// writeRecord writes a record as one line.
 func writeRecord(w io.Writer, record Record) error {
 	text, err := json.Marshal(record)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return err
 }
 
-// readRecords reads the records of a file. A torn last line is ignored; any other that can't be decoded is a
-// *CorruptRecordError.
+// readRecords reads the records of a file. It ignores an incomplete last line that can't be decoded, and returns a
+// *CorruptRecordError for any other such line.
 func readRecords(path string) (records []Record, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -59,7 +59,7 @@
 		record, err := decodeRecord(scanner.Text())
 		if err != nil {
 			if line > completeLines {
-				break // the process ended while it wrote this line
+				break // incomplete: the process crashed while it wrote this line
 			}
 			return nil, &CorruptRecordError{path, line, err}
 		}
@@ -68,7 +68,7 @@
 	return records, scanner.Err()
 }
 
-// decodeRecord decodes one line.
+// decodeRecord decodes one line of a record file and verifies its checksum.
 func decodeRecord(line string) (record Record, err error) {
 	sum, text, _ := strings.Cut(line, " ")
 	want, err := strconv.ParseUint(sum, 16, 32)
--- a/internal/rollout/sequentialtest.go
+++ b/internal/rollout/sequentialtest.go
@@ -3,26 +3,27 @@
 import "math"
 
 const (
-	// minSamples is the number of samples below which an estimated variance means little.
+	// minSamples is the minimum number of samples for a result: a variance that is estimated from fewer is too inaccurate.
 	minSamples = 6
-	// minVariance keeps the likelihood ratio finite when all samples are equal.
+	// minVariance is the minimum variance of a sample; it keeps the likelihood ratio finite if all samples are equal.
 	minVariance = 1e-9
-	// varianceInflation inflates a variance that was estimated from few samples, by this over their number.
+	// varianceInflation corrects a variance that is estimated from few samples: the variance is increased by this fraction, divided
+	// by the number of samples.
 	varianceInflation = 4
 )
 
 // sequentialTest is a mixture sequential probability ratio test of whether a difference has a mean above 0 (Robbins,
 // "Statistical methods related to the law of the iterated logarithm", 1970; Johari and others, "Always valid inference", 2017).
-// It may be evaluated after each sample without more false positives than stated.
+// It may be evaluated after each sample without exceeding the stated rate of false positives.
 type sequentialTest struct {
-	samples        float64
-	mean           float64
-	squares        float64 // sum of squared deviations (Welford)
-	chanceVariance float64 // mean variance that the counts alone explain
-	effect         float64 // the size of difference that is to be detected
+	samples        float64 // number of samples
+	mean           float64 // mean difference of the samples
+	squares        float64 // sum of squared deviations from the mean (Welford)
+	chanceVariance float64 // mean over the samples of the variance that is due to chance in the counts
+	effect         float64 // size of the difference to detect
 }
 
-// add adds a sample: a difference, and the variance that the counts behind it explain.
+// add adds a sample: a difference, and its variance due to chance, which is computed from the counts of messages behind it.
 func (t *sequentialTest) add(difference, chanceVariance float64) {
 	t.samples++
 	deviation := difference - t.mean
@@ -31,7 +32,8 @@
 	t.chanceVariance += (chanceVariance - t.chanceVariance) / t.samples
 }
 
-// variance returns the variance of one sample, at least what the counts explain: few samples may agree by chance.
+// variance returns the estimated variance of one sample. It is never below the variance due to chance: few samples may agree by
+// accident, so that the estimate is too low.
 func (t *sequentialTest) variance() float64 {
 	variance := t.chanceVariance
 	if t.samples > 1 {
@@ -40,21 +42,22 @@
 	return math.Max(minVariance, variance*(1+varianceInflation/t.samples))
 }
 
-// likelihoodRatio returns the likelihood of the samples over a mixture of differences about the effect, against none.
+// likelihoodRatio returns the likelihood of the samples under a normal distribution of differences, whose standard deviation is
+// the effect, divided by their likelihood under no difference.
 func (t *sequentialTest) likelihoodRatio() float64 {
 	variance, prior := t.variance(), t.effect*t.effect
 	return math.Sqrt(variance/(variance+t.samples*prior)) *
 		math.Exp(t.samples*t.samples*prior*t.mean*t.mean/(2*variance*(variance+t.samples*prior)))
 }
 
-// detects reports whether the mean is above 0. The probability of a false positive, over all samples, is at most the inverse of
-// minLikelihoodRatio.
+// detects reports whether the samples show a mean above 0. The probability of a false positive, over all samples, is at most
+// 1/minLikelihoodRatio.
 func (t *sequentialTest) detects(minLikelihoodRatio float64) bool {
 	return t.samples >= minSamples && t.mean > 0 && t.likelihoodRatio() >= minLikelihoodRatio
 }
 
-// excludes reports whether a difference of the size of the effect would have been detected: the upper bound of the mean is below
-// it, with a probability of a false negative of at most falseNegativeRate.
+// excludes reports whether the samples exclude a difference of the size of the effect: the upper confidence bound of the mean, at
+// level 1-falseNegativeRate, is below the effect.
 func (t *sequentialTest) excludes(falseNegativeRate float64) bool {
 	quantile := math.Sqrt2 * math.Erfinv(1-2*falseNegativeRate)
 	return t.samples >= minSamples && t.mean+quantile*math.Sqrt(t.variance()/t.samples) < t.effect
--- a/internal/rollout/server.go
+++ b/internal/rollout/server.go
@@ -18,10 +18,10 @@
 	"milletsail/internal/compat"
 )
 
-// Runner runs the processes of one relay for its agent. Update and Stop are called one at a time, Metrics at any time.
+// Runner runs the processes of one relay for its agent. Calls of Update do not overlap; Metrics may be called at any time.
 type Runner interface {
-	// Update replaces the running process by one of another program, and returns when that serves clients. With an error, the
-	// runner has tried to restore the old program.
+	// Update replaces the running process by one of another program, and returns when the new process serves clients. If it returns
+	// an error, it has tried to restore the old program.
 	Update(ctx context.Context, program string) error
 	// Metrics returns a sample of the relay's metrics.
 	Metrics() (Metrics, error)
@@ -38,26 +38,26 @@
 	mu        sync.Mutex
 	state     agentState
 	updating  bool
-	lastError string // of the last update
+	lastError string // error of the last update, or empty
 
-	work     sync.WaitGroup     // requests and updates
+	work     sync.WaitGroup     // goroutines of the listener, of requests and of updates
 	close    context.CancelFunc // closes closed
 	closed   <-chan struct{}
 	listener net.Listener
 }
 
-// agentState is what survives a restart of an agent.
+// agentState is the part of an agent's state that is stored on disk and survives a restart.
 type agentState struct {
-	FencingToken uint64 `json:"fence"`
+	FencingToken uint64 `json:"fence"`   // latest fencing token that the agent has seen
 	Version      string `json:"version"` // checksum of the current program
-	UpdatingTo   string `json:"going"`   // checksum of a running update, or empty
+	UpdatingTo   string `json:"going"`   // checksum of the program that a running update installs, or empty
 }
 
-// agentStateName is the file of the agent's state in its directory.
+// agentStateName is the name of the file in the agent's directory that holds agentState.
 const agentStateName = "agent.json"
 
-// NewServer returns the agent of a relay, which stores programs and its state in dir. program is the one that runs if the agent
-// has no state yet. An update that was running when the agent's process ended is repeated.
+// NewServer returns the agent of a relay, which stores programs and its state in dir. program is the path of the program that the
+// relay runs if the agent has no stored state. An update that was running when the agent's last process ended is repeated.
 func NewServer(relay int, dir, program string, runner Runner) (*Server, error) {
 	if err := os.MkdirAll(filepath.Join(dir, versionsName), 0o700); err != nil {
 		return nil, err
@@ -74,7 +74,7 @@
 	return s, nil
 }
 
-// load reads the state, or creates it for a program.
+// load reads the stored state. If there is none, it stores the program and creates the state for it.
 func (s *Server) load(program string) error {
 	state, err := readAgentState(s.dir)
 	if !errors.Is(err, fs.ErrNotExist) {
@@ -105,7 +105,7 @@
 	return atomicfile.Replace(filepath.Join(s.dir, agentStateName), text)
 }
 
-// Listen accepts requests at a loopback address until Close, and returns the address with its port.
+// Listen starts to accept requests at a loopback address, until Close, and returns the address with the actual port.
 func (s *Server) Listen(address string) (string, error) {
 	host, _, err := net.SplitHostPort(address)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
@@ -130,8 +130,8 @@
 	}
 }
 
-// Close stops accepting requests, cancels a running update and waits for its end. The agent's next process repeats it. Further
-// calls do nothing.
+// Close stops accepting requests, cancels a running update and waits for the end of both. The agent's next process repeats the
+// update. Further calls do nothing.
 func (s *Server) Close() {
 	s.close()
 	if s.listener != nil {
@@ -163,10 +163,10 @@
 	}
 }
 
-// serveConn answers the one request of a connection.
+// serveConn reads one request from a connection, replies, and closes the connection.
 func (s *Server) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(requestTimeout)) // without a deadline the client's ends the connection
+	_ = conn.SetDeadline(time.Now().Add(requestTimeout)) // if this fails, the client's own timeout ends the exchange
 	line, err := bufio.NewReader(io.LimitReader(conn, maxRequestSize)).ReadBytes('\n')
 	var received request
 	if err == nil {
@@ -181,12 +181,12 @@
 	}
 	text, err := json.Marshal(answer)
 	if err != nil {
-		return // a reply without encoding is none: the controller tries again
+		return // the controller gets no reply and tries again
 	}
-	_, _ = conn.Write(append(text, '\n')) // a lost reply is as good as a lost request
+	_, _ = conn.Write(append(text, '\n')) // the controller treats a lost reply like a lost request and repeats it
 }
 
-// handle carries out a request and fills in the answer.
+// handle carries out a request and fills in the reply.
 func (s *Server) handle(received request, answer *reply) error {
 	if received.Operation == operationStatus {
 		if metrics, err := s.runner.Metrics(); err == nil {
@@ -214,7 +214,8 @@
 	return fmt.Errorf("unknown operation %q", received.Operation)
 }
 
-// checkToken stores a later fencing token, and returns ErrStaleToken for an earlier one. The caller holds mu.
+// checkToken compares a request's fencing token with the latest one. It stores a later token, and returns ErrStaleToken for an
+// earlier one. The caller holds mu.
 func (s *Server) checkToken(token uint64) error {
 	if token < s.state.FencingToken {
 		return ErrStaleToken
@@ -226,7 +227,7 @@
 	return s.save()
 }
 
-// reportFormats fills in the formats of the current version and of the next one. The caller holds mu.
+// reportFormats fills in the formats of the current version and of the version with the checksum next. The caller holds mu.
 func (s *Server) reportFormats(next string, answer *reply) {
 	ctx, cancel := s.newContext()
 	defer cancel()
@@ -243,7 +244,8 @@
 	}
 }
 
-// update starts an update unless one is running, or the last one was to the same version and succeeded. The caller holds mu.
+// update starts an update to a stored version. It does nothing if an update is running, or if the relay has the version already and
+// its last update did not fail. The caller holds mu.
 func (s *Server) update(checksum string) error {
 	if s.updating || s.state.Version == checksum && s.lastError == "" {
 		return nil
@@ -260,7 +262,7 @@
 	return nil
 }
 
-// startUpdate runs an update in a goroutine, which Close cancels and waits for. The caller holds mu, or has the only reference.
+// startUpdate runs an update in a goroutine, which Close cancels and waits for. The caller holds mu, unless it is NewServer.
 func (s *Server) startUpdate(checksum string) {
 	s.updating, s.lastError = true, ""
 	s.work.Go(func() {
@@ -270,13 +272,13 @@
 	})
 }
 
-// endUpdate stores the result of an update.
+// endUpdate records the result of an update in the stored state.
 func (s *Server) endUpdate(checksum string, updateErr error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.updating = false
 	if s.isClosed() {
-		return // the state still says that the update is running: the agent's next process repeats it
+		return // the stored state still has the running update, which the agent's next process repeats
 	}
 	if updateErr == nil {
 		s.state.Version = checksum
--- a/internal/rollout/server_test.go
+++ b/internal/rollout/server_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// An agent whose process ends during an update repeats the update when it starts again.
+// Guards against an update that is lost when the agent's process ends during it: the next process repeats the update and keeps the
+// fencing token.
 func TestInterruptedUpdate(t *testing.T) {
 	f := newTestFleet(t, 1)
 	f.runners[0].blocked = make(chan struct{})
@@ -29,12 +30,12 @@
 	server.work.Wait()
 	server.Close()
 	if f.running(t, f.newProgram) != 1 || server.state.Version != version || server.state.FencingToken != 1 {
-		t.Errorf("%+v", server.state)
+		t.Errorf("restarted agent: got state %+v, want the new version and fencing token 1", server.state)
 	}
 }
 
-// An agent rejects requests with a stale token, unknown operations, programs that it does not have, and paths outside its
-// directory; and listens on loopback addresses only.
+// Guards against updates by a superseded controller or from outside. An agent rejects requests with a stale fencing token, unknown
+// operations, programs that it has not stored and paths outside its directory, and listens on loopback addresses only.
 func TestRejectedRequests(t *testing.T) {
 	f := newTestFleet(t, 1)
 	address, version := f.plan.Agents[0].Address, checksum(t, f.newProgram)
@@ -43,7 +44,7 @@
 	}
 	stale := request{Operation: operationUpdate, FencingToken: 6, Checksum: version}
 	if _, err := call(t.Context(), address, stale); !errors.Is(err, ErrStaleToken) {
-		t.Errorf("a stale token: %v", err)
+		t.Errorf("request with a stale token: got error %v, want ErrStaleToken", err)
 	}
 	var rejected *AgentError
 	for _, q := range []request{
@@ -54,22 +55,22 @@
 		{Operation: operationStore, FencingToken: 7, Checksum: version, Path: "nothing"},
 	} {
 		if _, err := call(t.Context(), address, q); !errors.As(err, &rejected) {
-			t.Errorf("%+v: %v", q, err)
+			t.Errorf("request %+v: got error %v, want an *AgentError", q, err)
 		}
 	}
-	// Nothing can be written in the directory of programs, as on a full disk.
+	// A file in place of the directory of programs makes all writes fail, as a full disk does.
 	versions := filepath.Join(f.agentDir(0), versionsName)
 	if err := errors.Join(os.RemoveAll(versions), os.WriteFile(versions, nil, 0o600)); err != nil {
 		t.Fatal(err)
 	}
 	unwritable := request{Operation: operationStore, FencingToken: 7, Checksum: version, Path: f.newProgram}
 	if _, err := call(t.Context(), address, unwritable); err == nil {
-		t.Error("a program is stored on a full disk")
+		t.Error("storing a program without a writable directory succeeded, want an error")
 	}
 	if _, err := (&Server{}).Listen("0.0.0.0:0"); err == nil {
-		t.Error("an agent listens beyond loopback")
+		t.Error("listening on 0.0.0.0 succeeded, want an error: agents listen on loopback only")
 	}
 	if f.running(t, f.oldProgram) != 1 {
-		t.Error("the relay was updated")
+		t.Error("the relay was updated by a rejected request")
 	}
 }
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -8,57 +8,58 @@
 // Phase is the phase of a rollout.
 type Phase string
 
-// The phases. Relays are updated in Running and RollingBack. Stopped and Done can only be rolled back, and RolledBack is final.
+// Values of Phase. Relays are updated in Running and RollingBack only. From Stopped and Done a rollout can only be rolled back;
+// RolledBack is final.
 const (
 	Running     Phase = "running"
 	Paused      Phase = "paused"
-	Stopped     Phase = "stopped" // by a gate or an order; the fleet keeps both versions
+	Stopped     Phase = "stopped" // by the canary analysis, a failed update or an order; the relays keep the versions that they have
 	RollingBack Phase = "rolling back"
 	RolledBack  Phase = "rolled back"
 	Done        Phase = "done"
 )
 
-// State is the state of a rollout. It is determined by the records: see Apply.
+// State is the state of a rollout. It is computed by applying all records in order: see Apply.
 type State struct {
 	Plan        *Plan          `json:"plan"`
-	NewVersion  string         `json:"new"` // checksum
-	OldVersions map[int]string `json:"old"` // by relay
+	NewVersion  string         `json:"new"` // checksum of the new program
+	OldVersions map[int]string `json:"old"` // by relay: checksum of its program before the rollout
 	Phase       Phase          `json:"phase"`
-	Reason      string         `json:"why,omitempty"` // of the phase
-	Stage       int            `json:"stage"`
-	BakingSince time.Time      `json:"bake_from,omitzero"` // when the last relay of the stage was updated; zero before
-	Updating    map[int]string `json:"changing"`           // by relay: the version that it is being updated to
-	Updated     []int          `json:"changed"`            // relays with the new version, in the order of their updates
-	Failed      map[int]string `json:"failed,omitempty"`   // by relay: why its update failed
+	Reason      string         `json:"why,omitempty"`      // why the rollout is in this phase, or empty
+	Stage       int            `json:"stage"`              // index of the current stage in Plan.Stages
+	BakingSince time.Time      `json:"bake_from,omitzero"` // when the last relay of the stage was updated, or zero
+	Updating    map[int]string `json:"changing"`           // by relay with a running update: checksum of the program that it installs
+	Updated     []int          `json:"changed"`            // relays updated, or whose update failed, in order
+	Failed      map[int]string `json:"failed,omitempty"`   // by relay: error of its failed update
 }
 
-// Record is one step of a rollout. It is on disk before the step is carried out.
+// Record is one step of a rollout. It is written to disk before the step is carried out.
 type Record struct {
 	At          time.Time      `json:"at"`
 	Kind        string         `json:"kind"`
 	Relay       int            `json:"relay,omitempty"`
-	Version     string         `json:"to,omitempty"`
-	Reason      string         `json:"why,omitempty"`
+	Version     string         `json:"to,omitempty"`  // checksum of a program
+	Reason      string         `json:"why,omitempty"` // why the step was taken, or the error of an update
 	Plan        *Plan          `json:"plan,omitempty"`
 	OldVersions map[int]string `json:"old,omitempty"`
 }
 
-// The kinds of records, with the fields that each has. Their texts are stored.
+// Values of Record.Kind, which are stored on disk. The comments list the fields that are set beside At and Kind.
 const (
-	recordStarted      = "began"    // Plan, Version: the new one, OldVersions
-	recordUpdating     = "change"   // Relay, Version: the update is to be sent to the agent
-	recordUpdated      = "changed"  // Relay, Version: the agent has confirmed the update
+	recordStarted      = "began"    // Plan, Version (the new one), OldVersions
+	recordUpdating     = "change"   // Relay, Version; the update has to be sent to the agent
+	recordUpdated      = "changed"  // Relay, Version; the agent has confirmed the update
 	recordUpdateFailed = "failed"   // Relay, Reason
-	recordBaking       = "baking"   // the last relay of the stage was updated
-	recordPromoted     = "stage"    // the next stage starts
+	recordBaking       = "baking"   // none; the last relay of the stage was updated
+	recordPromoted     = "stage"    // none; the next stage starts
 	recordPaused       = "pause"    // Reason
-	recordResumed      = "resume"   // Plan, if it was replaced
+	recordResumed      = "resume"   // Plan, if the order replaced it
 	recordStopped      = "stop"     // Reason
 	recordRollback     = "rollback" // Reason
-	recordFinished     = "finished" // all relays were updated, or rolled back
+	recordFinished     = "finished" // none; all relays were updated, or rolled back
 )
 
-// Apply updates the state by a record. The same records always give the same state.
+// Apply updates the state by a record. It is deterministic: the same records always lead to the same state.
 func (s *State) Apply(record Record) {
 	switch record.Kind {
 	case recordStarted:
@@ -80,7 +81,7 @@
 		s.Phase, s.Reason = Paused, record.Reason
 	case recordResumed:
 		s.Phase, s.Reason = Running, ""
-		s.BakingSince = time.Time{} // samples from before the pause don't count
+		s.BakingSince = time.Time{} // the bake time starts again: samples from before the pause do not count
 		if record.Plan != nil {
 			s.Plan = record.Plan
 		}
@@ -106,8 +107,8 @@
 	}
 }
 
-// applyUpdateFailed counts a relay whose update to the new version failed as updated: whichever version it runs, a rollback has
-// to restore the old one.
+// applyUpdateFailed records a failed update. If it was to the new version, the relay counts as updated, whichever version it runs
+// now: a rollback has to restore the old one.
 func (s *State) applyUpdateFailed(record Record) {
 	if s.Updating[record.Relay] == s.NewVersion && !slices.Contains(s.Updated, record.Relay) {
 		s.Updated = append(s.Updated, record.Relay)
@@ -116,7 +117,7 @@
 	s.Failed[record.Relay] = record.Reason
 }
 
-// updatingRelays returns the relays in Updating in ascending order.
+// updatingRelays returns the relays with a running update in ascending order.
 func (s *State) updatingRelays() (relays []int) {
 	for relay := range s.Updating {
 		relays = append(relays, relay)
--- a/internal/rollout/steps.go
+++ b/internal/rollout/steps.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// AgentStatus is what a relay's agent reports, as far as the next steps depend on it.
+// AgentStatus is the part of an agent's report on which the next steps of a rollout depend.
 type AgentStatus struct {
-	Reachable      bool
-	Version        string
-	Settled        bool     // no update is running
-	Error          string   // of the last update
-	EvacuatedZones []string // by the relay's own decision or by order
+	Reachable      bool     // whether the agent answered; if not, all other fields are zero
+	Version        string   // checksum of the program that the relay runs
+	Settled        bool     // whether no update is running
+	Error          string   // error of the last update, or empty
+	EvacuatedZones []string // zones that the relay has evacuated, by itself or by an operator's order
 }
 
-// evacuationQuorum is the share of the reachable relays above which a zone that they have evacuated pauses a rollout. A single
-// relay of many may be wrong.
+// evacuationQuorum is the share of the reachable relays that has to be exceeded by those that have evacuated a zone, for the
+// rollout to pause. A single relay of many may be wrong about a zone.
 const evacuationQuorum = 0.1
 
-// evacuatedZone returns the zone that most relays have evacuated, and their number; 0 if they are no quorum.
+// evacuatedZone returns the zone that the largest number of relays have evacuated, and that number. It returns "" and 0 if no zone
+// exceeds evacuationQuorum.
 func evacuatedZone(agents map[int]AgentStatus) (zone string, relays int) {
 	evacuations, reachable := map[string]int{}, 0
 	for _, status := range agents {
@@ -39,9 +40,9 @@
 	return zone, relays
 }
 
-// Next returns the records to append next, given the status of the agents and the evaluation of the stage; none if there is
-// nothing to do but wait. The caller appends each record, applies it, and then carries it out. Next is a pure function, so that
-// a model checker can explore all paths through it.
+// Next returns the records to append next, given the status of the agents by relay and the evaluation of the current stage. It
+// returns none if the rollout has to wait. The caller appends and applies each record, and then carries it out. Next has no side
+// effects, so that a model checker can explore all paths through it.
 func (s *State) Next(now time.Time, agents map[int]AgentStatus, evaluation Evaluation) []Record {
 	if confirmed := s.confirmUpdates(now, agents); len(confirmed) > 0 {
 		return confirmed
@@ -58,13 +59,13 @@
 	return nil
 }
 
-// confirmUpdates returns a record for each running update that an agent reports as ended.
+// confirmUpdates returns a record for each running update that has ended according to the relay's agent.
 func (s *State) confirmUpdates(now time.Time, agents map[int]AgentStatus) (next []Record) {
 	for _, relay := range s.updatingRelays() {
 		status, version := agents[relay], s.Updating[relay]
 		switch {
 		case !status.Reachable || !status.Settled:
-		case s.Phase == Stopped: // an update that had not reached the agent by then is not sent any more
+		case s.Phase == Stopped: // an update that did not reach the agent before the stop is no longer sent
 			next = append(next, Record{At: now, Kind: recordUpdated, Relay: relay, Version: status.Version})
 		case status.Version == version && status.Error == "":
 			next = append(next, Record{At: now, Kind: recordUpdated, Relay: relay, Version: version})
@@ -75,7 +76,7 @@
 	return next
 }
 
-// halt returns the record that stops or pauses a running rollout, if there is a reason to.
+// halt returns the record that stops or pauses a running rollout; ok is false if there is no reason to.
 func (s *State) halt(now time.Time, agents map[int]AgentStatus, evaluation Evaluation) (halt Record, ok bool) {
 	for relay, reason := range s.Failed {
 		return Record{At: now, Kind: recordStopped, Reason: fmt.Sprintf("update of relay %d failed: %s", relay, reason)}, true
@@ -90,7 +91,7 @@
 	return Record{}, false
 }
 
-// advance starts the next updates of the stage, or ends it.
+// advance returns the records that start the next updates of the stage, its bake time, or the next stage.
 func (s *State) advance(now time.Time, agents map[int]AgentStatus, evaluation Evaluation) []Record {
 	if remaining := s.Plan.relaysAfter(s.Stage) - len(s.Updated) - len(s.Updating); remaining > 0 {
 		return s.startUpdates(now, agents, remaining)
@@ -104,7 +105,8 @@
 	return s.endStage(now, agents, evaluation)
 }
 
-// startUpdates returns records for updates of at most so many further relays, as far as the plan allows them at once.
+// startUpdates returns records that start updates of up to remaining further relays, within the limits of the plan on parallel
+// updates.
 func (s *State) startUpdates(now time.Time, agents map[int]AgentStatus, remaining int) (next []Record) {
 	for _, agent := range s.updateOrder() {
 		if remaining == 0 || len(s.Updating)+len(next) >= s.Plan.MaxParallel {
@@ -121,8 +123,9 @@
 	return next
 }
 
-// endStage promotes a stage that has baked with a conclusive evaluation, or pauses if there is none after the maximum bake time.
-// Where all relays are updated there is nothing to compare with, so the minimum bake time is enough.
+// endStage returns the record that promotes a stage after its bake time, if the evaluation is conclusive, or that pauses the
+// rollout if it is not after the maximum bake time. If all relays are updated, there is no control cohort to compare with, and
+// the minimum bake time is enough.
 func (s *State) endStage(now time.Time, agents map[int]AgentStatus, evaluation Evaluation) []Record {
 	baked := now.Sub(s.BakingSince)
 	expired := baked >= s.Plan.MaxBakeTime.AsDuration()
@@ -147,7 +150,7 @@
 	return []Record{{At: now, Kind: recordPromoted}}
 }
 
-// updateOrder returns the agents in the order of their updates: with ByZone one zone after another.
+// updateOrder returns the agents in the order of their updates: that of the plan or, with Plan.ByZone, one zone after another.
 func (s *State) updateOrder() []Agent {
 	agents := slices.Clone(s.Plan.Agents)
 	if s.Plan.ByZone {
@@ -156,7 +159,8 @@
 	return agents
 }
 
-// sharesZone reports whether a relay is in the zone of all relays that are being updated or that the records start to update.
+// sharesZone reports whether a relay is in the same zone as all relays with a running update and as those that the records in next
+// start to update.
 func (s *State) sharesZone(agent Agent, next []Record) bool {
 	for _, other := range s.Plan.Agents {
 		isNext := slices.ContainsFunc(next, func(r Record) bool { return r.Relay == other.Relay })
@@ -167,8 +171,8 @@
 	return true
 }
 
-// rollBack starts to restore the old versions of updated relays, the last one first. It is finished when all have theirs: a
-// relay that does not answer is waited for.
+// rollBack returns the records that restore the old versions of the updated relays, the last updated first. The rollback is
+// finished when all of them have their old version: it waits for a relay that does not answer.
 func (s *State) rollBack(now time.Time, agents map[int]AgentStatus) (next []Record) {
 	plans := map[int]Agent{}
 	for _, agent := range s.Plan.Agents {
@@ -196,7 +200,8 @@
 	return s.retryRestore(now, agents)
 }
 
-// retryRestore returns a record for one relay whose rollback failed, if any is ready.
+// retryRestore returns a record for one relay whose rollback failed and whose agent is ready for another attempt; none if there is
+// no such relay.
 func (s *State) retryRestore(now time.Time, agents map[int]AgentStatus) []Record {
 	for _, relay := range s.Updated {
 		if s.Failed[relay] != "" && agents[relay].Reachable && agents[relay].Settled {
@@ -206,7 +211,7 @@
 	return nil
 }
 
-// restore returns the record of an update of a relay to its old version.
+// restore returns the record that starts the update of a relay to its old version.
 func (s *State) restore(now time.Time, relay int) Record {
 	return Record{At: now, Kind: recordUpdating, Relay: relay, Version: s.OldVersions[relay]}
 }
--- a/internal/rollout/steps_test.go
+++ b/internal/rollout/steps_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A stage with a relay that does not answer, or with an inconclusive evaluation, is not promoted; after the maximum bake time the
-// rollout pauses.
+// Guards against the promotion of a version that is not known to be healthy: a stage with an unreachable relay or an inconclusive
+// evaluation is not promoted, and the rollout pauses after the maximum bake time.
 func TestUnreachableIsNotHealthy(t *testing.T) {
 	m := newModel()
 	m.State.Plan.BakeTime, m.State.Plan.MaxBakeTime = Duration(10*time.Second), Duration(time.Minute)
@@ -25,9 +25,9 @@
 		baked       time.Duration
 		unreachable int
 		evaluation  Evaluation
-		want        string // kind of the only record, or "" for none
+		want        string // kind of the one record that is expected, or "" for none
 	}{
-		{"its relay unreachable", 20 * time.Second, 0, Evaluation{Conclusive: true}, ""},
+		{"unreachable relay", 20 * time.Second, 0, Evaluation{Conclusive: true}, ""},
 		{"before the bake time", 9 * time.Second, none, Evaluation{Conclusive: true}, ""},
 		{"inconclusive", 20 * time.Second, none, Evaluation{}, ""},
 		{"inconclusive after the maximum bake time", 2 * time.Minute, none, Evaluation{Reason: "too little traffic"}, recordPaused},
@@ -35,18 +35,18 @@
 	} {
 		next := m.State.Next(now.Add(c.baked), m.agents(c.unreachable), c.evaluation)
 		if c.want == "" && len(next) > 0 || c.want != "" && (len(next) != 1 || next[0].Kind != c.want) {
-			t.Errorf("%s: %+v, want %q", c.name, next, c.want)
+			t.Errorf("%s: got records %+v, want one of kind %q", c.name, next, c.want)
 		}
 	}
 }
 
-// With by_zone the relays are updated one zone after another.
+// Guards against updates that alternate between zones: with by_zone, all relays of one zone come before those of the next.
 func TestUpdateOrder(t *testing.T) {
 	var zones []string
 	for _, agent := range (&State{Plan: modelPlan()}).updateOrder() {
 		zones = append(zones, agent.Zone)
 	}
 	if !slices.Equal(zones, []string{"a", "a", "a", "b"}) {
-		t.Errorf("zones in the order %v", zones)
+		t.Errorf("got zones in the order %v, want a, a, a, b", zones)
 	}
 }
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -13,8 +13,8 @@
 )
 
 // Store holds the records of a rollout on disk. Each controller that takes over a directory gets the next fencing token and
-// writes a file of its own, which starts with all records before: a controller that was superseded and goes on can't change
-// the records of the later one, and agents reject its token.
+// writes a file of its own, which begins with a copy of all earlier records. A superseded controller that is still running can
+// therefore not change the records of the later one, and agents reject its token.
 type Store struct {
 	dir     string
 	token   uint64
@@ -22,23 +22,23 @@
 	records []Record
 }
 
-// ErrSuperseded says that a later controller has taken over.
+// ErrSuperseded is the error for a controller after a later one has taken over.
 var ErrSuperseded = errors.New("a later controller has taken over")
 
-// ErrLeaseHeld says that another controller holds the lease, as lease services (Chubby, Kubernetes) call it.
+// ErrLeaseHeld is the error for taking over a directory while another controller holds the lease.
 var ErrLeaseHeld = errors.New("another controller holds the lease")
 
 const (
-	// recordsPrefix and a fencing token are the name of a file of records.
+	// recordsPrefix begins the name of a record file; the fencing token of the controller that writes the file follows.
 	recordsPrefix = "rollout."
-	// leaseName is the file of the lease. The lease counts from the time of its last modification.
+	// leaseName is the name of the lease file. The lease counts from the time of the file's last modification.
 	leaseName = "lease"
-	// leaseDuration is how long a controller holds the lease after each renewal, which comes with each record.
+	// leaseDuration is how long a lease lasts after a renewal. A controller renews it with each record that it appends.
 	leaseDuration = 5 * time.Second
 )
 
-// OpenStore takes over the records in a directory. It returns ErrLeaseHeld while another controller holds the lease, unless
-// force is set, and a *CorruptRecordError if a record other than a torn last one can't be decoded.
+// OpenStore takes over the records in a directory, which it creates if needed. It returns ErrLeaseHeld while another controller
+// holds the lease, unless force is set, and a *CorruptRecordError if a record other than an incomplete last one can't be decoded.
 func OpenStore(dir string, now time.Time, force bool) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -67,8 +67,8 @@
 	return store, nil
 }
 
-// createFile creates the file of the store's token with the records before. Link fails if the file exists, so that of two
-// controllers which take over at once one gets ErrLeaseHeld.
+// createFile creates the record file of the store's token with a copy of the earlier records. os.Link fails if the file exists, so
+// that only one of two controllers that take over at the same time succeeds, and the other gets ErrLeaseHeld.
 func (s *Store) createFile() (err error) {
 	temporary := s.path(s.token) + ".new"
 	if s.file, err = createExclusive(temporary); err != nil {
@@ -90,23 +90,23 @@
 	return err
 }
 
-// createExclusive creates a file. One that exists is of a controller that crashed while it took over, and is replaced.
+// createExclusive creates a file. An existing file was left by a controller that crashed while it took over, and is replaced.
 func createExclusive(path string) (*os.File, error) {
 	const flags = os.O_WRONLY | os.O_CREATE | os.O_EXCL
 	file, err := os.OpenFile(path, flags, 0o600)
 	if errors.Is(err, fs.ErrExist) {
-		_ = os.Remove(path) // if it fails, so does the next line
+		_ = os.Remove(path) // a failure shows in the next call
 		file, err = os.OpenFile(path, flags, 0o600)
 	}
 	return file, err
 }
 
-// path returns the file of a fencing token.
+// path returns the path of the record file of a fencing token.
 func (s *Store) path(token uint64) string {
 	return filepath.Join(s.dir, recordsPrefix+strconv.FormatUint(token, 10))
 }
 
-// lastToken returns the latest fencing token, or 0 if there is none.
+// lastToken returns the latest fencing token that has a record file, or 0 if there is none.
 func (s *Store) lastToken() (last uint64, err error) {
 	entries, err := os.ReadDir(s.dir)
 	for _, entry := range entries {
@@ -121,13 +121,13 @@
 	return last, err
 }
 
-// FencingToken returns the token of this store, which agents compare with that of the latest controller.
+// FencingToken returns the fencing token of this store. Agents reject requests with an earlier token than the latest one they saw.
 func (s *Store) FencingToken() uint64 { return s.token }
 
 // Records returns all records, the oldest first.
 func (s *Store) Records() []Record { return s.records }
 
-// RenewLease renews the lease, or returns ErrSuperseded if a later controller has taken over.
+// RenewLease extends the lease to leaseDuration from now. It returns ErrSuperseded if a later controller has taken over.
 func (s *Store) RenewLease() error {
 	last, err := s.lastToken()
 	if err != nil {
@@ -140,7 +140,8 @@
 	return os.WriteFile(filepath.Join(s.dir, leaseName), []byte(text), 0o600)
 }
 
-// Append writes a record and returns when it is on disk. It returns ErrSuperseded if a later controller has taken over.
+// Append renews the lease, writes a record, and returns when the record is on disk. It returns ErrSuperseded if a later controller
+// has taken over.
 func (s *Store) Append(record Record) error {
 	if err := s.RenewLease(); err != nil {
 		return err
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// Close releases the lease, so that the next controller need not wait for its end.
+// Close closes the record file and releases the lease, so that the next controller need not wait until it expires.
 func (s *Store) Close() error {
 	last, err := s.lastToken()
 	if err == nil && last == s.token {
@@ -164,7 +165,7 @@
 	return errors.Join(err, s.file.Close())
 }
 
-// ReadStore returns the records in a directory without taking over; none if there is no rollout.
+// ReadStore returns the records in a directory without taking it over; none if there is no rollout.
 func ReadStore(dir string) ([]Record, error) {
 	s := &Store{dir: dir}
 	last, err := s.lastToken()
--- a/internal/rollout/store_test.go
+++ b/internal/rollout/store_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A torn last record is ignored; one that is damaged anywhere else is a CorruptRecordError.
+// Guards against a rollout that can't be resumed after a crash, or that is resumed from damaged records: an incomplete last record
+// is ignored, and damage anywhere else is a *CorruptRecordError.
 func TestDamagedRecords(t *testing.T) {
 	dir := t.TempDir()
 	store, err := OpenStore(dir, time.Now(), false)
@@ -32,8 +33,8 @@
 			t.Fatal(err)
 		}
 		records, err := ReadStore(dir)
-		if err != nil || len(records) > 2 && size < len(complete)-1 { // the last byte ends a line that is complete without it
-			t.Fatalf("of %d bytes: %d records, %v", size, len(records), err)
+		if err != nil || len(records) > 2 && size < len(complete)-1 { // without its newline the last line is still complete
+			t.Fatalf("record file cut to %d bytes: got %d records, error %v; want the complete records", size, len(records), err)
 		}
 	}
 	for _, position := range []int{3, 12, len(complete) / 2} {
@@ -44,7 +45,7 @@
 		}
 		var corrupt *CorruptRecordError
 		if _, err := OpenStore(dir, time.Now(), false); !errors.As(err, &corrupt) || corrupt.Path != path {
-			t.Errorf("damaged at byte %d: %v", position, err)
+			t.Errorf("record file damaged at byte %d: got error %v, want a *CorruptRecordError", position, err)
 		}
 	}
 }
--- a/internal/rollout/validate.go
+++ b/internal/rollout/validate.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// InvalidPlanError says which value of a plan is invalid.
+// InvalidPlanError is the error for an invalid or missing value in a plan.
 type InvalidPlanError struct {
-	Key    string // such as "gate.every" or "stage[1]"
-	Reason string
+	Key    string // key in the plan file, such as "gate.every" or "stage[1]"; lists count from 0
+	Reason string // what is wrong with the value, as a predicate of the key: "is missing"
 }
 
 func (e *InvalidPlanError) Error() string { return e.Key + ": " + e.Reason }
 
-// validate returns an *InvalidPlanError for the first value that is invalid.
+// validate returns an *InvalidPlanError for the first invalid value, or nil.
 func (p *Plan) validate() error {
 	for _, check := range []func() error{p.validateValues, p.Gate.validate, p.validateStages, p.validateAgents} {
 		if err := check(); err != nil {
@@ -82,10 +82,10 @@
 		}
 		relays := p.relaysAfter(i)
 		if relays > len(p.Agents) {
-			return &InvalidPlanError{key, fmt.Sprintf("has %d relays, there are %d", relays, len(p.Agents))}
+			return &InvalidPlanError{key, fmt.Sprintf("has %d relays, more than the %d of the plan", relays, len(p.Agents))}
 		}
 		if relays < before {
-			return &InvalidPlanError{key, fmt.Sprintf("has %d relays, fewer than the one before", relays)}
+			return &InvalidPlanError{key, fmt.Sprintf("has %d relays, fewer than the previous stage", relays)}
 		}
 		before = relays
 	}
@@ -100,7 +100,7 @@
 		case agent.Address == "":
 			return &InvalidPlanError{key + ".address", missing}
 		case agent.Zone == "" && p.ByZone:
-			return &InvalidPlanError{key + ".zone", "is missing, and by_zone is set"}
+			return &InvalidPlanError{key + ".zone", "is missing; by_zone requires it"}
 		case relays[agent.Relay]:
 			return &InvalidPlanError{key + ".relay", fmt.Sprintf("%d is a duplicate", agent.Relay)}
 		case addresses[agent.Address]:
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// Reasons that several keys have.
+// Values of InvalidPlanError.Reason that several keys share.
 const (
 	missing = "is missing"
 	noUnit  = "has no unit, such as \"10s\""
