--- a/cmd/milletsail/admin.go
+++ b/cmd/milletsail/admin.go
@@ -11,19 +11,19 @@
 	"milletsail/internal/admin"
 )
 
-// adminTimeout bounds connecting to an admin endpoint, and the exchange after it.
+// adminTimeout bounds connecting to an admin endpoint, and separately the exchange of command and reply.
 const adminTimeout = 2 * time.Second
 
-// adminQuery asks relays for a JSON reply at their admin endpoints, and shows the replies.
+// adminQuery sends a command to the admin endpoints of relays, which reply in JSON, and prints the replies as a table.
 type adminQuery[T any] struct {
-	line   string                    // the command line that each relay gets
-	header string                    // of the table, with tabs between the columns
-	raw    bool                      // replies are printed unchanged, without a table
-	rows   func(out *table, reply T) // adds the lines of one reply
+	line   string                    // command line that is sent to each relay
+	header string                    // header of the table, with tabs between the columns
+	raw    bool                      // whether replies are printed unchanged instead of as a table
+	rows   func(out *table, reply T) // adds the rows of one reply to the table
 }
 
-// run queries the relays one after the other. One that rejects the query or does not answer is named on standard error,
-// and gives errFailed in the end.
+// run queries the relays one after the other. Errors of single relays are printed on standard error, and run returns
+// errProblemFound after the last relay if there were any.
 func (q adminQuery[T]) run(command *cobra.Command, addresses []string) error {
 	out := newTable(command.OutOrStdout(), 0)
 	if !q.raw {
@@ -46,12 +46,12 @@
 		return err
 	}
 	if failed > 0 {
-		return errFailed
+		return errProblemFound
 	}
 	return nil
 }
 
-// query returns the reply of one relay, as it came and decoded.
+// query returns the reply of one relay, both unchanged and decoded.
 func (q adminQuery[T]) query(ctx context.Context, address string) (text string, reply T, err error) {
 	text, err = callRelay(ctx, address, q.line)
 	if err != nil {
@@ -60,13 +60,13 @@
 	return text, reply, json.Unmarshal([]byte(text), &reply)
 }
 
-// rejectedError says that a relay rejected a command.
+// rejectedError is the error for a command that a relay has rejected.
 type rejectedError struct{ reason string }
 
-func (e *rejectedError) Error() string { return "refused: " + e.reason }
+func (e *rejectedError) Error() string { return "the relay rejected the command: " + e.reason }
 
-// callRelay sends one command line to the admin endpoint at address, and returns its reply. It returns a *rejectedError where
-// the relay rejects the command.
+// callRelay sends one command line to the admin endpoint at address and returns the reply. It returns a *rejectedError if the
+// relay rejects the command.
 func callRelay(ctx context.Context, address, line string) (string, error) {
 	reply, err := admin.Call(ctx, address, line, adminTimeout)
 	if err != nil {
--- a/cmd/milletsail/agent.go
+++ b/cmd/milletsail/agent.go
@@ -12,8 +12,9 @@
 )
 
 func agentCommand() *cobra.Command {
-	agent := &cobra.Command{Use: "agent", Short: "Run the processes of one relay for rollouts"}
-	agent.AddCommand(&cobra.Command{Use: "run FILE", Short: "Run a relay, and change its program as a rollout's controller asks", Args: cobra.ExactArgs(1),
+	agent := &cobra.Command{Use: "agent", Short: "Run the agent of one relay, which updates the relay in rollouts"}
+	agent.AddCommand(&cobra.Command{Use: "run FILE", Short: "Run a relay and update its program on request of a rollout's controller",
+		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			config, err := rollout.ReadAgentConfig(args[0])
 			if err != nil {
@@ -24,7 +25,7 @@
 	return agent
 }
 
-// runAgent runs a relay and its agent until a signal ends them.
+// runAgent runs a relay and its agent until SIGTERM or SIGINT.
 func runAgent(command *cobra.Command, config *rollout.AgentConfig) error {
 	ctx, stop := signal.NotifyContext(command.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -46,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	command.Printf("relay %d runs %s, its agent is at %s\n", config.Relay, filepath.Base(program), address)
+	command.Printf("relay %d runs %s, its agent listens at %s\n", config.Relay, filepath.Base(program), address)
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/milletsail/campaign.go
+++ b/cmd/milletsail/campaign.go
@@ -17,32 +17,32 @@
 	"milletsail/internal/lab/scenario"
 )
 
-// defaultMetrics are the columns of a campaign's table where none are named.
+// defaultMetrics are the figures in the table of a campaign unless --figures names others.
 var defaultMetrics = []string{"served", "late", "local_part", "evacuations", "returns", "fell", "carried", "zone_back", "accused"}
 
-// campaignRun is the flags of a campaign.
+// campaignRun holds the flags of the campaign command.
 type campaignRun struct {
-	relay   string
-	out     string
-	cases   []string
-	metrics []string
-	atOnce  int
-	seeds   int
+	relay    string
+	out      string
+	cases    []string
+	metrics  []string
+	parallel int
+	seeds    int
 }
 
 func campaignCommand() *cobra.Command {
 	var run campaignRun
-	command := &cobra.Command{Use: "campaign CAMPAIGN", Short: "Play a campaign: cases of one scenario, over seeds and variants",
-		Long: "Play a campaign (a file, or the name of one that comes with the program): cases made from one scenario, each over\n" +
-			"several seeds and variants, and hold the figures against what each case expects.",
+	command := &cobra.Command{Use: "campaign CAMPAIGN", Short: "Run a campaign: cases of one scenario, with several seeds and variants",
+		Long: "Run a campaign (a file, or the name of one that comes with the program): cases that are derived from one scenario,\n" +
+			"each with several seeds and variants, and compare the figures to what each case expects.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error { return run.run(command, args[0]) }}
 	command.Flags().StringVar(&run.relay, "relay", "", "the relay's `binary` (default as for run)")
-	command.Flags().StringVar(&run.out, "out", "", "`file` for the plays, a line of JSON each")
-	command.Flags().StringSliceVar(&run.cases, "case", nil, "`names` of cases (default all)")
-	command.PersistentFlags().StringSliceVar(&run.metrics, "figures", defaultMetrics, "`names` of figures for the table")
-	command.Flags().IntVar(&run.atOnce, "at-once", 0, "plays side by side (default as the campaign has it)")
-	command.Flags().IntVar(&run.seeds, "seeds", 0, "seeds of each case, from 1 on (default as the campaign has it)")
+	command.Flags().StringVar(&run.out, "out", "", "`file` for the results, a line of JSON for each run")
+	command.Flags().StringSliceVar(&run.cases, "case", nil, "`names` of the cases to run (default all)")
+	command.PersistentFlags().StringSliceVar(&run.metrics, "figures", defaultMetrics, "`names` of the figures in the table")
+	command.Flags().IntVar(&run.parallel, "at-once", 0, "number of concurrent runs (default at_once of the campaign)")
+	command.Flags().IntVar(&run.seeds, "seeds", 0, "number of seeds of each case, from 1 on (default seeds of the campaign)")
 	command.AddCommand(run.sumCommand())
 	return command
 }
@@ -55,7 +55,7 @@
 	r.adjust(plan)
 	for _, metric := range r.metrics {
 		if campaign.Figures[metric] == nil {
-			return fmt.Errorf("--figures: there is none called %q", metric)
+			return fmt.Errorf("--figures: unknown figure %q", metric)
 		}
 	}
 	relay, err := findRelay(command.Context(), r.relay)
@@ -70,10 +70,10 @@
 	return showCampaign(command, plan, results, r.metrics)
 }
 
-// adjust puts the flags in the place of what a campaign says itself.
+// adjust replaces values of the campaign by those of flags that are set.
 func (r *campaignRun) adjust(plan *campaign.Plan) {
-	if r.atOnce > 0 {
-		plan.AtOnce = r.atOnce
+	if r.parallel > 0 {
+		plan.AtOnce = r.parallel
 	}
 	if r.seeds == 0 {
 		return
@@ -84,7 +84,8 @@
 	}
 }
 
-// runCases runs the cases, and writes each result to the file for them as it comes.
+// runCases runs the cases and returns the results. Each result is also written to the file of --out, if there is one, as soon as it
+// is known.
 func (r *campaignRun) runCases(command *cobra.Command, plan *campaign.Plan, relay string) (results []campaign.Play, err error) {
 	written := io.Discard
 	if r.out != "" {
@@ -100,15 +101,15 @@
 		return measure(ctx, s, relay)
 	}
 	return plan.Run(command.Context(), r.cases, runOne, func(result campaign.Play) {
-		_ = encoder.Encode(result) // the table does not need it
+		_ = encoder.Encode(result) // the table is printed even if the file can't be written
 		command.PrintErrf("%s, %s, seed %d: served %.1f%%%s\n", result.Case, result.Variant, result.Seed, 100*result.Figures["served"],
 			remarks(result))
 	})
 }
 
-// sumCommand sums up results that were written before, of one run or of several.
+// sumCommand returns the command that summarizes the result files of one or several runs of a campaign.
 func (r *campaignRun) sumCommand() *cobra.Command {
-	return &cobra.Command{Use: "sum CAMPAIGN FILE...", Short: "Sum up plays that were written with --out", Args: cobra.MinimumNArgs(2),
+	return &cobra.Command{Use: "sum CAMPAIGN FILE...", Short: "Summarize results that were written with --out", Args: cobra.MinimumNArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			plan, err := findCampaign(args[0])
 			if err != nil {
@@ -126,13 +127,13 @@
 		}}
 }
 
-// readResults reads a file that a campaign wrote with --out.
+// readResults reads a result file of a campaign, as written with --out.
 func readResults(path string) (results []campaign.Play, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // nothing was written to it
+	defer func() { _ = file.Close() }() // the file is only read
 	decoder := json.NewDecoder(file)
 	for {
 		var result campaign.Play
@@ -147,10 +148,11 @@
 	}
 }
 
-// remarks is what there is to say of a result beside its metrics.
+// remarks describes why a result is invalid, or its broken rules and missed expectations, as the end of a line. It returns "" for a
+// result without any.
 func remarks(result campaign.Play) string {
 	if result.Void != "" {
-		return "; void: " + result.Void
+		return "; invalid: " + result.Void
 	}
 	parts := slices.Concat(result.Broken, result.Missed)
 	if len(parts) == 0 {
@@ -162,7 +164,7 @@
 	return "; " + strings.Join(parts, "; ")
 }
 
-// campaignCounts counts the results of a campaign that did not hold.
+// campaignCounts counts the results of a campaign that are invalid, break a rule, or miss an expectation.
 type campaignCounts struct{ invalid, broken, missed int }
 
 func (c *campaignCounts) add(result campaign.Play) {
@@ -176,7 +178,7 @@
 	}
 }
 
-// showCampaign prints the table of a campaign and what did not hold, and gives that as the exit status.
+// showCampaign prints the table of a campaign, the remarks on its results and their counts, and returns the exit status as an error.
 func showCampaign(command *cobra.Command, plan *campaign.Plan, results []campaign.Play, metrics []string) error {
 	if err := showTable(command, plan, results, metrics); err != nil {
 		return err
@@ -188,20 +190,20 @@
 			command.Printf("%s, %s, seed %d%s\n", result.Case, result.Variant, result.Seed, text)
 		}
 	}
-	command.Printf("%d plays: %d broke a rule, %d stayed void, %d missed what was expected\n", len(results), counts.broken, counts.invalid,
+	command.Printf("%d runs: %d broke a rule, %d remained invalid, %d missed an expectation\n", len(results), counts.broken, counts.invalid,
 		counts.missed)
 	switch {
 	case counts.broken+counts.missed > 0:
-		return errFailed
+		return errProblemFound
 	case counts.invalid > 0:
-		return errInvalid
+		return errInvalidRun
 	}
 	return nil
 }
 
 func showTable(command *cobra.Command, plan *campaign.Plan, results []campaign.Play, metrics []string) error {
 	rows := newTable(command.OutOrStdout(), 0)
-	rows.printf("case\tfigure\tvariant\tplays\tmean\tfrom\tto\tpaired difference, 95%%\n")
+	rows.printf("case\tfigure\tvariant\truns\tmean\tfrom\tto\tpaired difference, 95%%\n")
 	for _, row := range plan.Table(results, metrics) {
 		rows.printf("%s\t%s\t%s\t%d\t%.4g\t%.4g\t%.4g", row.Case, row.Figure, row.Variant, row.Plays, row.Mean, row.Low, row.High)
 		if row.Pairs > 0 {
--- a/cmd/milletsail/canaries.go
+++ b/cmd/milletsail/canaries.go
@@ -6,20 +6,21 @@
 	"milletsail/internal/relay"
 )
 
-// canariesCommand shows the canary analysis of new endpoints, which each relay carries out by itself. Its name on the command line
-// stays "servers", as operators know it.
+// canariesCommand returns the command that shows the canary analysis of new endpoints, which each relay carries out by itself. On
+// the command line its name is "servers", which operators' scripts use.
 func canariesCommand() *cobra.Command {
 	query := adminQuery[relay.CanaryStatus]{
 		line:   "servers",
 		header: "relay\tendpoint\tof\tstage\tshare\tfor s\theld s\tholds\tdoubt\t",
 		rows:   canaryRows,
 	}
-	canaries := &cobra.Command{Use: "servers ADDRESS...", Short: "Say how endpoints that are new on the list prove themselves",
-		Long: "Say how endpoints that are new on the list prove themselves, by each relay's admin endpoint (the address `admin`). Relays\n" +
-			"have them do so where that is on (`newcomers` in the configuration, or $NODE_NEWCOMERS=on). Exit status 1 where one does not answer.",
+	canaries := &cobra.Command{Use: "servers ADDRESS...", Short: "Show the canary analysis of endpoints that are new on the list",
+		Long: "Show the canary analysis of endpoints that are new on the list, as each relay's admin endpoint reports it (the address\n" +
+			"`admin` of its configuration). The analysis has to be enabled: `newcomers` in the configuration, or $NODE_NEWCOMERS=on.\n" +
+			"The exit status is 1 if a relay does not answer.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, addresses []string) error { return query.run(command, addresses) }}
-	canaries.Flags().BoolVar(&query.raw, "json", false, "a line of JSON for each relay")
+	canaries.Flags().BoolVar(&query.raw, "json", false, "print a line of JSON for each relay")
 	return canaries
 }
 
@@ -27,7 +28,7 @@
 	for _, canary := range status.Endpoints {
 		remark := ""
 		if !canary.HasBaseline {
-			remark = "alone: no older one serves"
+			remark = "no baseline: no older endpoint serves"
 		}
 		out.printf("%d\t%s\t%d\t%d\t%.0f%%\t%.1f\t%.1f\t%d\t%.2f\t%s\n", status.Self, canary.Endpoint, canary.Destination, canary.Stage+1,
 			100*canary.Share, canary.StageSeconds, canary.SuspendedSeconds, canary.Suspensions, canary.RegressionScore, remark)
--- a/cmd/milletsail/compare.go
+++ b/cmd/milletsail/compare.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// defaultPairs is how many seeds are compared where no number is given.
+	// defaultPairs is the default number of seeds to compare.
 	defaultPairs = 5
-	// minPairs is the number of pairs below which no confidence interval can be given.
+	// minPairs is the minimum number of pairs for a confidence interval.
 	minPairs = 2
 )
 
-// comparison is the flags of lab compare.
+// comparison holds the flags of lab compare.
 type comparison struct {
 	relayA, relayB string
 	scenarioB      string
@@ -29,24 +29,24 @@
 
 func compareCommand() *cobra.Command {
 	var flags comparison
-	command := &cobra.Command{Use: "compare SCENARIO", Short: "Play two relays, or two scenarios, on the same seeds in turn",
-		Long: "Play two relays (--a, --b) on a scenario, or one relay on two scenarios (--scenario-b), on the same seeds in turn,\n" +
-			"and print the paired differences, b less a, with their confidence interval of 95%.",
+	command := &cobra.Command{Use: "compare SCENARIO", Short: "Compare two relays, or two scenarios, on the same seeds",
+		Long: "Run a scenario with two relays (--a, --b), or two scenarios (--scenario-b) with one relay, alternately on the same\n" +
+			"seeds, and print the paired differences, b minus a, with confidence intervals of 95%.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error { return flags.run(command, args[0]) }}
 	command.Flags().StringVar(&flags.relayA, "a", "", "the first relay's `binary` (default as for run)")
 	command.Flags().StringVar(&flags.relayB, "b", "", "the second relay's `binary`")
-	command.Flags().StringVar(&flags.scenarioB, "scenario-b", "", "a second `scenario`, played by b")
-	command.Flags().IntVar(&flags.seeds, "seeds", defaultPairs, "how many seeds, from 1 on")
+	command.Flags().StringVar(&flags.scenarioB, "scenario-b", "", "the `scenario` that b runs (default the same)")
+	command.Flags().IntVar(&flags.seeds, "seeds", defaultPairs, "number of seeds, from 1 on")
 	return command
 }
 
 func (f *comparison) run(command *cobra.Command, scenarioA string) error {
 	if f.relayB == "" && f.scenarioB == "" {
-		return errors.New("nothing to compare with: give --b or --scenario-b")
+		return errors.New("nothing to compare: set --b or --scenario-b")
 	}
 	if f.seeds < minPairs {
-		return fmt.Errorf("--seeds: %d is under %d: no interval could be given", f.seeds, minPairs)
+		return fmt.Errorf("--seeds: got %d, want at least %d for a confidence interval", f.seeds, minPairs)
 	}
 	scenarioB := f.scenarioB
 	if scenarioB == "" {
@@ -77,7 +77,7 @@
 	return showComparison(command, result)
 }
 
-// comparedSide runs a scenario with a relay on each seed that it is given.
+// comparedSide returns one side of a comparison: a function that runs a scenario with a relay on a given seed.
 func comparedSide(ctx context.Context, label, scenarioName, relay string) compare.Side {
 	return compare.Side{Name: label + ": " + filepath.Base(relay), Play: func(seed uint64) (*report.Figures, error) {
 		scenario, err := findScenario(scenarioName)
@@ -89,7 +89,7 @@
 	}}
 }
 
-// showComparison prints the paired differences, and gives the exit status.
+// showComparison prints the paired differences and returns the exit status as an error.
 func showComparison(command *cobra.Command, result *compare.Result) error {
 	rows := newTable(command.OutOrStdout(), tabwriter.AlignRight)
 	rows.printf("figure\ta\tb\tb - a\t95%% from\tto\t\n")
@@ -99,13 +99,13 @@
 	if err := rows.flush(); err != nil {
 		return err
 	}
-	command.Printf("%d pairs; %d left out since the lab was late; broken rules: a %d, b %d\n", result.Pairs, result.Void, result.Broken[0],
+	command.Printf("%d pairs; %d excluded because the lab was late; broken rules: a %d, b %d\n", result.Pairs, result.Void, result.Broken[0],
 		result.Broken[1])
 	switch {
 	case result.Broken[0]+result.Broken[1] > 0:
-		return errFailed
+		return errProblemFound
 	case result.Pairs < minPairs:
-		return errInvalid
+		return errInvalidRun
 	}
 	return nil
 }
--- a/cmd/milletsail/fleet.go
+++ b/cmd/milletsail/fleet.go
@@ -14,16 +14,17 @@
 )
 
 func fleetCommand() *cobra.Command {
-	fleet := &cobra.Command{Use: "fleet", Short: "See what relays know of one another"}
+	fleet := &cobra.Command{Use: "fleet", Short: "Show what relays know of one another"}
 	fleet.AddCommand(fleetShowCommand())
 	return fleet
 }
 
 func fleetShowCommand() *cobra.Command {
 	var raw bool
-	show := &cobra.Command{Use: "show ADDRESS...", Short: "Ask relays at their admin endpoints what each believes, from whom, and how old that is",
-		Long: "Ask relays at their admin endpoints (the address `admin`) what each believes, from whom, and how old that is.\n" +
-			"They tell it where sharing is on (`fleet` in the configuration, or $NODE_FLEET=on). Exit status 1 where one does not answer.",
+	show := &cobra.Command{Use: "show ADDRESS...", Short: "Show the facts that relays hold, with their origins and ages",
+		Long: "Show the facts about the platform that relays hold, each with its origin and age, as the relays' admin endpoints report\n" +
+			"them (the address `admin` of the configuration). Sharing of facts has to be enabled: `fleet` in the configuration, or\n" +
+			"$NODE_FLEET=on. The exit status is 1 if a relay does not answer.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, addresses []string) error {
 			views, failed := fetchViews(command, addresses)
@@ -31,15 +32,15 @@
 				return err
 			}
 			if failed > 0 {
-				return errFailed
+				return errProblemFound
 			}
 			return nil
 		}}
-	show.Flags().BoolVar(&raw, "json", false, "a line of JSON for each relay")
+	show.Flags().BoolVar(&raw, "json", false, "print a line of JSON for each relay")
 	return show
 }
 
-// fetchViews fetches the views of relays, and counts those that give none; these are named on standard error.
+// fetchViews fetches the views of relays. Failures are printed on standard error and counted in failed.
 func fetchViews(command *cobra.Command, addresses []string) (views []live.View, failed int) {
 	for _, address := range addresses {
 		view, err := fetchView(command.Context(), address)
@@ -53,19 +54,19 @@
 	return views, failed
 }
 
-// fetchView fetches the view of one relay.
+// fetchView fetches the view of the relay whose admin endpoint is at address.
 func fetchView(ctx context.Context, address string) (view live.View, err error) {
 	reply, err := admin.Call(ctx, address, "fleet", adminTimeout)
 	if err != nil {
 		return view, err
 	}
 	if text := strings.TrimSpace(reply); strings.HasPrefix(text, "ERR") {
-		return view, fmt.Errorf("%s: is sharing on there?", text)
+		return view, fmt.Errorf("%s; sharing of facts may be disabled on this relay", text)
 	}
 	return view, json.Unmarshal([]byte(reply), &view)
 }
 
-// showViews prints views as a table, or each as a line of JSON.
+// showViews prints views as a table or, if raw is set, each as a line of JSON.
 func showViews(out io.Writer, views []live.View, raw bool) error {
 	if raw {
 		encoder := json.NewEncoder(out)
@@ -77,7 +78,7 @@
 		return nil
 	}
 	rows := newTable(out, 0)
-	rows.printf("relay\tkind\tof\tsaid by\tvalue\tage s\tbound s\t\n")
+	rows.printf("relay\tkind\tkey\torigin\tvalue\tage s\tbound s\t\n")
 	for _, view := range views {
 		rows.printf("%d\tlive\t%d relays, %d suspected\t\t\t\t\t\n", view.Self, len(view.Live), len(view.Suspected))
 		for _, fact := range view.Facts {
--- a/cmd/milletsail/journal.go
+++ b/cmd/milletsail/journal.go
@@ -11,26 +11,26 @@
 	"milletsail/internal/journal"
 )
 
-// journalTool is what the commands on state directories share.
+// journalTool holds the flags that the commands on state directories share.
 type journalTool struct {
-	readOnly bool // a directory that a running relay owns is read as well
+	readOnly bool // whether a directory that a running relay owns may be read
 }
 
 func journalCommand() *cobra.Command {
 	tool := new(journalTool)
-	command := &cobra.Command{Use: "journal", Short: "Look at, verify, repair and convert a relay's folder",
-		Long: "Look at, verify, repair and convert a relay's folder ($NODE_STATE). A folder that a running relay owns is refused,\n" +
-			"unless with --read-only, where it may change while it is read; convert refuses it in any case."}
-	command.PersistentFlags().BoolVar(&tool.readOnly, "read-only", false, "read a folder that a running relay owns")
+	command := &cobra.Command{Use: "journal", Short: "Inspect, verify, repair and convert the state directory of a relay",
+		Long: "Inspect, verify, repair and convert the state directory of a relay ($NODE_STATE). A directory that a running relay owns\n" +
+			"is rejected, unless --read-only is set: it may then change while it is read. convert rejects it in any case."}
+	command.PersistentFlags().BoolVar(&tool.readOnly, "read-only", false, "read a directory even if a running relay owns it")
 	command.AddCommand(tool.verifyCommand(), tool.statCommand(), tool.dumpCommand(), tool.repairCommand(), convertCommand())
 	return command
 }
 
-// requireUnowned returns an error where a running relay owns a directory, unless it is only read.
+// requireUnowned returns an error if a running relay owns the directory, unless --read-only is set.
 func (t *journalTool) requireUnowned(dir string) error {
 	owned, err := journal.IsOwned(dir)
 	if err == nil && owned && !t.readOnly {
-		err = fmt.Errorf("a running relay owns %s: stop it, or give --read-only", dir)
+		err = fmt.Errorf("a running relay owns %s: stop it, or set --read-only", dir)
 	}
 	return err
 }
@@ -43,7 +43,8 @@
 }
 
 func (t *journalTool) verifyCommand() *cobra.Command {
-	return &cobra.Command{Use: "verify FOLDER", Short: "Say whether all can be read; exit status 1 where not", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "verify FOLDER", Short: "Check whether a directory can be read completely; exit status 1 if not",
+		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			summary, err := t.summarize(args[0])
 			if err != nil {
@@ -51,33 +52,33 @@
 			}
 			printFindings(command, summary)
 			if !summary.Complete {
-				return errFailed
+				return errProblemFound
 			}
 			command.Println("whole")
 			return nil
 		}}
 }
 
-// printFindings prints what was read of a directory, and each damage.
+// printFindings prints the numbers of records and messages in a directory, and each damage.
 func printFindings(command *cobra.Command, summary *journal.Summary) {
 	command.Printf("%s: %d records, %d live messages, %d of them in doubt\n", summary.File, summary.Records, summary.Live, summary.Uncertain)
 	if summary.Torn > 0 {
-		command.Printf("an unfinished record at the end, as a crash leaves it: %d bytes\n", summary.Torn)
+		command.Printf("incomplete record of %d bytes at the end, left by a crash\n", summary.Torn)
 	}
 	for _, damage := range summary.Damage {
-		command.Printf("DAMAGED at %d: %d bytes, %d records missing from sequence %d on, the last of them: %s\n", damage.Offset, damage.Length,
+		command.Printf("DAMAGED at offset %d: %d bytes; %d records missing, from sequence %d on; last missing record: %s\n", damage.Offset, damage.Length,
 			damage.Missing, damage.FirstSequence, damage.LastRecord)
 	}
 	for _, name := range summary.SkippedSegments {
-		command.Printf("DAMAGED %s: its snapshot is not whole, an older segment is used\n", name)
+		command.Printf("DAMAGED %s: the snapshot is incomplete, an older segment is used\n", name)
 	}
 	if summary.Partial {
-		command.Println("DAMAGED: the snapshot is not whole, and there is no older one")
+		command.Println("DAMAGED: the snapshot is incomplete, and there is no older one")
 	}
 }
 
 func (t *journalTool) statCommand() *cobra.Command {
-	return &cobra.Command{Use: "stat FOLDER", Short: "Print what a folder holds, in figures, as JSON", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "stat FOLDER", Short: "Print statistics of a directory as JSON", Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			summary, err := t.summarize(args[0])
 			if err != nil {
@@ -91,23 +92,23 @@
 
 func (t *journalTool) dumpCommand() *cobra.Command {
 	var bodies bool
-	dump := &cobra.Command{Use: "dump FOLDER", Short: "Print the live messages, a line of JSON each", Args: cobra.ExactArgs(1),
+	dump := &cobra.Command{Use: "dump FOLDER", Short: "Print the live messages, each as a line of JSON", Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			if err := t.requireUnowned(args[0]); err != nil {
 				return err
 			}
 			return journal.Dump(args[0], command.OutOrStdout(), bodies)
 		}}
-	dump.Flags().BoolVar(&bodies, "bodies", false, "with the bodies, in Base64")
+	dump.Flags().BoolVar(&bodies, "bodies", false, "include the message bodies, in Base64")
 	return dump
 }
 
 func (t *journalTool) repairCommand() *cobra.Command {
 	var into string
-	repair := &cobra.Command{Use: "repair FOLDER --into OTHER", Short: "Write what can be read into another folder", Args: cobra.ExactArgs(1),
+	repair := &cobra.Command{Use: "repair FOLDER --into OTHER", Short: "Copy the readable records to another directory", Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			if into == "" {
-				return errors.New("--into is missing: a repair goes into another folder")
+				return errors.New("--into is missing: a repair writes to another directory")
 			}
 			if err := t.requireUnowned(args[0]); err != nil {
 				return err
@@ -116,16 +117,17 @@
 			if err != nil {
 				return err
 			}
-			command.Printf("%d records read, %d damaged ranges left behind\n", report.Records, len(report.Damage))
+			command.Printf("%d records copied, %d damaged ranges skipped\n", report.Records, len(report.Damage))
 			return nil
 		}}
-	repair.Flags().StringVar(&into, "into", "", "`folder` to write, empty or not there yet")
+	repair.Flags().StringVar(&into, "into", "", "`folder` to write to, which has to be empty or not to exist")
 	return repair
 }
 
 func convertCommand() *cobra.Command {
 	var format int
-	convert := &cobra.Command{Use: "convert FOLDER --to FORMAT", Short: "Give a folder another form, for a program of before or after", Args: cobra.ExactArgs(1),
+	convert := &cobra.Command{Use: "convert FOLDER --to FORMAT", Short: "Convert a directory to another journal format, for an older or newer relay",
+		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			owner, err := journal.AcquireOwnership(args[0])
 			if owned := new(journal.OwnedError); errors.As(err, &owned) {
@@ -139,12 +141,12 @@
 			if err != nil {
 				return err
 			}
-			command.Printf("format %d carried over to %d, %d records read\n", report.Format, format, report.Records)
+			command.Printf("converted from format %d to %d, %d records read\n", report.Format, format, report.Records)
 			if !report.Complete() {
-				return errFailed
+				return errProblemFound
 			}
 			return nil
 		}}
-	convert.Flags().IntVar(&format, "to", journal.Format, "the form to write")
+	convert.Flags().IntVar(&format, "to", journal.Format, "the journal format to write")
 	return convert
 }
--- a/cmd/milletsail/lab_test.go
+++ b/cmd/milletsail/lab_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A relay that is named by a relative path is found from every folder; one that does not exist is an error.
+// Guards against relays that can't be started, since the lab starts each in a directory of its own: namedBinary makes a relative
+// path absolute, and returns an error for a file that does not exist.
 func TestNamedBinary(t *testing.T) {
 	dir := t.TempDir()
 	t.Chdir(dir)
@@ -15,9 +16,9 @@
 	}
 	path, err := namedBinary("--relay", "relay")
 	if err != nil || !filepath.IsAbs(path) {
-		t.Errorf("%q, %v", path, err)
+		t.Errorf("binary with a relative path: got %q, error %v; want an absolute path", path, err)
 	}
 	if _, err := namedBinary("--relay", "none"); err == nil {
-		t.Error("a relay that does not exist is no error")
+		t.Error("binary that does not exist: got no error, want one")
 	}
 }
--- a/cmd/milletsail/main.go
+++ b/cmd/milletsail/main.go
@@ -1,8 +1,8 @@
-// Command milletsail is for operators and experimenters: it runs scenarios on the fleet lab, checks histories, compares
-// versions of the relay, rolls versions out, and inspects relays' state directories. The relay itself is cmd/relay.
+// Command milletsail is for operators and developers: it runs scenarios on the fleet lab, checks histories, compares versions
+// of the relay, rolls versions out, and inspects relays' state directories. The relay itself is cmd/relay.
 //
-// Errors are printed on standard error as "milletsail: ERROR". The exit status is 0 for success, 1 where what was asked for
-// was done and found something wrong, 2 for an error, and 3 where a lab run is invalid or was cut off.
+// Errors are printed on standard error as "milletsail: ERROR". The exit status is 0 for success, 1 if the command was carried
+// out and found a problem, 2 for an error, and 3 if a lab run is invalid or was interrupted.
 package main
 
 import (
@@ -19,35 +19,36 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit statuses of the program.
+// Exit statuses of the program other than 0.
 const (
-	statusFailed  = 1 // a rule is broken, a directory is damaged, a relay rejects an order or does not answer
-	statusUnable  = 2 // bad usage, or what was asked for can't be done
-	statusInvalid = 3 // the lab was late, or the history has no end: the run shows nothing
+	exitProblem    = 1 // a rule is broken, a directory is damaged, or a relay rejects an order or does not answer
+	exitError      = 2 // wrong usage, or the command can't be carried out
+	exitInvalidRun = 3 // the lab was too late or the history is incomplete, so that the run proves nothing
 )
 
-// statusError ends the program with an exit status. Whatever there is to say has been printed by then.
-type statusError struct{ status int }
+// exitStatusError ends the program with an exit status. The command has printed its messages already.
+type exitStatusError struct{ status int }
 
-func (e *statusError) Error() string { return fmt.Sprintf("exit status %d", e.status) }
+func (e *exitStatusError) Error() string { return fmt.Sprintf("exit status %d", e.status) }
 
+// Errors that commands return for their exit status.
 var (
-	errFailed  = &statusError{statusFailed}
-	errInvalid = &statusError{statusInvalid}
+	errProblemFound = &exitStatusError{exitProblem}
+	errInvalidRun   = &exitStatusError{exitInvalidRun}
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	err := rootCommand().ExecuteContext(ctx)
 	stop()
-	exit := new(statusError)
+	exit := new(exitStatusError)
 	switch {
 	case err == nil:
 	case errors.As(err, &exit):
 		os.Exit(exit.status)
 	default:
 		fmt.Fprintln(os.Stderr, "milletsail:", err)
-		os.Exit(statusUnable)
+		os.Exit(exitError)
 	}
 }
 
@@ -55,7 +56,7 @@
 	var format, level string
 	root := &cobra.Command{
 		Use:           "milletsail",
-		Short:         "Play, judge and compare fleets of relays",
+		Short:         "Run, check, compare and operate fleets of relays",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(command *cobra.Command, _ []string) error {
@@ -63,14 +64,14 @@
 		},
 	}
 	root.SetOut(os.Stdout)
-	root.PersistentFlags().StringVar(&format, "log-format", "text", "form of the log on standard error: text or json")
-	root.PersistentFlags().StringVar(&level, "log-level", "warn", "least level of the log: debug, info, warn or error")
+	root.PersistentFlags().StringVar(&format, "log-format", "text", "format of the log on standard error: text or json")
+	root.PersistentFlags().StringVar(&level, "log-level", "warn", "minimum level of the log: debug, info, warn or error")
 	root.AddCommand(labCommand(), scaleCommand(), demoCommand(), fleetCommand(), zoneCommand(), rolloutCommand(), agentCommand(),
 		journalCommand(), versionCommand())
 	return root
 }
 
-// configureLog makes the log of the given format and level the default one.
+// configureLog sets the default logger to one with the given format and minimum level, which writes to standard error.
 func configureLog(command *cobra.Command, format, level string) error {
 	var minimum slog.Level
 	if err := minimum.UnmarshalText([]byte(level)); err != nil {
@@ -89,18 +90,18 @@
 }
 
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print what this program was built from", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "version", Short: "Print the revision and the Go version that this program was built from", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			revision := programRevision()
 			if revision == "" {
-				return errors.New("built without information about its version")
+				return errors.New("this program was built without version information")
 			}
 			command.Printf("milletsail %s, %s\n", revision, runtime.Version())
 			return nil
 		}}
 }
 
-// programRevision is the revision that this program was built from; empty where that is not known.
+// programRevision returns the revision that this program was built from, or "" if it is unknown.
 func programRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -112,7 +113,7 @@
 		case setting.Key == "vcs.revision":
 			revision = setting.Value
 		case setting.Key == "vcs.modified" && setting.Value == "true":
-			modified = ", changed since"
+			modified = ", modified"
 		}
 	}
 	return revision + modified
--- a/cmd/milletsail/relaybinary.go
+++ b/cmd/milletsail/relaybinary.go
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// relayPackage is what the relay is built from, where no binary of it is there.
+// relayPackage is the package that the relay is built from if there is no binary.
 const relayPackage = "milletsail/cmd/relay"
 
-// relayBinary is a relay's program that lab runs start.
+// relayBinary is the relay program that lab runs start.
 type relayBinary struct {
 	path string
-	dir  string // temporary directory that it was built into; empty for none
+	dir  string // temporary directory that holds the program; empty if it was not built for this run
 }
 
-// findRelay returns the relay that a flag names; without one that beside this program, else one that is built from the source.
-// The caller calls remove when it needs it no more.
-func findRelay(ctx context.Context, named string) (*relayBinary, error) {
-	if named != "" {
-		path, err := namedBinary("--relay", named)
+// findRelay returns the relay program at flagPath, the value of a flag. If that is empty, it returns the file relay next to this
+// program, or else builds the relay from the source. The caller has to call remove after use.
+func findRelay(ctx context.Context, flagPath string) (*relayBinary, error) {
+	if flagPath != "" {
+		path, err := namedBinary("--relay", flagPath)
 		return &relayBinary{path: path}, err
 	}
 	if self, err := os.Executable(); err == nil {
@@ -43,22 +43,23 @@
 	output, err := exec.CommandContext(ctx, "go", "build", "-o", built.path, relayPackage).CombinedOutput()
 	if err != nil {
 		built.remove()
-		return nil, fmt.Errorf("no file relay beside this program, and it can't be built here: %w: %s", err, strings.TrimSpace(string(output)))
+		return nil, fmt.Errorf("no file relay next to this program, and the relay can't be built here: %w: %s", err, strings.TrimSpace(string(output)))
 	}
 	return built, nil
 }
 
-// remove removes the binary where it was built for this run.
+// remove removes the program if it was built for this run.
 func (b *relayBinary) remove() {
 	if b.dir != "" {
 		_ = os.RemoveAll(b.dir)
 	}
 }
 
-// namedBinary gives the absolute path of a binary that a flag names: relays are started in folders of their own.
-func namedBinary(flag, named string) (string, error) {
-	if _, err := os.Stat(named); err != nil {
+// namedBinary returns the absolute path of a binary that a flag names. Relays are started in directories of their own, where a
+// relative path would not be found. flag is the name of the flag in errors.
+func namedBinary(flag, path string) (string, error) {
+	if _, err := os.Stat(path); err != nil {
 		return "", fmt.Errorf("%s: %w", flag, err)
 	}
-	return filepath.Abs(named)
+	return filepath.Abs(path)
 }
--- a/cmd/milletsail/rollout.go
+++ b/cmd/milletsail/rollout.go
@@ -13,32 +13,33 @@
 	"milletsail/internal/rollout"
 )
 
-// checksumDigits of a version's checksum are shown.
-const checksumDigits = 12
+// shownChecksumDigits is the number of digits of a version's checksum that are printed.
+const shownChecksumDigits = 12
 
-// rolloutTool is what the commands on a rollout share.
+// rolloutTool holds the flags that the commands on a rollout share.
 type rolloutTool struct {
-	state string // folder of the rollout's records
+	state string // directory of the rollout's records
 }
 
 func rolloutCommand() *cobra.Command {
 	tool := new(rolloutTool)
-	command := &cobra.Command{Use: "rollout", Short: "Bring a version of the program to a fleet in stages, and back"}
+	command := &cobra.Command{Use: "rollout", Short: "Roll a version of the relay out to a fleet in stages, and back"}
 	command.PersistentFlags().StringVar(&tool.state, "state", "rollout", "`folder` of the rollout's records")
 	command.AddCommand(tool.startCommand(), tool.continueCommand(), tool.statusCommand(), canariesCommand())
 	command.AddCommand(
-		tool.orderCommand(rollout.OrderPause, "Have nothing further change, for now"),
-		tool.orderCommand(rollout.OrderAbort, "Have nothing further change: the versions stay mixed"),
-		tool.orderCommand(rollout.OrderRollback, "Take all changed relays back, the last one first"),
-		tool.orderCommand(rollout.OrderResume, "Go on after a pause, also by a changed plan"),
+		tool.orderCommand(rollout.OrderPause, "Pause a rollout: update no further relay until it is resumed"),
+		tool.orderCommand(rollout.OrderAbort, "Stop a rollout for good: relays keep the versions that they have"),
+		tool.orderCommand(rollout.OrderRollback, "Restore the old version on all updated relays, the last updated first"),
+		tool.orderCommand(rollout.OrderResume, "Resume a paused rollout, optionally with a changed plan"),
 	)
 	return command
 }
 
 func (t *rolloutTool) startCommand() *cobra.Command {
-	return &cobra.Command{Use: "start PLAN", Short: "Begin a rollout, and carry it out", Args: cobra.ExactArgs(1),
-		Long: "Begin a rollout by a plan, and carry it out until it is done, paused, stopped or rolled back. Exit status 1 where it is paused or stopped.\n" +
-			"Where this command ends before, `milletsail rollout continue` goes on, as the plan says.",
+	return &cobra.Command{Use: "start PLAN", Short: "Start a rollout and carry it out", Args: cobra.ExactArgs(1),
+		Long: "Start a rollout by a plan, and carry it out until it is done, paused, stopped or rolled back. The exit status is 1 if it is\n" +
+			"paused or stopped. If this command ends before, `milletsail rollout continue` resumes the rollout or rolls it back, as on_death\n" +
+			"of the plan says.",
 		RunE: func(command *cobra.Command, args []string) error {
 			plan, err := rollout.ReadPlan(args[0])
 			if err != nil {
@@ -62,12 +63,12 @@
 			}
 			return runController(command, controller)
 		}}
-	resume.Flags().BoolVar(&force, "force", false, "though another controller seems to be at work: it is obeyed no more")
+	resume.Flags().BoolVar(&force, "force", false, "take over even if another controller holds the lease; agents then reject that controller")
 	return resume
 }
 
 func (t *rolloutTool) statusCommand() *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "Say how a rollout stands", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "status", Short: "Show the state of a rollout", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			state, err := rollout.ReadState(t.state)
 			if err != nil {
@@ -80,11 +81,11 @@
 		}}
 }
 
-// orderCommand gives an order to the controller at work, or carries it out where there is none.
+// orderCommand returns the command for an order, which submits it to the running controller or carries it out if there is none.
 func (t *rolloutTool) orderCommand(action, short string) *cobra.Command {
 	var planFile string
 	command := &cobra.Command{Use: action, Short: short, Args: cobra.NoArgs,
-		Long: short + ".\nThe controller at work takes the order; where there is none, this command takes over.",
+		Long: short + ".\nThe running controller carries out the order; if there is none, this command takes the rollout over.",
 		RunE: func(command *cobra.Command, _ []string) error {
 			order := rollout.Order{Action: action}
 			if planFile != "" {
@@ -102,13 +103,14 @@
 	return command
 }
 
+// carryOut submits an order to the running controller. If there is none, it takes the rollout over and carries the order out itself.
 func (t *rolloutTool) carryOut(command *cobra.Command, order rollout.Order) error {
 	controller, err := rollout.Open(t.state, false)
 	if errors.Is(err, rollout.ErrLeaseHeld) {
 		if err := rollout.SubmitOrder(t.state, order); err != nil {
 			return err
 		}
-		command.Println("left for the controller at work")
+		command.Println("order submitted to the running controller")
 		return nil
 	}
 	if err != nil {
@@ -120,8 +122,8 @@
 	return runController(command, controller)
 }
 
-// runController carries a rollout on until it ends or a signal comes, and prints how it stands then. One that is paused or stopped
-// gives errFailed.
+// runController carries out a rollout until it ends or a signal arrives, and then prints its state. It returns errProblemFound if
+// the rollout is paused or stopped.
 func runController(command *cobra.Command, controller *rollout.Controller) error {
 	ctx, stop := signal.NotifyContext(command.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -134,12 +136,12 @@
 		return err
 	}
 	if phase := controller.State().Phase; phase == rollout.Stopped || phase == rollout.Paused {
-		return errFailed
+		return errProblemFound
 	}
 	return nil
 }
 
-// showRollout prints how a rollout stands.
+// showRollout prints the state of a rollout.
 func showRollout(out io.Writer, state rollout.State) error {
 	reason := ""
 	if state.Reason != "" {
@@ -147,9 +149,9 @@
 	}
 	rows := newTable(out, 0)
 	rows.printf("%s%s\n", state.Phase, reason)
-	rows.printf("version\t%.*s\n", checksumDigits, state.NewVersion)
+	rows.printf("version\t%.*s\n", shownChecksumDigits, state.NewVersion)
 	rows.printf("stage\t%d of %d\n", min(state.Stage+1, len(state.Plan.Stages)), len(state.Plan.Stages))
-	rows.printf("relays\t%d of %d changed, %d in change\n", len(state.Updated), len(state.Plan.Agents), len(state.Updating))
+	rows.printf("relays\t%d of %d updated, %d being updated\n", len(state.Updated), len(state.Plan.Agents), len(state.Updating))
 	for relay, failure := range state.Failed {
 		rows.printf("relay %d\t%s\n", relay, failure)
 	}
--- a/cmd/milletsail/scale.go
+++ b/cmd/milletsail/scale.go
@@ -23,12 +23,12 @@
 )
 
 func scaleCommand() *cobra.Command {
-	command := &cobra.Command{Use: "scale", Short: "Measure how the cost of control grows with the size of the platform"}
+	command := &cobra.Command{Use: "scale", Short: "Measure how the relay's cost grows with the size of the platform"}
 	command.AddCommand(scaleRunCommand(), scaleReportCommand(), scaleListCommand(), scaleHollowCommand())
 	return command
 }
 
-// scaleRun is the flags of a run of a plan.
+// scaleRun holds the flags of scale run.
 type scaleRun struct {
 	relay, relayB  string
 	labelA, labelB string
@@ -40,24 +40,25 @@
 
 func scaleRunCommand() *cobra.Command {
 	var run scaleRun
-	command := &cobra.Command{Use: "run PLAN", Short: "Run a plan (a file, or the name of one that comes with the program)", Args: cobra.ExactArgs(1),
+	command := &cobra.Command{Use: "run PLAN", Short: "Run a plan (a file, or the name of one that comes with the program)",
+		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error { return run.run(command, args[0]) }}
-	command.Flags().StringVar(&run.relay, "relay", "", "the relay's `binary` (default relay beside this program, else built from the source here)")
-	command.Flags().StringVar(&run.relayB, "relay-b", "", "`binary` of another version, measured in turn with the first at each point")
+	command.Flags().StringVar(&run.relay, "relay", "", "the relay's `binary` (default: relay next to this program, or else built from the source)")
+	command.Flags().StringVar(&run.relayB, "relay-b", "", "`binary` of another version, measured alternately with the first at each point")
 	command.Flags().StringVar(&run.labelA, "label", firstLabel, "`name` of the version in the report")
 	command.Flags().StringVar(&run.labelB, "label-b", secondLabel, "`name` of the other version in the report")
-	command.Flags().StringVar(&run.out, "out", "scale-runs", "`folder` for the result")
-	command.Flags().Uint64Var(&run.seed, "seed", 0, "seed in place of the plan's; 0 for that one")
-	command.Flags().IntSliceVar(&run.points, "points", nil, "`points` in place of the plan's")
-	command.Flags().BoolVar(&run.quiet, "quiet", false, "no progress")
+	command.Flags().StringVar(&run.out, "out", "scale-runs", "`folder` for the results")
+	command.Flags().Uint64Var(&run.seed, "seed", 0, "seed that replaces the plan's; 0 keeps it")
+	command.Flags().IntSliceVar(&run.points, "points", nil, "`points` that replace the plan's")
+	command.Flags().BoolVar(&run.quiet, "quiet", false, "print no progress")
 	return command
 }
 
-// findPlan gives a plan: a file, else one that comes with the program.
+// findPlan returns the plan in a file or, if there is no such file, the embedded plan of that name.
 func findPlan(name string) (*scale.Plan, error) {
 	text, err := readFileOr(name, scenarios.Scale)
 	if err != nil {
-		return nil, fmt.Errorf("there is no file %s, and no plan of that name: they are %s", name, strings.Join(scenarios.ScaleNames(), ", "))
+		return nil, fmt.Errorf("there is no file or plan %s; the plans that come with the program are %s", name, strings.Join(scenarios.ScaleNames(), ", "))
 	}
 	return scale.ParsePlan(name, text)
 }
@@ -88,7 +89,7 @@
 	return scaleStatus(command, run, err)
 }
 
-// findPlan returns a plan with the flags in the place of what it says itself.
+// findPlan returns a plan with its values replaced by those of flags that are set.
 func (r *scaleRun) findPlan(name string) (*scale.Plan, error) {
 	plan, err := findPlan(name)
 	if err != nil {
@@ -130,22 +131,22 @@
 	return options, nil
 }
 
-// scaleStatus is the exit status of a run.
+// scaleStatus returns the exit status of a scale run as an error.
 func scaleStatus(command *cobra.Command, run *scale.Run, err error) error {
 	switch {
 	case errors.Is(err, context.Canceled):
-		command.PrintErrln("milletsail: broken off; the points that are done are kept")
-		return errInvalid
+		command.PrintErrln("milletsail: interrupted; the results of completed points are kept")
+		return errInvalidRun
 	case err != nil:
 		return err
 	case run.Invalid != "":
-		return errInvalid
+		return errInvalidRun
 	}
 	return nil
 }
 
 func scaleReportCommand() *cobra.Command {
-	return &cobra.Command{Use: "report DIR", Short: "Write the tables of a folder's runs, and their plots into it", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "report DIR", Short: "Print the tables of the runs in a directory, and write their plots into it", Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			return writeScaleReport(command.OutOrStdout(), args[0])
 		}}
@@ -185,9 +186,9 @@
 		}}
 }
 
-// scaleHollowCommand is what a scale run starts for its hollow relays.
+// scaleHollowCommand returns the hidden command that a scale run starts as a process for its simulated (hollow) relays.
 func scaleHollowCommand() *cobra.Command {
-	return &cobra.Command{Use: scale.HollowCommand, Short: "Run hollow relays, as a scale run has it", Hidden: true, Args: cobra.NoArgs,
+	return &cobra.Command{Use: scale.HollowCommand, Short: "Run simulated relays for a scale run", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return hollow.Run(command.Context(), command.InOrStdin(), command.OutOrStdout())
 		}}
--- a/cmd/milletsail/scenariofile.go
+++ b/cmd/milletsail/scenariofile.go
@@ -19,7 +19,7 @@
 	return err == nil && info.Mode().IsRegular()
 }
 
-// readFileOr returns the text of a file, or what embedded has under the name where there is no such file.
+// readFileOr returns the text of a file or, if there is no such file, what embedded returns for the name.
 func readFileOr(name string, embedded func(string) ([]byte, error)) ([]byte, error) {
 	if isFile(name) {
 		return os.ReadFile(name)
@@ -27,28 +27,29 @@
 	return embedded(name)
 }
 
-// findScenario returns a scenario: a file, else one that comes with the program.
+// findScenario returns the scenario in a file or, if there is no such file, the embedded scenario of that name.
 func findScenario(name string) (*scenario.Scenario, error) {
 	if isFile(name) {
 		return scenario.LoadFile(name)
 	}
 	text, err := scenarios.Get(name)
 	if err != nil {
-		return nil, fmt.Errorf("there is no file %s, and no scenario of that name: they are %s", name, strings.Join(scenarios.Names(), ", "))
+		return nil, fmt.Errorf("there is no file or scenario %s; the scenarios that come with the program are %s", name, strings.Join(scenarios.Names(), ", "))
 	}
 	return scenario.Parse(name+".toml", text)
 }
 
-// findCampaign returns a campaign: a file, else one that comes with the program; its scenario is found in the same way.
+// findCampaign returns the campaign in a file or, if there is no such file, the embedded campaign of that name. The scenario that
+// the campaign is based on is found in the same way.
 func findCampaign(name string) (*campaign.Plan, error) {
 	text, err := readFileOr(name, scenarios.Campaign)
 	if err != nil {
-		return nil, fmt.Errorf("there is no file %s, and no campaign of that name", name)
+		return nil, fmt.Errorf("there is no file or campaign %s", name)
 	}
 	return campaign.Read(name, text, func(base string) ([]byte, error) { return readFileOr(base, scenarios.Get) })
 }
 
-// measure runs a scenario with a relay, and returns the metrics.
+// measure runs a scenario with the relay program at a path and returns the metrics of the run.
 func measure(ctx context.Context, s *scenario.Scenario, relay string) (*report.Figures, error) {
 	result, err := lab.Play(ctx, s, lab.Options{Binary: relay})
 	if err != nil {
--- a/cmd/milletsail/scenariorun.go
+++ b/cmd/milletsail/scenariorun.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	// maxShownViolations of a run are printed in full.
+	// maxShownViolations is the maximum number of violations of a run that are printed.
 	maxShownViolations = 10
-	// rolloutStart is when a rollout beside a run begins.
+	// rolloutStart is the time from the start of a run to the start of a rollout during it.
 	rolloutStart = 2 * time.Second
-	// rolloutCheckInterval is the time between the comparisons of a rollout beside a run.
+	// rolloutCheckInterval is the sampling interval of the canary analysis of a rollout during a run.
 	rolloutCheckInterval = 250 * time.Millisecond
-	// maxBakeFactor is how many times its least length a stage may be extended to for want of traffic.
+	// maxBakeFactor is the ratio of the maximum to the minimum bake time of a stage: too little traffic extends the stage up to it.
 	maxBakeFactor = 20
 )
 
-// scenarioRun is the flags of one run of a scenario.
+// scenarioRun holds the flags of one run of a scenario.
 type scenarioRun struct {
 	relay, report, history, logs string
 	environment                  []string
 	seed                         uint64
 	quiet                        bool
-	rollout                      string // a version to roll out beside the run; empty for none
+	rollout                      string // path of a version to roll out during the run; empty for none
 	bake                         time.Duration
 	rollback                     bool
 }
 
-// run runs a scenario, prints the report, and gives the outcome as the exit status.
-func (r *scenarioRun) run(command *cobra.Command, script *scenario.Scenario) error {
+// run runs a scenario, prints the report, and returns the exit status as an error.
+func (r *scenarioRun) run(command *cobra.Command, s *scenario.Scenario) error {
 	if r.seed != 0 {
-		script.Seed = r.seed
+		s.Seed = r.seed
 	}
 	relay, err := findRelay(command.Context(), r.relay)
 	if err != nil {
@@ -51,13 +51,13 @@
 	defer relay.remove()
 	options := lab.Options{Binary: relay.path, Env: r.environment, History: r.history, Logs: r.logs}
 	if !r.quiet {
-		options.Progress = progressPrinter(command, script)
+		options.Progress = progressPrinter(command, s)
 	}
 	var rolled lab.Rolled
 	if r.rollout != "" {
 		options.Beside = lab.Roll(r.rollout, r.rolloutPlan(), rolloutStart, r.rollback, &rolled)
 	}
-	result, err := lab.Play(command.Context(), script, options)
+	result, err := lab.Play(command.Context(), s, options)
 	if err != nil {
 		return err
 	}
@@ -69,6 +69,7 @@
 	return r.showResult(command, result.Events, result.Verdict)
 }
 
+// rolloutPlan returns the plan of a rollout during a run.
 func (r *scenarioRun) rolloutPlan() rollout.Plan {
 	plan := rollout.DefaultPlan()
 	plan.BakeTime = rollout.Duration(r.bake)
@@ -77,9 +78,9 @@
 	return plan
 }
 
-// showRolledOut prints how the rollout beside a run went.
+// showRolledOut prints the result of a rollout during a run.
 func showRolledOut(command *cobra.Command, rolled *lab.Rolled) error {
-	command.Printf("rollout: ended in stage %d after %.1f s with %d relays changed; taken back in %.1f s\n", rolled.State.Stage+1,
+	command.Printf("rollout: ended in stage %d after %.1f s with %d relays updated; rolled back in %.1f s\n", rolled.State.Stage+1,
 		rolled.Took.Seconds(), rolled.Most, rolled.Back.Seconds())
 	if rolled.State.Plan == nil {
 		return nil
@@ -87,7 +88,8 @@
 	return showRollout(command.OutOrStdout(), rolled.State)
 }
 
-// progressPrinter returns a function that prints a line a second on standard error, over the one before on a terminal.
+// progressPrinter returns a function that prints the time in the run and the active faults on standard error. On a terminal each
+// line overwrites the previous one.
 func progressPrinter(command *cobra.Command, s *scenario.Scenario) func(time.Duration) {
 	prefix, suffix := "", "\n"
 	if isTerminal(command.ErrOrStderr()) {
@@ -113,7 +115,8 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// showResult prints the report of a run and the broken rules, and gives the outcome as the exit status.
+// showResult prints the report of a run and the broken rules, writes the report's files if --report is set, and returns the exit
+// status as an error.
 func (r *scenarioRun) showResult(command *cobra.Command, events []history.Event, outcome checker.Verdict) error {
 	metrics := report.Of(events, outcome)
 	if !r.quiet {
@@ -132,7 +135,7 @@
 	return resultStatus(outcome)
 }
 
-// showViolations prints broken rules with their lines of the history.
+// showViolations prints the broken rules, each with the events of the history that show it.
 func showViolations(command *cobra.Command, events []history.Event, outcome checker.Verdict) {
 	eventsByLine := map[int]*history.Event{}
 	for i := range events {
@@ -152,13 +155,13 @@
 	}
 }
 
-// resultStatus is the exit status of an outcome.
+// resultStatus returns the exit status for the result of a check as an error.
 func resultStatus(outcome checker.Verdict) error {
 	switch {
 	case len(outcome.Violations) > 0:
-		return errFailed
+		return errProblemFound
 	case outcome.Void != "" || outcome.Cut:
-		return errInvalid
+		return errInvalidRun
 	}
 	return nil
 }
--- a/cmd/milletsail/zone.go
+++ b/cmd/milletsail/zone.go
@@ -9,29 +9,30 @@
 	"milletsail/internal/relay"
 )
 
-// defaultEvacuation is how long a zone is left where the operator names no time.
+// defaultEvacuation is the default duration of an evacuation.
 const defaultEvacuation = 10 * time.Minute
 
 func zoneCommand() *cobra.Command {
-	zone := &cobra.Command{Use: "zone", Short: "Have relays leave a zone, return to it, or say how zones fare",
-		Long: "Have relays leave a zone, return to it, or say how zones fare, each at its admin endpoint (the address `admin`).\n" +
-			"They do so where zones are on (`zones` in the configuration, or $NODE_ZONES=on). Exit status 1 where one refuses or does not answer."}
+	zone := &cobra.Command{Use: "zone", Short: "Make relays evacuate or restore a zone, or show the state of zones",
+		Long: "Make relays evacuate or restore a zone, or show the state of zones, by the relays' admin endpoints (the address `admin` of\n" +
+			"the configuration). Zones have to be enabled: `zones` in the configuration, or $NODE_ZONES=on. The exit status is 1 if a relay\n" +
+			"rejects the command or does not answer."}
 	zone.AddCommand(zoneEvacuateCommand(), zoneRestoreCommand(), zoneStatusCommand())
 	return zone
 }
 
 func zoneEvacuateCommand() *cobra.Command {
 	var duration time.Duration
-	evacuate := &cobra.Command{Use: "evacuate ZONE ADDRESS...", Short: "Leave a zone for a time", Args: cobra.MinimumNArgs(2),
+	evacuate := &cobra.Command{Use: "evacuate ZONE ADDRESS...", Short: "Evacuate a zone for a limited time", Args: cobra.MinimumNArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			return orderRelays(command, fmt.Sprintf("zone evacuate %s %s", args[0], duration), args[1:])
 		}}
-	evacuate.Flags().DurationVar(&duration, "for", defaultEvacuation, "how long: after it the zone returns by itself")
+	evacuate.Flags().DurationVar(&duration, "for", defaultEvacuation, "duration of the evacuation, after which the relays return to the zone by themselves")
 	return evacuate
 }
 
 func zoneRestoreCommand() *cobra.Command {
-	return &cobra.Command{Use: "restore ZONE ADDRESS...", Short: "Return to a zone, on the ramp of what was out", Args: cobra.MinimumNArgs(2),
+	return &cobra.Command{Use: "restore ZONE ADDRESS...", Short: "Return to an evacuated zone, with slow start", Args: cobra.MinimumNArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			return orderRelays(command, "zone restore "+args[0], args[1:])
 		}}
@@ -43,9 +44,9 @@
 		header: "relay\tin\tzone\tstate\tfor s\torder s\tendpoints\tevacuations\treturns\t",
 		rows:   zoneRows,
 	}
-	status := &cobra.Command{Use: "status ADDRESS...", Short: "Say how zones fare", Args: cobra.MinimumNArgs(1),
+	status := &cobra.Command{Use: "status ADDRESS...", Short: "Show the state of zones", Args: cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, addresses []string) error { return query.run(command, addresses) }}
-	status.Flags().BoolVar(&query.raw, "json", false, "a line of JSON for each relay")
+	status.Flags().BoolVar(&query.raw, "json", false, "print a line of JSON for each relay")
 	return status
 }
 
@@ -53,14 +54,14 @@
 	for _, zone := range status.Zones {
 		remark := ""
 		if status.Isolated && zone.Zone != status.Zone {
-			remark = "cut off from it"
+			remark = "the relay's zone is isolated from it"
 		}
 		out.printf("%d\t%s\t%s\t%s\t%.1f\t%.0f\t%d\t%d\t%d\t%s\n", status.Self, status.Zone, zone.Zone, zone.State, zone.StateSeconds, zone.OrderSeconds,
 			zone.Endpoints, zone.Evacuations, zone.Recoveries, remark)
 	}
 }
 
-// orderRelays gives an order to relays, one after the other, and prints what each replies.
+// orderRelays sends a command to relays, one after the other, and prints the reply or error of each.
 func orderRelays(command *cobra.Command, line string, addresses []string) error {
 	failed := 0
 	for _, address := range addresses {
@@ -72,7 +73,7 @@
 		command.Printf("%s: %s\n", address, reply)
 	}
 	if failed > 0 {
-		return errFailed
+		return errProblemFound
 	}
 	return nil
 }
--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -1,5 +1,5 @@
-// Command relay is a relay on sockets: it takes messages from clients, holds them in a journal, and
-// delivers them to their destinations' hosts as package policy decides.
+// Command relay accepts messages from clients over HTTP, stores them in a journal, and delivers them to the endpoints of their
+// destinations. Package policy decides when and where each message is sent.
 package main
 
 import (
@@ -20,15 +20,15 @@
 	"milletsail/internal/relay/config"
 )
 
-// heapShare of the memory limit is the runtime's soft limit: in a takeover two processes share the limit, and the
-// journal's files count as memory too.
+// heapShare is the share of the memory limit that becomes the Go runtime's soft memory limit. The rest is needed since two
+// processes share the limit during a handover, and since the limit includes the memory that the journal's files use.
 const heapShare = 0.4
 
 func main() {
 	configPath := flag.String("config", os.Getenv("NODE_CONFIG"), "configuration `file` (default $NODE_CONFIG)")
-	state := flag.String("state", os.Getenv("NODE_STATE"), "`folder` that outlasts the process (default $NODE_STATE)")
-	show := flag.Bool(compat.VersionsFlag, false, "print which formats of journals and of gossip between relays this version reads and writes, and exit")
-	debugLog := flag.Bool("debug", os.Getenv("NODE_LOG") == "debug", "log each message that arrives, and each request that is rejected (default on where $NODE_LOG is \"debug\")")
+	state := flag.String("state", os.Getenv("NODE_STATE"), "`folder` for the journal and other state, which has to survive the process (default $NODE_STATE)")
+	show := flag.Bool(compat.VersionsFlag, false, "print the journal and gossip formats that this version reads and writes, and exit")
+	debugLog := flag.Bool("debug", os.Getenv("NODE_LOG") == "debug", "log each received message and each rejected request (default true if $NODE_LOG is \"debug\")")
 	flag.Parse()
 	if *debugLog {
 		slog.SetLogLoggerLevel(slog.LevelDebug)
@@ -48,9 +48,9 @@
 
 func run(configPath, state string) error {
 	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // first of all: unhandled it ends the process
+	signal.Notify(hup, syscall.SIGHUP) // before all else: an unhandled SIGHUP ends the process
 	if state == "" {
-		return fmt.Errorf("no folder for the journal: set NODE_STATE or -state")
+		return fmt.Errorf("no directory for the journal: set NODE_STATE or -state")
 	}
 	cfg, err := config.ReadAtStart(configPath)
 	if err != nil {
@@ -60,5 +60,5 @@
 	debug.SetMemoryLimit(int64(heapShare * cfg.Limits.MemoryMB * (1 << 20)))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	return relay.Run(ctx, cfg, state, config.Reloads(context.Background(), configPath, hup)) // to the end of the process
+	return relay.Run(ctx, cfg, state, config.Reloads(context.Background(), configPath, hup)) // reloads until the process ends
 }
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
-// Command simulator-adapter runs the decisions of package policy on the simulator's wire: batches on standard
-// input, replies on standard output.
+// Command simulator-adapter connects package policy to the simulator: it reads batches of events from standard input and writes
+// the decisions as replies to standard output.
 package main
 
 import (
--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -87,7 +87,7 @@
 		}
 	}
 	if c.canary.crashes > toleratedCrashes {
-		c.regressed(fmt.Sprintf("updated relays crashed %d times", c.canary.crashes))
+		c.recordRegression(fmt.Sprintf("updated relays crashed %d times", c.canary.crashes))
 	}
 	if c.control.relays == 0 || c.canary.relays == 0 {
 		return
@@ -133,12 +133,12 @@
 // messages returns the number of messages of all classes and outcomes.
 func (g *cohort) messages() (count float64) {
 	for _, outcomes := range g.outcomes {
-		count += total(outcomes)
+		count += countMessages(outcomes)
 	}
 	return count
 }
 
-func total(outcomes [outcomeCount]float64) float64 {
+func countMessages(outcomes [outcomeCount]float64) float64 {
 	return outcomes[outcomeCompleted] + outcomes[outcomeRejected] + outcomes[outcomeFailed]
 }
 
@@ -151,7 +151,7 @@
 	}
 	c.memoryViolations++
 	if c.memoryViolations >= maxMemoryViolations {
-		c.regressed(fmt.Sprintf("updated relays use %.0f MB of memory, the others %.0f MB", canary, control))
+		c.recordRegression(fmt.Sprintf("updated relays use %.0f MB of memory, the others %.0f MB", canary, control))
 	}
 }
 
@@ -182,7 +182,7 @@
 	}
 	for class, canary := range c.canary.outcomes {
 		control := c.control.outcomes[class]
-		canaryTotal, controlTotal := total(canary), total(control)
+		canaryTotal, controlTotal := countMessages(canary), countMessages(control)
 		if canaryTotal == 0 || controlTotal == 0 {
 			continue
 		}
@@ -205,12 +205,12 @@
 	}
 	test.add(difference, chanceVariance)
 	if test.detects(c.minLikelihoodRatio) {
-		c.regressed(fmt.Sprintf("%s: %+.3f on updated relays, after %.0f samples", name, test.mean, test.samples))
+		c.recordRegression(fmt.Sprintf("%s: %+.3f on updated relays, after %.0f samples", name, test.mean, test.samples))
 	}
 }
 
-// regressed records a regression. Only the first reason is kept.
-func (c *CanaryAnalysis) regressed(reason string) {
+// recordRegression records a regression. Only the first reason is kept.
+func (c *CanaryAnalysis) recordRegression(reason string) {
 	if c.regression == "" {
 		c.regression = reason
 	}
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -25,21 +25,21 @@
 	Version, UpdatingTo, Error string
 }
 
-// mistake is a mutation of the controller, which the model checker has to detect.
-type mistake int
+// mutation is a mutation of the controller, which the model checker has to detect.
+type mutation int
 
 const (
-	noMistake        mistake = iota
-	exceedsParallel          // updates one relay more at once than the plan allows
-	updatesTwoZones          // updates relays of two zones at once
-	ignoresStop              // starts updates after a stop
-	forgetsRelay             // finishes a rollback while a relay still has the new version
-	sendsBeforeWrite         // sends an update that is not recorded
-	mistakeEnd               // one more than the last mutation
+	noMutation       mutation = iota
+	exceedsParallel           // updates one relay more at once than the plan allows
+	updatesTwoZones           // updates relays of two zones at once
+	ignoresStop               // starts updates after a stop
+	forgetsRelay              // finishes a rollback while a relay still has the new version
+	sendsBeforeWrite          // sends an update that is not recorded
+	mutationEnd               // one more than the last mutation
 )
 
-// none stands for no relay in modelStep.unreachable.
-const none = -1
+// noRelay stands for no relay in modelStep.unreachable.
+const noRelay = -1
 
 // modelTime is the time of all steps. It need not advance, since the bake time of modelPlan is 0.
 var modelTime = time.Unix(1000, 0)
@@ -83,7 +83,7 @@
 	evaluation  Evaluation
 	crashAfter  int  // number of records after which the controller crashes, or 0
 	isLost      bool // whether the updates that the controller sends are lost
-	mistake     mistake
+	mutation    mutation
 }
 
 // apply carries out a step of the controller: it applies the records, and then sends the updates to the agents.
@@ -91,7 +91,7 @@
 	s := &m.State
 	records := m.next(step)
 	for i, record := range records {
-		if step.mistake == forgetsRelay && record.Kind == recordUpdating && s.Phase == RollingBack && len(s.Updated) == 1 {
+		if step.mutation == forgetsRelay && record.Kind == recordUpdating && s.Phase == RollingBack && len(s.Updated) == 1 {
 			record = Record{Kind: recordFinished}
 		}
 		if step.crashAfter > 0 && i >= step.crashAfter {
@@ -99,7 +99,7 @@
 		}
 		s.Apply(record)
 		m.IsStopped = s.Phase == Stopped
-		if step.mistake == sendsBeforeWrite && record.Kind == recordUpdating && step.crashAfter > 0 {
+		if step.mutation == sendsBeforeWrite && record.Kind == recordUpdating && step.crashAfter > 0 {
 			m.Requested[record.Relay] = record.Version
 			delete(s.Updating, record.Relay)
 		}
@@ -124,7 +124,7 @@
 	s.Plan = &changed
 	defer func() { s.Plan = plan }()
 	evaluation := step.evaluation
-	switch step.mistake {
+	switch step.mutation {
 	case exceedsParallel:
 		changed.MaxParallel++
 	case updatesTwoZones:
@@ -228,7 +228,7 @@
 }
 
 // successors returns the states that can follow: one for each possible step of the controller, end of an update, and order.
-func (m *model) successors(planted mistake) (after []*model) {
+func (m *model) successors(planted mutation) (after []*model) {
 	add := func(change func(*model)) {
 		next := m.clone()
 		change(next)
@@ -236,12 +236,12 @@
 	}
 	conclusive := Evaluation{Conclusive: true}
 	for _, step := range []modelStep{
-		{unreachable: none, mistake: planted},
-		{unreachable: none, evaluation: conclusive, mistake: planted},
-		{unreachable: none, evaluation: Evaluation{Regressed: true, Reason: "worse"}, mistake: planted},
-		{unreachable: none, isLost: true, mistake: planted},
-		{unreachable: none, crashAfter: 1, mistake: planted},
-		{unreachable: 1, evaluation: conclusive, mistake: planted},
+		{unreachable: noRelay, mutation: planted},
+		{unreachable: noRelay, evaluation: conclusive, mutation: planted},
+		{unreachable: noRelay, evaluation: Evaluation{Regressed: true, Reason: "worse"}, mutation: planted},
+		{unreachable: noRelay, isLost: true, mutation: planted},
+		{unreachable: noRelay, crashAfter: 1, mutation: planted},
+		{unreachable: 1, evaluation: conclusive, mutation: planted},
 	} {
 		add(func(next *model) { next.apply(step) })
 	}
@@ -271,9 +271,9 @@
 
 // explore visits up to maxStates states, breadth first. It returns the first violation of an invariant, the number of states, and
 // those in which the rollout is running or rolling back.
-func explore(planted mistake, maxStates int) (violation string, states int, active []*model) {
+func explore(planted mutation, maxStates int) (violation string, states int, active []*model) {
 	first := newModel()
-	if planted != noMistake { // fewer stages: several relays are updated within few steps
+	if planted != noMutation { // fewer stages: several relays are updated within few steps
 		first.State.Plan.Stages = first.State.Plan.Stages[2:]
 	}
 	visited := map[string]bool{first.key(): true}
@@ -311,7 +311,7 @@
 // violates an invariant. From the visited states, a controller without further disturbances ends the rollout: a rollback is
 // completed, and a running rollout is completed on all relays or stopped.
 func TestModel(t *testing.T) {
-	violation, states, active := explore(noMistake, maxModelStates())
+	violation, states, active := explore(noMutation, maxModelStates())
 	if violation != "" {
 		t.Fatal(violation)
 	}
@@ -320,7 +320,7 @@
 		m := active[i].clone()
 		phase := m.State.Phase
 		for range 60 {
-			m.apply(modelStep{unreachable: none, evaluation: Evaluation{Conclusive: true}})
+			m.apply(modelStep{unreachable: noRelay, evaluation: Evaluation{Conclusive: true}})
 			m.completeUpdates()
 		}
 		ended := m.State.Phase
@@ -336,8 +336,8 @@
 }
 
 // Guards against a model checker that detects nothing: it has to find each mutation of the controller.
-func TestModelFindsMistakes(t *testing.T) {
-	for planted := noMistake + 1; planted < mistakeEnd; planted++ {
+func TestModelDetectsMutations(t *testing.T) {
+	for planted := noMutation + 1; planted < mutationEnd; planted++ {
 		if violation, states, _ := explore(planted, maxModelStates()); violation == "" {
 			t.Errorf("mutation %d of the controller was not detected in %d states", planted, states)
 		}
--- a/internal/rollout/sequentialtest.go
+++ b/internal/rollout/sequentialtest.go
@@ -16,11 +16,11 @@
 // "Statistical methods related to the law of the iterated logarithm", 1970; Johari and others, "Always valid inference", 2017).
 // It may be evaluated after each sample without exceeding the stated rate of false positives.
 type sequentialTest struct {
-	samples        float64 // number of samples
-	mean           float64 // mean difference of the samples
-	squares        float64 // sum of squared deviations from the mean (Welford)
-	chanceVariance float64 // mean over the samples of the variance that is due to chance in the counts
-	effect         float64 // size of the difference to detect
+	samples           float64 // number of samples
+	mean              float64 // mean difference of the samples
+	squaredDeviations float64 // sum of squared deviations from the mean (Welford)
+	chanceVariance    float64 // mean over the samples of the variance that is due to chance in the counts
+	effect            float64 // size of the difference to detect
 }
 
 // add adds a sample: a difference, and its variance due to chance, which is computed from the counts of messages behind it.
@@ -28,7 +28,7 @@
 	t.samples++
 	deviation := difference - t.mean
 	t.mean += deviation / t.samples
-	t.squares += deviation * (difference - t.mean)
+	t.squaredDeviations += deviation * (difference - t.mean)
 	t.chanceVariance += (chanceVariance - t.chanceVariance) / t.samples
 }
 
@@ -37,7 +37,7 @@
 func (t *sequentialTest) variance() float64 {
 	variance := t.chanceVariance
 	if t.samples > 1 {
-		variance = math.Max(variance, t.squares/(t.samples-1))
+		variance = math.Max(variance, t.squaredDeviations/(t.samples-1))
 	}
 	return math.Max(minVariance, variance*(1+varianceInflation/t.samples))
 }
--- a/internal/rollout/steps_test.go
+++ b/internal/rollout/steps_test.go
@@ -28,10 +28,10 @@
 		want        string // kind of the one record that is expected, or "" for none
 	}{
 		{"unreachable relay", 20 * time.Second, 0, Evaluation{Conclusive: true}, ""},
-		{"before the bake time", 9 * time.Second, none, Evaluation{Conclusive: true}, ""},
-		{"inconclusive", 20 * time.Second, none, Evaluation{}, ""},
-		{"inconclusive after the maximum bake time", 2 * time.Minute, none, Evaluation{Reason: "too little traffic"}, recordPaused},
-		{"conclusive", 20 * time.Second, none, Evaluation{Conclusive: true}, recordPromoted},
+		{"before the bake time", 9 * time.Second, noRelay, Evaluation{Conclusive: true}, ""},
+		{"inconclusive", 20 * time.Second, noRelay, Evaluation{}, ""},
+		{"inconclusive after the maximum bake time", 2 * time.Minute, noRelay, Evaluation{Reason: "too little traffic"}, recordPaused},
+		{"conclusive", 20 * time.Second, noRelay, Evaluation{Conclusive: true}, recordPromoted},
 	} {
 		next := m.State.Next(now.Add(c.baked), m.agents(c.unreachable), c.evaluation)
 		if c.want == "" && len(next) > 0 || c.want != "" && (len(next) != 1 || next[0].Kind != c.want) {
--- a/internal/rollout/stored_test.go
+++ b/internal/rollout/stored_test.go
@@ -321,13 +321,13 @@
 		t.Fatalf("got %d records, want %d", len(got), len(want))
 	}
 	for i, record := range got {
-		right := want[i]
-		if !record.At.Equal(right.At) || record.Kind != right.Kind || record.Relay != right.Relay ||
-			record.Version != right.Version || record.Reason != right.Reason || !maps.Equal(record.OldVersions, right.OldVersions) {
+		wanted := want[i]
+		if !record.At.Equal(wanted.At) || record.Kind != wanted.Kind || record.Relay != wanted.Relay ||
+			record.Version != wanted.Version || record.Reason != wanted.Reason || !maps.Equal(record.OldVersions, wanted.OldVersions) {
 			t.Errorf("record %d differs: got kind %q at %v, relay %d, version %q, reason %q, old versions %v", i, record.Kind,
 				record.At, record.Relay, record.Version, record.Reason, record.OldVersions)
 		}
-		samePlan(t, record.Plan, right.Plan)
+		samePlan(t, record.Plan, wanted.Plan)
 	}
 }
 
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,4 +1,5 @@
-// Package scenarios holds the scenarios that come with the program; internal/lab/scenario reads them.
+// Package scenarios embeds the files that come with the program: scenarios, campaigns, and plans of scale runs. Packages
+// internal/lab/scenario, internal/lab/campaign and internal/scale parse them.
 package scenarios
 
 import (
@@ -9,7 +10,7 @@
 //go:embed *.toml
 var files embed.FS
 
-// Get gives a scenario's text by its name, with or without ".toml".
+// Get returns the text of the scenario with a name, which may end in ".toml".
 func Get(name string) ([]byte, error) {
 	return files.ReadFile(strings.TrimSuffix(name, ".toml") + ".toml")
 }
@@ -17,19 +18,19 @@
 //go:embed campaigns/*.toml
 var campaigns embed.FS
 
-// Campaign gives a campaign's text by its name, with or without ".toml".
+// Campaign returns the text of the campaign with a name, which may end in ".toml".
 func Campaign(name string) ([]byte, error) {
 	return campaigns.ReadFile("campaigns/" + strings.TrimSuffix(name, ".toml") + ".toml")
 }
 
-// Names lists the scenarios.
+// Names returns the names of the scenarios.
 func Names() []string { return namesIn(files, ".") }
 
-// namesIn lists the files of an embedded folder, without their ending.
+// namesIn returns the names of the files in an embedded directory, without ".toml".
 func namesIn(from embed.FS, dir string) (all []string) {
 	entries, err := from.ReadDir(dir)
 	if err != nil {
-		panic(err) // the folder is part of the program
+		panic(err) // can't happen: the directory is embedded
 	}
 	for _, e := range entries {
 		all = append(all, strings.TrimSuffix(e.Name(), ".toml"))
@@ -40,10 +41,10 @@
 //go:embed scale/*.toml
 var scale embed.FS
 
-// Scale gives the text of a plan of a scale run by its name, with or without ".toml".
+// Scale returns the text of the scale-run plan with a name, which may end in ".toml".
 func Scale(name string) ([]byte, error) {
 	return scale.ReadFile("scale/" + strings.TrimSuffix(name, ".toml") + ".toml")
 }
 
-// ScaleNames lists the plans of scale runs.
+// ScaleNames returns the names of the plans of scale runs.
 func ScaleNames() []string { return namesIn(scale, "scale") }
