--- a/cmd/milletsail/campaign.go
+++ b/cmd/milletsail/campaign.go
@@ -37,7 +37,7 @@
 			"each with several seeds and variants, and compare the figures to what each case expects.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error { return run.run(command, args[0]) }}
-	command.Flags().StringVar(&run.relay, "relay", "", "the relay's `binary` (default as for run)")
+	command.Flags().StringVar(&run.relay, "relay", "", "the relay's `binary` (default as for lab run)")
 	command.Flags().StringVar(&run.out, "out", "", "`file` for the results, a line of JSON for each run")
 	command.Flags().StringSliceVar(&run.cases, "case", nil, "`names` of the cases to run (default all)")
 	command.PersistentFlags().StringSliceVar(&run.metrics, "figures", defaultMetrics, "`names` of the figures in the table")
--- a/cmd/milletsail/canaries.go
+++ b/cmd/milletsail/canaries.go
@@ -11,7 +11,7 @@
 func canariesCommand() *cobra.Command {
 	query := adminQuery[relay.CanaryStatus]{
 		line:   "servers",
-		header: "relay\tendpoint\tof\tstage\tshare\tfor s\theld s\tholds\tdoubt\t",
+		header: "relay\tendpoint\tdestination\tstage\tshare\tstage s\tsuspended s\tsuspensions\tregression score\t",
 		rows:   canaryRows,
 	}
 	canaries := &cobra.Command{Use: "servers ADDRESS...", Short: "Show the canary analysis of endpoints that are new on the list",
--- a/cmd/milletsail/compare.go
+++ b/cmd/milletsail/compare.go
@@ -34,7 +34,7 @@
 			"seeds, and print the paired differences, b minus a, with confidence intervals of 95%.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error { return flags.run(command, args[0]) }}
-	command.Flags().StringVar(&flags.relayA, "a", "", "the first relay's `binary` (default as for run)")
+	command.Flags().StringVar(&flags.relayA, "a", "", "the first relay's `binary` (default as for lab run)")
 	command.Flags().StringVar(&flags.relayB, "b", "", "the second relay's `binary`")
 	command.Flags().StringVar(&flags.scenarioB, "scenario-b", "", "the `scenario` that b runs (default the same)")
 	command.Flags().IntVar(&flags.seeds, "seeds", defaultPairs, "number of seeds, from 1 on")
--- a/cmd/milletsail/scale.go
+++ b/cmd/milletsail/scale.go
@@ -23,7 +23,7 @@
 )
 
 func scaleCommand() *cobra.Command {
-	command := &cobra.Command{Use: "scale", Short: "Measure how the relay's cost grows with the size of the platform"}
+	command := &cobra.Command{Use: "scale", Short: "Measure how the cost of a relay grows with the size of the platform"}
 	command.AddCommand(scaleRunCommand(), scaleReportCommand(), scaleListCommand(), scaleHollowCommand())
 	return command
 }
--- a/cmd/milletsail/zone.go
+++ b/cmd/milletsail/zone.go
@@ -41,7 +41,7 @@
 func zoneStatusCommand() *cobra.Command {
 	query := adminQuery[relay.ZoneStatus]{
 		line:   "zone status",
-		header: "relay\tin\tzone\tstate\tfor s\torder s\tendpoints\tevacuations\treturns\t",
+		header: "relay\town zone\tzone\tstate\tstate s\torder s\tendpoints\tevacuations\treturns\t",
 		rows:   zoneRows,
 	}
 	status := &cobra.Command{Use: "status ADDRESS...", Short: "Show the state of zones", Args: cobra.MinimumNArgs(1),
