--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// Named reports whether the table has ever had an entry of a destination.
-func (t *Table) Named(destination int) bool { return t.findDestination(destination) != none }
+// SeenDestination reports whether the table has ever had an entry of a destination.
+func (t *Table) SeenDestination(destination int) bool { return t.findDestination(destination) != none }
 
 // All iterates over the table in parts: it returns the entries in the next maxSlots slots from the slot from on, which is 0
 // for the first part, and the slot at which the next part begins; done is true for the last part. An entry that stays while
--- a/internal/endpoints/table_test.go
+++ b/internal/endpoints/table_test.go
@@ -78,7 +78,7 @@
 		if !slices.Equal(hosts, m.order[number]) {
 			t.Fatalf("Of(%d) = %q, want %q", number, hosts, m.order[number])
 		}
-		if table.Named(number) != m.known[number] {
+		if table.SeenDestination(number) != m.known[number] {
 			t.Fatalf("Known(%d) = %v", number, !m.known[number])
 		}
 	}
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -36,7 +36,7 @@
 		return
 	}
 	// Guards the policy against destinations that no list has named, and the disk against overflow.
-	if !l.endpoints.table.Named(submission.Entry.Dest) {
+	if !l.endpoints.table.SeenDestination(submission.Entry.Dest) {
 		l.rejectUnseen(submission, reasonNoDestination)
 		return
 	}
