--- a/internal/endpoints/arena.go
+++ b/internal/endpoints/arena.go
@@ -3,26 +3,28 @@
 import "encoding/binary"
 
 const (
-	// arenaUnit is the unit in which texts are allocated, in bytes. A free block holds the reference of the next one.
+	// arenaUnit is the allocation granularity of an arena, in bytes. It is the size of a textRef, so that every free block can
+	// hold the reference to the next free block of its size.
 	arenaUnit = 4
 	// chunkUnits is the number of units of one chunk of an arena: 64 KiB.
 	chunkUnits     = 1 << chunkUnitsBits
 	chunkUnitsBits = 14
-	// noTextRef ends a list of free blocks.
+	// noTextRef terminates a free list.
 	noTextRef textRef = 1<<32 - 1
 )
 
-// textRef locates a pair of texts in an arena: the index of a chunk and of a unit in it.
+// textRef locates a pair of texts in an arena: the upper bits are the index of a chunk, the lower chunkUnitsBits bits the
+// index of a unit in that chunk.
 type textRef uint32
 
 // arena stores pairs of short texts in large chunks, which the garbage collector need not scan, and reuses the blocks of
 // released pairs. A pair is stored as the two lengths (uvarint) followed by the two texts.
 type arena struct {
 	chunks       [][]byte
-	usedUnits    int             // units used of the last regular chunk
-	currentChunk int             // index of that chunk, -1 for none
-	freeBlocks   map[int]textRef // heads of the lists of free blocks, by size in units
-	freeChunks   []int           // indices of released chunks
+	usedUnits    int             // number of units allocated from the current chunk
+	currentChunk int             // index of the chunk from which new blocks are allocated; -1 if there is none
+	freeBlocks   map[int]textRef // heads of the free lists, by block size in units
+	freeChunks   []int           // indices in chunks that can be reused: their chunk held one oversized pair that was released
 }
 
 func newArena() arena { return arena{currentChunk: -1, freeBlocks: map[int]textRef{}} }
@@ -35,7 +37,7 @@
 	return (len(head) + len(first) + len(second) + arenaUnit - 1) / arenaUnit
 }
 
-// put stores a pair of texts and returns its reference.
+// put stores a pair of texts and returns its reference. A pair larger than a regular chunk gets a chunk of its own.
 func (a *arena) put(first, second string) textRef {
 	units := pairUnits(first, second)
 	ref := a.allocate(units)
@@ -57,7 +59,7 @@
 	return block[:firstLen], block[firstLen : firstLen+secondLen]
 }
 
-// release frees a pair.
+// release frees the block of a pair for reuse. The chunk of an oversized pair is left to the garbage collector.
 func (a *arena) release(ref textRef) {
 	first, second := a.get(ref)
 	units := pairUnits(string(first), string(second))
@@ -75,7 +77,7 @@
 	a.freeBlocks[units] = ref
 }
 
-// block returns the bytes of a chunk from a reference on.
+// block returns the bytes from a reference to the end of its chunk.
 func (a *arena) block(ref textRef) []byte {
 	return a.chunks[ref>>chunkUnitsBits][int(ref&(chunkUnits-1))*arenaUnit:]
 }
@@ -97,7 +99,7 @@
 	return ref
 }
 
-// addChunk adds a chunk and returns its index.
+// addChunk allocates a chunk of the given number of units and returns its index.
 func (a *arena) addChunk(units int) int {
 	chunk := make([]byte, units*arenaUnit)
 	if n := len(a.freeChunks); n > 0 {
--- a/internal/endpoints/bench_test.go
+++ b/internal/endpoints/bench_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// storedTable is a store on disk with a list, compacted.
-func storedTable(b *testing.B, dir string, entries int) (*Store, *Table) {
+// newCompactedStore is a store on disk with a list, compacted.
+func newCompactedStore(b *testing.B, dir string, entries int) (*Store, *Table) {
 	b.Helper()
 	s, table, _, _, err := Open(dir, testBudget)
 	if err != nil {
@@ -35,7 +35,7 @@
 func BenchmarkChange(b *testing.B) {
 	for _, entries := range []int{1_000, 490_000} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
-			s, table := storedTable(b, b.TempDir(), entries)
+			s, table := newCompactedStore(b, b.TempDir(), entries)
 			b.Cleanup(func() { _ = s.Close() })
 			b.ResetTimer()
 			for i := range b.N {
@@ -53,8 +53,8 @@
 }
 
 // One step of a compaction of a long list.
-func BenchmarkStep(b *testing.B) {
-	s, table := storedTable(b, b.TempDir(), 490_000)
+func BenchmarkCompactStep(b *testing.B) {
+	s, table := newCompactedStore(b, b.TempDir(), 490_000)
 	b.Cleanup(func() { _ = s.Close() })
 	b.ResetTimer()
 	for range b.N {
@@ -68,7 +68,7 @@
 func BenchmarkOpen(b *testing.B) {
 	const entries = 490_000
 	dir := b.TempDir()
-	s, _ := storedTable(b, dir, entries)
+	s, _ := newCompactedStore(b, dir, entries)
 	b.ReportMetric(float64(s.Bytes())/entries, "disk-B/entry")
 	if err := s.Close(); err != nil {
 		b.Fatal(err)
--- a/internal/endpoints/budget_test.go
+++ b/internal/endpoints/budget_test.go
@@ -9,10 +9,10 @@
 func TestStoreBudget(t *testing.T) {
 	const entries = 5_000
 	whole := newModelFS()
-	fill(t, whole, testBudget, entries)
+	fillStore(t, whole, testBudget, entries)
 	for budget := int64(0); budget < 2_000_000; budget += 10_007 {
 		fsys := newModelFS()
-		s, errs := fill(t, fsys, budget, entries)
+		s, errs := fillStore(t, fsys, budget, entries)
 		reason, disabled := s.Disabled()
 		if !disabled {
 			continue
@@ -28,14 +28,14 @@
 			t.Fatalf("budget %d: said %d times", budget, errs)
 		}
 	}
-	s, _ := fill(t, newModelFS(), 2_000_000, entries)
+	s, _ := fillStore(t, newModelFS(), 2_000_000, entries)
 	if _, disabled := s.Disabled(); disabled {
 		t.Error("disabled though there is room")
 	}
 }
 
-// fill makes a list and compactions within a budget, and gives how often Commit said that it is too small.
-func fill(t *testing.T, fsys *modelFS, budget int64, entries int) (s *Store, errs int) {
+// fillStore makes a list and compactions within a budget, and gives how often Commit said that it is too small.
+func fillStore(t *testing.T, fsys *modelFS, budget int64, entries int) (s *Store, errs int) {
 	t.Helper()
 	s, table, _, _ := open(t, fsys, budget)
 	fsys.onCall = func() {
--- a/internal/endpoints/compaction.go
+++ b/internal/endpoints/compaction.go
@@ -8,23 +8,24 @@
 	"milletsail/internal/journal"
 )
 
-// compaction is a snapshot that is being written. The table changes meanwhile, and the changes go to the log of the same
-// number. Replaying the snapshot and then all of that log gives the table, whichever of the changes the snapshot contains:
-// puts and deletes are idempotent.
+// compaction is the state of a snapshot that is being written. The table may change between the steps; those changes are
+// appended to the log with the same number. Replaying the snapshot and then the whole log restores the table, whichever of the
+// changes the snapshot contains, because puts and deletes are idempotent.
 type compaction struct {
 	number   uint64
 	file     journal.File
 	size     int64
-	checksum uint32
-	nextSlot int   // next slot of the table to write
-	entries  int64 // entries written
-	recovery bool  // it recovers from a failed write
-	buffer   []byte
-	done     chan error // receives the result of publishing; nil before all entries are written
+	checksum uint32     // checksum of the last encoded record, or of the header
+	nextSlot int        // next table slot to write
+	entries  int64      // number of entries encoded so far
+	recovery bool       // the snapshot replaces a log whose write failed; its publication clears Store.failure
+	buffer   []byte     // encoded bytes that are not written yet
+	done     chan error // receives the result of publishSnapshot; nil until all entries are written
 }
 
-// CompactStep does a bounded part of a compaction, or begins one if it is due. It reports whether another step can be done
-// now. All changes of the table must have been appended.
+// CompactStep performs a bounded part of a compaction, or starts one if it is due. It reports whether the caller should call it
+// again for the current compaction; it returns false while the snapshot is being synced. The caller must have passed all
+// changes of the table to Append.
 func (s *Store) CompactStep(t *Table) (more bool) {
 	c := s.compaction
 	switch {
@@ -45,7 +46,8 @@
 	return s.compaction != nil
 }
 
-// compactionDue reports whether a compaction should begin.
+// compactionDue reports whether a compaction should start: to recover from a failed write, or because the logs are too large or
+// too many.
 func (s *Store) compactionDue() bool {
 	if s.now().Before(s.retryAt) {
 		return false
@@ -66,19 +68,20 @@
 	return logBytes >= s.compactionThreshold(snapshot) || logs > maxLogs
 }
 
-// compactionThreshold is the size of the logs, beside a snapshot of the given size, from which a compaction is due: early
-// enough for the next snapshot and the logs written meanwhile to fit into the budget, as far as possible.
+// compactionThreshold returns the total size of the logs, in bytes, at which a compaction is due, given the size of the current
+// snapshot. It is reached early enough that, where possible, the next snapshot and the logs written during the compaction still
+// fit into the disk budget.
 func (s *Store) compactionThreshold(snapshot int64) int64 {
 	headroom := s.budget - 2*snapshot
-	return min(max(minLogBytes, snapshot/logShare), max(headroom/2, s.budget/budgetShare))
+	return min(max(minLogBytes, snapshot/logSizeDivisor), max(headroom/2, s.budget/budgetDivisor))
 }
 
-// startCompaction begins a snapshot and the log that continues it.
+// startCompaction starts a snapshot and switches to a new log with the same number.
 func (s *Store) startCompaction() {
-	repair := s.failure != nil
+	recovery := s.failure != nil
 	next := header{kind: kindLog}
-	if !repair {
-		// Until the snapshot is published, a replay uses the previous one and all logs: the new log continues them.
+	if !recovery {
+		// Until the snapshot is published, a replay uses the previous snapshot and all logs, so the new log continues the old one.
 		if s.prepareLog() != nil || s.flush() != nil {
 			return
 		}
@@ -90,11 +93,11 @@
 	next.number = s.highestNumber
 	s.nextLog = next
 	s.storedSequence = s.sequence
-	s.compaction = &compaction{number: next.number, recovery: repair}
+	s.compaction = &compaction{number: next.number, recovery: recovery}
 	s.createSnapshot()
 }
 
-// createSnapshot creates the unfinished snapshot file.
+// createSnapshot creates the snapshot file under its temporary name and encodes its header.
 func (s *Store) createSnapshot() {
 	c := s.compaction
 	file, err := s.files.Create(s.unfinishedSnapshotPath(c))
@@ -108,7 +111,8 @@
 	c.checksum = headerSum(c.buffer)
 }
 
-// writeSnapshotEntries writes the next entries of the snapshot.
+// writeSnapshotEntries writes the entries of the next CompactionStepEntries table slots to the snapshot, and starts its
+// publication after the last one.
 func (s *Store) writeSnapshotEntries(t *Table) {
 	c := s.compaction
 	entries, next, done := t.All(c.nextSlot, CompactionStepEntries)
@@ -138,8 +142,8 @@
 	}
 }
 
-// publishSnapshot syncs a complete snapshot and renames it to its final name, in a goroutine that ends by sending the result
-// to c.done.
+// publishSnapshot syncs a complete snapshot and renames it to its final name. It does so in the background, which sends the
+// result to c.done.
 func (s *Store) publishSnapshot(c *compaction) {
 	c.done = make(chan error, 1)
 	fsys, dir, from, to := s.files, s.dir, s.unfinishedSnapshotPath(c), s.snapshotPath(c)
@@ -156,7 +160,8 @@
 	})
 }
 
-// finishCompaction ends a compaction after its snapshot was published, or failed to be.
+// finishCompaction ends a compaction. err is the result of publishing its snapshot; if it is nil, the files that the snapshot
+// replaces are removed.
 func (s *Store) finishCompaction(err error) {
 	c := s.compaction
 	if err != nil {
@@ -172,17 +177,18 @@
 	}
 }
 
-// failCompaction aborts a compaction after an error. The logs are continued, unless the compaction was a recovery.
+// failCompaction aborts a compaction after an error and delays the next one by retryInterval. The store keeps appending to the
+// current log, unless the compaction was a recovery: then nothing is persisted until another recovery succeeds.
 func (s *Store) failCompaction(err error) {
-	repair := s.compaction.recovery
+	recovery := s.compaction.recovery
 	s.abortCompaction()
-	if repair {
-		_ = s.failWrite(err)
+	if recovery {
+		_ = s.recordWriteFailure(err)
 	}
 	s.retryAt = s.now().Add(retryInterval)
 }
 
-// abortCompaction removes an unfinished snapshot.
+// abortCompaction discards the compaction in progress, if there is one, and removes its snapshot file.
 func (s *Store) abortCompaction() {
 	c := s.compaction
 	if c == nil {
@@ -193,15 +199,15 @@
 		_ = c.file.Close()
 	}
 	_ = s.files.Remove(s.unfinishedSnapshotPath(c))
-	_ = s.files.Remove(s.snapshotPath(c)) // it has its name if the directory could not be synced
+	_ = s.files.Remove(s.snapshotPath(c)) // exists if the rename succeeded and syncing the directory failed
 }
 
-// snapshotPath is the path of a compaction's snapshot once it is published.
+// snapshotPath returns the path of a compaction's snapshot after its publication.
 func (s *Store) snapshotPath(c *compaction) string {
 	return filepath.Join(s.dir, fileName(snapshotPrefix, c.number))
 }
 
-// unfinishedSnapshotPath is its path before that.
+// unfinishedSnapshotPath returns the path of a compaction's snapshot before its publication.
 func (s *Store) unfinishedSnapshotPath(c *compaction) string {
 	return s.snapshotPath(c) + unfinishedSuffix
 }
--- a/internal/endpoints/entry.go
+++ b/internal/endpoints/entry.go
@@ -1,31 +1,33 @@
-// Package endpoints implements the relay's copy of discovery's endpoint list: a streaming decoder of list and watch
-// responses (Reader), a compact in-memory table (Table), and its persistence as snapshots and logs (Store). The cost of a
-// change does not depend on the length of the list.
+// Package endpoints implements the relay's copy of the endpoint list that service discovery provides: a streaming decoder of
+// list and watch responses (Reader), a compact in-memory table (Table), and its persistence as snapshots and logs (Store). The
+// cost of applying a change does not depend on the length of the list.
 //
 // A Table and its Store belong to one goroutine. That goroutine changes the Table first, then passes the change to
-// Store.Append, and calls Store.CompactStep only when all changes of the Table have been appended. Store.Commit follows the
-// last entry of an object or, for a complete list, the last deletion that Table.Sweep has returned.
+// Store.Append, and calls Store.CompactStep only when all changes of the Table have been appended. It calls Store.Commit after
+// the last entry of a response object or, if the object is a complete list, after appending the last deletion that Table.Sweep
+// returned.
 //
-// Whether an object is a complete list may be unknown before its end: call Table.BeginReplacement at Batch.First, and at
-// Batch.End either Table.Sweep if the list is complete, or Table.AbortReplacement if it is not or an error occurred.
+// Whether an object is a complete list may be unknown before its end. Callers therefore call Table.BeginReplacement at
+// Batch.First, and at Batch.End either Table.Sweep if the list is complete, or Table.AbortReplacement if it is an update. They
+// also call Table.AbortReplacement if reading the object fails.
 package endpoints
 
-// Entry is one endpoint of discovery's list.
+// Entry is one endpoint of the list.
 type Entry struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms,omitempty"` // last start, in milliseconds since 1970; 0 for long ago
+	Host   string  `json:"host"`              // name of the endpoint, unique in the list
+	Dial   string  `json:"dial"`              // address to connect to
+	Site   string  `json:"site"`              // zone of the endpoint
+	Class  string  `json:"class"`             // class of the endpoint
+	Block  int     `json:"block"`             // number of the destination that the endpoint serves
+	Health string  `json:"health"`            // health state, such as Draining
+	Share  float64 `json:"share"`             // share of the endpoint as discovery reports it; not interpreted here
+	BornMS int64   `json:"born_ms,omitempty"` // last start of the endpoint, in Unix milliseconds; 0 means long ago
 }
 
-// The values of Entry.Health that have a meaning to this package or its callers.
+// The values of Entry.Health that this package or its callers handle specially.
 const (
-	// Draining endpoints complete their requests in flight and accept no new ones.
+	// Draining is the health of an endpoint that completes its requests in flight and accepts no new ones.
 	Draining = "DRAINING"
-	// Deleted occurs in updates only: the entry has to be removed from the table.
+	// Deleted marks an entry of an update that has to be removed from the table. It does not occur in complete lists.
 	Deleted = "DELETED"
 )
--- a/internal/endpoints/errors.go
+++ b/internal/endpoints/errors.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// BudgetError says that a list needs more disk space than the budget of its Store.
+// BudgetError reports that persisting a list needs more disk space than the budget of its Store allows.
 type BudgetError struct {
-	Budget int64 // bytes
-	Needed int64 // bytes, at least
+	Budget int64 // allowed size of all files of the store, in bytes
+	Needed int64 // size of the files after the write that was refused, in bytes; the whole list may need more
 }
 
 func (e *BudgetError) Error() string {
-	return fmt.Sprintf("the list of endpoints is not stored: %d bytes needed, %d allowed", e.Needed, e.Budget)
+	return fmt.Sprintf("endpoint list exceeds its disk budget and is not persisted: at least %d bytes needed, %d bytes allowed", e.Needed, e.Budget)
 }
 
-// FileError says that a file of a Store could not be used, or only in part.
+// FileError reports that Open could not use a file of a Store, or only the part before a damaged record.
 type FileError struct {
-	Name string
-	Err  error
+	Name string // name of the file in the store's directory
+	Err  error  // the cause
 }
 
 func (e *FileError) Error() string { return e.Name + ": " + e.Err.Error() }
--- a/internal/endpoints/failure_test.go
+++ b/internal/endpoints/failure_test.go
@@ -11,9 +11,9 @@
 
 // failingDisk is a way in which calls of the file system fail.
 type failingDisk struct {
-	failure error
-	late    bool
-	failFor int // calls
+	failure     error
+	writesFully bool
+	failFor     int // calls
 }
 
 // Any call of the file system may fail, and the process may be killed at any call then: nothing wrong is read, and once
@@ -32,9 +32,9 @@
 	t.Helper()
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 5, 20)
-	fsys.failAt, fsys.failFor, fsys.failure, fsys.late = failAt, disk.failFor, disk.failure, disk.late
+	fsys.failAt, fsys.failFor, fsys.failure, fsys.writesFully = failAt, disk.failFor, disk.failure, disk.writesFully
 	when := fmt.Sprintf("%+v, from call %d on", disk, failAt)
-	fsys.onCall = func() { h.check(t, fsys.killed(), h.durable, fmt.Sprintf("%s, at call %d", when, fsys.calls)) }
+	fsys.onCall = func() { h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("%s, at call %d", when, fsys.calls)) }
 	for range 3 {
 		for range 3 {
 			h.change()
@@ -49,7 +49,7 @@
 	if h.store.Failure() != nil || h.durable != len(h.commits)-1 {
 		t.Fatalf("%s: not kept again: %v", when, h.store.Failure())
 	}
-	h.check(t, fsys.killed(), h.durable, when+", after it")
+	h.check(t, fsys.afterKill(), h.durable, when+", after it")
 	return failed
 }
 
@@ -65,7 +65,7 @@
 
 // A write of the log may fail while a complete snapshot waits for the disk. That snapshot then makes up for nothing that
 // was lost after it, whether or not it was itself a repair.
-func TestStoreFailsWhileSnapshotIsSynced(t *testing.T) {
+func TestStoreLogWriteFailsDuringSnapshotSync(t *testing.T) {
 	for _, repair := range []bool{false, true} {
 		fsys := newModelFS()
 		h := newHarness(t, fsys, 5, 20)
@@ -85,7 +85,7 @@
 		held.run()
 		fsys.failAt = 0
 		h.store.CompactStep(h.table)
-		fsys.onCall = func() { h.check(t, fsys.killed(), h.durable, fmt.Sprintf("repair %v, call %d", repair, fsys.calls)) }
+		fsys.onCall = func() { h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("repair %v, call %d", repair, fsys.calls)) }
 		h.change()
 		if h.store.Failure() == nil {
 			t.Errorf("repair %v: the failure is forgotten", repair)
@@ -96,7 +96,7 @@
 		if h.store.Failure() != nil || h.durable != len(h.commits)-1 {
 			t.Errorf("repair %v: not kept again: %v", repair, h.store.Failure())
 		}
-		h.check(t, fsys.killed(), h.durable, fmt.Sprintf("repair %v", repair))
+		h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("repair %v", repair))
 	}
 }
 
@@ -109,7 +109,7 @@
 	h.store.background = func(f func()) { *held = append(*held, f) }
 	h.compact()
 	h.change()
-	h.check(t, fsys.killed(), len(h.commits)-1, "before the snapshot is in its place")
+	h.check(t, fsys.afterKill(), len(h.commits)-1, "before the snapshot is in its place")
 	held.run()
 	if err := h.store.Close(); err != nil {
 		t.Fatal(err)
@@ -117,11 +117,11 @@
 	if h.store.stored[0].kind != kindSnapshot {
 		t.Errorf("files %+v", h.store.stored)
 	}
-	h.check(t, fsys.killed(), len(h.commits)-1, "closed")
+	h.check(t, fsys.afterKill(), len(h.commits)-1, "closed")
 }
 
 // A record that is missing, or two that have changed places, are noticed though each record is whole.
-func TestStoreMissingRecord(t *testing.T) {
+func TestStoreDetectsMissingOrSwappedRecords(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 7, 6)
 	for range 10 {
@@ -130,7 +130,7 @@
 	path := currentLog(h.store)
 	records := splitRecords(fsys.files[path].data)
 	for i := 1; i+1 < len(records); i++ {
-		left := fsys.killed()
+		left := fsys.afterKill()
 		left.files[path].data = slices.Concat(slices.Concat(records[:i]...), slices.Concat(records[i+1:]...))
 		h.check(t, left, 0, fmt.Sprintf("without record %d", i))
 		if _, _, _, found := open(t, left, testBudget); len(found.Damage) == 0 {
@@ -141,7 +141,7 @@
 		}
 		swapped := slices.Clone(records)
 		swapped[i], swapped[i+1] = swapped[i+1], swapped[i]
-		left = fsys.killed()
+		left = fsys.afterKill()
 		left.files[path].data = slices.Concat(swapped...)
 		h.check(t, left, 0, fmt.Sprintf("records %d and %d swapped", i, i+1))
 	}
@@ -160,7 +160,7 @@
 
 // The log that goes with a repairing snapshot continues nothing: what came between is lost until the snapshot is whole,
 // though the write that failed may have reached the disk.
-func TestStoreRepairContinuesNothing(t *testing.T) {
+func TestStoreRecoveryLogDoesNotContinueFailedLog(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 5, 20)
 	for i := range 3 * CompactionStepEntries {
@@ -170,7 +170,7 @@
 		h.store.Append([]Entry{e}, nil)
 	}
 	h.change()
-	fsys.failAt, fsys.failFor, fsys.late, fsys.failure = fsys.calls+1, 1, true, errors.New("no space left")
+	fsys.failAt, fsys.failFor, fsys.writesFully, fsys.failure = fsys.calls+1, 1, true, errors.New("no space left")
 	h.change()
 	if h.store.Failure() == nil {
 		t.Fatal("the write did not fail")
@@ -178,25 +178,25 @@
 	for range 10 {
 		h.change() // not kept
 	}
-	fsys.onCall = func() { h.check(t, fsys.killed(), h.durable, fmt.Sprintf("call %d", fsys.calls)) }
+	fsys.onCall = func() { h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("call %d", fsys.calls)) }
 	h.compact()
 	if h.store.Failure() != nil {
 		t.Error(h.store.Failure())
 	}
-	h.check(t, fsys.killed(), len(h.commits)-1, "repaired")
+	h.check(t, fsys.afterKill(), len(h.commits)-1, "repaired")
 }
 
 // A snapshot that can be neither read nor removed at one start is an error, and nothing is changed; where it is left out all
 // the same, and can be read at the next start, it counts for nothing then.
-func TestStoreSnapshotBackAgain(t *testing.T) {
+func TestStoreIgnoresSalvagedSnapshotThatReappears(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 5, 20)
 	for range 10 {
 		h.change()
 	}
 	h.compact()
-	durable, before := h.durable, fsys.killed()
-	fsys.stuck = "folder/" + h.store.stored[0].name
+	durable, before := h.durable, fsys.afterKill()
+	fsys.inaccessible = "folder/" + h.store.stored[0].name
 	if _, _, _, _, err := OpenFS("folder", testBudget, fsys); !errors.Is(err, syscall.EIO) {
 		t.Fatalf("it can't be read, and the error is %v", err)
 	}
@@ -209,8 +209,8 @@
 	if h.table.Len() != 0 || h.store.sequence != 0 {
 		t.Fatalf("%d entries, sequence %d", h.table.Len(), h.store.sequence)
 	}
-	h.beginAnew()
+	h.resetHistory()
 	h.change()
-	fsys.stuck = ""
-	h.check(t, fsys.killed(), h.durable, "back again")
+	fsys.inaccessible = ""
+	h.check(t, fsys.afterKill(), h.durable, "back again")
 }
--- a/internal/endpoints/format.go
+++ b/internal/endpoints/format.go
@@ -11,44 +11,44 @@
 	"strings"
 )
 
-// A file consists of a header and records. The numbers of fixed size are little-endian.
+// A snapshot or log file consists of a header followed by records. Fixed-size numbers are little-endian; sizes are in bytes.
 //
-//	header:  magic 8 | version 1 | kind 1 | base 1 | 0 | number 8 | sequence 8 | number of the previous log 8 |
-//	         checksum of its last record 4 | CRC-32C of the preceding bytes 4
-//	record:  length of the payload 4 | checksum 4 | payload: operation 1, fields
+//	header:  magic 8 | version 1 | kind 1 | base 1 | zero 1 | number 8 | sequence 8 | number of the previous log 8 |
+//	         checksum of the last record of the previous log 4 | CRC-32C of the preceding bytes 4
+//	record:  payload length 4 | checksum 4 | payload: operation 1, fields
 //
-// The checksum of a record is the CRC-32C of the previous record's checksum (of the header's for the first record), its
-// length and its payload, so that it covers the file up to there.
+// The checksum of a record is the CRC-32C of the previous record's checksum (the header's checksum for the first record), the
+// payload length and the payload. It thus covers the file from its beginning up to this record.
 const (
 	magic = "MSAILEPT"
-	// formatVersion is the version of the format that is written and read.
+	// formatVersion is the format version that this package writes. Files with a higher version are not read.
 	formatVersion = 1
 	// headerSize is the length of a header, in bytes.
 	headerSize = 44
-	// recordHeaderSize is the length of a record in front of its payload, in bytes.
+	// recordHeaderSize is the size of the payload length and the checksum that precede a payload, in bytes.
 	recordHeaderSize = 8
-	// maxPayloadSize bounds a payload, in bytes. An entry that passed the Reader may grow when it is converted to UTF-8, but
-	// by less than this factor.
+	// maxPayloadSize is the maximum size of a payload, in bytes. An entry of MaxEntrySize may grow when the Reader converts it
+	// to valid UTF-8, but by less than a factor of 8.
 	maxPayloadSize = 8 * MaxEntrySize
-	// versionOffset is where a header holds the version.
+	// versionOffset is the offset of the format version in a header, in bytes.
 	versionOffset = len(magic)
 )
 
-// The kinds of files, as they are stored.
+// The file kinds, as stored in a header.
 const (
 	kindSnapshot byte = iota + 1
 	kindLog
 )
 
-// The operations of records, as they are stored.
+// The operations of records, as stored in a payload.
 const (
-	opPut    byte = iota + 1 // adds or replaces an entry
-	opDelete                 // removes the entry of a host
-	opCommit                 // all changes up to a sequence precede it
-	opEnd                    // closes a snapshot, with the number of its entries
+	opPut    byte = iota + 1 // adds an entry, or replaces the entry of the same host
+	opDelete                 // deletes the entry of a host
+	opCommit                 // states that all changes up to a sequence precede this record
+	opEnd                    // ends a snapshot and holds the number of its entries
 )
 
-// The name of a file is a prefix and a number. An unfinished snapshot has a suffix.
+// A file name is a prefix followed by a number. A snapshot that is not published yet also has unfinishedSuffix.
 const (
 	snapshotPrefix   = "snapshot-"
 	logPrefix        = "log-"
@@ -57,23 +57,23 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Errors of reading a file; FileError wraps them.
+// Errors of reading a file. Open reports errDamaged wrapped in a FileError, and only counts files with errNewer.
 var (
-	errNewer   = errors.New("written by a newer version")
-	errDamaged = errors.New("damaged")
+	errNewer   = errors.New("file has a newer format version")
+	errDamaged = errors.New("file is damaged")
 )
 
-// header begins a file.
+// header is the decoded header of a snapshot or log file.
 type header struct {
-	kind     byte
-	base     bool   // of a log: it begins with an empty table
-	number   uint64 // of the file; the logs with the number of a snapshot or a higher one continue it
-	seq      int64  // of a snapshot: it contains all changes up to this sequence
-	previous uint64 // of a log: the number of the previous log
-	sum      uint32 // of a log: the checksum of the previous log's last record, which detects a gap
+	kind     byte   // kindSnapshot or kindLog
+	base     bool   // logs only: the log starts from an empty table and continues no other file
+	number   uint64 // number of the file; logs with the number of a snapshot or a higher one continue that snapshot
+	seq      int64  // snapshots only: the snapshot contains all changes up to this sequence
+	previous uint64 // logs only: number of the previous log; 0 if there is none
+	sum      uint32 // logs only: checksum of the last record of the previous log, with which a replay detects missing records
 }
 
-// encode returns the header as it is stored.
+// encode returns the stored form of the header, including its checksum.
 func (h header) encode() []byte {
 	text := append([]byte(magic), formatVersion, h.kind, 0, 0)
 	if h.base {
@@ -86,7 +86,8 @@
 	return binary.LittleEndian.AppendUint32(text, crc32.Checksum(text, castagnoli))
 }
 
-// readHeader reads a header and returns its checksum. It returns errNewer or errDamaged.
+// readHeader reads a header and returns it with its checksum. The error is errNewer for a higher format version, and errDamaged
+// for a truncated or corrupt header.
 func readHeader(r io.Reader) (h header, sum uint32, err error) {
 	var text [headerSize]byte
 	n, err := io.ReadFull(r, text[:])
@@ -111,15 +112,15 @@
 	return h, sum, nil
 }
 
-// change is one record of a file.
+// change is the decoded payload of a record.
 type change struct {
 	operation byte
-	entry     Entry // opPut; opDelete sets its Host alone
-	number    int64 // opCommit: the sequence; opEnd: the number of entries
+	entry     Entry // set for opPut; for opDelete only its Host is set
+	number    int64 // the sequence for opCommit, the number of entries for opEnd
 }
 
-// appendRecord appends a record whose fields are appended by fill. sum is the previous record's checksum, and is replaced by
-// this one's.
+// appendRecord appends a record to text; fill appends the fields of its payload. On entry, *sum is the checksum of the previous
+// record; on return, it is the checksum of the new record.
 func appendRecord(text []byte, sum *uint32, operation byte, fill func([]byte) []byte) []byte {
 	start := len(text)
 	text = append(text, make([]byte, recordHeaderSize)...)
@@ -130,7 +131,8 @@
 	return text
 }
 
-// recordSum is the checksum of a record that follows one with the checksum before.
+// recordSum returns the checksum of a record from the checksum of the previous record, the encoded payload length and the
+// payload.
 func recordSum(before uint32, length, payload []byte) uint32 {
 	var text [4]byte
 	binary.LittleEndian.PutUint32(text[:], before)
@@ -168,7 +170,7 @@
 // fileName returns the name of a file.
 func fileName(prefix string, number uint64) string { return prefix + strconv.FormatUint(number, 10) }
 
-// parseName returns the kind and the number of the snapshot or log with a name. It reports false for other names.
+// parseName returns the kind and the number of the snapshot or log with the given file name. ok is false for other names.
 func parseName(name string) (kind byte, number uint64, ok bool) {
 	for prefix, kind := range map[string]byte{snapshotPrefix: kindSnapshot, logPrefix: kindLog} {
 		digits, found := strings.CutPrefix(name, prefix)
@@ -180,14 +182,15 @@
 	return 0, 0, false
 }
 
-// ours reports whether a file of the directory belongs to the store, which may then remove it.
-func ours(name string) bool {
+// isStoreFile reports whether a file name is that of a snapshot, an unfinished snapshot or a log. The store removes only such
+// files.
+func isStoreFile(name string) bool {
 	_, _, ok := parseName(strings.TrimSuffix(name, unfinishedSuffix))
 	return ok
 }
 
-// corrupt returns errDamaged with a reason.
+// corrupt returns an error that wraps errDamaged and states the reason.
 func corrupt(reason string) error { return fmt.Errorf("%w: %s", errDamaged, reason) }
 
-// headerSum returns the checksum of an encoded header.
+// headerSum returns the checksum that an encoded header ends with.
 func headerSum(text []byte) uint32 { return binary.LittleEndian.Uint32(text[headerSize-4:]) }
--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -44,8 +44,8 @@
 	h.store, h.table, _, _ = open(tb, h.fsys, testBudget)
 }
 
-// beginAnew takes what the store has found for the truth.
-func (h *harness) beginAnew() {
+// resetHistory takes what the store has found for the truth.
+func (h *harness) resetHistory() {
 	h.commits = []int64{h.store.sequence}
 	h.durable = 0
 	h.history = map[string][]version{}
@@ -111,39 +111,41 @@
 		t.Fatalf("%s: sequence %d, want that of commit %d (%d) or later; found %v", when, seq, least, h.commits[least], found)
 	}
 	if seq == 0 && least == 0 {
-		h.checkFacts(t, table, when)
+		h.checkEntries(t, table, when)
 		return
 	}
 	for host, versions := range h.history {
 		got, ok := table.Get(host)
-		if !trueSince(versions, commit, got, ok) {
+		if !heldSince(versions, commit, got, ok) {
 			t.Fatalf("%s: at sequence %d (commit %d) %s is %+v, %v; history %+v", when, seq, commit, host, got, ok, versions)
 		}
 	}
-	h.checkFacts(t, table, when)
+	h.checkEntries(t, table, when)
 }
 
-// checkFacts fails unless all entries were true at some time.
-func (h *harness) checkFacts(t *testing.T, table *Table, when string) {
+// checkEntries fails unless all entries were true at some time.
+func (h *harness) checkEntries(t *testing.T, table *Table, when string) {
 	t.Helper()
 	entries, _, _ := table.All(0, testBudget)
 	for e := range entries {
-		if !trueSince(h.history[e.Host], 0, e, true) {
+		if !heldSince(h.history[e.Host], 0, e, true) {
 			t.Fatalf("%s: %+v was never true", when, e)
 		}
 	}
 }
 
-// trueSince reports whether a host was as given at or after a commit.
-func trueSince(versions []version, commit int, got Entry, ok bool) bool {
+// heldSince reports whether a host was as given at or after a commit.
+func heldSince(versions []version, commit int, got Entry, ok bool) bool {
 	current := version{absent: true}
 	for _, v := range versions {
-		if v.commit > commit && same(current, got, ok) {
+		if v.commit > commit && matches(current, got, ok) {
 			return true
 		}
 		current = v
 	}
-	return same(current, got, ok)
+	return matches(current, got, ok)
 }
 
-func same(v version, got Entry, ok bool) bool { return v.absent != ok && (v.absent || v.entry == got) }
+func matches(v version, got Entry, ok bool) bool {
+	return v.absent != ok && (v.absent || v.entry == got)
+}
--- a/internal/endpoints/index.go
+++ b/internal/endpoints/index.go
@@ -1,33 +1,34 @@
 package endpoints
 
 const (
-	// shardBits is the binary logarithm of the number of shards of an index. Each shard grows by itself, so that an
+	// shardBits is the binary logarithm of the number of shards of an index. Each shard grows independently, so that an
 	// insertion moves at most a few thousand slots.
 	shardBits = 8
-	// minShardSize is the initial number of places of a shard in use; it doubles when the shard grows.
+	// minShardSize is the number of places of a shard after its first insertion. The number doubles whenever the shard grows.
 	minShardSize = 8
-	// none is not a slot.
+	// none stands for the absence of a slot.
 	none = 1<<32 - 1
 )
 
-// index finds slots by a 64-bit hash: a hash table with open addressing and linear probing that stores slot
-// numbers alone. The keys are stored by its user: hashOf returns the hash of the key at a slot.
+// index maps 64-bit hashes to slots. It is a hash table with open addressing and linear probing that stores slot numbers only;
+// the keys stay with its owner, which supplies hashOf to return the hash of the key at a slot.
 type index struct {
 	shards [1 << shardBits]shard
 	hashOf func(slot uint32) uint64
 }
 
-// shard is the part of an index for the hashes with the same top bits.
+// shard is the part of an index for the hashes with the same top shardBits bits.
 type shard struct {
-	places []uint32 // slot + 1, 0 for free
-	count  int
+	places []uint32 // slot number + 1; 0 for a free place
+	count  int      // number of occupied places
 }
 
 func newIndex(hashOf func(slot uint32) uint64) *index { return &index{hashOf: hashOf} }
 
 func (x *index) shard(hash uint64) *shard { return &x.shards[hash>>(64-shardBits)] }
 
-// find returns the first slot with a hash for which same returns true, or none.
+// find returns the first slot in the probe sequence of a hash for which same returns true, or none. Slots with other hashes may
+// be passed to same.
 func (x *index) find(hash uint64, same func(slot uint32) bool) uint32 {
 	s := x.shard(hash)
 	if len(s.places) == 0 {
@@ -42,7 +43,7 @@
 	return none
 }
 
-// add adds a slot that the index does not contain.
+// add inserts a slot that the index does not contain. The shard grows once it would be more than three quarters full.
 func (x *index) add(hash uint64, slot uint32) {
 	s := x.shard(hash)
 	if (s.count+1)*4 > len(s.places)*3 {
--- a/internal/endpoints/inputlimiter.go
+++ b/internal/endpoints/inputlimiter.go
@@ -5,21 +5,22 @@
 	"io"
 )
 
-// blanks is the white space of JSON.
-const blanks = " \t\r\n"
+// jsonWhitespace holds the white space characters of JSON.
+const jsonWhitespace = " \t\r\n"
 
-// inputLimiter is the input of a Reader's decoder. It bounds the decoder's buffer, drops white space between objects, and
-// reports that the sender is alive.
+// inputLimiter wraps the input of a Reader's decoder. It bounds the decoder's buffer, drops white space between objects, and
+// calls alive when the sender makes progress.
 type inputLimiter struct {
 	source    io.Reader
-	alive     func()
-	consumed  func() int64 // bytes that the decoder has consumed
-	delivered int64        // bytes that were passed to the decoder
-	inObject  bool         // an object has begun and, as far as is known, not ended
-	err       error        // end of the input; the decoder does not keep it
+	alive     func()       // called for each part of an object, and for white space between objects
+	consumed  func() int64 // returns the number of bytes that the decoder has consumed
+	delivered int64        // number of bytes passed to the decoder
+	inObject  bool         // an object has begun and is not known to have ended; the Reader clears it at the end of an object
+	err       error        // error that ended the source, kept because the decoder may call Read again after an error
 }
 
-// Read reads from the source, without white space between objects.
+// Read reads from the source and drops white space between objects. It returns an UnreadableError once the decoder buffers more
+// than MaxEntrySize bytes.
 func (w *inputLimiter) Read(b []byte) (int, error) {
 	if w.delivered-w.consumed() > MaxEntrySize {
 		return 0, &UnreadableError{Err: errTooLong}
@@ -31,14 +32,14 @@
 		n, err := w.source.Read(b)
 		w.err = err
 		got := b[:n]
-		solid := len(bytes.Trim(got, blanks)) > 0
-		if n > 0 && (solid || !w.inObject) {
+		hasContent := len(bytes.Trim(got, jsonWhitespace)) > 0
+		if n > 0 && (hasContent || !w.inObject) {
 			w.alive()
 		}
 		if !w.inObject {
-			n = copy(b, bytes.TrimLeft(got, blanks))
+			n = copy(b, bytes.TrimLeft(got, jsonWhitespace))
 		}
-		w.inObject = w.inObject || solid
+		w.inObject = w.inObject || hasContent
 		w.delivered += int64(n)
 		if n > 0 {
 			return n, nil
--- a/internal/endpoints/model_test.go
+++ b/internal/endpoints/model_test.go
@@ -24,25 +24,25 @@
 // modelFS is a file system in memory. It counts its calls that change something, and can stop, as the disk of a
 // process that is killed does, or fail.
 type modelFS struct {
-	files   map[string]*modelFile
-	synced  map[string]*modelFile // as of the last SyncDir
-	calls   int
-	written int64
-	writes  int
-	failAt  int   // from this call on; 0 for never
-	failFor int   // calls
-	failure error // of these; nil for a write that is short
-	late    bool  // a write that fails has written all the same
-	onCall  func()
-	stuck   string // the path of a file that can be neither read nor removed
+	files        map[string]*modelFile
+	synced       map[string]*modelFile // as of the last SyncDir
+	calls        int
+	written      int64
+	writes       int
+	failAt       int   // from this call on; 0 for never
+	failFor      int   // calls
+	failure      error // of these; nil for a write that is short
+	writesFully  bool  // a write that fails has written all the same
+	onCall       func()
+	inaccessible string // the path of a file that can be neither read nor removed
 }
 
 func newModelFS() *modelFS {
 	return &modelFS{files: map[string]*modelFile{}, synced: map[string]*modelFile{}}
 }
 
-// fails counts a call, and reports whether it fails.
-func (m *modelFS) fails() bool {
+// shouldFail counts a call, and reports whether it shouldFail.
+func (m *modelFS) shouldFail() bool {
 	m.calls++
 	if m.onCall != nil {
 		m.onCall()
@@ -50,11 +50,11 @@
 	return m.failAt > 0 && m.calls >= m.failAt && m.calls < m.failAt+m.failFor
 }
 
-func (m *modelFS) reason() error { return errors.Join(m.failure, syscall.EIO) }
+func (m *modelFS) callError() error { return errors.Join(m.failure, syscall.EIO) }
 
 func (m *modelFS) Create(path string) (journal.File, error) {
-	if m.fails() {
-		return nil, m.reason()
+	if m.shouldFail() {
+		return nil, m.callError()
 	}
 	f := &modelFile{fsys: m}
 	m.files[path] = f
@@ -62,9 +62,9 @@
 }
 
 func (f *modelFile) Write(b []byte) (int, error) {
-	if f.fsys.fails() {
+	if f.fsys.shouldFail() {
 		n := len(b) / 2
-		if f.fsys.late {
+		if f.fsys.writesFully {
 			n = len(b)
 		}
 		f.data = append(f.data, b[:n]...)
@@ -77,16 +77,16 @@
 }
 
 func (f *modelFile) Sync() error {
-	if f.fsys.fails() {
-		return f.fsys.reason()
+	if f.fsys.shouldFail() {
+		return f.fsys.callError()
 	}
 	f.synced = bytes.Clone(f.data)
 	return nil
 }
 
 func (f *modelFile) Truncate(size int64) error {
-	if f.fsys.fails() {
-		return f.fsys.reason()
+	if f.fsys.shouldFail() {
+		return f.fsys.callError()
 	}
 	f.data = bytes.Clone(f.data[:size])
 	return nil
@@ -99,15 +99,15 @@
 	if !ok {
 		return nil, 0, fs.ErrNotExist
 	}
-	if path == m.stuck {
+	if path == m.inaccessible {
 		return nil, 0, syscall.EIO
 	}
 	return io.NopCloser(bytes.NewReader(f.data)), int64(len(f.data)), nil
 }
 
 func (m *modelFS) Rename(from, to string) error {
-	if m.fails() {
-		return m.reason()
+	if m.shouldFail() {
+		return m.callError()
 	}
 	m.files[to] = m.files[from]
 	delete(m.files, from)
@@ -118,8 +118,8 @@
 	if m.files[path] == nil {
 		return fs.ErrNotExist
 	}
-	if m.fails() || path == m.stuck {
-		return m.reason()
+	if m.shouldFail() || path == m.inaccessible {
+		return m.callError()
 	}
 	delete(m.files, path)
 	return nil
@@ -133,8 +133,8 @@
 }
 
 func (m *modelFS) SyncDir(string) error {
-	if m.fails() {
-		return m.reason()
+	if m.shouldFail() {
+		return m.callError()
 	}
 	m.synced = map[string]*modelFile{}
 	for path, f := range m.files {
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// killed returns what a process that is killed now leaves.
-func (m *modelFS) killed() *modelFS {
+// afterKill returns what a process that is afterKill now leaves.
+func (m *modelFS) afterKill() *modelFS {
 	left := newModelFS()
 	for path, f := range m.files {
 		left.files[path] = &modelFile{fsys: left, data: bytes.Clone(f.data)}
--- a/internal/endpoints/reader.go
+++ b/internal/endpoints/reader.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// BatchSize is the maximum number of entries of a batch.
+	// BatchSize is the maximum number of entries in a Batch.
 	BatchSize = 256
-	// MaxEntrySize bounds one entry of the list, and anything else between two tokens, in bytes.
+	// MaxEntrySize is the maximum size of one entry, and of any other input that the decoder has to buffer, in bytes.
 	MaxEntrySize = 64 << 10
-	// maxDepth bounds the nesting of fields that are skipped.
+	// maxDepth is the maximum nesting depth of the values of unknown fields, which are skipped.
 	maxDepth = 64
 )
 
-// Batch is a part of an object of discovery's response.
+// Batch is a part of one JSON object of discovery's response.
 type Batch struct {
-	Entries       []Entry // at most BatchSize; those without a host are left out
-	First         bool    // the first batch of its object
-	End           bool    // the last batch of its object
-	Seq           int64   // set at End
-	Complete      bool    // the object is a complete list and not an update; valid if CompleteKnown
-	CompleteKnown bool    // it is known whether the list is complete: the object has said so, or has ended
+	Entries       []Entry // at most BatchSize entries; entries without a host are dropped
+	First         bool    // this is the first batch of its object
+	End           bool    // this is the last batch of its object
+	Seq           int64   // sequence of the list after this object; set only if End is true
+	Complete      bool    // the object is a complete list rather than an update; valid only if CompleteKnown is true
+	CompleteKnown bool    // Complete is final, because its field has been read or the object has ended
 }
 
-// UnreadableError says that the response is malformed: the object is lost, and a complete list has to be requested. Other
-// errors of a Reader are those of its input: io.EOF between objects, io.ErrUnexpectedEOF within one.
+// UnreadableError reports a malformed response: the current object is lost, and a complete list has to be requested. All other
+// errors of a Reader come from its input; the end of the input is io.EOF between objects and io.ErrUnexpectedEOF within one.
 type UnreadableError struct {
-	Offset int64 // bytes of input in front of the error
-	Err    error
+	Offset int64 // position of the error in the decoder's input, in bytes
+	Err    error // the cause
 }
 
 func (e *UnreadableError) Error() string {
@@ -42,23 +42,23 @@
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// errTooLong says that an entry, or anything else between two tokens, exceeds MaxEntrySize.
-var errTooLong = fmt.Errorf("an entry of more than %d bytes", MaxEntrySize)
+// errTooLong reports that an entry, or other input that the decoder has to buffer, exceeds MaxEntrySize.
+var errTooLong = fmt.Errorf("entry or token longer than %d bytes", MaxEntrySize)
 
 // Reader decodes discovery's response stream: JSON objects with the fields seq, whole and hosts in any order, separated by
-// white space. Its memory is bounded by one batch and one entry.
+// white space. It holds at most one batch and one entry in memory.
 type Reader struct {
-	// Alive, if set, is called when a part of an object was received, or white space between objects. White space within
-	// an object does not count: a sender that stalls there does not complete the object.
+	// Alive, if set, is called whenever a part of an object, or white space between objects, has been received. It is not called
+	// for white space alone within an object, because a sender that sends only that is not completing the object.
 	Alive func()
 
 	input   *inputLimiter
 	decoder *json.Decoder
-	object  *objectReader // the object that is being read
-	err     error         // the error that ended the stream
+	object  *objectReader // state of the object being read; nil between objects
+	err     error         // error that ended the stream; Next keeps returning it
 }
 
-// NewReader returns a reader of a response.
+// NewReader returns a Reader that decodes the response body r.
 func NewReader(r io.Reader) *Reader {
 	reader := &Reader{}
 	reader.input = &inputLimiter{source: r, alive: func() {
@@ -71,8 +71,8 @@
 	return reader
 }
 
-// Next returns the next batch. It blocks until the batch is full or its object has ended. All calls after an error return
-// the same error.
+// Next returns the next batch. It blocks until the batch is full or its object has ended. After an error, all further calls
+// return the same error.
 func (r *Reader) Next() (Batch, error) {
 	if r.err != nil {
 		return Batch{}, r.err
@@ -98,7 +98,7 @@
 	var part [64]byte
 	for {
 		n, err := buffered.Read(part[:])
-		if len(bytes.Trim(part[:n], blanks)) > 0 {
+		if len(bytes.Trim(part[:n], jsonWhitespace)) > 0 {
 			return true
 		}
 		if err != nil {
@@ -107,8 +107,8 @@
 	}
 }
 
-// ReadObject decodes one object at the position of a decoder, such as a list within a configuration, and passes its batches
-// to deliver. The size of an entry is bounded only by the decoder's input.
+// ReadObject decodes one object at the current position of a decoder, such as a list embedded in a configuration, and passes
+// its batches to deliver. It stops at the first error of deliver. It does not limit the size of an entry.
 func ReadObject(decoder *json.Decoder, deliver func(Batch) error) error {
 	for object := (&objectReader{decoder: decoder}); ; {
 		batch, err := object.next()
@@ -121,14 +121,14 @@
 	}
 }
 
-// objectReader decodes one object.
+// objectReader decodes one object of a response in batches.
 type objectReader struct {
 	decoder   *json.Decoder
-	started   bool
-	inHosts   bool // between the brackets of hosts
-	seenHosts bool // the field hosts has occurred
-	delivered int
-	head      struct {
+	started   bool     // the opening brace has been read
+	inHosts   bool     // the decoder is positioned inside the array of the field hosts
+	seenHosts bool     // the field hosts has occurred, and must not occur again
+	delivered int      // number of batches returned
+	head      struct { // values of the fields seq and whole, as far as they have been read
 		seq           int64
 		complete      bool
 		completeKnown bool
@@ -151,7 +151,7 @@
 	return batch, nil
 }
 
-// read reads on until the batch is full or the object has ended.
+// read appends entries until the batch is full or the object has ended. It reports whether the object has ended.
 func (o *objectReader) read(entries *[]Entry) (ended bool, err error) {
 	if !o.started {
 		if err := o.expect(json.Delim('{')); err != nil {
@@ -182,7 +182,8 @@
 	}
 }
 
-// readField reads the value of a field, or the beginning of hosts. Names are compared as encoding/json does it.
+// readField reads the value of a field; of the field hosts it reads only the opening bracket. Field names are matched without
+// regard to case, as encoding/json does.
 func (o *objectReader) readField(name string) error {
 	switch {
 	case strings.EqualFold(name, "seq"):
@@ -198,7 +199,7 @@
 
 func (o *objectReader) startHosts() error {
 	if o.seenHosts {
-		return &UnreadableError{Err: errors.New("hosts given twice")}
+		return &UnreadableError{Err: errors.New("duplicate field hosts")}
 	}
 	o.seenHosts = true
 	token, err := o.decoder.Token()
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// readHosts reads entries until the batch is full or the last one has come.
+// readHosts appends entries until the batch is full or the array of the field hosts has ended.
 func (o *objectReader) readHosts(entries *[]Entry) error {
 	for o.decoder.More() {
 		if len(*entries) == BatchSize {
@@ -240,7 +241,7 @@
 	return err
 }
 
-// typedError converts an error of the decoder to one of those that Reader documents.
+// typedError converts an error of the decoder to one of the errors described at UnreadableError.
 func (o *objectReader) typedError(err error) error {
 	if unreadable := new(UnreadableError); errors.As(err, &unreadable) {
 		unreadable.Offset = o.decoder.InputOffset()
@@ -256,10 +257,10 @@
 }
 
 func unexpected(token json.Token) error {
-	return &UnreadableError{Err: fmt.Errorf("unexpected %v", token)}
+	return &UnreadableError{Err: fmt.Errorf("unexpected token %v", token)}
 }
 
-// skipValue skips a value of any length.
+// skipValue skips a value of any length without buffering it as a whole. Nesting is limited to maxDepth.
 func skipValue(decoder *json.Decoder) error {
 	for depth := 0; ; {
 		token, err := decoder.Token()
--- a/internal/endpoints/reader_test.go
+++ b/internal/endpoints/reader_test.go
@@ -161,7 +161,7 @@
 
 // Whatever pieces an answer comes in, and whatever byte of it is changed, the objects that end are those that
 // encoding/json reads.
-func TestReaderPieces(t *testing.T) {
+func TestReaderMatchesEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text []byte
 		for seq := range rapid.IntRange(1, 4).Draw(t, "objects") {
@@ -174,7 +174,7 @@
 		}
 		want := decodeAll(text)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		got, err := readAll(t, NewReader(&pieces{bytes.NewReader(text), random}))
+		got, err := readAll(t, NewReader(&randomChunks{bytes.NewReader(text), random}))
 		if len(got) != len(want) {
 			t.Fatalf("%d objects, want %d; %v", len(got), len(want), err)
 		}
@@ -204,20 +204,20 @@
 	}
 }
 
-// pieces returns a text in pieces of random length.
-type pieces struct {
+// randomChunks returns a text in randomChunks of random length.
+type randomChunks struct {
 	from   *bytes.Reader
 	random *rand.Rand
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
+func (p *randomChunks) Read(b []byte) (int, error) {
 	return p.from.Read(b[:min(len(b), 1+p.random.IntN(1<<p.random.IntN(14)))])
 }
 
-// steps returns one part of a text with each call.
-type steps struct{ parts []string }
+// fixedChunks returns one part of a text with each call.
+type fixedChunks struct{ parts []string }
 
-func (s *steps) Read(b []byte) (int, error) {
+func (s *fixedChunks) Read(b []byte) (int, error) {
 	if len(s.parts) == 0 {
 		return 0, io.EOF
 	}
@@ -226,7 +226,7 @@
 	return n, nil
 }
 
-func TestReaderAlive(t *testing.T) {
+func TestReaderReportsAlive(t *testing.T) {
 	response := `{"seq":1,"hosts":[]}`
 	for _, c := range []struct {
 		name  string
@@ -241,7 +241,7 @@
 		{"the object goes on after blank lines", []string{`{"seq":1,`, "\n", `"hosts":[]}`, "\n"}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := NewReader(&steps{c.parts})
+			r := NewReader(&fixedChunks{c.parts})
 			alive := 0
 			r.Alive = func() { alive++ }
 			_, _ = readAll(t, r)
@@ -267,7 +267,7 @@
 	return n, nil
 }
 
-func TestReaderBlankLinesForDays(t *testing.T) {
+func TestReaderUnboundedBlankLines(t *testing.T) {
 	in := io.MultiReader(
 		&blankLines{100 * MaxEntrySize}, strings.NewReader(`{"seq":1}`),
 		&blankLines{100 * MaxEntrySize}, strings.NewReader(`{"seq":2}`))
--- a/internal/endpoints/recordreader.go
+++ b/internal/endpoints/recordreader.go
@@ -8,24 +8,24 @@
 	"math"
 )
 
-// readBuffer is the size of the buffer through which a file is read, in bytes.
-const readBuffer = 256 << 10
+// readBufferSize is the size of the read buffer of a recordReader, in bytes.
+const readBufferSize = 256 << 10
 
-// recordReader reads the records of a file up to the first torn or corrupt one.
+// recordReader reads the records of a file up to the first truncated or corrupt record.
 type recordReader struct {
 	source   *bufio.Reader
-	checksum uint32 // of the last valid record
-	payload  []byte
+	checksum uint32 // checksum of the last valid record, or of the header before the first one
+	payload  []byte // buffer for the payload of a record, reused by each call of next
 }
 
 func newRecordReader(r io.Reader) (*recordReader, header, error) {
-	from := bufio.NewReaderSize(r, readBuffer)
+	from := bufio.NewReaderSize(r, readBufferSize)
 	h, sum, err := readHeader(from)
 	return &recordReader{source: from, checksum: sum}, h, err
 }
 
-// next returns the next record. It returns io.EOF behind the last one, and an error that wraps errDamaged if the file is torn
-// or corrupt.
+// next returns the next record. The error is io.EOF after the last record, and wraps errDamaged if the record is truncated or
+// corrupt.
 func (r *recordReader) next() (change, error) {
 	var head [recordHeaderSize]byte
 	n, err := io.ReadFull(r.source, head[:])
@@ -33,32 +33,32 @@
 		return change{}, io.EOF
 	}
 	if err != nil {
-		return change{}, corrupt("torn record")
+		return change{}, corrupt("truncated record")
 	}
 	size := binary.LittleEndian.Uint32(head[:])
 	if size == 0 || size > maxPayloadSize {
-		return change{}, corrupt("impossible length")
+		return change{}, corrupt("record has an invalid length")
 	}
 	if cap(r.payload) < int(size) {
 		r.payload = make([]byte, size)
 	}
 	r.payload = r.payload[:size]
 	if _, err := io.ReadFull(r.source, r.payload); err != nil {
-		return change{}, corrupt("torn record")
+		return change{}, corrupt("truncated record")
 	}
 	sum := recordSum(r.checksum, head[:4], r.payload)
 	if sum != binary.LittleEndian.Uint32(head[4:]) {
-		return change{}, corrupt("wrong checksum")
+		return change{}, corrupt("record has a wrong checksum")
 	}
 	c, ok := decodeChange(r.payload)
 	if !ok {
-		return change{}, corrupt("wrong fields")
+		return change{}, corrupt("record has malformed fields")
 	}
 	r.checksum = sum
 	return c, nil
 }
 
-// decodeChange decodes a payload. It reports false if the payload is malformed.
+// decodeChange decodes a payload of at least one byte. ok is false if the payload is malformed.
 func decodeChange(payload []byte) (c change, ok bool) {
 	in := payloadReader{unread: payload[1:]}
 	c.operation = payload[0]
@@ -81,7 +81,8 @@
 	return c, !in.malformed && len(in.unread) == 0
 }
 
-// payloadReader decodes the fields of a payload. Once malformed is set, the values that it returns are meaningless.
+// payloadReader decodes the fields of a payload. Its methods set malformed if a field can't be decoded; the values that they
+// return from then on are meaningless.
 type payloadReader struct {
 	unread    []byte
 	malformed bool
--- a/internal/endpoints/replay.go
+++ b/internal/endpoints/replay.go
@@ -11,12 +11,12 @@
 	"milletsail/internal/journal"
 )
 
-// LoadReport says what Open has found in a directory.
+// LoadReport describes what Open has found in a directory.
 type LoadReport struct {
-	Entries int     // in the table that Open returns
-	Files   int     // snapshots and logs
-	Newer   int     // files of a newer format, which are ignored and removed
-	Damage  []error // a *FileError for each file that could not be used, or only in part
+	Entries int     // number of entries in the table that Open returns
+	Files   int     // number of snapshots and logs found, without unfinished snapshots
+	Newer   int     // number of files with a newer format version, which are ignored and removed
+	Damage  []error // a *FileError for each file that could not be used completely, and any error of removing unused files
 }
 
 // storedFile is a snapshot or a log in the directory.
@@ -31,17 +31,17 @@
 type replay struct {
 	dir      string
 	fsys     journal.FS
-	salvage  bool // files that can't be read count as damaged
+	salvage  bool // files that can't be read are treated as damaged instead of failing the replay
 	table    *Table
 	report   LoadReport
-	sequence int64
-	ioError  error // of the file system: it says nothing about the content of the files
+	sequence int64 // sequence of the last replayed commit, or of the snapshot; 0 if there is neither
+	ioError  error // errors of the file system, joined; they fail the replay because the files may be intact
 
-	files    []storedFile // by number
-	lastLog  uint64       // number of the last log that was replayed, 0 for none
-	checksum uint32       // of the last record that was replayed
-	snapshot storedFile   // the snapshot that was replayed; its name is empty if none was
-	used     []storedFile // the files that the table was rebuilt from
+	files    []storedFile // snapshots and logs in the directory, ordered by number
+	lastLog  uint64       // number of the last replayed log; 0 if there is none
+	checksum uint32       // checksum of the last replayed log record, or of the log's header
+	snapshot storedFile   // the replayed snapshot; its name is empty if there is none
+	used     []storedFile // files from which the table was rebuilt
 }
 
 // run replays the newest complete snapshot and the logs that continue it without a gap.
@@ -63,7 +63,7 @@
 	return r.ioError
 }
 
-// trackedFile is an open file that remembers the error of the file system that ended its reading.
+// trackedFile is an open file that records read errors of the file system, so that they can be told apart from damage.
 type trackedFile struct {
 	io.ReadCloser
 	ioError error
@@ -77,7 +77,7 @@
 	return n, err
 }
 
-// open opens a file of the directory.
+// open opens a file of the directory and returns its size in bytes.
 func (r *replay) open(file storedFile) (*trackedFile, int64, error) {
 	in, size, err := r.fsys.Open(filepath.Join(r.dir, file.name))
 	if err != nil {
@@ -87,20 +87,21 @@
 	return &trackedFile{ReadCloser: in}, size, nil
 }
 
-// close closes a file and records an error of its reading.
+// close closes a file and records its read error, if there was one.
 func (r *replay) close(f *trackedFile) {
 	_ = f.Close()
 	r.recordIOError(f.ioError)
 }
 
-// recordIOError records an error of the file system, unless the file was removed meanwhile or salvage is on.
+// recordIOError adds an error of the file system to ioError, unless salvage is set or the error is that the file no longer
+// exists.
 func (r *replay) recordIOError(err error) {
 	if err != nil && !r.salvage && !errors.Is(err, fs.ErrNotExist) {
 		r.ioError = errors.Join(r.ioError, err)
 	}
 }
 
-// readSnapshots fills the table from the newest complete snapshot.
+// readSnapshots rebuilds the table from the newest snapshot that can be read completely.
 func (r *replay) readSnapshots() {
 	for _, file := range slices.Backward(r.files) {
 		if file.kind != kindSnapshot {
@@ -130,13 +131,13 @@
 		return 0, 0, err
 	}
 	if h.kind != kindSnapshot || h.number != file.number {
-		return 0, 0, corrupt("header of another file")
+		return 0, 0, corrupt("header does not match the file name")
 	}
 	for count := int64(0); ; count++ {
 		c, err := records.next()
 		switch {
 		case errors.Is(err, io.EOF):
-			return 0, 0, corrupt("no end")
+			return 0, 0, corrupt("snapshot has no end record")
 		case err != nil:
 			return 0, 0, err
 		case c.operation == opPut:
@@ -149,7 +150,7 @@
 	}
 }
 
-// readLogs applies the logs that continue the snapshot.
+// readLogs applies the logs that continue the snapshot, in ascending order of their numbers.
 func (r *replay) readLogs() {
 	for _, file := range r.files {
 		if file.kind == kindLog && file.number >= r.snapshot.number {
@@ -171,10 +172,10 @@
 		return err
 	}
 	if h.kind != kindLog || h.number != file.number {
-		return corrupt("header of another file")
+		return corrupt("header does not match the file name")
 	}
 	if !r.continues(h) {
-		return corrupt("does not continue what could be read")
+		return corrupt("log does not continue the last readable record")
 	}
 	if h.base {
 		r.reset()
@@ -195,7 +196,7 @@
 	}
 }
 
-// continues reports whether a log begins at the record that was replayed last.
+// continues reports whether the log with the given header follows the last replayed record without a gap.
 func (r *replay) continues(h header) bool {
 	switch {
 	case h.base:
@@ -206,8 +207,8 @@
 	return r.snapshot.name != "" && h.number == r.snapshot.number
 }
 
-// reset discards what was replayed, for a log whose header says that it begins with an empty table. Older files that
-// remain could neither be read nor removed when that log was begun.
+// reset discards the replayed state before a log whose header has base set. Files older than such a log could neither be read
+// nor removed when the log was created.
 func (r *replay) reset() {
 	r.table = NewTable()
 	r.sequence = 0
@@ -234,7 +235,7 @@
 	r.report.Damage = append(r.report.Damage, &FileError{Name: file.name, Err: err})
 }
 
-// removeUnused removes the files that the table was not rebuilt from.
+// removeUnused removes the store's files from which the table was not rebuilt, including unfinished snapshots.
 func (r *replay) removeUnused() error {
 	names, err := r.fsys.List(r.dir)
 	if err != nil {
@@ -243,14 +244,14 @@
 	var failures []error
 	for _, name := range names {
 		useful := slices.ContainsFunc(r.used, func(f storedFile) bool { return f.name == name })
-		if ours(name) && !useful {
+		if isStoreFile(name) && !useful {
 			failures = append(failures, r.fsys.Remove(filepath.Join(r.dir, name)))
 		}
 	}
 	return errors.Join(failures...)
 }
 
-// highestNumber is the highest number of a file in the directory.
+// highestNumber returns the highest number of the snapshots and logs in the directory, or 0 if there are none.
 func (r *replay) highestNumber() uint64 {
 	if len(r.files) == 0 {
 		return 0
@@ -258,7 +259,8 @@
 	return r.files[len(r.files)-1].number
 }
 
-// nextLog returns the header of the log that continues what was replayed.
+// nextLog returns the header of the log that continues the replayed files. If nothing was replayed, the log starts from an empty
+// table.
 func (r *replay) nextLog() header {
 	h := header{kind: kindLog, number: r.highestNumber() + 1}
 	switch {
--- a/internal/endpoints/storage.go
+++ b/internal/endpoints/storage.go
@@ -1,6 +1,7 @@
 package endpoints
 
-// chunked is an array that grows by chunks: it never moves its elements, and wastes at most one chunk.
+// chunked is an array that grows in chunks of chunkRecords elements. It never moves its elements, and leaves less than one chunk
+// unused.
 type chunked[T any] struct {
 	chunks [][]T
 	count  int
@@ -21,22 +22,22 @@
 	return uint32(c.count - 1)
 }
 
-// attributes are the fields that many entries have in common.
+// attributes is a combination of the Entry fields that many entries share.
 type attributes struct{ site, class, health string }
 
-// attributeSet interns attributes: it stores one copy of each combination in use, counted by its users.
+// attributeSet interns attributes: it stores one copy of each combination in use, with a reference count.
 type attributeSet struct {
 	ids       map[attributes]uint32
-	values    []attributes
-	useCounts []int    // by ID
-	freeIDs   []uint32 // to reuse
+	values    []attributes // combinations by ID
+	useCounts []int        // reference counts by ID
+	freeIDs   []uint32     // IDs without uses, which are assigned again
 }
 
 func newAttributeSet() attributeSet { return attributeSet{ids: map[attributes]uint32{}} }
 
 func (s *attributeSet) get(id uint32) attributes { return s.values[id] }
 
-// acquire returns the ID of a combination, and counts a use of it.
+// acquire returns the ID of a combination and increments its reference count.
 func (s *attributeSet) acquire(a attributes) uint32 {
 	id, ok := s.ids[a]
 	if !ok {
@@ -61,7 +62,7 @@
 	return id
 }
 
-// release ends a use of a combination, and removes a combination without uses.
+// release decrements the reference count of a combination, and removes the combination when the count reaches 0.
 func (s *attributeSet) release(id uint32) {
 	s.useCounts[id]--
 	if s.useCounts[id] == 0 {
--- a/internal/endpoints/store_test.go
+++ b/internal/endpoints/store_test.go
@@ -133,13 +133,13 @@
 	points := 0
 	fsys.onCall = func() {
 		points++
-		h.check(t, fsys.killed(), h.durable, fmt.Sprintf("before call %d", fsys.calls))
+		h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("before call %d", fsys.calls))
 		for path, f := range fsys.files { // the tails of files, as of a write that was under way
 			for _, less := range []int{1, 9, 30} {
 				if len(f.data) < less || path != currentLog(h.store) {
 					continue
 				}
-				left := fsys.killed()
+				left := fsys.afterKill()
 				cut := left.files[path]
 				cut.data = cut.data[:len(cut.data)-less]
 				h.check(t, left, max(0, h.durable-1), fmt.Sprintf("within the write before call %d", fsys.calls))
@@ -157,7 +157,7 @@
 			h.change()
 		}
 	}
-	h.check(t, fsys.killed(), h.durable, "at the end")
+	h.check(t, fsys.afterKill(), h.durable, "at the end")
 	t.Logf("%d points", points)
 }
 
@@ -204,23 +204,23 @@
 	h.change()
 	for path, f := range fsys.files {
 		for bit := range 8 * len(f.data) {
-			left := fsys.killed()
+			left := fsys.afterKill()
 			left.files[path].data[bit/8] ^= 1 << (bit % 8)
 			h.check(t, left, 0, fmt.Sprintf("%s, bit %d", path, bit))
 		}
 		for cut := range len(f.data) {
-			left := fsys.killed()
+			left := fsys.afterKill()
 			left.files[path].data = left.files[path].data[:cut]
 			h.check(t, left, 0, fmt.Sprintf("%s, cut at %d", path, cut))
 		}
-		left := fsys.killed()
+		left := fsys.afterKill()
 		delete(left.files, path)
 		h.check(t, left, 0, path+" lost")
 	}
 }
 
 // What damage has left is continued, and found again at the start after it.
-func TestStoreGoesOnAfterDamage(t *testing.T) {
+func TestStoreContinuesAfterDamage(t *testing.T) {
 	for seed := range uint64(200) {
 		fsys := newModelFS()
 		h := newHarness(t, fsys, seed, 12)
@@ -237,13 +237,13 @@
 			}
 		}
 		h.restart(t)
-		h.beginAnew()
+		h.resetHistory()
 		for range 3 {
 			h.change()
 		}
-		h.check(t, fsys.killed(), h.durable, fmt.Sprintf("seed %d", seed))
+		h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("seed %d", seed))
 		h.compact()
-		h.check(t, fsys.killed(), h.durable, fmt.Sprintf("seed %d", seed))
+		h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("seed %d", seed))
 	}
 }
 
@@ -272,7 +272,7 @@
 }
 
 // Each step looks at a bounded part of the table, and writes no more than that.
-func TestStoreStepIsBounded(t *testing.T) {
+func TestStoreCompactStepIsBounded(t *testing.T) {
 	fsys := newModelFS()
 	s, table, _, _ := open(t, fsys, testBudget)
 	for i := range 10 * CompactionStepEntries {
@@ -298,14 +298,14 @@
 }
 
 // Sequence 0 is persisted like any other: a complete list has to be requested.
-func TestStoreForgetsSequence(t *testing.T) {
+func TestStorePersistsSequenceZero(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 1, 20)
 	h.change()
 	if err := h.store.Commit(0); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, seq, _ := open(t, fsys.killed(), testBudget); seq != 0 {
+	if _, _, seq, _ := open(t, fsys.afterKill(), testBudget); seq != 0 {
 		t.Errorf("sequence %d", seq)
 	}
 }
--- a/internal/endpoints/stored_test.go
+++ b/internal/endpoints/stored_test.go
@@ -34,8 +34,8 @@
 	tornBytes = 1
 	// otherVersion is a version of the format that commit 569f7cf does not know.
 	otherVersion = 2
-	// versionPlace is where a file says its version.
-	versionPlace = 8
+	// storedVersionOffset is where a file says its version.
+	storedVersionOffset = 8
 )
 
 // storedWriter makes changes in a directory as its owner does: first in the table, then in the store.
@@ -127,8 +127,8 @@
 	next.close()
 }
 
-// storedFolders are the directories of storedDir, and what writes each.
-var storedFolders = []struct {
+// storedDirectories are the directories of storedDir, and what writes each.
+var storedDirectories = []struct {
 	name  string
 	write func(t *testing.T, dir string)
 }{
@@ -140,7 +140,7 @@
 // The same changes give the same files, byte by byte, as at commit 569f7cf, which can so read what later code
 // writes.
 func TestWritesStoredBytes(t *testing.T) {
-	for _, folder := range storedFolders {
+	for _, folder := range storedDirectories {
 		t.Run(folder.name, func(t *testing.T) {
 			stored, written := filepath.Join(storedDir, folder.name), t.TempDir()
 			folder.write(t, written)
@@ -206,7 +206,7 @@
 func TestReadsStoredVersion(t *testing.T) {
 	dir := t.TempDir()
 	text := fileBytes(t, filepath.Join(storedDir, storedLog, "log-1"))
-	text[versionPlace] = otherVersion
+	text[storedVersionOffset] = otherVersion
 	putFile(t, filepath.Join(dir, "log-1"), text)
 	sameText(t, describeStored(t, dir), "sequence 0, files 1, newer 1, damaged 0, draining 0\n")
 }
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// chunkRecords is the number of records, or of destinations, in a chunk of a table.
+	// chunkRecords is the number of elements in one chunk of a chunked array.
 	chunkRecords     = 1 << chunkRecordsBits
 	chunkRecordsBits = 11
 )
 
-// record is an entry as a table stores it: 40 bytes without pointers, so that the garbage collector need not scan it. A free
-// record has no destination.
+// record is the stored form of an entry: 40 bytes without pointers, so that the garbage collector need not scan it. Slots are
+// indices in Table.records or Table.destinations; none stands for no slot.
 type record struct {
-	share       float64
-	born        int64
-	text        textRef // host and dial
-	attributes  uint32
-	destination uint32 // slot of the destination; none for a free record
-	next        uint32 // next record of the same destination, or next free one
-	previous    uint32 // previous record of the same destination
-	generation  uint32 // of the replacement that last put it
+	share       float64 // Entry.Share
+	born        int64   // Entry.BornMS
+	text        textRef // location of Entry.Host and Entry.Dial in Table.texts
+	attributes  uint32  // ID in Table.attributes of the site, class and health
+	destination uint32  // slot of the destination; none for a free record
+	next        uint32  // slot of the next record of the same destination or, for a free record, of the next free one
+	previous    uint32  // slot of the previous record of the same destination
+	generation  uint32  // value of Table.generation when the entry was last put
 }
 
-// destination is a destination of the list, with the linked list of its records.
+// destination is the head of the linked list of a destination's records.
 type destination struct {
-	number      int
-	first, last uint32 // records
+	number      int    // Entry.Block of the records
+	first, last uint32 // slots of the first and last record; none if the destination has no records
 }
 
-// Table stores the entries of the list by host and by destination. It is not safe for concurrent use, and must not be changed
-// during an iteration. Its memory grows with the maximum number of its entries, and with the destinations it has ever had.
+// Table stores the entries of the list, indexed by host and by destination. It is not safe for concurrent use, and must not be
+// changed during an iteration. Its memory grows with the maximum number of entries and with the number of different destinations
+// that it has ever held; it does not shrink.
 type Table struct {
 	records          chunked[record]
 	destinations     chunked[destination]
@@ -40,12 +41,12 @@
 	attributes       attributeSet
 	hostIndex        *index
 	destinationIndex *index
-	freeRecord       uint32 // first free record
-	count            int
-	draining         int
-	generation       uint32
-	replacing        bool   // a replacement is in progress, up to the end of its sweep
-	sweepSlot        uint32 // next slot to sweep
+	freeRecord       uint32 // slot of the first free record; none if there is no free record
+	count            int    // number of entries
+	draining         int    // number of entries whose health is Draining
+	generation       uint32 // number of replacements begun so far
+	replacing        bool   // a replacement has begun and its sweep has not ended
+	sweepSlot        uint32 // next slot that Sweep examines
 }
 
 // NewTable returns an empty table.
@@ -56,10 +57,10 @@
 	return t
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (t *Table) Len() int { return t.count }
 
-// Draining is the number of entries whose health is Draining.
+// Draining returns the number of entries whose health is Draining.
 func (t *Table) Draining() int { return t.draining }
 
 // Get returns the entry of a host.
@@ -71,8 +72,8 @@
 	return t.entry(slot), true
 }
 
-// Put adds an entry, or replaces the one of the same host, which it returns. An entry whose destination changes moves to the
-// end of the new destination's entries.
+// Put adds an entry, or replaces the entry of the same host and returns the replaced one. An entry whose destination changes
+// moves to the end of the new destination's entries.
 func (t *Table) Put(e Entry) (old Entry, existed bool) {
 	slot := t.find(e.Host)
 	if slot == none {
@@ -102,8 +103,8 @@
 	return t.remove(slot), true
 }
 
-// ByDestination returns the entries of a destination in the order in which they were first put. The order is stable for the
-// table's lifetime, but a table that a Store has restored may have another one.
+// ByDestination returns the entries of a destination in the order in which they were added to it. The order does not change
+// during the table's lifetime, but may differ in a table restored by Open.
 func (t *Table) ByDestination(destination int) iter.Seq[Entry] {
 	return func(yield func(Entry) bool) {
 		slot := t.findDestination(destination)
@@ -121,9 +122,9 @@
 // SeenDestination reports whether the table has ever had an entry of a destination.
 func (t *Table) SeenDestination(destination int) bool { return t.findDestination(destination) != none }
 
-// All iterates over the table in parts: it returns the entries in the next maxSlots slots from the slot from on, which is 0
-// for the first part, and the slot at which the next part begins; done is true for the last part. An entry that stays while
-// the parts are read is in exactly one of them.
+// All iterates over the table in parts, between which the table may change. It returns the entries of at most maxSlots slots,
+// beginning at slot from (0 for the first part), and the slot at which the next part begins. done is true for the last part. An
+// entry that stays in the table while the parts are read is in exactly one of them.
 func (t *Table) All(from, maxSlots int) (entries iter.Seq[Entry], next int, done bool) {
 	next = min(from+maxSlots, t.records.len())
 	entries = func(yield func(Entry) bool) {
@@ -152,7 +153,7 @@
 	t.count++
 }
 
-// setAttributes sets all of a record but its host, dial and destination.
+// setAttributes sets the fields of a record that are independent of its host, dial address and destination.
 func (t *Table) setAttributes(r *record, e Entry) {
 	wanted := attributes{site: e.Site, class: e.Class, health: e.Health}
 	if r.attributes == none || t.attributes.get(r.attributes) != wanted {
@@ -167,7 +168,7 @@
 	r.generation = t.generation
 }
 
-// dropAttributes releases the attributes of a record.
+// dropAttributes releases the attributes of a record and updates the number of draining entries.
 func (t *Table) dropAttributes(r *record) {
 	if r.attributes == none {
 		return
@@ -241,7 +242,7 @@
 	})
 }
 
-// hostHash is the hash of the host at a slot.
+// hostHash returns the hash of the host of the record at a slot.
 func (t *Table) hostHash(slot uint32) uint64 {
 	host, _ := t.texts.get(t.records.at(slot).text)
 	return xxhash.Sum64(host)
@@ -252,7 +253,7 @@
 	return t.destinationIndex.find(numberHash(number), func(slot uint32) bool { return t.destinations.at(slot).number == number })
 }
 
-// destination returns the slot of a destination, which it adds if it is new.
+// destination returns the slot of a destination, and adds the destination if the table does not have it.
 func (t *Table) destination(number int) uint32 {
 	slot := t.findDestination(number)
 	if slot == none {
@@ -263,7 +264,7 @@
 	return slot
 }
 
-// numberHash is the finalizer of MurmurHash3. It spreads the numbers of destinations, which are often consecutive.
+// numberHash hashes the number of a destination with the finalizer of MurmurHash3, which spreads consecutive numbers evenly.
 func numberHash(number int) uint64 {
 	h := uint64(number)
 	h ^= h >> 33
--- a/internal/endpoints/table_test.go
+++ b/internal/endpoints/table_test.go
@@ -169,8 +169,8 @@
 	m.replaced = nil
 }
 
-// residentBytes is the memory of what make gives.
-func residentBytes[T any](make func() T) (T, uint64) {
+// heapGrowth is the memory of what make gives.
+func heapGrowth[T any](make func() T) (T, uint64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -180,16 +180,16 @@
 	return made, after.HeapAlloc - before.HeapAlloc
 }
 
-// maxBytesAnEntry is the goal at 490,000 entries, and what the test allows at fewer.
-const maxBytesAnEntry = 110
+// maxBytesPerEntry is the goal at 490,000 entries, and what the test allows at fewer.
+const maxBytesPerEntry = 110
 
 func TestTableIsCompact(t *testing.T) {
 	const entries = 50_000
-	table, size := residentBytes(func() *Table { return exampleTable(entries) })
+	table, size := heapGrowth(func() *Table { return exampleTable(entries) })
 	perEntry := float64(size) / entries
 	t.Logf("%.1f bytes an entry at %d", perEntry, entries)
-	if perEntry > maxBytesAnEntry {
-		t.Errorf("%.1f bytes an entry, want at most %d", perEntry, maxBytesAnEntry)
+	if perEntry > maxBytesPerEntry {
+		t.Errorf("%.1f bytes an entry, want at most %d", perEntry, maxBytesPerEntry)
 	}
 	runtime.KeepAlive(table)
 }
@@ -198,7 +198,7 @@
 func TestTableReusesMemory(t *testing.T) {
 	const entries, rounds = 5_000, 20
 	table := exampleTable(entries)
-	_, grown := residentBytes(func() *Table {
+	_, grown := heapGrowth(func() *Table {
 		for round := 1; round <= rounds; round++ {
 			for i := range entries {
 				table.Delete(exampleEntry((round-1)*entries + i).Host)
@@ -209,7 +209,7 @@
 		}
 		return table
 	})
-	if grown := int64(grown); grown > entries*maxBytesAnEntry/4 {
+	if grown := int64(grown); grown > entries*maxBytesPerEntry/4 {
 		t.Errorf("grew by %d bytes", grown)
 	}
 	if table.Len() != entries {
@@ -234,10 +234,10 @@
 	}
 }
 
-func BenchmarkTableBytesAnEntry(b *testing.B) {
+func BenchmarkTableBytesPerEntry(b *testing.B) {
 	const entries = 490_000
 	for b.Loop() {
-		table, size := residentBytes(func() *Table { return exampleTable(entries) })
+		table, size := heapGrowth(func() *Table { return exampleTable(entries) })
 		b.ReportMetric(float64(size)/entries, "B/entry")
 		runtime.KeepAlive(table)
 	}
