--- a/internal/endpoints/bench_test.go
+++ b/internal/endpoints/bench_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// newCompactedStore is a store on disk with a list, compacted.
+// newCompactedStore returns a store on disk whose list has been compacted to a snapshot, and its table.
 func newCompactedStore(b *testing.B, dir string, entries int) (*Store, *Table) {
 	b.Helper()
 	s, table, _, _, err := Open(dir, testBudget)
@@ -31,7 +31,7 @@
 	return s, table
 }
 
-// One change of one host: the table, the append, the commit and the step.
+// BenchmarkChange measures the change of one entry: Table.Put, Store.Append, Store.Commit and Store.CompactStep.
 func BenchmarkChange(b *testing.B) {
 	for _, entries := range []int{1_000, 490_000} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// One step of a compaction of a long list.
+// BenchmarkCompactStep measures one step of the compaction of a list of 490,000 entries.
 func BenchmarkCompactStep(b *testing.B) {
 	s, table := newCompactedStore(b, b.TempDir(), 490_000)
 	b.Cleanup(func() { _ = s.Close() })
@@ -76,7 +76,7 @@
 	for b.Loop() {
 		_, table, _, _, err := Open(dir, testBudget)
 		if err != nil || table.Len() != entries {
-			b.Fatal(table.Len(), err)
+			b.Fatal("entries and error after Open:", table.Len(), err)
 		}
 	}
 }
@@ -88,12 +88,12 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if got, err := NewReader(bytes.NewReader(text)).count(); !errors.Is(err, io.EOF) || got != entries {
-			b.Fatal(got, err)
+			b.Fatal("entries read and error:", got, err)
 		}
 	}
 }
 
-// count reads to the end and gives the number of entries.
+// count reads all batches and returns the number of entries, with the error that ended the stream.
 func (r *Reader) count() (entries int, err error) {
 	for {
 		batch, err := r.Next()
--- a/internal/endpoints/budget_test.go
+++ b/internal/endpoints/budget_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A list that does not fit is not kept: no file is left, and Commit says so once.
+// Guards against a store that exceeds its disk budget, leaves files behind when it is disabled, or reports the error more than
+// once.
 func TestStoreBudget(t *testing.T) {
 	const entries = 5_000
 	whole := newModelFS()
@@ -19,28 +20,29 @@
 		}
 		tooSmall := new(BudgetError)
 		if !errors.As(reason, &tooSmall) || tooSmall.Budget != budget || tooSmall.Needed <= budget {
-			t.Fatalf("budget %d: %v", budget, reason)
+			t.Fatalf("budget %d: got reason %v, want a BudgetError with this budget and a larger need", budget, reason)
 		}
 		if len(fsys.files) != 0 || s.Bytes() != 0 {
-			t.Fatalf("budget %d: %d files left", budget, len(fsys.files))
+			t.Fatalf("budget %d: %d files left by the disabled store, want none", budget, len(fsys.files))
 		}
 		if errs != 1 {
-			t.Fatalf("budget %d: said %d times", budget, errs)
+			t.Fatalf("budget %d: Commit returned an error %d times, want once", budget, errs)
 		}
 	}
 	s, _ := fillStore(t, newModelFS(), 2_000_000, entries)
 	if _, disabled := s.Disabled(); disabled {
-		t.Error("disabled though there is room")
+		t.Error("store with a budget of 2,000,000 bytes is disabled although the list fits")
 	}
 }
 
-// fillStore makes a list and compactions within a budget, and gives how often Commit said that it is too small.
+// fillStore puts a list twice into a store with the given budget, with compactions in between. It returns the store and the
+// number of errors that Commit returned.
 func fillStore(t *testing.T, fsys *modelFS, budget int64, entries int) (s *Store, errs int) {
 	t.Helper()
 	s, table, _, _ := open(t, fsys, budget)
 	fsys.onCall = func() {
 		if s.Bytes() > budget {
-			t.Fatalf("%d bytes of %d", s.Bytes(), budget)
+			t.Fatalf("store has %d bytes on disk, budget is %d bytes", s.Bytes(), budget)
 		}
 	}
 	for i := range 2 * entries {
--- a/internal/endpoints/compaction.go
+++ b/internal/endpoints/compaction.go
@@ -78,9 +78,9 @@
 
 // startCompaction starts a snapshot and switches to a new log with the same number.
 func (s *Store) startCompaction() {
-	recovery := s.failure != nil
+	isRecovery := s.failure != nil
 	next := header{kind: kindLog}
-	if !recovery {
+	if !isRecovery {
 		// Until the snapshot is published, a replay uses the previous snapshot and all logs, so the new log continues the old one.
 		if s.prepareLog() != nil || s.flush() != nil {
 			return
@@ -93,7 +93,7 @@
 	next.number = s.highestNumber
 	s.nextLog = next
 	s.storedSequence = s.sequence
-	s.compaction = &compaction{number: next.number, recovery: recovery}
+	s.compaction = &compaction{number: next.number, recovery: isRecovery}
 	s.createSnapshot()
 }
 
@@ -180,9 +180,9 @@
 // failCompaction aborts a compaction after an error and delays the next one by retryInterval. The store keeps appending to the
 // current log, unless the compaction was a recovery: then nothing is persisted until another recovery succeeds.
 func (s *Store) failCompaction(err error) {
-	recovery := s.compaction.recovery
+	isRecovery := s.compaction.recovery
 	s.abortCompaction()
-	if recovery {
+	if isRecovery {
 		_ = s.recordWriteFailure(err)
 	}
 	s.retryAt = s.now().Add(retryInterval)
--- a/internal/endpoints/entry.go
+++ b/internal/endpoints/entry.go
@@ -16,11 +16,11 @@
 type Entry struct {
 	Host   string  `json:"host"`              // name of the endpoint, unique in the list
 	Dial   string  `json:"dial"`              // address to connect to
-	Site   string  `json:"site"`              // zone of the endpoint
-	Class  string  `json:"class"`             // class of the endpoint
+	Site   string  `json:"site"`              // name of the endpoint's zone
+	Class  string  `json:"class"`             // name of the endpoint's kind, such as its machine type
 	Block  int     `json:"block"`             // number of the destination that the endpoint serves
 	Health string  `json:"health"`            // health state, such as Draining
-	Share  float64 `json:"share"`             // share of the endpoint as discovery reports it; not interpreted here
+	Share  float64 `json:"share"`             // relative weight of the endpoint in load balancing
 	BornMS int64   `json:"born_ms,omitempty"` // last start of the endpoint, in Unix milliseconds; 0 means long ago
 }
 
--- a/internal/endpoints/errors.go
+++ b/internal/endpoints/errors.go
@@ -5,11 +5,12 @@
 // BudgetError reports that persisting a list needs more disk space than the budget of its Store allows.
 type BudgetError struct {
 	Budget int64 // allowed size of all files of the store, in bytes
-	Needed int64 // size of the files after the write that was refused, in bytes; the whole list may need more
+	Needed int64 // size of all files including the refused write, in bytes; the whole list may need more
 }
 
 func (e *BudgetError) Error() string {
-	return fmt.Sprintf("endpoint list exceeds its disk budget and is not persisted: at least %d bytes needed, %d bytes allowed", e.Needed, e.Budget)
+	return fmt.Sprintf("endpoint list exceeds its disk budget and is not persisted: at least %d bytes needed, %d bytes allowed",
+		e.Needed, e.Budget)
 }
 
 // FileError reports that Open could not use a file of a Store, or only the part before a damaged record.
--- a/internal/endpoints/failure_test.go
+++ b/internal/endpoints/failure_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// failingDisk is a way in which calls of the file system fail.
+// failingDisk describes how calls of the file system fail. Its fields have the meaning of those of modelFS.
 type failingDisk struct {
 	failure     error
 	writesFully bool
-	failFor     int // calls
+	failFor     int // number of calls that fail
 }
 
-// Any call of the file system may fail, and the process may be killed at any call then: nothing wrong is read, and once
-// calls succeed again all is kept again.
+// Lets each call of the file system fail in turn, and inspects what a kill at any call would leave. Guards against wrong entries
+// being read back, and against a store that does not persist again once calls succeed.
 func TestStoreFailingDisk(t *testing.T) {
 	full := errors.New("no space left")
 	for _, disk := range []failingDisk{{nil, false, 1}, {full, false, 1}, {full, true, 1}, {nil, false, 3}, {full, false, 3},
@@ -27,7 +27,8 @@
 	}
 }
 
-// runFailure runs changes and compactions whose calls fail from one on, and reports whether it got there.
+// runFailure runs changes and compactions during which the calls of the file system fail from call failAt on. It reports whether
+// that call was reached.
 func runFailure(t *testing.T, disk failingDisk, failAt int) bool {
 	t.Helper()
 	fsys := newModelFS()
@@ -47,13 +48,13 @@
 	h.compact()
 	h.change()
 	if h.store.Failure() != nil || h.durable != len(h.commits)-1 {
-		t.Fatalf("%s: not kept again: %v", when, h.store.Failure())
+		t.Fatalf("%s: store does not persist again after the fault: %v", when, h.store.Failure())
 	}
 	h.check(t, fsys.afterKill(), h.durable, when+", after it")
 	return failed
 }
 
-// deferredWork is what a store has handed to its background and nobody has run yet.
+// deferredWork holds the functions that a store has passed to Store.background and that have not run yet.
 type deferredWork []func()
 
 func (b *deferredWork) run() {
@@ -63,19 +64,19 @@
 	*b = nil
 }
 
-// A write of the log may fail while a complete snapshot waits for the disk. That snapshot then makes up for nothing that
-// was lost after it, whether or not it was itself a repair.
+// Guards against forgetting a failed log write when the snapshot that was being synced at that time is published: the snapshot
+// lacks the changes that the write lost, whether or not it recovers from an earlier failure itself.
 func TestStoreLogWriteFailsDuringSnapshotSync(t *testing.T) {
-	for _, repair := range []bool{false, true} {
+	for _, recovery := range []bool{false, true} {
 		fsys := newModelFS()
 		h := newHarness(t, fsys, 5, 20)
 		held := &deferredWork{}
 		h.change()
-		if repair {
+		if recovery {
 			fsys.failAt, fsys.failFor = fsys.calls+1, 1
 			h.change()
 			if h.store.Failure() == nil {
-				t.Fatal("the write did not fail")
+				t.Fatal("Failure is nil after a failed log write")
 			}
 		}
 		h.store.background = func(f func()) { *held = append(*held, f) }
@@ -85,22 +86,24 @@
 		held.run()
 		fsys.failAt = 0
 		h.store.CompactStep(h.table)
-		fsys.onCall = func() { h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("repair %v, call %d", repair, fsys.calls)) }
+		fsys.onCall = func() {
+			h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("recovery %v, call %d", recovery, fsys.calls))
+		}
 		h.change()
 		if h.store.Failure() == nil {
-			t.Errorf("repair %v: the failure is forgotten", repair)
+			t.Errorf("recovery %v: Failure is nil after the publication of a snapshot older than the failed write", recovery)
 		}
 		h.store.background = func(f func()) { f() }
 		h.compact()
 		h.change()
 		if h.store.Failure() != nil || h.durable != len(h.commits)-1 {
-			t.Errorf("repair %v: not kept again: %v", repair, h.store.Failure())
+			t.Errorf("recovery %v: store does not persist again after a new snapshot: %v", recovery, h.store.Failure())
 		}
-		h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("repair %v", repair))
+		h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("recovery %v", recovery))
 	}
 }
 
-// While a snapshot waits for the disk the store goes on, and Close waits for it.
+// Guards against changes lost while a snapshot is being synced, and against a Close that does not wait for its publication.
 func TestStoreCloseWaitsForSnapshot(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 5, 20)
@@ -109,18 +112,19 @@
 	h.store.background = func(f func()) { *held = append(*held, f) }
 	h.compact()
 	h.change()
-	h.check(t, fsys.afterKill(), len(h.commits)-1, "before the snapshot is in its place")
+	h.check(t, fsys.afterKill(), len(h.commits)-1, "before the snapshot is published")
 	held.run()
 	if err := h.store.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if h.store.stored[0].kind != kindSnapshot {
-		t.Errorf("files %+v", h.store.stored)
+		t.Errorf("files after Close are %+v, want a snapshot first", h.store.stored)
 	}
-	h.check(t, fsys.afterKill(), len(h.commits)-1, "closed")
+	h.check(t, fsys.afterKill(), len(h.commits)-1, "after Close")
 }
 
-// A record that is missing, or two that have changed places, are noticed though each record is whole.
+// Guards against applying a log in which a record is missing or two records are swapped, although each record is valid by
+// itself.
 func TestStoreDetectsMissingOrSwappedRecords(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 7, 6)
@@ -134,7 +138,7 @@
 		left.files[path].data = slices.Concat(slices.Concat(records[:i]...), slices.Concat(records[i+1:]...))
 		h.check(t, left, 0, fmt.Sprintf("without record %d", i))
 		if _, _, _, found := open(t, left, testBudget); len(found.Damage) == 0 {
-			t.Errorf("record %d is not missed", i)
+			t.Errorf("no damage reported although record %d is missing", i)
 		}
 		if bytes.Equal(records[i], records[i+1]) {
 			continue
@@ -158,8 +162,8 @@
 	return parts
 }
 
-// The log that goes with a repairing snapshot continues nothing: what came between is lost until the snapshot is whole,
-// though the write that failed may have reached the disk.
+// Guards against replaying the log of a recovery snapshot after the log whose write failed. The failed write may have reached
+// the disk, so that the logs seem to join, but the changes between them are only in the snapshot.
 func TestStoreRecoveryLogDoesNotContinueFailedLog(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 5, 20)
@@ -173,21 +177,21 @@
 	fsys.failAt, fsys.failFor, fsys.writesFully, fsys.failure = fsys.calls+1, 1, true, errors.New("no space left")
 	h.change()
 	if h.store.Failure() == nil {
-		t.Fatal("the write did not fail")
+		t.Fatal("Failure is nil after a failed log write")
 	}
 	for range 10 {
-		h.change() // not kept
+		h.change() // not persisted: the store has failed
 	}
 	fsys.onCall = func() { h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("call %d", fsys.calls)) }
 	h.compact()
 	if h.store.Failure() != nil {
-		t.Error(h.store.Failure())
+		t.Error("Failure after the recovery snapshot:", h.store.Failure())
 	}
-	h.check(t, fsys.afterKill(), len(h.commits)-1, "repaired")
+	h.check(t, fsys.afterKill(), len(h.commits)-1, "after the recovery")
 }
 
-// A snapshot that can be neither read nor removed at one start is an error, and nothing is changed; where it is left out all
-// the same, and can be read at the next start, it counts for nothing then.
+// Guards against reading an outdated snapshot: one that can be neither read nor removed makes Open fail without changes; once
+// Salvage has skipped it, it must not count at a later start at which it can be read again.
 func TestStoreIgnoresSalvagedSnapshotThatReappears(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 5, 20)
@@ -198,19 +202,19 @@
 	durable, before := h.durable, fsys.afterKill()
 	fsys.inaccessible = "folder/" + h.store.stored[0].name
 	if _, _, _, _, err := OpenFS("folder", testBudget, fsys); !errors.Is(err, syscall.EIO) {
-		t.Fatalf("it can't be read, and the error is %v", err)
+		t.Fatalf("Open with an unreadable snapshot returned %v, want EIO", err)
 	}
-	h.check(t, before, durable, "an open that failed")
+	h.check(t, before, durable, "after an Open that failed")
 	var err error
 	if h.store, h.table, _, _, err = SalvageFS("folder", testBudget, fsys); err != nil {
 		t.Fatal(err)
 	}
 	h.store.background = func(f func()) { f() }
 	if h.table.Len() != 0 || h.store.sequence != 0 {
-		t.Fatalf("%d entries, sequence %d", h.table.Len(), h.store.sequence)
+		t.Fatalf("Salvage found %d entries, sequence %d, want an empty table and sequence 0", h.table.Len(), h.store.sequence)
 	}
 	h.resetHistory()
 	h.change()
 	fsys.inaccessible = ""
-	h.check(t, fsys.afterKill(), h.durable, "back again")
+	h.check(t, fsys.afterKill(), h.durable, "after the skipped snapshot became readable again")
 }
--- a/internal/endpoints/format.go
+++ b/internal/endpoints/format.go
@@ -59,8 +59,8 @@
 
 // Errors of reading a file. Open reports errDamaged wrapped in a FileError, and only counts files with errNewer.
 var (
-	errNewer   = errors.New("file has a newer format version")
-	errDamaged = errors.New("file is damaged")
+	errNewer   = errors.New("written in a newer format version")
+	errDamaged = errors.New("damaged")
 )
 
 // header is the decoded header of a snapshot or log file.
--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// version is what a host had from a commit on; absent if it was deleted.
+// version is one state of a host in the history of a harness.
 type version struct {
-	commit int // number of the commit after which it came
-	entry  Entry
-	absent bool
+	commit int   // index in harness.commits of the commit that first contains this state
+	entry  Entry // entry of the host; the zero value if absent is true
+	absent bool  // the host was deleted
 }
 
-// harness makes changes into a table and its store, and keeps what was true when.
+// harness makes random changes to a table and its store, and records the history against which a restored table is checked.
 type harness struct {
 	fsys    *modelFS
 	store   *Store
 	table   *Table
 	random  *rand.Rand
-	hosts   int
-	history map[string][]version
-	commits []int64 // sequences committed, by number of the commit; the first is 0
-	durable int     // number of the last commit without an error
-	synced  int     // number of the last commit that a snapshot in its place has
+	hosts   int                  // number of hosts among which changes choose
+	history map[string][]version // states of each host, oldest first
+	commits []int64              // committed sequences; the first is the sequence found at the start
+	durable int                  // index in commits of the last commit that returned no error
+	synced  int                  // index in commits of the last commit that a published snapshot contains
 }
 
 func newHarness(tb testing.TB, fsys *modelFS, seed uint64, hosts int) *harness {
@@ -44,7 +44,8 @@
 	h.store, h.table, _, _ = open(tb, h.fsys, testBudget)
 }
 
-// resetHistory takes what the store has found for the truth.
+// resetHistory makes the current contents of the store the initial state of the history, for tests in which damage has lost
+// entries.
 func (h *harness) resetHistory() {
 	h.commits = []int64{h.store.sequence}
 	h.durable = 0
@@ -54,7 +55,7 @@
 	}
 }
 
-// change makes one object of a few entries.
+// change puts or deletes one to three random hosts and commits the changes.
 func (h *harness) change() {
 	for range 1 + h.random.IntN(3) {
 		e := exampleEntry(h.random.IntN(h.hosts))
@@ -81,7 +82,7 @@
 	h.history[host] = append(h.history[host], v)
 }
 
-// compact makes a whole snapshot, with changes meanwhile.
+// compact runs a compaction to its end, with a change after each step. It starts one if none is in progress.
 func (h *harness) compact() {
 	h.store.retryAt = time.Time{}
 	if h.store.compaction == nil {
@@ -96,8 +97,8 @@
 	}
 }
 
-// check opens what a death has left, and fails unless each entry is one that was true at or after the sequence found.
-// least is the number of the commit that must be there.
+// check opens a file system and fails unless its sequence is that of commit least or a later one, and each host has a state that
+// it had at that sequence or later. least is an index in commits.
 func (h *harness) check(t *testing.T, left *modelFS, least int, when string) {
 	t.Helper()
 	_, table, seq, found := open(t, left, testBudget)
@@ -108,7 +109,8 @@
 		}
 	}
 	if commit < least {
-		t.Fatalf("%s: sequence %d, want that of commit %d (%d) or later; found %v", when, seq, least, h.commits[least], found)
+		t.Fatalf("%s: restored sequence %d, want that of commit %d (%d) or later; load report %v",
+			when, seq, least, h.commits[least], found)
 	}
 	if seq == 0 && least == 0 {
 		h.checkEntries(t, table, when)
@@ -117,24 +119,25 @@
 	for host, versions := range h.history {
 		got, ok := table.Get(host)
 		if !heldSince(versions, commit, got, ok) {
-			t.Fatalf("%s: at sequence %d (commit %d) %s is %+v, %v; history %+v", when, seq, commit, host, got, ok, versions)
+			t.Fatalf("%s: at sequence %d (commit %d) host %s is restored as %+v, present %v; it had no such state since; history %+v",
+				when, seq, commit, host, got, ok, versions)
 		}
 	}
 	h.checkEntries(t, table, when)
 }
 
-// checkEntries fails unless all entries were true at some time.
+// checkEntries fails if the table contains an entry that never existed.
 func (h *harness) checkEntries(t *testing.T, table *Table, when string) {
 	t.Helper()
 	entries, _, _ := table.All(0, testBudget)
 	for e := range entries {
 		if !heldSince(h.history[e.Host], 0, e, true) {
-			t.Fatalf("%s: %+v was never true", when, e)
+			t.Fatalf("%s: restored entry %+v never existed", when, e)
 		}
 	}
 }
 
-// heldSince reports whether a host was as given at or after a commit.
+// heldSince reports whether a host was in the given state at a commit or later. ok is false for the state of an absent host.
 func heldSince(versions []version, commit int, got Entry, ok bool) bool {
 	current := version{absent: true}
 	for _, v := range versions {
@@ -146,6 +149,7 @@
 	return matches(current, got, ok)
 }
 
+// matches reports whether a version is the state that Table.Get returned as got and ok.
 func matches(v version, got Entry, ok bool) bool {
 	return v.absent != ok && (v.absent || v.entry == got)
 }
--- a/internal/endpoints/model_test.go
+++ b/internal/endpoints/model_test.go
@@ -11,37 +11,37 @@
 	"milletsail/internal/journal"
 )
 
-// modelBlock is what a power loss keeps or loses as a whole, in bytes.
+// modelBlock is the unit of data that a simulated power loss keeps or loses, in bytes.
 const modelBlock = 512
 
-// modelFile is a file of a modelFS.
+// modelFile is a file of a modelFS. synced is its content as of the last Sync.
 type modelFile struct {
 	fsys   *modelFS
 	data   []byte
 	synced []byte
 }
 
-// modelFS is a file system in memory. It counts its calls that change something, and can stop, as the disk of a
-// process that is killed does, or fail.
+// modelFS is an in-memory file system for tests. It counts the calls that modify it, can let calls fail, and returns copies of
+// what a killed process or a power loss would leave.
 type modelFS struct {
 	files        map[string]*modelFile
-	synced       map[string]*modelFile // as of the last SyncDir
-	calls        int
-	written      int64
-	writes       int
-	failAt       int   // from this call on; 0 for never
-	failFor      int   // calls
-	failure      error // of these; nil for a write that is short
-	writesFully  bool  // a write that fails has written all the same
-	onCall       func()
-	inaccessible string // the path of a file that can be neither read nor removed
+	synced       map[string]*modelFile // files as of the last SyncDir
+	calls        int                   // number of modifying calls so far
+	written      int64                 // number of bytes in successful writes
+	writes       int                   // number of successful writes
+	failAt       int                   // number of the first call that fails; 0 if no call fails
+	failFor      int                   // number of calls that fail
+	failure      error                 // error of failing writes; nil for a short write. Other calls add EIO
+	writesFully  bool                  // a failing write stores all of its data, not half of it
+	onCall       func()                // called at the beginning of each modifying call, if set
+	inaccessible string                // path of a file that can be neither read nor removed
 }
 
 func newModelFS() *modelFS {
 	return &modelFS{files: map[string]*modelFile{}, synced: map[string]*modelFile{}}
 }
 
-// shouldFail counts a call, and reports whether it shouldFail.
+// shouldFail counts a call and reports whether it has to fail.
 func (m *modelFS) shouldFail() bool {
 	m.calls++
 	if m.onCall != nil {
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// afterKill returns what a process that is afterKill now leaves.
+// afterKill returns a copy of the files as they would be if the process were killed now: all completed writes are present.
 func (m *modelFS) afterKill() *modelFS {
 	left := newModelFS()
 	for path, f := range m.files {
@@ -152,8 +152,8 @@
 	return left
 }
 
-// powerLoss returns what a power loss may leave: pick draws which files are back as of the last SyncDir, and which blocks
-// that were not synced are there, are zero, or are cut off.
+// powerLoss returns a copy of the files as a power loss may leave them. pick draws a number below n; it decides which files
+// revert to the directory as of the last SyncDir, and which unsynced blocks are kept, zeroed or cut off.
 func (m *modelFS) powerLoss(pick func(n int) int) *modelFS {
 	left := newModelFS()
 	names := map[string]bool{}
@@ -178,6 +178,8 @@
 	return left
 }
 
+// afterPowerLoss returns the content of the file after a power loss: synced data is kept, and pick decides about each block after
+// it.
 func (f *modelFile) afterPowerLoss(pick func(n int) int) []byte {
 	data := bytes.Clone(f.data)
 	for at := len(f.synced); at < len(data); {
--- a/internal/endpoints/reader_test.go
+++ b/internal/endpoints/reader_test.go
@@ -16,19 +16,19 @@
 	"pgregory.net/rapid"
 )
 
-// object is one object of an answer, as encoding/json reads it.
+// object is one object of a response in the form in which encoding/json decodes it.
 type object struct {
 	Seq      int64   `json:"seq"`
 	Complete bool    `json:"whole"`
 	Hosts    []Entry `json:"hosts"`
 }
 
-// reporter is what testing.T and rapid.T have in common.
+// reporter is implemented by testing.T and rapid.T.
 type reporter interface {
 	Errorf(format string, args ...any)
 }
 
-// readAll reads the objects of an answer, and gives those that ended.
+// readAll reads all batches of a response and assembles the objects that ended. It returns the error that ended the stream.
 func readAll(t reporter, r *Reader) (objects []object, err error) {
 	var current *object
 	for {
@@ -37,10 +37,10 @@
 			return objects, err
 		}
 		if batch.First != (current == nil) {
-			t.Errorf("First is %v with the object open: %v", batch.First, current != nil)
+			t.Errorf("Batch.First is %v while an object is in progress: %v", batch.First, current != nil)
 		}
 		if len(batch.Entries) > BatchSize {
-			t.Errorf("batch of %d entries", len(batch.Entries))
+			t.Errorf("batch has %d entries, more than BatchSize", len(batch.Entries))
 		}
 		if current == nil {
 			current = &object{}
@@ -51,7 +51,7 @@
 		}
 		if batch.End {
 			if !batch.CompleteKnown {
-				t.Errorf("End without WholeKnown")
+				t.Errorf("last batch of an object has CompleteKnown false")
 			}
 			current.Seq = batch.Seq
 			objects = append(objects, *current)
@@ -103,7 +103,7 @@
 			} {
 				got, err := readAll(t, NewReader(in))
 				if !errors.Is(err, io.EOF) || !reflect.DeepEqual(got, want) {
-					t.Errorf("got %+v, %v", got, err)
+					t.Errorf("got objects %+v and error %v, want the object with two entries and EOF", got, err)
 				}
 			}
 		})
@@ -114,7 +114,7 @@
 	for _, text := range []string{`{"seq":7}`, `{"hosts":null,"seq":7}`, `{"hosts":[],"seq":7,"whole":null}`} {
 		got, err := readAll(t, NewReader(strings.NewReader(text)))
 		if !errors.Is(err, io.EOF) || !reflect.DeepEqual(got, []object{{Seq: 7}}) {
-			t.Errorf("%s: got %+v, %v", text, got, err)
+			t.Errorf("%s: got objects %+v and error %v, want one object with sequence 7 and no hosts, and EOF", text, got, err)
 		}
 	}
 }
@@ -132,12 +132,13 @@
 	} {
 		got, err := readAll(t, NewReader(strings.NewReader(text)))
 		if unreadable := new(UnreadableError); !errors.As(err, &unreadable) || len(got) != 0 {
-			t.Errorf("%.60s: got %+v, %v", text, got, err)
+			t.Errorf("%.60s: got objects %+v and error %v, want no object and an UnreadableError", text, got, err)
 		}
 	}
 }
 
-// An answer cut off anywhere is no fault of its form: what had come whole before is delivered, and no object ends.
+// Guards against treating a response that is cut off at any byte as malformed, against losing objects that were complete before
+// the cut, and against ending the incomplete one.
 func TestReaderCutOff(t *testing.T) {
 	first := append(encode(t, object{Seq: 1, Hosts: exampleEntries(1)}), "\n\n"...)
 	second := encode(t, object{Seq: 2, Complete: true, Hosts: exampleEntries(3)})
@@ -147,20 +148,20 @@
 		got, err := readAll(t, NewReader(bytes.NewReader(text[:cut])))
 		objectOpen := cut > 0 && cut < len(first)-2 || cut > len(first)
 		if want := map[bool]error{true: io.ErrUnexpectedEOF, false: io.EOF}[objectOpen]; !errors.Is(err, want) {
-			t.Fatalf("cut at %d: %v, want %v", cut, err, want)
+			t.Fatalf("cut at %d: got error %v, want %v", cut, err, want)
 		}
 		if want := cut >= len(first)-2; (len(got) == 1) != want {
-			t.Fatalf("cut at %d: %d objects", cut, len(got))
+			t.Fatalf("cut at %d: got %d objects, want the first object if and only if all of it precedes the cut", cut, len(got))
 		}
 		in := io.MultiReader(bytes.NewReader(text[:cut]), iotest.ErrReader(broken))
 		if _, err := readAll(t, NewReader(in)); !errors.Is(err, broken) {
-			t.Fatalf("cut at %d: %v, want that of the input", cut, err)
+			t.Fatalf("cut at %d: got error %v, want the error of the input", cut, err)
 		}
 	}
 }
 
-// Whatever pieces an answer comes in, and whatever byte of it is changed, the objects that end are those that
-// encoding/json reads.
+// Guards against results that differ from those of encoding/json when a response arrives in chunks of any length, or with one
+// bit flipped.
 func TestReaderMatchesEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text []byte
@@ -176,7 +177,7 @@
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		got, err := readAll(t, NewReader(&randomChunks{bytes.NewReader(text), random}))
 		if len(got) != len(want) {
-			t.Fatalf("%d objects, want %d; %v", len(got), len(want), err)
+			t.Fatalf("got %d objects, want %d; error %v", len(got), len(want), err)
 		}
 		for i := range got {
 			if got[i].Seq != want[i].Seq || got[i].Complete != want[i].Complete || fmt.Sprint(got[i].Hosts) != fmt.Sprint(want[i].Hosts) {
@@ -186,7 +187,7 @@
 	})
 }
 
-// decodeAll reads objects by encoding/json, up to the first that is not one.
+// decodeAll decodes objects with encoding/json up to the first error, and drops entries without a host as Reader does.
 func decodeAll(text []byte) (objects []object) {
 	for decoder := json.NewDecoder(bytes.NewReader(text)); ; {
 		var o object
@@ -204,7 +205,7 @@
 	}
 }
 
-// randomChunks returns a text in randomChunks of random length.
+// randomChunks is a reader that returns its input in chunks of random length.
 type randomChunks struct {
 	from   *bytes.Reader
 	random *rand.Rand
@@ -214,7 +215,7 @@
 	return p.from.Read(b[:min(len(b), 1+p.random.IntN(1<<p.random.IntN(14)))])
 }
 
-// fixedChunks returns one part of a text with each call.
+// fixedChunks is a reader that returns one of its parts with each call of Read.
 type fixedChunks struct{ parts []string }
 
 func (s *fixedChunks) Read(b []byte) (int, error) {
@@ -226,6 +227,7 @@
 	return n, nil
 }
 
+// Guards against a sender counting as alive that sends only blank lines after a part of an object.
 func TestReaderReportsAlive(t *testing.T) {
 	response := `{"seq":1,"hosts":[]}`
 	for _, c := range []struct {
@@ -235,10 +237,10 @@
 	}{
 		{"blank lines only", []string{"\n", "\n", "\r\n"}, 3},
 		{"parts of an object", []string{`{"seq":1,`, `"hosts":[]`, `}`}, 3},
-		{"blank lines behind half an object", []string{`{"seq":1,`, "\n", "\n", "\n"}, 1},
-		{"blank lines behind half an object and a whole one", []string{response + `{"seq`, "\n", "\n"}, 1},
-		{"blank lines behind an object", []string{response, "\n", "\n", response + "\n", "\n"}, 5},
-		{"the object goes on after blank lines", []string{`{"seq":1,`, "\n", `"hosts":[]}`, "\n"}, 3},
+		{"blank lines within an object", []string{`{"seq":1,`, "\n", "\n", "\n"}, 1},
+		{"blank lines within the second object", []string{response + `{"seq`, "\n", "\n"}, 1},
+		{"blank lines after an object", []string{response, "\n", "\n", response + "\n", "\n"}, 5},
+		{"object continued after blank lines", []string{`{"seq":1,`, "\n", `"hosts":[]}`, "\n"}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := NewReader(&fixedChunks{c.parts})
@@ -246,13 +248,13 @@
 			r.Alive = func() { alive++ }
 			_, _ = readAll(t, r)
 			if alive != c.want {
-				t.Errorf("alive %d times, want %d", alive, c.want)
+				t.Errorf("Alive was called %d times, want %d", alive, c.want)
 			}
 		})
 	}
 }
 
-// blankLines returns empty lines without an end, and counts them.
+// blankLines is a reader that returns the given number of line feeds.
 type blankLines struct{ left int }
 
 func (l *blankLines) Read(b []byte) (int, error) {
@@ -267,13 +269,14 @@
 	return n, nil
 }
 
+// Guards against counting blank lines between objects, which a server sends to keep the connection alive, towards MaxEntrySize.
 func TestReaderUnboundedBlankLines(t *testing.T) {
 	in := io.MultiReader(
 		&blankLines{100 * MaxEntrySize}, strings.NewReader(`{"seq":1}`),
 		&blankLines{100 * MaxEntrySize}, strings.NewReader(`{"seq":2}`))
 	got, err := readAll(t, NewReader(in))
 	if !errors.Is(err, io.EOF) || len(got) != 2 {
-		t.Errorf("%d objects, %v", len(got), err)
+		t.Errorf("got %d objects and error %v, want 2 objects and EOF", len(got), err)
 	}
 }
 
@@ -281,7 +284,7 @@
 	want := object{Seq: 3, Complete: true, Hosts: exampleEntries(BatchSize + 1)}
 	text := append(append([]byte(`{"before":1,"known":`), encode(t, want)...), `,"after":2}`...)
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	for range 4 { // the bracket, before, 1, known
+	for range 4 { // skips the tokens {, "before", 1 and "known"
 		if _, err := decoder.Token(); err != nil {
 			t.Fatal(err)
 		}
@@ -293,14 +296,14 @@
 		return nil
 	})
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("got %d entries, %v", len(got.Hosts), err)
+		t.Errorf("ReadObject delivered %d entries that differ from the encoded object, or failed: %v", len(got.Hosts), err)
 	}
 	if token, err := decoder.Token(); err != nil || token != "after" {
-		t.Errorf("then %v, %v", token, err)
+		t.Errorf("next token after ReadObject is %v, error %v, want \"after\"", token, err)
 	}
 }
 
-// listText is a complete list, made without holding it.
+// listText returns a reader of a complete list, whose text is generated while it is read and never held in memory as a whole.
 func listText(entries int) io.Reader {
 	r, w := io.Pipe()
 	go func() {
@@ -318,9 +321,10 @@
 	return r
 }
 
-// maxReaderBytes bounds the memory of a reader, however long the list is.
+// maxReaderBytes is the maximum heap growth while a list of any length is read, in bytes.
 const maxReaderBytes = 1 << 20
 
+// Guards against memory that grows with the length of the list while it is read.
 func TestReaderMemory(t *testing.T) {
 	r := NewReader(listText(20_000))
 	var before, after runtime.MemStats
@@ -337,7 +341,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > maxReaderBytes {
-				t.Fatalf("%d bytes after %d entries", grown, count)
+				t.Fatalf("heap grew by %d bytes after %d entries, more than maxReaderBytes", grown, count)
 			}
 		}
 		if batch.End {
@@ -345,6 +349,6 @@
 		}
 	}
 	if count != 20_000 {
-		t.Errorf("%d entries", count)
+		t.Errorf("read %d entries, want 20000", count)
 	}
 }
--- a/internal/endpoints/store_test.go
+++ b/internal/endpoints/store_test.go
@@ -12,7 +12,7 @@
 
 const testBudget = 1 << 30
 
-// open opens a store in a modelled file system, with all waiting for the disk done at once.
+// open opens a store in a modelFS. The store runs its background functions synchronously.
 func open(tb testing.TB, fsys *modelFS, budget int64) (*Store, *Table, int64, LoadReport) {
 	tb.Helper()
 	s, table, seq, found, err := OpenFS("folder", budget, fsys)
@@ -27,7 +27,7 @@
 	for _, dir := range []string{t.TempDir(), filepath.Join(t.TempDir(), "new")} {
 		s, table, seq, found, err := Open(dir, testBudget)
 		if err != nil || table.Len() != 0 || seq != 0 || found.Files != 0 || found.Damage != nil {
-			t.Errorf("%d entries, sequence %d, %+v, %v", table.Len(), seq, found, err)
+			t.Errorf("empty directory: got %d entries, sequence %d, load report %+v, error %v", table.Len(), seq, found, err)
 		}
 		if err := s.Close(); err != nil {
 			t.Error(err)
@@ -35,7 +35,8 @@
 	}
 }
 
-// On a real disk: a list, changes, a compaction in the usual way, and a start from it.
+// Guards against failures that appear only with real files and a background goroutine: fills a store, changes it until a
+// compaction has run, and opens it again.
 func TestStoreOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	s, table, _, _, err := Open(dir, testBudget)
@@ -57,19 +58,19 @@
 		}
 		for deadline := time.Now().Add(10 * time.Second); s.CompactStep(table) || s.compaction != nil; {
 			if time.Now().After(deadline) {
-				t.Fatal("no end of the compaction")
+				t.Fatal("compaction did not end within 10 s")
 			}
 		}
 	}
 	if s.stored[0].kind != kindSnapshot {
-		t.Errorf("no snapshot among %+v", s.stored)
+		t.Errorf("files are %+v, want a snapshot first", s.stored)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	_, again, seq, found, err := Open(dir, testBudget)
 	if err != nil || seq != 100 || len(found.Damage) > 0 {
-		t.Fatalf("sequence %d, %+v, %v", seq, found, err)
+		t.Fatalf("reopened store: got sequence %d, load report %+v, error %v, want sequence 100 and no damage", seq, found, err)
 	}
 	sameTable(t, again, table)
 }
@@ -77,7 +78,7 @@
 func sameTable(t *testing.T, got, want *Table) {
 	t.Helper()
 	if g, w := contents(got), contents(want); !maps.Equal(g, w) {
-		t.Errorf("%d entries, want %d, or others", len(g), len(w))
+		t.Errorf("table of %d entries differs from the wanted table of %d entries", len(g), len(w))
 	}
 }
 
@@ -90,10 +91,12 @@
 	return all
 }
 
-// maxChangeBytes bounds what the change of one host writes: 68 bytes with the entries of these tests.
+// maxChangeBytes is the maximum size of the log records for the change of one entry, in bytes. The entries of these tests need
+// 68 bytes.
 const maxChangeBytes = 80
 
-// A change of one host is one short write, the same for a short list and for a long one.
+// Guards against a cost of changes that grows with the list: the change of one entry is a single write, of the same size for a
+// short list and for a long one.
 func TestStoreChangeWriteSize(t *testing.T) {
 	written := map[int]int64{}
 	for _, entries := range []int{300, 300_000} {
@@ -117,16 +120,17 @@
 		}
 		written[entries] = fsys.written - bytes
 		if fsys.writes != writes+1 {
-			t.Errorf("%d writes", fsys.writes-writes)
+			t.Errorf("change of one entry made %d writes, want 1", fsys.writes-writes)
 		}
 	}
 	t.Log(written)
 	if written[300] != written[300_000] || written[300] > maxChangeBytes {
-		t.Errorf("bytes written by list: %v, want the same, at most %d", written, maxChangeBytes)
+		t.Errorf("bytes written for one change, by length of the list: %v, want equal numbers of at most %d", written, maxChangeBytes)
 	}
 }
 
-// A process may be killed between any two calls of the file system, and in the middle of any write.
+// Guards against losing a committed change, or reading a wrong entry, after the process was killed between any two calls of the
+// file system or in the middle of a write.
 func TestStoreKilledAnywhere(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 1, 2*CompactionStepEntries)
@@ -134,7 +138,7 @@
 	fsys.onCall = func() {
 		points++
 		h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("before call %d", fsys.calls))
-		for path, f := range fsys.files { // the tails of files, as of a write that was under way
+		for path, f := range fsys.files { // cuts off the end of the current log, as an interrupted write does
 			for _, less := range []int{1, 9, 30} {
 				if len(f.data) < less || path != currentLog(h.store) {
 					continue
@@ -142,7 +146,7 @@
 				left := fsys.afterKill()
 				cut := left.files[path]
 				cut.data = cut.data[:len(cut.data)-less]
-				h.check(t, left, max(0, h.durable-1), fmt.Sprintf("within the write before call %d", fsys.calls))
+				h.check(t, left, max(0, h.durable-1), fmt.Sprintf("in the middle of the write before call %d", fsys.calls))
 			}
 		}
 	}
@@ -158,9 +162,10 @@
 		}
 	}
 	h.check(t, fsys.afterKill(), h.durable, "at the end")
-	t.Logf("%d points", points)
+	t.Logf("checked the state before each of %d file system calls", points)
 }
 
+// currentLog returns the path of the store's current log, or "" if it has none.
 func currentLog(s *Store) string {
 	if s == nil || s.log == nil {
 		return ""
@@ -168,8 +173,8 @@
 	return filepath.Join(s.dir, s.stored[len(s.stored)-1].name)
 }
 
-// After a power loss the sequence may be an earlier one, but none before that of the last snapshot that was put in its
-// place, and the table is never without what goes with it.
+// Guards against a table that does not match its sequence after a power loss, and against a sequence before that of the last
+// published snapshot.
 func TestStorePowerLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		fsys := newModelFS()
@@ -188,7 +193,8 @@
 	}
 }
 
-// Each bit of each file is turned once: what is read is a state that goes with the sequence, or the sequence is 0.
+// Guards against wrong entries from damaged files: with any bit flipped, any file truncated or any file missing, the restored
+// table matches its sequence, or the sequence is 0.
 func TestStoreBitFlips(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 3, 12)
@@ -211,15 +217,15 @@
 		for cut := range len(f.data) {
 			left := fsys.afterKill()
 			left.files[path].data = left.files[path].data[:cut]
-			h.check(t, left, 0, fmt.Sprintf("%s, cut at %d", path, cut))
+			h.check(t, left, 0, fmt.Sprintf("%s, truncated to %d bytes", path, cut))
 		}
 		left := fsys.afterKill()
 		delete(left.files, path)
-		h.check(t, left, 0, path+" lost")
+		h.check(t, left, 0, path+" missing")
 	}
 }
 
-// What damage has left is continued, and found again at the start after it.
+// Guards against losing changes that were committed after a start with damaged files.
 func TestStoreContinuesAfterDamage(t *testing.T) {
 	for seed := range uint64(200) {
 		fsys := newModelFS()
@@ -241,13 +247,14 @@
 		for range 3 {
 			h.change()
 		}
-		h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("seed %d", seed))
+		h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("seed %d, before the compaction", seed))
 		h.compact()
-		h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("seed %d", seed))
+		h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("seed %d, after the compaction", seed))
 	}
 }
 
-// Files of a newer version count as none.
+// Guards against reading files of a newer format version, or reporting them as damaged, after a rollback: the store starts
+// empty and persists new changes.
 func TestStoreNewerVersion(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 1, 20)
@@ -259,7 +266,8 @@
 	count := len(fsys.files)
 	s, table, seq, found := open(t, fsys, testBudget)
 	if table.Len() != 0 || seq != 0 || found.Newer != count || found.Damage != nil {
-		t.Errorf("%d entries, sequence %d, %+v", table.Len(), seq, found)
+		t.Errorf("files of a newer version: got %d entries, sequence %d, load report %+v, want an empty table and no damage",
+			table.Len(), seq, found)
 	}
 	e := exampleEntry(1)
 	s.Append([]Entry{e}, nil)
@@ -267,11 +275,11 @@
 		t.Fatal(err)
 	}
 	if _, table, seq, _ := open(t, fsys, testBudget); table.Len() != 1 || seq != 5 {
-		t.Errorf("then %d entries, sequence %d", table.Len(), seq)
+		t.Errorf("after a commit and another start: got %d entries, sequence %d, want 1 and 5", table.Len(), seq)
 	}
 }
 
-// Each step looks at a bounded part of the table, and writes no more than that.
+// Guards against compaction steps that block the owner of the table for long: each step writes a bounded number of entries.
 func TestStoreCompactStepIsBounded(t *testing.T) {
 	fsys := newModelFS()
 	s, table, _, _ := open(t, fsys, testBudget)
@@ -289,15 +297,15 @@
 		before := fsys.written
 		more = s.CompactStep(table)
 		if wrote := fsys.written - before; wrote > CompactionStepEntries*maxChangeBytes {
-			t.Errorf("a step wrote %d bytes", wrote)
+			t.Errorf("one compaction step wrote %d bytes, more than CompactionStepEntries entries need", wrote)
 		}
 	}
 	if steps < 10 {
-		t.Errorf("%d steps", steps)
+		t.Errorf("compaction took %d steps, want at least 10", steps)
 	}
 }
 
-// Sequence 0 is persisted like any other: a complete list has to be requested.
+// Guards against ignoring the commit of sequence 0, which means that a complete list has to be requested.
 func TestStorePersistsSequenceZero(t *testing.T) {
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 1, 20)
@@ -306,11 +314,11 @@
 		t.Fatal(err)
 	}
 	if _, _, seq, _ := open(t, fsys.afterKill(), testBudget); seq != 0 {
-		t.Errorf("sequence %d", seq)
+		t.Errorf("restored sequence is %d, want 0", seq)
 	}
 }
 
-// Files that are not the store's stay.
+// Guards against removing files that do not belong to the store.
 func TestStoreLeavesOtherFiles(t *testing.T) {
 	fsys := newModelFS()
 	for _, name := range []string{"log", "log-01", "snapshot-x", "other.new", "snapshot-1.new", "log-3"} {
@@ -318,6 +326,6 @@
 	}
 	_, _, _, found := open(t, fsys, testBudget)
 	if len(fsys.files) != 4 || len(found.Damage) != 1 {
-		t.Errorf("%d files left, %+v", len(fsys.files), found)
+		t.Errorf("%d files left and load report %+v, want 4 files and one damaged file", len(fsys.files), found)
 	}
 }
--- a/internal/endpoints/table_capacity_bench_test.go
+++ b/internal/endpoints/table_capacity_bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkTable measures a table by its entries, with one and with 600 endpoints at each destination: memory, the time to put
-// all entries in, and to look a destination's entries up.
+// BenchmarkTable measures the memory of a table and the time to fill it, both per entry, for several numbers of entries and with
+// 1 or 600 endpoints for each destination.
 func BenchmarkTable(b *testing.B) {
 	tests := []struct{ entries, each int }{{10_000, 1}, {100_000, 1}, {490_000, 1}, {1_470_000, 1}, {490_000, 600}}
 	for _, tt := range tests {
@@ -29,7 +29,7 @@
 	}
 }
 
-// heapInUse is how many bytes are in use.
+// heapInUse returns the size of the reachable heap in bytes, after a garbage collection.
 func heapInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/endpoints/table_test.go
+++ b/internal/endpoints/table_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// exampleEntry is entry i of a list with one endpoint for each destination, of the usual lengths.
+// exampleEntry returns entry i of a list with one endpoint for each destination. Its texts have typical lengths.
 func exampleEntry(i int) Entry {
 	return Entry{Host: fmt.Sprintf("s-%08x", uint32(i)*2654435761), Dial: fmt.Sprintf("10.%d.%d.%d:8443", 1+i>>16, i>>8&255, i&255),
 		Site: string(rune('a' + i%4)), Class: "m2", Block: i, Health: "SERVING", Share: 1}
@@ -23,12 +23,12 @@
 	return t
 }
 
-// tableModel is what a Table should hold.
+// tableModel is a simple reference implementation of Table.
 type tableModel struct {
-	entries  map[string]Entry
-	order    map[int][]string // hosts of a destination as first put
-	known    map[int]bool
-	replaced map[string]bool // put since the whole list began; nil for none
+	entries  map[string]Entry // entries by host
+	order    map[int][]string // hosts of each destination, in the order in which they were added to it
+	known    map[int]bool     // destinations that have ever had an entry
+	replaced map[string]bool  // hosts put since BeginReplacement; nil if no replacement is in progress
 }
 
 func (m *tableModel) drop(host string) {
@@ -53,7 +53,7 @@
 
 func (m *tableModel) check(t *rapid.T, table *Table) {
 	if table.Len() != len(m.entries) {
-		t.Fatalf("%d entries, want %d", table.Len(), len(m.entries))
+		t.Fatalf("Len() = %d, want %d", table.Len(), len(m.entries))
 	}
 	draining := 0
 	for host, want := range m.entries {
@@ -65,21 +65,21 @@
 		}
 	}
 	if table.Draining() != draining {
-		t.Fatalf("%d draining, want %d", table.Draining(), draining)
+		t.Fatalf("Draining() = %d, want %d", table.Draining(), draining)
 	}
 	for number := -1; number < 6; number++ {
 		var hosts []string
 		for e := range table.ByDestination(number) {
 			if e != m.entries[e.Host] {
-				t.Fatalf("Of(%d) gives %+v, want %+v", number, e, m.entries[e.Host])
+				t.Fatalf("ByDestination(%d) yields %+v, want %+v", number, e, m.entries[e.Host])
 			}
 			hosts = append(hosts, e.Host)
 		}
 		if !slices.Equal(hosts, m.order[number]) {
-			t.Fatalf("Of(%d) = %q, want %q", number, hosts, m.order[number])
+			t.Fatalf("ByDestination(%d) yields hosts %q, want %q", number, hosts, m.order[number])
 		}
 		if table.SeenDestination(number) != m.known[number] {
-			t.Fatalf("Known(%d) = %v", number, !m.known[number])
+			t.Fatalf("SeenDestination(%d) = %v, want the opposite", number, !m.known[number])
 		}
 	}
 	seen := 0
@@ -87,14 +87,14 @@
 		part, next, end := table.All(from, 3)
 		for e := range part {
 			if e != m.entries[e.Host] {
-				t.Fatalf("All gives %+v, want %+v", e, m.entries[e.Host])
+				t.Fatalf("All yields %+v, want %+v", e, m.entries[e.Host])
 			}
 			seen++
 		}
 		from, done = next, end
 	}
 	if seen != len(m.entries) {
-		t.Fatalf("All gives %d entries, want %d", seen, len(m.entries))
+		t.Fatalf("All yields %d entries, want %d", seen, len(m.entries))
 	}
 }
 
@@ -108,6 +108,7 @@
 
 func drawHost(t *rapid.T) string { return fmt.Sprint("host-", rapid.IntRange(0, 30).Draw(t, "host")) }
 
+// Guards against a Table that differs from its reference implementation after any sequence of operations.
 func TestTableAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
@@ -117,7 +118,7 @@
 				e := drawEntry(t)
 				want, had := m.entries[e.Host]
 				if old, existed := table.Put(e); old != want || existed != had {
-					t.Fatalf("Put gives %+v, %v; want %+v, %v", old, existed, want, had)
+					t.Fatalf("Put returned %+v, %v; want %+v, %v", old, existed, want, had)
 				}
 				m.put(e)
 			},
@@ -125,7 +126,7 @@
 				host := drawHost(t)
 				want, had := m.entries[host]
 				if old, existed := table.Delete(host); old != want || existed != had {
-					t.Fatalf("Delete gives %+v, %v; want %+v, %v", old, existed, want, had)
+					t.Fatalf("Delete returned %+v, %v; want %+v, %v", old, existed, want, had)
 				}
 				if had {
 					m.drop(host)
@@ -145,16 +146,16 @@
 	})
 }
 
-// sweep takes one step of a sweep, and compares what it removes with the model.
+// sweep calls Table.Sweep once, compares the removed entries with the model, and removes them there too.
 func sweep(t *rapid.T, table *Table, m *tableModel) {
 	limit := rapid.IntRange(1, 10).Draw(t, "most")
 	removed, done := table.Sweep(limit)
 	if len(removed) > limit {
-		t.Fatalf("%d removed in a step of %d", len(removed), limit)
+		t.Fatalf("Sweep removed %d entries, limit %d", len(removed), limit)
 	}
 	for _, e := range removed {
 		if m.replaced == nil || m.replaced[e.Host] || e != m.entries[e.Host] {
-			t.Fatalf("Sweep removes %+v", e)
+			t.Fatalf("Sweep removed %+v outside a replacement, or although it was put since BeginReplacement", e)
 		}
 		m.drop(e.Host)
 	}
@@ -163,13 +164,13 @@
 	}
 	for host := range m.entries {
 		if m.replaced != nil && !m.replaced[host] {
-			t.Fatalf("Sweep leaves %q", host)
+			t.Fatalf("Sweep is done but left host %q, which the complete list does not contain", host)
 		}
 	}
 	m.replaced = nil
 }
 
-// heapGrowth is the memory of what make gives.
+// heapGrowth calls make and returns its result and the resulting growth of the heap in bytes.
 func heapGrowth[T any](make func() T) (T, uint64) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -180,21 +181,23 @@
 	return made, after.HeapAlloc - before.HeapAlloc
 }
 
-// maxBytesPerEntry is the goal at 490,000 entries, and what the test allows at fewer.
+// maxBytesPerEntry is the maximum memory of a table per entry, in bytes. It is the goal for 490,000 entries; the tests apply it
+// to shorter lists.
 const maxBytesPerEntry = 110
 
+// Guards against a growth of the memory per entry.
 func TestTableIsCompact(t *testing.T) {
 	const entries = 50_000
 	table, size := heapGrowth(func() *Table { return exampleTable(entries) })
 	perEntry := float64(size) / entries
-	t.Logf("%.1f bytes an entry at %d", perEntry, entries)
+	t.Logf("%.1f bytes per entry at %d entries", perEntry, entries)
 	if perEntry > maxBytesPerEntry {
-		t.Errorf("%.1f bytes an entry, want at most %d", perEntry, maxBytesPerEntry)
+		t.Errorf("%.1f bytes per entry, want at most %d", perEntry, maxBytesPerEntry)
 	}
 	runtime.KeepAlive(table)
 }
 
-// Memory of removed entries is used again: a list that changes all its hosts many times stays as large as it was.
+// Guards against a memory leak: a table whose hosts are all replaced many times must reuse the memory of removed entries.
 func TestTableReusesMemory(t *testing.T) {
 	const entries, rounds = 5_000, 20
 	table := exampleTable(entries)
@@ -210,14 +213,14 @@
 		return table
 	})
 	if grown := int64(grown); grown > entries*maxBytesPerEntry/4 {
-		t.Errorf("grew by %d bytes", grown)
+		t.Errorf("heap grew by %d bytes, want at most a quarter of maxBytesPerEntry for each entry", grown)
 	}
 	if table.Len() != entries {
-		t.Errorf("%d entries", table.Len())
+		t.Errorf("Len() = %d after the replacements, want 5000", table.Len())
 	}
 }
 
-// Sites that no entry names any more are forgotten.
+// Guards against a leak of attribute combinations that no entry uses any more.
 func TestTableForgetsAttributes(t *testing.T) {
 	table := NewTable()
 	e := exampleEntry(1)
@@ -226,11 +229,11 @@
 		table.Put(e)
 	}
 	if kept := len(table.attributes.values); kept > 2 {
-		t.Errorf("%d combinations kept for one entry", kept)
+		t.Errorf("%d attribute combinations stored for one entry, want at most 2", kept)
 	}
 	table.Delete(e.Host)
 	if len(table.attributes.ids) != 0 {
-		t.Errorf("%d combinations kept for none", len(table.attributes.ids))
+		t.Errorf("%d attribute combinations in use for an empty table, want none", len(table.attributes.ids))
 	}
 }
 
