--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -98,7 +98,8 @@
 }
 
 // check opens a file system and fails unless its sequence is that of commit least or a later one, and each host has a state that
-// it had at that sequence or later. least is an index in commits.
+// it had at that sequence or later. least is an index in commits. Sequence 0 means that a complete list has to be requested, so
+// the entries then need only have existed at some time.
 func (h *harness) check(t *testing.T, left *modelFS, least int, when string) {
 	t.Helper()
 	_, table, seq, found := open(t, left, testBudget)
--- a/internal/endpoints/store.go
+++ b/internal/endpoints/store.go
@@ -102,7 +102,7 @@
 }
 
 // Append logs changes that were made to the table: first the entries put, then the hosts deleted. The records may be buffered
-// until Commit. Errors are kept and returned by Commit.
+// until Commit, which also returns an error that occurs here.
 func (s *Store) Append(puts []Entry, deletes []string) {
 	if !s.writable() || len(puts)+len(deletes) == 0 || s.prepareLog() != nil {
 		return
