--- a/policy/action.go
+++ b/policy/action.go
@@ -44,7 +44,8 @@
 	CancelUnwritten struct{ Endpoint string }
 	// CloseIdleConnections closes the idle connections of this relay to an endpoint.
 	CloseIdleConnections struct{ Endpoint string }
-	// SetTimer requests a TimerFired event, and replaces the timer that was requested before.
+	// SetTimer requests a TimerFired event after the given time, and replaces the timer that was requested
+	// before.
 	SetTimer struct{ After time.Duration }
 	// Subscribe starts a watch of the endpoint list.
 	Subscribe struct{}
@@ -53,22 +54,25 @@
 	// PersistHealth records that an endpoint was ejected, or that it recovered, so that a later process of
 	// this relay can restore it with StateRestored.
 	PersistHealth struct {
-		Endpoint   string
-		Ejected    bool         // false after a recovery
-		At         instant.Time // time of the ejection or recovery
-		SecondHand bool         // the change was reported by other relays, or inferred for a whole zone
+		Endpoint string
+		Ejected  bool         // false after a recovery
+		At       instant.Time // time of the ejection or recovery
+		// SecondHand means that other relays reported the change, that it was inferred for a whole zone, or
+		// that this relay was isolated when it ejected the endpoint.
+		SecondHand bool
 	}
 	// ZoneStateChanged reports the new state of a zone, for logs.
 	ZoneStateChanged struct {
 		Zone  int
 		State ZoneState
 	}
-	// CanaryStageChanged reports, for logs, that a canary starts a stage or is suspended. A Share of 0 means
-	// that the endpoint is no longer a canary.
+	// CanaryStageChanged reports, for logs, that a canary enters the next stage, is suspended and starts
+	// again at the first stage, or has completed the last stage. In the last case Share is 0: the endpoint
+	// is no longer a canary. The first stage of a newly listed canary is not reported.
 	CanaryStageChanged struct {
 		Endpoint       string
-		Share          float64 // share of the destination's calls, together with its other canaries
-		SuspendedUntil instant.Time
+		Share          float64      // share of the destination's calls, together with its other canaries
+		SuspendedUntil instant.Time // end of the last suspension; 0 for none
 	}
 	// PublishRate reports this relay's send and arrival rates for a destination to the other relays.
 	PublishRate struct {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -13,7 +13,8 @@
 	// could use in time.
 	minDeliveryValue = 0.8
 	// overloadThreshold is the share of Settings.QueueCapacity above which queues that hold much of the
-	// capacity stop admitting messages, so that one queue cannot use all of it.
+	// capacity, or whose endpoints are all ejected, stop admitting messages, so that one queue cannot use
+	// all of it.
 	overloadThreshold = 0.75
 )
 
@@ -60,8 +61,8 @@
 }
 
 // exceedsDelayBound reports whether a message has to be rejected: by the basic rule u > τ, or, if other
-// messages are waiting, by the value-function bound (λ−r)(u+x−τ) ≥ 1. For x ≥ τ + 1/(λ−r) the bound is met
-// whatever u is. netRate is λ−r.
+// messages are waiting, λ > r and u > 0, by the value-function bound (λ−r)(u+x−τ) ≥ 1. For x ≥ τ + 1/(λ−r)
+// the bound is met whatever u > 0 is. netRate is λ−r.
 func exceedsDelayBound(u, x, τ, netRate float64, othersWait bool) bool {
 	if u > τ {
 		return true
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -11,7 +11,7 @@
 // Messages for destinations whose endpoints are all ejected must not use up the whole queue capacity, which
 // messages for other destinations need.
 func TestEjectedDestinationsLeaveQueueCapacity(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.QueueCapacity = 8
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	for _, id := range []string{"a", "b", "c"} {
@@ -42,7 +42,7 @@
 		{"bound missed: 2(1.4+1-2) = 0.8", 1.4, 1, 2, 2, true, false},
 		{"λ = r: no bound", 1.9, 5, 2, 0, true, false},
 		{"λ below r: no bound", 1.9, 5, 2, -1, true, false},
-		{"static rule: x = τ + 1/(λ-r)", 0.001, 2.5, 2, 2, true, true},
+		{"x = τ + 1/(λ-r): the bound is met whatever u > 0 is", 0.001, 2.5, 2, 2, true, true},
 		{"no time left and idle", 0, 0.1, -0.1, 1, false, true},
 		{"others waiting, but u is 0", 0, 9, 2, 2, true, false},
 	}
@@ -56,7 +56,7 @@
 func TestArrivalRateAndVirtualQueue(t *testing.T) {
 	var a decayingCounter
 	if a.rate(0) != 0 {
-		t.Error("counter without any counts: rate is not 0")
+		t.Error("the rate of a counter without any counts is not 0")
 	}
 	for i := range 400 {
 		a.add(moment(time.Duration(i)*100*ms), 1)
@@ -64,7 +64,7 @@
 	if got := a.rate(moment(40 * time.Second)); math.Abs(got-10) > 0.3 {
 		t.Errorf("10 arrivals a second: rate %v, want 10 within 0.3", got)
 	}
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.mean = 2
 	for i, want := range []float64{0, 0, 1, 1} { // backlog 0, 2 and 4 s against τ = 3 s; a miss adds nothing
@@ -79,7 +79,7 @@
 }
 
 func TestNewDispatcherAdmitsByBasicRuleAlone(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	expect(t, "first message", d.Handle(0, []Event{arrive("m", 0)}), "m>a")
 	if λ, r := d.queues[0].admission.arrivals.rate(0), d.queues[0].admission.misses.rate(0); λ <= 0 ||
 		r != 0 {
@@ -90,7 +90,7 @@
 // Without an age limit, an overloaded queue would deliver every message late, and messages of little value
 // that can wait longer would fill it before urgent messages of more value.
 func TestOverloadAgeLimit(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Classes = []Class{
 		// 80% of the value is left at 1.8 s.
 		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},
@@ -135,7 +135,7 @@
 
 // One queue without endpoints must not fill the queue capacity that other destinations need.
 func TestOneQueueDoesNotFillCapacity(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.QueueCapacity = 20
 	d := start(t, s, Endpoint{ID: "b", Destination: 1}) // destination 0 has no endpoint
 	rejected := 0
@@ -155,7 +155,7 @@
 // A message whose client gives it a short deadline must not count as old: under overload, the age limit would
 // reject all of them.
 func TestShortDeadlineIsNotAge(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.mean = 0.5
 	q.admission.arrivals.add(0, 100)
--- a/policy/api.go
+++ b/policy/api.go
@@ -95,8 +95,8 @@
 const (
 	// Serving zones get calls as the state of their endpoints allows.
 	Serving ZoneState = iota
-	// Evacuated zones failed as a whole, as this relay observed. Endpoints whose
-	// destination is also served in another zone are ejected.
+	// Evacuated zones failed as a whole, as this relay observed. Those of their endpoints whose destination
+	// is also served in another zone are ejected.
 	Evacuated
 	// EvacuatedByOrder zones get, by an operator's order, only messages that no other zone can take.
 	EvacuatedByOrder
@@ -121,18 +121,24 @@
 	EnteredAt      instant.Time // time at which the zone entered State
 	OrderExpiresAt instant.Time // end of the operator's order, if State is EvacuatedByOrder
 	Endpoints      int          // number of listed endpoints in the zone
-	Evacuations    int          // number of evacuations since the dispatcher was created
-	Recoveries     int          // number of recoveries since the dispatcher was created
+	// Evacuations is the number of evacuations since the dispatcher was created. A failed recovery of an
+	// evacuated zone does not count as another one.
+	Evacuations int
+	Recoveries  int // number of completed recoveries since the dispatcher was created
 }
 
 // Class is one class of messages.
 type Class struct {
-	Name              string
-	LatencyObjective  time.Duration // age up to which a message keeps its full value
-	Deadline          time.Duration // age at which a message expires
-	PriorityWeight    float64       // full value of a message
-	LateValueShare    float64       // share of the full value that is left at the deadline
-	ExponentialDecay  bool          // whether a late value halves per LatencyObjective, or falls linearly
+	Name             string
+	LatencyObjective time.Duration // age up to which a message keeps its full value
+	// Deadline is the largest age at which a message still has a value. Arrived.TimeLeft sets its expiry.
+	Deadline       time.Duration
+	PriorityWeight float64 // full value of a message
+	// LateValueShare is the share of its full value that a message keeps at least, up to the deadline.
+	LateValueShare float64
+	// ExponentialDecay means that the value of a late message halves with each further LatencyObjective.
+	// Otherwise it falls linearly, to LateValueShare at the deadline.
+	ExponentialDecay  bool
 	Effect            Effect
 	KeysPerZone       bool          // whether only endpoints of the same zone share idempotency keys
 	IdempotencyWindow time.Duration // time for which a destination remembers an idempotency key
@@ -153,18 +159,21 @@
 	Kinds     []Kind
 	// ZoneCost is, for each zone, the cost of sending a message there, as a multiple of the mean
 	// PriorityWeight.
-	ZoneCost              []float64
-	Slots                 int           // largest number of simultaneous calls
-	QueueCapacity         int           // largest number of unfinished messages, whether sent or waiting
-	MaxBatchBytes         int           // largest size of a call with several messages; 0 for no limit
-	MaxAttempts           int           // largest number of attempts of one message
-	Gossip                bool          // whether Broadcast may be used
-	Zones                 bool          // whether to evacuate failing zones and balance load by locality
-	CanaryAnalysis        bool          // whether newly listed endpoints start as canaries
-	PublishRates          bool          // whether PublishRate is used, since relays share their observations
-	HedgedRequests        bool          // whether a message may have two attempts in flight; not used here
-	CanCancel             bool          // whether Cancel is supported
-	Subscribe             bool          // whether EndpointsUpdated is received only after Subscribe
+	ZoneCost       []float64
+	Slots          int  // largest number of simultaneous calls
+	QueueCapacity  int  // largest number of unfinished messages, sent or waiting; resumed ones may exceed it
+	MaxBatchBytes  int  // largest size of a call with several messages; 0 for no limit
+	MaxAttempts    int  // largest number of attempts of one message
+	Gossip         bool // whether Broadcast may be used
+	Zones          bool // whether to evacuate failing zones and balance load by locality
+	CanaryAnalysis bool // whether endpoints that started recently are canaries when listed
+	PublishRates   bool // whether PublishRate is emitted, for relays that share their rates
+	// HedgedRequests says whether a message may have two attempts in flight. The Dispatcher ignores it and
+	// never starts a second one.
+	HedgedRequests bool
+	CanCancel      bool // whether Cancel is supported
+	// Subscribe says whether the action Subscribe is emitted, and EndpointsUpdated arrives only after it.
+	Subscribe             bool
 	Weights               Weights       // meaning of Endpoint.Weight
 	BatchInterval         time.Duration // shortest time between two calls of Handle
 	MaxRetryAfter         time.Duration // longest Retry-After that is returned to a client
@@ -174,21 +183,23 @@
 	// capacity for OverloadWindow.
 	OverloadFactor  float64
 	OverloadWindow  time.Duration
-	IdleConnTimeout time.Duration // time after which idle connections are closed; 0 for never
+	IdleConnTimeout time.Duration // time after which the caller closes idle connections; 0 for never
 	OrderedKeyDelay time.Duration // time for which a key stays blocked after an attempt that may still run
-	Directory       Directory     // source of state on demand; nil to keep state for all listed endpoints
+	// Directory looks up listed endpoints, so that state is kept only for destinations in use. If it is nil,
+	// or with Zones, state is kept for all listed endpoints.
+	Directory Directory
 }
 
 // Directory looks up listed endpoints. The caller owns it and changes it only between calls of Handle, before
 // the EndpointsUpdated that reports the change.
 //
 // With a Directory, a Dispatcher keeps state only for the destinations in use. It loads the state of a
-// destination with the first message for it, or with the first event that limits it: StateRestored or
-// StateInherited, a rejection reported by another relay, PeerSuspected, PeerRateReceived, or the listing of a
-// canary beside an older endpoint. Entries of EndpointsUpdated that concern no loaded state are ignored.
-// Removals must be listed as Removed entries; Complete is not needed. The state of a destination is dropped
-// after two idle minutes, unless it still limits the destination. PublishRate covers only destinations with
-// loaded state.
+// destination with the first message for it, or with the first event that limits it: StateInherited, a
+// StateRestored or PeerSuspected that is still in effect, a rejection reported by another relay,
+// PeerRateReceived, or the listing of a canary beside an older endpoint. Entries of EndpointsUpdated that
+// concern no loaded state are ignored. Removals must be listed as Removed entries; Complete is not needed.
+// The state of a destination is dropped after two idle minutes, unless it still limits the destination.
+// PublishRate covers only destinations with loaded state.
 //
 // With Settings.Zones, the endpoints of all destinations are compared, so the Directory is not used and state
 // is kept for all of them.
@@ -220,11 +231,11 @@
 	StageStartedAt  instant.Time // start of the stage; in the future during a suspension
 	SuspendedUntil  instant.Time // end of the suspension; 0 or in the past if the canary is not suspended
 	Suspensions     int
-	RegressionScore float64 // highest score of any class; the canary is suspended at 1
+	RegressionScore float64 // highest score of any class, as a share of the score that suspends the canary
 	HasBaseline     bool    // whether a healthy older endpoint serves beside it; else Share does not limit it
 }
 
-// LoadReport is the load report of a destination.
+// LoadReport is what a destination reports, in a response, about the limit on its calls.
 type LoadReport struct {
 	Remaining float64 `json:"Left"`  // share of the allowance that is left
 	Limit     float64 `json:"Limit"` // limit in calls a second; 0 for none
@@ -250,8 +261,8 @@
 	RecoveredAt         instant.Time `json:"Recovered"`
 	LastSuccessAt       instant.Time `json:"LastOK"`
 	ConsecutiveFailures float64      `json:"Failures"`
-	ConnectionLimit     float64      `json:"ConnCap"`
-	Tokens              float64      `json:"Tokens"`
+	ConnectionLimit     float64      `json:"ConnCap"` // learned limit; 0 for none
+	Tokens              float64      `json:"Tokens"`  // tokens of the slow start budget at TokensAt
 	TokensAt            instant.Time `json:"TokensAt"`
 }
 
--- a/policy/availability.go
+++ b/policy/availability.go
@@ -4,15 +4,15 @@
 // because they are ejected, unresponsive or draining. With a Directory in use, draining endpoints are not
 // counted: the caller counts them itself, since the dispatcher may not hold state for all of them.
 func (d *Dispatcher) UnavailableEndpoints() int {
-	avoided := d.unavailableCount
+	unavailable := d.unavailableCount
 	for _, q := range d.active { // only an endpoint with a call in flight can be unresponsive
 		for _, ep := range q.endpoints {
 			if !ep.outlier.ejected && !ep.Draining && ep.unresponsive(d.now) {
-				avoided++
+				unavailable++
 			}
 		}
 	}
-	return avoided
+	return unavailable
 }
 
 // isUnavailable reports whether an endpoint belongs in unavailableCount: whether UnavailableEndpoints counts
@@ -24,8 +24,8 @@
 	return !ep.Removed && (ep.outlier.ejected || ep.Draining)
 }
 
-// updateAvailability calls change, which may alter the result of isUnavailable for the endpoint, and keeps
-// unavailableCount in step.
+// updateAvailability calls change, which may alter the result of isUnavailable for the endpoint, and adjusts
+// unavailableCount.
 func (d *Dispatcher) updateAvailability(ep *endpoint, change func()) {
 	if d.isUnavailable(ep) {
 		d.unavailableCount--
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -9,7 +9,7 @@
 // BenchmarkHandle measures the two batches of a message, its arrival and its delivery, with 1,000 endpoints
 // listed.
 func BenchmarkHandle(b *testing.B) {
-	s := plain()
+	s := basicSettings()
 	d, err := New(s, 1)
 	if err != nil {
 		b.Fatal(err)
--- a/policy/call.go
+++ b/policy/call.go
@@ -7,7 +7,7 @@
 	endpoint     *endpoint
 	number       int
 	sentAt       instant.Time
-	openAttempts int // number of messages without an outcome
+	openAttempts int // number of its attempts without an outcome
 	size         int // total size of its messages, in bytes
 	messages     []*message
 	canceled     bool // whether cancelCall has canceled it
--- a/policy/canary.go
+++ b/policy/canary.go
@@ -25,16 +25,17 @@
 // canaryState is the state of a canary. It belongs to one endpoint and is not safe for concurrent use.
 type canaryState struct {
 	stage          int             // index into canaryStageShares
-	stageStartedAt instant.Time    // in the future while the canary is suspended
+	stageStartedAt instant.Time    // start of the stage; in the future while the canary is suspended
 	suspendedUntil instant.Time    // end of the last suspension
 	suspensions    int             // number of suspensions so far
-	outcomes       int             // outcomes in this stage, here and at other relays
+	outcomes       int             // outcomes in this stage: those here, and those that other relays reported
 	credit         float64         // calls that the canary may receive now
-	scores         []float64       // by class: log-likelihood ratio of a regression
+	scores         []float64       // log-likelihood ratio of a regression, by class
 	reportIDs      map[uint64]bool // IDs of the reports from other relays in this stage
 }
 
-// suspended reports whether the canary is suspended, and so receives no calls.
+// suspended reports whether the canary is suspended. It then receives no calls, unless it has no baseline
+// (hasBaseline).
 func (c *canaryState) suspended(now instant.Time) bool { return now < c.suspendedUntil }
 
 // startStage starts a stage at the given time, with the given initial credit.
@@ -60,8 +61,8 @@
 	return highest
 }
 
-// addReport records the ID of another relay's report and returns whether the report counts. A duplicate does
-// not.
+// addReport records the ID of another relay's report and returns whether the report counts. It does not if
+// it is a duplicate, or if maxReportsPerStage reports have counted in this stage.
 func (c *canaryState) addReport(id uint64) bool {
 	if len(c.reportIDs) >= maxReportsPerStage || c.reportIDs[id] {
 		return false
@@ -125,7 +126,8 @@
 	return all
 }
 
-// startCanary makes an endpoint a canary if it is newly listed or has restarted since the last listing.
+// startCanary makes an endpoint a canary if it has started recently (youngEnoughForCanary), is newly listed
+// or has restarted since the last listing, and does not drain.
 func (d *Dispatcher) startCanary(ep *endpoint, listed Endpoint) {
 	if !d.youngEnoughForCanary(listed) || listed.StartedAt <= ep.StartedAt || listed.Draining {
 		return
@@ -171,7 +173,7 @@
 }
 
 // addCanaryCredit counts a call of a queue: each canary that is not suspended gets its share of a call as
-// credit, and the endpoint that receives the call pays one call if it is a canary.
+// credit, and if the endpoint that receives the call is a canary, its credit falls by one call.
 func (d *Dispatcher) addCanaryCredit(q *queue, to *endpoint) {
 	eligible := 0.0
 	for _, ep := range q.endpoints {
--- a/policy/canary_analysis.go
+++ b/policy/canary_analysis.go
@@ -13,7 +13,7 @@
 	canaryMaxAge = time.Minute
 	// minStageDuration is the shortest duration of a stage.
 	minStageDuration = 2 * time.Second
-	// maxStageDuration is when a stage ends that has had fewer than minStageOutcomes outcomes.
+	// maxStageDuration is the time after which a stage may end with fewer than minStageOutcomes outcomes.
 	maxStageDuration = 4500 * time.Millisecond
 	// minStageOutcomes is the number of outcomes, over all relays, with which a stage may end before
 	// maxStageDuration.
@@ -82,8 +82,9 @@
 
 // analyzeOutcome updates the canary analysis with the end of a call, either for the canary itself or for the
 // baseline of its queue. Rejections are ignored, since the endpoint may only be at its limit, and so are
-// calls that were not sent and canceled ones that were not late. Failures of a canary are ignored while the
-// baseline fails at this relay too (maxBaselineFailureShare).
+// calls that were not sent and canceled ones that were not late. A call is late if it took longer than
+// stalledFactor times the usual latency; it counts as a failure even if it succeeded. Failures of a canary
+// are ignored while the baseline fails at this relay too (maxBaselineFailureShare).
 func (d *Dispatcher) analyzeOutcome(ep *endpoint, m *message, ended AttemptEnded, late bool) {
 	if !d.settings.CanaryAnalysis || ended.Outcome == Rejected || ended.Outcome == NotSent {
 		return
@@ -105,7 +106,7 @@
 }
 
 // recordCanaryOutcome counts an outcome of a canary, observed here or at another relay, and suspends the
-// canary if it does worse than its baseline.
+// canary if the regression score reaches the threshold.
 func (d *Dispatcher) recordCanaryOutcome(ep *endpoint, class int, failed bool) {
 	canary := ep.canary
 	regressed := canary.recordOutcome(class, failed, ep.queue.baseline[class].share())
@@ -115,9 +116,9 @@
 	}
 }
 
-// reportCanaryOutcome broadcasts an outcome of a canary. In stages with larger shares there are more
-// outcomes, so only a random part is broadcast. That part is the same for successes and failures, so that the
-// failure share is not biased.
+// reportCanaryOutcome broadcasts an outcome of a canary if gossip is on. In stages with larger shares there
+// are more outcomes, so only a random part is broadcast. That part is the same for successes and failures,
+// so that the failure share is not biased.
 func (d *Dispatcher) reportCanaryOutcome(ep *endpoint, class int, failed bool) {
 	reportedShare := canaryStageShares[1] / canaryStageShares[ep.canary.stage]
 	if !d.settings.Gossip || d.random.Float64() >= reportedShare {
@@ -128,8 +129,8 @@
 	d.emit(Broadcast{Message: message.encode()})
 }
 
-// handleCanaryMessage counts the canary outcome that a gossip message reports. Messages of other types are
-// ignored.
+// handleCanaryMessage counts the canary outcome that a gossip message reports. Messages of other types,
+// malformed ones and reports on endpoints that are no canaries here are ignored.
 func (d *Dispatcher) handleCanaryMessage(message []byte) {
 	report, ok := decodeCanaryMessage(message)
 	ep := d.endpoints[report.endpoint]
--- a/policy/canary_test.go
+++ b/policy/canary_test.go
@@ -14,7 +14,7 @@
 	relays      []*Dispatcher
 	now         time.Duration
 	arrivals    int                                // messages that have arrived
-	pending     [][]pendingOutcome                 // by relay: outcomes and gossip messages to come
+	pending     [][]pendingOutcome                 // outcomes and gossip messages to deliver, by relay
 	sent        map[string]int                     // calls by endpoint
 	outcome     func(ep string, class int) Outcome // outcome of a call
 	latency     func(ep string) time.Duration      // latency of a call
@@ -23,7 +23,7 @@
 	rng         *rand.Rand
 }
 
-// newCanaryFleet returns a fleet in which all calls succeed within 30 ms and no gossip message is lost.
+// newCanaryFleet returns a fleet in which all calls succeed after 30 ms and no gossip message is lost.
 func newCanaryFleet(t *testing.T, relays int) *canaryFleet {
 	t.Helper()
 	p := &canaryFleet{T: t, sent: map[string]int{}, suspended: map[string]int{},
@@ -32,7 +32,7 @@
 		latency:     func(string) time.Duration { return 30 * ms },
 		losesGossip: func() bool { return false }}
 	for seed := range relays {
-		s := plain()
+		s := basicSettings()
 		s.CanaryAnalysis, s.Gossip, s.FleetSize, s.Slots, s.QueueCapacity = true, true, relays, 20, 1000
 		d, err := New(s, int64(seed))
 		if err != nil {
@@ -166,7 +166,7 @@
 	p.list(Endpoint{ID: "new", StartedAt: moment(p.now)})
 	share := p.canaryShare(24*time.Second, 2)
 	if share > c.maxShare {
-		t.Errorf("the canary got a share of %.3f of the calls, more than the case allows", share)
+		t.Errorf("the canary got a share of %.3f of the calls, want at most %.3f", share, c.maxShare)
 	}
 	if suspended := p.suspended["new"]; c.suspended && suspended < 15 || !c.suspended && suspended > 0 {
 		t.Errorf("got %d suspensions by 20 relays, want at least 15 if the canary is worse, else 0",
@@ -183,7 +183,8 @@
 		}
 	}
 	if promoted < c.minPromoted {
-		t.Errorf("only %d of 20 relays completed the trial of the canary within 30 s", promoted)
+		t.Errorf("%d of 20 relays completed the trial of the canary within 30 s, want at least %d", promoted,
+			c.minPromoted)
 	}
 }
 
@@ -307,7 +308,8 @@
 	}
 	if share := p.canaryShare(p.now+time.Second, 5); share > 0.25 || ep.canaryWithheld(d.now) &&
 		ep.canary.credit >= 1 {
-		t.Errorf("right after its suspension the canary got a share of %.3f of the calls, want at most 0.25",
+		t.Errorf("right after its suspension the canary got a share of %.3f of the calls, want at most "+
+			"0.25, and a call whenever it has credit for one",
 			share)
 	}
 
--- a/policy/circuit.go
+++ b/policy/circuit.go
@@ -17,9 +17,9 @@
 	// maxBackoff is the longest backoff that the relay chooses itself, about the longest window in which
 	// receivers count calls.
 	maxBackoff = 2 * time.Second
-	// secondProbeProbability is the probability with which a relay with a low rate (hasLowRate) makes one
-	// more call after its first failed or rejected one, before it falls back to the slow start budget.
-	secondProbeProbability = 0.5
+	// earlyFallbackProbability is the probability with which a relay with a low rate (hasLowRate) falls back
+	// to the slow start budget after its first failed or rejected call, rather than making one more.
+	earlyFallbackProbability = 0.5
 )
 
 // circuitBreaker pauses the calls of one queue after rejections. It belongs to one queue and is not safe for
@@ -46,7 +46,8 @@
 }
 
 // countRejection counts a rejection and reports whether the destination now counts as down: it has rejected
-// every call for circuitOpenAfter, or asks for a Retry-After longer than that.
+// more than ejectionThreshold calls in a row, over more than circuitOpenAfter, or asks for a Retry-After
+// longer than that.
 func (c *circuitBreaker) countRejection(now instant.Time, retryAfter time.Duration) (down bool) {
 	if c.consecutiveRejections++; c.consecutiveRejections == 1 {
 		c.firstRejectionAt = now
@@ -55,9 +56,9 @@
 	return retryAfter > circuitOpenAfter || c.consecutiveRejections > ejectionThreshold && lasting
 }
 
-// nextBackoff returns the pause after a rejection without Retry-After, with jitter. The first pause is short,
-// since a destination that limits a steady rate accepts calls again at once. Each further rejection doubles
-// it; it starts over once twice the last pause has passed since that pause ended.
+// nextBackoff returns the pause after a rejection without Retry-After, with jitter. The first pause is
+// short, since a destination that limits a steady rate accepts calls again at once. Each further rejection
+// doubles it; it starts over once twice the last pause (without jitter) has passed since that pause ended.
 func (c *circuitBreaker) nextBackoff(now instant.Time, random *rand.Rand) time.Duration {
 	if c.backoff *= 2; now > c.backoffUntil.Add(c.backoff) {
 		c.backoff = initialBackoff
@@ -65,10 +66,10 @@
 	return time.Duration((0.5 + random.Float64()) * float64(c.backoff))
 }
 
-// recordRejection handles a rejection of a call of this relay. It pauses the queue and broadcasts the
-// rejection if the pause is news to the other relays or if this relay probes the destination for all of them.
-// It ejects the endpoints of the queue if the destination counts as down, or, without gossip, once the probe
-// budget is spent.
+// recordRejection handles a rejection of a call of this relay. It pauses the queue. With gossip on and a
+// shared queue, it broadcasts the rejection if the other relays do not know of the pause or if this relay
+// probes the destination for all of them. It ejects the endpoints of the queue if the destination counts as
+// down, or, without gossip, once the probe budget is spent.
 func (d *Dispatcher) recordRejection(queue *queue, rejection limitMessage) {
 	down := queue.circuit.countRejection(d.now, rejection.retryAfter)
 	probesForFleet := d.isProber(queue)
@@ -112,10 +113,10 @@
 	return until
 }
 
-// closeCircuit ends a backoff if the accepted call was sent well after the rejected one: a destination that
-// limits a steady rate accepts calls again at once, while one that counts calls per window accepts none until
-// its window ends. A Retry-After that this relay received is always waited out. It reports whether there was
-// a backoff to end.
+// closeCircuit ends a backoff if the accepted call was sent at least initialBackoff/2 after the rejected
+// one: a destination that limits a steady rate accepts calls again at once, while one that counts calls per
+// window accepts none until its window ends. A Retry-After that this relay received is always waited out. It
+// reports whether it ended a backoff.
 func (d *Dispatcher) closeCircuit(q *queue, accepted limitMessage) bool {
 	circuit := &q.circuit
 	sentAt := d.now.Add(-accepted.callAge)
@@ -127,11 +128,11 @@
 	return true
 }
 
-// probeBudgetSpent reports whether this relay, if its rate is low, has to keep to the slow start budget after
-// n failures or rejections in a row; this leaves capacity to the relays that were not rejected, should the
-// destination only be over its limit. The budget is spent after ejectionThreshold of them or during a
-// Retry-After; before that, each relay may probe once more with secondProbeProbability. It is never spent
-// within circuitOpenAfter of a success.
+// probeBudgetSpent reports whether this relay has made all the probes that it may make outside the slow
+// start budget, after n failures or rejections in a row. That concerns only relays with a low rate
+// (hasLowRate): it leaves capacity to the relays that were not rejected, should the destination only be over
+// its limit. The probes are used up after ejectionThreshold failures or rejections, or during a Retry-After;
+// before that, with earlyFallbackProbability. They are never used up within circuitOpenAfter of a success.
 func (d *Dispatcher) probeBudgetSpent(queue *queue, n int) bool {
 	if !d.hasLowRate(queue) || queue.lastSuccessAt > 0 && d.now.Sub(queue.lastSuccessAt) <= circuitOpenAfter {
 		return false
@@ -139,5 +140,5 @@
 	if n >= ejectionThreshold || d.now < queue.circuit.retryAfterUntil {
 		return true
 	}
-	return d.random.Float64() < secondProbeProbability
+	return d.random.Float64() < earlyFallbackProbability
 }
--- a/policy/circuit_test.go
+++ b/policy/circuit_test.go
@@ -12,7 +12,7 @@
 
 // A Retry-After in a successful response has to pause the queue just as one in a rejection does.
 func TestRetryAfterWithDelivery(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
 	d.Handle(moment(100*ms),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Completed: true, RetryAfter: time.Second}})
@@ -26,7 +26,7 @@
 		kind int
 		want string
 	}{{0, ""}, {2, "n>b"}} {
-		d := start(t, plain(), Endpoint{ID: "a", Kind: tt.kind}, Endpoint{ID: "b", Kind: tt.kind})
+		d := start(t, basicSettings(), Endpoint{ID: "a", Kind: tt.kind}, Endpoint{ID: "b", Kind: tt.kind})
 		d.Handle(0, []Event{arrive("m", 0)})
 		d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected,
 			RetryAfter: time.Second}, Withdrawn{ID: "m"}})
@@ -38,7 +38,7 @@
 // because they were decided before it. It applies to all endpoints of the destination, and to no other
 // destination.
 func TestRetryAfterCancelsUnwrittenCalls(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
+	d := start(t, basicSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
 	other := Arrived{ID: "m3", Destination: 1, TimeLeft: 10 * time.Second}
 	expect(t, "sent", d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0), other}), "m1>a m3>c m2>b")
 	var canceled []string
@@ -55,7 +55,7 @@
 
 // A Retry-After in the first outcome of a batch has to apply before the other outcomes of its call arrive.
 func TestRetryAfterOfBatch(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
+	d := start(t, basicSettings(), Endpoint{ID: "a", Kind: 1})
 	expect(t, "one call", d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}), "m>a n>a")
 	if d.slots.inUse != 1 {
 		t.Errorf("%d calls in flight, want one batch", d.slots.inUse)
@@ -69,7 +69,7 @@
 // TestOpenCircuitEndsInSlowStart guards against relays that send at full rate after the Retry-After of a
 // destination that was down, and against an outage that a success from before the Retry-After ends.
 func TestOpenCircuitEndsInSlowStart(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Weights, s.Slots = WeightsNominal, 8
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
 	ep := d.endpoints["a"]
@@ -103,7 +103,7 @@
 
 // TestBackoffHasJitter guards against relays that are rejected together and all resume at the same time.
 func TestBackoffHasJitter(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.FleetSize, s.Weights = 400, WeightsNominal
 	seen := map[instant.Time]bool{}
 	for seed := range int64(5) {
@@ -134,7 +134,7 @@
 		{2, Rejected, 0, 0, 0}, {2, ConnectError, 0, 0, 0}} {
 		ejected := 0
 		for seed := range int64(40) {
-			s := plain()
+			s := basicSettings()
 			s.FleetSize, s.Weights = tt.relays, WeightsNominal
 			d, err := New(s, seed)
 			if err != nil {
@@ -154,8 +154,9 @@
 			}
 		}
 		if ejected < tt.lowest || ejected > tt.highest {
-			t.Errorf("%d relays, outcome %d, Retry-After %v: %d of 40 ejected the endpoint after one failure",
-				tt.relays, tt.outcome, tt.retryAfter, ejected)
+			t.Errorf("%d relays, outcome %d, Retry-After %v: %d of 40 ejected the endpoint after one "+
+				"failure, want %d to %d", tt.relays, tt.outcome, tt.retryAfter, ejected, tt.lowest,
+				tt.highest)
 		}
 	}
 }
@@ -205,6 +206,6 @@
 		circuit.backoffUntil = moment(now)
 	}
 	if circuit.nextBackoff(moment(now+time.Minute), random); circuit.backoff != initialBackoff {
-		t.Errorf("backoff of %v a minute after the last one, want initialBackoff", circuit.backoff)
+		t.Errorf("backoff of %v a minute after the last pause, want initialBackoff", circuit.backoff)
 	}
 }
--- a/policy/connection_limit.go
+++ b/policy/connection_limit.go
@@ -17,9 +17,11 @@
 
 // connectionLimiter learns how many connections one endpoint accepts from this relay.
 type connectionLimiter struct {
-	limit   float64      // learned limit, in connections; 0 for none
-	errorAt instant.Time // when the endpoint last refused a connection, from any relay
-	fullAt  instant.Time // when a call in flight during that error last succeeded; 0 for never
+	limit float64 // learned limit, in connections; 0 for none
+	// errorAt is the time of the last recorded connection error. Those of other relays are learned by gossip;
+	// those of this relay are recorded only with Settings.Gossip, and at most once in rateWindow.
+	errorAt instant.Time
+	fullAt  instant.Time // when a call that was in flight at errorAt last succeeded; 0 for never
 }
 
 // allows reports whether the limit allows one more call beside those in flight.
@@ -48,7 +50,8 @@
 	}
 }
 
-// recordError handles a connection error, and reports whether it is the first within rateWindow.
+// recordError handles a connection error, and reports whether it is the first within rateWindow. Only the
+// first is recorded.
 func (c *connectionLimiter) recordError(now instant.Time) (first bool) {
 	if now < c.errorAt.Add(rateWindow) {
 		return false
--- a/policy/connection_limit_test.go
+++ b/policy/connection_limit_test.go
@@ -10,7 +10,7 @@
 // TestConnectionLimit guards against an ejection of an endpoint that refuses a connection only because it has
 // reached its connection limit.
 func TestConnectionLimit(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0)})
 	d.Handle(moment(10*ms),
 		[]Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: OK, Completed: true}, arrive("m3", 0)})
@@ -45,7 +45,7 @@
 		{"connection error elsewhere during the call", 1500 * ms, 0, 3 * time.Second, true},
 		{"connection error elsewhere before the call, as in an outage", 500 * ms, 0, 3 * time.Second, false},
 		{"connection error elsewhere long ago", 1500 * ms, 0, 15 * time.Second, false}} {
-		s := plain()
+		s := basicSettings()
 		s.IdleConnTimeout, s.FleetSize = 10*time.Second, 40
 		d := start(t, s, Endpoint{ID: "a"})
 		if tt.errorAt > 0 && tt.errorAt < time.Second {
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestConnectErrorReporters guards against a flood of gossip when all relays of a fleet meet the same outage:
-// only about connectErrorReporters of them should broadcast it.
+// TestConnectErrorReporters guards against a gossip message of each relay of a fleet when all meet the same
+// outage: only about connectErrorReporters of them should broadcast it.
 func TestConnectErrorReporters(t *testing.T) {
 	broadcasts := 0
 	for _, d := range fleet(t, 300, 3000) {
--- a/policy/decisions_cases_test.go
+++ b/policy/decisions_cases_test.go
@@ -32,7 +32,10 @@
 
 // decisionCase is a scenario of TestDecisionsDigest that turns on one option, or a few related ones.
 type decisionCase struct {
-	name   string          // key in testdata/decisions.json
+	// name is the key in testdata/decisions.json, and so stays when terms of the code change. In the names,
+	// peers are relays with gossip, shares are shared rates, newcomers are canaries, bundles are batches,
+	// and a zone fee is Settings.ZoneCost.
+	name   string
 	change func(*scenario) // modifies the baseline scenario
 	// wantTags are the tags of decisionHash that the case has to count at least once, which shows that its
 	// option took effect. A zone that is evacuated by order has the tag "zone seen ordered" alone: Handle
@@ -51,11 +54,11 @@
 // baselineName is the name of the case that leaves the baseline scenario as it is.
 const baselineName = "ordinary"
 
-// inertSettingCases returns the cases of settings that are accepted but influence no decision: they have to
-// have the digests of the baseline.
+// inertSettingCases returns the cases of setting values that are accepted but decide as the baseline's do:
+// these cases have to have the digests of the baseline.
 func inertSettingCases() []decisionCase {
 	return []decisionCase{
-		{name: "second copies", change: func(c *scenario) { c.settings.HedgedRequests = true },
+		{name: "hedged requests", change: func(c *scenario) { c.settings.HedgedRequests = true },
 			sameDigestsAs: baselineName},
 		{name: "weights rough", change: func(c *scenario) { c.settings.Weights = policy.WeightsRough },
 			sameDigestsAs: baselineName},
@@ -72,6 +75,7 @@
 		{name: "heavy traffic", change: func(c *scenario) { c.load = 8 }, wantTags: usualTags},
 		{name: "few slots", change: func(c *scenario) { c.settings.Slots, c.settings.MaxAttempts = 2, 2 },
 			wantTags: usualTags},
+		// The queue capacity is small.
 		{name: "little room", change: func(c *scenario) { c.settings.QueueCapacity = 9 },
 			wantTags: usualTags},
 		{name: "weights off", change: func(c *scenario) { c.settings.Weights = policy.WeightsOff },
@@ -87,6 +91,7 @@
 		{name: "connection limits",
 			change:   func(c *scenario) { c.settings.IdleConnTimeout, c.faultRate = 3*time.Second, 3 },
 			wantTags: []string{"send", "close idle"}},
+		// Calls are not started, for lack of local resources.
 		{name: "lack at the relay", change: func(c *scenario) { c.notStarted = true },
 			wantTags: []string{"send", "withhold"}},
 		{name: "load reports", change: func(c *scenario) { c.loadReports = true }, wantTags: usualTags},
@@ -141,17 +146,19 @@
 		{name: "shares of 60", change: func(c *scenario) { enablePeerReports(c, 60) }, wantTags: sharingTags},
 		{name: "shares of 300", change: func(c *scenario) { enablePeerReports(c, 300) },
 			wantTags: sharingTags},
+		// Suspicions of other relays arrive, without Gossip.
 		{name: "accused alone",
 			change:   func(c *scenario) { c.suspicions, c.settings.PublishRates = true, true },
 			wantTags: []string{"share"}},
+		// Send rates of other relays arrive, without Gossip.
 		{name: "paced alone", change: func(c *scenario) { c.peerRates, c.settings.PublishRates = true, true },
 			wantTags: []string{"share"}},
 	}
 }
 
 // enablePeerReports turns on gossip, shared rates and reports of other relays in a fleet of the given size.
-func enablePeerReports(c *scenario, instances int) {
-	c.settings.Gossip, c.settings.PublishRates, c.settings.FleetSize = true, true, instances
+func enablePeerReports(c *scenario, relays int) {
+	c.settings.Gossip, c.settings.PublishRates, c.settings.FleetSize = true, true, relays
 	c.suspicions, c.peerRates = true, true
 }
 
@@ -163,6 +170,7 @@
 			wantTags: []string{"zoned evacuated", "zoned returning", "zoned serving"}},
 		{name: "zones by order", change: func(c *scenario) { c.settings.Zones, c.zoneOrders = true, true },
 			wantTags: []string{"zone seen ordered", "zoned returning", "zoned serving"}},
+		// Other relays report arrival rates by zone.
 		{name: "zones with traffic", change: func(c *scenario) {
 			enablePeerReports(c, 6)
 			addZoneOutages(c)
@@ -214,9 +222,11 @@
 func processLifecycleCases() []decisionCase {
 	usualTags := []string{"send", "refuse", "remember"}
 	return []decisionCase{
+		// Processes crash and restart.
 		{name: "recalled", change: func(c *scenario) { c.restarts = true }, wantTags: usualTags},
 		{name: "handover", change: func(c *scenario) { c.handovers = true }, wantTags: usualTags},
 		{name: "stopping", change: func(c *scenario) { c.announcedHandovers = true }, wantTags: usualTags},
+		// Storage can't be written at times.
 		{name: "unwritten", change: func(c *scenario) { c.storageFailures = true }, wantTags: usualTags},
 		{name: "all together", change: func(c *scenario) {
 			enablePeerReports(c, 4)
--- a/policy/decisions_digest_test.go
+++ b/policy/decisions_digest_test.go
@@ -15,12 +15,13 @@
 
 // updateDecisions makes TestDecisionsDigest overwrite testdata/decisions.json with the digests it measures,
 // for a commit that changes decisions on purpose. The test then fails, so that a run with the flag never
-// passes.
+// passes (on amd64; elsewhere the flag has no effect).
 var updateDecisions = flag.Bool("update-decisions", false,
 	"overwrite testdata/decisions.json with the measured digests, and fail")
 
 const (
-	// seedsPerCase is the number of seeds that each case runs with; each seed has its own digest.
+	// seedsPerCase is the number of seeds that each simulation case runs with; the cases of the
+	// eventGenerator run with four times as many. Each seed has its own digest.
 	seedsPerCase = 3
 	// stepsPerSeed is the number of batches that each relay handles in a run.
 	stepsPerSeed = 700
@@ -42,12 +43,12 @@
 // runCase runs the simulation of a case with each seed, and checks that the tags in wantTags occurred.
 func runCase(t *testing.T, each decisionCase) recordedCase {
 	t.Helper()
-	plan := baselineScenario()
-	each.change(&plan)
+	sc := baselineScenario()
+	each.change(&sc)
 	result := recordedCase{Actions: map[string]int{}}
 	for seed := range int64(seedsPerCase) {
 		hash := newDecisionHash()
-		newSimulation(t, plan, seed, hash).run(t, stepsPerSeed)
+		newSimulation(t, sc, seed, hash).run(t, stepsPerSeed)
 		result.add(hash)
 	}
 	for _, tag := range each.wantTags {
@@ -136,13 +137,13 @@
 	compareWithRecorded(t, readDecisions(t), measured)
 }
 
-// checkInertSettings checks that settings without influence on decisions leave the digests of the baseline.
-// It removes their cases from measured, since they are not recorded.
+// checkInertSettings checks that the cases of inertSettingCases have the digests of the baseline. It removes
+// their cases from measured, since they are not recorded.
 func checkInertSettings(t *testing.T, measured map[string]recordedCase) {
 	t.Helper()
 	for _, each := range inertSettingCases() {
 		if !slices.Equal(measured[each.name].Digests, measured[each.sameDigestsAs].Digests) {
-			t.Errorf("%s: digests differ from those of %q, though the setting has to have no effect",
+			t.Errorf("%s: digests differ from those of %q, want the same, since the value must not matter",
 				each.name, each.sameDigestsAs)
 		}
 		delete(measured, each.name)
--- a/policy/decisions_record_test.go
+++ b/policy/decisions_record_test.go
@@ -18,136 +18,137 @@
 // texts.
 type decisionHash struct {
 	hash   hash.Hash
-	counts map[string]int // by tag: of actions, and of zone states that Zones returned
+	counts map[string]int // numbers of actions, and of zone states that Zones returned, by tag
 }
 
 func newDecisionHash() *decisionHash {
 	return &decisionHash{hash: sha256.New(), counts: map[string]int{}}
 }
 
-func (r *decisionHash) digest() string { return hex.EncodeToString(r.hash.Sum(nil)[:digestBytes]) }
+func (h *decisionHash) digest() string { return hex.EncodeToString(h.hash.Sum(nil)[:digestBytes]) }
 
-func (r *decisionHash) integer(value int64) {
-	r.hash.Write(binary.BigEndian.AppendUint64(nil, uint64(value)))
+func (h *decisionHash) integer(value int64) {
+	h.hash.Write(binary.BigEndian.AppendUint64(nil, uint64(value)))
 }
 
-func (r *decisionHash) ints(values ...int) {
+func (h *decisionHash) ints(values ...int) {
 	for _, value := range values {
-		r.integer(int64(value))
+		h.integer(int64(value))
 	}
 }
 
-func (r *decisionHash) durations(values ...time.Duration) {
+func (h *decisionHash) durations(values ...time.Duration) {
 	for _, value := range values {
-		r.integer(int64(value))
+		h.integer(int64(value))
 	}
 }
 
-func (r *decisionHash) times(values ...instant.Time) {
+func (h *decisionHash) times(values ...instant.Time) {
 	for _, value := range values {
-		r.integer(int64(value))
+		h.integer(int64(value))
 	}
 }
 
 // floats writes the bit patterns of floats, so that any difference in rounding shows.
-func (r *decisionHash) floats(values ...float64) {
+func (h *decisionHash) floats(values ...float64) {
 	for _, value := range values {
-		r.integer(int64(math.Float64bits(value)))
+		h.integer(int64(math.Float64bits(value)))
 	}
 }
 
-func (r *decisionHash) bools(values ...bool) {
+func (h *decisionHash) bools(values ...bool) {
 	for _, value := range values {
 		if value {
-			r.integer(1)
+			h.integer(1)
 		} else {
-			r.integer(0)
+			h.integer(0)
 		}
 	}
 }
 
-func (r *decisionHash) strings(values ...string) {
+func (h *decisionHash) strings(values ...string) {
 	for _, value := range values {
-		r.ints(len(value))
-		r.hash.Write([]byte(value))
+		h.ints(len(value))
+		h.hash.Write([]byte(value))
 	}
 }
 
 // batch writes the actions of one batch of a relay, in order.
-func (r *decisionHash) batch(t *testing.T, relay int, actions []policy.Action) {
+func (h *decisionHash) batch(t *testing.T, relay int, actions []policy.Action) {
 	t.Helper()
-	r.ints(relay, len(actions))
+	h.ints(relay, len(actions))
 	for _, action := range actions {
-		r.action(t, action)
+		h.action(t, action)
 	}
 }
 
-// beginAction counts a tag and writes it, ahead of the values that belong to it.
-func (r *decisionHash) beginAction(name string) {
-	r.counts[name]++
-	r.strings(name)
+// beginAction counts a tag and writes it, ahead of the values that belong to it. Tags are part of the
+// recorded digests, so they stay when actions and reasons get other names.
+func (h *decisionHash) beginAction(name string) {
+	h.counts[name]++
+	h.strings(name)
 }
 
 // action writes one action. The test fails on an action type that has no tag here.
-func (r *decisionHash) action(t *testing.T, action policy.Action) {
+func (h *decisionHash) action(t *testing.T, action policy.Action) {
 	t.Helper()
 	switch action := action.(type) {
 	case policy.Send:
-		r.beginAction("send")
-		r.strings(action.ID, action.Endpoint)
-		r.durations(action.Timeout, action.WriteTimeout)
-		r.ints(action.Call)
+		h.beginAction("send")
+		h.strings(action.ID, action.Endpoint)
+		h.durations(action.Timeout, action.WriteTimeout)
+		h.ints(action.Call)
 	case policy.Cancel:
-		r.beginAction("cancel")
-		r.strings(action.ID)
-		r.ints(action.Attempt)
+		h.beginAction("cancel")
+		h.strings(action.ID)
+		h.ints(action.Attempt)
 	case policy.Reject:
-		r.beginAction("refuse")
-		r.strings(action.ID, reasonTag(t, action.Reason))
-		r.durations(action.RetryAfter)
+		h.beginAction("refuse")
+		h.strings(action.ID, reasonTag(t, action.Reason))
+		h.durations(action.RetryAfter)
 	case policy.Fail:
-		r.beginAction("fail")
-		r.strings(action.ID, reasonTag(t, action.Reason))
+		h.beginAction("fail")
+		h.strings(action.ID, reasonTag(t, action.Reason))
 	case policy.Broadcast:
-		r.beginAction("tell")
-		r.gossipMessage(action.Message)
+		h.beginAction("tell")
+		h.gossipMessage(action.Message)
 	case policy.SetTimer:
-		r.beginAction("wake")
-		r.durations(action.After)
+		h.beginAction("wake")
+		h.durations(action.After)
 	default:
-		r.otherAction(t, action)
+		h.otherAction(t, action)
 	}
 }
 
 // otherAction writes an action that concerns an endpoint, a destination, a zone or the relay itself.
-func (r *decisionHash) otherAction(t *testing.T, action policy.Action) {
+func (h *decisionHash) otherAction(t *testing.T, action policy.Action) {
 	t.Helper()
 	switch action := action.(type) {
 	case policy.Subscribe:
-		r.beginAction("subscribe")
+		h.beginAction("subscribe")
 	case policy.CloseIdleConnections:
-		r.beginAction("close idle")
-		r.strings(action.Endpoint)
+		h.beginAction("close idle")
+		h.strings(action.Endpoint)
 	case policy.CancelUnwritten:
-		r.beginAction("withhold")
-		r.strings(action.Endpoint)
+		h.beginAction("withhold")
+		h.strings(action.Endpoint)
 	case policy.PersistHealth:
-		r.beginAction("remember")
-		r.strings(action.Endpoint)
-		r.bools(action.Ejected, action.SecondHand)
-		r.times(action.At)
+		h.beginAction("remember")
+		h.strings(action.Endpoint)
+		h.bools(action.Ejected, action.SecondHand)
+		h.times(action.At)
 	case policy.PublishRate:
-		r.beginAction("share")
-		r.ints(action.Destination)
-		r.floats(action.RateShare, action.ArrivalRate)
+		h.beginAction("share")
+		h.ints(action.Destination)
+		h.floats(action.RateShare, action.ArrivalRate)
 	case policy.CanaryStageChanged:
-		r.beginAction("proved")
-		r.strings(action.Endpoint)
-		r.floats(action.Share)
-		r.times(action.SuspendedUntil)
+		h.beginAction("proved")
+		h.strings(action.Endpoint)
+		h.floats(action.Share)
+		h.times(action.SuspendedUntil)
 	case policy.ZoneStateChanged:
-		r.beginAction("zoned " + zoneStateTag(t, action.State))
-		r.ints(action.Zone)
+		h.beginAction("zoned " + zoneStateTag(t, action.State))
+		h.ints(action.Zone)
 	default:
 		t.Fatalf("action type %T has no tag: add one here", action)
 	}
@@ -155,15 +156,15 @@
 
 // gossipMessage writes a gossip message byte for byte, since relays of other versions read it, and its
 // decoded form.
-func (r *decisionHash) gossipMessage(message []byte) {
-	r.strings(string(message))
+func (h *decisionHash) gossipMessage(message []byte) {
+	h.strings(string(message))
 	observed, ok := policy.DecodeObservation(message)
-	r.bools(ok, observed.CircuitOpen, observed.CircuitClosed, observed.Recovered, observed.ConnectError)
-	r.ints(observed.Destination)
-	r.strings(observed.Endpoint)
-	r.durations(observed.RetryAfter, observed.CallAge)
+	h.bools(ok, observed.CircuitOpen, observed.CircuitClosed, observed.Recovered, observed.ConnectError)
+	h.ints(observed.Destination)
+	h.strings(observed.Endpoint)
+	h.durations(observed.RetryAfter, observed.CallAge)
 	if ok {
-		r.strings(string(observed.Encode()))
+		h.strings(string(observed.Encode()))
 	}
 }
 
@@ -203,55 +204,56 @@
 	return ""
 }
 
-// dispatcherState writes the results of a dispatcher's queries: all of them, or only UnavailableEndpoints, which is cheap.
-func (r *decisionHash) dispatcherState(t *testing.T, dispatcher *policy.Dispatcher, all bool) {
+// dispatcherState writes the results of a dispatcher's queries: all of them, or only UnavailableEndpoints,
+// which is cheap.
+func (h *decisionHash) dispatcherState(t *testing.T, dispatcher *policy.Dispatcher, all bool) {
 	t.Helper()
-	r.ints(dispatcher.UnavailableEndpoints())
+	h.ints(dispatcher.UnavailableEndpoints())
 	if !all {
 		return
 	}
-	zones, cutOff := dispatcher.Zones()
-	r.bools(cutOff)
-	r.ints(len(zones))
+	zones, isolated := dispatcher.Zones()
+	h.bools(isolated)
+	h.ints(len(zones))
 	for _, zone := range zones {
-		r.beginAction("zone seen " + zoneStateTag(t, zone.State))
-		r.ints(zone.Zone, zone.Endpoints, zone.Evacuations, zone.Recoveries)
-		r.times(zone.EnteredAt, zone.OrderExpiresAt)
+		h.beginAction("zone seen " + zoneStateTag(t, zone.State))
+		h.ints(zone.Zone, zone.Endpoints, zone.Evacuations, zone.Recoveries)
+		h.times(zone.EnteredAt, zone.OrderExpiresAt)
 	}
-	r.canaries(dispatcher.Canaries())
+	h.canaries(dispatcher.Canaries())
 	exported := dispatcher.ExportState()
-	r.ints(len(exported))
+	h.ints(len(exported))
 	for _, each := range exported {
-		r.inheritedState(each)
+		h.inheritedState(each)
 	}
 }
 
-func (r *decisionHash) canaries(all []policy.Canary) {
-	r.ints(len(all))
+func (h *decisionHash) canaries(all []policy.Canary) {
+	h.ints(len(all))
 	for _, each := range all {
-		r.strings(each.Endpoint)
-		r.ints(each.Destination, each.Stage, each.Suspensions)
-		r.floats(each.Share, each.RegressionScore)
-		r.times(each.StageStartedAt, each.SuspendedUntil)
-		r.bools(each.HasBaseline)
+		h.strings(each.Endpoint)
+		h.ints(each.Destination, each.Stage, each.Suspensions)
+		h.floats(each.Share, each.RegressionScore)
+		h.times(each.StageStartedAt, each.SuspendedUntil)
+		h.bools(each.HasBaseline)
 	}
 }
 
-func (r *decisionHash) inheritedState(queue policy.StateInherited) {
-	r.times(queue.RetryAfterUntil, queue.BackoffUntil, queue.TokensAt, queue.FirstRejectionAt,
+func (h *decisionHash) inheritedState(queue policy.StateInherited) {
+	h.times(queue.RetryAfterUntil, queue.BackoffUntil, queue.TokensAt, queue.FirstRejectionAt,
 		queue.LastSuccessAt)
-	r.ints(queue.Outcomes, queue.ConsecutiveRejections, len(queue.ClassLatency))
-	r.floats(queue.MeanLatency, queue.Concurrency, queue.SendRate, queue.Tokens)
-	r.floats(queue.ClassLatency...)
+	h.ints(queue.Outcomes, queue.ConsecutiveRejections, len(queue.ClassLatency))
+	h.floats(queue.MeanLatency, queue.Concurrency, queue.SendRate, queue.Tokens)
+	h.floats(queue.ClassLatency...)
 	for _, counted := range []policy.DecayingCount{queue.Arrivals, queue.Misses} {
-		r.floats(counted.Count)
-		r.times(counted.UpdatedAt, counted.StartedAt)
+		h.floats(counted.Count)
+		h.times(counted.UpdatedAt, counted.StartedAt)
 	}
-	r.ints(len(queue.Endpoints))
+	h.ints(len(queue.Endpoints))
 	for _, endpoint := range queue.Endpoints {
-		r.strings(endpoint.ID)
-		r.bools(endpoint.Ejected, endpoint.SlowStarting)
-		r.times(endpoint.EjectedAt, endpoint.RecoveredAt, endpoint.LastSuccessAt, endpoint.TokensAt)
-		r.floats(endpoint.ConsecutiveFailures, endpoint.ConnectionLimit, endpoint.Tokens)
+		h.strings(endpoint.ID)
+		h.bools(endpoint.Ejected, endpoint.SlowStarting)
+		h.times(endpoint.EjectedAt, endpoint.RecoveredAt, endpoint.LastSuccessAt, endpoint.TokensAt)
+		h.floats(endpoint.ConsecutiveFailures, endpoint.ConnectionLimit, endpoint.Tokens)
 	}
 }
--- a/policy/decisions_simulation_actions_test.go
+++ b/policy/decisions_simulation_actions_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// send starts an attempt. Its result is drawn once for each call, and all messages of the call have it.
+// send starts an attempt. The result is drawn once for each call; a message whose deadline or timeout comes
+// before the end of the call times out then instead.
 func (s *simulation) send(relay *simulatedRelay, action policy.Send) {
 	message := relay.messages[action.ID]
 	result, known := relay.results[action.Call]
@@ -101,11 +102,11 @@
 	result := func(outcome policy.Outcome, after time.Duration) callResult {
 		return callResult{policy.AttemptEnded{Outcome: outcome}, after}
 	}
-	if server == nil { // removed, and the relay has not yet handled the removal
+	if server == nil { // the server was removed, and the relay has not yet handled that
 		return result(policy.ConnectError, shortDelay)
 	}
 	latency := time.Duration(float64(server.latency) * (0.5 + s.random.ExpFloat64()/2) * float64(1+class) / 2)
-	if lacking := s.oneIn(8); s.scenario.notStarted && lacking {
+	if notStarted := s.oneIn(8); s.scenario.notStarted && notStarted {
 		return result(policy.NotStarted, shortDelay)
 	}
 	if s.scenario.errorsEverywhere && s.random.Intn(5) == 0 || server.flawed && s.oneIn(3) {
@@ -169,8 +170,8 @@
 	if s.scenario.settings.Kinds[endpoint.Kind].SeparateRoutes {
 		scope = endpoint.ID
 	}
-	instances := max(simulatedRelays, s.scenario.settings.FleetSize)
-	rate := endpoint.Weight * simulatedRelays / float64(instances)
+	relays := max(simulatedRelays, s.scenario.settings.FleetSize)
+	rate := endpoint.Weight * simulatedRelays / float64(relays)
 	burst := math.Max(2, rate)
 	limit := s.limits[scope]
 	if limit == nil {
--- a/policy/decisions_simulation_events_test.go
+++ b/policy/decisions_simulation_events_test.go
@@ -33,7 +33,7 @@
 // attempts in flight.
 func (s *simulation) transferState(t *testing.T, relay *simulatedRelay) {
 	t.Helper()
-	toSuccessorClock := func(at instant.Time) instant.Time { // taken to be 1 ms ahead
+	toSuccessorClock := func(at instant.Time) instant.Time { // the clock is taken to be 1 ms ahead
 		if at == 0 || at == instant.Never {
 			return at
 		}
@@ -59,8 +59,9 @@
 	s.resume(relay, false)
 }
 
-// resume queues the arrivals of the unfinished messages for a new process. keepInFlight says that attempts in
-// flight stay so, as in a handover; otherwise they are lost.
+// resume queues the arrivals of the unfinished messages for a new process, and in a handover also of
+// completed ones with an attempt in flight. keepInFlight says that attempts in flight stay so, as in a
+// handover; otherwise they are lost.
 func (s *simulation) resume(relay *simulatedRelay, keepInFlight bool) {
 	for _, message := range relay.order {
 		if message.completed && (!keepInFlight || !message.hasOpen) {
@@ -156,7 +157,7 @@
 			events = append(events, ending) // a duplicate, which has to change nothing
 		}
 		if ending.Outcome == policy.NotStarted && i == len(message.attempts)-1 {
-			message.attempts = message.attempts[:i] // NotStarted is no attempt: the next one gets its number
+			message.attempts = message.attempts[:i] // the next attempt gets the number
 		}
 	}
 	return events
--- a/policy/decisions_simulation_test.go
+++ b/policy/decisions_simulation_test.go
@@ -19,7 +19,7 @@
 
 // The conditions of a server.
 const (
-	healthy                 serverCondition = iota // delivers, with few errors
+	healthy                 serverCondition = iota // accepts calls, with few errors
 	slow                                           // takes four times as long
 	failing                                        // responds with errors or resets the connection
 	rejecting                                      // rejects every call
@@ -35,8 +35,8 @@
 // beside the basic traffic.
 type scenario struct {
 	settings           policy.Settings
-	load               float64 // mean messages that arrive at a relay in a step; a third of it at times
-	faultRate          float64 // how often conditions change, as a multiple of the basic probability
+	load               float64 // mean number of messages that arrive at a relay in a step; see arrivals
+	faultRate          float64 // factor of the probability that a condition changes
 	zoneOutages        bool    // all servers of a zone fail together
 	zoneOrders         bool    // operators order evacuations of zones, and end them
 	suspicions         bool    // PeerSuspected events arrive
@@ -73,25 +73,26 @@
 	endpoint    string
 	call        int
 	sent        time.Duration
-	due         time.Duration // when it ends
+	due         time.Duration // when the attempt ends
 	ending      policy.AttemptEnded
 	open        bool
-	notExecuted bool // proved never to have run
+	notExecuted bool // whether the outcome proves that it was not executed
 }
 
-// simulatedMessage is a message that a relay has accepted.
+// simulatedMessage is a message that has arrived at a relay.
 type simulatedMessage struct {
 	arrived   policy.Arrived
 	expires   time.Duration
 	attempts  []simulatedAttempt
 	completed bool
-	hasOpen   bool // an attempt is in flight
+	hasOpen   bool // whether an attempt is in flight
 }
 
-// callResult is the end of one call, which all its messages share.
+// callResult is the end that was drawn for one call. Its messages share it, unless one of them times out or
+// is canceled before.
 type callResult struct {
 	ending policy.AttemptEnded
-	after  time.Duration // from the call's start to its end
+	after  time.Duration // time from the start of the call to its end
 }
 
 // simulatedRelay is a dispatcher with the state that its process would keep.
@@ -102,9 +103,9 @@
 	messages        map[string]*simulatedMessage    // by ID
 	order           []*simulatedMessage             // in order of arrival
 	timers          []time.Duration                 // times at which TimerFired is due
-	inbox           []policy.Event                  // for the next batch, ahead of the events drawn for it
-	results         map[int]callResult              // by Send.Call
-	persisted       map[string]policy.PersistHealth // last one, by endpoint
+	inbox           []policy.Event                  // first events of the next batch
+	results         map[int]callResult              // drawn results, by Send.Call
+	persisted       map[string]policy.PersistHealth // last PersistHealth, by endpoint
 	persistedOrder  []string                        // keys of persisted, by their first PersistHealth
 	subscribed      bool
 	stepsToHandover int // steps until the process hands over; 0 if it is not stopping
@@ -117,12 +118,12 @@
 	seed           int64
 	now            time.Duration
 	step           int
-	lastNumber     int // the last one used in the ID of an endpoint or message
-	pauseSteps     int // steps left without new messages before the clock moves by trafficPause; or 0
+	lastNumber     int // last number used in the ID of an endpoint or message
+	pauseSteps     int // steps without new messages until the clock moves by trafficPause; 0 for no pause
 	servers        []*simulatedServer
-	limits         map[string]*rateLimit // by scope, see takeToken
+	limits         map[string]*rateLimit // by destination or route, see takeToken
 	relays         []*simulatedRelay
-	publishedRates []policy.PublishRate // from all relays
+	publishedRates []policy.PublishRate // rates that any relay has published
 	hash           *decisionHash
 }
 
@@ -136,9 +137,9 @@
 )
 
 // newSimulation returns a simulation with new servers, and relays that have them listed.
-func newSimulation(t *testing.T, plan scenario, seed int64, hash *decisionHash) *simulation {
+func newSimulation(t *testing.T, sc scenario, seed int64, hash *decisionHash) *simulation {
 	t.Helper()
-	s := &simulation{scenario: plan, random: rand.New(rand.NewSource(seed)), seed: seed, now: time.Hour,
+	s := &simulation{scenario: sc, random: rand.New(rand.NewSource(seed)), seed: seed, now: time.Hour,
 		limits: map[string]*rateLimit{}, hash: hash}
 	for destination := range simulatedDestinations {
 		for zone := range simulatedZones {
@@ -146,11 +147,11 @@
 		}
 	}
 	for number := range simulatedRelays {
-		relay := &simulatedRelay{number: number, settings: plan.settings,
+		relay := &simulatedRelay{number: number, settings: sc.settings,
 			messages:  map[string]*simulatedMessage{},
 			persisted: map[string]policy.PersistHealth{}}
 		relay.settings.Zone = number % simulatedZones
-		if plan.onDemand {
+		if sc.onDemand {
 			relay.settings.Directory = s
 		}
 		s.relays = append(s.relays, relay)
@@ -294,11 +295,11 @@
 	}
 	s.changeDestination()
 	if s.scenario.zoneOutages && s.oneIn(120) {
-		zone, state := s.random.Intn(simulatedZones), serverCondition(s.random.Intn(int(conditionCount)))
+		zone, condition := s.random.Intn(simulatedZones), serverCondition(s.random.Intn(int(conditionCount)))
 		for _, server := range s.servers {
 			server.condition = healthy
 			if server.endpoint.Zone == zone {
-				server.condition = state
+				server.condition = condition
 			}
 		}
 	}
@@ -309,13 +310,13 @@
 	if s.random.Float64()*120 >= s.scenario.faultRate {
 		return
 	}
-	destination, state := s.random.Intn(simulatedDestinations), healthy
+	destination, condition := s.random.Intn(simulatedDestinations), healthy
 	if s.oneIn(2) {
-		state = serverCondition(s.random.Intn(int(conditionCount)))
+		condition = serverCondition(s.random.Intn(int(conditionCount)))
 	}
 	for _, server := range s.servers {
 		if server.endpoint.Destination == destination {
-			server.condition = state
+			server.condition = condition
 		}
 	}
 }
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -56,7 +56,7 @@
 		watch:         endpointWatch{subscribeAt: never, firstListedAt: never},
 	}
 	if settings.Subscribe {
-		dispatcher.watch.subscribeAt = 0 // in the first call of Handle
+		dispatcher.watch.subscribeAt = 0 // the first call of Handle emits Subscribe
 	}
 	for _, class := range settings.Classes {
 		dispatcher.meanPriority += class.PriorityWeight / float64(len(settings.Classes))
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -11,12 +11,14 @@
 	outlier         outlierDetector
 	slowStart       slowStartState
 	connections     connectionLimiter
-	resourceBackoff resourceBackoff // pause after a call that local resources did not suffice for
+	resourceBackoff resourceBackoff // pause after a call that could not be started
 	peerReport      peerReport
 	canary          *canaryState // nil for an endpoint that is not a canary
 
 	lastUsedAt      instant.Time // time at which the last call was sent
 	succeededCallAt instant.Time // time at which the latest successful call was sent
 	lastLatency     float64      // latency of the last successful call, in seconds
-	normalLatency   float64      // mean latency of the calls that were not slow, in seconds
+	// normalLatency is the mean latency, in seconds, of the calls that were not slow. It is kept only with
+	// zones on and for endpoints of the own zone (recordLocalLoad); 0 means unknown.
+	normalLatency float64
 }
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -7,13 +7,14 @@
 	"milletsail/internal/instant"
 )
 
-// resubscribeDelay is the delay before a new watch of the endpoint list after one has failed.
+// resubscribeDelay is the time between the failure of a watch of the endpoint list and the start of a new
+// one.
 const resubscribeDelay = 500 * time.Millisecond
 
 // endpointWatch is the state of the watch of the endpoint list.
 type endpointWatch struct {
-	subscribeAt   instant.Time // time at which to emit Subscribe; never if no Subscribe is due
-	firstListedAt instant.Time // time of the first EndpointsUpdated; never before that
+	subscribeAt   instant.Time // time at which to emit Subscribe; the constant never if none is planned
+	firstListedAt instant.Time // time of the first EndpointsUpdated; until then, the constant never
 }
 
 // renewWatch subscribes to the endpoint list at the start, and after a failed watch when the delay has
@@ -79,7 +80,7 @@
 	d.startCanary(ep, listed)
 	d.updateAvailability(ep, func() { ep.Endpoint = listed })
 	d.setListedRate(ep.queue, listed.Weight, since)
-	if joinsOutage { // the whole destination is down, so a new endpoint needs a slow start as well
+	if joinsOutage { // the destination may be down, so a new endpoint needs a slow start as well
 		d.eject(ep)
 	}
 }
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestDrainingOrRemovedEndpointGetsNoCalls(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Slots = 8
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	d.Handle(0, []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Draining: true}}}})
@@ -17,7 +17,7 @@
 }
 
 func TestSubscribeAgainAfterWatchFailed(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Subscribe = true
 	d, err := New(s, 1)
 	if err != nil {
@@ -32,7 +32,7 @@
 // without bound, and each batch iterates over all of it.
 func TestReplacedEndpointsAreRemoved(t *testing.T) {
 	for kind := range 3 {
-		d := start(t, plain())
+		d := start(t, basicSettings())
 		for i := range 200 {
 			now := time.Duration(i) * time.Second
 			d.Handle(moment(now),
@@ -48,7 +48,8 @@
 		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.destinations) != 1 ||
 			len(d.active)+len(d.messages.byID)+len(d.messages.unfinished) != 0 {
 			t.Errorf(
-				"kind %d: %d endpoints, %d queues, %d active, %d messages; want 2, at most 3, 0 and 0",
+				"kind %d: %d endpoints, %d queues, %d active queues, %d messages; want 2, at most 3, 0 and "+
+					"0, with one destination and no unfinished message",
 				kind, len(d.endpoints), len(d.queues),
 				len(d.active), len(d.messages.byID))
 		}
@@ -59,7 +60,7 @@
 // with another weight and zone, and the clock jumps back or far ahead.
 func TestEndpointListEmptyAndFilledAgain(t *testing.T) {
 	for kind := range 3 {
-		s := plain()
+		s := basicSettings()
 		s.Weights = WeightsNominal
 		d := start(t, s, Endpoint{ID: "a", Kind: kind, Weight: 5})
 		expect(t, "sent", d.Handle(moment(time.Second), []Event{arrive("m", 0)}), "m>a")
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -75,8 +75,9 @@
 	return !ep.unresponsive(d.now) || len(ep.calls) < maxUnhealthyCalls
 }
 
-// mayProbe reports whether an ejected endpoint may get a probe now: in this relay's turn, where the fleet
-// takes turns, else as the slow start budget allows.
+// mayProbe reports whether an ejected endpoint may get a probe now. Where the fleet takes turns (probeTurn),
+// that is from this relay's turn on, if no probe is in flight; elsewhere it is as the slow start budget and
+// maxUnhealthyCalls allow.
 func (d *Dispatcher) mayProbe(ep *endpoint) bool {
 	probes := ep.probesInFlight()
 	if turn := d.probeTurn(ep); turn > 0 {
--- a/policy/event.go
+++ b/policy/event.go
@@ -11,7 +11,7 @@
 
 // The events.
 type (
-	// Arrived adds a message, which ends with exactly one final answer.
+	// Arrived adds a message, which ends with exactly one final answer unless it is withdrawn.
 	Arrived struct {
 		ID          string
 		Class       int
@@ -35,10 +35,10 @@
 		Attempt           int // index of the attempt, from 0
 		Outcome           Outcome
 		RetryAfter        time.Duration // Retry-After of the response, or 0
-		Latency           time.Duration
-		Completed         bool        // whether the message has its final answer
-		AttemptsExhausted bool        // whether the message may have no further attempts
-		LoadReport        *LoadReport // load report in the response, or nil
+		Latency           time.Duration // duration of the call; if 0, the time since it was sent is used
+		Completed         bool          // whether the message has its final answer
+		AttemptsExhausted bool          // whether the message may have no further attempts
+		LoadReport        *LoadReport   // load report in the response, or nil
 	}
 	// Withdrawn means that a message is no longer wanted and needs no answer.
 	Withdrawn struct{ ID string }
@@ -60,10 +60,10 @@
 		BackoffUntil          instant.Time        `json:"Hold"`     // end of a backoff after a rejection
 		Outcomes              int                 `json:"Outcomes"` // number of recorded latencies
 		MeanLatency           float64             `json:"Mean"`
-		ClassLatency          []float64           `json:"Class"` // mean latency of each class
-		Concurrency           float64             `json:"Width"` // mean number of calls in flight
-		SendRate              float64             `json:"Pace"`  // calls a second; 0 for unlimited
-		Tokens                float64             `json:"Tokens"`
+		ClassLatency          []float64           `json:"Class"`  // mean latency of each class
+		Concurrency           float64             `json:"Width"`  // mean number of calls in flight
+		SendRate              float64             `json:"Pace"`   // calls a second; 0 for unlimited
+		Tokens                float64             `json:"Tokens"` // tokens of the send rate at TokensAt
 		TokensAt              instant.Time        `json:"TokensAt"`
 		ConsecutiveRejections int                 `json:"Fulls"`
 		FirstRejectionAt      instant.Time        `json:"FirstFull"`
--- a/policy/expiry.go
+++ b/policy/expiry.go
@@ -26,14 +26,16 @@
 }
 
 // latestAttemptStart returns the latest time at which another attempt of a waiting message can start and
-// still end by the deadline, with the expected latency. The message expires then.
+// still end by the deadline, with the expected latency but at least two batch intervals. The message expires
+// then.
 func (d *Dispatcher) latestAttemptStart(m *message) instant.Time {
 	latency := time.Duration(m.queue.latency.byClass[m.Class] * float64(time.Second))
 	return m.expiresAt.Add(-max(2*d.settings.BatchInterval, latency))
 }
 
-// nearDeadline reports whether a message may expire before a call that carries it ends. Its expiry would end
-// the call for all messages of a batch, so such messages are batched only with each other.
+// nearDeadline reports whether a message has less than stalledFactor times the expected latency left, and so
+// may expire before a call that carries it ends. Its expiry would end the call for all messages of a batch,
+// so such messages are batched only with each other.
 func (q *queue) nearDeadline(m *message, now instant.Time) bool {
 	return m.expiresAt.Sub(now).Seconds() < stalledFactor*q.latency.byClass[m.Class]
 }
--- a/policy/expiry_test.go
+++ b/policy/expiry_test.go
@@ -7,7 +7,7 @@
 
 // The rejection of an expired message must tell the client when its destination may get calls again.
 func TestExpiredMessageHasRetryAfter(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	d.Handle(moment(ms), []Event{arrive("m", 0)})
 	d.Handle(moment(8600*ms),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: 2400 * ms}})
@@ -19,11 +19,11 @@
 			return
 		}
 	}
-	t.Error("message not rejected at its deadline")
+	t.Error("message m was not rejected at 10s, want a rejection with a Retry-After of 1s")
 }
 
 func TestWaitingMessagesExpire(t *testing.T) {
-	d := start(t, plain())
+	d := start(t, basicSettings())
 	got := d.Handle(0, []Event{arrive("m", 2)})
 	expect(t, "no endpoint listed", got, "")
 	at := actionAs[SetTimer](t, got[len(got)-1]).After
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -42,10 +42,14 @@
 // not accepted a connection).
 type Observation struct {
 	CircuitOpen, CircuitClosed, Recovered, ConnectError bool
-	Destination                                         int           // of CircuitOpen and CircuitClosed
-	Endpoint                                            string        // of Recovered and ConnectError
-	RetryAfter                                          time.Duration // of a rejection; 0 for none
-	CallAge                                             time.Duration // time since the call was sent
+	// Destination is the destination that a CircuitOpen or CircuitClosed concerns.
+	Destination int
+	// Endpoint is the ID of the endpoint that a Recovered or ConnectError concerns.
+	Endpoint string
+	// RetryAfter is the Retry-After of the rejected call of a CircuitOpen; 0 for none.
+	RetryAfter time.Duration
+	// CallAge is the time since the call of a CircuitOpen or CircuitClosed was sent.
+	CallAge time.Duration
 }
 
 // DecodeObservation decodes the message of a Broadcast. It returns false for a message that is malformed or
@@ -63,8 +67,8 @@
 	if recovered := decodeEndpointMessage(endpointRecoveredType, message); recovered != "" {
 		return Observation{Recovered: true, Endpoint: recovered}, true
 	}
-	if full := decodeEndpointMessage(connectErrorType, message); full != "" {
-		return Observation{ConnectError: true, Endpoint: full}, true
+	if unreachable := decodeEndpointMessage(connectErrorType, message); unreachable != "" {
+		return Observation{ConnectError: true, Endpoint: unreachable}, true
 	}
 	return Observation{}, false
 }
--- a/policy/gossip_codec_test.go
+++ b/policy/gossip_codec_test.go
@@ -11,7 +11,8 @@
 		{accepted: true, destination: 7, callAge: 90 * ms},
 		{destination: maxGossipNumber, retryAfter: maxGossipNumber * ms, callAge: maxGossipNumber * ms}} {
 		if got, ok := decodeLimitMessage(l.encode()); !ok || got != l {
-			t.Errorf("%v was decoded as %v, %v", l, got, ok)
+			t.Errorf("limit message %v, encoded and decoded, is %v with ok %v, want the same and true", l,
+				got, ok)
 		}
 	}
 	complete := limitMessage{destination: 300, retryAfter: 700 * ms, callAge: 300 * ms}.encode()
@@ -33,7 +34,7 @@
 		{CircuitClosed: true, Destination: 7, CallAge: ms},
 		{Recovered: true, Endpoint: "h"}, {ConnectError: true, Endpoint: "h"}} {
 		if got, ok := DecodeObservation(o.Encode()); !ok || got != o {
-			t.Errorf("%+v was decoded as %+v", o, got)
+			t.Errorf("observation %+v, encoded and decoded, is %+v, want the same", o, got)
 		}
 	}
 	for _, message := range []string{"", "x", "c", "b", "n", "c\x01"} {
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -10,7 +10,7 @@
 // "a", which is listed with the given rate in calls a second.
 func fleet(t *testing.T, relays int, weight float64) (all []*Dispatcher) {
 	t.Helper()
-	s := plain()
+	s := basicSettings()
 	s.FleetSize, s.Weights, s.Gossip = relays, WeightsNominal, true
 	for seed := range int64(relays) {
 		d, err := New(s, seed)
@@ -49,7 +49,8 @@
 	for _, d := range all[1:] {
 		d.Handle(moment(at+10*ms), []Event{GossipReceived{Message: messages[0]}, arrive("m", 0)})
 		if q := d.queues[0]; q.limiter.rate >= d.evenShare(q)*1.3 || len(q.calls) > 0 {
-			t.Fatalf("send rate %v and %d calls in flight after gossip on a rejection, want a pause",
+			t.Fatalf("after gossip on a rejection: send rate %v and %d calls in flight, want a rate below "+
+				"1.3 even shares and no call",
 				q.limiter.rate, len(q.calls))
 		}
 	}
@@ -69,7 +70,7 @@
 		}
 	}
 	if resumed < 70 {
-		t.Errorf("only %d of 79 relays sent again within 4 s", resumed)
+		t.Errorf("%d of 79 relays sent again within 4 s, want at least 70", resumed)
 	}
 }
 
@@ -94,9 +95,10 @@
 		}
 		if above := q.limiter.rate > d.evenShare(q); above != tt.above ||
 			q.limiter.rate < 0.9*d.evenShare(q) {
-			t.Errorf("%d relays, gossip received %v: send rate %v is on the wrong side of the even share %v",
+			t.Errorf("%d relays, gossip received %v: send rate %v, even share %v; want the rate above "+
+				"the share: %v, and at least 0.9 of it",
 				tt.relays, tt.received,
-				q.limiter.rate, d.evenShare(q))
+				q.limiter.rate, d.evenShare(q), tt.above)
 		}
 	}
 }
@@ -118,15 +120,15 @@
 	if again := broadcasts(all[1], at+3*time.Second, "o"); len(again) != 1 {
 		t.Errorf("%d gossip messages after a later rejection, want 1", len(again))
 	}
-	silent := fleet(t, 2, 400)[0]
-	silent.settings.Gossip = false
-	if messages := broadcasts(silent, at, "m"); len(messages) != 0 {
+	withoutGossip := fleet(t, 2, 400)[0]
+	withoutGossip.settings.Gossip = false
+	if messages := broadcasts(withoutGossip, at, "m"); len(messages) != 0 {
 		t.Error("a relay sent a gossip message with gossip off in its settings")
 	}
 }
 
 // TestGossipDoesNotEject guards against gossip messages that change the state of endpoints by themselves:
-// malformed ones, ones about unlisted destinations, and a flood of them.
+// malformed ones, ones about unlisted destinations, and many within a second.
 func TestGossipDoesNotEject(t *testing.T) {
 	d := fleet(t, 80, 40)[0]
 	q := d.queues[0]
@@ -145,7 +147,9 @@
 	}
 	if q.limiter.rate < 0.8*d.evenShare(q) || q.circuit.backoffUntil > moment(4*time.Second) ||
 		q.circuit.retryAfterUntil != 0 || d.endpoints["a"].outlier.ejected {
-		t.Errorf("after much gossip: send rate %v of %v, backoff until %v, Retry-After until %v, ejected %v",
+		t.Errorf("after 1000 gossip messages on a rejection: send rate %v with an even share of %v, want at "+
+			"least 0.8 of it; backoff until %v, want at most 4s; Retry-After until %v, want 0; ejected %v, "+
+			"want false",
 			q.limiter.rate, d.evenShare(q),
 			q.circuit.backoffUntil, q.circuit.retryAfterUntil, d.endpoints["a"].outlier.ejected)
 	}
@@ -164,8 +168,8 @@
 		ends  bool          // whether the backoff should end
 	}{{"earlier", -100 * ms, false}, {"at the same time", 10 * ms, false}, {"well after", 80 * ms, true}} {
 		all := fleet(t, 3, 400)
-		sent := 2*time.Second + tt.after
-		all[1].Handle(moment(sent), []Event{arrive("n", 0)})
+		sentAt := 2*time.Second + tt.after
+		all[1].Handle(moment(sentAt), []Event{arrive("n", 0)})
 		broadcasts(all[0], 2*time.Second, "m")
 		rejection := limitMessage{retryAfter: time.Second, callAge: 100 * ms}.encode()
 		var broadcasts [][]byte
@@ -179,7 +183,9 @@
 		}
 		if len(broadcasts) > 0 != tt.ends ||
 			all[1].queues[0].circuit.backoffUntil > moment(2200*ms) == tt.ends {
-			t.Fatalf("accepted call sent %s: %d gossip messages, backoff until %v", tt.name, len(broadcasts),
+			t.Fatalf("accepted call sent %s: %d gossip messages, backoff until %v; want a message and the "+
+				"end of the backoff only if it was sent well after the rejected call", tt.name,
+				len(broadcasts),
 				all[1].queues[0].circuit.backoffUntil)
 		}
 		if !tt.ends {
@@ -228,7 +234,8 @@
 		ep := d.endpoints["a"]
 		if ep.outlier.ejected || !ep.slowStart.active ||
 			ep.slowStart.recoveredAt != moment(recoveredAt+10*ms) || len(d.endpoints) != 1 {
-			t.Fatalf("after gossip on a recovery: ejected %v, slow start %v, recovered at %v, %d endpoints",
+			t.Fatalf("after gossip on a recovery: ejected %v, slow start %v, recovered at %v, %d endpoints; "+
+				"want a slow start from the arrival of the gossip message, and 1 endpoint",
 				ep.outlier.ejected,
 				ep.slowStart.active, ep.slowStart.recoveredAt, len(d.endpoints))
 		}
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -189,7 +189,7 @@
 }
 
 // restoreQueue restores the exported state of a queue. Latencies are skipped if the number of classes has
-// changed.
+// changed; otherwise they also replace the prior of the kind if that has fewer outcomes.
 func (d *Dispatcher) restoreQueue(queue *queue, state StateInherited) {
 	queue.circuit.retryAfterUntil = state.RetryAfterUntil
 	queue.circuit.backoffUntil = state.BackoffUntil
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -8,7 +8,7 @@
 // Guards against a successor that ignores the calls in flight of its predecessor: they occupy slots, a failed
 // one is retried, and one whose message is already complete only frees its slot.
 func TestCallsInFlightAtHandover(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Slots = 2
 	d := start(t, s, Endpoint{ID: "a", Destination: 0}, Endpoint{ID: "b", Destination: 1},
 		Endpoint{ID: "c", Destination: 2})
@@ -39,7 +39,7 @@
 // Guards against a successor that starts without the Retry-After, ejections, latencies and send rates that
 // its predecessor learned. State of endpoints that are no longer listed is skipped.
 func TestExportState(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Weights = WeightsNominal
 	list := []Endpoint{{ID: "a", Destination: 0, Weight: 10}, {ID: "b", Destination: 1, Weight: 10},
 		{ID: "c", Destination: 2, Weight: 10}}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -9,9 +9,9 @@
 
 const ms = time.Millisecond
 
-// plain returns valid settings with one class for each Effect, the NotIdempotent one ordered, and three kinds
-// of destinations: without batches, with batches of 5, and with separate routes.
-func plain() Settings {
+// basicSettings returns valid settings with one class for each Effect, the NotIdempotent one ordered, and
+// three kinds of destinations: without batches, with batches of 5, and with separate routes.
+func basicSettings() Settings {
 	idempotent := Class{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}
 	withKey, notIdempotent := idempotent, idempotent
 	withKey.Effect, withKey.IdempotencyWindow = IdempotentWithKey, 4*time.Second
@@ -75,7 +75,7 @@
 	t.Helper()
 	as, ok := action.(A)
 	if !ok {
-		t.Fatalf("%T %+v, want a %T", action, action, as)
+		t.Fatalf("got action %T %+v, want a %T", action, action, as)
 	}
 	return as
 }
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -49,8 +49,8 @@
 	return share
 }
 
-// recordCall counts a call: each of the other zones gets its share of a call as credit, and the zone that
-// receives the call pays one call, unless it is the own zone.
+// recordCall counts a call: each of the other zones gets its share of a call as credit, and the credit of
+// the zone that receives the call falls by one call, unless it is the own zone.
 func (l *localityBalancer) recordCall(to, ownZone int, otherZones map[int]bool) {
 	if l.zoneCredits == nil {
 		l.zoneCredits = map[int]float64{}
--- a/policy/locality_test.go
+++ b/policy/locality_test.go
@@ -16,7 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rates := rapid.SliceOfN(rapid.Float64Range(0, 100), 2, 6)
 		demand := rates.Draw(t, "demand")
-		capacity := rapid.SliceOfN(rapid.Float64Range(0, 100), len(demand), len(demand)).Draw(t, "room")
+		capacity := rapid.SliceOfN(rapid.Float64Range(0, 100), len(demand), len(demand)).Draw(t, "capacity")
 		shares := spilloverShares(demand, capacity)
 		totalDemand, totalCapacity, served := 0.0, 0.0, 0.0
 		for zone := range demand {
--- a/policy/message.go
+++ b/policy/message.go
@@ -6,7 +6,7 @@
 	"milletsail/internal/instant"
 )
 
-// message is a message from its arrival until its key is released.
+// message is the state of one message, which is kept from its arrival until its key is released.
 type message struct {
 	Arrived
 	class           *Class
@@ -70,7 +70,7 @@
 	return m
 }
 
-// withdraw ends a message that is no longer wanted, and cancels its attempts.
+// withdraw ends a message that is no longer wanted, and cancels its attempts if Settings.CanCancel is set.
 func (d *Dispatcher) withdraw(id string) {
 	m := d.messages.byID[id]
 	if m == nil || m.done {
--- a/policy/messages_capacity_bench_test.go
+++ b/policy/messages_capacity_bench_test.go
@@ -42,7 +42,7 @@
 	}
 	d.Handle(0, events)
 	if len(d.messages.unfinished) != messages || d.slots.inUse > 0 {
-		b.Fatalf("%d messages are unfinished and %d calls are out, want all queued and no call",
+		b.Fatalf("%d messages are unfinished and %d calls are in flight, want all queued and no call",
 			len(d.messages.unfinished), d.slots.inUse)
 	}
 	return d
--- a/policy/ordered_keys_test.go
+++ b/policy/ordered_keys_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestOrderedKeyStaysBlockedAfterTimeout(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.OrderedKeyDelay = 300 * ms
 	d := start(t, s, Endpoint{ID: "a"})
 	expect(t, "two messages with one key", d.Handle(0, []Event{arrive("m", 2), arrive("n", 2)}), "m>a")
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -33,8 +33,8 @@
 }
 
 // closeAttempt marks an attempt as ended, and returns its message and its call, or nil if the attempt is
-// unknown or had ended before. The call frees its slot with the last of its attempts. An attempt that was not
-// started is removed, so that the next one reuses its number.
+// unknown or had ended before. The call frees its slot with the last of its attempts. An attempt that was
+// not started is removed if it is the message's last one, so that the next one reuses its number.
 func (d *Dispatcher) closeAttempt(ended AttemptEnded) (*message, *call) {
 	sent := d.messages.byID[ended.ID]
 	if sent == nil || ended.Attempt < 0 || ended.Attempt >= len(sent.attempts) {
@@ -104,8 +104,9 @@
 	}
 }
 
-// recordOutcome updates the state of an endpoint and its queue after a call. It uses the latency reported for
-// the call rather than the present time, since a relay that was suspended is told of the outcome late.
+// recordOutcome updates the state of an endpoint and its queue after a call. It uses the latency reported
+// for the call rather than the present time, since a relay process that was suspended learns of the outcome
+// late.
 func (d *Dispatcher) recordOutcome(outcome callOutcome) {
 	ep, queue := outcome.call.endpoint, outcome.call.endpoint.queue
 	endedAt := outcome.call.sentAt.Add(outcome.Latency)
@@ -147,7 +148,7 @@
 	d.latencyPriors.get(queue.kind).record(class, outcome.seconds)
 	ep.outlier.classFailures[class] = 0
 	if ep.outlier.ejected && sentAt < ep.outlier.ejectedAt && d.now < queue.circuit.retryAfterUntil {
-		return // sent before the ejection: its success shows no recovery during the Retry-After
+		return // during a Retry-After, the success of a call sent before the ejection shows no recovery
 	}
 	d.recordSuccess(ep, outcome.LoadReport == nil || outcome.LoadReport.Remaining >= minRemainingAllowance)
 	callAge := d.now.Sub(sentAt)
@@ -158,8 +159,8 @@
 	}
 }
 
-// recordConnectError handles a connection that was not established. If a call that was sent later has
-// succeeded at the endpoint, the endpoint accepts no more connections than this relay has open; otherwise the
+// recordConnectError handles a connection that was not established. If a call has succeeded at the endpoint
+// since this one was sent, the endpoint accepts no more connections than this relay has open; otherwise the
 // error counts as a failure.
 func (d *Dispatcher) recordConnectError(ep *endpoint, c *call) {
 	if d.settings.Gossip && ep.connections.recordError(d.now) &&
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -22,11 +22,13 @@
 // detection, and a success ends the ejection. It belongs to one endpoint and is not safe for concurrent use.
 type outlierDetector struct {
 	consecutiveFailures float64   // weighted: an error response adds errorResponseWeight
-	classFailures       []float64 // consecutive failures by class, used to select endpoints
+	classFailures       []float64 // consecutive failures by class, weighted likewise, to select endpoints
 	ejected             bool
 	ejectedAt           instant.Time // start of the last ejection; 0 for never
-	lastFailureAt       instant.Time // last failure, here or as several relays report; 0 for never
-	lastSuccessAt       instant.Time // last success of a call of this relay; 0 for never
+	// lastFailureAt is the time of the last failure that counted here or that minObservers relays reported;
+	// 0 for never.
+	lastFailureAt instant.Time
+	lastSuccessAt instant.Time // last success of a call of this relay; 0 for never
 }
 
 // healthSource says who observed a change in the health of an endpoint.
@@ -68,8 +70,8 @@
 }
 
 // recordSuccess handles a successful call to an endpoint. An ejected endpoint enters slow start, unless its
-// zone may not recover yet. capacityRemains is false if the destination reported that little of its allowance
-// remains; the send rate then counts at most rateWindow of quiet time, and so rises slowly.
+// zone may not recover yet. capacityRemains is false if the destination reported that little of its
+// allowance remains; the send rate then counts at most rateWindow of quiet time, and so rises slowly.
 func (d *Dispatcher) recordSuccess(ep *endpoint, capacityRemains bool) {
 	queue := ep.queue
 	ep.outlier.consecutiveFailures, ep.outlier.lastSuccessAt, queue.lastSuccessAt = 0, d.now, d.now
@@ -105,7 +107,7 @@
 	}
 }
 
-// eject ejects an endpoint that failed in this relay's own observation.
+// eject ejects an endpoint, as an observation of this relay.
 func (d *Dispatcher) eject(ep *endpoint) { d.ejectEndpoint(ep, firstHand) }
 
 // ejectEndpoint ejects an endpoint and records that for a later process. If the endpoint is on a separate
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -17,7 +17,7 @@
 	}{{Reset, 3, false}, {Reset, 4, true}, {Failed, 3, false}, {ConnectError, 1, false},
 		{ConnectError, 2, true}}
 	for _, tt := range tests {
-		d := start(t, plain(), Endpoint{ID: "a"})
+		d := start(t, basicSettings(), Endpoint{ID: "a"})
 		d.Handle(0, []Event{arrive("m", 0)})
 		for i := range tt.n {
 			d.Handle(moment(time.Duration(i+1)*ms),
@@ -32,7 +32,7 @@
 // TestRecoveryAllowsProbesOfDestination guards against a slow recovery: outages mostly end for all endpoints
 // of a destination at once, so the success of one has to allow a probe of the others.
 func TestRecoveryAllowsProbesOfDestination(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	a, b := d.endpoints["a"], d.endpoints["b"]
 	d.eject(a)
 	d.eject(b)
@@ -48,7 +48,7 @@
 // TestOneClassFailing guards against messages that keep going to an endpoint which fails their class but
 // serves the others.
 func TestOneClassFailing(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	d.Handle(0, []Event{arrive("m", 0)})
 	expect(t, "a retry goes to the other endpoint",
@@ -66,7 +66,7 @@
 // TestRecoveryClearsFailuresOfAllClasses guards against failures of an outage that keep a class away from an
 // endpoint for good, because only messages of another class were used to probe it.
 func TestRecoveryClearsFailuresOfAllClasses(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.SlowStartWindow = time.Second
 	d := start(t, s, Endpoint{ID: "a", Zone: 0}, Endpoint{ID: "b", Zone: 1})
 	a := d.endpoints["a"]
@@ -111,7 +111,7 @@
 
 // Ejected and draining endpoints count as unavailable, others do not.
 func TestUnavailableEndpoints(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a", Destination: 1}, Endpoint{ID: "b", Destination: 2},
+	d := start(t, basicSettings(), Endpoint{ID: "a", Destination: 1}, Endpoint{ID: "b", Destination: 2},
 		Endpoint{ID: "c", Destination: 2})
 	if n := d.UnavailableEndpoints(); n != 0 {
 		t.Errorf("%d unavailable endpoints at the start, want 0", n)
--- a/policy/peer_report.go
+++ b/policy/peer_report.go
@@ -7,8 +7,8 @@
 type peerReport struct {
 	observers  int          // relays that report a problem; 0 for no report
 	rank       int          // position of this relay in the order of probing, from 0
-	oldestAt   instant.Time // time of the first observation
-	newestAt   instant.Time // time of the last observation
+	oldestAt   instant.Time // time of the oldest report
+	newestAt   instant.Time // time of the newest report
 	validUntil instant.Time // end of the time in which the report may be used
 }
 
@@ -42,8 +42,8 @@
 }
 
 // applyDestinationReport ejects the endpoints of a destination if at least minObservers relays have had all
-// calls rejected for circuitOpenAfter. A success at this relay since the first of these observations takes
-// precedence.
+// calls rejected for circuitOpenAfter. A success at this relay since the oldest of these reports takes
+// precedence, and endpoints that have recovered since then stay.
 func (d *Dispatcher) applyDestinationReport(q *queue, report peerReport) {
 	q.peerReport = report
 	lasting := d.now.Sub(report.oldestAt) > circuitOpenAfter
@@ -57,9 +57,9 @@
 	}
 }
 
-// handleGossip handles a message of another relay. A rejection pauses the queue like an own one, but does not
-// affect the health of its endpoints. The other messages report that an ejected endpoint has recovered, that
-// an endpoint has refused a connection, or the outcome of a call to a canary.
+// handleGossip handles a message of another relay. A rejection pauses the queue for at most maxBackoff, and
+// does not affect the health of its endpoints. The other messages report that an ejected endpoint has
+// recovered, that an endpoint has refused a connection, or the outcome of a call to a canary.
 func (d *Dispatcher) handleGossip(message []byte) {
 	d.fleet.lastGossipAt = d.now
 	recovered := d.endpoints[decodeEndpointMessage(endpointRecoveredType, message)]
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -67,7 +67,7 @@
 	return arrived
 }
 
-// handleEvent takes in one event, and returns the message that it brings up for admission, or nil.
+// handleEvent handles one event, and returns the message that needs an admission decision, or nil.
 func (d *Dispatcher) handleEvent(event Event) *message {
 	switch event := event.(type) {
 	case Arrived:
--- a/policy/probing.go
+++ b/policy/probing.go
@@ -17,8 +17,8 @@
 )
 
 // singleProber reports whether several relays report rejections by a destination and this relay has had no
-// success there since. The destination is not yet known to be down, but one probing relay at a time finds
-// that out as well as all of them.
+// success there since. The destination is not yet known to be down, but one relay that probes at a time is
+// enough to find out.
 func (q *queue) singleProber(now instant.Time) bool {
 	report := q.peerReport
 	return report.observers >= minObservers && now < report.validUntil && q.lastSuccessAt < report.oldestAt
--- a/policy/probing_test.go
+++ b/policy/probing_test.go
@@ -11,7 +11,7 @@
 // calls a second.
 func largeFleetRelay(t *testing.T, relays int, weight float64, ids ...string) *Dispatcher {
 	t.Helper()
-	s := plain()
+	s := basicSettings()
 	s.FleetSize, s.Weights, s.Gossip, s.PublishRates = relays, WeightsNominal, true, true
 	var eps []Endpoint
 	for _, id := range ids {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -14,7 +14,9 @@
 	queues []*queue // never empty; queues[0] also holds messages while no endpoint is listed
 	// idleElement is the element of stateStore.idle that holds the destination, or nil.
 	idleElement *list.Element
-	idleSince   instant.Time // time at which the destination became idle
+	// idleSince is the time at which the destination became idle or its state was loaded, or at which
+	// evictIdle last postponed its eviction.
+	idleSince instant.Time
 }
 
 // queue is one first-come queue: the messages that wait for a destination, or for one of its routes, and the
@@ -37,12 +39,14 @@
 	limiter            sendRateLimiter
 	admission          admissionController
 	latency            latencyEstimate
-	typicalConcurrency float64      // mean number of calls in flight, sampled at each success
-	peerReport         peerReport   // report of other relays on the destination
-	probedAt           instant.Time // time of the last call while ejected, or while singleProber held
-	peers              peerTraffic
-	locality           localityBalancer
-	baseline           []failureRate // failure rate of endpoints that are not canaries, by class
+	typicalConcurrency float64    // mean number of calls in flight, sampled at each success
+	peerReport         peerReport // report of other relays on the destination
+	// probedAt is when the last call was sent to an ejected endpoint, or to any endpoint while singleProber
+	// held.
+	probedAt instant.Time
+	peers    peerTraffic
+	locality localityBalancer
+	baseline []failureRate // failure rate of endpoints that are not canaries, by class
 
 	lastSuccessAt   instant.Time // 0 for never
 	outageSuspected bool         // whether an endpoint was ejected and none has succeeded or recovered since
@@ -108,12 +112,12 @@
 }
 
 // destination returns the state of a destination, which it creates or loads if necessary.
-func (d *Dispatcher) destination(no int) *destination {
-	if dest := d.destinations[no]; dest != nil {
+func (d *Dispatcher) destination(number int) *destination {
+	if dest := d.destinations[number]; dest != nil {
 		return dest
 	}
-	dest := &destination{number: no}
-	d.destinations[no] = dest
+	dest := &destination{number: number}
+	d.destinations[number] = dest
 	if d.onDemand() {
 		d.loadDestination(dest)
 	} else {
--- a/policy/queueing_delay.go
+++ b/policy/queueing_delay.go
@@ -9,14 +9,14 @@
 // minRate is a lower bound, in calls a second, for rates that are used as divisors.
 const minRate = 1e-9
 
-// concurrency returns the number of simultaneous calls to expect of a queue: those in flight, and during a
-// pause, a shortage of local resources or an outage at least typicalConcurrency.
+// concurrency returns the number of simultaneous calls to expect of a queue: those in flight, but at least
+// 1, and during a pause, a shortage of local resources or an outage at least typicalConcurrency.
 func (q *queue) concurrency(now instant.Time) float64 {
-	out := math.Max(1, float64(len(q.calls)))
+	inFlight := math.Max(1, float64(len(q.calls)))
 	if q.circuit.paused(now) || q.resourcesExhausted(now) || q.allEjected() {
-		return math.Max(out, q.typicalConcurrency)
+		return math.Max(inFlight, q.typicalConcurrency)
 	}
-	return out
+	return inFlight
 }
 
 // sendInterval returns the mean time, in seconds, between two messages that a queue sends one after another.
@@ -59,17 +59,17 @@
 	if q.limiter.rate > 0 && !d.isProber(q) {
 		delay = math.Max(delay, (calls+1-d.sendTokens(q))/q.limiter.rate)
 	}
-	warmUp := math.Inf(1)
+	slowStartWait := math.Inf(1)
 	for _, ep := range q.endpoints {
 		if !ep.limitedBySlowStart() {
 			return delay
 		}
-		warmUp = math.Min(warmUp, d.slowStartDelay(ep, calls))
+		slowStartWait = math.Min(slowStartWait, d.slowStartDelay(ep, calls))
 	}
 	if len(q.endpoints) == 0 {
 		return delay
 	}
-	return math.Max(delay, warmUp)
+	return math.Max(delay, slowStartWait)
 }
 
 // slowStartDelay returns the time, in seconds, until an endpoint that is ejected or in slow start could have
--- a/policy/queueing_delay_test.go
+++ b/policy/queueing_delay_test.go
@@ -11,7 +11,7 @@
 // Messages that are sent in batches take the time of their calls; with the time of one call each, the delay
 // would be overestimated and messages rejected without need.
 func TestQueueingDelayCountsCalls(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
+	d := start(t, basicSettings(), Endpoint{ID: "a", Kind: 1})
 	d.Handle(moment(ms), []Event{arrive("first", 0)})
 	d.Handle(moment(time.Second),
 		[]Event{AttemptEnded{ID: "first", Endpoint: "a", Outcome: OK, Latency: time.Second, Completed: true}})
@@ -20,7 +20,7 @@
 		[]Event{AttemptEnded{ID: "refused", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second,
 			Latency: 100 * ms}})
 	var events []Event
-	for i := range 7 { // with the one waiting message, they make two calls of 1 s
+	for i := range 7 { // these and the message that waits make two calls of 1 s
 		events = append(events, arrive(fmt.Sprint("m", i), 0))
 	}
 	expect(t, "two calls ahead, 10 s left", d.Handle(moment(2200*ms), events), "")
@@ -28,14 +28,14 @@
 		events = append(events, arrive(fmt.Sprint("n", i), 0))
 	}
 	if got := summary(d.Handle(moment(2300*ms), events)); !strings.Contains(got, "reject") {
-		t.Error("twenty calls ahead: no message was rejected")
+		t.Errorf("100 more messages, which make 20 calls of 1 s: got %q, want some rejected", got)
 	}
 }
 
 // During a Retry-After no calls are in flight, but after it several are sent at once again. The delay must
 // not be computed as if the waiting messages were sent one after another.
 func TestQueueingDelayDuringRetryAfter(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Slots = 20
 	d := start(t, s, Endpoint{ID: "a"})
 	now := time.Duration(0)
@@ -62,7 +62,7 @@
 }
 
 func TestQueueingDelay(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	if u := d.queueingDelay(q); u != 0 {
 		t.Errorf("idle queue: u = %v, want 0", u)
@@ -89,7 +89,7 @@
 // A queue without any outcome needs a latency estimate: with none, a first call whose answer is lost would
 // keep its slot until the deadline.
 func TestLatencyPrior(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+	d := start(t, basicSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.Handle(moment(400*ms),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: OK, Latency: 400 * ms, Completed: true},
--- a/policy/rate_sharing.go
+++ b/policy/rate_sharing.go
@@ -11,8 +11,8 @@
 	// publishIntervalPerRelay, multiplied by the number of relays, is the time between two rates that a relay
 	// publishes: the whole fleet publishes at most ten rates a second.
 	publishIntervalPerRelay = 100 * time.Millisecond
-	// minPublishInterval is the shortest time between two published rates: the interval of the heartbeats
-	// that carry them.
+	// minPublishInterval is the shortest time between two published rates. It is as long as the heartbeat
+	// interval of small fleets (fleet.minHeartbeatInterval), since heartbeats carry the rates.
 	minPublishInterval = 5 * time.Second
 	// minTrafficShare is the smallest traffic share of a relay, as a multiple of an even share.
 	minTrafficShare = 0.5
@@ -45,11 +45,12 @@
 // ratePublisher schedules the publication of this relay's rates, one destination at a time.
 type ratePublisher struct {
 	nextAt    instant.Time // earliest time of the next publication
-	nextQueue int          // counter; its remainder is an index into Dispatcher.queues
+	nextQueue int          // counter; modulo the number of queues, an index into Dispatcher.queues
 }
 
 // handlePeerRate handles a report of the rates of other relays for a destination. If this relay has had no
-// outcome there yet, it takes over the fleet's send rate.
+// success there, knows of no rejection and the destination has a listed rate, its send rate becomes the even
+// share times the reported RateShare, limited to minRateShare to probingRateShare.
 func (d *Dispatcher) handlePeerRate(received PeerRateReceived) {
 	queue := d.sharedQueue(received.Destination, true)
 	if queue == nil {
@@ -78,18 +79,19 @@
 }
 
 // trafficShare returns this relay's part of what the fleet may send to a destination, as a multiple of an
-// even share. It follows the arrival rate here relative to that of the other relays, and is 1 if theirs is
-// unknown.
+// even share. It follows the arrival rate here relative to that of the other relays, between minTrafficShare
+// and maxTrafficShare, and is 1 if theirs is unknown.
 func (d *Dispatcher) trafficShare(q *queue) float64 {
-	peerRate, ownRate := q.peers.arrivalRate(d.now)
-	if !ownRate {
+	peerRate, known := q.peers.arrivalRate(d.now)
+	if !known {
 		return 1
 	}
-	own := q.admission.arrivals.rate(d.now)
-	return math.Min(maxTrafficShare, math.Max(minTrafficShare, own/math.Max(minRate, peerRate)))
+	ownRate := q.admission.arrivals.rate(d.now)
+	return math.Min(maxTrafficShare, math.Max(minTrafficShare, ownRate/math.Max(minRate, peerRate)))
 }
 
-// publishRate publishes the send rate and the arrival rate of the next destination, if it is time.
+// publishRate publishes the send rate and the arrival rate of the next queue, if it is time. Queues of
+// separate routes, or without a listed rate, are left out.
 func (d *Dispatcher) publishRate() {
 	if !d.settings.PublishRates || d.now < d.fleet.publisher.nextAt || len(d.queues) == 0 {
 		return
--- a/policy/rate_sharing_test.go
+++ b/policy/rate_sharing_test.go
@@ -27,7 +27,8 @@
 		[]Event{PeerRateReceived{LiveRelays: 10, Reporters: 4, RateShare: 0.4, ArrivalRate: 1,
 			ValidFor: time.Minute}})
 	if got := d.queues[0].limiter.rate; got < 9.9 {
-		t.Errorf("a report lowered the rate of a relay with its own outcomes to %v calls a second", got)
+		t.Errorf("rate of a relay with its own outcomes after a report: %v calls a second, want at least 9.9",
+			got)
 	}
 }
 
--- a/policy/resource_backoff.go
+++ b/policy/resource_backoff.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// initialResourceBackoff is the pause of an endpoint after a call that could not be started. Each further
-	// such call doubles it, until a call starts.
+	// initialResourceBackoff is the pause of an endpoint after a call that could not be started. Each
+	// further such call doubles it, until a call that was started has ended.
 	initialResourceBackoff = 20 * time.Millisecond
 	// maxResourceBackoff bounds that pause, so that calls resume soon after the shortage ends.
 	maxResourceBackoff = 320 * time.Millisecond
@@ -20,7 +20,7 @@
 // endpoint and uses up no attempt.
 type resourceBackoff struct {
 	until instant.Time  // end of the pause
-	delay time.Duration // duration of the last pause; 0 after a call that started
+	delay time.Duration // duration of the last pause; 0 once a started call has ended
 }
 
 // extend starts the next, longer pause. It does nothing during a pause, since several calls in flight may
--- a/policy/resource_backoff_test.go
+++ b/policy/resource_backoff_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Guards against calls that fail for want of a local resource and use up attempts, start an idempotency
-// window or count as failures of the endpoint. The queue pauses instead, longer each time up to a bound, and
-// resumes at full speed once a call has started.
+// Guards against calls that fail for want of a local resource and use up attempts, count as possible
+// executions or count as failures of the endpoint. The endpoint pauses instead, longer each time up to a
+// bound; a call that ends after starting resets the pause.
 func TestCallsNotStarted(t *testing.T) {
 	for class := range 3 {
-		s := plain()
+		s := basicSettings()
 		s.MaxAttempts = 2
 		d, err := New(s, 1)
 		if err != nil {
@@ -34,9 +34,12 @@
 		if m := d.messages.byID["m"]; len(m.attempts) != 1 || m.firstPossibleExecution() == nil ||
 			ep.outlier.consecutiveFailures != 0 || ep.outlier.ejected ||
 			ep.outlier.classFailures[class] != 0 {
-			t.Errorf("class %d: %d attempts and %v consecutive failures, want 1 and 0",
+			t.Errorf("class %d: %d attempts and %v consecutive failures, want 1 and 0; first possible "+
+				"execution %+v, want the attempt in flight; ejected %v, want false; %v failures of the "+
+				"class, want 0",
 				class, len(m.attempts),
-				ep.outlier.consecutiveFailures)
+				ep.outlier.consecutiveFailures, m.firstPossibleExecution(), ep.outlier.ejected,
+				ep.outlier.classFailures[class])
 		}
 		if q := d.queues[0]; q.limiter.rate > 0 && d.sendTokens(q) < 0 {
 			t.Errorf("class %d: %v tokens of the send rate left, want at least 0",
@@ -54,7 +57,7 @@
 
 // Guards against calls that could not be started but use up the slow start budget of their endpoint.
 func TestCallsNotStartedCostNoBudget(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.SlowStartWindow, s.SlowStartInitialShare, s.OverloadFactor, s.OverloadWindow,
 		s.Weights = 10*time.Second, 0.2, 2.5, 1500*ms, WeightsNominal
 	d, err := New(s, 1)
@@ -75,7 +78,7 @@
 
 // Guards against a shortage at one endpoint that stops the calls to the other endpoints of its destination.
 func TestCallsNotStartedAtOneEndpoint(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	now := moment(time.Second)
 	served := 0
 	for i := range 20 {
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -18,7 +18,7 @@
 		return PriorAttempt{Endpoint: "gone", SentAt: moment(now - ago)}
 	}
 	notExecuted := PriorAttempt{Endpoint: "a", SentAt: moment(now - time.Second), NotExecuted: true}
-	exhausted := make([]PriorAttempt, plain().MaxAttempts)
+	exhausted := make([]PriorAttempt, basicSettings().MaxAttempts)
 	for i := range exhausted {
 		exhausted[i] = notExecuted
 	}
@@ -39,14 +39,14 @@
 		{"deadline passed", Arrived{ID: "m", Resumed: true, TimeLeft: -time.Second}, "reject m"},
 	}
 	for _, tt := range tests {
-		d := start(t, plain(), Endpoint{ID: "a"})
+		d := start(t, basicSettings(), Endpoint{ID: "a"})
 		expect(t, tt.name, d.Handle(moment(now), []Event{tt.event}), tt.want)
 	}
 }
 
 // A message that an earlier process admitted must not go through admission control again.
 func TestResumedIsNotRejectedForBacklog(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	d.destination(0).queues[0].latency.mean, d.destination(0).queues[0].circuit.retryAfterUntil = 1,
 		moment(60*time.Second)
 	expect(t, "new message", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "reject n")
@@ -55,7 +55,7 @@
 
 // After a restart, an endpoint that was ejected or in slow start must not get more calls than before it.
 func TestStateRestoredLimitsCalls(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Weights, s.Slots = WeightsNominal, 16
 	sends := func(events ...Event) int {
 		d := start(t, s, Endpoint{ID: "a", Weight: 10})
@@ -71,9 +71,10 @@
 		return n
 	}
 	healthy := sends()
-	if out := sends(StateRestored{Endpoint: "a", Ejected: true,
-		At: moment(time.Hour - time.Minute)}); out > maxUnhealthyCalls || out >= healthy {
-		t.Errorf("ejected endpoint: %d calls at once, want fewer than the %d of a healthy one", out, healthy)
+	if ejected := sends(StateRestored{Endpoint: "a", Ejected: true,
+		At: moment(time.Hour - time.Minute)}); ejected > maxUnhealthyCalls || ejected >= healthy {
+		t.Errorf("ejected endpoint: %d calls at once, want fewer than the %d of a healthy one and at most %d",
+			ejected, healthy, maxUnhealthyCalls)
 	}
 	if slowStart := sends(StateRestored{Endpoint: "a",
 		At: moment(time.Hour - time.Second)}); slowStart >= healthy {
@@ -89,7 +90,7 @@
 
 // An ejection and a recovery must each be persisted once, at the time when they happen.
 func TestEjectionAndRecoveryArePersisted(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	persisted := func(actions []Action) (list []PersistHealth) {
 		for _, a := range actions {
 			if r, ok := a.(PersistHealth); ok {
@@ -115,14 +116,14 @@
 }
 
 func TestNothingIsSentDuringShutdown(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	expect(t, "after ShutdownStarted",
 		d.Handle(moment(time.Second), []Event{ShutdownStarted{}, arrive("m", 0)}), "")
 	expect(t, "one second later", d.Handle(moment(2*time.Second), []Event{TimerFired{}}), "")
 }
 
 func TestAttemptsExhaustedEndsMessage(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	expect(t, "first attempt", d.Handle(moment(time.Second), []Event{arrive("m", 2)}), "m>a")
 	expect(t, "no attempts left", d.Handle(moment(2*time.Second),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotSent, AttemptsExhausted: true}}),
@@ -130,7 +131,7 @@
 }
 
 func TestQueueCapacityIsNotExceeded(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.QueueCapacity, s.Slots = 2, 1
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	var events []Event
@@ -143,7 +144,7 @@
 // While attempts cannot be recorded, a later process might repeat them: only idempotent messages may be sent.
 // The others wait until attempts can be recorded again.
 func TestStorageReadOnlyHoldsBackUnsafeMessages(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{StorageChanged{Writable: false}})
 	expect(t, "storage read-only",
 		d.Handle(moment(time.Second), []Event{resumed("safe", 0), resumed("keyed", 1), resumed("unsafe", 2)}),
@@ -157,7 +158,7 @@
 // An attempt at an endpoint that is no longer listed was made in an unknown zone. No other endpoint is
 // known to remember its idempotency key, so the message must not be retried.
 func TestNoRetryWhereZoneOfPriorAttemptIsUnknown(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Classes[1].KeysPerZone = true
 	for _, zone := range []int{0, 1} {
 		d := start(t, s, Endpoint{ID: "a", Zone: zone})
@@ -172,7 +173,7 @@
 // known yet.
 func TestResumedMessagesPrecedeNewOnes(t *testing.T) {
 	for _, wait := range []time.Duration{2 * time.Second, 3 * time.Second} {
-		s := plain()
+		s := basicSettings()
 		s.Slots = 1
 		d := start(t, s, Endpoint{ID: "a"})
 		unsent := func(id string) Event { return Arrived{ID: id, TimeLeft: 9 * time.Second, Resumed: true} }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -20,7 +20,7 @@
 		{2, ConnectError, "m>a"}, {2, NotSent, "m>a"},
 	}
 	for _, tt := range tests {
-		d := start(t, plain(), Endpoint{ID: "a"})
+		d := start(t, basicSettings(), Endpoint{ID: "a"})
 		expect(t, "arrival", d.Handle(0, []Event{arrive("m", tt.class)}), "m>a")
 		got := d.Handle(moment(time.Second),
 			[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, Completed: tt.outcome == OK}})
@@ -29,16 +29,16 @@
 }
 
 func TestIdempotencyWindowEndsRetries(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrive("m", 1)})
 	got := d.Handle(moment(3995*ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}})
-	expect(t, "idempotency key forgotten", got, "reject m")
+	expect(t, "5 ms before the end of the idempotency window", got, "reject m")
 }
 
 // A retry must be written while the destination still remembers the idempotency key. Connecting can take
 // longer than that, and the message would be executed twice.
 func TestRetryIsWrittenWithinIdempotencyWindow(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	writeTimeout := func(actions []Action) time.Duration { return actionAs[Send](t, actions[0]).WriteTimeout }
 	if got := writeTimeout(d.Handle(0, []Event{arrive("m", 1)})); got != 0 {
 		t.Errorf("first attempt: write timeout %v, want none", got)
@@ -52,7 +52,7 @@
 	if got := writeTimeout(again); got != 2*time.Second-10*ms {
 		t.Errorf("after an attempt that may have been executed: write timeout %v, want 1.99s", got)
 	}
-	idempotent := start(t, plain(), Endpoint{ID: "a"})
+	idempotent := start(t, basicSettings(), Endpoint{ID: "a"})
 	idempotent.Handle(0, []Event{arrive("m", 0)})
 	if got := writeTimeout(idempotent.Handle(moment(time.Second),
 		[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Reset}})); got != 0 {
@@ -62,7 +62,7 @@
 
 func TestNotIdempotentHasNoTimeout(t *testing.T) {
 	for i, want := range []bool{true, true, false} {
-		d := start(t, plain(), Endpoint{ID: "a"})
+		d := start(t, basicSettings(), Endpoint{ID: "a"})
 		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), Class: i, TimeLeft: 10 * time.Second}})
 		if send := actionAs[Send](t, got[0]); (send.Timeout > 0) != want {
 			t.Errorf("class %d: response timeout %v, want one only if retryable", i, send.Timeout)
@@ -72,7 +72,7 @@
 
 // An attempt that cannot end before the deadline would only take a slot from other messages.
 func TestNoAttemptWithoutTimeLeft(t *testing.T) {
-	d := start(t, plain())
+	d := start(t, basicSettings())
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.queues[0].latency.record(0, 0.5)
 	expect(t, "0.6 s left, 0.5 s needed", d.Handle(moment(9400*ms), []Event{TimerFired{}}), "")
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -10,7 +10,8 @@
 // converted to a time.Duration.
 const maxRoutingDelay = 1e6
 
-// selectQueue returns the queue for a message: among separate routes, the one with the lowest routeCost.
+// selectQueue returns the queue for a message: among separate routes that accept calls, the one with the
+// lowest routeCost; without such routes, the first queue of the destination.
 func (d *Dispatcher) selectQueue(m *message) *queue {
 	destination := d.destination(m.Destination)
 	best, lowest := destination.queues[0], math.Inf(1)
@@ -28,7 +29,7 @@
 
 // routeCost returns the cost of sending a message on a route, similar to rule (25) of the paper that
 // admissionController follows: the value lost by late delivery, plus the cost of the zone, plus a charge for
-// the work waiting on the route. A delay as long as the message's deadline is charged as one message of mean
+// the work waiting on the route. A delay as long as Class.Deadline is charged as one message of mean
 // priority.
 func (d *Dispatcher) routeCost(route *queue, m *message) float64 {
 	delay := d.queueingDelay(route) + math.Max(route.latency.byClass[m.Class], route.currentLatency(d.now))
--- a/policy/rule_checker_test.go
+++ b/policy/rule_checker_test.go
@@ -7,12 +7,12 @@
 	"milletsail/policy"
 )
 
-// answerSlack is the longest time after its deadline at which a message may still end.
-const answerSlack = 20 * time.Millisecond
+// endSlack is the longest time after its deadline at which a message may still end.
+const endSlack = 20 * time.Millisecond
 
 // ruleChecker observes events and actions and reports the first action that breaks a rule:
 //
-//  1. Each message ends exactly once, and no later than answerSlack after its deadline.
+//  1. Each message ends exactly once, and no later than endSlack after its deadline.
 //  2. No message may run twice unless its Effect allows it, only a message that the client can safely send
 //     again is rejected, and without HedgedRequests a message has at most one attempt in flight.
 //  3. Endpoints that drain or are removed get no calls.
@@ -22,15 +22,17 @@
 //
 // It implements the rules independently and shares no code with package policy.
 type ruleChecker struct {
-	settings            policy.Settings
-	now                 time.Duration
-	messages            map[string]*observedMessage  // by ID
-	order               []*observedMessage           // all messages, in order of arrival
-	endpoints           map[string]*observedEndpoint // by ID, removed ones included
-	retryAfterUntil     map[string]time.Duration     // end of the last Retry-After, by observedEndpoint.scope
-	consecutiveFailures map[string]int               // failures in a row, by endpoint
-	lastSuccess         map[string]time.Duration     // time of the last success, by endpoint
-	lastFailedCallSent  map[string]time.Duration     // send time of the last failed call, by endpoint
+	settings        policy.Settings
+	now             time.Duration
+	messages        map[string]*observedMessage  // all messages, by ID
+	order           []*observedMessage           // all messages, in order of arrival
+	endpoints       map[string]*observedEndpoint // all endpoints, also removed ones, by ID
+	retryAfterUntil map[string]time.Duration     // end of the last Retry-After, by observedEndpoint.scope
+	// consecutiveFailures counts the failed calls since the last success, by endpoint; other outcomes leave
+	// it as it is.
+	consecutiveFailures map[string]int
+	lastSuccess         map[string]time.Duration // time of the last success, by endpoint
+	lastFailedCallSent  map[string]time.Duration // send time of the last failed call, by endpoint
 	// outageSends holds the send times of the calls that checkOutageRate counts, by observedEndpoint.scope.
 	outageSends map[string][]time.Duration
 }
@@ -52,12 +54,14 @@
 	sent        time.Duration
 	open        bool
 	notExecuted bool
-	timeout     time.Duration // of the response, as in Send; after a Cancel, the time until the cancellation
+	// timeout is the response timeout, as in Send. At a Cancel, runWith replaces it by the time since the
+	// attempt was sent, so that the attempt ends in the next batch.
+	timeout time.Duration
 }
 
 type observedEndpoint struct {
 	policy.Endpoint
-	closedToCalls bool // drains or is removed
+	closedToCalls bool // whether the endpoint drains or is removed
 	// scope is what a Retry-After or an outage applies to: "d" and the destination's number, or a route's ID.
 	scope string
 }
@@ -162,7 +166,7 @@
 		}
 	}
 	for _, m := range c.order {
-		if !m.completed && c.now > m.expires+answerSlack {
+		if !m.completed && c.now > m.expires+endSlack {
 			return fmt.Errorf("at %v: rule 1: message %s has not ended, though its deadline was %v", c.now,
 				m.ID, m.expires)
 		}
@@ -261,35 +265,37 @@
 // relay's part of the calls that would overload it at the start of a slow start, one for each endpoint, one
 // that the recovery of a sibling brings forward, and two for chance.
 func (c *ruleChecker) checkOutageRate(p *observedEndpoint) error {
-	const minConsecutiveFailures = 5 // so many failures in a row don't happen by chance
+	// With fewer failed calls since its last success, an endpoint does not count as one that only fails.
+	const minConsecutiveFailures = 5
 	if c.consecutiveFailures[p.ID] < minConsecutiveFailures {
 		return nil
 	}
-	list := c.outageSends[p.scope]
-	if n := len(list); n > 0 && list[n-1] == c.now && c.settings.Kinds[p.Kind].MaxBatch > 1 {
+	sendTimes := c.outageSends[p.scope]
+	if n := len(sendTimes); n > 0 && sendTimes[n-1] == c.now && c.settings.Kinds[p.Kind].MaxBatch > 1 {
 		return nil // counts as another message of the same call
 	}
-	list = append(list, c.now)
-	for list[0] <= c.now-c.settings.OverloadWindow {
-		list = list[1:]
+	sendTimes = append(sendTimes, c.now)
+	for sendTimes[0] <= c.now-c.settings.OverloadWindow {
+		sendTimes = sendTimes[1:]
 	}
-	c.outageSends[p.scope] = list
-	eps := 0
+	c.outageSends[p.scope] = sendTimes
+	endpointCount := 0
 	for _, q := range c.endpoints {
 		if q.scope == p.scope {
-			eps++
+			endpointCount++
 		}
 	}
 	weight := p.Weight
 	if c.settings.Weights == policy.WeightsOff {
 		weight = float64(c.settings.FleetSize)
 	}
-	all := c.settings.OverloadFactor * c.settings.SlowStartInitialShare * weight *
+	overloadCalls := c.settings.OverloadFactor * c.settings.SlowStartInitialShare * weight *
 		c.settings.OverloadWindow.Seconds()
-	if budget := all/float64(c.settings.FleetSize) + float64(eps+3); float64(len(list)) > budget {
-		return fmt.Errorf("rule 4: %d calls to the failing endpoint %s within %v, %.1f allowed; "+
-			"%d endpoints, sent at %v, settings %+v", len(list), p.ID, c.settings.OverloadWindow, budget, eps,
-			list, c.settings)
+	if budget := overloadCalls/float64(c.settings.FleetSize) +
+		float64(endpointCount+3); float64(len(sendTimes)) > budget {
+		return fmt.Errorf("rule 4: %d calls to failing endpoints of %s, the last to %s, within %v, %.1f "+
+			"allowed; the scope has %d endpoints; calls sent at %v, settings %+v", len(sendTimes), p.scope,
+			p.ID, c.settings.OverloadWindow, budget, endpointCount, sendTimes, c.settings)
 	}
 	return nil
 }
--- a/policy/rules_event_generator_test.go
+++ b/policy/rules_event_generator_test.go
@@ -39,90 +39,90 @@
 	settings           policy.Settings
 	checker            *ruleChecker
 	now                time.Duration
-	lastNumber         int
+	lastNumber         int // last number used in the ID of an endpoint or message
 	timers             []time.Duration
 	endpoints          []policy.Endpoint
-	prevailingOutcomes []policy.Outcome // most frequent outcome at present, by destination
-	callOutcomes       map[string]policy.Outcome
-	trafficPaused      bool // no messages arrive
+	prevailingOutcomes []policy.Outcome          // most frequent outcome at present, by destination
+	callOutcomes       map[string]policy.Outcome // drawn outcomes, by endpoint and send time of the call
+	trafficPaused      bool                      // whether arrivals are stopped, see pauseTraffic
 }
 
-func (w *eventGenerator) endpointsUpdate() policy.EndpointsUpdated {
-	complete := w.random.Intn(3) == 0 || len(w.endpoints) == 0
-	if len(w.endpoints) == 0 || w.random.Intn(3) == 0 {
-		dest := w.random.Intn(4)
-		w.endpoints = append(w.endpoints, policy.Endpoint{ID: fmt.Sprint("e", w.lastNumber),
-			Destination: dest, Kind: dest % 3, Zone: w.random.Intn(2), Weight: 2 + float64(dest)*3})
-		w.lastNumber++
+func (g *eventGenerator) endpointsUpdate() policy.EndpointsUpdated {
+	complete := g.random.Intn(3) == 0 || len(g.endpoints) == 0
+	if len(g.endpoints) == 0 || g.random.Intn(3) == 0 {
+		dest := g.random.Intn(4)
+		g.endpoints = append(g.endpoints, policy.Endpoint{ID: fmt.Sprint("e", g.lastNumber),
+			Destination: dest, Kind: dest % 3, Zone: g.random.Intn(2), Weight: 2 + float64(dest)*3})
+		g.lastNumber++
 	}
-	var out []policy.Endpoint
-	for i := range w.endpoints {
-		if w.random.Intn(12) == 0 {
-			w.endpoints[i].Draining = true
+	var listed []policy.Endpoint
+	for i := range g.endpoints {
+		if g.random.Intn(12) == 0 {
+			g.endpoints[i].Draining = true
 		}
-		if w.random.Intn(15) == 0 && len(w.endpoints) > 4 {
-			w.endpoints[i].Removed = true
+		if g.random.Intn(15) == 0 && len(g.endpoints) > 4 {
+			g.endpoints[i].Removed = true
 		}
-		if !complete || !w.endpoints[i].Removed {
-			out = append(out, w.endpoints[i])
+		if !complete || !g.endpoints[i].Removed {
+			listed = append(listed, g.endpoints[i])
 		}
 	}
-	remaining := w.endpoints[:0]
-	for _, e := range w.endpoints {
+	remaining := g.endpoints[:0]
+	for _, e := range g.endpoints {
 		if !e.Removed {
 			remaining = append(remaining, e)
 		}
 	}
-	w.endpoints = remaining
-	return policy.EndpointsUpdated{Complete: complete, Endpoints: out}
+	g.endpoints = remaining
+	return policy.EndpointsUpdated{Complete: complete, Endpoints: listed}
 }
 
 // nextBatch moves the clock by 5 to 300 ms, or less to reach a timer, a deadline or a timeout exactly, and
 // returns the events of that time.
-func (w *eventGenerator) nextBatch() []policy.Event {
-	at := w.now + time.Duration(1+w.random.Intn(60))*5*time.Millisecond
-	for _, t := range w.timers {
+func (g *eventGenerator) nextBatch() []policy.Event {
+	at := g.now + time.Duration(1+g.random.Intn(60))*5*time.Millisecond
+	for _, t := range g.timers {
 		at = min(at, t)
 	}
-	for _, m := range w.checker.order {
-		if !m.completed && m.expires > w.now {
+	for _, m := range g.checker.order {
+		if !m.completed && m.expires > g.now {
 			at = min(at, m.expires)
 		}
 		for _, t := range m.attempts {
-			if t.open && t.timeout > 0 && t.sent+t.timeout > w.now {
+			if t.open && t.timeout > 0 && t.sent+t.timeout > g.now {
 				at = min(at, t.sent+t.timeout)
 			}
 		}
 	}
-	w.now = max(at, w.now+5*time.Millisecond)
+	g.now = max(at, g.now+5*time.Millisecond)
 	var events []policy.Event
-	remaining := w.timers[:0]
-	for _, t := range w.timers {
-		if t <= w.now {
+	remaining := g.timers[:0]
+	for _, t := range g.timers {
+		if t <= g.now {
 			events = append(events, policy.TimerFired{})
 		} else {
 			remaining = append(remaining, t)
 		}
 	}
-	w.timers = remaining
-	events = append(events, w.outcomes()...)
-	if w.random.Intn(12) == 0 {
-		events = append(events, w.endpointsUpdate())
+	g.timers = remaining
+	events = append(events, g.outcomes()...)
+	if g.random.Intn(12) == 0 {
+		events = append(events, g.endpointsUpdate())
 	}
-	if w.random.Intn(40) == 0 {
+	if g.random.Intn(40) == 0 {
 		events = append(events, policy.WatchFailed{})
 	}
-	for range w.random.Intn(4) {
-		if w.trafficPaused {
+	for range g.random.Intn(4) {
+		if g.trafficPaused {
 			break
 		}
-		w.lastNumber++
-		class := w.random.Intn(len(w.settings.Classes))
-		e := policy.Arrived{ID: fmt.Sprint("m", w.lastNumber), Class: class, Destination: w.random.Intn(5),
-			TimeLeft: w.settings.Classes[class].Deadline -
-				time.Duration(w.random.Intn(2000))*time.Millisecond}
-		if w.settings.Classes[class].Ordered && w.random.Intn(5) > 0 {
-			e.Key = fmt.Sprint("k", w.random.Intn(3))
+		g.lastNumber++
+		class := g.random.Intn(len(g.settings.Classes))
+		e := policy.Arrived{ID: fmt.Sprint("m", g.lastNumber), Class: class, Destination: g.random.Intn(5),
+			TimeLeft: g.settings.Classes[class].Deadline -
+				time.Duration(g.random.Intn(2000))*time.Millisecond}
+		if g.settings.Classes[class].Ordered && g.random.Intn(5) > 0 {
+			e.Key = fmt.Sprint("k", g.random.Intn(3))
 		}
 		events = append(events, e)
 	}
@@ -131,71 +131,72 @@
 
 // outcomes returns the ends of attempts, those that time out and random others, and random withdrawals. It
 // also changes prevailingOutcomes at random.
-func (w *eventGenerator) outcomes() []policy.Event {
+func (g *eventGenerator) outcomes() []policy.Event {
 	var events []policy.Event
-	for d := range w.prevailingOutcomes {
-		if w.random.Intn(80) == 0 {
-			w.prevailingOutcomes[d] = policy.Outcome(w.random.Intn(8))
+	for d := range g.prevailingOutcomes {
+		if g.random.Intn(80) == 0 {
+			g.prevailingOutcomes[d] = policy.Outcome(g.random.Intn(8))
 		}
 	}
-	for _, m := range w.checker.order {
+	for _, m := range g.checker.order {
 		for i, t := range m.attempts {
 			if !t.open {
 				continue
 			}
-			outcome, ended := w.outcome(m, t)
+			outcome, ended := g.outcome(m, t)
 			if !ended {
 				continue
 			}
 			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.endpoint, Attempt: i, Outcome: outcome,
-				Latency: w.now - t.sent}
-			if outcome == policy.Rejected && w.random.Intn(2) == 0 {
-				e.RetryAfter = w.retryAfter()
+				Latency: g.now - t.sent}
+			if outcome == policy.Rejected && g.random.Intn(2) == 0 {
+				e.RetryAfter = g.retryAfter()
 			}
 			e.Completed = m.completed || outcome == policy.OK
 			events = append(events, e)
-			if w.random.Intn(30) == 0 {
+			if g.random.Intn(30) == 0 {
 				events = append(events, e) // a duplicate, which has to change nothing
 			}
 		}
-		if !m.completed && w.random.Intn(400) == 0 {
+		if !m.completed && g.random.Intn(400) == 0 {
 			events = append(events, policy.Withdrawn{ID: m.ID})
 		}
 	}
 	return events
 }
 
-// outcome draws whether an attempt ends now, and with which outcome; all messages of one call have the same.
-func (w *eventGenerator) outcome(m *observedMessage, t observedAttempt) (outcome policy.Outcome, ended bool) {
+// outcome draws whether an attempt ends now, and with which outcome. At its deadline or timeout, it is
+// TimedOut; before, attempts with the same endpoint and send time, as those of one call, have the same.
+func (g *eventGenerator) outcome(m *observedMessage, t observedAttempt) (outcome policy.Outcome, ended bool) {
 	limit := m.expires
 	if t.timeout > 0 {
 		limit = min(limit, t.sent+t.timeout)
 	}
-	if w.now >= limit {
+	if g.now >= limit {
 		return policy.TimedOut, true
 	}
-	if w.random.Intn(6) != 0 {
+	if g.random.Intn(6) != 0 {
 		return policy.OK, false
 	}
-	outcome = w.prevailingOutcomes[w.checker.endpoints[t.endpoint].Destination]
-	if w.random.Intn(4) == 0 {
-		outcome = policy.Outcome(w.random.Intn(8))
+	outcome = g.prevailingOutcomes[g.checker.endpoints[t.endpoint].Destination]
+	if g.random.Intn(4) == 0 {
+		outcome = policy.Outcome(g.random.Intn(8))
 	}
 	call := fmt.Sprint(t.endpoint, t.sent)
-	if drawn, ok := w.callOutcomes[call]; ok {
+	if drawn, ok := g.callOutcomes[call]; ok {
 		outcome = drawn
 	}
 	if outcome == policy.TimedOut {
 		return policy.OK, false
 	}
-	w.callOutcomes[call] = outcome
+	g.callOutcomes[call] = outcome
 	return outcome, true
 }
 
 // retryAfter draws the Retry-After of a rejection; with state on demand, one in four is longRetryAfter.
-func (w *eventGenerator) retryAfter() time.Duration {
-	retryAfter := time.Duration(w.random.Intn(2000)) * time.Millisecond
-	if w.settings.Directory != nil && w.random.Intn(4) == 0 {
+func (g *eventGenerator) retryAfter() time.Duration {
+	retryAfter := time.Duration(g.random.Intn(2000)) * time.Millisecond
+	if g.settings.Directory != nil && g.random.Intn(4) == 0 {
 		return longRetryAfter
 	}
 	return retryAfter
@@ -208,10 +209,10 @@
 	return runWith(&eventGenerator{random: r, settings: randomSettings(r)}, seed, steps)
 }
 
-// runWith does the same with the settings and the random source of the given eventGenerator.
-func runWith(w *eventGenerator, seed int64, steps int) ([]policy.Action, error) {
-	r, s := w.random, w.settings
-	w.checker, w.now, w.prevailingOutcomes, w.callOutcomes = newRuleChecker(s), time.Hour,
+// runWith does the same as runSeeded, with the settings and the random source of the given eventGenerator.
+func runWith(g *eventGenerator, seed int64, steps int) ([]policy.Action, error) {
+	r, s := g.random, g.settings
+	g.checker, g.now, g.prevailingOutcomes, g.callOutcomes = newRuleChecker(s), time.Hour,
 		make([]policy.Outcome, 5), map[string]policy.Outcome{}
 	d, err := policy.New(s, seed)
 	if err != nil {
@@ -223,26 +224,26 @@
 			if d, err = policy.New(s, seed); err != nil {
 				return nil, err
 			}
-			w.checker, w.timers = newRuleChecker(s), nil
-			w.endpoints = nil
+			g.checker, g.timers = newRuleChecker(s), nil
+			g.endpoints = nil
 		}
 		if s.Directory != nil {
-			w.pauseTraffic()
+			g.pauseTraffic()
 		}
-		events := w.nextBatch()
-		w.checker.observe(w.now, events)
-		actions := d.Handle(instant.Time(w.now), events)
+		events := g.nextBatch()
+		g.checker.observe(g.now, events)
+		actions := d.Handle(instant.Time(g.now), events)
 		all = append(all, actions...)
 		for _, a := range actions {
 			switch a := a.(type) {
 			case policy.SetTimer:
-				w.timers = append(w.timers, w.now+a.After)
+				g.timers = append(g.timers, g.now+a.After)
 			case policy.Cancel:
-				m := w.checker.messages[a.ID]
-				m.attempts[a.Attempt].timeout = max(1, w.now-m.attempts[a.Attempt].sent)
+				m := g.checker.messages[a.ID]
+				m.attempts[a.Attempt].timeout = max(1, g.now-m.attempts[a.Attempt].sent)
 			}
 		}
-		if err := w.checker.check(actions); err != nil {
+		if err := g.checker.check(actions); err != nil {
 			return all, err
 		}
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -74,10 +74,10 @@
 	for i := range 100 {
 		want := handleBatch(alone, i)
 		if got := handleBatch(a, i); !reflect.DeepEqual(got, want) {
-			t.Fatalf("batch %d: %v, alone %v", i, got, want)
+			t.Fatalf("batch %d: dispatcher a returned %v, want %v as from one that runs alone", i, got, want)
 		}
 		if got := handleBatch(b, i); !reflect.DeepEqual(got, want) {
-			t.Fatalf("batch %d: %v, alone %v", i, got, want)
+			t.Fatalf("batch %d: dispatcher b returned %v, want %v as from one that runs alone", i, got, want)
 		}
 	}
 }
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -90,8 +90,8 @@
 	return !q.singleProber(d.now) || isProber && d.now >= d.probeTurn(q.endpoints[0])
 }
 
-// startCall starts a call with a message, and fills it with further messages of the queue if the kind of
-// destination takes batches.
+// startCall starts a call with a message, and fills it with further messages of the queue up to the limits
+// of the kind of destination. A probe of an ejected endpoint carries a single message.
 func (d *Dispatcher) startCall(queue *queue, ep *endpoint, first *message) {
 	started := &call{endpoint: ep, number: d.slots.acquire(), sentAt: d.now}
 	d.activate(queue)
--- a/policy/scheduler_test.go
+++ b/policy/scheduler_test.go
@@ -11,7 +11,7 @@
 // Messages that are sent in one call must have the same call number, and a call must not exceed the limits on
 // the number and the total size of its messages.
 func TestBatchLimits(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.MaxBatchBytes = 100
 	d := start(t, s, Endpoint{ID: "a", Kind: 1})
 	var events []Event
@@ -33,7 +33,7 @@
 // A call ends for all its messages when one of them expires. Messages that may expire before a usual call
 // ends must therefore not be batched with others.
 func TestBatchSeparatesMessagesNearDeadline(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
+	d := start(t, basicSettings(), Endpoint{ID: "a", Kind: 1})
 	d.Handle(moment(ms), []Event{arrive("first", 0)})
 	d.Handle(moment(time.Second),
 		[]Event{AttemptEnded{ID: "first", Endpoint: "a", Outcome: OK, Latency: time.Second, Completed: true}})
@@ -56,7 +56,7 @@
 }
 
 func TestDispatchPrefersQueueWithFewestCalls(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Slots = 3
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	other := Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}
@@ -66,7 +66,7 @@
 }
 
 func TestRouteChoiceByZoneCostAndLatency(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.ZoneCost = []float64{0.06, 0}
 	d := start(t, s, Endpoint{ID: "a", Kind: 2}, Endpoint{ID: "b", Kind: 2, Zone: 1})
 	expect(t, "two idle routes, b in the cheaper zone", d.Handle(0, []Event{arrive("m", 0)}), "m>b")
@@ -77,7 +77,7 @@
 // With few slots, all queues have equally few calls in flight; the slot must then go to the message that
 // loses its value first.
 func TestDispatchPrefersEarliestValueDeadline(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Slots = 1
 	s.Classes[1].LatencyObjective = 8 * time.Second
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
--- a/policy/sendrate.go
+++ b/policy/sendrate.go
@@ -36,10 +36,12 @@
 // sendRateLimiter limits the calls of one queue: rejections lower its rate by a factor, and it rises again
 // while there are none (AIMD). It belongs to one queue and is not safe for concurrent use.
 type sendRateLimiter struct {
-	listedRate  float64 // calls a second that all relays may make together; 0 for unknown
-	rate        float64 // calls a second that this relay may make; 0 for unlimited
-	bucket      tokenBucket
-	decreasedAt instant.Time // last decrease, or start
+	listedRate float64 // calls a second that all relays may make together; 0 for unknown
+	rate       float64 // calls a second that this relay may make; 0 for unlimited
+	bucket     tokenBucket
+	// decreasedAt is the time of the last decrease or start. A report of little allowance moves it forward
+	// (recordSuccess).
+	decreasedAt instant.Time
 	increasedAt instant.Time // time up to which increases have been applied
 }
 
@@ -62,7 +64,8 @@
 	return now >= l.decreasedAt.Add(rateWindow)
 }
 
-// decrease lowers the rate by a factor or, if that is lower, to halfway between the rate and the even share.
+// decrease lowers the rate by a factor or, if that is lower, to halfway between the rate and the even share,
+// but not below minRateShare of the even share.
 func (l *sendRateLimiter) decrease(now instant.Time, evenShare float64) {
 	decreased := math.Min(l.rate*rateDecreaseFactor, (l.rate+evenShare)/2)
 	l.rate, l.decreasedAt = math.Max(minRateShare*evenShare, decreased), now
@@ -113,8 +116,8 @@
 // evenShare returns the listed rate of a queue divided by the number of relays, in calls a second.
 func (d *Dispatcher) evenShare(q *queue) float64 { return q.limiter.listedRate / d.relayCount() }
 
-// hasLowRate reports whether the even share is so low that a second probe would exceed this relay's part of
-// what a destination in slow start can take.
+// hasLowRate reports whether the even share is known and below lowRateCalls per rateWindow, so low that a
+// second probe would exceed this relay's part of what a destination in slow start can take.
 func (d *Dispatcher) hasLowRate(q *queue) bool {
 	return q.limiter.listedRate > 0 && d.evenShare(q)*rateWindow.Seconds() < lowRateCalls
 }
--- a/policy/sendrate_test.go
+++ b/policy/sendrate_test.go
@@ -10,7 +10,7 @@
 // although the destination reports that its allowance is used up, and one that does not fall far enough for a
 // limit far below the listed rate.
 func TestSendRate(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Weights, s.FleetSize = WeightsNominal, 4
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
 	q := d.queues[0]
@@ -22,20 +22,20 @@
 		d.recordRejection(q, limitMessage{})
 	}
 	reject(time.Second)
-	cut := q.limiter.rate
-	if reject(1100 * ms); !(cut < 2) || q.limiter.rate != cut {
+	decreased := q.limiter.rate
+	if reject(1100 * ms); !(decreased < 2) || q.limiter.rate != decreased {
 		t.Errorf("send rate %v after a rejection and %v after another within rateWindow, want one decrease",
-			cut, q.limiter.rate)
+			decreased, q.limiter.rate)
 	}
 	q.waiting = []*message{{}}
 	d.now = moment(4 * time.Second)
 	d.recordSuccess(d.endpoints["a"], false)
-	slow := d.now
+	reportedAt := d.now
 	d.sendTokens(q)
 	if d.now = d.now.Add(500 * ms); d.now.Sub(q.limiter.decreasedAt) > 1500*ms ||
-		q.limiter.decreasedAt >= slow {
+		q.limiter.decreasedAt >= reportedAt {
 		t.Errorf("quiet time counts from %v, want at most 1s before the report of little capacity at %v",
-			q.limiter.decreasedAt, slow)
+			q.limiter.decreasedAt, reportedAt)
 	}
 	for range 40 {
 		d.now = d.now.Add(500 * ms)
@@ -60,7 +60,7 @@
 		relays int
 		want   float64
 	}{{2, 2}, {400, 0.01}} {
-		s := plain()
+		s := basicSettings()
 		s.FleetSize, s.Weights = tt.relays, WeightsNominal
 		d := start(t, s, Endpoint{ID: "a", Weight: 4})
 		if got := d.queues[0].limiter.rate; got != tt.want {
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -23,7 +23,7 @@
 		{"OrderedKeyDelay", func(s *Settings) { s.OrderedKeyDelay = -1 }},
 	}
 	for _, tt := range tests {
-		s := plain()
+		s := basicSettings()
 		tt.invalidate(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), tt.field) {
 			t.Errorf("invalid %s: got error %v, want one that names the setting", tt.field, err)
@@ -32,7 +32,7 @@
 }
 
 func TestUnknownIDsAreIgnored(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	got := d.Handle(moment(time.Second), []Event{AttemptEnded{ID: "x"}, Withdrawn{ID: "x"},
 		Arrived{ID: "y", Class: 99}, EndpointsUpdated{Endpoints: []Endpoint{{ID: "z", Removed: true}}}})
 	expect(t, "events with unknown IDs or classes", got, "")
@@ -42,10 +42,10 @@
 	}
 }
 
-// Invalid values in events, such as a NaN weight or an endless Retry-After, must not spoil the state: valid
-// events after them must be decided as usual.
+// Invalid values in events, such as a NaN weight or the largest Duration as Retry-After, must not corrupt
+// the state: valid events after them must be decided as usual.
 func TestInvalidEventValues(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Weights = WeightsNominal
 	for _, weight := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0} {
 		d := start(t, s, Endpoint{ID: "a", Weight: weight})
@@ -59,7 +59,8 @@
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.Handle(moment(ms), []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected,
 		RetryAfter: math.MaxInt64}})
-	expect(t, "endless Retry-After", d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "reject n")
+	expect(t, "the largest Duration as Retry-After",
+		d.Handle(moment(time.Second), []Event{arrive("n", 0)}), "reject n")
 	expect(t, "negative time left",
 		d.Handle(moment(time.Second), []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "reject o")
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -11,9 +11,9 @@
 	// slowStartSafety is the share that the relays use of the calls that a destination in slow start can take
 	// by Settings.OverloadFactor. The rest allows for uneven traffic among the relays and for chance.
 	slowStartSafety = 0.8
-	// lowRateSlowStartSafety replaces slowStartSafety where many relays have less than one call each per
-	// OverloadWindow. Together with the second probes of half of the relays whose first one failed, the total
-	// stays below two thirds of what overloads the destination.
+	// lowRateSlowStartSafety replaces slowStartSafety for relays with a low rate (hasLowRate). Together with
+	// the second probes of half of the relays whose first one failed, the total stays below two thirds of
+	// what overloads the destination.
 	lowRateSlowStartSafety = 0.42
 	// slowStartBurst is the share of the budget for one OverloadWindow that may be sent at once.
 	slowStartBurst = 1.0 / 3
@@ -21,7 +21,7 @@
 
 // slowStartState limits the calls to one endpoint while it is ejected or in slow start.
 type slowStartState struct {
-	active      bool         // the endpoint has recovered and is in slow start
+	active      bool         // whether the endpoint has recovered and is in slow start
 	recoveredAt instant.Time // start of the last slow start; 0 for never
 	bucket      tokenBucket  // calls that the budget allows
 }
@@ -88,9 +88,9 @@
 	return initial + (1-initial)*float64(sinceRecovery)/float64(s.SlowStartWindow)
 }
 
-// initialTokens returns the fraction of a token that a budget of less than one call per OverloadWindow starts
-// with. It is random, so that of many relays with about one call a minute each some probe at any time, while
-// the total does not overload the destination.
+// initialTokens returns the fraction of a token that a budget of less than one call per OverloadWindow
+// starts with. It is random, so that of many relays with about one call a minute each some probe at any
+// time, while the total does not overload the destination. Larger budgets start with 0 tokens.
 func (d *Dispatcher) initialTokens(ep *endpoint) float64 {
 	perWindow := d.slowStartBudget(ep, d.timeSinceRecovery(ep)) * d.settings.OverloadWindow.Seconds()
 	return math.Max(0, d.random.Float64()-perWindow)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -10,23 +10,23 @@
 // TestSlowStart simulates an outage with each kind of outcome and checks that the probes stay within the
 // budget for a destination in slow start.
 func TestSlowStart(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Weights = WeightsNominal
 	for _, outcome := range []Outcome{ConnectError, Failed, Reset, Rejected, TimedOut} {
 		d := start(t, s, Endpoint{ID: "a", Weight: 5})
-		sends, out := 0, map[string]int{}
+		sends, inFlight := 0, map[string]int{}
 		for now := time.Duration(0); now < 24*time.Second; now += 20 * ms {
 			var events []Event
-			for id, n := range out {
+			for id, n := range inFlight {
 				events = append(events, AttemptEnded{ID: id, Endpoint: "a", Attempt: n, Outcome: outcome})
 			}
-			out = map[string]int{}
+			inFlight = map[string]int{}
 			if now%(200*ms) == 0 {
 				events = append(events, Arrived{ID: fmt.Sprint(now), TimeLeft: 10 * time.Second})
 			}
 			for _, a := range d.Handle(moment(now), events) {
 				if a, ok := a.(Send); ok {
-					out[a.ID] = len(d.messages.byID[a.ID].attempts) - 1
+					inFlight[a.ID] = len(d.messages.byID[a.ID].attempts) - 1
 					if now >= 20*time.Second {
 						sends++
 					}
@@ -41,7 +41,7 @@
 }
 
 func TestSlowStartAfterSuccess(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Weights, s.Slots = WeightsNominal, 40
 	d := start(t, s, Endpoint{ID: "a", Weight: 10})
 	ep := d.endpoints["a"]
@@ -64,7 +64,7 @@
 // destination is down.
 func TestNewEndpointOfAnEjectedDestination(t *testing.T) {
 	for _, removed := range []bool{false, true} { // whether the old endpoint is removed
-		d := start(t, plain(), Endpoint{ID: "a"})
+		d := start(t, basicSettings(), Endpoint{ID: "a"})
 		d.eject(d.endpoints["a"])
 		d.Handle(moment(ms), []Event{EndpointsUpdated{Endpoints: []Endpoint{{ID: "a", Removed: removed},
 			{ID: "b"}}}})
--- a/policy/stalled_calls.go
+++ b/policy/stalled_calls.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// unresponsiveFactor is the number of mean latencies without an outcome after which an endpoint counts as
-	// unresponsive.
+	// unresponsiveFactor is the multiple of the usual latency (see overdueAt) after which a call without an
+	// outcome makes its endpoint count as unresponsive, if no call has succeeded there since it was sent.
 	unresponsiveFactor = 6
-	// stalledFactor is the number of mean latencies after which a call may be canceled if its slot is wanted
-	// and late calls mostly fail.
+	// stalledFactor is the multiple of the usual latency (see overdueAt) after which a call may be canceled
+	// if its slot is wanted and late calls mostly fail.
 	stalledFactor = 3
-	// finalAttemptFactor multiplies the other factors for a call that may not be retried, since canceling it
+	// finalAttemptFactor multiplies these factors for a call that may not be retried, since canceling it
 	// fails its message. Its slot can serve one message of the same value in each further mean latency.
 	finalAttemptFactor = 2
 	// lateFailureThreshold is the lateFailureShare above which late calls are taken to mostly fail.
@@ -84,9 +84,9 @@
 	return lost || slotWanted && d.now >= c.overdueAt(factor), overtaken
 }
 
-// stalledCallFactor returns the number of mean latencies after which a call is canceled if its slot is
-// wanted. It is lower if late calls mostly fail, as with losses and hangs, than if they mostly succeed, as
-// with slow destinations and heavy work.
+// stalledCallFactor returns the multiple of the usual latency (see overdueAt) after which a call is canceled
+// if its slot is wanted. It is lower if late calls mostly fail, as with losses and hangs, than if they
+// mostly succeed, as with slow destinations and heavy work.
 func (s *slotScheduler) stalledCallFactor() float64 {
 	if s.lateFailureShare > lateFailureThreshold {
 		return stalledFactor
--- a/policy/stalled_calls_test.go
+++ b/policy/stalled_calls_test.go
@@ -7,9 +7,9 @@
 )
 
 // The message of a lost call must be retried without waiting for its deadline: the call is canceled once a
-// later call to the endpoint has succeeded. Without such a call, it is kept while slots are free.
+// later call to the endpoint has succeeded and it has taken unresponsiveFactor times the usual latency.
 func TestLostCallIsRetried(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.record(0, 0.1)
 	d.Handle(0, []Event{arrive("lost", 0)})
@@ -24,7 +24,7 @@
 
 // Calls that hang must not occupy all slots while other messages wait.
 func TestSlotOfAStalledCallIsFreed(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Slots = 2
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	d.queues[0].latency.record(0, 0.1)
@@ -41,7 +41,7 @@
 
 // Where late calls mostly fail, slots must be freed earlier than where they mostly succeed.
 func TestStalledCallFactor(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	if got := d.slots.stalledCallFactor(); got != unresponsiveFactor {
 		t.Errorf("initial factor %v, want unresponsiveFactor", got)
 	}
@@ -54,7 +54,7 @@
 // Calls that may not be retried would keep their slots until the deadline when their answers are lost, and
 // in the end occupy all slots.
 func TestSlotOfNotIdempotentCallIsFreed(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Slots = 1
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.queues[0].latency.record(2, 0.1)
@@ -71,7 +71,7 @@
 
 // A pause of the relay's own process must not count as latency of the destination.
 func TestRelayPauseIsNotLatency(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := start(t, basicSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.record(0, 0.1)
 	d.Handle(0, []Event{arrive("m", 0)})
--- a/policy/state_store.go
+++ b/policy/state_store.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// longestIdle returns the destination that has been idle for the longest time, or nil.
+// longestIdle returns the destination of the list with the earliest idleSince, or nil if the list is empty.
+// The destination may be active again.
 func (s *stateStore) longestIdle() *destination {
 	front := s.idle.Front()
 	if front == nil {
@@ -119,8 +120,9 @@
 	}
 }
 
-// evictIdle drops the state of destinations that have been idle for stateIdleTimeout. It examines only the
-// longest idle ones, so that the cost of a batch does not grow with the number of destinations.
+// evictIdle drops the state of destinations that have been idle for stateIdleTimeout, unless it still limits
+// them (stateNeeded). It examines only the longest idle ones, so that the cost of a batch does not grow with
+// the number of destinations.
 func (d *Dispatcher) evictIdle() {
 	for range maxEvictionsPerBatch {
 		dest := d.store.longestIdle()
@@ -137,7 +139,7 @@
 	}
 }
 
-// active reports whether a queue of the destination has messages waiting or calls out.
+// active reports whether a queue of the destination has messages waiting or calls in flight.
 func (dest *destination) active() bool {
 	return slices.ContainsFunc(dest.queues, func(q *queue) bool { return q.active })
 }
--- a/policy/state_store_bench_test.go
+++ b/policy/state_store_bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// singleEndpointDirectory is a Directory of that many destinations with one endpoint each. It computes its
-// entries, so that it adds no memory to the measurement.
+// singleEndpointDirectory is a Directory whose value is its number of destinations, with one endpoint each.
+// It computes its entries, so that it adds no memory to the measurement.
 type singleEndpointDirectory int
 
 func (n singleEndpointDirectory) Endpoints(destination int) []Endpoint {
--- a/policy/state_store_pair_test.go
+++ b/policy/state_store_pair_test.go
@@ -10,17 +10,17 @@
 	"pgregory.net/rapid"
 )
 
-// dispatcherPair runs a dispatcher that keeps state for all endpoints (eager) and one that keeps it on demand
-// (lazy) on the same events.
+// dispatcherPair runs a dispatcher that keeps state for all endpoints (always) and one that keeps it on
+// demand (onDemand) on the same events.
 type dispatcherPair struct {
-	t            *rapid.T
-	settings     Settings
-	list         *directory
-	eager, lazy  *Dispatcher
-	now          time.Duration
-	lastNumber   int
-	inFlight     []AttemptEnded // ends of the attempts in flight, still without Outcome
-	attemptsSent map[string]int
+	t                *rapid.T
+	settings         Settings
+	list             *directory
+	always, onDemand *Dispatcher
+	now              time.Duration
+	lastNumber       int
+	inFlight         []AttemptEnded // one for each attempt in flight, still without Outcome
+	attemptsSent     map[string]int
 }
 
 // The endpoints of destinations 0 to 3 share a queue, those of 4 and 5 are separate routes, and 6 has
@@ -37,40 +37,40 @@
 	onDemand := p.settings
 	onDemand.Directory = p.list
 	var err error
-	if p.eager, err = New(p.settings, seed); err != nil {
+	if p.always, err = New(p.settings, seed); err != nil {
 		t.Fatal(err)
 	}
-	if p.lazy, err = New(onDemand, seed); err != nil {
+	if p.onDemand, err = New(onDemand, seed); err != nil {
 		t.Fatal(err)
 	}
 	var all EndpointsUpdated
-	for no := range listedDestinations {
-		for i := range 1 + no%3 {
-			all.Endpoints = append(all.Endpoints, p.endpoint(no, i))
+	for destination := range listedDestinations {
+		for i := range 1 + destination%3 {
+			all.Endpoints = append(all.Endpoints, p.endpoint(destination, i))
 		}
 	}
 	p.handle([]Event{all})
 	return p
 }
 
-func (p *dispatcherPair) endpoint(no, i int) Endpoint {
-	kind := no % 2
-	if no >= sharedDestinations {
+func (p *dispatcherPair) endpoint(destination, i int) Endpoint {
+	kind := destination % 2
+	if destination >= sharedDestinations {
 		kind = 2
 	}
-	return Endpoint{ID: fmt.Sprint("e", no, "-", i), Destination: no, Kind: kind, Weight: float64(1 + 5*no),
-		Zone: i}
+	return Endpoint{ID: fmt.Sprint("e", destination, "-", i), Destination: destination, Kind: kind,
+		Weight: float64(1 + 5*destination), Zone: i}
 }
 
-// handle gives both dispatchers the same batch, and checks that their actions and their counts of avoided
-// endpoints agree.
+// handle gives both dispatchers the same batch, and checks that their actions and their counts of
+// unavailable endpoints agree.
 func (p *dispatcherPair) handle(events []Event) {
 	for _, e := range events {
 		if l, ok := e.(EndpointsUpdated); ok {
 			p.list.apply(l)
 		}
 	}
-	want, got := p.eager.Handle(moment(p.now), events), p.lazy.Handle(moment(p.now), events)
+	want, got := p.always.Handle(moment(p.now), events), p.onDemand.Handle(moment(p.now), events)
 	if !reflect.DeepEqual(got, want) {
 		p.t.Fatalf("at %v, actions differ after %+v:\n state on demand: %+v\n state of all: %+v", p.now,
 			events, got, want)
@@ -90,32 +90,32 @@
 			}
 		}
 	}
-	avoided := 0
-	for _, ep := range p.eager.endpoints {
-		if ep.outlier.ejected || ep.Draining || ep.unresponsive(p.eager.now) {
-			avoided++
+	unavailable := 0
+	for _, ep := range p.always.endpoints {
+		if ep.outlier.ejected || ep.Draining || ep.unresponsive(p.always.now) {
+			unavailable++
 		}
 	}
-	if got, otherwise := p.lazy.UnavailableEndpoints()+draining, p.eager.UnavailableEndpoints(); got != avoided ||
-		otherwise != avoided {
-		p.t.Fatalf("at %v: %d endpoints avoided with state on demand, %d with state of all, want %d for both",
-			p.now, got, otherwise, avoided)
+	if got, always := p.onDemand.UnavailableEndpoints()+draining,
+		p.always.UnavailableEndpoints(); got != unavailable || always != unavailable {
+		p.t.Fatalf("at %v: %d endpoints unavailable with state on demand, %d with state of all, want %d for "+
+			"both", p.now, got, always, unavailable)
 	}
 }
 
 // anyEndpoint draws a listed endpoint.
 func (p *dispatcherPair) anyEndpoint() Endpoint {
-	no := rapid.IntRange(0, listedDestinations-1).Draw(p.t, "destination")
-	return rapid.SampledFrom(p.list.endpointsOf[no]).Draw(p.t, "endpoint")
+	number := rapid.IntRange(0, listedDestinations-1).Draw(p.t, "destination")
+	return rapid.SampledFrom(p.list.endpointsOf[number]).Draw(p.t, "endpoint")
 }
 
 // listChange draws a change of the endpoint list: an endpoint drains or stops draining, joins or leaves.
 func (p *dispatcherPair) listChange() EndpointsUpdated {
-	no := rapid.IntRange(0, sharedDestinations-1).Draw(p.t, "destination")
-	e := p.endpoint(no, rapid.IntRange(0, 3).Draw(p.t, "endpoint"))
+	number := rapid.IntRange(0, sharedDestinations-1).Draw(p.t, "destination")
+	e := p.endpoint(number, rapid.IntRange(0, 3).Draw(p.t, "endpoint"))
 	_, listed := p.list.destinationOf[e.ID]
 	switch {
-	case listed && len(p.list.endpointsOf[no]) > 1 && rapid.Bool().Draw(p.t, "removed"):
+	case listed && len(p.list.endpointsOf[number]) > 1 && rapid.Bool().Draw(p.t, "removed"):
 		e.Removed = true
 	case listed:
 		e.Draining = rapid.Bool().Draw(p.t, "draining")
@@ -138,17 +138,18 @@
 
 // inheritedOrPeerEvent draws a report of another relay, or an event with state of an earlier process.
 func (p *dispatcherPair) inheritedOrPeerEvent() Event {
-	no := rapid.IntRange(0, usedDestinations-1).Draw(p.t, "destination")
+	number := rapid.IntRange(0, usedDestinations-1).Draw(p.t, "destination")
 	age := time.Duration(rapid.IntRange(0, 5000).Draw(p.t, "age")) * ms
 	switch rapid.IntRange(0, 7).Draw(p.t, "event kind") {
 	case 0:
-		return GossipReceived{Message: limitMessage{destination: no, callAge: age}.encode()}
+		return GossipReceived{Message: limitMessage{destination: number, callAge: age}.encode()}
 	case 1:
-		return GossipReceived{Message: limitMessage{destination: no, accepted: true, callAge: age}.encode()}
+		return GossipReceived{
+			Message: limitMessage{destination: number, accepted: true, callAge: age}.encode()}
 	case 2:
 		return GossipReceived{Message: encodeEndpointMessage(endpointRecoveredType, p.anyEndpoint().ID)}
 	case 3:
-		return PeerSuspected{Destination: no, Observers: rapid.IntRange(0, 5).Draw(p.t, "observers"),
+		return PeerSuspected{Destination: number, Observers: rapid.IntRange(0, 5).Draw(p.t, "observers"),
 			OldestAge: age, NewestAge: age / 2, ValidFor: 5 * time.Second,
 			Rank: rapid.IntRange(0, 2).Draw(p.t, "rank")}
 	case 4:
@@ -156,7 +157,7 @@
 			Observers: rapid.IntRange(0, 5).Draw(p.t, "observers"),
 			OldestAge: age, NewestAge: age / 2, ValidFor: 5 * time.Second}
 	case 5:
-		return PeerRateReceived{Destination: no, LiveRelays: p.settings.FleetSize, Reporters: 5,
+		return PeerRateReceived{Destination: number, LiveRelays: p.settings.FleetSize, Reporters: 5,
 			RateShare:   rapid.Float64Range(0, 2).Draw(p.t, "rate share"),
 			ArrivalRate: 3, ValidFor: 10 * time.Second}
 	case 6:
--- a/policy/state_store_rules_test.go
+++ b/policy/state_store_rules_test.go
@@ -16,8 +16,8 @@
 )
 
 // Endpoints returns the listed endpoints of a destination. With Destination, it implements policy.Directory.
-func (w *eventGenerator) Endpoints(destination int) (listed []policy.Endpoint) {
-	for _, e := range w.endpoints {
+func (g *eventGenerator) Endpoints(destination int) (listed []policy.Endpoint) {
+	for _, e := range g.endpoints {
 		if e.Destination == destination {
 			listed = append(listed, e)
 		}
@@ -25,8 +25,8 @@
 	return listed
 }
 
-func (w *eventGenerator) Destination(endpoint string) (int, bool) {
-	for _, e := range w.endpoints {
+func (g *eventGenerator) Destination(endpoint string) (int, bool) {
+	for _, e := range g.endpoints {
 		if e.ID == endpoint {
 			return e.Destination, true
 		}
@@ -36,12 +36,12 @@
 
 // pauseTraffic stops the arrivals at random. Once all messages have ended and no attempt is in flight, it
 // moves the clock by trafficPauseOnDemand, so that idle state is dropped, and lets arrivals go on.
-func (w *eventGenerator) pauseTraffic() {
-	if !w.trafficPaused {
-		w.trafficPaused = w.random.Intn(60) == 0
+func (g *eventGenerator) pauseTraffic() {
+	if !g.trafficPaused {
+		g.trafficPaused = g.random.Intn(60) == 0
 		return
 	}
-	for _, m := range w.checker.order {
+	for _, m := range g.checker.order {
 		busy := !m.completed
 		for _, t := range m.attempts {
 			busy = busy || t.open
@@ -50,8 +50,8 @@
 			return
 		}
 	}
-	w.trafficPaused = false
-	w.now += trafficPauseOnDemand
+	g.trafficPaused = false
+	g.now += trafficPauseOnDemand
 }
 
 // TestRulesWithStateOnDemand guards against rules that break when state is dropped and loaded on demand: that
@@ -59,9 +59,9 @@
 func TestRulesWithStateOnDemand(t *testing.T) {
 	for seed := range int64(150) {
 		r := rand.New(rand.NewSource(seed))
-		w := &eventGenerator{random: r, settings: randomSettings(r)}
-		w.settings.Directory = w
-		if _, err := runWith(w, seed, 800); err != nil {
+		g := &eventGenerator{random: r, settings: randomSettings(r)}
+		g.settings.Directory = g
+		if _, err := runWith(g, seed, 800); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
--- a/policy/state_store_test.go
+++ b/policy/state_store_test.go
@@ -52,7 +52,7 @@
 
 // onDemandSettings returns settings with which a queue learns and uses every kind of state.
 func onDemandSettings() Settings {
-	s := plain()
+	s := basicSettings()
 	s.Weights, s.Gossip, s.FleetSize, s.IdleConnTimeout = WeightsNominal, true, 4, time.Second
 	return s
 }
@@ -208,7 +208,8 @@
 	}
 }
 
-// State must be loaded by the events that limit a destination, and not by others, which would let it grow.
+// State must be loaded by a message for a destination and by the events that limit the destination. Other
+// events must not load it, or state would accumulate for destinations not in use.
 func TestEventsThatLoadState(t *testing.T) {
 	received := func(message []byte) Event { return GossipReceived{Message: message} }
 	tests := map[string]struct {
@@ -325,7 +326,8 @@
 	for _, inState := range []int{1_000, 10_000} {
 		large, largeAllocations := cost(20_000, inState)
 		if small != 1 || large != 1 || largeAllocations > smallAllocations+growth {
-			t.Errorf("%d lookups and %v allocations with 10 in state, %d and %v with %d; want equal",
+			t.Errorf("%d lookups and %v allocations with 10 destinations in state, %d and %v with %d; want "+
+				"one lookup, and about equal allocations",
 				small, smallAllocations, large, largeAllocations, inState)
 		}
 	}
@@ -334,12 +336,12 @@
 // A queue whose state is loaded late must have the counters and the send rate of one that was there from the
 // start; otherwise its first message would look like a high arrival rate.
 func TestStateLoadedLateCountsFromTheStart(t *testing.T) {
-	eager := start(t, onDemandSettings(), singleEndpointDestinations(1)...)
-	lazy, _ := startOnDemand(t, onDemandSettings(), singleEndpointDestinations(1)...)
-	for _, d := range []*Dispatcher{eager, lazy} {
+	always := start(t, onDemandSettings(), singleEndpointDestinations(1)...)
+	onDemand, _ := startOnDemand(t, onDemandSettings(), singleEndpointDestinations(1)...)
+	for _, d := range []*Dispatcher{always, onDemand} {
 		d.Handle(moment(time.Minute), []Event{Arrived{ID: "m", TimeLeft: time.Second}})
 	}
-	want, got := eager.destinations[0].queues[0], lazy.destinations[0].queues[0]
+	want, got := always.destinations[0].queues[0], onDemand.destinations[0].queues[0]
 	if got.admission.arrivals != want.admission.arrivals || got.limiter.rate != want.limiter.rate ||
 		got.limiter.bucket != want.limiter.bucket || got.limiter.decreasedAt != want.limiter.decreasedAt {
 		t.Errorf("loaded late: arrivals %+v, rate %v, bucket %+v, decreased at %v; want %+v, %v, %+v, %v",
@@ -347,6 +349,7 @@
 			want.admission.arrivals, want.limiter.rate, want.limiter.bucket, want.limiter.decreasedAt)
 	}
 	if rate := got.admission.arrivals.rate(moment(time.Minute)); rate > 0.11 {
-		t.Errorf("one message in a minute: arrival rate %v, want at most 0.11", rate)
+		t.Errorf("right after the first message: arrival rate %v messages a second, want at most 0.11 "+
+			"(one in counterTimeConstant)", rate)
 	}
 }
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -2,12 +2,13 @@
 
 import "milletsail/internal/instant"
 
-// stallFactors are the multiples of the usual latency at which callStalled may start to apply to a call.
+// stallFactors are the multiples of the usual latency at which callStalled may start to return true for a
+// call.
 var stallFactors = [...]float64{stalledFactor, unresponsiveFactor, unresponsiveFactor * finalAttemptFactor}
 
 // timerState is the timer that the last SetTimer requested.
 type timerState struct {
-	dueAt instant.Time // 0 for none
+	dueAt instant.Time // time for which the last timer was requested; 0 before the first
 }
 
 // earliestTime is the earliest of several times, but not before notBefore.
--- a/policy/timer_test.go
+++ b/policy/timer_test.go
@@ -8,7 +8,7 @@
 // A message must wait, without a crash, for a destination that other relays report as rejecting and that has
 // lost its last endpoint.
 func TestPeerReportOnADestinationWithoutEndpoints(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a", Destination: 7})
+	d := start(t, basicSettings(), Endpoint{ID: "a", Destination: 7})
 	const now = 10 * time.Second
 	d.Handle(moment(now),
 		[]Event{PeerSuspected{Destination: 7, Observers: minObservers, OldestAge: time.Second, NewestAge: 0,
@@ -27,7 +27,7 @@
 
 // While a queue with a free token waits for a slot, no timer must be set for each batch interval.
 func TestNoTimerWithoutCause(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Slots, s.Weights = 1, WeightsNominal
 	d := start(t, s, Endpoint{ID: "a", Weight: 5})
 	for _, a := range d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}) {
@@ -40,7 +40,7 @@
 // A timer of a coarser clock may fire slightly early. Without another timer, the message would miss its last
 // attempt or its expiry.
 func TestTimerThatFiresEarlyIsSetAgain(t *testing.T) {
-	d := start(t, plain())
+	d := start(t, basicSettings())
 	got := d.Handle(0, []Event{arrive("m", 0)})
 	at := actionAs[SetTimer](t, got[len(got)-1]).After
 	got = d.Handle(moment(at-400), []Event{TimerFired{}})
--- a/policy/zone_evacuation.go
+++ b/policy/zone_evacuation.go
@@ -18,9 +18,9 @@
 	// healthObservationWindow is the age up to which an outcome counts for the health of an endpoint in a
 	// zone survey.
 	healthObservationWindow = 5 * time.Second
-	// panicThreshold is the share of the listed endpoints that may be evacuated at once: the rest could not
-	// serve all traffic, and the failure is more likely to be one of observation (the reason of Envoy's panic
-	// threshold).
+	// panicThreshold is the largest share of the listed endpoints that may be evacuated at once: beyond it,
+	// the rest could not serve all traffic, and the failure is more likely to be one of observation (the
+	// reason of Envoy's panic threshold).
 	panicThreshold = 0.5
 	// initialRecoveryBackoff, doubled for each consecutive failed recovery of a zone, is the time before the
 	// zone may recover again. That time is at most the slow start window.
@@ -94,9 +94,9 @@
 	return false
 }
 
-// detectIsolation reports whether this relay is isolated: all zones but its own fail, and there are at least
-// minIsolatingZones of them. An isolated relay still calls the endpoints that it reaches, but its
-// observations are recorded as second-hand.
+// detectIsolation reports whether this relay is isolated: all other zones with endpoints of known health
+// fail, and there are at least minIsolatingZones of them. An isolated relay still calls the endpoints that
+// it reaches, but its observations are recorded as second-hand.
 func detectIsolation(ownZone int, surveys []zoneSurvey) bool {
 	others := 0
 	for number, survey := range surveys {
@@ -130,7 +130,8 @@
 }
 
 // startRecovery lets a zone serve again. Endpoints that have not failed since their last success enter slow
-// start; the others recover one by one, when a probe of their own succeeds.
+// start, if their destination is also served in another zone; the others recover one by one, when a probe of
+// their own succeeds.
 func (d *Dispatcher) startRecovery(number int) {
 	d.setZoneState(number, Recovering)
 	for _, ep := range d.endpointsInZone(number) {
--- a/policy/zone_evacuation_test.go
+++ b/policy/zone_evacuation_test.go
@@ -24,7 +24,8 @@
 	rng          *rand.Rand
 }
 
-// pendingOutcome is an outcome, or another event, that a simulation delivers at a later time.
+// pendingOutcome is an event that a simulation delivers at a later time: the outcome of an attempt or, in
+// canaryFleet, a gossip message, which travels as AttemptEnded with an empty ID and the message in Endpoint.
 type pendingOutcome struct {
 	at    time.Duration
 	ended AttemptEnded
@@ -33,7 +34,7 @@
 // newZonedRelay returns a relay with the given numbers of zones and destinations, at which all calls succeed.
 func newZonedRelay(t *testing.T, zones, dests int, change func(*Settings)) *zonedRelay {
 	t.Helper()
-	s := plain()
+	s := basicSettings()
 	s.Zones, s.Slots, s.QueueCapacity, s.SlowStartWindow, s.SlowStartInitialShare = true, 60, 1000,
 		4*time.Second, 0.5
 	s.Classes = s.Classes[:1]
@@ -112,7 +113,7 @@
 	down = true
 	z.run(4 * time.Second)
 	if got := strings.Join(z.zoneChanges, ", "); got != "1 evacuated" {
-		t.Fatalf("zone state changes after zone 1 failed: %s", got)
+		t.Fatalf("zone state changes after zone 1 failed: got %s, want only that it was evacuated", got)
 	}
 	before := z.sent["1"]
 	z.run(9 * time.Second)
@@ -122,7 +123,8 @@
 	down = false
 	z.run(22 * time.Second)
 	if got := strings.Join(z.zoneChanges, ", "); got != "1 evacuated, 1 returning, 1 serving" {
-		t.Errorf("zone state changes after zone 1 works again: %s", got)
+		t.Errorf("zone state changes after zone 1 works again: got %s; want it evacuated, returning and "+
+			"serving", got)
 	}
 	all, _ := z.d.Zones()
 	if all[1].Evacuations != 1 || all[1].Recoveries != 1 || all[1].Endpoints != 8 {
@@ -203,7 +205,7 @@
 // Guards against the evacuation of a zone with more than half of all endpoints: the others could not serve
 // all traffic.
 func TestPanicThreshold(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Zones, s.Slots = true, 60
 	var eps []Endpoint
 	for dest := range 8 {
@@ -221,7 +223,7 @@
 	}
 	d.Handle(moment(time.Second), []Event{TimerFired{}})
 	if d.zones.get(1).state != Serving {
-		t.Error("zone 1, with three fifths of all endpoints, was evacuated")
+		t.Error("zone 1, with three fifths of all endpoints, was evacuated, want it to serve")
 	}
 }
 
@@ -287,7 +289,7 @@
 // Guards against invalid zone numbers in an endpoint list: such endpoints are served like others but belong
 // to no zone.
 func TestInvalidZoneNumbers(t *testing.T) {
-	s := plain()
+	s := basicSettings()
 	s.Zones = true
 	d := start(t, s, Endpoint{ID: "a", Zone: -7}, Endpoint{ID: "b", Zone: 1 << 40})
 	expect(t, "a message", d.Handle(moment(ms), []Event{arrive("m", 0)}), "m>a")
--- a/policy/zone_survey.go
+++ b/policy/zone_survey.go
@@ -15,10 +15,12 @@
 
 // zoneSurvey counts the endpoints of a zone by their health.
 type zoneSurvey struct {
-	listed              int          // endpoints that are listed and not draining
-	known               int          // listed endpoints whose health is known
-	failing             int          // listed endpoints that fail
-	failingDestinations uint64       // set of their destinations: bit n for number n modulo destinationBits
+	listed  int // endpoints that are listed and not draining
+	known   int // listed endpoints whose health is known
+	failing int // listed endpoints that fail
+	// failingDestinations is the set of the destinations of failing endpoints: bit n stands for the
+	// destinations whose number modulo destinationBits is n.
+	failingDestinations uint64
 	lastAnsweredAt      instant.Time // when the latest call to the zone that succeeded was sent
 }
 
--- a/policy/zone_table.go
+++ b/policy/zone_table.go
@@ -6,8 +6,8 @@
 	"milletsail/internal/instant"
 )
 
-// zoneTable holds the state of the zones that have listed endpoints. It belongs to one dispatcher and is not
-// safe for concurrent use.
+// zoneTable holds the state of the zones that have or had listed endpoints. It belongs to one dispatcher and
+// is not safe for concurrent use.
 type zoneTable struct {
 	byNumber map[int]*zoneRecord
 	isolated bool // all zones but this relay's own fail; see detectIsolation
@@ -20,7 +20,7 @@
 	deadline         instant.Time // end of an evacuation order, or of the backoff after a failed recovery
 	failingSince     instant.Time // when endpoints of the zone started to fail; 0 while none do
 	failedRecoveries int          // consecutive failed recoveries
-	evacuations      int          // evacuations so far, by order or not
+	evacuations      int          // evacuations so far, by order or not; a failed recovery adds none
 	recoveries       int          // completed recoveries so far
 }
 
@@ -91,8 +91,9 @@
 }
 
 // Order evacuates a zone on behalf of an operator until the given time, or ends such an order if until is 0.
-// It returns an error, and changes nothing, if the zone has no endpoints, is already in the requested state
-// or is the last one not evacuated by order. The caller has to call Handle afterwards.
+// It returns an error, and changes nothing, if zones are off in the settings, the zone has no listed
+// endpoints, is already in the requested state or is the last one not evacuated by order. The caller has to
+// call Handle afterwards.
 func (d *Dispatcher) Order(number int, until instant.Time) error {
 	surveys, _ := d.surveyZones()
 	if !d.settings.Zones || number < 0 || number >= len(surveys) || surveys[number].listed == 0 {
