--- a/cmd/milletsail/campaign.go
+++ b/cmd/milletsail/campaign.go
@@ -73,7 +73,7 @@
 // adjust puts the flags in the place of what a campaign says itself.
 func (r *campaignRun) adjust(plan *campaign.Plan) {
 	if r.atOnce > 0 {
-		plan.AtOnce = r.atOnce
+		plan.Parallel = r.atOnce
 	}
 	if r.seeds == 0 {
 		return
@@ -85,7 +85,7 @@
 }
 
 // runCases runs the cases, and writes each result to the file for them as it comes.
-func (r *campaignRun) runCases(command *cobra.Command, plan *campaign.Plan, relay string) (results []campaign.Play, err error) {
+func (r *campaignRun) runCases(command *cobra.Command, plan *campaign.Plan, relay string) (results []campaign.RunResult, err error) {
 	written := io.Discard
 	if r.out != "" {
 		file, err := os.Create(r.out)
@@ -99,7 +99,7 @@
 	runOne := func(ctx context.Context, s *scenario.Scenario) (*report.Figures, error) {
 		return measure(ctx, s, relay)
 	}
-	return plan.Run(command.Context(), r.cases, runOne, func(result campaign.Play) {
+	return plan.Run(command.Context(), r.cases, runOne, func(result campaign.RunResult) {
 		_ = encoder.Encode(result) // the table does not need it
 		command.PrintErrf("%s, %s, seed %d: served %.1f%%%s\n", result.Case, result.Variant, result.Seed, 100*result.Figures["served"],
 			remarks(result))
@@ -114,7 +114,7 @@
 			if err != nil {
 				return err
 			}
-			var results []campaign.Play
+			var results []campaign.RunResult
 			for _, path := range args[1:] {
 				read, err := readResults(path)
 				if err != nil {
@@ -127,7 +127,7 @@
 }
 
 // readResults reads a file that a campaign wrote with --out.
-func readResults(path string) (results []campaign.Play, err error) {
+func readResults(path string) (results []campaign.RunResult, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -135,7 +135,7 @@
 	defer func() { _ = file.Close() }() // nothing was written to it
 	decoder := json.NewDecoder(file)
 	for {
-		var result campaign.Play
+		var result campaign.RunResult
 		err := decoder.Decode(&result)
 		if errors.Is(err, io.EOF) {
 			return results, nil
@@ -148,11 +148,11 @@
 }
 
 // remarks is what there is to say of a result beside its metrics.
-func remarks(result campaign.Play) string {
-	if result.Void != "" {
-		return "; void: " + result.Void
+func remarks(result campaign.RunResult) string {
+	if result.InvalidReason != "" {
+		return "; void: " + result.InvalidReason
 	}
-	parts := slices.Concat(result.Broken, result.Missed)
+	parts := slices.Concat(result.Violations, result.UnmetExpectations)
 	if len(parts) == 0 {
 		return ""
 	}
@@ -165,19 +165,19 @@
 // campaignCounts counts the results of a campaign that did not hold.
 type campaignCounts struct{ invalid, broken, missed int }
 
-func (c *campaignCounts) add(result campaign.Play) {
+func (c *campaignCounts) add(result campaign.RunResult) {
 	switch {
-	case result.Void != "":
+	case result.InvalidReason != "":
 		c.invalid++
-	case len(result.Broken) > 0:
+	case len(result.Violations) > 0:
 		c.broken++
-	case len(result.Missed) > 0:
+	case len(result.UnmetExpectations) > 0:
 		c.missed++
 	}
 }
 
 // showCampaign prints the table of a campaign and what did not hold, and gives that as the exit status.
-func showCampaign(command *cobra.Command, plan *campaign.Plan, results []campaign.Play, metrics []string) error {
+func showCampaign(command *cobra.Command, plan *campaign.Plan, results []campaign.RunResult, metrics []string) error {
 	if err := showTable(command, plan, results, metrics); err != nil {
 		return err
 	}
@@ -199,13 +199,13 @@
 	return nil
 }
 
-func showTable(command *cobra.Command, plan *campaign.Plan, results []campaign.Play, metrics []string) error {
+func showTable(command *cobra.Command, plan *campaign.Plan, results []campaign.RunResult, metrics []string) error {
 	rows := newTable(command.OutOrStdout(), 0)
 	rows.printf("case\tfigure\tvariant\tplays\tmean\tfrom\tto\tpaired difference, 95%%\n")
 	for _, row := range plan.Table(results, metrics) {
-		rows.printf("%s\t%s\t%s\t%d\t%.4g\t%.4g\t%.4g", row.Case, row.Figure, row.Variant, row.Plays, row.Mean, row.Low, row.High)
+		rows.printf("%s\t%s\t%s\t%d\t%.4g\t%.4g\t%.4g", row.Case, row.Figure, row.Variant, row.Runs, row.Mean, row.Low, row.High)
 		if row.Pairs > 0 {
-			rows.printf("\t%+.3g (%+.3g to %+.3g)", row.Diff, row.DiffLow, row.DiffUpp)
+			rows.printf("\t%+.3g (%+.3g to %+.3g)", row.Diff, row.DiffLow, row.DiffHigh)
 		}
 		rows.printf("\n")
 	}
--- a/cmd/milletsail/compare.go
+++ b/cmd/milletsail/compare.go
@@ -79,7 +79,7 @@
 
 // comparedSide runs a scenario with a relay on each seed that it is given.
 func comparedSide(ctx context.Context, label, scenarioName, relay string) compare.Side {
-	return compare.Side{Name: label + ": " + filepath.Base(relay), Play: func(seed uint64) (*report.Figures, error) {
+	return compare.Side{Name: label + ": " + filepath.Base(relay), Run: func(seed uint64) (*report.Figures, error) {
 		scenario, err := findScenario(scenarioName)
 		if err != nil {
 			return nil, err
@@ -99,10 +99,10 @@
 	if err := rows.flush(); err != nil {
 		return err
 	}
-	command.Printf("%d pairs; %d left out since the lab was late; broken rules: a %d, b %d\n", result.Pairs, result.Void, result.Broken[0],
-		result.Broken[1])
+	command.Printf("%d pairs; %d left out since the lab was late; broken rules: a %d, b %d\n", result.Pairs, result.InvalidPairs, result.Violations[0],
+		result.Violations[1])
 	switch {
-	case result.Broken[0]+result.Broken[1] > 0:
+	case result.Violations[0]+result.Violations[1] > 0:
 		return errFailed
 	case result.Pairs < minPairs:
 		return errInvalid
--- a/cmd/milletsail/scenariofile.go
+++ b/cmd/milletsail/scenariofile.go
@@ -54,5 +54,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return report.Of(result.Events, result.Verdict), nil
+	return report.Compute(result.Events, result.Verdict), nil
 }
--- a/cmd/milletsail/scenariorun.go
+++ b/cmd/milletsail/scenariorun.go
@@ -96,7 +96,7 @@
 	return func(at time.Duration) {
 		var active []string
 		for _, fault := range s.Faults {
-			if at >= fault.At.AsDuration() && at < fault.At.AsDuration()+max(fault.For.AsDuration(), time.Second) {
+			if at >= fault.At.AsDuration() && at < fault.At.AsDuration()+max(fault.Duration.AsDuration(), time.Second) {
 				active = append(active, fault.Kind)
 			}
 		}
@@ -115,7 +115,7 @@
 
 // showResult prints the report of a run and the broken rules, and gives the outcome as the exit status.
 func (r *scenarioRun) showResult(command *cobra.Command, events []history.Event, outcome checker.Verdict) error {
-	metrics := report.Of(events, outcome)
+	metrics := report.Compute(events, outcome)
 	if !r.quiet {
 		command.PrintErrln()
 	}
@@ -157,7 +157,7 @@
 	switch {
 	case len(outcome.Violations) > 0:
 		return errFailed
-	case outcome.Void != "" || outcome.Cut:
+	case outcome.InvalidReason != "" || outcome.Truncated:
 		return errInvalid
 	}
 	return nil
--- a/internal/lab/campaign/campaign.go
+++ b/internal/lab/campaign/campaign.go
@@ -31,7 +31,7 @@
 	Title    string    `toml:"title"`
 	Base     string    `toml:"base"` // the scenario that all cases begin with
 	Seeds    int       `toml:"seeds"`
-	AtOnce   int       `toml:"at_once"` // plays side by side
+	Parallel int       `toml:"at_once"` // plays side by side
 	Variants []Variant `toml:"variant"`
 	Cases    []Case    `toml:"case"`
 
@@ -40,69 +40,69 @@
 
 // Variant is one of the sides that are compared; the first is the one that the others are held against.
 type Variant struct {
-	Name string         `toml:"name"`
-	Set  map[string]any `toml:"set"` // of the scenario; arrays take the place of what was there
+	Name      string         `toml:"name"`
+	Overrides map[string]any `toml:"set"` // of the scenario; arrays take the place of what was there
 }
 
 // Case is one situation.
 type Case struct {
-	Name     string         `toml:"name"`
-	Title    string         `toml:"title"`
-	Seeds    int            `toml:"seeds"`    // in place of the plan's; 0 for those
-	Variants []string       `toml:"variants"` // all where empty
-	Set      map[string]any `toml:"set"`
-	Expect   []Expect       `toml:"expect"`
+	Name      string         `toml:"name"`
+	Title     string         `toml:"title"`
+	Seeds     int            `toml:"seeds"`    // in place of the plan's; 0 for those
+	Variants  []string       `toml:"variants"` // all where empty
+	Overrides map[string]any `toml:"set"`
+	Expect    []Expect       `toml:"expect"`
 }
 
 // Expect bounds a figure in each play of a case.
 type Expect struct {
 	Figure  string   `toml:"figure"`
 	Variant string   `toml:"variant"` // all where empty
-	Least   *float64 `toml:"least"`
-	Most    *float64 `toml:"most"`
+	Min     *float64 `toml:"least"`
+	Max     *float64 `toml:"most"`
 }
 
 // Figures are what a campaign can look at, by name. One that a play does not have is 0, one that never came about +Inf.
 var Figures = map[string]func(*report.Figures) float64{
 	"served":      func(f *report.Figures) float64 { return f.Served },
-	"late":        func(f *report.Figures) float64 { return f.Ends[report.InTime] },
-	"refused":     func(f *report.Figures) float64 { return f.Ends[report.Refused] + f.Ends[report.HandedBack] },
-	"local":       func(f *report.Figures) float64 { return f.Local },
-	"local_part":  func(f *report.Figures) float64 { return f.Local / math.Max(1e-9, f.LocalMost) },
+	"late":        func(f *report.Figures) float64 { return f.Outcomes[report.Late] },
+	"refused":     func(f *report.Figures) float64 { return f.Outcomes[report.Refused] + f.Outcomes[report.HandedBack] },
+	"local":       func(f *report.Figures) float64 { return f.LocalShare },
+	"local_part":  func(f *report.Figures) float64 { return f.LocalShare / math.Max(1e-9, f.LocalPossible) },
 	"p99":         func(f *report.Figures) float64 { return f.Latency["p99"] },
-	"fell":        func(f *report.Figures) float64 { return float64(f.Fell) },
+	"fell":        func(f *report.Figures) float64 { return float64(f.Overloaded) },
 	"evacuations": most(zones, func(z *report.ZoneFigures) float64 { return float64(z.Evacuations) }),
 	"returns":     most(zones, func(z *report.ZoneFigures) float64 { return float64(z.Returns) }),
-	"left":        most(zones, func(z *report.ZoneFigures) float64 { return float64(z.Left) }),
+	"left":        most(zones, func(z *report.ZoneFigures) float64 { return float64(z.LeftBy) }),
 	// accused is the relays that left a zone that no fault has struck.
 	"accused": most(zones, func(z *report.ZoneFigures) float64 {
-		if z.Hit {
+		if z.Faulted {
 			return 0
 		}
-		return float64(z.Left)
+		return float64(z.LeftBy)
 	}),
-	"cut_off": most(zones, func(z *report.ZoneFigures) float64 { return float64(z.CutOff) }),
+	"cut_off": most(zones, func(z *report.ZoneFigures) float64 { return float64(z.Isolated) }),
 	"zone_back": most(zones, func(z *report.ZoneFigures) float64 {
-		if !z.Hit {
+		if !z.Faulted {
 			return 0
 		}
-		return orNever(z.Back)
+		return orNever(z.Recovery)
 	}),
-	"carried": most(faults, func(x *report.FaultFigures) float64 { return x.Carried }),
-	"back":    most(faults, func(x *report.FaultFigures) float64 { return orNever(x.Back) }),
+	"carried": most(faults, func(x *report.FaultFigures) float64 { return x.DegradedTime }),
+	"back":    most(faults, func(x *report.FaultFigures) float64 { return orNever(x.Recovery) }),
 	// exposed is the most of a new endpoint's share of its destination's calls, until it was held back or for 20 s, new_full
 	// when the last had its whole share, new_failed the calls to them that got an error.
-	"exposed":  most(newcomers, func(n *report.Newcomer) float64 { return n.Exposed }),
-	"new_full": most(newcomers, func(n *report.Newcomer) float64 { return orNever(n.Full) }),
+	"exposed":  most(newcomers, func(n *report.NewEndpoint) float64 { return n.ExposedShare }),
+	"new_full": most(newcomers, func(n *report.NewEndpoint) float64 { return orNever(n.FullAfter) }),
 	"new_failed": func(f *report.Figures) (sum float64) {
-		for _, n := range f.Newcomers {
-			sum += float64(n.Failed)
+		for _, n := range f.NewEndpoints {
+			sum += float64(n.FailedCalls)
 		}
 		return sum
 	},
 	"held": func(f *report.Figures) (n float64) {
-		for _, x := range f.Newcomers {
-			if x.Held != nil {
+		for _, x := range f.NewEndpoints {
+			if x.HeldAfter != nil {
 				n++
 			}
 		}
@@ -117,9 +117,9 @@
 	return *v
 }
 
-func zones(f *report.Figures) []report.ZoneFigures   { return f.Zones }
-func faults(f *report.Figures) []report.FaultFigures { return f.Faults }
-func newcomers(f *report.Figures) []report.Newcomer  { return f.Newcomers }
+func zones(f *report.Figures) []report.ZoneFigures     { return f.Zones }
+func faults(f *report.Figures) []report.FaultFigures   { return f.Faults }
+func newcomers(f *report.Figures) []report.NewEndpoint { return f.NewEndpoints }
 
 // most is the most of a figure over the zones, the faults or the new endpoints of a play; 0 where there are none.
 func most[T any](all func(*report.Figures) []T, of func(*T) float64) func(*report.Figures) float64 {
@@ -133,7 +133,7 @@
 
 // Read reads a campaign strictly; name stands for the file in errors. base gives the text of a scenario by its name.
 func Read(name string, text []byte, base func(string) ([]byte, error)) (*Plan, error) {
-	p := &Plan{Seeds: 5, AtOnce: 1, scenarios: map[[2]string][]byte{}}
+	p := &Plan{Seeds: 5, Parallel: 1, scenarios: map[[2]string][]byte{}}
 	if err := config.Decode(name, text, p); err != nil {
 		return nil, err
 	}
@@ -149,7 +149,7 @@
 	}
 	for _, c := range p.Cases {
 		for _, v := range p.Variants {
-			text, err := with(from, c.Set, v.Set)
+			text, err := with(from, c.Overrides, v.Overrides)
 			if err == nil {
 				_, err = scenario.Parse(p.Base, text)
 			}
@@ -163,7 +163,7 @@
 }
 
 func (p *Plan) check() error {
-	if p.Seeds < 1 || p.AtOnce < 1 || len(p.Cases) == 0 {
+	if p.Seeds < 1 || p.Parallel < 1 || len(p.Cases) == 0 {
 		return errors.New("seeds or at_once is not above 0, or there is no case")
 	}
 	variants, cases := map[string]bool{"": true}, map[string]bool{"": true}
@@ -189,7 +189,7 @@
 				return fmt.Errorf("case %q: there is no figure %q: there are %v", c.Name, e.Figure, slices.Sorted(maps.Keys(Figures)))
 			case !variants[e.Variant]:
 				return fmt.Errorf("case %q: there is no variant %q", c.Name, e.Variant)
-			case e.Least == nil && e.Most == nil:
+			case e.Min == nil && e.Max == nil:
 				return fmt.Errorf("case %q: %s is bound by nothing", c.Name, e.Figure)
 			}
 		}
@@ -238,26 +238,26 @@
 }
 
 // Play is one play that counts, or one that stayed void.
-type Play struct {
-	Case    string             `json:"case"`
-	Variant string             `json:"variant"`
-	Seed    uint64             `json:"seed"`
-	Void    string             `json:"void,omitempty"`
-	Broken  []string           `json:"broken,omitempty"` // rules
-	Missed  []string           `json:"missed,omitempty"` // expectations
-	Figures map[string]float64 `json:"figures"`
-	tries   int
+type RunResult struct {
+	Case              string             `json:"case"`
+	Variant           string             `json:"variant"`
+	Seed              uint64             `json:"seed"`
+	InvalidReason     string             `json:"void,omitempty"`
+	Violations        []string           `json:"broken,omitempty"` // rules
+	UnmetExpectations []string           `json:"missed,omitempty"` // expectations
+	Figures           map[string]float64 `json:"figures"`
+	tries             int
 }
 
 // mostTries of a play that is void: another program had the processors.
 const mostTries = 4
 
 // Player plays a scenario.
-type Player func(context.Context, *scenario.Scenario) (*report.Figures, error)
+type Runner func(context.Context, *scenario.Scenario) (*report.Figures, error)
 
 // Run plays the cases that are named, or all, and tells played of each play in turn. It ends early on the first play
 // that could not be played.
-func (p *Plan) Run(ctx context.Context, cases []string, player Player, played func(Play)) ([]Play, error) {
+func (p *Plan) Run(ctx context.Context, cases []string, player Runner, played func(RunResult)) ([]RunResult, error) {
 	for _, name := range cases {
 		if !slices.ContainsFunc(p.Cases, func(c Case) bool { return c.Name == name }) {
 			return nil, fmt.Errorf("there is no case %q", name)
@@ -265,11 +265,11 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	todo := make(chan Play)
+	todo := make(chan RunResult)
 	var mu sync.Mutex
-	var all []Play
+	var all []RunResult
 	var work sync.WaitGroup
-	for range p.AtOnce {
+	for range p.Parallel {
 		work.Go(func() {
 			for one := range todo {
 				done, err := p.play(ctx, one, player)
@@ -298,7 +298,7 @@
 					continue
 				}
 				select {
-				case todo <- Play{Case: c.Name, Variant: v.Name, Seed: uint64(seed + 1)}:
+				case todo <- RunResult{Case: c.Name, Variant: v.Name, Seed: uint64(seed + 1)}:
 				case <-ctx.Done():
 				}
 			}
@@ -310,7 +310,7 @@
 }
 
 // play plays one until it counts.
-func (p *Plan) play(ctx context.Context, one Play, player Player) (Play, error) {
+func (p *Plan) play(ctx context.Context, one RunResult, player Runner) (RunResult, error) {
 	for one.tries < mostTries {
 		one.tries++
 		s, err := p.Scenario(one.Case, one.Variant, one.Seed)
@@ -321,14 +321,14 @@
 		if err != nil {
 			return one, err
 		}
-		one.Void, one.Broken, one.Missed, one.Figures = f.Verdict.Void, nil, nil, map[string]float64{}
+		one.InvalidReason, one.Violations, one.UnmetExpectations, one.Figures = f.Verdict.InvalidReason, nil, nil, map[string]float64{}
 		for name, of := range Figures {
 			if v := of(f); !math.IsInf(v, 0) { // JSON has none; a figure that is missing never came about
 				one.Figures[name] = v
 			}
 		}
 		for _, x := range f.Verdict.Violations {
-			one.Broken = append(one.Broken, fmt.Sprintf("%s: relay %d, message %s: %s", x.Rule, x.Relay, x.ID, x.Text))
+			one.Violations = append(one.Violations, fmt.Sprintf("%s: relay %d, message %s: %s", x.Rule, x.Relay, x.ID, x.Text))
 		}
 		i := slices.IndexFunc(p.Cases, func(c Case) bool { return c.Name == one.Case })
 		for _, e := range p.Cases[i].Expect {
@@ -336,14 +336,14 @@
 			if e.Variant != "" && e.Variant != one.Variant {
 				continue
 			}
-			if e.Least != nil && !(v >= *e.Least) {
-				one.Missed = append(one.Missed, fmt.Sprintf("%s is %.4g, under %.4g", e.Figure, v, *e.Least))
+			if e.Min != nil && !(v >= *e.Min) {
+				one.UnmetExpectations = append(one.UnmetExpectations, fmt.Sprintf("%s is %.4g, under %.4g", e.Figure, v, *e.Min))
 			}
-			if e.Most != nil && !(v <= *e.Most) {
-				one.Missed = append(one.Missed, fmt.Sprintf("%s is %.4g, over %.4g", e.Figure, v, *e.Most))
+			if e.Max != nil && !(v <= *e.Max) {
+				one.UnmetExpectations = append(one.UnmetExpectations, fmt.Sprintf("%s is %.4g, over %.4g", e.Figure, v, *e.Max))
 			}
 		}
-		if one.Void == "" { // else what it shows may be the lab's own doing
+		if one.InvalidReason == "" { // else what it shows may be the lab's own doing
 			break
 		}
 	}
@@ -353,21 +353,21 @@
 // Row is one figure of a case: the mean and the ends over the plays of a variant, and where there is a first variant to
 // hold it against, the mean of the paired differences with its confidence interval of 95%.
 type Row struct {
-	Case, Variant, Figure  string
-	Plays                  int
-	Mean, Low, High        float64
-	Pairs                  int
-	Diff, DiffLow, DiffUpp float64
+	Case, Variant, Figure   string
+	Runs                    int
+	Mean, Low, High         float64
+	Pairs                   int
+	Diff, DiffLow, DiffHigh float64
 }
 
 // Table sums up plays by case, figure and variant. Void plays are left out, and figures that did not come about in each.
-func (p *Plan) Table(plays []Play, figures []string) (rows []Row) {
+func (p *Plan) Table(plays []RunResult, figures []string) (rows []Row) {
 	for _, c := range p.Cases {
-		by := map[string]map[uint64]Play{}
+		by := map[string]map[uint64]RunResult{}
 		for _, one := range plays {
-			if one.Case == c.Name && one.Void == "" {
+			if one.Case == c.Name && one.InvalidReason == "" {
 				if by[one.Variant] == nil {
-					by[one.Variant] = map[uint64]Play{}
+					by[one.Variant] = map[uint64]RunResult{}
 				}
 				by[one.Variant][one.Seed] = one
 			}
@@ -386,12 +386,12 @@
 						diffs = append(diffs, value-first)
 					}
 				}
-				if row.Plays = len(values); row.Plays == 0 {
+				if row.Runs = len(values); row.Runs == 0 {
 					continue
 				}
 				row.Mean, row.Low, row.High = stat.Mean(values, nil), slices.Min(values), slices.Max(values)
 				if row.Pairs = len(diffs); row.Pairs > 0 {
-					row.Diff, row.DiffLow, row.DiffUpp = compare.Interval(diffs)
+					row.Diff, row.DiffLow, row.DiffHigh = compare.Interval(diffs)
 				}
 				rows = append(rows, row)
 			}
--- a/internal/lab/campaign/campaign_test.go
+++ b/internal/lab/campaign/campaign_test.go
@@ -105,26 +105,26 @@
 		}
 		switch {
 		case side == "b" && s.Seed == 2 && tries[key] < 3:
-			f.Verdict.Void, f.Served = "late", 0
+			f.Verdict.InvalidReason, f.Served = "late", 0
 		case side == "a" && s.Seed == 3 && s.Load.Rate == 50:
-			f.Verdict.Void = "late"
+			f.Verdict.InvalidReason = "late"
 		case side == "b" && s.Seed == 4:
-			f.Served, f.Fell = 0.5, 1
+			f.Served, f.Overloaded = 0.5, 1
 			f.Verdict.Violations = []checker.Violation{{Rule: checker.Lost}}
 		}
 		return f, nil
 	}
-	plays, err := p.Run(t.Context(), nil, player, func(Play) {})
+	plays, err := p.Run(t.Context(), nil, player, func(RunResult) {})
 	if err != nil || len(plays) != 9 {
 		t.Fatalf("%d plays, %v", len(plays), err)
 	}
 	void, missed, broken := 0, 0, 0
 	for _, one := range plays {
-		if one.Void != "" {
+		if one.InvalidReason != "" {
 			void++
 		}
-		missed += len(one.Missed)
-		broken += len(one.Broken)
+		missed += len(one.UnmetExpectations)
+		broken += len(one.Violations)
 	}
 	if void != 1 || missed != 2 || broken != 1 || tries["b2"] != 3 {
 		t.Errorf("%d void, %d missed, %d broken, %d tries of a play that is void at first", void, missed, broken, tries["b2"])
@@ -132,16 +132,16 @@
 	for _, row := range p.Table(plays, []string{"served"}) {
 		if row.Case == "one" && row.Variant == "b" {
 			// Seeds 1 and 2 are 0.1 up, 4 is 0.34 down; 3 has no pair.
-			if row.Plays != 4 || row.Pairs != 3 || math.Abs(row.Diff-(0.1+0.1-0.34)/3) > 1e-9 || row.Low != 0.5 {
+			if row.Runs != 4 || row.Pairs != 3 || math.Abs(row.Diff-(0.1+0.1-0.34)/3) > 1e-9 || row.Low != 0.5 {
 				t.Errorf("%+v", row)
 			}
 		}
 	}
-	if _, err := p.Run(t.Context(), []string{"three"}, player, func(Play) {}); err == nil {
+	if _, err := p.Run(t.Context(), []string{"three"}, player, func(RunResult) {}); err == nil {
 		t.Error("a case that is not there is played")
 	}
 	failing := errors.New("no sockets")
-	if _, err := p.Run(t.Context(), nil, func(context.Context, *scenario.Scenario) (*report.Figures, error) { return nil, failing }, func(Play) {}); !errors.Is(err, failing) {
+	if _, err := p.Run(t.Context(), nil, func(context.Context, *scenario.Scenario) (*report.Figures, error) { return nil, failing }, func(RunResult) {}); !errors.Is(err, failing) {
 		t.Errorf("a play that can't be played: %v", err)
 	}
 }
@@ -149,14 +149,14 @@
 // Of zones only those that a fault has struck can be accused rightly, or come back.
 func TestZoneFigures(t *testing.T) {
 	back := 2.5
-	f := &report.Figures{Zones: []report.ZoneFigures{{Zone: "a", Left: 3}, {Zone: "b", Left: 20, Hit: true, Back: &back}}}
+	f := &report.Figures{Zones: []report.ZoneFigures{{Zone: "a", LeftBy: 3}, {Zone: "b", LeftBy: 20, Faulted: true, Recovery: &back}}}
 	if v := Figures["zone_back"](f); v != back {
 		t.Errorf("back after %v", v)
 	}
 	if v := Figures["accused"](f); v != 3 {
 		t.Errorf("%v accuse a zone that is well", v)
 	}
-	f.Zones[1].Back = nil
+	f.Zones[1].Recovery = nil
 	if v := Figures["zone_back"](f); !math.IsInf(v, 1) {
 		t.Errorf("a zone that never came back is back after %v", v)
 	}
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -72,24 +72,24 @@
 
 // Verdict is what a history shows.
 type Verdict struct {
-	Violations []Violation `json:"violations"`
-	Void       string      `json:"void,omitempty"` // why the run does not count
-	Cut        bool        `json:"cut,omitempty"`  // the history has no end
-	Messages   int         `json:"messages"`       // taken on, and judged to their end
-	Calls      int         `json:"calls"`
+	Violations    []Violation `json:"violations"`
+	InvalidReason string      `json:"void,omitempty"` // why the run does not count
+	Truncated     bool        `json:"cut,omitempty"`  // the history has no end
+	Messages      int         `json:"messages"`       // taken on, and judged to their end
+	Calls         int         `json:"calls"`
 }
 
 // Kept tells whether the run counts and no rule is broken.
-func (v *Verdict) Kept() bool { return len(v.Violations) == 0 && v.Void == "" }
+func (v *Verdict) Passed() bool { return len(v.Violations) == 0 && v.InvalidReason == "" }
 
 // String names the verdict in a word or two.
 func (v *Verdict) String() string {
 	switch {
 	case len(v.Violations) > 0:
 		return fmt.Sprintf("%d broken", len(v.Violations))
-	case v.Void != "":
-		return "void: " + v.Void
-	case v.Cut:
+	case v.InvalidReason != "":
+		return "void: " + v.InvalidReason
+	case v.Truncated:
 		return "kept as far as it goes"
 	}
 	return "kept"
@@ -146,7 +146,7 @@
 
 // checker is one pass over a history.
 type checker struct {
-	facts   *history.Facts
+	facts   *history.Parameters
 	events  []history.Event
 	end     us
 	v       Verdict
@@ -170,13 +170,13 @@
 
 // Check judges a history in the order of time, as history.Read gives it. cut says that it has no end.
 func Check(events []history.Event, cut bool) Verdict {
-	c := &checker{facts: events[0].Facts, events: events, handed: map[key]*handed{}, calls: map[int]*call{},
+	c := &checker{facts: events[0].Parameters, events: events, handed: map[key]*handed{}, calls: map[int]*call{},
 		outages: map[string][]outage{}, orders: map[int]map[string]order{}, told: map[int][]history.Event{}}
-	c.v.Cut = cut
+	c.v.Truncated = cut
 	for range c.facts.Relays {
 		c.lives = append(c.lives, &life{})
 	}
-	c.end = events[len(events)-1].T
+	c.end = events[len(events)-1].Time
 	for i := range events {
 		c.see(&events[i])
 	}
@@ -238,14 +238,14 @@
 		if h := c.latest(e.ID); h != nil {
 			h.lines = append(h.lines, e.Line)
 			if e.Status == "202" || e.Status == "200" {
-				h.taken = e.T
+				h.taken = e.Time
 			} else {
-				h.refused, h.final = e.T, e.Status
+				h.refused, h.final = e.Time, e.Status
 			}
 		}
 	case history.Left:
 		if h := c.latest(e.ID); h != nil {
-			h.left = e.T
+			h.left = e.Time
 			h.lines = append(h.lines, e.Line)
 		}
 	case history.Notice:
@@ -258,20 +258,20 @@
 	case history.Reply, history.Gone, history.Broken:
 		c.seeEnd(e)
 	case history.List:
-		if e.Told {
+		if e.SentToRelay {
 			c.told[of(e)] = append(c.told[of(e)], *e)
 		} else {
 			c.changes = append(c.changes, *e)
 		}
 	case history.Outage:
-		c.outages[e.Host] = append(c.outages[e.Host], outage{from: e.T, back: forever, fell: forever})
+		c.outages[e.Host] = append(c.outages[e.Host], outage{from: e.Time, back: forever, fell: forever})
 	case history.Back, history.Fell:
 		if all := c.outages[e.Host]; len(all) > 0 {
 			o := &all[len(all)-1]
 			if e.Kind == history.Back {
-				o.back, o.rate = e.T, e.Rate
+				o.back, o.rate = e.Time, e.Rate
 			} else {
-				o.fell = min(o.fell, e.T)
+				o.fell = min(o.fell, e.Time)
 			}
 		}
 	case history.Note:
@@ -279,19 +279,19 @@
 	case history.Usage:
 		c.seeUsage(e)
 	case history.View:
-		if e.Oldest >= 1 {
-			c.broken(Stale, of(e), "", fmt.Sprintf("a belief of %.3g times its bound", e.Oldest), e.Line)
+		if e.OldestAgeRatio >= 1 {
+			c.broken(Stale, of(e), "", fmt.Sprintf("a belief of %.3g times its bound", e.OldestAgeRatio), e.Line)
 		}
 	case history.Order:
 		if c.orders[of(e)] == nil {
 			c.orders[of(e)] = map[string]order{}
 		}
-		c.orders[of(e)][e.Zone] = order{from: e.T, until: e.Until}
+		c.orders[of(e)][e.Zone] = order{from: e.Time, until: e.EndTime}
 	case history.Void:
-		c.v.Void = e.What
+		c.v.InvalidReason = e.Detail
 	case history.End:
-		if e.LateN > fewLate && float64(e.LateN) > mostLate*float64(e.Events) {
-			c.v.Void = fmt.Sprintf("the lab itself was late for %d of %d events", e.LateN, e.Events)
+		if e.LateEvents > fewLate && float64(e.LateEvents) > mostLate*float64(e.TimedEvents) {
+			c.v.InvalidReason = fmt.Sprintf("the lab itself was late for %d of %d events", e.LateEvents, e.TimedEvents)
 		}
 	}
 }
@@ -299,7 +299,7 @@
 // latest is a message by its id alone: the hand-in that was last.
 func (c *checker) latest(id string) (found *handed) {
 	for r := range c.facts.Relays {
-		if h := c.handed[key{r, id}]; h != nil && (found == nil || h.in.T > found.in.T) {
+		if h := c.handed[key{r, id}]; h != nil && (found == nil || h.in.Time > found.in.Time) {
 			found = h
 		}
 	}
@@ -313,40 +313,40 @@
 	l := c.lives[of(e)]
 	darken := func() {
 		if n := len(l.dark); n == 0 || l.dark[n-1].to != forever {
-			l.dark = append(l.dark, window{e.T, forever})
+			l.dark = append(l.dark, window{e.Time, forever})
 		}
 	}
-	switch e.What {
+	switch e.Detail {
 	case "started":
 		l.alive++
 	case "term", "killed", "frozen":
 		darken()
-		if e.What == "frozen" {
-			l.stopped = append(l.stopped, window{e.T, forever})
+		if e.Detail == "frozen" {
+			l.stopped = append(l.stopped, window{e.Time, forever})
 		}
 	case "ready", "thawed":
 		if n := len(l.dark); n > 0 && l.dark[n-1].to == forever {
-			l.dark[n-1].to = e.T + history.M(afterStart)
+			l.dark[n-1].to = e.Time + history.ToMicros(afterStart)
 		}
-		if n := len(l.stopped); e.What == "thawed" && n > 0 {
-			l.stopped[n-1].to = e.T + history.M(afterStart)
+		if n := len(l.stopped); e.Detail == "thawed" && n > 0 {
+			l.stopped[n-1].to = e.Time + history.ToMicros(afterStart)
 		}
 	case "ended", "crashed":
 		if l.alive--; l.alive == 0 {
-			l.gaps = append(l.gaps, e.T)
+			l.gaps = append(l.gaps, e.Time)
 		}
-		if e.What == "crashed" {
+		if e.Detail == "crashed" {
 			darken()
 			c.broken(Crash, of(e), "", "the relay ended by itself: "+e.Status, e.Line)
 		}
 	case "refused-start":
 		c.broken(Crash, of(e), "", "the relay did not start", e.Line)
 	case "hup":
-		l.hups = append(l.hups, e.T)
+		l.hups = append(l.hups, e.Time)
 	case "turned":
-		l.turned = append(l.turned, slices.Repeat([]us{e.T}, e.Bytes)...)
+		l.turned = append(l.turned, slices.Repeat([]us{e.Time}, e.Bytes)...)
 	case "wiped":
-		l.wiped = append(l.wiped, e.T)
+		l.wiped = append(l.wiped, e.Time)
 	}
 }
 
@@ -355,7 +355,7 @@
 	for _, l := range c.lives {
 		for i := range l.dark {
 			if w := &l.dark[i]; w.to == forever && l.alive > 0 {
-				w.to = w.from + history.M(afterStart)
+				w.to = w.from + history.ToMicros(afterStart)
 			}
 		}
 	}
@@ -383,7 +383,7 @@
 func (c *checker) seeZone(e *history.Event) {
 	host := c.facts.Hosts[e.Host]
 	o, ordered := c.orders[of(e)][host.Zone]
-	if !ordered || e.Began <= o.from+history.M(leaveWithin) || e.Began >= o.until {
+	if !ordered || e.FirstByte <= o.from+history.ToMicros(leaveWithin) || e.FirstByte >= o.until {
 		return
 	}
 	for _, id := range e.IDs {
@@ -393,7 +393,7 @@
 	}
 	for _, other := range c.facts.Hosts {
 		if other.Dest == host.Dest && other.Zone != host.Zone {
-			c.broken(LeftZone, of(e), firstID(e.IDs), "sent to "+e.Host+" in zone "+host.Zone+", left by order since "+ms(e.Began-o.from), e.Line)
+			c.broken(LeftZone, of(e), firstID(e.IDs), "sent to "+e.Host+" in zone "+host.Zone+", left by order since "+ms(e.FirstByte-o.from), e.Line)
 			return
 		}
 	}
@@ -410,16 +410,16 @@
 	}
 	k.lines = append(k.lines, e.Line)
 	// A connection on which an answer got lost stays open until the relay gives the call up.
-	if e.Kind != history.Broken || e.What == "reset" || e.What == "spoilt" || e.What == "closed" {
-		k.end = min(k.end, e.T)
+	if e.Kind != history.Broken || e.Detail == "reset" || e.Detail == "spoilt" || e.Detail == "closed" {
+		k.end = min(k.end, e.Time)
 	}
 	if e.Kind != history.Reply {
 		return
 	}
-	if e.What == "unknown" {
+	if e.Detail == "unknown" {
 		c.broken(Unknown, of(&k.Event), firstID(k.IDs), "a call with a message that no client handed in in this form", k.lines...)
 	}
-	k.told = e.T
+	k.told = e.Time
 	for i, id := range k.IDs {
 		state := e.Status
 		if i < len(e.States) {
@@ -463,25 +463,25 @@
 		over = h.refused
 	}
 	for _, n := range h.notices {
-		if over == 0 || n.T < over {
-			over = n.T
+		if over == 0 || n.Time < over {
+			over = n.Time
 		}
 	}
 	for i, k := range h.calls {
-		if over > 0 && k.T > over+history.M(slack) {
-			broken(AfterEnd, "sent on "+ms(k.T-over)+" after the relay had ended it", k.lines...)
+		if over > 0 && k.Time > over+history.ToMicros(slack) {
+			broken(AfterEnd, "sent on "+ms(k.Time-over)+" after the relay had ended it", k.lines...)
 		}
 		var ran *call // the first that may have run
 		for _, before := range h.calls[:i] {
-			if before.end > k.T+history.M(slack) && !c.gapBetween(h.relay, before.T, k.T) {
+			if before.end > k.Time+history.ToMicros(slack) && !c.gapBetween(h.relay, before.Time, k.Time) {
 				broken(SecondCopy, "a second attempt while one was out", append(slices.Clone(before.lines), k.lines...)...)
 			}
 			if ran == nil && !before.proven[h.id] {
 				ran = before
 			}
 			told := before.states[h.id] == "delivered" || before.states[h.id] == "over"
-			if told && before.told > 0 && k.T > before.told+history.M(slack) && !c.gapBetween(h.relay, before.told, k.T) {
-				broken(AfterEnd, "sent again "+ms(k.T-before.told)+" after it was answered as over", append(slices.Clone(before.lines), k.lines...)...)
+			if told && before.told > 0 && k.Time > before.told+history.ToMicros(slack) && !c.gapBetween(h.relay, before.told, k.Time) {
+				broken(AfterEnd, "sent again "+ms(k.Time-before.told)+" after it was answered as over", append(slices.Clone(before.lines), k.lines...)...)
 			}
 		}
 		if ran != nil {
@@ -502,7 +502,7 @@
 	if h.taken == 0 || h.left > 0 || slices.ContainsFunc(l.wiped, func(t us) bool { return t > h.taken }) {
 		return
 	}
-	due := h.in.T + h.in.Left + history.M(endWithin+slack)
+	due := h.in.Time + h.in.TimeLeft + history.ToMicros(endWithin+slack)
 	for _, w := range append(slices.Clone(l.dark), l.stopped...) {
 		if due >= w.from && due <= w.to {
 			due = w.to
@@ -510,7 +510,7 @@
 	}
 	end := forever
 	for _, n := range h.notices {
-		end = min(end, n.T)
+		end = min(end, n.Time)
 	}
 	for _, k := range h.calls {
 		if k.states[h.id] == "delivered" && k.told <= c.fateOf(k) {
@@ -527,7 +527,7 @@
 	case due > c.end: // the history does not go so far
 	case c.costs(l, h.taken, due): // a bit that turned may cost the record that it is in
 	case end == forever:
-		lost("taken on, and never ended; its end was due " + ms(due-h.in.T) + " after it was handed in")
+		lost("taken on, and never ended; its end was due " + ms(due-h.in.Time) + " after it was handed in")
 	default:
 		lost("taken on, and ended " + ms(end-due) + " too late")
 	}
@@ -540,7 +540,7 @@
 	if len(k.IDs) > 1 {
 		for _, id := range k.IDs {
 			if h := c.handed[key{of(&k.Event), id}]; h != nil {
-				until = min(until, h.in.T+h.in.Left+history.M(slack))
+				until = min(until, h.in.Time+h.in.TimeLeft+history.ToMicros(slack))
 			}
 		}
 	}
@@ -563,7 +563,7 @@
 	case "fragile":
 		return "sent again though an attempt may have run, and its class may never be repeated"
 	case "dedup":
-		if age := k.T - ran.T; age > h.class.Memory+history.M(slack) {
+		if age := k.Time - ran.Time; age > h.class.Memory+history.ToMicros(slack) {
 			return "sent again " + ms(age) + " after an attempt that may have run; receivers remember it for " + ms(h.class.Memory)
 		}
 		if h.class.Group == "zone" && c.facts.Hosts[k.Host].Zone != c.facts.Hosts[ran.Host].Zone {
@@ -583,12 +583,12 @@
 		back = h.refused
 	}
 	for _, n := range h.notices {
-		if n.Status == "deferred" && (back == 0 || n.T < back) {
-			back = n.T
+		if n.Status == "deferred" && (back == 0 || n.Time < back) {
+			back = n.Time
 		}
 	}
 	for _, k := range h.calls {
-		if back > 0 && k.T < back && !k.proven[h.id] {
+		if back > 0 && k.Time < back && !k.proven[h.id] {
 			broken("handed back though an attempt may have run, and its class forbids a repeat")
 			return
 		}
@@ -598,7 +598,7 @@
 // gapBetween tells whether a relay had a moment without a process, after which it may not know what it was told. What
 // was written to a process that had just ended counts as well: the lab sees that a little late.
 func (c *checker) gapBetween(relay int, from, to us) bool {
-	return slices.ContainsFunc(c.lives[relay].gaps, func(t us) bool { return t >= from-history.M(slack) && t <= to })
+	return slices.ContainsFunc(c.lives[relay].gaps, func(t us) bool { return t >= from-history.ToMicros(slack) && t <= to })
 }
 
 // judgeWaits looks at the calls to destinations in a told wait.
@@ -610,15 +610,15 @@
 	type at struct{ relay, dest int }
 	waits := map[at][]wait{}
 	for _, e := range c.events {
-		if k := c.calls[e.Call]; e.Kind == history.Reply && e.After > 0 && k != nil {
+		if k := c.calls[e.Call]; e.Kind == history.Reply && e.RetryAfter > 0 && k != nil {
 			a := at{of(&k.Event), c.facts.Hosts[k.Host].Dest}
-			waits[a] = append(waits[a], wait{e.T, e.T + e.After, k})
+			waits[a] = append(waits[a], wait{e.Time, e.Time + e.RetryAfter, k})
 		}
 	}
 	for _, k := range c.ordered {
 		for _, w := range waits[at{of(&k.Event), c.facts.Hosts[k.Host].Dest}] {
-			if k.T > w.from+history.M(passWait) && k.T < w.to-history.M(slack) && !c.gapBetween(of(&k.Event), w.from, k.T) {
-				c.broken(Wait, of(&k.Event), firstID(k.IDs), "sent "+ms(k.T-w.from)+" into a told wait of "+ms(w.to-w.from),
+			if k.Time > w.from+history.ToMicros(passWait) && k.Time < w.to-history.ToMicros(slack) && !c.gapBetween(of(&k.Event), w.from, k.Time) {
+				c.broken(Wait, of(&k.Event), firstID(k.IDs), "sent "+ms(k.Time-w.from)+" into a told wait of "+ms(w.to-w.from),
 					append(slices.Clone(w.by.lines), k.lines...)...)
 				break
 			}
@@ -647,23 +647,23 @@
 			if h.Health == "SERVING" {
 				named[h.Host] = true
 				if all := gone[h.Host]; len(all) > 0 {
-					all[len(all)-1].back = e.T
+					all[len(all)-1].back = e.Time
 				}
 			} else {
-				gone[h.Host] = append(gone[h.Host], leaving{e.T, e.Line, forever})
+				gone[h.Host] = append(gone[h.Host], leaving{e.Time, e.Line, forever})
 			}
 		}
 	}
 	for _, k := range c.ordered {
 		relay := of(&k.Event)
-		if named[k.Host] && !c.heardOf(relay, k.Host, k.Began) {
+		if named[k.Host] && !c.heardOf(relay, k.Host, k.FirstByte) {
 			c.broken(WrongHost, relay, firstID(k.IDs), "sent to "+k.Host+", which the relay's list never had", k.lines...)
 		}
 		for _, l := range gone[k.Host] {
 			told, line := c.toldOf(relay, k.Host, l.at)
-			limit := told + c.facts.DrainGrace + history.M(slack)
-			if k.Began > limit && k.Began < l.back {
-				c.broken(Drain, relay, firstID(k.IDs), "sent to "+k.Host+" "+ms(k.Began-told)+" after the relay was told that it drains or is gone",
+			limit := told + c.facts.DrainGrace + history.ToMicros(slack)
+			if k.FirstByte > limit && k.FirstByte < l.back {
+				c.broken(Drain, relay, firstID(k.IDs), "sent to "+k.Host+" "+ms(k.FirstByte-told)+" after the relay was told that it drains or is gone",
 					append([]int{l.line, line}, k.lines...)...)
 				break
 			}
@@ -674,25 +674,25 @@
 // heardOf tells whether a relay was told of an endpoint before a moment.
 func (c *checker) heardOf(relay int, host string, by us) bool {
 	return slices.ContainsFunc(c.told[relay], func(e history.Event) bool {
-		return e.T <= by && slices.ContainsFunc(e.Hosts, func(h history.Listed) bool { return h.Host == host && h.Health != "DELETED" })
+		return e.Time <= by && slices.ContainsFunc(e.Hosts, func(h history.ListEntry) bool { return h.Host == host && h.Health != "DELETED" })
 	})
 }
 
 // toldOf is when a relay counts as told of a change that was made at a moment, and the line that shows it.
 func (c *checker) toldOf(relay int, host string, at us) (us, int) {
-	told, line := at+history.M(toldAfter), 0
+	told, line := at+history.ToMicros(toldAfter), 0
 	l := c.lives[relay]
 	for _, hup := range l.hups {
 		if hup >= at {
-			told = min(told, hup+history.M(toldReload))
+			told = min(told, hup+history.ToMicros(toldReload))
 		}
 	}
 	for _, e := range c.told[relay] {
-		names := e.What == "whole" || slices.ContainsFunc(e.Hosts, func(h history.Listed) bool { return h.Host == host && h.Health != "SERVING" })
-		takenIn := !slices.ContainsFunc(l.gaps, func(t us) bool { return t >= e.T && t <= e.T+history.M(lostWithin) })
-		if e.T >= at && names && takenIn && !c.listsServing(e, host) {
-			if e.T < told {
-				told, line = e.T, e.Line
+		names := e.Detail == "whole" || slices.ContainsFunc(e.Hosts, func(h history.ListEntry) bool { return h.Host == host && h.Health != "SERVING" })
+		takenIn := !slices.ContainsFunc(l.gaps, func(t us) bool { return t >= e.Time && t <= e.Time+history.ToMicros(lostWithin) })
+		if e.Time >= at && names && takenIn && !c.listsServing(e, host) {
+			if e.Time < told {
+				told, line = e.Time, e.Line
 			}
 			break
 		}
@@ -700,14 +700,14 @@
 	// A machine that was lost is told anew.
 	for _, wiped := range l.wiped {
 		if wiped > told {
-			told = wiped + history.M(toldAfter)
+			told = wiped + history.ToMicros(toldAfter)
 		}
 	}
 	return told, line
 }
 
 func (c *checker) listsServing(e history.Event, host string) bool {
-	return slices.ContainsFunc(e.Hosts, func(h history.Listed) bool { return h.Host == host && h.Health == "SERVING" })
+	return slices.ContainsFunc(e.Hosts, func(h history.ListEntry) bool { return h.Host == host && h.Health == "SERVING" })
 }
 
 // judgeCold looks whether endpoints that came back cold were pushed over by relays that had seen them fail.
@@ -724,24 +724,24 @@
 			}
 			saw := map[int]bool{}
 			for _, k := range at[host] {
-				if k.T >= o.from && k.T < o.back && !slices.Contains([]string{"200"}, status(k)) && k.end < forever {
+				if k.Time >= o.from && k.Time < o.back && !slices.Contains([]string{"200"}, status(k)) && k.end < forever {
 					saw[of(&k.Event)] = true
 				}
-				if k.T < o.from && k.end >= o.from && k.end < o.back && k.told == 0 {
+				if k.Time < o.from && k.end >= o.from && k.end < o.back && k.told == 0 {
 					saw[of(&k.Event)] = true // it was out when the outage began, and broke
 				}
 			}
 			var window []*call
 			for _, k := range at[host] {
-				if k.T < o.back || k.T > min(o.back+f.RampTime, o.fell) {
+				if k.Time < o.back || k.Time > min(o.back+f.RampTime, o.fell) {
 					continue
 				}
 				window = append(window, k)
-				for window[0].T < k.T-f.OverloadFor {
+				for window[0].Time < k.Time-f.OverloadFor {
 					window = window[1:]
 				}
-				warmth := math.Min(1, f.ColdShare+(1-f.ColdShare)*float64(k.T-o.back)/float64(f.RampTime))
-				budget := f.OverloadFactor * o.rate * warmth * f.OverloadFor.D().Seconds()
+				warmth := math.Min(1, f.ColdShare+(1-f.ColdShare)*float64(k.Time-o.back)/float64(f.RampTime))
+				budget := f.OverloadFactor * o.rate * warmth * f.OverloadFor.Duration().Seconds()
 				if float64(len(window)) <= budget+coldSlack*math.Sqrt(budget) {
 					continue
 				}
@@ -754,7 +754,7 @@
 				}
 				if float64(knew) >= knowing*float64(len(window)) {
 					c.broken(PushedOver, of(&k.Event), "", fmt.Sprintf("%s got %d calls within %s, %.0f at most, %s after its return; %d came from relays that had seen it fail",
-						host, len(window), ms(f.OverloadFor), budget, ms(k.T-o.back), knew), lines...)
+						host, len(window), ms(f.OverloadFor), budget, ms(k.Time-o.back), knew), lines...)
 					break
 				}
 			}
@@ -780,7 +780,7 @@
 		if e.Kind != history.Peer {
 			continue
 		}
-		if e.What == "came" {
+		if e.Detail == "came" {
 			came[e.Peer] = e
 			continue
 		}
@@ -789,20 +789,20 @@
 			continue
 		}
 		delete(came, e.Peer)
-		took := e.T - begun.T
-		code, _ := strconv.Atoi(e.What)
+		took := e.Time - begun.Time
+		code, _ := strconv.Atoi(e.Detail)
 		excused := slices.ContainsFunc(append(slices.Clone(c.lives[of(&e)].dark), c.lives[of(&e)].stopped...), func(w window) bool {
-			return begun.T <= w.to && e.T >= w.from
+			return begun.Time <= w.to && e.Time >= w.from
 		})
 		switch {
 		case excused:
 		case code >= 200 && code < 300:
-			c.broken(PeerLeft, of(&e), "", "a malformed peer was answered "+e.What, begun.Line, e.Line)
-		case e.What == "left waiting" || took > history.M(peerWithin+slack):
+			c.broken(PeerLeft, of(&e), "", "a malformed peer was answered "+e.Detail, begun.Line, e.Line)
+		case e.Detail == "left waiting" || took > history.ToMicros(peerWithin+slack):
 			c.broken(PeerLeft, of(&e), "", "a malformed peer had neither an error nor a close after "+ms(took), begun.Line, e.Line)
 		}
 	}
 }
 
 // ms writes a time.
-func ms(t us) string { return t.D().Round(time.Millisecond).String() }
+func ms(t us) string { return t.Duration().Round(time.Millisecond).String() }
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -23,7 +23,7 @@
 func plant() *planted {
 	p := &planted{}
 	sec := func(s float64) us { return us(s * 1e6) }
-	p.add(0, history.Event{Kind: history.Run, Facts: &history.Facts{Relays: 3, MaxAttempts: 8, DrainGrace: sec(2), ColdShare: 0.25, RampTime: sec(8),
+	p.add(0, history.Event{Kind: history.Run, Parameters: &history.Parameters{Relays: 3, MaxAttempts: 8, DrainGrace: sec(2), ColdShare: 0.25, RampTime: sec(8),
 		OverloadFactor: 2, OverloadFor: sec(2), MemoryMB: 100, DiskMB: 3, Sockets: 100,
 		Classes: map[string]history.Class{
 			"status":  {Effect: "retryable", Deadline: sec(10)},
@@ -35,13 +35,13 @@
 }
 
 func (p *planted) add(at time.Duration, e history.Event) *planted {
-	e.T, e.Line = history.M(at), len(p.events)+1
+	e.Time, e.Line = history.ToMicros(at), len(p.events)+1
 	p.events = append(p.events, e)
 	return p
 }
 
 func (p *planted) relay(at time.Duration, what string) *planted {
-	return p.add(at, history.Event{Kind: history.Relay, Relay: history.N(relay), What: what})
+	return p.add(at, history.Event{Kind: history.Relay, Relay: history.IntPtr(relay), Detail: what})
 }
 
 // taken hands a message in and has it taken on at once; it is given up 10 s later.
@@ -51,7 +51,7 @@
 }
 
 func (p *planted) handed(at time.Duration, id, class string) *planted {
-	return p.add(at, history.Event{Kind: history.HandIn, ID: id, Msg: 1, Relay: history.N(relay), Class: class, Dest: history.N(7), Left: 10e6})
+	return p.add(at, history.Event{Kind: history.HandIn, ID: id, Message: 1, Relay: history.IntPtr(relay), Class: class, Dest: history.IntPtr(7), TimeLeft: 10e6})
 }
 
 // call makes a call that stays out.
@@ -61,12 +61,12 @@
 
 func (p *planted) callOf(r int, at time.Duration, host string, ids ...string) *planted {
 	p.calls++
-	return p.add(at, history.Event{Kind: history.Call, Call: p.calls, Relay: history.N(r), Host: host, IDs: ids, Began: history.M(at)})
+	return p.add(at, history.Event{Kind: history.Call, Call: p.calls, Relay: history.IntPtr(r), Host: host, IDs: ids, FirstByte: history.ToMicros(at)})
 }
 
 // reply answers the latest call.
 func (p *planted) reply(at time.Duration, status string, wait time.Duration) *planted {
-	return p.add(at, history.Event{Kind: history.Reply, Call: p.calls, Status: status, After: history.M(wait)})
+	return p.add(at, history.Event{Kind: history.Reply, Call: p.calls, Status: status, RetryAfter: history.ToMicros(wait)})
 }
 
 func (p *planted) gone(at time.Duration) *planted {
@@ -74,22 +74,22 @@
 }
 
 func (p *planted) notice(at time.Duration, id, status string) *planted {
-	return p.add(at, history.Event{Kind: history.Notice, Relay: history.N(relay), ID: id, Status: status})
+	return p.add(at, history.Event{Kind: history.Notice, Relay: history.IntPtr(relay), ID: id, Status: status})
 }
 
 func (p *planted) list(at time.Duration, host, health string, told ...time.Duration) *planted {
-	hosts := []history.Listed{{Host: host, Health: health}}
+	hosts := []history.ListEntry{{Host: host, Health: health}}
 	p.add(at, history.Event{Kind: history.List, Hosts: hosts})
 	for _, t := range told {
-		p.add(t, history.Event{Kind: history.List, Relay: history.N(relay), Told: true, Hosts: hosts})
+		p.add(t, history.Event{Kind: history.List, Relay: history.IntPtr(relay), SentToRelay: true, Hosts: hosts})
 	}
 	return p
 }
 
 // check judges what was planted, with an end at a moment.
 func (p *planted) check(end time.Duration) Verdict {
-	p.add(end, history.Event{Kind: history.End, Events: 1000})
-	slices.SortStableFunc(p.events, func(a, b history.Event) int { return int(a.T - b.T) })
+	p.add(end, history.Event{Kind: history.End, TimedEvents: 1000})
+	slices.SortStableFunc(p.events, func(a, b history.Event) int { return int(a.Time - b.Time) })
 	return Check(p.events, false)
 }
 
@@ -128,7 +128,7 @@
 				if i < knowing {
 					r = relay
 				}
-				p.add(19*s, history.Event{Kind: history.HandIn, ID: id, Msg: 10 + i, Relay: history.N(r), Class: "status", Dest: history.N(7), Left: 10e6})
+				p.add(19*s, history.Event{Kind: history.HandIn, ID: id, Message: 10 + i, Relay: history.IntPtr(r), Class: "status", Dest: history.IntPtr(7), TimeLeft: 10e6})
 				p.callOf(r, at, "h1", id).reply(at, "200", 0)
 			}
 		}
@@ -180,10 +180,10 @@
 			p.taken(s, "m", "status").call(2*s, "h1", "m").gone(2*s+140*mil).call(2*s+100*mil, "h2", "m").reply(3*s, "200", 0)
 		}},
 		{SecondCopy, "an answer that got lost", func(p *planted) {
-			p.taken(s, "m", "status").call(2*s, "h1", "m").add(3*s, history.Event{Kind: history.Broken, Call: 1, What: "lost"})
+			p.taken(s, "m", "status").call(2*s, "h1", "m").add(3*s, history.Event{Kind: history.Broken, Call: 1, Detail: "lost"})
 			p.call(4*s, "h2", "m").reply(4*s, "200", 0)
 		}, func(p *planted) {
-			p.taken(s, "m", "status").call(2*s, "h1", "m").add(3*s, history.Event{Kind: history.Broken, Call: 1, What: "reset"})
+			p.taken(s, "m", "status").call(2*s, "h1", "m").add(3*s, history.Event{Kind: history.Broken, Call: 1, Detail: "reset"})
 			p.call(4*s, "h2", "m").reply(4*s, "200", 0)
 		}},
 		{Attempts, "a ninth", many(9), many(8)},
@@ -254,7 +254,7 @@
 		{PushedOver, "too much", cold(17, 17), cold(16, 16)},
 		{PushedOver, "by relays that knew", cold(17, 12), cold(17, 11)},
 		{Unknown, "nobody's", func(p *planted) {
-			p.call(s, "h1", "x").add(s, history.Event{Kind: history.Reply, Call: 1, Status: "400", What: "unknown"})
+			p.call(s, "h1", "x").add(s, history.Event{Kind: history.Reply, Call: 1, Status: "400", Detail: "unknown"})
 		}, func(p *planted) {
 			p.taken(s, "x", "status").call(2*s, "h1", "x").reply(2*s, "400", 0).notice(3*s, "x", "undeliverable")
 		}},
@@ -263,27 +263,35 @@
 		}, func(p *planted) {
 			p.taken(s, "m", "status").callOf(relay, 2*s, "h1", "m").reply(2*s, "200", 0).notice(3*s, "m", "undeliverable")
 		}},
-		{NoteTooLong, "one", func(p *planted) { p.add(s, history.Event{Kind: history.Note, Relay: history.N(relay), Bytes: 257}) }, func(*planted) {}},
+		{NoteTooLong, "one", func(p *planted) {
+			p.add(s, history.Event{Kind: history.Note, Relay: history.IntPtr(relay), Bytes: 257})
+		}, func(*planted) {}},
 		{PeerLeft, "late", func(p *planted) { p.peer(s, "came").peer(4*s+60*mil, "closed") },
 			func(p *planted) { p.peer(s, "came").peer(4*s+40*mil, "closed") }},
 		{PeerLeft, "taken on", func(p *planted) { p.peer(s, "came").peer(2*s, "202") }, func(p *planted) { p.peer(s, "came").peer(2*s, "400") }},
 		{Crash, "by itself", func(p *planted) { p.relay(0, "started").relay(s, "crashed") }, func(p *planted) { p.relay(0, "started").relay(s, "term").relay(s, "ended") }},
 		{Crash, "no start", func(p *planted) { p.relay(0, "started").relay(s, "refused-start") }, func(p *planted) { p.relay(0, "started").relay(s, "ready") }},
 		{LeftZone, "to a zone that is left", func(p *planted) {
-			p.add(s, history.Event{Kind: history.Order, Relay: history.N(relay), What: "evacuate", Zone: "a", Until: us(9e6)})
+			p.add(s, history.Event{Kind: history.Order, Relay: history.IntPtr(relay), Detail: "evacuate", Zone: "a", EndTime: us(9e6)})
 			p.taken(s, "m", "status").call(2*s, "h1", "m").reply(2100*mil, "200", 0)
 		}, func(p *planted) {
-			p.add(s, history.Event{Kind: history.Order, Relay: history.N(relay), What: "evacuate", Zone: "a", Until: us(9e6)})
+			p.add(s, history.Event{Kind: history.Order, Relay: history.IntPtr(relay), Detail: "evacuate", Zone: "a", EndTime: us(9e6)})
 			p.taken(s, "m", "status").call(1400*mil, "h1", "m").reply(1500*mil, "200", 0)
 			p.taken(s, "n", "status").call(2*s, "h2", "n").reply(2100*mil, "200", 0)
 		}},
-		{Stale, "past its bound", func(p *planted) { p.add(s, history.Event{Kind: history.View, Relay: history.N(relay), Oldest: 1}) },
-			func(p *planted) { p.add(s, history.Event{Kind: history.View, Relay: history.N(relay), Oldest: 0.999}) }},
-		{Limits, "disk", func(p *planted) { p.add(s, history.Event{Kind: history.Usage, Relay: history.N(relay), DiskMB: 3.01}) },
+		{Stale, "past its bound", func(p *planted) {
+			p.add(s, history.Event{Kind: history.View, Relay: history.IntPtr(relay), OldestAgeRatio: 1})
+		},
+			func(p *planted) {
+				p.add(s, history.Event{Kind: history.View, Relay: history.IntPtr(relay), OldestAgeRatio: 0.999})
+			}},
+		{Limits, "disk", func(p *planted) {
+			p.add(s, history.Event{Kind: history.Usage, Relay: history.IntPtr(relay), DiskMB: 3.01})
+		},
 			func(p *planted) {
-				p.add(s, history.Event{Kind: history.Usage, Relay: history.N(relay), DiskMB: 3, MemoryMB: 100, FDs: 100})
+				p.add(s, history.Event{Kind: history.Usage, Relay: history.IntPtr(relay), DiskMB: 3, MemoryMB: 100, FDs: 100})
 			}},
-		{Limits, "descriptors", func(p *planted) { p.add(s, history.Event{Kind: history.Usage, Relay: history.N(relay), FDs: 101}) }, func(*planted) {}},
+		{Limits, "descriptors", func(p *planted) { p.add(s, history.Event{Kind: history.Usage, Relay: history.IntPtr(relay), FDs: 101}) }, func(*planted) {}},
 	}
 	tested := map[string]bool{}
 	for _, c := range cases {
@@ -312,15 +320,15 @@
 }
 
 func (p *planted) peer(at time.Duration, what string) *planted {
-	return p.add(at, history.Event{Kind: history.Peer, Peer: 1, Relay: history.N(relay), What: what})
+	return p.add(at, history.Event{Kind: history.Peer, Peer: 1, Relay: history.IntPtr(relay), Detail: what})
 }
 
 // A history that is cut off holds nothing against a relay that it does not show, but what it does show counts.
 func TestCutOff(t *testing.T) {
 	p := plant().taken(time.Second, "m", "status").call(2*time.Second, "other", "m")
 	v := Check(p.events, true)
-	if got := rulesOf(v); !slices.Equal(got, []string{WrongHost}) || !v.Cut {
-		t.Errorf("%v, cut %v", got, v.Cut)
+	if got := rulesOf(v); !slices.Equal(got, []string{WrongHost}) || !v.Truncated {
+		t.Errorf("%v, cut %v", got, v.Truncated)
 	}
 }
 
@@ -331,12 +339,12 @@
 		void         bool
 	}{{1000, 3, false}, {1000, 4, true}, {10000, 10, false}, {10000, 11, true}} {
 		p := plant()
-		p.add(time.Second, history.Event{Kind: history.End, Events: c.events, LateN: c.late})
-		if v := Check(p.events, false); (v.Void != "") != c.void || v.Kept() == c.void {
-			t.Errorf("%d of %d late: void %q, kept %v", c.late, c.events, v.Void, v.Kept())
+		p.add(time.Second, history.Event{Kind: history.End, TimedEvents: c.events, LateEvents: c.late})
+		if v := Check(p.events, false); (v.InvalidReason != "") != c.void || v.Passed() == c.void {
+			t.Errorf("%d of %d late: void %q, kept %v", c.late, c.events, v.InvalidReason, v.Passed())
 		}
 	}
-	if v := plant().add(time.Second, history.Event{Kind: history.Void, What: "no room"}).check(2 * time.Second); v.Void != "no room" {
+	if v := plant().add(time.Second, history.Event{Kind: history.Void, Detail: "no room"}).check(2 * time.Second); v.InvalidReason != "no room" {
 		t.Errorf("what the lab could not do: %+v", v)
 	}
 }
--- a/internal/lab/clients/clients.go
+++ b/internal/lab/clients/clients.go
@@ -91,7 +91,7 @@
 			break
 		}
 		rng := c.s.Draws(fmt.Sprintf("body %d", a.Msg))
-		m := &message{Arrival: a, deadline: time.Now().Add(a.Class.Deadline.AsDuration()), body: make([]byte, c.s.Load.Bytes)}
+		m := &message{Arrival: a, deadline: time.Now().Add(a.Class.Deadline.AsDuration()), body: make([]byte, c.s.Load.BodyBytes)}
 		for i := range m.body {
 			m.body[i] = byte(rng.Uint32())
 		}
@@ -131,7 +131,7 @@
 	c.events.Add(1)
 	if by > lateAfter {
 		c.late.Add(1)
-		c.h.Add(history.Event{Kind: history.Late, By: history.M(by)})
+		c.h.Add(history.Event{Kind: history.Late, Lateness: history.ToMicros(by)})
 	}
 }
 
@@ -180,7 +180,7 @@
 		after = againAfter
 	}
 	after = min(after, c.s.Rules.MaxRetryAfter.AsDuration())
-	stays := mayStay && c.s.Draw(fmt.Sprintf("returns %d %d", m.Msg, m.handIns)) >= c.s.Load.Returns
+	stays := mayStay && c.s.Draw(fmt.Sprintf("returns %d %d", m.Msg, m.handIns)) >= c.s.Load.ReturnShare
 	if stays || m.handIns >= mostHandIns || time.Until(m.deadline) < after+leastLeft {
 		c.done(m)
 		return
@@ -252,13 +252,13 @@
 	m.id, m.relay = id, relay
 	c.owed[id] = m
 	c.mu.Unlock()
-	patience := c.s.Rules.Patience.AsDuration()
+	patience := c.s.Rules.ClientTimeout.AsDuration()
 	early := leave > 0 && draw("leaves") < leave
 	if early {
 		patience = time.Duration(draw("leaves after") * float64(patience) / 2)
 	}
-	c.h.Add(history.Event{Kind: history.HandIn, ID: id, Msg: m.Msg, Relay: history.N(relay), Class: m.Class.Name,
-		Dest: history.N(m.Dest), Key: m.Key, Left: history.M(left)})
+	c.h.Add(history.Event{Kind: history.HandIn, ID: id, Message: m.Msg, Relay: history.IntPtr(relay), Class: m.Class.Name,
+		Dest: history.IntPtr(m.Dest), Key: m.Key, TimeLeft: history.ToMicros(left)})
 	ctx, cancel := context.WithTimeout(c.ctx, patience)
 	defer cancel()
 	request := encode(m, id, left, mark)
@@ -270,7 +270,7 @@
 		return
 	}
 	if err == nil {
-		c.h.Add(history.Event{Kind: history.Answer, ID: id, Status: strconv.Itoa(r.status), After: history.M(r.after)})
+		c.h.Add(history.Event{Kind: history.Answer, ID: id, Status: strconv.Itoa(r.status), RetryAfter: history.ToMicros(r.after)})
 	}
 	taken := err == nil && (r.status == http.StatusAccepted || r.status == http.StatusOK)
 	if taken {
@@ -295,7 +295,7 @@
 		if early {
 			what = "early"
 		}
-		c.h.Add(history.Event{Kind: history.Left, ID: id, What: what})
+		c.h.Add(history.Event{Kind: history.Left, ID: id, Detail: what})
 		after := time.Duration((0.5 + draw("after")) * float64(frontNotices))
 		// A client whose relay is gone goes to another; the same one is as good as any where it only was slow.
 		c.later(m, c.elsewhere(m, relay), after, "again", early)
--- a/internal/lab/clients/crowd.go
+++ b/internal/lab/clients/crowd.go
@@ -53,7 +53,7 @@
 		return
 	}
 	defer raw.Close()
-	c.h.Add(history.Event{Kind: history.Peer, Peer: no, Relay: history.N(relay), What: "came"})
+	c.h.Add(history.Event{Kind: history.Peer, Peer: no, Relay: history.IntPtr(relay), Detail: "came"})
 	_ = raw.SetDeadline(time.Now().Add(peerWaits))
 	_, _ = io.WriteString(raw, text)
 	var line [12]byte
@@ -66,7 +66,7 @@
 		what = "left waiting"
 	}
 	if c.ctx.Err() == nil {
-		c.h.Add(history.Event{Kind: history.Peer, Peer: no, Relay: history.N(relay), What: what})
+		c.h.Add(history.Event{Kind: history.Peer, Peer: no, Relay: history.IntPtr(relay), Detail: what})
 	}
 }
 
--- a/internal/lab/clients/plan.go
+++ b/internal/lab/clients/plan.go
@@ -37,12 +37,12 @@
 func Plan(s *scenario.Scenario) []Arrival {
 	var bursts, shifts []stretch
 	for i, f := range s.Faults {
-		span := stretch{from: f.At.AsDuration(), to: f.At.AsDuration() + f.For.AsDuration(), factor: f.Size}
+		span := stretch{from: f.At.AsDuration(), to: f.At.AsDuration() + f.Duration.AsDuration(), factor: f.Magnitude}
 		switch f.Kind {
 		case "burst":
 			bursts = append(bursts, span)
 		case "shift":
-			span.relays = s.StruckRelays(i)
+			span.relays = s.AffectedRelays(i)
 			shifts = append(shifts, span)
 		}
 	}
@@ -51,7 +51,7 @@
 		most *= math.Max(1, b.factor)
 	}
 	d := &drawing{s: s, rng: s.Draws("arrivals"), shifts: shifts}
-	d.relays = shares(s, "relays", s.Fleet.Relays, s.Fleet.Spread)
+	d.relays = shares(s, "relays", s.Fleet.Relays, s.Fleet.TrafficSigma)
 	for i := range s.Destinations {
 		for range s.Destinations[i].Count {
 			d.dests = append(d.dests, s.Destinations[i].Share)
@@ -62,8 +62,8 @@
 	}
 	// Thinning: candidates at the highest rate, each kept with the share that the rate of its moment has of that. A
 	// clump counts for all of its messages.
-	single := s.Load.Rate * (1 - s.Load.Clumps)
-	clumps := s.Load.Rate * s.Load.Clumps / float64(s.Load.ClumpSize)
+	single := s.Load.Rate * (1 - s.Load.BurstShare)
+	clumps := s.Load.Rate * s.Load.BurstShare / float64(s.Load.BurstSize)
 	for at := time.Duration(0); ; {
 		at += time.Duration(d.rng.ExpFloat64() / ((single + clumps) * most) * float64(time.Second))
 		if at >= s.Length.AsDuration() {
@@ -83,8 +83,8 @@
 			continue
 		}
 		dest, class := pick(d.rng, d.dests), pick(d.rng, d.classes)
-		for range s.Load.ClumpSize {
-			if then := at + time.Duration(d.rng.Float64()*float64(s.Load.ClumpSpan.AsDuration())); then < s.Length.AsDuration() {
+		for range s.Load.BurstSize {
+			if then := at + time.Duration(d.rng.Float64()*float64(s.Load.BurstSpan.AsDuration())); then < s.Length.AsDuration() {
 				d.add(then, dest, class)
 			}
 		}
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -14,7 +14,7 @@
 // Side is one of two that are compared.
 type Side struct {
 	Name string
-	Play func(seed uint64) (*report.Figures, error)
+	Run  func(seed uint64) (*report.Figures, error)
 }
 
 // Row is one figure: the means of both sides, and the mean difference with its confidence interval of 95%.
@@ -25,10 +25,10 @@
 
 // Result is a comparison.
 type Result struct {
-	Rows   []Row
-	Pairs  int
-	Void   int    // pairs left out, since the lab was late in one of their plays
-	Broken [2]int // rules broken, by side
+	Rows         []Row
+	Pairs        int
+	InvalidPairs int    // pairs left out, since the lab was late in one of their plays
+	Violations   [2]int // rules broken, by side
 }
 
 // figures are what is compared.
@@ -37,12 +37,12 @@
 	of   func(*report.Figures) float64
 }{
 	{"worth served", func(f *report.Figures) float64 { return f.Served }},
-	{"refused", func(f *report.Figures) float64 { return f.Ends[report.Refused] + f.Ends[report.HandedBack] }},
+	{"refused", func(f *report.Figures) float64 { return f.Outcomes[report.Refused] + f.Outcomes[report.HandedBack] }},
 	{"delivered p50 s", func(f *report.Figures) float64 { return f.Latency["p50"] }},
 	{"delivered p99 s", func(f *report.Figures) float64 { return f.Latency["p99"] }},
 	{"attempts a message", func(f *report.Figures) float64 { return f.Attempts }},
-	{"calls turned away", func(f *report.Figures) float64 { return f.Turned }},
-	{"connections a message", func(f *report.Figures) float64 { return f.Connects }},
+	{"calls turned away", func(f *report.Figures) float64 { return f.RejectedShare }},
+	{"connections a message", func(f *report.Figures) float64 { return f.Connections }},
 	{"CPU s a relay", func(f *report.Figures) float64 { return f.CPU.Mean }},
 	{"MB a relay", func(f *report.Figures) float64 { return f.MemoryMB.Mean }},
 }
@@ -54,16 +54,16 @@
 	for seed := uint64(1); seed <= uint64(seeds); seed++ {
 		var pair [2]*report.Figures
 		for _, side := range [][]int{{0, 1}, {1, 0}}[seed%2] {
-			f, err := sides[side].Play(seed)
+			f, err := sides[side].Run(seed)
 			if err != nil {
 				return nil, err
 			}
 			played(seed, side, f)
-			r.Broken[side] += len(f.Verdict.Violations)
+			r.Violations[side] += len(f.Verdict.Violations)
 			pair[side] = f
 		}
-		if pair[0].Verdict.Void != "" || pair[1].Verdict.Void != "" {
-			r.Void++
+		if pair[0].Verdict.InvalidReason != "" || pair[1].Verdict.InvalidReason != "" {
+			r.InvalidPairs++
 			continue
 		}
 		pairs = append(pairs, pair)
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -24,10 +24,10 @@
 func TestPairs(t *testing.T) {
 	var order []int
 	side := func(of int, served float64) Side {
-		return Side{Play: func(seed uint64) (*report.Figures, error) {
+		return Side{Run: func(seed uint64) (*report.Figures, error) {
 			f := &report.Figures{Seed: seed, Served: served + float64(seed)/100}
 			if of == 1 && seed == 3 {
-				f.Verdict.Void = "late"
+				f.Verdict.InvalidReason = "late"
 			}
 			if of == 0 && seed == 1 {
 				f.Verdict.Violations = make([]checker.Violation, 2)
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if row := r.Rows[0]; r.Pairs != 3 || r.Void != 1 || r.Broken != [2]int{2, 0} || math.Abs(row.Diff-0.1) > 1e-9 {
+	if row := r.Rows[0]; r.Pairs != 3 || r.InvalidPairs != 1 || r.Violations != [2]int{2, 0} || math.Abs(row.Diff-0.1) > 1e-9 {
 		t.Errorf("%+v", r)
 	}
 	if order[0] == order[2] || order[0] == order[1] {
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -51,76 +51,76 @@
 
 // Event is one line of a history. Fields that a kind does not have are left out.
 type Event struct {
-	T         Micros            `json:"t"`
-	Kind      string            `json:"kind"`
-	Relay     *int              `json:"relay,omitempty"`
-	ID        string            `json:"id,omitempty"`
-	Msg       int               `json:"msg,omitempty"` // the client's number of the message, over all its hand-ins; from 1
-	Class     string            `json:"class,omitempty"`
-	Dest      *int              `json:"dest,omitempty"`
-	Key       string            `json:"key,omitempty"`
-	Left      Micros            `json:"left,omitempty"` // until the message is given up
-	Status    string            `json:"status,omitempty"`
-	After     Micros            `json:"after,omitempty"` // wait, or when to come again
-	What      string            `json:"what,omitempty"`
-	Call      int               `json:"call,omitempty"` // from 1
-	Host      string            `json:"host,omitempty"`
-	IDs       []string          `json:"ids,omitempty"`
-	States    []string          `json:"states,omitempty"` // of IDs, in their order
-	Began     Micros            `json:"began,omitempty"`  // the call's first byte
-	Seq       int               `json:"seq,omitempty"`
-	Hosts     []Listed          `json:"hosts,omitempty"`
-	Told      bool              `json:"told,omitempty"`
-	Bytes     int               `json:"bytes,omitempty"`
-	Rate      float64           `json:"rate,omitempty"`
-	Of        int               `json:"of,omitempty"`
-	Until     Micros            `json:"until,omitempty"`
-	Peer      int               `json:"peer,omitempty"`
-	MemoryMB  float64           `json:"memory_mb,omitempty"`
-	DiskMB    float64           `json:"disk_mb,omitempty"`
-	CPU       float64           `json:"cpu,omitempty"`
-	FDs       int               `json:"fds,omitempty"`
-	Oldest    float64           `json:"oldest,omitempty"` // the most that an age is of its bound
-	Digest    uint32            `json:"digest,omitempty"`
-	Known     map[string]Micros `json:"known,omitempty"` // since when a closing or an outage has been known
-	Notes     int               `json:"notes,omitempty"` // between relays: sent, one to all counting once, and their bytes
-	NoteBytes int               `json:"note_bytes,omitempty"`
-	Received  int               `json:"received,omitempty"` // notes carried to a relay
-	Beliefs   int               `json:"beliefs,omitempty"`
-	Live      int               `json:"live,omitempty"`
-	Zones     map[string]Zone   `json:"zones,omitempty"`
-	Trials    map[string]Trial  `json:"trials,omitempty"`
-	CutOff    bool              `json:"cut_off,omitempty"`
-	Zone      string            `json:"zone,omitempty"`
-	By        Micros            `json:"by,omitempty"`
-	Events    int               `json:"events,omitempty"`
-	LateN     int               `json:"late,omitempty"`
-	Facts     *Facts            `json:"facts,omitempty"`
+	Time           Micros                `json:"t"`
+	Kind           string                `json:"kind"`
+	Relay          *int                  `json:"relay,omitempty"`
+	ID             string                `json:"id,omitempty"`
+	Message        int                   `json:"msg,omitempty"` // the client's number of the message, over all its hand-ins; from 1
+	Class          string                `json:"class,omitempty"`
+	Dest           *int                  `json:"dest,omitempty"`
+	Key            string                `json:"key,omitempty"`
+	TimeLeft       Micros                `json:"left,omitempty"` // until the message is given up
+	Status         string                `json:"status,omitempty"`
+	RetryAfter     Micros                `json:"after,omitempty"` // wait, or when to come again
+	Detail         string                `json:"what,omitempty"`
+	Call           int                   `json:"call,omitempty"` // from 1
+	Host           string                `json:"host,omitempty"`
+	IDs            []string              `json:"ids,omitempty"`
+	States         []string              `json:"states,omitempty"` // of IDs, in their order
+	FirstByte      Micros                `json:"began,omitempty"`  // the call's first byte
+	Seq            int                   `json:"seq,omitempty"`
+	Hosts          []ListEntry           `json:"hosts,omitempty"`
+	SentToRelay    bool                  `json:"told,omitempty"`
+	Bytes          int                   `json:"bytes,omitempty"`
+	Rate           float64               `json:"rate,omitempty"`
+	FaultIndex     int                   `json:"of,omitempty"`
+	EndTime        Micros                `json:"until,omitempty"`
+	Peer           int                   `json:"peer,omitempty"`
+	MemoryMB       float64               `json:"memory_mb,omitempty"`
+	DiskMB         float64               `json:"disk_mb,omitempty"`
+	CPU            float64               `json:"cpu,omitempty"`
+	FDs            int                   `json:"fds,omitempty"`
+	OldestAgeRatio float64               `json:"oldest,omitempty"` // the most that an age is of its bound
+	Digest         uint32                `json:"digest,omitempty"`
+	KnownSince     map[string]Micros     `json:"known,omitempty"` // since when a closing or an outage has been known
+	GossipSent     int                   `json:"notes,omitempty"` // between relays: sent, one to all counting once, and their bytes
+	GossipBytes    int                   `json:"note_bytes,omitempty"`
+	GossipReceived int                   `json:"received,omitempty"` // notes carried to a relay
+	FactCount      int                   `json:"beliefs,omitempty"`
+	Live           int                   `json:"live,omitempty"`
+	Zones          map[string]ZoneState  `json:"zones,omitempty"`
+	Trials         map[string]TrialState `json:"trials,omitempty"`
+	Isolated       bool                  `json:"cut_off,omitempty"`
+	Zone           string                `json:"zone,omitempty"`
+	Lateness       Micros                `json:"by,omitempty"`
+	TimedEvents    int                   `json:"events,omitempty"`
+	LateEvents     int                   `json:"late,omitempty"`
+	Parameters     *Parameters           `json:"facts,omitempty"`
 
 	Line int `json:"-"` // in the file that it was read from, from 1
 }
 
 // Zone is how a zone fares with a relay: its state, and how often it was left and returned to since the process started.
-type Zone struct {
+type ZoneState struct {
 	State       string `json:"state"`
 	Evacuations int    `json:"evacuations,omitempty"`
 	Returns     int    `json:"returns,omitempty"`
 }
 
 // Trial is how an endpoint that is new on the list fares with a relay: its stage, and how often it was held back.
-type Trial struct {
+type TrialState struct {
 	Stage int `json:"stage"`
 	Holds int `json:"holds,omitempty"`
 }
 
 // Listed is one endpoint of a list, or of a change of one.
-type Listed struct {
+type ListEntry struct {
 	Host   string `json:"host"`
 	Health string `json:"health"`
 }
 
 // Facts is what a checker has to know of the play.
-type Facts struct {
+type Parameters struct {
 	Title          string           `json:"title"`
 	Seed           uint64           `json:"seed"`
 	Relays         int              `json:"relays"`
@@ -134,7 +134,7 @@
 	MemoryMB       float64          `json:"memory_mb"`
 	DiskMB         float64          `json:"disk_mb"`
 	Sockets        int              `json:"sockets"`
-	Length         Micros           `json:"length"`
+	ArrivalsLength Micros           `json:"length"`
 	Zones          []string         `json:"zones,omitempty"` // of the relays, by number
 	Classes        map[string]Class `json:"classes"`
 	Hosts          map[string]Host  `json:"hosts"`
@@ -142,13 +142,13 @@
 
 // Class is what a checker has to know of a class of message.
 type Class struct {
-	Effect    string  `json:"effect"` // "retryable", "dedup" or "fragile"
-	Group     string  `json:"group"`
-	Memory    Micros  `json:"memory"`
-	Aim       Micros  `json:"aim"`
-	Deadline  Micros  `json:"deadline"`
-	Worth     float64 `json:"worth"`
-	LateShare float64 `json:"late_share"`
+	Effect         string  `json:"effect"` // "retryable", "dedup" or "fragile"
+	Group          string  `json:"group"`
+	Memory         Micros  `json:"memory"`
+	Target         Micros  `json:"aim"`
+	Deadline       Micros  `json:"deadline"`
+	Value          float64 `json:"worth"`
+	LateValueShare float64 `json:"late_share"`
 }
 
 // Host is what a checker has to know of an endpoint.
@@ -161,13 +161,13 @@
 type Micros int64
 
 // M turns a duration into microseconds.
-func M(d time.Duration) Micros { return Micros(d.Microseconds()) }
+func ToMicros(d time.Duration) Micros { return Micros(d.Microseconds()) }
 
 // D turns microseconds into a duration.
-func (m Micros) D() time.Duration { return time.Duration(m) * time.Microsecond }
+func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
 // N gives a pointer to a number, for the fields whose 0 means something.
-func N(n int) *int { return &n }
+func IntPtr(n int) *int { return &n }
 
 // Writer writes a history. A write that fails is remembered and given by Close.
 type Writer struct {
@@ -186,18 +186,18 @@
 }
 
 // Now is the time since the run began.
-func (w *Writer) Now() Micros { return M(time.Since(w.begun)) }
+func (w *Writer) Now() Micros { return ToMicros(time.Since(w.begun)) }
 
 // At is the time from the begin of the run to a moment.
-func (w *Writer) At(moment time.Time) Micros { return M(moment.Sub(w.begun)) }
+func (w *Writer) At(moment time.Time) Micros { return ToMicros(moment.Sub(w.begun)) }
 
 // Add writes events; one without a time gets the present one.
 func (w *Writer) Add(events ...Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range events {
-		if e.T == 0 {
-			e.T = w.Now()
+		if e.Time == 0 {
+			e.Time = w.Now()
 		}
 		w.seen = append(w.seen, e)
 		e.Line = len(w.seen)
@@ -230,7 +230,7 @@
 
 // inOrder sorts events by time; those of one moment stay as they were written.
 func inOrder(all []Event) {
-	sort.SliceStable(all, func(i, j int) bool { return all[i].T < all[j].T })
+	sort.SliceStable(all, func(i, j int) bool { return all[i].Time < all[j].Time })
 }
 
 // maxLine bounds a line of a history.
@@ -257,7 +257,7 @@
 	if err := in.Err(); err != nil {
 		return nil, false, err
 	}
-	if len(all) == 0 || all[0].Kind != Run || all[0].Facts == nil {
+	if len(all) == 0 || all[0].Kind != Run || all[0].Parameters == nil {
 		return nil, false, errors.New("line 1: no history: the line that says what was played is missing")
 	}
 	cut = torn != nil || all[len(all)-1].Kind != End
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -15,8 +15,8 @@
 	t.Helper()
 	var out closer
 	w := NewWriter(&out, time.Now())
-	w.Add(Event{T: 1, Kind: Run, Facts: &Facts{Relays: 1}}, Event{T: 30, Kind: Call, Call: 1, IDs: []string{"a"}}, Event{T: 20, Kind: HandIn, ID: "a"},
-		Event{T: 40, Kind: End})
+	w.Add(Event{Time: 1, Kind: Run, Parameters: &Parameters{Relays: 1}}, Event{Time: 30, Kind: Call, Call: 1, IDs: []string{"a"}}, Event{Time: 20, Kind: HandIn, ID: "a"},
+		Event{Time: 40, Kind: End})
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -89,7 +89,7 @@
 	}
 	h := history.NewWriter(file, time.Now())
 	defer func() { err = errors.Join(err, h.Close()) }()
-	h.Add(history.Event{T: 1, Kind: history.Run, Facts: factsOf(s)})
+	h.Add(history.Event{Time: 1, Kind: history.Run, Parameters: factsOf(s)})
 
 	p, err := platform.New(s, h, subnet)
 	if err != nil {
@@ -135,7 +135,7 @@
 	c.Run(plan)
 	clock.Sleep(ctx, settle)
 	notes, noteBytes, received := p.NotesSent()
-	if s.Fleet.Shares {
+	if s.Fleet.ShareFacts {
 		clock.Sleep(ctx, agreeIn)
 		fleet.Look()
 	}
@@ -146,7 +146,7 @@
 	}
 	fleet.Stop()
 	events, late := c.Timed()
-	h.Add(history.Event{Kind: history.End, Events: events, LateN: late, Notes: notes, NoteBytes: noteBytes, Received: received})
+	h.Add(history.Event{Kind: history.End, TimedEvents: events, LateEvents: late, GossipSent: notes, GossipBytes: noteBytes, GossipReceived: received})
 	all := h.Events()
 	return &Result{s, all, checker.Check(all, false)}, nil
 }
@@ -188,15 +188,15 @@
 }
 
 // factsOf is what a checker has to know of a scenario.
-func factsOf(s *scenario.Scenario) *history.Facts {
+func factsOf(s *scenario.Scenario) *history.Parameters {
 	r, f := &s.Rules, &s.Fleet
-	facts := &history.Facts{Title: s.Title, Seed: s.Seed, Relays: f.Relays, MaxAttempts: r.MaxAttempts, Patience: history.M(r.Patience.AsDuration()),
-		DrainGrace: history.M(r.DrainGrace.AsDuration()), ColdShare: r.ColdShare, RampTime: history.M(r.RampTime.AsDuration()), OverloadFactor: r.OverloadFactor,
-		OverloadFor: history.M(r.OverloadFor.AsDuration()), MemoryMB: f.MemoryMB, DiskMB: f.DiskMB, Sockets: f.Sockets, Length: history.M(s.Length.AsDuration()),
+	facts := &history.Parameters{Title: s.Title, Seed: s.Seed, Relays: f.Relays, MaxAttempts: r.MaxAttempts, Patience: history.ToMicros(r.ClientTimeout.AsDuration()),
+		DrainGrace: history.ToMicros(r.DrainGrace.AsDuration()), ColdShare: r.ColdShare, RampTime: history.ToMicros(r.RampTime.AsDuration()), OverloadFactor: r.OverloadFactor,
+		OverloadFor: history.ToMicros(r.OverloadFor.AsDuration()), MemoryMB: f.MemoryMB, DiskMB: f.DiskMB, Sockets: f.Sockets, ArrivalsLength: history.ToMicros(s.Length.AsDuration()),
 		Classes: map[string]history.Class{}, Hosts: map[string]history.Host{}}
 	for _, c := range s.Classes {
-		facts.Classes[c.Name] = history.Class{Effect: c.Effect, Group: c.Group, Memory: history.M(c.Memory.AsDuration()), Aim: history.M(c.Aim.AsDuration()),
-			Deadline: history.M(c.Deadline.AsDuration()), Worth: c.Worth, LateShare: c.LateShare}
+		facts.Classes[c.Name] = history.Class{Effect: c.Effect, Group: c.Group, Memory: history.ToMicros(c.Memory.AsDuration()), Target: history.ToMicros(c.Target.AsDuration()),
+			Deadline: history.ToMicros(c.Deadline.AsDuration()), Value: c.Value, LateValueShare: c.LateValueShare}
 	}
 	for r := range f.Relays {
 		facts.Zones = append(facts.Zones, f.Zone(r))
@@ -227,8 +227,8 @@
 		return
 	}
 	now := t.h.Now()
-	t.h.Add(history.Event{T: now, Kind: history.Fault, What: f.Kind, Zone: f.Zone, Of: i, Until: now + history.M(f.For.AsDuration())})
-	slog.Debug("fault", "kind", f.Kind, "at", f.At.AsDuration(), "for", f.For.AsDuration())
+	t.h.Add(history.Event{Time: now, Kind: history.Fault, Detail: f.Kind, Zone: f.Zone, FaultIndex: i, EndTime: now + history.ToMicros(f.Duration.AsDuration())})
+	slog.Debug("fault", "kind", f.Kind, "at", f.At.AsDuration(), "for", f.Duration.AsDuration())
 	if err := t.strike(ctx, i, f); err != nil && ctx.Err() == nil {
 		slog.Error("fault", "kind", f.Kind, "err", err)
 	}
@@ -237,15 +237,15 @@
 func (t *timeline) strike(ctx context.Context, i int, f *scenario.Fault) error {
 	lasting := func(begin, end func()) error {
 		begin()
-		clock.Sleep(ctx, f.For.AsDuration())
+		clock.Sleep(ctx, f.Duration.AsDuration())
 		end()
 		return nil
 	}
-	struck := t.s.StruckRelays(i)
+	struck := t.s.AffectedRelays(i)
 	switch f.Kind {
 	case "kill", "wipe", "power", "turn":
 		return t.relays(ctx, struck, f, func(r *relays.Relay) error {
-			return r.Kill(ctx, f.For.AsDuration(), func(dir string) error {
+			return r.Kill(ctx, f.Duration.AsDuration(), func(dir string) error {
 				switch f.Kind {
 				case "wipe":
 					err := r.Wipe(dir)
@@ -254,13 +254,13 @@
 				case "power":
 					return r.LosePower(dir)
 				case "turn":
-					return r.Turn(dir, i, int(f.Size))
+					return r.Turn(dir, i, int(f.Magnitude))
 				}
 				return nil
 			})
 		})
 	case "full":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Fill(ctx, f.For.AsDuration()) })
+		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Fill(ctx, f.Duration.AsDuration()) })
 	case "restart":
 		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Restart(ctx) })
 	case "upgrade":
@@ -268,58 +268,58 @@
 	case "clock", "clock-back", "calls-fail", "short-io":
 		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return shimmed(ctx, r, f) })
 	case "evacuate", "restore":
-		line := "zone " + f.Kind + " " + f.Of
+		line := "zone " + f.Kind + " " + f.OrderZone
 		if f.Kind == "evacuate" {
-			line += " " + f.For.AsDuration().String()
+			line += " " + f.Duration.AsDuration().String()
 		}
 		return t.relays(ctx, struck, f, func(r *relays.Relay) error {
 			if err := r.Order(line); err != nil {
 				return err
 			}
 			now := t.h.Now()
-			t.h.Add(history.Event{T: now, Kind: history.Order, Relay: history.N(r.No), What: f.Kind, Zone: f.Of, Until: now + history.M(f.For.AsDuration())})
+			t.h.Add(history.Event{Time: now, Kind: history.Order, Relay: history.IntPtr(r.No), Detail: f.Kind, Zone: f.OrderZone, EndTime: now + history.ToMicros(f.Duration.AsDuration())})
 			return nil
 		})
 	case "reload":
 		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Reload() })
 	case "freeze":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { r.Freeze(ctx, f.For.AsDuration()); return nil })
+		return t.relays(ctx, struck, f, func(r *relays.Relay) error { r.Freeze(ctx, f.Duration.AsDuration()); return nil })
 	case "drain", "release-errors", "release-slow":
 		return t.drain(ctx, i, f)
 	case "cut":
 		return t.cut(ctx, i, f, struck)
 	case "delay":
-		hosts := t.s.StruckHosts(i)
+		hosts := t.s.AffectedEndpoints(i)
 		on := func(r, h int) bool { return slices.Contains(struck, r) && slices.Contains(hosts, h) }
-		return lasting(func() { t.p.Delay(time.Duration(f.Size*float64(time.Second)), on) }, func() { t.p.Delay(0, on) })
+		return lasting(func() { t.p.Delay(time.Duration(f.Magnitude*float64(time.Second)), on) }, func() { t.p.Delay(0, on) })
 	case "drop-notes", "twin-notes":
-		drop, twin := f.Size, 0.0
+		drop, twin := f.Magnitude, 0.0
 		if f.Kind == "twin-notes" {
-			drop, twin = 0, f.Size
+			drop, twin = 0, f.Magnitude
 		}
 		return lasting(func() { each(struck, func(r int) { t.p.SpoilNotes(r, drop, twin) }) },
 			func() { each(struck, func(r int) { t.p.SpoilNotes(r, 0, 0) }) })
 	case "discovery-late", "discovery-silent", "discovery-busy":
 		var late time.Duration
 		if f.Kind == "discovery-late" {
-			late = time.Duration(f.Size * float64(time.Second))
+			late = time.Duration(f.Magnitude * float64(time.Second))
 		}
 		return lasting(func() {
 			each(struck, func(r int) { t.p.Discovery(r, late, f.Kind == "discovery-silent", f.Kind == "discovery-busy") })
 		}, func() { each(struck, func(r int) { t.p.Discovery(r, 0, false, false) }) })
 	case "leave":
-		return lasting(func() { t.c.Change(f.Size, 0) }, func() { t.c.Change(0, 0) })
+		return lasting(func() { t.c.Change(f.Magnitude, 0) }, func() { t.c.Change(0, 0) })
 	case "repeat":
-		return lasting(func() { t.c.Change(0, f.Size) }, func() { t.c.Change(0, 0) })
+		return lasting(func() { t.c.Change(0, f.Magnitude) }, func() { t.c.Change(0, 0) })
 	case "crowd":
-		ctx, cancel := context.WithTimeout(ctx, f.For.AsDuration())
+		ctx, cancel := context.WithTimeout(ctx, f.Duration.AsDuration())
 		defer cancel()
-		t.c.Crowd(ctx, i, struck, f.Size)
+		t.c.Crowd(ctx, i, struck, f.Magnitude)
 		return nil
 	case "burst", "shift": // in the plan
 		return nil
 	}
-	hosts := t.s.StruckHosts(i)
+	hosts := t.s.AffectedEndpoints(i)
 	return lasting(func() { each(hosts, func(h int) { t.p.Strike(i, h, troubleOf(f)) }) },
 		func() { each(hosts, func(h int) { t.p.Relieve(i, h) }) })
 }
@@ -340,17 +340,17 @@
 	case "silent":
 		t.Silent = true
 	case "errors", "release-errors":
-		t.Errors = f.Size
+		t.Errors = f.Magnitude
 	case "slow", "release-slow":
-		t.Slow = f.Size
+		t.Slow = f.Magnitude
 	case "stall":
-		t.Stall = f.Size
+		t.Stall = f.Magnitude
 	case "lose-answers":
-		t.Lose = f.Size
+		t.Lose = f.Magnitude
 	case "reset":
-		t.Reset = f.Size
+		t.Reset = f.Magnitude
 	case "spoil":
-		t.Spoil = f.Size
+		t.Spoil = f.Magnitude
 	}
 	return t
 }
@@ -367,7 +367,7 @@
 			defer mu.Unlock()
 			all = errors.Join(all, err)
 		})
-		if !clock.Sleep(ctx, f.Step.AsDuration()) {
+		if !clock.Sleep(ctx, f.Stagger.AsDuration()) {
 			break
 		}
 	}
@@ -377,26 +377,26 @@
 
 // drain takes endpoints off the list, each with one that takes its place.
 func (t *timeline) drain(ctx context.Context, i int, f *scenario.Fault) error {
-	stays := f.For.AsDuration()
+	stays := f.Duration.AsDuration()
 	if stays == 0 {
 		stays = drainFor
 	}
 	for n, h := range t.s.Hosts {
-		if h.Born != i+1 {
+		if h.AddedByFault != i+1 {
 			continue
 		}
 		if f.Kind != "drain" { // what takes the place is worse
 			t.p.Strike(i, n, troubleOf(f))
 		}
-		if err := errors.Join(t.p.List(n, "SERVING"), t.p.List(h.Old, "DRAINING")); err != nil {
+		if err := errors.Join(t.p.List(n, "SERVING"), t.p.List(h.Replaces, "DRAINING")); err != nil {
 			return err
 		}
 		time.AfterFunc(stays, func() {
 			if ctx.Err() == nil {
-				_ = t.p.List(h.Old, "DELETED")
+				_ = t.p.List(h.Replaces, "DELETED")
 			}
 		})
-		if !clock.Sleep(ctx, f.Step.AsDuration()) {
+		if !clock.Sleep(ctx, f.Stagger.AsDuration()) {
 			return nil
 		}
 	}
@@ -406,7 +406,7 @@
 // cut cuts links. With a zone, those that lead into it or out of it; "to" is then into it, "from" out of it.
 // Otherwise those between the relays and the endpoints that are named.
 func (t *timeline) cut(ctx context.Context, i int, f *scenario.Fault, struck []int) error {
-	hosts := t.s.StruckHosts(i)
+	hosts := t.s.AffectedEndpoints(i)
 	way := func(direction string) bool {
 		return f.Direction == "" || f.Direction == "both" || f.Direction == direction
 	}
@@ -424,7 +424,7 @@
 	}
 	t.p.Cut(1, to, from)
 	t.p.CutNotes(1, between)
-	clock.Sleep(ctx, f.For.AsDuration())
+	clock.Sleep(ctx, f.Duration.AsDuration())
 	t.p.Cut(-1, to, from)
 	t.p.CutNotes(-1, between)
 	return nil
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -82,11 +82,11 @@
 				defer alone.Unlock()
 			}
 			p.result, p.err = Play(ctx, s, o)
-			if p.err != nil || p.result.Verdict.Void == "" {
+			if p.err != nil || p.result.Verdict.InvalidReason == "" {
 				return
 			}
 		}
-		p.err = fmt.Errorf("%d plays are void: %s", mostVoid, p.result.Verdict.Void)
+		p.err = fmt.Errorf("%d plays are void: %s", mostVoid, p.result.Verdict.InvalidReason)
 	}()
 	return p
 }
@@ -153,8 +153,8 @@
 			r := p.end(t)
 			v := r.Verdict
 			if name == "servers" { // without proving themselves, some 25 calls a second go there
-				for _, n := range report.Of(r.Events, v).Newcomers {
-					if n.Held == nil || n.Failed == 0 || n.Failed > 50 {
+				for _, n := range report.Compute(r.Events, v).NewEndpoints {
+					if n.HeldAfter == nil || n.FailedCalls == 0 || n.FailedCalls > 50 {
 						t.Errorf("a version that fails every call: %+v", n)
 					}
 				}
--- a/internal/lab/platform/discovery.go
+++ b/internal/lab/platform/discovery.go
@@ -146,7 +146,7 @@
 func (p *Platform) Known(relay, seq int) Members {
 	first := 0
 	for _, h := range p.s.Hosts {
-		if h.Born == 0 {
+		if h.AddedByFault == 0 {
 			first++
 		}
 	}
@@ -192,7 +192,7 @@
 	p.mu.Lock()
 	p.list = append(p.list, change{time.Now(), host, health})
 	seq := len(p.list)
-	p.h.Add(history.Event{Kind: history.List, Seq: seq, Hosts: []history.Listed{{Host: h.Name, Health: health}}})
+	p.h.Add(history.Event{Kind: history.List, Seq: seq, Hosts: []history.ListEntry{{Host: h.Name, Health: health}}})
 	p.mu.Unlock()
 	for _, a := range p.agents {
 		a.set(func() {})
@@ -222,7 +222,7 @@
 			continue
 		}
 		m.Hosts = append(m.Hosts, entryOf{Host: h.Name, Dial: p.net.Host(relay, no), Site: h.Zone,
-			Class: p.Shape(h.Of.Bulk), Block: h.Dest, Health: health[no], Share: p.weight(&h.Host), BornMS: h.bornMS()})
+			Class: p.Shape(h.Destination.MaxBatch), Block: h.Dest, Health: health[no], Share: p.weight(&h.Host), BornMS: h.bornMS()})
 	}
 	return m
 }
@@ -358,12 +358,12 @@
 	if err != nil {
 		return false
 	}
-	event := history.Event{T: a.p.h.Now(), Kind: history.List, Relay: history.N(a.relay), Seq: seq, Told: true}
+	event := history.Event{Time: a.p.h.Now(), Kind: history.List, Relay: history.IntPtr(a.relay), Seq: seq, SentToRelay: true}
 	for _, h := range m.Hosts {
-		event.Hosts = append(event.Hosts, history.Listed{Host: h.Host, Health: h.Health})
+		event.Hosts = append(event.Hosts, history.ListEntry{Host: h.Host, Health: h.Health})
 	}
 	if m.Whole {
-		event.What = "whole"
+		event.Detail = "whole"
 	}
 	if _, err := w.Write(append(line, '\n')); err != nil {
 		return false
--- a/internal/lab/platform/hosts.go
+++ b/internal/lab/platform/hosts.go
@@ -65,8 +65,8 @@
 
 func newHost(p *Platform, no int) *host {
 	h := &host{p: p, no: no, Host: p.s.Hosts[no], troubles: map[int]Trouble{}}
-	h.listed = h.Born == 0
-	h.workers = make(chan bool, h.Of.Workers)
+	h.listed = h.AddedByFault == 0
+	h.workers = make(chan bool, h.Destination.Workers)
 	return h
 }
 
@@ -115,7 +115,7 @@
 			o.close()
 		} else if before && !after {
 			if err := o.open(); err != nil {
-				h.p.h.Add(history.Event{Kind: history.Void, What: "an endpoint could not come back: " + err.Error()})
+				h.p.h.Add(history.Event{Kind: history.Void, Detail: "an endpoint could not come back: " + err.Error()})
 			}
 		}
 	}
@@ -191,7 +191,7 @@
 	h := c.port.host
 	h.mu.Lock()
 	h.open++
-	crowded := h.Of.Connections > 0 && h.open > h.Of.Connections
+	crowded := h.Destination.Connections > 0 && h.open > h.Destination.Connections
 	h.mu.Unlock()
 	defer func() {
 		h.mu.Lock()
@@ -281,7 +281,7 @@
 		if part != nil {
 			_, _ = c.Write(part)
 		}
-		p.h.Add(history.Event{Kind: history.Broken, Call: call.no, What: what})
+		p.h.Add(history.Event{Kind: history.Broken, Call: call.no, Detail: what})
 		switch what {
 		case "reset":
 			c.reset()
@@ -293,11 +293,11 @@
 	}
 	event := history.Event{Kind: history.Gone, Call: call.no} // where a write failed, the relay alone can be the cause
 	if at, closed := c.closed(); closed {
-		event.T = p.h.At(at)
+		event.Time = p.h.At(at)
 	} else if c.ctx.Err() != nil {
-		event.Kind, event.What = history.Broken, "closed"
+		event.Kind, event.Detail = history.Broken, "closed"
 		if at := c.resetAt.Load(); at != 0 { // what was being served went on until now
-			event.T = p.h.At(time.Unix(0, at))
+			event.Time = p.h.At(time.Unix(0, at))
 		}
 	}
 	p.h.Add(event)
@@ -346,7 +346,7 @@
 		}
 	}
 	ids := map[string]bool{}
-	event := history.Event{T: p.h.At(whole), Kind: history.Call, Relay: history.N(relay), Host: h.Name, Began: p.h.At(began)}
+	event := history.Event{Time: p.h.At(whole), Kind: history.Call, Relay: history.IntPtr(relay), Host: h.Name, FirstByte: p.h.At(began)}
 	known := true
 	p.mu.Lock()
 	p.calls++
@@ -369,10 +369,10 @@
 	p.h.Add(event)
 	switch {
 	case !known:
-		p.h.Add(history.Event{Kind: history.Reply, Call: c.no, Status: "400", What: "unknown"})
+		p.h.Add(history.Event{Kind: history.Reply, Call: c.no, Status: "400", Detail: "unknown"})
 		p.leave(relay)
 		return nil, answer{status: http.StatusBadRequest}
-	case len(items) > h.Of.Bulk:
+	case len(items) > h.Destination.MaxBatch:
 		return c, answer{status: http.StatusRequestEntityTooLarge}
 	case out > p.s.Fleet.Slots:
 		return c, answer{status: http.StatusServiceUnavailable, noSlot: true}
@@ -418,13 +418,13 @@
 	case t.Shut, crowded, !h.refuses.IsZero() && now.After(h.refuses):
 		return full
 	}
-	if wait, ok := h.p.dests[h.Dest].room(h.Of, now); !ok {
-		if h.Of.TellsWait {
+	if wait, ok := h.p.dests[h.Dest].room(h.Destination, now); !ok {
+		if h.Destination.SendsRetryAfter {
 			return answer{status: http.StatusTooManyRequests, wait: wait}
 		}
 		return full
 	}
-	if h.waiting >= h.Of.Queue && len(h.workers) == cap(h.workers) {
+	if h.waiting >= h.Destination.Queue && len(h.workers) == cap(h.workers) {
 		return full
 	}
 	if h.p.s.Draw(fmt.Sprintf("error %s %d", c.msgs[0].ID, c.tries[0])) < t.Errors {
@@ -460,7 +460,7 @@
 
 // service draws the time of a call in seconds: lognormal, by its first message and which of its calls this is.
 func (h *host) service(c *call) float64 {
-	d, mean := h.Of, h.Of.Service.Seconds()*(1+h.Of.ItemCost*float64(len(c.msgs)-1))
+	d, mean := h.Destination, h.Destination.Service.Seconds()*(1+h.Destination.ItemCost*float64(len(c.msgs)-1))
 	if d.ServiceCV == 0 {
 		return mean
 	}
@@ -517,9 +517,9 @@
 	if _, err := c.Conn.Write(out.Bytes()); err != nil {
 		return false
 	}
-	event := history.Event{T: at, Kind: history.Reply, Call: call.no, Status: strconv.Itoa(a.status), After: history.M(a.wait)}
+	event := history.Event{Time: at, Kind: history.Reply, Call: call.no, Status: strconv.Itoa(a.status), RetryAfter: history.ToMicros(a.wait)}
 	if a.noSlot {
-		event.What = "no slot"
+		event.Detail = "no slot"
 	}
 	var done []string
 	for i, id := range call.ids() {
@@ -562,7 +562,7 @@
 			d.tokens--
 			return 0, true
 		}
-		if of.RefusedCount {
+		if of.CountsRefused {
 			d.tokens = math.Max(-depth, d.tokens-1)
 		}
 		return seconds((1 - d.tokens) / of.Rate), false
@@ -571,7 +571,7 @@
 			d.window, d.count = now, 0
 		}
 		fits := d.count+1 <= math.Max(1, of.Rate*of.Window.Seconds())
-		if fits || of.RefusedCount {
+		if fits || of.CountsRefused {
 			d.count++
 		}
 		return d.window.Add(of.Window.AsDuration()).Sub(now), fits
--- a/internal/lab/platform/links.go
+++ b/internal/lab/platform/links.go
@@ -139,7 +139,7 @@
 	_ = o.room(0)
 	c, err := net.DialTimeout("tcp", o.addr, 50*time.Millisecond)
 	if t := net.Error(nil); err != nil && !(errors.As(err, &t) && t.Timeout()) { // else a relay's own connection has the place
-		o.p.h.Add(history.Event{Kind: history.Void, What: "a link could not be cut: " + err.Error()})
+		o.p.h.Add(history.Event{Kind: history.Void, Detail: "a link could not be cut: " + err.Error()})
 	}
 	if err == nil {
 		o.filler[c.LocalAddr().String()] = c
@@ -236,7 +236,7 @@
 		go c.pump()
 		o.conns[c] = true
 		o.mu.Unlock()
-		o.p.h.Add(history.Event{Kind: history.Connect, Relay: history.N(o.relay), Host: o.host.Name})
+		o.p.h.Add(history.Event{Kind: history.Connect, Relay: history.IntPtr(o.relay), Host: o.host.Name})
 		o.p.work.Add(1)
 		go func() {
 			defer o.p.work.Done()
--- a/internal/lab/platform/notes.go
+++ b/internal/lab/platform/notes.go
@@ -107,7 +107,7 @@
 			continue
 		}
 		if size > maxNote {
-			n.p.h.Add(history.Event{Kind: history.Note, Relay: history.N(sender), Bytes: size})
+			n.p.h.Add(history.Event{Kind: history.Note, Relay: history.IntPtr(sender), Bytes: size})
 		}
 		note := append([]byte(nil), buf[:size]...)
 		n.mu.Lock()
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -74,7 +74,7 @@
 	p := &Platform{s: s, h: h, net: subnet, messages: map[string]*entry{}, ranKeys: map[string]time.Time{},
 		out: make([]int, s.Fleet.Relays)}
 	p.ctx, p.stop = context.WithCancel(context.Background())
-	for range s.DestCount() {
+	for range s.DestinationCount() {
 		p.dests = append(p.dests, &dest{})
 	}
 	for i := range s.Hosts {
@@ -147,7 +147,7 @@
 
 // noticed takes in a notice.
 func (p *Platform) noticed(relay int, id, status string, after time.Duration) {
-	p.h.Add(history.Event{Kind: history.Notice, Relay: history.N(relay), ID: id, Status: status, After: history.M(after)})
+	p.h.Add(history.Event{Kind: history.Notice, Relay: history.IntPtr(relay), ID: id, Status: status, RetryAfter: history.ToMicros(after)})
 	p.mu.Lock()
 	e := p.messages[id]
 	fresh := e != nil && !e.over
@@ -178,15 +178,15 @@
 
 // Capacity is the rate in messages a second of an endpoint that is warm.
 func Capacity(h *scenario.Host) float64 {
-	if h.Of.Limit != "none" {
-		return h.Of.Rate / float64(h.Of.Endpoints)
+	if h.Destination.Limit != "none" {
+		return h.Destination.Rate / float64(h.Destination.Endpoints)
 	}
-	return float64(h.Of.Workers) / h.Of.Service.Seconds()
+	return float64(h.Destination.Workers) / h.Destination.Service.Seconds()
 }
 
 // weight is what the list says of an endpoint's destination: calls a second over all relays.
 func (p *Platform) weight(h *scenario.Host) float64 {
-	all := Capacity(h) * float64(h.Of.Endpoints)
+	all := Capacity(h) * float64(h.Destination.Endpoints)
 	switch p.s.Fleet.Weights {
 	case "off":
 		return 1
--- a/internal/lab/relays/config.go
+++ b/internal/lab/relays/config.go
@@ -21,13 +21,13 @@
 func settingsOf(s *scenario.Scenario, p *platform.Platform, relay int) object {
 	var categories []object
 	for _, c := range s.Classes {
-		categories = append(categories, object{"name": c.Name, "aim_s": c.Aim.Seconds(), "deadline_s": c.Deadline.Seconds(),
-			"idempotency": c.Effect, "group": c.Group, "memory_span_s": c.Memory.Seconds(), "points": c.Worth,
-			"late_share": c.LateShare, "stream": false})
+		categories = append(categories, object{"name": c.Name, "aim_s": c.Target.Seconds(), "deadline_s": c.Deadline.Seconds(),
+			"idempotency": c.Effect, "group": c.Group, "memory_span_s": c.Memory.Seconds(), "points": c.Value,
+			"late_share": c.LateValueShare, "stream": false})
 	}
 	var bulks []int
 	for i := range s.Destinations {
-		if b := s.Destinations[i].Bulk; !slices.Contains(bulks, b) {
+		if b := s.Destinations[i].MaxBatch; !slices.Contains(bulks, b) {
 			bulks = append(bulks, b)
 		}
 	}
@@ -40,7 +40,7 @@
 		"family": "deliver", "localities": s.Fleet.Zones, "n_instances": s.Fleet.Relays, "ordinal": relay, "quantum_s": quantum,
 		"limits": object{"cancel": true, "conn_idle_s": s.Fleet.ConnIdle.Seconds(), "connect_timeout_s": s.Fleet.ConnectTime.Seconds(),
 			"max_attempts": r.MaxAttempts, "max_open": s.Fleet.MaxOpen, "max_retry_after_s": r.MaxRetryAfter.Seconds(),
-			"max_streams": 1, "peers": s.Fleet.Notes, "probing": false, "retry_after": true, "second_copies": false},
+			"max_streams": 1, "peers": s.Fleet.Gossip, "probing": false, "retry_after": true, "second_copies": false},
 		"report": object{"columns": []string{}, "via": "off"},
 		"rules": object{"answer_slack_s": 0.3, "ask_within_s": 6.0, "cold_share": r.ColdShare, "drain_grace_s": r.DrainGrace.Seconds(),
 			"overload_factor": r.OverloadFactor, "overload_for_s": r.OverloadFor.Seconds(), "ramp_time_s": r.RampTime.Seconds()},
@@ -63,7 +63,7 @@
 	r.starts++
 	seed := f.s.Draws(fmt.Sprintf("seed %d %d", r.No, r.starts)).Uint64()
 	c := object{"name": fmt.Sprintf("n%d", r.No), "listen": n.Clients(r.No), "admin": n.Admin(r.No, r.starts),
-		"durability": f.s.Fleet.Durability, "fleet": f.s.Fleet.Shares, "zones": f.s.Fleet.Zoned, "newcomers": f.s.Fleet.Newcomers, "discovery": f.p.DiscoveryAddress(r.No), "seed": fmt.Sprintf("%016x", seed),
+		"durability": f.s.Fleet.Durability, "fleet": f.s.Fleet.ShareFacts, "zones": f.s.Fleet.ZoneAware, "newcomers": f.s.Fleet.ProveNewEndpoints, "discovery": f.p.DiscoveryAddress(r.No), "seed": fmt.Sprintf("%016x", seed),
 		"limits": object{"cores": f.s.Fleet.Cores, "memory_mb": f.s.Fleet.MemoryMB, "sockets": f.s.Fleet.Sockets,
 			"disk_mb": f.s.Fleet.DiskMB},
 		"peer_listen": n.PeerListen(r.No), "peers": peers, "peers_all": n.PeersAll(),
--- a/internal/lab/relays/disk.go
+++ b/internal/lab/relays/disk.go
@@ -31,7 +31,7 @@
 	for range bits {
 		raw[draws.IntN(len(raw))] ^= 1 << draws.IntN(8)
 	}
-	r.fleet.h.Add(history.Event{Kind: history.Relay, Relay: history.N(r.No), What: "turned", Bytes: bits})
+	r.fleet.h.Add(history.Event{Kind: history.Relay, Relay: history.IntPtr(r.No), Detail: "turned", Bytes: bits})
 	return os.WriteFile(path, raw, 0o600)
 }
 
--- a/internal/lab/relays/relays.go
+++ b/internal/lab/relays/relays.go
@@ -182,7 +182,7 @@
 }
 
 func (r *Relay) note(what string) {
-	r.fleet.h.Add(history.Event{Kind: history.Relay, Relay: history.N(r.No), What: what})
+	r.fleet.h.Add(history.Event{Kind: history.Relay, Relay: history.IntPtr(r.No), Detail: what})
 }
 
 // launch starts a process.
@@ -226,7 +226,7 @@
 			if !meant {
 				what = "crashed"
 			}
-			f.h.Add(history.Event{Kind: history.Relay, Relay: history.N(r.No), What: what, Status: p.cmd.ProcessState.String()})
+			f.h.Add(history.Event{Kind: history.Relay, Relay: history.IntPtr(r.No), Detail: what, Status: p.cmd.ProcessState.String()})
 		}
 		close(p.exited)
 	})
@@ -471,13 +471,13 @@
 				if e, err := r.usage(p); err == nil {
 					f.h.Add(e)
 				}
-				if f.s.Fleet.Zoned && (n+r.No)%(1+len(f.Relays)/lookAtOnce) == 0 {
+				if f.s.Fleet.ZoneAware && (n+r.No)%(1+len(f.Relays)/lookAtOnce) == 0 {
 					f.work.Go(func() { r.lookAtZones(p) })
 				}
-				if f.s.Fleet.Newcomers {
+				if f.s.Fleet.ProveNewEndpoints {
 					f.work.Go(func() { r.lookAtServers(p) })
 				}
-				if f.s.Fleet.Shares && (n+r.No)%(1+len(f.Relays)/lookAtOnce) == 0 {
+				if f.s.Fleet.ShareFacts && (n+r.No)%(1+len(f.Relays)/lookAtOnce) == 0 {
 					f.work.Go(func() { r.look(p, "") })
 				}
 			}
@@ -519,9 +519,9 @@
 	if !told(p, "zone status", &s) {
 		return
 	}
-	e := history.Event{Kind: history.Zones, Relay: history.N(r.No), CutOff: s.CutOff, Zones: map[string]history.Zone{}}
+	e := history.Event{Kind: history.Zones, Relay: history.IntPtr(r.No), Isolated: s.CutOff, Zones: map[string]history.ZoneState{}}
 	for _, z := range s.Zones {
-		e.Zones[z.Zone] = history.Zone{State: z.State, Evacuations: z.Evacuations, Returns: z.Returns}
+		e.Zones[z.Zone] = history.ZoneState{State: z.State, Evacuations: z.Evacuations, Returns: z.Returns}
 	}
 	r.fleet.h.Add(e)
 }
@@ -538,9 +538,9 @@
 	if !told(p, "servers", &s) || len(s.Servers) == 0 {
 		return
 	}
-	e := history.Event{Kind: history.Servers, Relay: history.N(r.No), Trials: map[string]history.Trial{}}
+	e := history.Event{Kind: history.Servers, Relay: history.IntPtr(r.No), Trials: map[string]history.TrialState{}}
 	for _, t := range s.Servers {
-		e.Trials[t.Endpoint] = history.Trial{Stage: t.Stage, Holds: t.Holds}
+		e.Trials[t.Endpoint] = history.TrialState{Stage: t.Stage, Holds: t.Holds}
 	}
 	r.fleet.h.Add(e)
 }
@@ -571,12 +571,12 @@
 		return
 	}
 	now := r.fleet.h.Now()
-	e := history.Event{Kind: history.View, Relay: history.N(r.No), What: what, Live: len(v.Live), Beliefs: len(v.Beliefs), Digest: v.Digest,
-		Known: map[string]history.Micros{}}
+	e := history.Event{Kind: history.View, Relay: history.IntPtr(r.No), Detail: what, Live: len(v.Live), FactCount: len(v.Beliefs), Digest: v.Digest,
+		KnownSince: map[string]history.Micros{}}
 	for _, b := range v.Beliefs {
-		e.Oldest = max(e.Oldest, b.Age/b.Bound)
+		e.OldestAgeRatio = max(e.OldestAgeRatio, b.Age/b.Bound)
 		if b.Kind == "closed" || b.Kind == "out" {
-			e.Known[b.Kind+" "+b.Key] = now - history.M(time.Duration(b.Known*float64(time.Second)))
+			e.KnownSince[b.Kind+" "+b.Key] = now - history.ToMicros(time.Duration(b.Known*float64(time.Second)))
 		}
 	}
 	r.fleet.h.Add(e)
@@ -584,7 +584,7 @@
 
 // usage reads what a process uses from the system's own accounts.
 func (r *Relay) usage(p *process) (history.Event, error) {
-	e := history.Event{Kind: history.Usage, Relay: history.N(r.No)}
+	e := history.Event{Kind: history.Usage, Relay: history.IntPtr(r.No)}
 	proc := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	var err error
 	if e.MemoryMB, err = procfs.ResidentMB(p.cmd.Process.Pid); err != nil {
--- a/internal/lab/report/files.go
+++ b/internal/lab/report/files.go
@@ -74,8 +74,8 @@
 	}
 	var line plotter.XYs
 	for _, point := range f.Service {
-		if point.Asked > 0 {
-			line = append(line, plotter.XY{X: point.At, Y: point.Served / point.Asked})
+		if point.Offered > 0 {
+			line = append(line, plotter.XY{X: point.At, Y: point.Served / point.Offered})
 		}
 	}
 	if len(line) > 0 {
--- a/internal/lab/report/newcomers.go
+++ b/internal/lab/report/newcomers.go
@@ -11,18 +11,18 @@
 )
 
 // Newcomer is how an endpoint fared that took the place of another. Times are in seconds since it was listed.
-type Newcomer struct {
-	Host string  `json:"host"`
-	At   float64 `json:"at"`
+type NewEndpoint struct {
+	Host   string  `json:"host"`
+	Listed float64 `json:"at"`
 	// Held is when half of the relays that were asked had held it back; none where they never had. Exposed is its share of
 	// its destination's calls until then, or for the first exposedFor.
-	Held    *float64 `json:"held,omitempty"`
-	Exposed float64  `json:"exposed"`
-	Failed  int      `json:"failed"` // of its calls, those that got an error, over the whole play
-	Calls   int      `json:"calls"`
+	HeldAfter    *float64 `json:"held,omitempty"`
+	ExposedShare float64  `json:"exposed"`
+	FailedCalls  int      `json:"failed"` // of its calls, those that got an error, over the whole play
+	Calls        int      `json:"calls"`
 	// Full is when it first got fullShare, in a span of callSpan, of the calls that the one before it had got; none where it
 	// did not.
-	Full *float64 `json:"full,omitempty"`
+	FullAfter *float64 `json:"full,omitempty"`
 }
 
 const (
@@ -32,17 +32,17 @@
 
 // newcomers finds how endpoints that took the place of others fared.
 func (f *Figures) newcomers(events []history.Event) {
-	facts := events[0].Facts
+	facts := events[0].Parameters
 	calls, byNo, failed := map[string][]float64{}, map[int]string{}, map[string]int{}
 	born, order := map[string]float64{}, []string(nil)
 	holds, asked := map[string]map[int]float64{}, map[string]map[int]bool{}
 	for i := range events {
 		e := &events[i]
-		at := e.T.D().Seconds()
+		at := e.Time.Duration().Seconds()
 		switch e.Kind {
 		case history.List:
 			for _, h := range e.Hosts {
-				if _, ok := born[h.Host]; !ok && !e.Told && h.Health == "SERVING" && strings.Contains(h.Host, "-n") {
+				if _, ok := born[h.Host]; !ok && !e.SentToRelay && h.Health == "SERVING" && strings.Contains(h.Host, "-n") {
 					born[h.Host] = at
 					order = append(order, h.Host)
 					holds[h.Host], asked[h.Host] = map[int]float64{}, map[int]bool{}
@@ -68,33 +68,33 @@
 		}
 	}
 	for _, host := range order {
-		n := Newcomer{Host: host, At: born[host], Failed: failed[host], Calls: len(calls[host])}
-		until := n.At + exposedFor.Seconds()
+		n := NewEndpoint{Host: host, Listed: born[host], FailedCalls: failed[host], Calls: len(calls[host])}
+		until := n.Listed + exposedFor.Seconds()
 		var times []float64
 		for _, at := range holds[host] {
 			times = append(times, at)
 		}
 		if len(times) > 0 && 2*len(times) >= len(asked[host]) {
 			until = median(times)
-			held := until - n.At
-			n.Held = &held
+			held := until - n.Listed
+			n.HeldAfter = &held
 		}
 		var own, all float64
 		for other, at := range calls {
 			if facts.Hosts[other].Dest == facts.Hosts[host].Dest {
-				c := within(at, n.At, until)
+				c := within(at, n.Listed, until)
 				all += c
 				if other == host {
 					own += c
 				}
 			}
 		}
-		n.Exposed = own / math.Max(1, all)
+		n.ExposedShare = own / math.Max(1, all)
 		before, _, _ := strings.Cut(host, "-n")
-		if usual := usualCalls(calls[before], n.At); usual > 0 {
-			n.Full = regained(calls[host], fullShare*usual, n.At)
+		if usual := usualCalls(calls[before], n.Listed); usual > 0 {
+			n.FullAfter = regained(calls[host], fullShare*usual, n.Listed)
 		}
-		f.Newcomers = append(f.Newcomers, n)
+		f.NewEndpoints = append(f.NewEndpoints, n)
 	}
 }
 
@@ -106,14 +106,14 @@
 
 // newcomersText writes them for a terminal.
 func (f *Figures) newcomersText(line func(name, format string, args ...any)) {
-	for _, n := range f.Newcomers {
+	for _, n := range f.NewEndpoints {
 		fate := "never held back"
-		if n.Held != nil {
-			fate = fmt.Sprintf("held back after %s", seconds(*n.Held))
+		if n.HeldAfter != nil {
+			fate = fmt.Sprintf("held back after %s", seconds(*n.HeldAfter))
 		}
-		if n.Full != nil {
-			fate += fmt.Sprintf(", had the share of the one before it after %s", seconds(*n.Full))
+		if n.FullAfter != nil {
+			fate += fmt.Sprintf(", had the share of the one before it after %s", seconds(*n.FullAfter))
 		}
-		line("new "+n.Host, "at %.1f s, %s; %.1f%% of its destination's calls until then, or in %v; %d of its %d calls failed", n.At, fate, 100*n.Exposed, exposedFor, n.Failed, n.Calls)
+		line("new "+n.Host, "at %.1f s, %s; %.1f%% of its destination's calls until then, or in %v; %d of its %d calls failed", n.Listed, fate, 100*n.ExposedShare, exposedFor, n.FailedCalls, n.Calls)
 	}
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -31,17 +31,17 @@
 // The ends of a message, as the client sees them.
 const (
 	InAim         = "in aim"
-	InTime        = "late"
+	Late          = "late"
 	Refused       = "refused"
 	HandedBack    = "handed back"
 	Undeliverable = "undeliverable"
 	Failed        = "failed"
-	LeftWaiting   = "no answer"
-	NoEnd         = "no end"
+	Unanswered    = "no answer"
+	Unresolved    = "no end"
 )
 
 // Ends are all of them, in the order of a report.
-var Ends = []string{InAim, InTime, Refused, HandedBack, Undeliverable, Failed, LeftWaiting, NoEnd}
+var Outcomes = []string{InAim, Late, Refused, HandedBack, Undeliverable, Failed, Unanswered, Unresolved}
 
 // Figures are what a play comes to. Times are in seconds, shares from 0 to 1.
 type Figures struct {
@@ -50,68 +50,68 @@
 	Relays   int    `json:"relays"`
 	Messages int    `json:"messages"`
 
-	Served   float64            `json:"served"`    // worth served, by the worth asked for
-	Ends     map[string]float64 `json:"ends"`      // shares of the messages
-	ByClass  map[string]float64 `json:"by_class"`  // worth served
-	Latency  map[string]float64 `json:"latency"`   // of the delivered, since they were first handed in
-	Answer   map[string]float64 `json:"answer"`    // of the relays' answers to clients
-	Attempts float64            `json:"attempts"`  // messages in calls, a message
-	Turned   float64            `json:"turned"`    // calls turned away, a call
-	Connects float64            `json:"connects"`  // new connections, a message
-	CPU      Spread             `json:"cpu"`       // seconds a relay, over its processes
-	MemoryMB Spread             `json:"memory_mb"` // most, a relay
-	DiskMB   Spread             `json:"disk_mb"`
-
-	Faults []FaultFigures `json:"faults"`
-	Notes  Notes          `json:"notes"`
-	Local  float64        `json:"local"` // share of the calls to the relay's own zone, where there are several
+	Served        float64            `json:"served"`    // worth served, by the worth asked for
+	Outcomes      map[string]float64 `json:"ends"`      // shares of the messages
+	ByClass       map[string]float64 `json:"by_class"`  // worth served
+	Latency       map[string]float64 `json:"latency"`   // of the delivered, since they were first handed in
+	AnswerTime    map[string]float64 `json:"answer"`    // of the relays' answers to clients
+	Attempts      float64            `json:"attempts"`  // messages in calls, a message
+	RejectedShare float64            `json:"turned"`    // calls turned away, a call
+	Connections   float64            `json:"connects"`  // new connections, a message
+	CPU           Summary            `json:"cpu"`       // seconds a relay, over its processes
+	MemoryMB      Summary            `json:"memory_mb"` // most, a relay
+	DiskMB        Summary            `json:"disk_mb"`
+
+	Faults     []FaultFigures `json:"faults"`
+	Gossip     GossipFigures  `json:"notes"`
+	LocalShare float64        `json:"local"` // share of the calls to the relay's own zone, where there are several
 	// LocalMost is the share of the calls whose destination has an endpoint in the relay's own zone.
-	LocalMost float64       `json:"local_most"`
-	Fell      int           `json:"fell"` // cold endpoints that were pushed over
-	Zones     []ZoneFigures `json:"zones"`
+	LocalPossible float64       `json:"local_most"`
+	Overloaded    int           `json:"fell"` // cold endpoints that were pushed over
+	Zones         []ZoneFigures `json:"zones"`
 	// Newcomers are the endpoints that took the place of others.
-	Newcomers []Newcomer      `json:"newcomers,omitempty"`
-	Service   []Point         `json:"service"`
-	Verdict   checker.Verdict `json:"verdict"`
-	Lab       Lab             `json:"lab"`
+	NewEndpoints []NewEndpoint   `json:"newcomers,omitempty"`
+	Service      []Point         `json:"service"`
+	Verdict      checker.Verdict `json:"verdict"`
+	Lab          Lab             `json:"lab"`
 }
 
 // Lab is how well the lab itself kept its times.
 type Lab struct {
-	Events   int     `json:"events"` // that it had to do at a time of its own
-	Late     int     `json:"late"`
-	LateMost float64 `json:"late_most"`
+	Events      int     `json:"events"` // that it had to do at a time of its own
+	Late        int     `json:"late"`
+	MaxLateness float64 `json:"late_most"`
 }
 
 // Notes is what relays told each other, and how far they agree, where they share what they learn.
-type Notes struct {
-	Sent     float64            `json:"sent"`     // a second, over the fleet; one to all counts once
-	Bytes    float64            `json:"bytes"`    // a second that a relay sends
-	Received float64            `json:"received"` // notes a second that a relay gets
-	Views    int                `json:"views"`    // asked for
-	Oldest   map[string]float64 `json:"oldest"`   // of the values in a view the oldest, as a share of its bound
-	Known    []Known            `json:"known"`
-	Last     int                `json:"last"`  // views after the traffic stopped
-	Agree    int                `json:"agree"` // of these, with the digest that most have
+type GossipFigures struct {
+	Sent           float64            `json:"sent"`     // a second, over the fleet; one to all counts once
+	Bytes          float64            `json:"bytes"`    // a second that a relay sends
+	Received       float64            `json:"received"` // notes a second that a relay gets
+	Views          int                `json:"views"`    // asked for
+	OldestAgeRatio map[string]float64 `json:"oldest"`   // of the values in a view the oldest, as a share of its bound
+	Propagation    []Propagation      `json:"known"`
+	FinalViews     int                `json:"last"`  // views after the traffic stopped
+	FinalAgreeing  int                `json:"agree"` // of these, with the digest that most have
 }
 
 // ZoneFigures is how the relays left a zone and returned to it.
 type ZoneFigures struct {
 	Zone        string  `json:"zone"`
-	Left        int     `json:"left"`        // relays that left it
+	LeftBy      int     `json:"left"`        // relays that left it
 	Evacuations int     `json:"evacuations"` // most by one process
 	Returns     int     `json:"returns"`
-	CutOff      int     `json:"cut_off"` // of its relays, those that took themselves for cut off
-	At          float64 `json:"at"`      // when the first was seen to have left
+	Isolated    int     `json:"cut_off"` // of its relays, those that took themselves for cut off
+	FirstLeft   float64 `json:"at"`      // when the first was seen to have left
 	// Back is how many seconds after the end of the last fault that struck the zone it got as many calls again as before the
 	// first, by zoneShare and in spans of callSpan; none where it did not, or where no fault struck it.
-	Back *float64 `json:"back,omitempty"`
-	Hit  bool     `json:"hit"` // by a fault
+	Recovery *float64 `json:"back,omitempty"`
+	Faulted  bool     `json:"hit"` // by a fault
 }
 
 // Known is how soon the relays knew of a closing or an outage, after the first of them.
-type Known struct {
-	What   string  `json:"what"`
+type Propagation struct {
+	Fact   string  `json:"what"`
 	At     float64 `json:"at"`
 	Relays int     `json:"relays"`
 	P50    float64 `json:"p50"`
@@ -119,33 +119,33 @@
 }
 
 // Spread is a figure over the relays.
-type Spread struct {
+type Summary struct {
 	Mean float64 `json:"mean"`
-	Most float64 `json:"most"`
+	Max  float64 `json:"most"`
 }
 
 // Point is the service to the messages that arrived in one step of time.
 type Point struct {
-	At     float64 `json:"at"`
-	Asked  float64 `json:"asked"` // worth
-	Served float64 `json:"served"`
+	At      float64 `json:"at"`
+	Offered float64 `json:"asked"` // worth
+	Served  float64 `json:"served"`
 }
 
 // FaultFigures is what a fault did to the service.
 type FaultFigures struct {
-	Kind   string   `json:"kind"`
-	At     float64  `json:"at"`
-	Until  float64  `json:"until"`
-	Before float64  `json:"before"` // share of the worth served
-	Worst  float64  `json:"worst"`  // in one step, up to the next fault
-	Turned int      `json:"turned"` // calls turned away while it lasted
-	zone   string   // that it struck
-	Back   *float64 `json:"back,omitempty"` // seconds from its begin until 95% of Before; none if it did not come back
+	Kind     string   `json:"kind"`
+	At       float64  `json:"at"`
+	Until    float64  `json:"until"`
+	Before   float64  `json:"before"` // share of the worth served
+	Worst    float64  `json:"worst"`  // in one step, up to the next fault
+	Rejected int      `json:"turned"` // calls turned away while it lasted
+	zone     string   // that it struck
+	Recovery *float64 `json:"back,omitempty"` // seconds from its begin until 95% of Before; none if it did not come back
 	// Can is the share of the worth asked for while it lasts whose destinations have an endpoint outside of the zone that it
 	// strikes, and Carried the seconds from its begin after which, while it lasts, never less than 95% of Before by that share
 	// is served in a second; 0 where it strikes no zone.
-	Can     float64 `json:"can"`
-	Carried float64 `json:"carried"`
+	ServableShare float64 `json:"can"`
+	DegradedTime  float64 `json:"carried"`
 }
 
 // fate is one message over all its hand-ins.
@@ -158,9 +158,9 @@
 }
 
 // Of computes the figures of a history.
-func Of(events []history.Event, v checker.Verdict) *Figures {
-	facts := events[0].Facts
-	f := &Figures{Title: facts.Title, Seed: facts.Seed, Relays: facts.Relays, Verdict: v, Ends: map[string]float64{}, ByClass: map[string]float64{}}
+func Compute(events []history.Event, v checker.Verdict) *Figures {
+	facts := events[0].Parameters
+	f := &Figures{Title: facts.Title, Seed: facts.Seed, Relays: facts.Relays, Verdict: v, Outcomes: map[string]float64{}, ByClass: map[string]float64{}}
 	msgs, byID := map[int]*fate{}, map[string]*fate{}
 	var order []*fate
 	sent := map[string]history.Micros{}
@@ -172,21 +172,21 @@
 		e := &events[i]
 		switch e.Kind {
 		case history.HandIn:
-			m := msgs[e.Msg]
+			m := msgs[e.Message]
 			if m == nil {
-				m = &fate{class: e.Class, first: e.T, dest: -1}
+				m = &fate{class: e.Class, first: e.Time, dest: -1}
 				if e.Dest != nil {
 					m.dest = *e.Dest
 				}
-				msgs[e.Msg] = m
+				msgs[e.Message] = m
 				order = append(order, m)
 			}
 			m.ids = append(m.ids, e.ID)
 			byID[e.ID] = m
-			sent[e.ID] = e.T
-			m.end = cmp.Or(deliveredEnd(m), NoEnd)
+			sent[e.ID] = e.Time
+			m.end = cmp.Or(deliveredEnd(m), Unresolved)
 		case history.Answer:
-			_ = answers.RecordValue(max(1, int64(e.T-sent[e.ID])))
+			_ = answers.RecordValue(max(1, int64(e.Time-sent[e.ID])))
 			if m := byID[e.ID]; m != nil && m.at == 0 {
 				switch e.Status {
 				case "200", "202":
@@ -198,7 +198,7 @@
 			}
 		case history.Left:
 			if m := byID[e.ID]; m != nil && m.at == 0 {
-				m.end = LeftWaiting
+				m.end = Unanswered
 			}
 		case history.Notice:
 			if m := byID[e.ID]; m != nil && m.at == 0 && e.ID == m.ids[len(m.ids)-1] {
@@ -220,29 +220,29 @@
 				if e.Status != "200" || len(e.States) > n && e.States[n] != "delivered" || m == nil || m.at > 0 {
 					continue
 				}
-				m.at = e.T
+				m.at = e.Time
 				m.end = deliveredIn(m, facts.Classes[m.class])
 				_ = latency.RecordValue(max(1, int64(m.at-m.first)))
 			}
 		case history.Connect:
 			connects++
 		case history.Fell:
-			f.Fell++
+			f.Overloaded++
 		case history.Usage:
 			cpu.see(*e.Relay, e.CPU)
 			memory.see(*e.Relay, e.MemoryMB)
 			disk.see(*e.Relay, e.DiskMB)
 		case history.Late:
-			f.Lab.LateMost = math.Max(f.Lab.LateMost, e.By.D().Seconds())
+			f.Lab.MaxLateness = math.Max(f.Lab.MaxLateness, e.Lateness.Duration().Seconds())
 		case history.End:
-			f.Lab.Events, f.Lab.Late = e.Events, e.LateN
+			f.Lab.Events, f.Lab.Late = e.TimedEvents, e.LateEvents
 		}
 	}
 	f.Messages = len(order)
 	f.worth(order, facts)
-	f.Latency, f.Answer = percentiles(latency), percentiles(answers)
+	f.Latency, f.AnswerTime = percentiles(latency), percentiles(answers)
 	n := math.Max(1, float64(f.Messages))
-	f.Attempts, f.Connects, f.Turned = float64(attempts)/n, float64(connects)/n, float64(turned)/math.Max(1, float64(nCalls))
+	f.Attempts, f.Connections, f.RejectedShare = float64(attempts)/n, float64(connects)/n, float64(turned)/math.Max(1, float64(nCalls))
 	f.CPU, f.MemoryMB, f.DiskMB = cpu.total(), memory.spread(), disk.spread()
 	f.faults(events, order)
 	f.notes(events)
@@ -253,7 +253,7 @@
 
 // zones finds how much stays in a zone, and how zones were left and returned to.
 func (f *Figures) zones(events []history.Event) {
-	facts := events[0].Facts
+	facts := events[0].Parameters
 	calls, local, can := 0, 0, 0
 	near := map[int]map[string]bool{} // destinations' zones
 	for _, h := range facts.Hosts {
@@ -272,7 +272,7 @@
 			if e.Relay != nil && *e.Relay < len(facts.Zones) {
 				calls++
 				host := facts.Hosts[e.Host]
-				at[host.Zone] = append(at[host.Zone], e.T.D().Seconds())
+				at[host.Zone] = append(at[host.Zone], e.Time.Duration().Seconds())
 				if host.Zone == facts.Zones[*e.Relay] {
 					local++
 				}
@@ -281,7 +281,7 @@
 				}
 			}
 		case history.Zones:
-			if e.CutOff && !cutOff[*e.Relay] {
+			if e.Isolated && !cutOff[*e.Relay] {
 				cutOff[*e.Relay] = true
 			}
 			for name, z := range e.Zones {
@@ -290,7 +290,7 @@
 				}
 				if z.Evacuations > 0 {
 					if len(left[name]) == 0 {
-						all[name].At = e.T.D().Seconds()
+						all[name].FirstLeft = e.Time.Duration().Seconds()
 					}
 					left[name][*e.Relay] = true
 				}
@@ -303,14 +303,14 @@
 			all[name] = &ZoneFigures{Zone: name}
 		}
 	}
-	f.Local, f.LocalMost = float64(local)/math.Max(1, float64(calls)), float64(can)/math.Max(1, float64(calls))
+	f.LocalShare, f.LocalPossible = float64(local)/math.Max(1, float64(calls)), float64(can)/math.Max(1, float64(calls))
 	for r := range cutOff {
 		if z := all[facts.Zones[r]]; z != nil {
-			z.CutOff++
+			z.Isolated++
 		}
 	}
 	for _, name := range sortedKeys(all) {
-		all[name].Left = len(left[name])
+		all[name].LeftBy = len(left[name])
 		f.zoneBack(all[name], at[name])
 		f.Zones = append(f.Zones, *all[name])
 	}
@@ -322,9 +322,9 @@
 // notes finds how well what relays share goes round.
 func (f *Figures) notes(events []history.Event) {
 	end := events[len(events)-1]
-	span := math.Max(1e-9, events[0].Facts.Length.D().Seconds())
+	span := math.Max(1e-9, events[0].Parameters.ArrivalsLength.Duration().Seconds())
 	relays := math.Max(1, float64(f.Relays))
-	n := Notes{Sent: float64(end.Notes) / span, Bytes: float64(end.NoteBytes) / span / relays, Received: float64(end.Received) / span / relays}
+	n := GossipFigures{Sent: float64(end.GossipSent) / span, Bytes: float64(end.GossipBytes) / span / relays, Received: float64(end.GossipReceived) / span / relays}
 	oldest := hdrhistogram.New(1, 10_000_000, 4)
 	first := map[string]map[int]history.Micros{} // when each relay first knew of a thing
 	digests := map[uint32]int{}
@@ -334,13 +334,13 @@
 			continue
 		}
 		n.Views++
-		_ = oldest.RecordValue(max(1, int64(e.Oldest*1e6)))
-		if e.What == history.LastView {
-			n.Last++
+		_ = oldest.RecordValue(max(1, int64(e.OldestAgeRatio*1e6)))
+		if e.Detail == history.LastView {
+			n.FinalViews++
 			digests[e.Digest]++
-			n.Agree = max(n.Agree, digests[e.Digest])
+			n.FinalAgreeing = max(n.FinalAgreeing, digests[e.Digest])
 		}
-		for what, at := range e.Known {
+		for what, at := range e.KnownSince {
 			if first[what] == nil {
 				first[what] = map[int]history.Micros{}
 			}
@@ -350,7 +350,7 @@
 		}
 	}
 	if n.Views > 0 {
-		n.Oldest = map[string]float64{"p50": float64(oldest.ValueAtPercentile(50)) / 1e6, "p99.9": float64(oldest.ValueAtPercentile(99.9)) / 1e6, "most": float64(oldest.Max()) / 1e6}
+		n.OldestAgeRatio = map[string]float64{"p50": float64(oldest.ValueAtPercentile(50)) / 1e6, "p99.9": float64(oldest.ValueAtPercentile(99.9)) / 1e6, "most": float64(oldest.Max()) / 1e6}
 	}
 	for _, what := range sortedKeys(first) {
 		var at []history.Micros
@@ -360,15 +360,15 @@
 		slices.Sort(at)
 		// Those who come to know of it much later learned of another closing of the same.
 		for i := 1; i < len(at); i++ {
-			if (at[i] - at[i-1]).D() > again {
+			if (at[i] - at[i-1]).Duration() > again {
 				at = at[:i]
 			}
 		}
-		after := func(share float64) float64 { return (at[int(share*float64(len(at)-1))] - at[0]).D().Seconds() }
-		n.Known = append(n.Known, Known{What: what, At: at[0].D().Seconds(), Relays: len(at), P50: after(0.5), P99: after(0.99)})
+		after := func(share float64) float64 { return (at[int(share*float64(len(at)-1))] - at[0]).Duration().Seconds() }
+		n.Propagation = append(n.Propagation, Propagation{Fact: what, At: at[0].Duration().Seconds(), Relays: len(at), P50: after(0.5), P99: after(0.99)})
 	}
-	slices.SortFunc(n.Known, func(a, b Known) int { return cmp.Compare(b.Relays, a.Relays) })
-	f.Notes = n
+	slices.SortFunc(n.Propagation, func(a, b Propagation) int { return cmp.Compare(b.Relays, a.Relays) })
+	f.Gossip = n
 }
 
 func deliveredEnd(m *fate) string {
@@ -379,10 +379,10 @@
 }
 
 func deliveredIn(m *fate, c history.Class) string {
-	if m.at-m.first <= c.Aim {
+	if m.at-m.first <= c.Target {
 		return InAim
 	}
-	return InTime
+	return Late
 }
 
 // share is what a delivery is worth, by its class's worth.
@@ -391,14 +391,14 @@
 	switch {
 	case m.at == 0 || age > c.Deadline:
 		return 0
-	case age <= c.Aim:
+	case age <= c.Target:
 		return 1
 	}
-	return 1 - (1-c.LateShare)*float64(age-c.Aim)/math.Max(1, float64(c.Deadline-c.Aim))
+	return 1 - (1-c.LateValueShare)*float64(age-c.Target)/math.Max(1, float64(c.Deadline-c.Target))
 }
 
 // worth adds up what was asked for and served.
-func (f *Figures) worth(order []*fate, facts *history.Facts) {
+func (f *Figures) worth(order []*fate, facts *history.Parameters) {
 	var asked, served float64
 	byClass := map[string][2]float64{}
 	steps := map[int]*Point{}
@@ -408,17 +408,17 @@
 	}
 	for _, m := range order {
 		c := facts.Classes[m.class]
-		got := c.Worth * share(m, c)
-		asked += c.Worth
+		got := c.Value * share(m, c)
+		asked += c.Value
 		served += got
 		sum := byClass[m.class]
-		byClass[m.class] = [2]float64{sum[0] + c.Worth, sum[1] + got}
-		f.Ends[m.end] += 1 / float64(len(order))
-		n := int((m.first - begun).D() / bucket)
+		byClass[m.class] = [2]float64{sum[0] + c.Value, sum[1] + got}
+		f.Outcomes[m.end] += 1 / float64(len(order))
+		n := int((m.first - begun).Duration() / bucket)
 		if steps[n] == nil {
-			steps[n] = &Point{At: (begun.D() + time.Duration(n)*bucket).Seconds()}
+			steps[n] = &Point{At: (begun.Duration() + time.Duration(n)*bucket).Seconds()}
 		}
-		steps[n].Asked += c.Worth
+		steps[n].Offered += c.Value
 		steps[n].Served += got
 	}
 	f.Served = served / math.Max(1e-9, asked)
@@ -436,7 +436,7 @@
 	var asked, served float64
 	for _, p := range f.Service {
 		if p.At >= from && p.At < to {
-			asked, served = asked+p.Asked, served+p.Served
+			asked, served = asked+p.Offered, served+p.Served
 		}
 	}
 	return served / math.Max(1e-9, asked), asked > 0
@@ -448,10 +448,10 @@
 		if e.Kind != history.Fault {
 			continue
 		}
-		x := FaultFigures{Kind: e.What, zone: e.Zone, At: e.T.D().Seconds(), Until: max(e.Until, e.T).D().Seconds()}
+		x := FaultFigures{Kind: e.Detail, zone: e.Zone, At: e.Time.Duration().Seconds(), Until: max(e.EndTime, e.Time).Duration().Seconds()}
 		for i := range events {
-			if r := &events[i]; r.Kind == history.Reply && r.T >= e.T && r.T < max(e.Until, e.T) && (r.Status == "429" || r.Status == "503") {
-				x.Turned++
+			if r := &events[i]; r.Kind == history.Reply && r.Time >= e.Time && r.Time < max(e.EndTime, e.Time) && (r.Status == "429" || r.Status == "503") {
+				x.Rejected++
 			}
 		}
 		x.Before, _ = f.between(x.At-before.Seconds(), x.At)
@@ -460,45 +460,45 @@
 			if p.At < x.At-bucket.Seconds() {
 				continue
 			}
-			if p.Asked > 0 && x.Back == nil {
-				x.Worst = math.Min(x.Worst, p.Served/p.Asked)
+			if p.Offered > 0 && x.Recovery == nil {
+				x.Worst = math.Min(x.Worst, p.Served/p.Offered)
 			}
 			// A fault that is not felt at once may be felt at its end: what comes back counts from then on.
-			if got, ok := f.between(p.At, p.At+backFor.Seconds()); ok && x.Back == nil && p.At >= x.Until && got >= backShare*x.Before {
+			if got, ok := f.between(p.At, p.At+backFor.Seconds()); ok && x.Recovery == nil && p.At >= x.Until && got >= backShare*x.Before {
 				back := math.Max(0, p.At-x.At)
-				x.Back = &back
+				x.Recovery = &back
 			}
 		}
 		if e.Zone != "" {
-			f.carried(&x, e.Zone, order, events[0].Facts)
+			f.carried(&x, e.Zone, order, events[0].Parameters)
 		}
 		f.Faults = append(f.Faults, x)
 	}
 }
 
 // carried finds how soon what is left carries what it can, beside a fault of a zone.
-func (f *Figures) carried(x *FaultFigures, zone string, order []*fate, facts *history.Facts) {
+func (f *Figures) carried(x *FaultFigures, zone string, order []*fate, facts *history.Parameters) {
 	elsewhere := map[int]bool{}
 	for _, h := range facts.Hosts {
 		elsewhere[h.Dest] = elsewhere[h.Dest] || h.Zone != zone
 	}
 	asked := 0.0
 	for _, m := range order {
-		if at := m.first.D().Seconds(); at >= x.At && at < x.Until {
-			worth := facts.Classes[m.class].Worth
+		if at := m.first.Duration().Seconds(); at >= x.At && at < x.Until {
+			worth := facts.Classes[m.class].Value
 			asked += worth
 			if elsewhere[m.dest] {
-				x.Can += worth
+				x.ServableShare += worth
 			}
 		}
 	}
-	x.Can /= math.Max(1e-9, asked)
+	x.ServableShare /= math.Max(1e-9, asked)
 	for _, p := range f.Service {
 		if p.At < x.At-bucket.Seconds() || p.At+backFor.Seconds() > x.Until {
 			continue
 		}
-		if got, ok := f.between(p.At, p.At+backFor.Seconds()); ok && got < backShare*x.Before*x.Can {
-			x.Carried = p.At + backFor.Seconds() - x.At
+		if got, ok := f.between(p.At, p.At+backFor.Seconds()); ok && got < backShare*x.Before*x.ServableShare {
+			x.DegradedTime = p.At + backFor.Seconds() - x.At
 		}
 	}
 }
@@ -511,9 +511,9 @@
 			from, until = math.Min(from, x.At), math.Max(until, x.Until)
 		}
 	}
-	z.Hit = !math.IsInf(from, 1)
-	if z.Hit && from >= 2*callSpan.Seconds() {
-		z.Back = regained(at, zoneShare*usualCalls(at, from), until)
+	z.Faulted = !math.IsInf(from, 1)
+	if z.Faulted && from >= 2*callSpan.Seconds() {
+		z.Recovery = regained(at, zoneShare*usualCalls(at, from), until)
 	}
 }
 
@@ -570,20 +570,20 @@
 }
 
 // spread is the mean and the most over the relays of the highest values.
-func (p *peaks) spread() (s Spread) {
+func (p *peaks) spread() (s Summary) {
 	for _, v := range p.most {
 		s.Mean += v / float64(len(p.most))
-		s.Most = math.Max(s.Most, v)
+		s.Max = math.Max(s.Max, v)
 	}
 	return s
 }
 
 // total is the same for the sums over the processes.
-func (p *peaks) total() (s Spread) {
+func (p *peaks) total() (s Summary) {
 	for i := range p.last {
 		v := p.past[i] + p.last[i]
 		s.Mean += v / float64(len(p.last))
-		s.Most = math.Max(s.Most, v)
+		s.Max = math.Max(s.Max, v)
 	}
 	return s
 }
@@ -600,8 +600,8 @@
 	}
 	line("by class", "%s", strings.Join(parts, ", "))
 	parts = nil
-	for _, end := range Ends {
-		if v, ok := f.Ends[end]; ok {
+	for _, end := range Outcomes {
+		if v, ok := f.Outcomes[end]; ok {
 			parts = append(parts, fmt.Sprintf("%s %.1f%%", end, 100*v))
 		}
 	}
@@ -609,46 +609,46 @@
 	for _, l := range []struct {
 		name string
 		of   map[string]float64
-	}{{"delivered after", f.Latency}, {"answered after", f.Answer}} {
+	}{{"delivered after", f.Latency}, {"answered after", f.AnswerTime}} {
 		line(l.name, "p50 %s, p90 %s, p99 %s, p99.9 %s", seconds(l.of["p50"]), seconds(l.of["p90"]), seconds(l.of["p99"]), seconds(l.of["p99.9"]))
 	}
-	line("a message", "%.2f attempts, %.2f new connections; %.1f%% of the calls turned away", f.Attempts, f.Connects, 100*f.Turned)
-	line("a relay", "%.2f s of CPU (%.2f at most), %.0f MB (%.0f at most), %.2f MB of disk at most", f.CPU.Mean, f.CPU.Most, f.MemoryMB.Mean, f.MemoryMB.Most, f.DiskMB.Most)
+	line("a message", "%.2f attempts, %.2f new connections; %.1f%% of the calls turned away", f.Attempts, f.Connections, 100*f.RejectedShare)
+	line("a relay", "%.2f s of CPU (%.2f at most), %.0f MB (%.0f at most), %.2f MB of disk at most", f.CPU.Mean, f.CPU.Max, f.MemoryMB.Mean, f.MemoryMB.Max, f.DiskMB.Max)
 	for _, x := range f.Faults {
 		back := "not back to 95% of that"
-		if x.Back != nil {
-			back = fmt.Sprintf("back to 95%% of that after %s", seconds(*x.Back))
+		if x.Recovery != nil {
+			back = fmt.Sprintf("back to 95%% of that after %s", seconds(*x.Recovery))
 		}
-		line(fmt.Sprintf("%s at %.1f s", x.Kind, x.At), "served %.1f%% before, %.1f%% at worst, %s; %d calls turned away", 100*x.Before, 100*x.Worst, back, x.Turned)
+		line(fmt.Sprintf("%s at %.1f s", x.Kind, x.At), "served %.1f%% before, %.1f%% at worst, %s; %d calls turned away", 100*x.Before, 100*x.Worst, back, x.Rejected)
 		if x.zone != "" {
-			line("", "%.1f%% could be served, and 95%% of that was for good after %s", 100*x.Before*x.Can, seconds(x.Carried))
+			line("", "%.1f%% could be served, and 95%% of that was for good after %s", 100*x.Before*x.ServableShare, seconds(x.DegradedTime))
 		}
 	}
 	if len(f.Zones) > 0 {
-		line("in the own zone", "%.1f%% of the calls, where %.1f%% can be", 100*f.Local, 100*f.LocalMost)
+		line("in the own zone", "%.1f%% of the calls, where %.1f%% can be", 100*f.LocalShare, 100*f.LocalPossible)
 	}
 	for _, z := range f.Zones {
-		if z.Back != nil {
-			line("zone "+z.Zone, "as many calls as before %s after the fault's end", seconds(*z.Back))
+		if z.Recovery != nil {
+			line("zone "+z.Zone, "as many calls as before %s after the fault's end", seconds(*z.Recovery))
 		}
-		if z.Left > 0 || z.CutOff > 0 {
-			line("zone "+z.Zone, "left by %d relays, the first by %.1f s, %d times by one at most, returned to %d times; %d of its relays cut off", z.Left, z.At, z.Evacuations, z.Returns, z.CutOff)
+		if z.LeftBy > 0 || z.Isolated > 0 {
+			line("zone "+z.Zone, "left by %d relays, the first by %.1f s, %d times by one at most, returned to %d times; %d of its relays cut off", z.LeftBy, z.FirstLeft, z.Evacuations, z.Returns, z.Isolated)
 		}
 	}
 	f.newcomersText(line)
-	if n := f.Notes; n.Sent > 0 {
+	if n := f.Gossip; n.Sent > 0 {
 		line("notes", "%.1f a second over the fleet, %.1f bytes a second from each relay, %.1f a second to each", n.Sent, n.Bytes, n.Received)
 	}
-	if n := f.Notes; n.Views > 0 {
-		line("views", "%d, the oldest value at %.3f of its bound (p99.9 %.3f); %d of %d agree at the end", n.Views, n.Oldest["most"], n.Oldest["p99.9"], n.Agree, n.Last)
-		for _, k := range n.Known[:min(3, len(n.Known))] {
-			line("known", "%s, at %.1f s: to %d relays, half of them in %s, 99%% in %s", k.What, k.At, k.Relays, seconds(k.P50), seconds(k.P99))
+	if n := f.Gossip; n.Views > 0 {
+		line("views", "%d, the oldest value at %.3f of its bound (p99.9 %.3f); %d of %d agree at the end", n.Views, n.OldestAgeRatio["most"], n.OldestAgeRatio["p99.9"], n.FinalAgreeing, n.FinalViews)
+		for _, k := range n.Propagation[:min(3, len(n.Propagation))] {
+			line("known", "%s, at %.1f s: to %d relays, half of them in %s, 99%% in %s", k.Fact, k.At, k.Relays, seconds(k.P50), seconds(k.P99))
 		}
 	}
-	if f.Fell > 0 {
-		line("cold endpoints", "%d pushed over", f.Fell)
+	if f.Overloaded > 0 {
+		line("cold endpoints", "%d pushed over", f.Overloaded)
 	}
-	line("the lab", "late for %d of %d events, by %s at most", f.Lab.Late, f.Lab.Events, seconds(f.Lab.LateMost))
+	line("the lab", "late for %d of %d events, by %s at most", f.Lab.Late, f.Lab.Events, seconds(f.Lab.MaxLateness))
 	line("verdict", "%s (%d messages taken on and followed to their end, %d calls)", f.Verdict.String(), f.Verdict.Messages, f.Verdict.Calls)
 	return w.Flush()
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -13,22 +13,22 @@
 // planted is a history of two zones: a message every 10 ms to each of two destinations, one of them in both zones. Zone b
 // is struck from 10 to 16 s; new-n0 takes the place of an endpoint of the first destination from 20 s on.
 func planted(zoneServed func(at time.Duration) bool, newShare func(at time.Duration) bool) []history.Event {
-	relay, class := 0, history.Class{Effect: "retryable", Aim: history.M(time.Second), Deadline: history.M(8 * time.Second), Worth: 1}
-	events := []history.Event{{T: 1, Kind: history.Run, Facts: &history.Facts{Relays: 1, Zones: []string{"a"}, Length: history.M(40 * time.Second),
+	relay, class := 0, history.Class{Effect: "retryable", Target: history.ToMicros(time.Second), Deadline: history.ToMicros(8 * time.Second), Value: 1}
+	events := []history.Event{{Time: 1, Kind: history.Run, Parameters: &history.Parameters{Relays: 1, Zones: []string{"a"}, ArrivalsLength: history.ToMicros(40 * time.Second),
 		Classes: map[string]history.Class{"c": class},
 		Hosts:   map[string]history.Host{"d0-a": {Dest: 0, Zone: "a"}, "d0-b": {Dest: 0, Zone: "b"}, "d0-b-n0": {Dest: 0, Zone: "b"}, "d1-b": {Dest: 1, Zone: "b"}}}}}
 	n := 0
 	for at := time.Duration(0); at < 40*time.Second; at += 10 * time.Millisecond {
-		t := history.M(at)
+		t := history.ToMicros(at)
 		switch at {
 		case 10 * time.Second:
-			events = append(events, history.Event{T: t, Kind: history.Fault, What: "down", Zone: "b", Until: history.M(16 * time.Second)})
+			events = append(events, history.Event{Time: t, Kind: history.Fault, Detail: "down", Zone: "b", EndTime: history.ToMicros(16 * time.Second)})
 		case 20 * time.Second:
-			events = append(events, history.Event{T: t, Kind: history.List, Hosts: []history.Listed{{Host: "d0-b-n0", Health: "SERVING"}, {Host: "d0-b", Health: "DRAINING"}}})
+			events = append(events, history.Event{Time: t, Kind: history.List, Hosts: []history.ListEntry{{Host: "d0-b-n0", Health: "SERVING"}, {Host: "d0-b", Health: "DRAINING"}}})
 		case 25 * time.Second:
-			events = append(events, history.Event{T: t, Kind: history.Servers, Relay: history.N(relay), Trials: map[string]history.Trial{"d0-b-n0": {Holds: 1}}})
+			events = append(events, history.Event{Time: t, Kind: history.Servers, Relay: history.IntPtr(relay), Trials: map[string]history.TrialState{"d0-b-n0": {Holds: 1}}})
 		case 30 * time.Second:
-			events = append(events, history.Event{T: t, Kind: history.Fell, Host: "d0-a"})
+			events = append(events, history.Event{Time: t, Kind: history.Fell, Host: "d0-a"})
 		}
 		for dest := range 2 {
 			n++
@@ -42,14 +42,14 @@
 			case at >= 20*time.Second && newShare(at):
 				host = "d0-b-n0"
 			}
-			events = append(events, history.Event{T: t, Kind: history.HandIn, Relay: history.N(relay), ID: id, Msg: n, Class: "c", Dest: history.N(dest), Left: class.Deadline})
+			events = append(events, history.Event{Time: t, Kind: history.HandIn, Relay: history.IntPtr(relay), ID: id, Message: n, Class: "c", Dest: history.IntPtr(dest), TimeLeft: class.Deadline})
 			if served {
-				events = append(events, history.Event{T: t, Kind: history.Call, Relay: history.N(relay), Call: n, Host: host, IDs: []string{id}},
-					history.Event{T: t + 1000, Kind: history.Reply, Call: n, Status: "200"})
+				events = append(events, history.Event{Time: t, Kind: history.Call, Relay: history.IntPtr(relay), Call: n, Host: host, IDs: []string{id}},
+					history.Event{Time: t + 1000, Kind: history.Reply, Call: n, Status: "200"})
 			}
 		}
 	}
-	return append(events, history.Event{T: history.M(41 * time.Second), Kind: history.End})
+	return append(events, history.Event{Time: history.ToMicros(41 * time.Second), Kind: history.End})
 }
 
 func near(t *testing.T, what string, got, want, by float64) {
@@ -62,47 +62,47 @@
 // What a zone's fault leaves over is told from what it takes away, and so is when the zone has its calls again.
 func TestZoneFigures(t *testing.T) {
 	// Nothing of the zone is served from 10 to 18 s; the destination that is elsewhere too is served throughout.
-	f := Of(planted(func(at time.Duration) bool { return at < 10*time.Second || at >= 18*time.Second }, func(time.Duration) bool { return false }), checker.Verdict{})
+	f := Compute(planted(func(at time.Duration) bool { return at < 10*time.Second || at >= 18*time.Second }, func(time.Duration) bool { return false }), checker.Verdict{})
 	x := f.Faults[0]
-	near(t, "could be served", x.Can, 0.5, 0.01)
-	near(t, "carried after", x.Carried, 0, 1e-9)
+	near(t, "could be served", x.ServableShare, 0.5, 0.01)
+	near(t, "carried after", x.DegradedTime, 0, 1e-9)
 	near(t, "served at worst", x.Worst, 0.5, 0.02)
-	near(t, "local, of what can be", f.Local/f.LocalMost, 1, 0.35)
+	near(t, "local, of what can be", f.LocalShare/f.LocalPossible, 1, 0.35)
 	for _, z := range f.Zones {
-		if z.Zone == "b" && (z.Back == nil || math.Abs(*z.Back-2) > 0.5) {
-			t.Errorf("the zone is back %v after the end of its fault, not 2 s", z.Back)
+		if z.Zone == "b" && (z.Recovery == nil || math.Abs(*z.Recovery-2) > 0.5) {
+			t.Errorf("the zone is back %v after the end of its fault, not 2 s", z.Recovery)
 		}
-		if z.Hit != (z.Zone == "b") {
-			t.Errorf("zone %s hit: %v", z.Zone, z.Hit)
+		if z.Faulted != (z.Zone == "b") {
+			t.Errorf("zone %s hit: %v", z.Zone, z.Faulted)
 		}
 	}
-	if f.Fell != 1 {
-		t.Errorf("%d fell", f.Fell)
+	if f.Overloaded != 1 {
+		t.Errorf("%d fell", f.Overloaded)
 	}
 	// All is lost for 3 s of the fault.
-	f = Of(planted(func(at time.Duration) bool { return true }, func(time.Duration) bool { return false }), checker.Verdict{})
-	near(t, "carried, with nothing lost", f.Faults[0].Carried, 0, 1e-9)
+	f = Compute(planted(func(at time.Duration) bool { return true }, func(time.Duration) bool { return false }), checker.Verdict{})
+	near(t, "carried, with nothing lost", f.Faults[0].DegradedTime, 0, 1e-9)
 	lossy := planted(func(at time.Duration) bool { return true }, func(time.Duration) bool { return false })
 	for i := range lossy {
-		if e := &lossy[i]; e.Kind == history.Reply && e.T > history.M(10*time.Second) && e.T < history.M(13*time.Second) {
+		if e := &lossy[i]; e.Kind == history.Reply && e.Time > history.ToMicros(10*time.Second) && e.Time < history.ToMicros(13*time.Second) {
 			e.Status = "503"
 		}
 	}
-	near(t, "carried, with 3 s lost", Of(lossy, checker.Verdict{}).Faults[0].Carried, 3.5, 1)
+	near(t, "carried, with 3 s lost", Compute(lossy, checker.Verdict{}).Faults[0].DegradedTime, 3.5, 1)
 }
 
 // A new endpoint's share counts until it is held back, and its whole share is that of the one before it.
 func TestNewcomerFigures(t *testing.T) {
 	served := func(time.Duration) bool { return true }
-	f := Of(planted(served, func(at time.Duration) bool { return at%(500*time.Millisecond) == 0 || at > 32*time.Second }), checker.Verdict{})
-	if len(f.Newcomers) != 1 {
-		t.Fatalf("%+v", f.Newcomers)
+	f := Compute(planted(served, func(at time.Duration) bool { return at%(500*time.Millisecond) == 0 || at > 32*time.Second }), checker.Verdict{})
+	if len(f.NewEndpoints) != 1 {
+		t.Fatalf("%+v", f.NewEndpoints)
 	}
-	n := f.Newcomers[0]
-	if n.Held == nil || n.Full == nil {
+	n := f.NewEndpoints[0]
+	if n.HeldAfter == nil || n.FullAfter == nil {
 		t.Fatalf("%+v", n)
 	}
-	near(t, "held after", *n.Held, 5, 0.1)
-	near(t, "exposed", n.Exposed, 0.02, 0.005)
-	near(t, "full after", *n.Full, 11, 1)
+	near(t, "held after", *n.HeldAfter, 5, 0.1)
+	near(t, "exposed", n.ExposedShare, 0.02, 0.005)
+	near(t, "full after", *n.FullAfter, 11, 1)
 }
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -15,17 +15,17 @@
 // as a Share of those; a fault that names nothing strikes all.
 type Fault struct {
 	At           Duration `toml:"at"`
-	For          Duration `toml:"for"` // 0 where Kind has an end of its own
+	Duration     Duration `toml:"for"` // 0 where Kind has an end of its own
 	Kind         string   `toml:"kind"`
 	Relays       []int    `toml:"relays"`
 	Destinations []int    `toml:"destinations"`
 	Endpoints    []string `toml:"endpoints"`
 	Zone         string   `toml:"zone"`
 	Share        float64  `toml:"share"`     // of the ones named, drawn; 0 for all
-	Step         Duration `toml:"step"`      // between one struck and the next
-	Size         float64  `toml:"size"`      // see Kinds
+	Stagger      Duration `toml:"step"`      // between one struck and the next
+	Magnitude    float64  `toml:"size"`      // see Kinds
 	Wait         Duration `toml:"wait"`      // told by a destination that is shut; 0 for none
-	Of           string   `toml:"of"`        // the zone of an order to leave or to return to it
+	OrderZone    string   `toml:"of"`        // the zone of an order to leave or to return to it
 	Direction    string   `toml:"direction"` // of a cut: "both", "to" the endpoints or "from" them
 	Call         string   `toml:"call"`      // of the system calls that fail, as package shim names it
 	Errno        string   `toml:"errno"`     // that they fail with, such as "ENFILE"
@@ -124,17 +124,17 @@
 		{"fleet.discovery", f.Discovery != "subscribe" && f.Discovery != "automatic", `is not "subscribe" or "automatic"`},
 		{"fleet.weights", !slices.Contains([]string{"off", "nominal", "rough"}, f.Weights), `is not "off", "nominal" or "rough"`},
 		{"fleet.durability", f.Durability != "process" && f.Durability != "power", `is not "process" or "power"`},
-		{"fleet.spread", !(f.Spread >= 0 && f.Spread <= 2), "is not 0 to 2"},
+		{"fleet.spread", !(f.TrafficSigma >= 0 && f.TrafficSigma <= 2), "is not 0 to 2"},
 		{"rules.max_attempts", r.MaxAttempts < 1, "is not above 0"},
-		{"rules.patience", r.Patience <= 0, "is not above 0"},
+		{"rules.patience", r.ClientTimeout <= 0, "is not above 0"},
 		{"rules.cold_share", !(r.ColdShare > 0 && r.ColdShare <= 1), "is not above 0 and at most 1"},
 		{"rules.overload_factor", !(r.OverloadFactor > 1), "is not above 1"},
 		{"rules.overload_for", r.OverloadFor <= 0, "is not above 0"},
 		{"load.rate", !(l.Rate > 0 && l.Rate <= 5000), "is not above 0 and at most 5000"},
-		{"load.clumps", !(l.Clumps >= 0 && l.Clumps <= 1), "is not 0 to 1"},
-		{"load.clump_size", l.ClumpSize < 1, "is not above 0"},
-		{"load.bytes", l.Bytes < 0 || l.Bytes > 64<<10, "is not 0 to 65536"},
-		{"load.returns", !(l.Returns >= 0 && l.Returns <= 1), "is not 0 to 1"},
+		{"load.clumps", !(l.BurstShare >= 0 && l.BurstShare <= 1), "is not 0 to 1"},
+		{"load.clump_size", l.BurstSize < 1, "is not above 0"},
+		{"load.bytes", l.BodyBytes < 0 || l.BodyBytes > 64<<10, "is not 0 to 65536"},
+		{"load.returns", !(l.ReturnShare >= 0 && l.ReturnShare <= 1), "is not 0 to 1"},
 		{"class", len(s.Classes) == 0, "is missing: there has to be one at least"},
 		{"destination", len(s.Destinations) == 0, "is missing: there has to be one at least"},
 	} {
@@ -151,9 +151,9 @@
 			return path + "effect", fmt.Errorf("%q is not \"retryable\", \"dedup\" or \"fragile\"", c.Effect)
 		case c.Group != "all" && c.Group != "zone":
 			return path + "group", fmt.Errorf("%q is not \"all\" or \"zone\"", c.Group)
-		case c.Aim <= 0 || c.Deadline < c.Aim:
+		case c.Target <= 0 || c.Deadline < c.Target:
 			return path + "deadline", errors.New("is under the aim, or one of them is 0")
-		case !(c.LateShare >= 0 && c.LateShare <= 1):
+		case !(c.LateValueShare >= 0 && c.LateValueShare <= 1):
 			return path + "late_share", errors.New("is not 0 to 1")
 		case !(c.Share > 0):
 			return path + "share", errors.New("is not above 0")
@@ -174,7 +174,7 @@
 			return path + "window", errors.New("is not above 0")
 		case d.Service <= 0 || !(d.ServiceCV >= 0 && d.ServiceCV <= 3):
 			return path + "service", errors.New("service is not above 0, or service_cv is not 0 to 3")
-		case d.Workers < 1 || d.Queue < 0 || d.Connections < 0 || d.Bulk < 1:
+		case d.Workers < 1 || d.Queue < 0 || d.Connections < 0 || d.MaxBatch < 1:
 			return path + "workers", errors.New("workers and bulk have to be above 0, queue and connections not below it")
 		}
 		for _, z := range d.Zones {
@@ -196,21 +196,21 @@
 			return path + "kind", fmt.Errorf("%q is no kind of fault", f.Kind)
 		case f.At.AsDuration() > s.Length.AsDuration():
 			return path + "at", fmt.Errorf("%v is after the end of the arrivals", f.At.AsDuration())
-		case k.lasting && f.For <= 0:
+		case k.lasting && f.Duration <= 0:
 			return path + "for", fmt.Errorf("a fault of the kind %q needs a time above 0", f.Kind)
-		case k.sized != "" && !(f.Size > 0):
+		case k.sized != "" && !(f.Magnitude > 0):
 			return path + "size", fmt.Errorf("%q needs a size above 0: %s", f.Kind, k.sized)
-		case strings.Contains(k.sized, "share of the ") && !strings.Contains(k.sized, "factor") && f.Size > 1:
-			return path + "size", fmt.Errorf("%v is no share", f.Size)
+		case strings.Contains(k.sized, "share of the ") && !strings.Contains(k.sized, "factor") && f.Magnitude > 1:
+			return path + "size", fmt.Errorf("%v is no share", f.Magnitude)
 		case !(f.Share >= 0 && f.Share <= 1):
 			return path + "share", fmt.Errorf("%v is no share", f.Share)
 		case f.Direction != "" && !slices.Contains([]string{"both", "to", "from"}, f.Direction):
 			return path + "direction", fmt.Errorf("%q is not \"both\", \"to\" or \"from\"", f.Direction)
 		case f.Zone != "" && !slices.Contains(s.Fleet.Zones, f.Zone):
 			return path + "zone", fmt.Errorf("there is no zone %q", f.Zone)
-		case (f.Kind == "evacuate" || f.Kind == "restore") && (!s.Fleet.Zoned || !slices.Contains(s.Fleet.Zones, f.Of)):
-			return path + "of", fmt.Errorf("an order needs fleet.zoned = true and a zone of the fleet, not %q", f.Of)
-		case f.Kind == "calls-fail" && f.Count <= 0 && f.For <= 0:
+		case (f.Kind == "evacuate" || f.Kind == "restore") && (!s.Fleet.ZoneAware || !slices.Contains(s.Fleet.Zones, f.OrderZone)):
+			return path + "of", fmt.Errorf("an order needs fleet.zoned = true and a zone of the fleet, not %q", f.OrderZone)
+		case f.Kind == "calls-fail" && f.Count <= 0 && f.Duration <= 0:
 			return path + "count", errors.New("neither count nor for is above 0")
 		case f.Kind == "upgrade" && !s.Fleet.SharedSocket:
 			return path + "kind", errors.New("an upgrade needs fleet.shared_socket = true")
@@ -233,8 +233,8 @@
 			}
 		}
 		for _, d := range f.Destinations {
-			if d < 0 || d >= s.DestCount() {
-				return path + "destinations", fmt.Errorf("there is no destination %d: they are 0 to %d", d, s.DestCount()-1)
+			if d < 0 || d >= s.DestinationCount() {
+				return path + "destinations", fmt.Errorf("there is no destination %d: they are 0 to %d", d, s.DestinationCount()-1)
 			}
 		}
 		for _, e := range f.Endpoints {
@@ -247,10 +247,12 @@
 }
 
 // Replaces tells whether a fault puts new endpoints in the place of others.
-func (f *Fault) Replaces() bool { return f.Kind == "drain" || strings.HasPrefix(f.Kind, "release-") }
+func (f *Fault) AddsReplacements() bool {
+	return f.Kind == "drain" || strings.HasPrefix(f.Kind, "release-")
+}
 
 // StruckRelays gives the relays that fault i strikes, in the order in which it does.
-func (s *Scenario) StruckRelays(i int) []int {
+func (s *Scenario) AffectedRelays(i int) []int {
 	f := &s.Faults[i]
 	var all []int
 	for r := range s.Fleet.Relays {
@@ -265,11 +267,11 @@
 }
 
 // StruckHosts gives the endpoints that fault i strikes, as indices of Hosts.
-func (s *Scenario) StruckHosts(i int) []int {
+func (s *Scenario) AffectedEndpoints(i int) []int {
 	f := &s.Faults[i]
 	var all []int
 	for n, h := range s.Hosts {
-		if h.Born == 0 && (len(f.Destinations) == 0 || slices.Contains(f.Destinations, h.Dest)) && (f.Zone == "" || h.Zone == f.Zone) &&
+		if h.AddedByFault == 0 && (len(f.Destinations) == 0 || slices.Contains(f.Destinations, h.Dest)) && (f.Zone == "" || h.Zone == f.Zone) &&
 			(len(f.Endpoints) == 0 || slices.Contains(f.Endpoints, h.Name)) {
 			all = append(all, n)
 		}
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -76,13 +76,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a, b := s.StruckRelays(0), s.StruckRelays(0); len(a) != 7 || !slices.Equal(a, b) {
+	if a, b := s.AffectedRelays(0), s.AffectedRelays(0); len(a) != 7 || !slices.Equal(a, b) {
 		t.Errorf("%v, then %v", a, b)
 	}
-	if got := s.StruckRelays(2); len(got) != 10 || slices.ContainsFunc(got, func(r int) bool { return r%2 == 0 }) {
+	if got := s.AffectedRelays(2); len(got) != 10 || slices.ContainsFunc(got, func(r int) bool { return r%2 == 0 }) {
 		t.Errorf("of zone b: %v", got)
 	}
-	if h := s.Hosts[len(s.Hosts)-1]; h.Name != "d0-e1-n1" || h.Born != 2 || s.Hosts[h.Old].Name != "d0-e1" {
+	if h := s.Hosts[len(s.Hosts)-1]; h.Name != "d0-e1-n1" || h.AddedByFault != 2 || s.Hosts[h.Replaces].Name != "d0-e1" {
 		t.Errorf("in place of the one that drains: %+v", h)
 	}
 }
--- a/internal/lab/shimmed.go
+++ b/internal/lab/shimmed.go
@@ -16,20 +16,20 @@
 func shimmed(ctx context.Context, r *relays.Relay, f *scenario.Fault) error {
 	switch f.Kind {
 	case "clock", "clock-back":
-		by := time.Duration(f.Size * float64(time.Second))
+		by := time.Duration(f.Magnitude * float64(time.Second))
 		if f.Kind == "clock-back" {
 			by = -by
 		}
-		if err := r.Shim.StepWall(by); err != nil || f.For <= 0 {
+		if err := r.Shim.StepWall(by); err != nil || f.Duration <= 0 {
 			return err
 		}
-		clock.Sleep(ctx, f.For.AsDuration())
+		clock.Sleep(ctx, f.Duration.AsDuration())
 		return r.Shim.StepWall(-by)
 	case "short-io":
 		if err := r.Shim.Short(true); err != nil {
 			return err
 		}
-		clock.Sleep(ctx, f.For.AsDuration())
+		clock.Sleep(ctx, f.Duration.AsDuration())
 		return r.Shim.Short(false)
 	}
 	call, err := shim.ParseCall(f.Call)
@@ -44,6 +44,6 @@
 		return r.Shim.Fail(call, errno, f.Count)
 	}
 	err = r.Shim.FailAll(call, errno)
-	clock.Sleep(ctx, f.For.AsDuration())
+	clock.Sleep(ctx, f.Duration.AsDuration())
 	return errors.Join(err, r.Shim.Clear(call))
 }
--- a/internal/lab/shimmed_test.go
+++ b/internal/lab/shimmed_test.go
@@ -26,7 +26,7 @@
 	handedIn := map[string]bool{}
 	for _, e := range events {
 		switch {
-		case e.Kind == history.HandIn && e.T >= history.M(from) && e.T < history.M(to):
+		case e.Kind == history.HandIn && e.Time >= history.ToMicros(from) && e.Time < history.ToMicros(to):
 			handedIn[e.ID] = true
 		case e.Kind == history.Answer && handedIn[e.ID] && e.Status != "202":
 			refused++
