--- a/internal/lab/campaign/campaign.go
+++ b/internal/lab/campaign/campaign.go
@@ -71,29 +71,29 @@
 	"local_part":  func(f *report.Figures) float64 { return f.LocalShare / math.Max(1e-9, f.LocalPossible) },
 	"p99":         func(f *report.Figures) float64 { return f.Latency["p99"] },
 	"fell":        func(f *report.Figures) float64 { return float64(f.Overloaded) },
-	"evacuations": most(zones, func(z *report.ZoneFigures) float64 { return float64(z.Evacuations) }),
-	"returns":     most(zones, func(z *report.ZoneFigures) float64 { return float64(z.Returns) }),
-	"left":        most(zones, func(z *report.ZoneFigures) float64 { return float64(z.LeftBy) }),
+	"evacuations": maxOver(zones, func(z *report.ZoneFigures) float64 { return float64(z.Evacuations) }),
+	"returns":     maxOver(zones, func(z *report.ZoneFigures) float64 { return float64(z.Returns) }),
+	"left":        maxOver(zones, func(z *report.ZoneFigures) float64 { return float64(z.LeftBy) }),
 	// accused is the relays that left a zone that no fault has struck.
-	"accused": most(zones, func(z *report.ZoneFigures) float64 {
+	"accused": maxOver(zones, func(z *report.ZoneFigures) float64 {
 		if z.Faulted {
 			return 0
 		}
 		return float64(z.LeftBy)
 	}),
-	"cut_off": most(zones, func(z *report.ZoneFigures) float64 { return float64(z.Isolated) }),
-	"zone_back": most(zones, func(z *report.ZoneFigures) float64 {
+	"cut_off": maxOver(zones, func(z *report.ZoneFigures) float64 { return float64(z.Isolated) }),
+	"zone_back": maxOver(zones, func(z *report.ZoneFigures) float64 {
 		if !z.Faulted {
 			return 0
 		}
-		return orNever(z.Recovery)
+		return orInfinity(z.Recovery)
 	}),
-	"carried": most(faults, func(x *report.FaultFigures) float64 { return x.DegradedTime }),
-	"back":    most(faults, func(x *report.FaultFigures) float64 { return orNever(x.Recovery) }),
+	"carried": maxOver(faults, func(x *report.FaultFigures) float64 { return x.DegradedTime }),
+	"back":    maxOver(faults, func(x *report.FaultFigures) float64 { return orInfinity(x.Recovery) }),
 	// exposed is the most of a new endpoint's share of its destination's calls, until it was held back or for 20 s, new_full
 	// when the last had its whole share, new_failed the calls to them that got an error.
-	"exposed":  most(newcomers, func(n *report.NewEndpoint) float64 { return n.ExposedShare }),
-	"new_full": most(newcomers, func(n *report.NewEndpoint) float64 { return orNever(n.FullAfter) }),
+	"exposed":  maxOver(newEndpoints, func(n *report.NewEndpoint) float64 { return n.ExposedShare }),
+	"new_full": maxOver(newEndpoints, func(n *report.NewEndpoint) float64 { return orInfinity(n.FullAfter) }),
 	"new_failed": func(f *report.Figures) (sum float64) {
 		for _, n := range f.NewEndpoints {
 			sum += float64(n.FailedCalls)
@@ -110,19 +110,19 @@
 	},
 }
 
-func orNever(v *float64) float64 {
+func orInfinity(v *float64) float64 {
 	if v == nil {
 		return math.Inf(1)
 	}
 	return *v
 }
 
-func zones(f *report.Figures) []report.ZoneFigures     { return f.Zones }
-func faults(f *report.Figures) []report.FaultFigures   { return f.Faults }
-func newcomers(f *report.Figures) []report.NewEndpoint { return f.NewEndpoints }
+func zones(f *report.Figures) []report.ZoneFigures        { return f.Zones }
+func faults(f *report.Figures) []report.FaultFigures      { return f.Faults }
+func newEndpoints(f *report.Figures) []report.NewEndpoint { return f.NewEndpoints }
 
 // most is the most of a figure over the zones, the faults or the new endpoints of a play; 0 where there are none.
-func most[T any](all func(*report.Figures) []T, of func(*T) float64) func(*report.Figures) float64 {
+func maxOver[T any](all func(*report.Figures) []T, of func(*T) float64) func(*report.Figures) float64 {
 	return func(f *report.Figures) (most float64) {
 		for _, x := range all(f) {
 			most = math.Max(most, of(&x))
@@ -149,7 +149,7 @@
 	}
 	for _, c := range p.Cases {
 		for _, v := range p.Variants {
-			text, err := with(from, c.Overrides, v.Overrides)
+			text, err := applyOverrides(from, c.Overrides, v.Overrides)
 			if err == nil {
 				_, err = scenario.Parse(p.Base, text)
 			}
@@ -198,7 +198,7 @@
 }
 
 // with sets values of a scenario, one set after the other.
-func with(base []byte, sets ...map[string]any) ([]byte, error) {
+func applyOverrides(base []byte, sets ...map[string]any) ([]byte, error) {
 	all := map[string]any{}
 	if err := toml.Unmarshal(base, &all); err != nil {
 		return nil, err
@@ -230,7 +230,7 @@
 	if !ok {
 		return nil, fmt.Errorf("there is no case %q with a variant %q", c, variant)
 	}
-	text, err := with(text, map[string]any{"seed": int64(seed)})
+	text, err := applyOverrides(text, map[string]any{"seed": int64(seed)})
 	if err != nil {
 		return nil, err
 	}
@@ -246,18 +246,18 @@
 	Violations        []string           `json:"broken,omitempty"` // rules
 	UnmetExpectations []string           `json:"missed,omitempty"` // expectations
 	Figures           map[string]float64 `json:"figures"`
-	tries             int
+	attempts          int
 }
 
 // mostTries of a play that is void: another program had the processors.
-const mostTries = 4
+const maxAttempts = 4
 
 // Player plays a scenario.
 type Runner func(context.Context, *scenario.Scenario) (*report.Figures, error)
 
 // Run plays the cases that are named, or all, and tells played of each play in turn. It ends early on the first play
 // that could not be played.
-func (p *Plan) Run(ctx context.Context, cases []string, player Runner, played func(RunResult)) ([]RunResult, error) {
+func (p *Plan) Run(ctx context.Context, cases []string, run Runner, onResult func(RunResult)) ([]RunResult, error) {
 	for _, name := range cases {
 		if !slices.ContainsFunc(p.Cases, func(c Case) bool { return c.Name == name }) {
 			return nil, fmt.Errorf("there is no case %q", name)
@@ -265,20 +265,20 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	todo := make(chan RunResult)
+	pending := make(chan RunResult)
 	var mu sync.Mutex
-	var all []RunResult
-	var work sync.WaitGroup
+	var results []RunResult
+	var workers sync.WaitGroup
 	for range p.Parallel {
-		work.Go(func() {
-			for one := range todo {
-				done, err := p.play(ctx, one, player)
+		workers.Go(func() {
+			for result := range pending {
+				done, err := p.runUntilValid(ctx, result, run)
 				mu.Lock()
 				if err != nil {
-					cancel(fmt.Errorf("case %q, variant %q, seed %d: %w", one.Case, one.Variant, one.Seed, err))
+					cancel(fmt.Errorf("case %q, variant %q, seed %d: %w", result.Case, result.Variant, result.Seed, err))
 				} else {
-					all = append(all, done)
-					played(done)
+					results = append(results, done)
+					onResult(done)
 				}
 				mu.Unlock()
 			}
@@ -298,56 +298,56 @@
 					continue
 				}
 				select {
-				case todo <- RunResult{Case: c.Name, Variant: v.Name, Seed: uint64(seed + 1)}:
+				case pending <- RunResult{Case: c.Name, Variant: v.Name, Seed: uint64(seed + 1)}:
 				case <-ctx.Done():
 				}
 			}
 		}
 	}
-	close(todo)
-	work.Wait()
-	return all, context.Cause(ctx)
+	close(pending)
+	workers.Wait()
+	return results, context.Cause(ctx)
 }
 
 // play plays one until it counts.
-func (p *Plan) play(ctx context.Context, one RunResult, player Runner) (RunResult, error) {
-	for one.tries < mostTries {
-		one.tries++
-		s, err := p.Scenario(one.Case, one.Variant, one.Seed)
+func (p *Plan) runUntilValid(ctx context.Context, result RunResult, run Runner) (RunResult, error) {
+	for result.attempts < maxAttempts {
+		result.attempts++
+		s, err := p.Scenario(result.Case, result.Variant, result.Seed)
 		if err != nil {
-			return one, err
+			return result, err
 		}
-		f, err := player(ctx, s)
+		f, err := run(ctx, s)
 		if err != nil {
-			return one, err
+			return result, err
 		}
-		one.InvalidReason, one.Violations, one.UnmetExpectations, one.Figures = f.Verdict.InvalidReason, nil, nil, map[string]float64{}
+		result.InvalidReason, result.Violations, result.UnmetExpectations, result.Figures = f.Verdict.InvalidReason, nil, nil, map[string]float64{}
 		for name, of := range Figures {
 			if v := of(f); !math.IsInf(v, 0) { // JSON has none; a figure that is missing never came about
-				one.Figures[name] = v
+				result.Figures[name] = v
 			}
 		}
 		for _, x := range f.Verdict.Violations {
-			one.Violations = append(one.Violations, fmt.Sprintf("%s: relay %d, message %s: %s", x.Rule, x.Relay, x.ID, x.Text))
+			result.Violations = append(result.Violations, fmt.Sprintf("%s: relay %d, message %s: %s", x.Rule, x.Relay, x.ID, x.Text))
 		}
-		i := slices.IndexFunc(p.Cases, func(c Case) bool { return c.Name == one.Case })
+		i := slices.IndexFunc(p.Cases, func(c Case) bool { return c.Name == result.Case })
 		for _, e := range p.Cases[i].Expect {
 			v := Figures[e.Figure](f)
-			if e.Variant != "" && e.Variant != one.Variant {
+			if e.Variant != "" && e.Variant != result.Variant {
 				continue
 			}
 			if e.Min != nil && !(v >= *e.Min) {
-				one.UnmetExpectations = append(one.UnmetExpectations, fmt.Sprintf("%s is %.4g, under %.4g", e.Figure, v, *e.Min))
+				result.UnmetExpectations = append(result.UnmetExpectations, fmt.Sprintf("%s is %.4g, under %.4g", e.Figure, v, *e.Min))
 			}
 			if e.Max != nil && !(v <= *e.Max) {
-				one.UnmetExpectations = append(one.UnmetExpectations, fmt.Sprintf("%s is %.4g, over %.4g", e.Figure, v, *e.Max))
+				result.UnmetExpectations = append(result.UnmetExpectations, fmt.Sprintf("%s is %.4g, over %.4g", e.Figure, v, *e.Max))
 			}
 		}
-		if one.InvalidReason == "" { // else what it shows may be the lab's own doing
+		if result.InvalidReason == "" { // else what it shows may be the lab's own doing
 			break
 		}
 	}
-	return one, nil
+	return result, nil
 }
 
 // Row is one figure of a case: the mean and the ends over the plays of a variant, and where there is a first variant to
@@ -361,15 +361,15 @@
 }
 
 // Table sums up plays by case, figure and variant. Void plays are left out, and figures that did not come about in each.
-func (p *Plan) Table(plays []RunResult, figures []string) (rows []Row) {
+func (p *Plan) Table(results []RunResult, figures []string) (rows []Row) {
 	for _, c := range p.Cases {
 		by := map[string]map[uint64]RunResult{}
-		for _, one := range plays {
-			if one.Case == c.Name && one.InvalidReason == "" {
-				if by[one.Variant] == nil {
-					by[one.Variant] = map[uint64]RunResult{}
+		for _, result := range results {
+			if result.Case == c.Name && result.InvalidReason == "" {
+				if by[result.Variant] == nil {
+					by[result.Variant] = map[uint64]RunResult{}
 				}
-				by[one.Variant][one.Seed] = one
+				by[result.Variant][result.Seed] = result
 			}
 		}
 		for _, figure := range figures {
--- a/internal/lab/campaign/campaign_test.go
+++ b/internal/lab/campaign/campaign_test.go
@@ -14,7 +14,7 @@
 	"milletsail/scenarios"
 )
 
-const form = `
+const sampleCampaign = `
 base = "calm"
 seeds = 4
 at_once = 3
@@ -45,7 +45,7 @@
 
 // Values of a case and a variant take the place of the scenario's, and the rest stays.
 func TestScenario(t *testing.T) {
-	p := read(t, form)
+	p := read(t, sampleCampaign)
 	s, err := p.Scenario("one", "b", 9)
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 }
 
 // What can't be played, or held, is an error before anything starts.
-func TestReadRefuses(t *testing.T) {
+func TestReadRejectsInvalidPlans(t *testing.T) {
 	for from, to := range map[string]string{
 		`base = "calm"`:      `base = "none"`,
 		"seeds = 4":          "seeds = 0",
@@ -78,7 +78,7 @@
 		`name = "b"`:         `name = "a"`,
 		`, least = 0.9`:      ``,
 	} {
-		if _, err := Read("plan.toml", []byte(strings.Replace(form, from, to, 1)), scenarios.Get); err == nil || !strings.HasPrefix(err.Error(), "plan.toml") {
+		if _, err := Read("plan.toml", []byte(strings.Replace(sampleCampaign, from, to, 1)), scenarios.Get); err == nil || !strings.HasPrefix(err.Error(), "plan.toml") {
 			t.Errorf("%s: %v", to, err)
 		}
 	}
@@ -87,10 +87,10 @@
 // Each play counts once, void ones are played again and stay out of the figures, expectations hold for each play, and
 // differences are paired by seed.
 func TestRun(t *testing.T) {
-	p := read(t, form)
+	p := read(t, sampleCampaign)
 	var mu sync.Mutex
 	tries := map[string]int{}
-	player := func(_ context.Context, s *scenario.Scenario) (*report.Figures, error) {
+	runner := func(_ context.Context, s *scenario.Scenario) (*report.Figures, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		side := "a"
@@ -114,22 +114,22 @@
 		}
 		return f, nil
 	}
-	plays, err := p.Run(t.Context(), nil, player, func(RunResult) {})
-	if err != nil || len(plays) != 9 {
-		t.Fatalf("%d plays, %v", len(plays), err)
+	results, err := p.Run(t.Context(), nil, runner, func(RunResult) {})
+	if err != nil || len(results) != 9 {
+		t.Fatalf("%d plays, %v", len(results), err)
 	}
 	void, missed, broken := 0, 0, 0
-	for _, one := range plays {
-		if one.InvalidReason != "" {
+	for _, result := range results {
+		if result.InvalidReason != "" {
 			void++
 		}
-		missed += len(one.UnmetExpectations)
-		broken += len(one.Violations)
+		missed += len(result.UnmetExpectations)
+		broken += len(result.Violations)
 	}
 	if void != 1 || missed != 2 || broken != 1 || tries["b2"] != 3 {
 		t.Errorf("%d void, %d missed, %d broken, %d tries of a play that is void at first", void, missed, broken, tries["b2"])
 	}
-	for _, row := range p.Table(plays, []string{"served"}) {
+	for _, row := range p.Table(results, []string{"served"}) {
 		if row.Case == "one" && row.Variant == "b" {
 			// Seeds 1 and 2 are 0.1 up, 4 is 0.34 down; 3 has no pair.
 			if row.Runs != 4 || row.Pairs != 3 || math.Abs(row.Diff-(0.1+0.1-0.34)/3) > 1e-9 || row.Low != 0.5 {
@@ -137,7 +137,7 @@
 			}
 		}
 	}
-	if _, err := p.Run(t.Context(), []string{"three"}, player, func(RunResult) {}); err == nil {
+	if _, err := p.Run(t.Context(), []string{"three"}, runner, func(RunResult) {}); err == nil {
 		t.Error("a case that is not there is played")
 	}
 	failing := errors.New("no sockets")
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -10,19 +10,19 @@
 )
 
 // planted builds a history by hand.
-type planted struct {
+type historyBuilder struct {
 	events []history.Event
 	calls  int
 }
 
 const (
 	relay = 0
-	mil   = time.Millisecond
+	ms    = time.Millisecond
 )
 
-func plant() *planted {
-	p := &planted{}
-	sec := func(s float64) us { return us(s * 1e6) }
+func newHistory() *historyBuilder {
+	p := &historyBuilder{}
+	sec := func(s float64) micros { return micros(s * 1e6) }
 	p.add(0, history.Event{Kind: history.Run, Parameters: &history.Parameters{Relays: 3, MaxAttempts: 8, DrainGrace: sec(2), ColdShare: 0.25, RampTime: sec(8),
 		OverloadFactor: 2, OverloadFor: sec(2), MemoryMB: 100, DiskMB: 3, Sockets: 100,
 		Classes: map[string]history.Class{
@@ -34,50 +34,50 @@
 	return p
 }
 
-func (p *planted) add(at time.Duration, e history.Event) *planted {
+func (p *historyBuilder) add(at time.Duration, e history.Event) *historyBuilder {
 	e.Time, e.Line = history.ToMicros(at), len(p.events)+1
 	p.events = append(p.events, e)
 	return p
 }
 
-func (p *planted) relay(at time.Duration, what string) *planted {
+func (p *historyBuilder) relay(at time.Duration, what string) *historyBuilder {
 	return p.add(at, history.Event{Kind: history.Relay, Relay: history.IntPtr(relay), Detail: what})
 }
 
 // taken hands a message in and has it taken on at once; it is given up 10 s later.
-func (p *planted) taken(at time.Duration, id, class string) *planted {
-	p.handed(at, id, class)
-	return p.add(at+mil, history.Event{Kind: history.Answer, ID: id, Status: "202"})
+func (p *historyBuilder) accepted(at time.Duration, id, class string) *historyBuilder {
+	p.handIn(at, id, class)
+	return p.add(at+ms, history.Event{Kind: history.Answer, ID: id, Status: "202"})
 }
 
-func (p *planted) handed(at time.Duration, id, class string) *planted {
+func (p *historyBuilder) handIn(at time.Duration, id, class string) *historyBuilder {
 	return p.add(at, history.Event{Kind: history.HandIn, ID: id, Message: 1, Relay: history.IntPtr(relay), Class: class, Dest: history.IntPtr(7), TimeLeft: 10e6})
 }
 
 // call makes a call that stays out.
-func (p *planted) call(at time.Duration, host string, ids ...string) *planted {
+func (p *historyBuilder) call(at time.Duration, host string, ids ...string) *historyBuilder {
 	return p.callOf(relay, at, host, ids...)
 }
 
-func (p *planted) callOf(r int, at time.Duration, host string, ids ...string) *planted {
+func (p *historyBuilder) callOf(r int, at time.Duration, host string, ids ...string) *historyBuilder {
 	p.calls++
 	return p.add(at, history.Event{Kind: history.Call, Call: p.calls, Relay: history.IntPtr(r), Host: host, IDs: ids, FirstByte: history.ToMicros(at)})
 }
 
 // reply answers the latest call.
-func (p *planted) reply(at time.Duration, status string, wait time.Duration) *planted {
+func (p *historyBuilder) reply(at time.Duration, status string, wait time.Duration) *historyBuilder {
 	return p.add(at, history.Event{Kind: history.Reply, Call: p.calls, Status: status, RetryAfter: history.ToMicros(wait)})
 }
 
-func (p *planted) gone(at time.Duration) *planted {
+func (p *historyBuilder) connectionClosed(at time.Duration) *historyBuilder {
 	return p.add(at, history.Event{Kind: history.Gone, Call: p.calls})
 }
 
-func (p *planted) notice(at time.Duration, id, status string) *planted {
+func (p *historyBuilder) notification(at time.Duration, id, status string) *historyBuilder {
 	return p.add(at, history.Event{Kind: history.Notice, Relay: history.IntPtr(relay), ID: id, Status: status})
 }
 
-func (p *planted) list(at time.Duration, host, health string, told ...time.Duration) *planted {
+func (p *historyBuilder) list(at time.Duration, host, health string, told ...time.Duration) *historyBuilder {
 	hosts := []history.ListEntry{{Host: host, Health: health}}
 	p.add(at, history.Event{Kind: history.List, Hosts: hosts})
 	for _, t := range told {
@@ -87,14 +87,14 @@
 }
 
 // check judges what was planted, with an end at a moment.
-func (p *planted) check(end time.Duration) Verdict {
+func (p *historyBuilder) check(end time.Duration) Verdict {
 	p.add(end, history.Event{Kind: history.End, TimedEvents: 1000})
 	slices.SortStableFunc(p.events, func(a, b history.Event) int { return int(a.Time - b.Time) })
 	return Check(p.events, false)
 }
 
 // rulesOf lists the rules that a verdict finds broken, each once.
-func rulesOf(v Verdict) (rules []string) {
+func brokenRules(v Verdict) (rules []string) {
 	for _, x := range v.Violations {
 		if !slices.Contains(rules, x.Rule) {
 			rules = append(rules, x.Rule)
@@ -107,25 +107,25 @@
 func TestRules(t *testing.T) {
 	const end = 60 * time.Second
 	s := time.Second
-	many := func(n int) func(*planted) {
-		return func(p *planted) {
-			p.taken(s, "m", "status")
+	attempts := func(n int) func(*historyBuilder) {
+		return func(p *historyBuilder) {
+			p.accepted(s, "m", "status")
 			for i := range n {
-				p.call(2*s+time.Duration(i)*100*mil, "h1", "m").reply(2*s+time.Duration(i)*100*mil+10*mil, "503", 0)
+				p.call(2*s+time.Duration(i)*100*ms, "h1", "m").reply(2*s+time.Duration(i)*100*ms+10*ms, "503", 0)
 			}
-			p.notice(9*s, "m", "deferred")
+			p.notification(9*s, "m", "deferred")
 		}
 	}
 	// cold plants an endpoint that came back at 20 s with 10 messages a second, and n calls then, of which so many
 	// come from a relay that had seen it fail. 2 × 10 × 0.25 × 2 s = 10 fit, and 2√10 for chance: 16 in all.
-	cold := func(n, knowing int) func(*planted) {
-		return func(p *planted) {
+	coldEndpoint := func(n, observed int) func(*historyBuilder) {
+		return func(p *historyBuilder) {
 			p.add(10*s, history.Event{Kind: history.Outage, Host: "h1"})
-			p.taken(10*s, "seen", "status").call(11*s, "h1", "seen").reply(11*s+mil, "503", 0).notice(12*s, "seen", "deferred")
+			p.accepted(10*s, "seen", "status").call(11*s, "h1", "seen").reply(11*s+ms, "503", 0).notification(12*s, "seen", "deferred")
 			p.add(20*s, history.Event{Kind: history.Back, Host: "h1", Rate: 10})
 			for i := range n {
-				r, id, at := 2, fmt.Sprint("c", i), 20*s+time.Duration(i)*mil
-				if i < knowing {
+				r, id, at := 2, fmt.Sprint("c", i), 20*s+time.Duration(i)*ms
+				if i < observed {
 					r = relay
 				}
 				p.add(19*s, history.Event{Kind: history.HandIn, ID: id, Message: 10 + i, Relay: history.IntPtr(r), Class: "status", Dest: history.IntPtr(7), TimeLeft: 10e6})
@@ -134,179 +134,183 @@
 		}
 	}
 	cases := []struct {
-		rule, name   string
-		breaks, just func(*planted)
+		rule, name    string
+		breaks, keeps func(*historyBuilder)
 	}{
-		{Lost, "no end", func(p *planted) { p.taken(s, "m", "status") },
-			func(p *planted) { p.taken(s, "m", "status").notice(11*s+340*mil, "m", "undeliverable") }},
-		{Lost, "late end", func(p *planted) { p.taken(s, "m", "status").notice(11*s+360*mil, "m", "undeliverable") },
-			func(p *planted) { p.taken(s, "m", "status").call(2*s, "h1", "m").reply(11*s+340*mil, "200", 0) }},
-		{Lost, "an answer that is no delivery", func(p *planted) { p.taken(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "500", 0) },
-			func(p *planted) { p.taken(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "410", 0) }},
-		{Lost, "an answer after the time of another message of its call", func(p *planted) {
-			p.taken(s, "m", "status").taken(2*s, "n", "status").call(3*s, "h1", "m", "n").notice(11*s, "m", "deferred").reply(11*s+60*mil, "200", 0)
-		}, func(p *planted) {
-			p.taken(s, "m", "status").taken(2*s, "n", "status").call(3*s, "h1", "m", "n").reply(11*s+40*mil, "200", 0)
+		{Lost, "no end", func(p *historyBuilder) { p.accepted(s, "m", "status") },
+			func(p *historyBuilder) { p.accepted(s, "m", "status").notification(11*s+340*ms, "m", "undeliverable") }},
+		{Lost, "late end", func(p *historyBuilder) { p.accepted(s, "m", "status").notification(11*s+360*ms, "m", "undeliverable") },
+			func(p *historyBuilder) {
+				p.accepted(s, "m", "status").call(2*s, "h1", "m").reply(11*s+340*ms, "200", 0)
+			}},
+		{Lost, "an answer that is no delivery", func(p *historyBuilder) { p.accepted(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "500", 0) },
+			func(p *historyBuilder) { p.accepted(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "410", 0) }},
+		{Lost, "an answer after the time of another message of its call", func(p *historyBuilder) {
+			p.accepted(s, "m", "status").accepted(2*s, "n", "status").call(3*s, "h1", "m", "n").notification(11*s, "m", "deferred").reply(11*s+60*ms, "200", 0)
+		}, func(p *historyBuilder) {
+			p.accepted(s, "m", "status").accepted(2*s, "n", "status").call(3*s, "h1", "m", "n").reply(11*s+40*ms, "200", 0)
 		}},
-		{Lost, "over a restart", func(p *planted) {
-			p.relay(0, "started").taken(s, "m", "status").relay(8*s, "killed").relay(8*s, "ended").relay(9*s, "started").relay(9*s+500*mil, "ready").notice(11*s+400*mil, "m", "deferred")
-		}, func(p *planted) {
-			p.relay(0, "started").taken(s, "m", "status").relay(11*s, "killed").relay(11*s, "ended").relay(12*s, "started").relay(13*s, "ready").notice(14*s+490*mil, "m", "deferred")
+		{Lost, "over a restart", func(p *historyBuilder) {
+			p.relay(0, "started").accepted(s, "m", "status").relay(8*s, "killed").relay(8*s, "ended").relay(9*s, "started").relay(9*s+500*ms, "ready").notification(11*s+400*ms, "m", "deferred")
+		}, func(p *historyBuilder) {
+			p.relay(0, "started").accepted(s, "m", "status").relay(11*s, "killed").relay(11*s, "ended").relay(12*s, "started").relay(13*s, "ready").notification(14*s+490*ms, "m", "deferred")
 		}},
-		{Lost, "a folder that is lost", func(p *planted) {
-			p.relay(0, "started").taken(s, "m", "status").relay(8*s, "killed").relay(8*s, "ended").relay(9*s, "started").relay(9*s, "ready")
-		}, func(p *planted) {
-			p.relay(0, "started").taken(s, "m", "status").relay(8*s, "killed").relay(8*s, "ended").relay(8*s, "wiped").relay(9*s, "started").relay(9*s, "ready")
+		{Lost, "a folder that is lost", func(p *historyBuilder) {
+			p.relay(0, "started").accepted(s, "m", "status").relay(8*s, "killed").relay(8*s, "ended").relay(9*s, "started").relay(9*s, "ready")
+		}, func(p *historyBuilder) {
+			p.relay(0, "started").accepted(s, "m", "status").relay(8*s, "killed").relay(8*s, "ended").relay(8*s, "wiped").relay(9*s, "started").relay(9*s, "ready")
 		}},
-		{AfterEnd, "after a notice", func(p *planted) {
-			p.taken(s, "m", "status").notice(2*s, "m", "deferred").call(2*s+60*mil, "h1", "m").reply(3*s, "200", 0)
-		}, func(p *planted) {
-			p.taken(s, "m", "status").notice(2*s, "m", "deferred").call(2*s+40*mil, "h1", "m").reply(3*s, "200", 0)
+		{AfterEnd, "after a notice", func(p *historyBuilder) {
+			p.accepted(s, "m", "status").notification(2*s, "m", "deferred").call(2*s+60*ms, "h1", "m").reply(3*s, "200", 0)
+		}, func(p *historyBuilder) {
+			p.accepted(s, "m", "status").notification(2*s, "m", "deferred").call(2*s+40*ms, "h1", "m").reply(3*s, "200", 0)
 		}},
-		{AfterEnd, "after a refusal", func(p *planted) {
-			p.handed(s, "m", "status").add(s+mil, history.Event{Kind: history.Answer, ID: "m", Status: "429"}).call(s+70*mil, "h1", "m").reply(2*s, "200", 0)
-		}, func(p *planted) {
-			p.handed(s, "m", "status").add(s+mil, history.Event{Kind: history.Answer, ID: "m", Status: "429"}).call(s+40*mil, "h1", "m").reply(2*s, "200", 0)
+		{AfterEnd, "after a refusal", func(p *historyBuilder) {
+			p.handIn(s, "m", "status").add(s+ms, history.Event{Kind: history.Answer, ID: "m", Status: "429"}).call(s+70*ms, "h1", "m").reply(2*s, "200", 0)
+		}, func(p *historyBuilder) {
+			p.handIn(s, "m", "status").add(s+ms, history.Event{Kind: history.Answer, ID: "m", Status: "429"}).call(s+40*ms, "h1", "m").reply(2*s, "200", 0)
 		}},
-		{AfterEnd, "after a delivery", func(p *planted) {
-			p.taken(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "200", 0).call(4*s, "h1", "m").reply(4*s, "200", 0)
-		}, func(p *planted) { // a process that was killed may not have taken the answer in
-			p.relay(0, "started").taken(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "200", 0)
-			p.relay(3*s+mil, "killed").relay(3*s+mil, "ended").relay(3*s+600*mil, "started").relay(3*s+700*mil, "ready").call(4*s, "h1", "m").reply(4*s, "200", 0)
+		{AfterEnd, "after a delivery", func(p *historyBuilder) {
+			p.accepted(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "200", 0).call(4*s, "h1", "m").reply(4*s, "200", 0)
+		}, func(p *historyBuilder) { // a process that was killed may not have taken the answer in
+			p.relay(0, "started").accepted(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "200", 0)
+			p.relay(3*s+ms, "killed").relay(3*s+ms, "ended").relay(3*s+600*ms, "started").relay(3*s+700*ms, "ready").call(4*s, "h1", "m").reply(4*s, "200", 0)
 		}},
-		{SecondCopy, "while one is out", func(p *planted) {
-			p.taken(s, "m", "status").call(2*s, "h1", "m").gone(2*s+160*mil).call(2*s+100*mil, "h2", "m").reply(3*s, "200", 0)
-		}, func(p *planted) {
-			p.taken(s, "m", "status").call(2*s, "h1", "m").gone(2*s+140*mil).call(2*s+100*mil, "h2", "m").reply(3*s, "200", 0)
+		{SecondCopy, "while one is out", func(p *historyBuilder) {
+			p.accepted(s, "m", "status").call(2*s, "h1", "m").connectionClosed(2*s+160*ms).call(2*s+100*ms, "h2", "m").reply(3*s, "200", 0)
+		}, func(p *historyBuilder) {
+			p.accepted(s, "m", "status").call(2*s, "h1", "m").connectionClosed(2*s+140*ms).call(2*s+100*ms, "h2", "m").reply(3*s, "200", 0)
 		}},
-		{SecondCopy, "an answer that got lost", func(p *planted) {
-			p.taken(s, "m", "status").call(2*s, "h1", "m").add(3*s, history.Event{Kind: history.Broken, Call: 1, Detail: "lost"})
+		{SecondCopy, "an answer that got lost", func(p *historyBuilder) {
+			p.accepted(s, "m", "status").call(2*s, "h1", "m").add(3*s, history.Event{Kind: history.Broken, Call: 1, Detail: "lost"})
 			p.call(4*s, "h2", "m").reply(4*s, "200", 0)
-		}, func(p *planted) {
-			p.taken(s, "m", "status").call(2*s, "h1", "m").add(3*s, history.Event{Kind: history.Broken, Call: 1, Detail: "reset"})
+		}, func(p *historyBuilder) {
+			p.accepted(s, "m", "status").call(2*s, "h1", "m").add(3*s, history.Event{Kind: history.Broken, Call: 1, Detail: "reset"})
 			p.call(4*s, "h2", "m").reply(4*s, "200", 0)
 		}},
-		{Attempts, "a ninth", many(9), many(8)},
-		{Repeat, "fragile", func(p *planted) {
-			p.taken(s, "m", "booking").call(2*s, "h1", "m").reply(2*s+mil, "500", 0).call(3*s, "h1", "m").reply(3*s, "200", 0)
-		}, func(p *planted) {
-			p.taken(s, "m", "booking").call(2*s, "h1", "m").reply(2*s+mil, "503", 0).call(3*s, "h1", "m").reply(3*s, "200", 0)
+		{Attempts, "a ninth", attempts(9), attempts(8)},
+		{Repeat, "fragile", func(p *historyBuilder) {
+			p.accepted(s, "m", "booking").call(2*s, "h1", "m").reply(2*s+ms, "500", 0).call(3*s, "h1", "m").reply(3*s, "200", 0)
+		}, func(p *historyBuilder) {
+			p.accepted(s, "m", "booking").call(2*s, "h1", "m").reply(2*s+ms, "503", 0).call(3*s, "h1", "m").reply(3*s, "200", 0)
 		}},
-		{Repeat, "fragile, over a kill", func(p *planted) {
-			p.relay(0, "started").taken(s, "m", "booking").call(2*s, "h1", "m").relay(2*s+mil, "killed").gone(2*s+mil).relay(2*s+mil, "ended")
+		{Repeat, "fragile, over a kill", func(p *historyBuilder) {
+			p.relay(0, "started").accepted(s, "m", "booking").call(2*s, "h1", "m").relay(2*s+ms, "killed").connectionClosed(2*s+ms).relay(2*s+ms, "ended")
 			p.relay(3*s, "started").relay(3*s, "ready").call(4*s, "h1", "m").reply(4*s, "200", 0)
-		}, func(p *planted) {
-			p.relay(0, "started").taken(s, "m", "booking").call(2*s, "h1", "m").relay(2*s+mil, "killed").gone(2*s+mil).relay(2*s+mil, "ended")
-			p.relay(3*s, "started").relay(3*s, "ready").notice(4*s, "m", "undeliverable")
+		}, func(p *historyBuilder) {
+			p.relay(0, "started").accepted(s, "m", "booking").call(2*s, "h1", "m").relay(2*s+ms, "killed").connectionClosed(2*s+ms).relay(2*s+ms, "ended")
+			p.relay(3*s, "started").relay(3*s, "ready").notification(4*s, "m", "undeliverable")
 		}},
-		{Repeat, "forgotten", func(p *planted) {
-			p.taken(s, "m", "payment").call(2*s, "h1", "m").gone(3*s).call(7*s+60*mil, "h2", "m").reply(7*s+70*mil, "200", 0)
-		}, func(p *planted) {
-			p.taken(s, "m", "payment").call(2*s, "h1", "m").gone(3*s).call(7*s+40*mil, "h2", "m").reply(7*s+70*mil, "200", 0)
+		{Repeat, "forgotten", func(p *historyBuilder) {
+			p.accepted(s, "m", "payment").call(2*s, "h1", "m").connectionClosed(3*s).call(7*s+60*ms, "h2", "m").reply(7*s+70*ms, "200", 0)
+		}, func(p *historyBuilder) {
+			p.accepted(s, "m", "payment").call(2*s, "h1", "m").connectionClosed(3*s).call(7*s+40*ms, "h2", "m").reply(7*s+70*ms, "200", 0)
 		}},
-		{Repeat, "in another zone", func(p *planted) {
-			p.taken(s, "m", "zoned").call(2*s, "h1", "m").gone(3*s).call(4*s, "h2", "m").reply(4*s, "200", 0)
-		}, func(p *planted) {
-			p.taken(s, "m", "zoned").call(2*s, "h1", "m").gone(3*s).call(4*s, "h1", "m").reply(4*s, "200", 0)
+		{Repeat, "in another zone", func(p *historyBuilder) {
+			p.accepted(s, "m", "zoned").call(2*s, "h1", "m").connectionClosed(3*s).call(4*s, "h2", "m").reply(4*s, "200", 0)
+		}, func(p *historyBuilder) {
+			p.accepted(s, "m", "zoned").call(2*s, "h1", "m").connectionClosed(3*s).call(4*s, "h1", "m").reply(4*s, "200", 0)
 		}},
-		{HandedBack, "may have run", func(p *planted) {
-			p.taken(s, "m", "booking").call(2*s, "h1", "m").gone(3*s).notice(4*s, "m", "deferred")
+		{HandedBack, "may have run", func(p *historyBuilder) {
+			p.accepted(s, "m", "booking").call(2*s, "h1", "m").connectionClosed(3*s).notification(4*s, "m", "deferred")
 		},
-			func(p *planted) {
-				p.taken(s, "m", "booking").call(2*s, "h1", "m").gone(3*s).notice(4*s, "m", "undeliverable")
+			func(p *historyBuilder) {
+				p.accepted(s, "m", "booking").call(2*s, "h1", "m").connectionClosed(3*s).notification(4*s, "m", "undeliverable")
 			}},
-		{WrongHost, "another destination's", func(p *planted) { p.taken(s, "m", "status").call(2*s, "other", "m").reply(3*s, "200", 0) },
-			func(p *planted) { p.taken(s, "m", "status").call(2*s, "h2", "m").reply(3*s, "200", 0) }},
-		{WrongHost, "never listed", func(p *planted) {
-			p.list(s, "new", "SERVING").taken(s, "m", "status").call(2*s, "new", "m").reply(3*s, "200", 0)
-		}, func(p *planted) {
-			p.list(s, "new", "SERVING", 2*s).taken(s, "m", "status").call(2*s, "new", "m").reply(3*s, "200", 0)
+		{WrongHost, "another destination's", func(p *historyBuilder) { p.accepted(s, "m", "status").call(2*s, "other", "m").reply(3*s, "200", 0) },
+			func(p *historyBuilder) { p.accepted(s, "m", "status").call(2*s, "h2", "m").reply(3*s, "200", 0) }},
+		{WrongHost, "never listed", func(p *historyBuilder) {
+			p.list(s, "new", "SERVING").accepted(s, "m", "status").call(2*s, "new", "m").reply(3*s, "200", 0)
+		}, func(p *historyBuilder) {
+			p.list(s, "new", "SERVING", 2*s).accepted(s, "m", "status").call(2*s, "new", "m").reply(3*s, "200", 0)
 		}},
-		{Drain, "told", func(p *planted) {
-			p.list(s, "h1", "DRAINING", 2*s).taken(3*s, "m", "status").call(4*s+60*mil, "h1", "m").reply(5*s, "200", 0)
-		}, func(p *planted) {
-			p.list(s, "h1", "DRAINING", 2*s).taken(3*s, "m", "status").call(4*s+40*mil, "h1", "m").reply(5*s, "200", 0)
+		{Drain, "told", func(p *historyBuilder) {
+			p.list(s, "h1", "DRAINING", 2*s).accepted(3*s, "m", "status").call(4*s+60*ms, "h1", "m").reply(5*s, "200", 0)
+		}, func(p *historyBuilder) {
+			p.list(s, "h1", "DRAINING", 2*s).accepted(3*s, "m", "status").call(4*s+40*ms, "h1", "m").reply(5*s, "200", 0)
 		}},
-		{Drain, "counts as told", func(p *planted) {
-			p.list(s, "h1", "DELETED").taken(8*s, "m", "status").call(9*s+60*mil, "h1", "m").reply(10*s, "200", 0)
-		}, func(p *planted) {
-			p.list(s, "h1", "DELETED").taken(8*s, "m", "status").call(9*s+40*mil, "h1", "m").reply(10*s, "200", 0)
+		{Drain, "counts as told", func(p *historyBuilder) {
+			p.list(s, "h1", "DELETED").accepted(8*s, "m", "status").call(9*s+60*ms, "h1", "m").reply(10*s, "200", 0)
+		}, func(p *historyBuilder) {
+			p.list(s, "h1", "DELETED").accepted(8*s, "m", "status").call(9*s+40*ms, "h1", "m").reply(10*s, "200", 0)
 		}},
-		{Drain, "after a reload", func(p *planted) {
-			p.list(s, "h1", "DELETED").relay(s+100*mil, "hup").taken(7*s, "m", "status").call(7*s+160*mil, "h1", "m").reply(8*s, "200", 0)
-		}, func(p *planted) {
-			p.list(s, "h1", "DELETED").relay(s+100*mil, "hup").taken(7*s, "m", "status").call(7*s+140*mil, "h1", "m").reply(8*s, "200", 0)
+		{Drain, "after a reload", func(p *historyBuilder) {
+			p.list(s, "h1", "DELETED").relay(s+100*ms, "hup").accepted(7*s, "m", "status").call(7*s+160*ms, "h1", "m").reply(8*s, "200", 0)
+		}, func(p *historyBuilder) {
+			p.list(s, "h1", "DELETED").relay(s+100*ms, "hup").accepted(7*s, "m", "status").call(7*s+140*ms, "h1", "m").reply(8*s, "200", 0)
 		}},
-		{Wait, "told", func(p *planted) {
-			p.taken(s, "m", "status").taken(s, "n", "status").call(2*s, "h1", "m").reply(2*s, "429", s).notice(9*s, "m", "deferred")
-			p.call(2*s+940*mil, "h2", "n").reply(3*s, "200", 0)
-		}, func(p *planted) {
-			p.taken(s, "m", "status").taken(s, "n", "status").call(2*s, "h1", "m").reply(2*s, "429", s).notice(9*s, "m", "deferred")
-			p.call(2*s+90*mil, "h2", "n").reply(2*s+95*mil, "503", 0).call(2*s+960*mil, "h2", "n").reply(3*s, "200", 0)
+		{Wait, "told", func(p *historyBuilder) {
+			p.accepted(s, "m", "status").accepted(s, "n", "status").call(2*s, "h1", "m").reply(2*s, "429", s).notification(9*s, "m", "deferred")
+			p.call(2*s+940*ms, "h2", "n").reply(3*s, "200", 0)
+		}, func(p *historyBuilder) {
+			p.accepted(s, "m", "status").accepted(s, "n", "status").call(2*s, "h1", "m").reply(2*s, "429", s).notification(9*s, "m", "deferred")
+			p.call(2*s+90*ms, "h2", "n").reply(2*s+95*ms, "503", 0).call(2*s+960*ms, "h2", "n").reply(3*s, "200", 0)
 		}},
-		{Wait, "a restart ends it", func(p *planted) {
-			p.relay(0, "started").taken(s, "m", "status").call(2*s, "h1", "m").reply(2*s, "429", 3*s).relay(3*s, "started").relay(3*s, "ready").relay(3*s, "term").relay(3*s+mil, "ended")
+		{Wait, "a restart ends it", func(p *historyBuilder) {
+			p.relay(0, "started").accepted(s, "m", "status").call(2*s, "h1", "m").reply(2*s, "429", 3*s).relay(3*s, "started").relay(3*s, "ready").relay(3*s, "term").relay(3*s+ms, "ended")
 			p.call(4*s, "h1", "m").reply(4*s, "200", 0)
-		}, func(p *planted) {
-			p.relay(0, "started").taken(s, "m", "status").call(2*s, "h1", "m").reply(2*s, "429", 3*s).relay(3*s, "term").relay(3*s, "ended").relay(3*s+600*mil, "started").relay(3*s+600*mil, "ready")
+		}, func(p *historyBuilder) {
+			p.relay(0, "started").accepted(s, "m", "status").call(2*s, "h1", "m").reply(2*s, "429", 3*s).relay(3*s, "term").relay(3*s, "ended").relay(3*s+600*ms, "started").relay(3*s+600*ms, "ready")
 			p.call(4*s, "h1", "m").reply(4*s, "200", 0)
 		}},
-		{PushedOver, "too much", cold(17, 17), cold(16, 16)},
-		{PushedOver, "by relays that knew", cold(17, 12), cold(17, 11)},
-		{Unknown, "nobody's", func(p *planted) {
+		{PushedOver, "too much", coldEndpoint(17, 17), coldEndpoint(16, 16)},
+		{PushedOver, "by relays that knew", coldEndpoint(17, 12), coldEndpoint(17, 11)},
+		{Unknown, "nobody's", func(p *historyBuilder) {
 			p.call(s, "h1", "x").add(s, history.Event{Kind: history.Reply, Call: 1, Status: "400", Detail: "unknown"})
-		}, func(p *planted) {
-			p.taken(s, "x", "status").call(2*s, "h1", "x").reply(2*s, "400", 0).notice(3*s, "x", "undeliverable")
+		}, func(p *historyBuilder) {
+			p.accepted(s, "x", "status").call(2*s, "h1", "x").reply(2*s, "400", 0).notification(3*s, "x", "undeliverable")
 		}},
-		{Unknown, "another relay's", func(p *planted) {
-			p.taken(s, "m", "status").callOf(2, 2*s, "h1", "m").reply(2*s, "200", 0).notice(3*s, "m", "undeliverable")
-		}, func(p *planted) {
-			p.taken(s, "m", "status").callOf(relay, 2*s, "h1", "m").reply(2*s, "200", 0).notice(3*s, "m", "undeliverable")
+		{Unknown, "another relay's", func(p *historyBuilder) {
+			p.accepted(s, "m", "status").callOf(2, 2*s, "h1", "m").reply(2*s, "200", 0).notification(3*s, "m", "undeliverable")
+		}, func(p *historyBuilder) {
+			p.accepted(s, "m", "status").callOf(relay, 2*s, "h1", "m").reply(2*s, "200", 0).notification(3*s, "m", "undeliverable")
 		}},
-		{NoteTooLong, "one", func(p *planted) {
+		{NoteTooLong, "one", func(p *historyBuilder) {
 			p.add(s, history.Event{Kind: history.Note, Relay: history.IntPtr(relay), Bytes: 257})
-		}, func(*planted) {}},
-		{PeerLeft, "late", func(p *planted) { p.peer(s, "came").peer(4*s+60*mil, "closed") },
-			func(p *planted) { p.peer(s, "came").peer(4*s+40*mil, "closed") }},
-		{PeerLeft, "taken on", func(p *planted) { p.peer(s, "came").peer(2*s, "202") }, func(p *planted) { p.peer(s, "came").peer(2*s, "400") }},
-		{Crash, "by itself", func(p *planted) { p.relay(0, "started").relay(s, "crashed") }, func(p *planted) { p.relay(0, "started").relay(s, "term").relay(s, "ended") }},
-		{Crash, "no start", func(p *planted) { p.relay(0, "started").relay(s, "refused-start") }, func(p *planted) { p.relay(0, "started").relay(s, "ready") }},
-		{LeftZone, "to a zone that is left", func(p *planted) {
-			p.add(s, history.Event{Kind: history.Order, Relay: history.IntPtr(relay), Detail: "evacuate", Zone: "a", EndTime: us(9e6)})
-			p.taken(s, "m", "status").call(2*s, "h1", "m").reply(2100*mil, "200", 0)
-		}, func(p *planted) {
-			p.add(s, history.Event{Kind: history.Order, Relay: history.IntPtr(relay), Detail: "evacuate", Zone: "a", EndTime: us(9e6)})
-			p.taken(s, "m", "status").call(1400*mil, "h1", "m").reply(1500*mil, "200", 0)
-			p.taken(s, "n", "status").call(2*s, "h2", "n").reply(2100*mil, "200", 0)
+		}, func(*historyBuilder) {}},
+		{PeerLeft, "late", func(p *historyBuilder) { p.peer(s, "came").peer(4*s+60*ms, "closed") },
+			func(p *historyBuilder) { p.peer(s, "came").peer(4*s+40*ms, "closed") }},
+		{PeerLeft, "taken on", func(p *historyBuilder) { p.peer(s, "came").peer(2*s, "202") }, func(p *historyBuilder) { p.peer(s, "came").peer(2*s, "400") }},
+		{Crash, "by itself", func(p *historyBuilder) { p.relay(0, "started").relay(s, "crashed") }, func(p *historyBuilder) { p.relay(0, "started").relay(s, "term").relay(s, "ended") }},
+		{Crash, "no start", func(p *historyBuilder) { p.relay(0, "started").relay(s, "refused-start") }, func(p *historyBuilder) { p.relay(0, "started").relay(s, "ready") }},
+		{LeftZone, "to a zone that is left", func(p *historyBuilder) {
+			p.add(s, history.Event{Kind: history.Order, Relay: history.IntPtr(relay), Detail: "evacuate", Zone: "a", EndTime: micros(9e6)})
+			p.accepted(s, "m", "status").call(2*s, "h1", "m").reply(2100*ms, "200", 0)
+		}, func(p *historyBuilder) {
+			p.add(s, history.Event{Kind: history.Order, Relay: history.IntPtr(relay), Detail: "evacuate", Zone: "a", EndTime: micros(9e6)})
+			p.accepted(s, "m", "status").call(1400*ms, "h1", "m").reply(1500*ms, "200", 0)
+			p.accepted(s, "n", "status").call(2*s, "h2", "n").reply(2100*ms, "200", 0)
 		}},
-		{Stale, "past its bound", func(p *planted) {
+		{Stale, "past its bound", func(p *historyBuilder) {
 			p.add(s, history.Event{Kind: history.View, Relay: history.IntPtr(relay), OldestAgeRatio: 1})
 		},
-			func(p *planted) {
+			func(p *historyBuilder) {
 				p.add(s, history.Event{Kind: history.View, Relay: history.IntPtr(relay), OldestAgeRatio: 0.999})
 			}},
-		{Limits, "disk", func(p *planted) {
+		{Limits, "disk", func(p *historyBuilder) {
 			p.add(s, history.Event{Kind: history.Usage, Relay: history.IntPtr(relay), DiskMB: 3.01})
 		},
-			func(p *planted) {
+			func(p *historyBuilder) {
 				p.add(s, history.Event{Kind: history.Usage, Relay: history.IntPtr(relay), DiskMB: 3, MemoryMB: 100, FDs: 100})
 			}},
-		{Limits, "descriptors", func(p *planted) { p.add(s, history.Event{Kind: history.Usage, Relay: history.IntPtr(relay), FDs: 101}) }, func(*planted) {}},
+		{Limits, "descriptors", func(p *historyBuilder) {
+			p.add(s, history.Event{Kind: history.Usage, Relay: history.IntPtr(relay), FDs: 101})
+		}, func(*historyBuilder) {}},
 	}
 	tested := map[string]bool{}
 	for _, c := range cases {
 		tested[c.rule] = true
 		t.Run(c.rule+"/"+c.name, func(t *testing.T) {
-			p := plant()
+			p := newHistory()
 			c.breaks(p)
 			v := p.check(end)
-			if got := rulesOf(v); !slices.Equal(got, []string{c.rule}) {
+			if got := brokenRules(v); !slices.Equal(got, []string{c.rule}) {
 				t.Errorf("a history that breaks %s shows %v: %+v", c.rule, got, v.Violations)
 			} else if len(v.Violations[0].Lines) == 0 {
 				t.Errorf("no line of the history shows it")
 			}
-			p = plant()
-			c.just(p)
+			p = newHistory()
+			c.keeps(p)
 			if v := p.check(end); len(v.Violations) > 0 {
 				t.Errorf("a history that only just keeps it: %+v", v.Violations)
 			}
@@ -319,32 +323,32 @@
 	}
 }
 
-func (p *planted) peer(at time.Duration, what string) *planted {
+func (p *historyBuilder) peer(at time.Duration, what string) *historyBuilder {
 	return p.add(at, history.Event{Kind: history.Peer, Peer: 1, Relay: history.IntPtr(relay), Detail: what})
 }
 
 // A history that is cut off holds nothing against a relay that it does not show, but what it does show counts.
-func TestCutOff(t *testing.T) {
-	p := plant().taken(time.Second, "m", "status").call(2*time.Second, "other", "m")
+func TestTruncatedHistory(t *testing.T) {
+	p := newHistory().accepted(time.Second, "m", "status").call(2*time.Second, "other", "m")
 	v := Check(p.events, true)
-	if got := rulesOf(v); !slices.Equal(got, []string{WrongHost}) || !v.Truncated {
+	if got := brokenRules(v); !slices.Equal(got, []string{WrongHost}) || !v.Truncated {
 		t.Errorf("%v, cut %v", got, v.Truncated)
 	}
 }
 
 // A run in which the lab was late is void, and not kept.
-func TestVoid(t *testing.T) {
+func TestInvalidRun(t *testing.T) {
 	for _, c := range []struct {
 		events, late int
 		void         bool
 	}{{1000, 3, false}, {1000, 4, true}, {10000, 10, false}, {10000, 11, true}} {
-		p := plant()
+		p := newHistory()
 		p.add(time.Second, history.Event{Kind: history.End, TimedEvents: c.events, LateEvents: c.late})
 		if v := Check(p.events, false); (v.InvalidReason != "") != c.void || v.Passed() == c.void {
 			t.Errorf("%d of %d late: void %q, kept %v", c.late, c.events, v.InvalidReason, v.Passed())
 		}
 	}
-	if v := plant().add(time.Second, history.Event{Kind: history.Void, Detail: "no room"}).check(2 * time.Second); v.InvalidReason != "no room" {
+	if v := newHistory().add(time.Second, history.Event{Kind: history.Void, Detail: "no room"}).check(2 * time.Second); v.InvalidReason != "no room" {
 		t.Errorf("what the lab could not do: %+v", v)
 	}
 }
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -32,7 +32,7 @@
 }
 
 // figures are what is compared.
-var figures = []struct {
+var comparedFigures = []struct {
 	name string
 	of   func(*report.Figures) float64
 }{
@@ -48,7 +48,7 @@
 }
 
 // Pairs plays both sides on seeds from 1 on; played is told of each play.
-func Pairs(sides [2]Side, seeds int, played func(seed uint64, side int, f *report.Figures)) (*Result, error) {
+func Pairs(sides [2]Side, seeds int, onRun func(seed uint64, side int, f *report.Figures)) (*Result, error) {
 	r := &Result{}
 	var pairs [][2]*report.Figures
 	for seed := uint64(1); seed <= uint64(seeds); seed++ {
@@ -58,7 +58,7 @@
 			if err != nil {
 				return nil, err
 			}
-			played(seed, side, f)
+			onRun(seed, side, f)
 			r.Violations[side] += len(f.Verdict.Violations)
 			pair[side] = f
 		}
@@ -69,7 +69,7 @@
 		pairs = append(pairs, pair)
 	}
 	r.Pairs = len(pairs)
-	for _, fig := range figures {
+	for _, fig := range comparedFigures {
 		row := Row{Name: fig.name}
 		var diffs []float64
 		for _, pair := range pairs {
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -171,25 +171,25 @@
 
 // Writer writes a history. A write that fails is remembered and given by Close.
 type Writer struct {
-	begun time.Time
+	started time.Time
 
-	mu   sync.Mutex
-	out  *bufio.Writer
-	to   io.Closer
-	seen []Event
-	err  error
+	mu     sync.Mutex
+	out    *bufio.Writer
+	file   io.Closer
+	events []Event
+	err    error
 }
 
 // NewWriter begins a history at a moment; the events are kept for Events as well.
-func NewWriter(to io.WriteCloser, begun time.Time) *Writer {
-	return &Writer{begun: begun, out: bufio.NewWriterSize(to, 1<<20), to: to}
+func NewWriter(file io.WriteCloser, started time.Time) *Writer {
+	return &Writer{started: started, out: bufio.NewWriterSize(file, 1<<20), file: file}
 }
 
 // Now is the time since the run began.
-func (w *Writer) Now() Micros { return ToMicros(time.Since(w.begun)) }
+func (w *Writer) Now() Micros { return ToMicros(time.Since(w.started)) }
 
 // At is the time from the begin of the run to a moment.
-func (w *Writer) At(moment time.Time) Micros { return ToMicros(moment.Sub(w.begun)) }
+func (w *Writer) At(moment time.Time) Micros { return ToMicros(moment.Sub(w.started)) }
 
 // Add writes events; one without a time gets the present one.
 func (w *Writer) Add(events ...Event) {
@@ -199,8 +199,8 @@
 		if e.Time == 0 {
 			e.Time = w.Now()
 		}
-		w.seen = append(w.seen, e)
-		e.Line = len(w.seen)
+		w.events = append(w.events, e)
+		e.Line = len(w.events)
 		line, err := json.Marshal(e)
 		if err == nil {
 			_, err = w.out.Write(append(line, '\n'))
@@ -213,11 +213,11 @@
 func (w *Writer) Events() []Event {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	all := append([]Event(nil), w.seen...)
+	all := append([]Event(nil), w.events...)
 	for i := range all {
 		all[i].Line = i + 1
 	}
-	inOrder(all)
+	sortByTime(all)
 	return all
 }
 
@@ -225,30 +225,30 @@
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return errors.Join(w.err, w.out.Flush(), w.to.Close())
+	return errors.Join(w.err, w.out.Flush(), w.file.Close())
 }
 
 // inOrder sorts events by time; those of one moment stay as they were written.
-func inOrder(all []Event) {
+func sortByTime(all []Event) {
 	sort.SliceStable(all, func(i, j int) bool { return all[i].Time < all[j].Time })
 }
 
 // maxLine bounds a line of a history.
-const maxLine = 16 << 20
+const maxLineBytes = 16 << 20
 
 // Read reads a history in the order of time. cut says that it has no end: the run was broken off, or the file was.
 // A line in the middle that can't be read is an error with its number.
-func Read(from io.Reader) (all []Event, cut bool, err error) {
+func Read(from io.Reader) (all []Event, truncated bool, err error) {
 	in := bufio.NewScanner(from)
-	in.Buffer(nil, maxLine)
-	var torn error
+	in.Buffer(nil, maxLineBytes)
+	var badLine error
 	for n := 1; in.Scan(); n++ {
-		if torn != nil {
-			return nil, false, torn
+		if badLine != nil {
+			return nil, false, badLine
 		}
 		var e Event
 		if err := json.Unmarshal(in.Bytes(), &e); err != nil {
-			torn = fmt.Errorf("line %d: %w", n, err)
+			badLine = fmt.Errorf("line %d: %w", n, err)
 			continue
 		}
 		e.Line = n
@@ -260,9 +260,9 @@
 	if len(all) == 0 || all[0].Kind != Run || all[0].Parameters == nil {
 		return nil, false, errors.New("line 1: no history: the line that says what was played is missing")
 	}
-	cut = torn != nil || all[len(all)-1].Kind != End
-	inOrder(all)
-	return all, cut, nil
+	truncated = badLine != nil || all[len(all)-1].Kind != End
+	sortByTime(all)
+	return all, truncated, nil
 }
 
 // JSON is the event as a line of the history has it.
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -11,7 +11,7 @@
 
 func (*closer) Close() error { return nil }
 
-func written(t *testing.T) string {
+func sampleHistory(t *testing.T) string {
 	t.Helper()
 	var out closer
 	w := NewWriter(&out, time.Now())
@@ -25,15 +25,15 @@
 
 // What is written is read again, in the order of time and with the lines of the file.
 func TestRead(t *testing.T) {
-	all, cut, err := Read(strings.NewReader(written(t)))
+	all, cut, err := Read(strings.NewReader(sampleHistory(t)))
 	if err != nil || cut || len(all) != 4 || all[1].Kind != HandIn || all[1].Line != 3 || all[2].Line != 2 {
 		t.Errorf("%v, cut %v, %+v", err, cut, all)
 	}
 }
 
 // A file that was cut off at any byte after its first line still gives its whole lines, and says that it is cut.
-func TestReadCutOff(t *testing.T) {
-	text := written(t)
+func TestReadTruncated(t *testing.T) {
+	text := sampleHistory(t)
 	whole := strings.TrimSuffix(text, "\n")
 	for n := strings.Index(text, "\n") + 1; n < len(whole); n++ {
 		all, cut, err := Read(strings.NewReader(text[:n]))
@@ -45,7 +45,7 @@
 
 // Damage in the middle is an error with its line, and so is a file that is no history.
 func TestReadDamaged(t *testing.T) {
-	lines := strings.SplitAfter(written(t), "\n")
+	lines := strings.SplitAfter(sampleHistory(t), "\n")
 	lines[1] = "{\"t\":3\n"
 	for text, want := range map[string]string{strings.Join(lines, ""): "line 2:", "hello\n": "no history", "": "no history", lines[3]: "no history"} {
 		if _, _, err := Read(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/lab/report/files.go
+++ b/internal/lab/report/files.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	picture, err := f.picture()
+	picture, err := f.serviceChart()
 	if err != nil {
 		return err
 	}
@@ -33,12 +33,12 @@
 	if err := f.Text(&table); err != nil {
 		return err
 	}
-	err = pageForm.Execute(&page, map[string]any{"Figures": f, "Text": table.String(), "Picture": template.HTML(picture)})
+	err = pageTemplate.Execute(&page, map[string]any{"Figures": f, "Text": table.String(), "Picture": template.HTML(picture)})
 	return errors.Join(err, os.WriteFile(filepath.Join(dir, "figures.json"), append(text, '\n'), 0o644),
 		os.WriteFile(filepath.Join(dir, "service.svg"), picture, 0o644), os.WriteFile(filepath.Join(dir, "index.html"), page.Bytes(), 0o644))
 }
 
-var pageForm = template.Must(template.New("page").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Figures.Title}}</title>
 <style>body{font:15px/1.5 sans-serif;max-width:60em;margin:2em auto;padding:0 1em}pre{overflow-x:auto;background:#f6f6f6;padding:1em}
 table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:left;border-bottom:1px solid #ddd}svg{max-width:100%;height:auto}</style></head><body>
@@ -53,13 +53,13 @@
 `))
 
 // picture draws the service over time, with the faults as bands.
-func (f *Figures) picture() ([]byte, error) {
+func (f *Figures) serviceChart() ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = "Worth served of what arrived, by the time of arrival"
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "share"
 	p.Y.Min, p.Y.Max = 0, 1.05
 	for _, x := range f.Faults {
-		until := max(x.Until, x.At+bucket.Seconds()/2)
+		until := max(x.Until, x.At+serviceStep.Seconds()/2)
 		band, err := plotter.NewPolygon(plotter.XYs{{X: x.At, Y: 0}, {X: until, Y: 0}, {X: until, Y: 1.05}, {X: x.At, Y: 1.05}})
 		if err != nil {
 			return nil, err
--- a/internal/lab/report/newcomers.go
+++ b/internal/lab/report/newcomers.go
@@ -26,55 +26,55 @@
 }
 
 const (
-	exposedFor = 20 * time.Second
-	fullShare  = 0.85
+	exposureWindow   = 20 * time.Second
+	fullTrafficShare = 0.85
 )
 
 // newcomers finds how endpoints that took the place of others fared.
-func (f *Figures) newcomers(events []history.Event) {
+func (f *Figures) computeNewEndpoints(events []history.Event) {
 	facts := events[0].Parameters
-	calls, byNo, failed := map[string][]float64{}, map[int]string{}, map[string]int{}
-	born, order := map[string]float64{}, []string(nil)
-	holds, asked := map[string]map[int]float64{}, map[string]map[int]bool{}
+	calls, hostOfCall, failed := map[string][]float64{}, map[int]string{}, map[string]int{}
+	listed, order := map[string]float64{}, []string(nil)
+	heldAt, reporting := map[string]map[int]float64{}, map[string]map[int]bool{}
 	for i := range events {
 		e := &events[i]
 		at := e.Time.Duration().Seconds()
 		switch e.Kind {
 		case history.List:
 			for _, h := range e.Hosts {
-				if _, ok := born[h.Host]; !ok && !e.SentToRelay && h.Health == "SERVING" && strings.Contains(h.Host, "-n") {
-					born[h.Host] = at
+				if _, ok := listed[h.Host]; !ok && !e.SentToRelay && h.Health == "SERVING" && strings.Contains(h.Host, "-n") {
+					listed[h.Host] = at
 					order = append(order, h.Host)
-					holds[h.Host], asked[h.Host] = map[int]float64{}, map[int]bool{}
+					heldAt[h.Host], reporting[h.Host] = map[int]float64{}, map[int]bool{}
 				}
 			}
 		case history.Call:
 			calls[e.Host] = append(calls[e.Host], at)
-			byNo[e.Call] = e.Host
+			hostOfCall[e.Call] = e.Host
 		case history.Reply:
 			if e.Status == "500" {
-				failed[byNo[e.Call]]++
+				failed[hostOfCall[e.Call]]++
 			}
 		case history.Servers:
 			for host, t := range e.Trials {
-				if asked[host] == nil {
+				if reporting[host] == nil {
 					continue
 				}
-				asked[host][*e.Relay] = true
-				if _, had := holds[host][*e.Relay]; !had && t.Holds > 0 {
-					holds[host][*e.Relay] = at
+				reporting[host][*e.Relay] = true
+				if _, had := heldAt[host][*e.Relay]; !had && t.Holds > 0 {
+					heldAt[host][*e.Relay] = at
 				}
 			}
 		}
 	}
 	for _, host := range order {
-		n := NewEndpoint{Host: host, Listed: born[host], FailedCalls: failed[host], Calls: len(calls[host])}
-		until := n.Listed + exposedFor.Seconds()
+		n := NewEndpoint{Host: host, Listed: listed[host], FailedCalls: failed[host], Calls: len(calls[host])}
+		until := n.Listed + exposureWindow.Seconds()
 		var times []float64
-		for _, at := range holds[host] {
+		for _, at := range heldAt[host] {
 			times = append(times, at)
 		}
-		if len(times) > 0 && 2*len(times) >= len(asked[host]) {
+		if len(times) > 0 && 2*len(times) >= len(reporting[host]) {
 			until = median(times)
 			held := until - n.Listed
 			n.HeldAfter = &held
@@ -82,7 +82,7 @@
 		var own, all float64
 		for other, at := range calls {
 			if facts.Hosts[other].Dest == facts.Hosts[host].Dest {
-				c := within(at, n.Listed, until)
+				c := countWithin(at, n.Listed, until)
 				all += c
 				if other == host {
 					own += c
@@ -91,8 +91,8 @@
 		}
 		n.ExposedShare = own / math.Max(1, all)
 		before, _, _ := strings.Cut(host, "-n")
-		if usual := usualCalls(calls[before], n.Listed); usual > 0 {
-			n.FullAfter = regained(calls[host], fullShare*usual, n.Listed)
+		if usual := baselineCalls(calls[before], n.Listed); usual > 0 {
+			n.FullAfter = timeToReach(calls[host], fullTrafficShare*usual, n.Listed)
 		}
 		f.NewEndpoints = append(f.NewEndpoints, n)
 	}
@@ -105,7 +105,7 @@
 }
 
 // newcomersText writes them for a terminal.
-func (f *Figures) newcomersText(line func(name, format string, args ...any)) {
+func (f *Figures) newEndpointsText(line func(name, format string, args ...any)) {
 	for _, n := range f.NewEndpoints {
 		fate := "never held back"
 		if n.HeldAfter != nil {
@@ -114,6 +114,6 @@
 		if n.FullAfter != nil {
 			fate += fmt.Sprintf(", had the share of the one before it after %s", seconds(*n.FullAfter))
 		}
-		line("new "+n.Host, "at %.1f s, %s; %.1f%% of its destination's calls until then, or in %v; %d of its %d calls failed", n.Listed, fate, 100*n.ExposedShare, exposedFor, n.FailedCalls, n.Calls)
+		line("new "+n.Host, "at %.1f s, %s; %.1f%% of its destination's calls until then, or in %v; %d of its %d calls failed", n.Listed, fate, 100*n.ExposedShare, exposureWindow, n.FailedCalls, n.Calls)
 	}
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -20,12 +20,12 @@
 
 const (
 	// bucket is the step of the service over time.
-	bucket = 500 * time.Millisecond
+	serviceStep = 500 * time.Millisecond
 	// before is the span before a fault that its service is compared with, backShare the share of that which counts as
 	// back, for backFor at least.
-	before, backShare, backFor = 4 * time.Second, 0.95, time.Second
+	baselineSpan, recoveredShare, recoveredFor = 4 * time.Second, 0.95, time.Second
 	// zoneShare of the calls that it got before, in spans of callSpan, count as back for a zone: a span holds some 200.
-	zoneShare = 0.9
+	zoneRecoveredShare = 0.9
 )
 
 // The ends of a message, as the client sees them.
@@ -149,32 +149,32 @@
 }
 
 // fate is one message over all its hand-ins.
-type fate struct {
-	class     string
-	dest      int
-	at, first history.Micros // delivered; first handed in
-	end       string
-	ids       []string
+type messageOutcome struct {
+	class               string
+	dest                int
+	delivered, handedIn history.Micros // delivered; first handed in
+	outcome             string
+	ids                 []string
 }
 
 // Of computes the figures of a history.
 func Compute(events []history.Event, v checker.Verdict) *Figures {
 	facts := events[0].Parameters
 	f := &Figures{Title: facts.Title, Seed: facts.Seed, Relays: facts.Relays, Verdict: v, Outcomes: map[string]float64{}, ByClass: map[string]float64{}}
-	msgs, byID := map[int]*fate{}, map[string]*fate{}
-	var order []*fate
+	msgs, byID := map[int]*messageOutcome{}, map[string]*messageOutcome{}
+	var order []*messageOutcome
 	sent := map[string]history.Micros{}
 	latency, answers := hdrhistogram.New(1, time.Hour.Microseconds(), 3), hdrhistogram.New(1, time.Hour.Microseconds(), 3)
 	calls := map[int][]string{}
 	var attempts, nCalls, turned, connects int
-	cpu, memory, disk := newPeaks(facts.Relays), newPeaks(facts.Relays), newPeaks(facts.Relays)
+	cpu, memory, disk := newUsageTracker(facts.Relays), newUsageTracker(facts.Relays), newUsageTracker(facts.Relays)
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
 		case history.HandIn:
 			m := msgs[e.Message]
 			if m == nil {
-				m = &fate{class: e.Class, first: e.Time, dest: -1}
+				m = &messageOutcome{class: e.Class, handedIn: e.Time, dest: -1}
 				if e.Dest != nil {
 					m.dest = *e.Dest
 				}
@@ -184,27 +184,27 @@
 			m.ids = append(m.ids, e.ID)
 			byID[e.ID] = m
 			sent[e.ID] = e.Time
-			m.end = cmp.Or(deliveredEnd(m), Unresolved)
+			m.outcome = cmp.Or(outcomeIfDelivered(m), Unresolved)
 		case history.Answer:
 			_ = answers.RecordValue(max(1, int64(e.Time-sent[e.ID])))
-			if m := byID[e.ID]; m != nil && m.at == 0 {
+			if m := byID[e.ID]; m != nil && m.delivered == 0 {
 				switch e.Status {
 				case "200", "202":
 				case "429", "503":
-					m.end = Refused
+					m.outcome = Refused
 				default:
-					m.end = Failed
+					m.outcome = Failed
 				}
 			}
 		case history.Left:
-			if m := byID[e.ID]; m != nil && m.at == 0 {
-				m.end = Unanswered
+			if m := byID[e.ID]; m != nil && m.delivered == 0 {
+				m.outcome = Unanswered
 			}
 		case history.Notice:
-			if m := byID[e.ID]; m != nil && m.at == 0 && e.ID == m.ids[len(m.ids)-1] {
-				m.end = HandedBack
+			if m := byID[e.ID]; m != nil && m.delivered == 0 && e.ID == m.ids[len(m.ids)-1] {
+				m.outcome = HandedBack
 				if e.Status == "undeliverable" {
-					m.end = Undeliverable
+					m.outcome = Undeliverable
 				}
 			}
 		case history.Call:
@@ -217,21 +217,21 @@
 			}
 			for n, id := range calls[e.Call] {
 				m := byID[id]
-				if e.Status != "200" || len(e.States) > n && e.States[n] != "delivered" || m == nil || m.at > 0 {
+				if e.Status != "200" || len(e.States) > n && e.States[n] != "delivered" || m == nil || m.delivered > 0 {
 					continue
 				}
-				m.at = e.Time
-				m.end = deliveredIn(m, facts.Classes[m.class])
-				_ = latency.RecordValue(max(1, int64(m.at-m.first)))
+				m.delivered = e.Time
+				m.outcome = deliveryOutcome(m, facts.Classes[m.class])
+				_ = latency.RecordValue(max(1, int64(m.delivered-m.handedIn)))
 			}
 		case history.Connect:
 			connects++
 		case history.Fell:
 			f.Overloaded++
 		case history.Usage:
-			cpu.see(*e.Relay, e.CPU)
-			memory.see(*e.Relay, e.MemoryMB)
-			disk.see(*e.Relay, e.DiskMB)
+			cpu.record(*e.Relay, e.CPU)
+			memory.record(*e.Relay, e.MemoryMB)
+			disk.record(*e.Relay, e.DiskMB)
 		case history.Late:
 			f.Lab.MaxLateness = math.Max(f.Lab.MaxLateness, e.Lateness.Duration().Seconds())
 		case history.End:
@@ -239,32 +239,32 @@
 		}
 	}
 	f.Messages = len(order)
-	f.worth(order, facts)
+	f.computeValue(order, facts)
 	f.Latency, f.AnswerTime = percentiles(latency), percentiles(answers)
 	n := math.Max(1, float64(f.Messages))
 	f.Attempts, f.Connections, f.RejectedShare = float64(attempts)/n, float64(connects)/n, float64(turned)/math.Max(1, float64(nCalls))
-	f.CPU, f.MemoryMB, f.DiskMB = cpu.total(), memory.spread(), disk.spread()
-	f.faults(events, order)
-	f.notes(events)
-	f.zones(events)
-	f.newcomers(events)
+	f.CPU, f.MemoryMB, f.DiskMB = cpu.totalSummary(), memory.peakSummary(), disk.peakSummary()
+	f.computeFaults(events, order)
+	f.computeGossip(events)
+	f.computeZones(events)
+	f.computeNewEndpoints(events)
 	return f
 }
 
 // zones finds how much stays in a zone, and how zones were left and returned to.
-func (f *Figures) zones(events []history.Event) {
+func (f *Figures) computeZones(events []history.Event) {
 	facts := events[0].Parameters
-	calls, local, can := 0, 0, 0
-	near := map[int]map[string]bool{} // destinations' zones
+	calls, local, localPossible := 0, 0, 0
+	destinationZones := map[int]map[string]bool{} // destinations' zones
 	for _, h := range facts.Hosts {
-		if near[h.Dest] == nil {
-			near[h.Dest] = map[string]bool{}
+		if destinationZones[h.Dest] == nil {
+			destinationZones[h.Dest] = map[string]bool{}
 		}
-		near[h.Dest][h.Zone] = true
+		destinationZones[h.Dest][h.Zone] = true
 	}
-	at := map[string][]float64{} // calls into a zone
+	callTimes := map[string][]float64{} // calls into a zone
 	all := map[string]*ZoneFigures{}
-	left, cutOff := map[string]map[int]bool{}, map[int]bool{}
+	leftBy, isolated := map[string]map[int]bool{}, map[int]bool{}
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
@@ -272,55 +272,55 @@
 			if e.Relay != nil && *e.Relay < len(facts.Zones) {
 				calls++
 				host := facts.Hosts[e.Host]
-				at[host.Zone] = append(at[host.Zone], e.Time.Duration().Seconds())
+				callTimes[host.Zone] = append(callTimes[host.Zone], e.Time.Duration().Seconds())
 				if host.Zone == facts.Zones[*e.Relay] {
 					local++
 				}
-				if near[host.Dest][facts.Zones[*e.Relay]] {
-					can++
+				if destinationZones[host.Dest][facts.Zones[*e.Relay]] {
+					localPossible++
 				}
 			}
 		case history.Zones:
-			if e.Isolated && !cutOff[*e.Relay] {
-				cutOff[*e.Relay] = true
+			if e.Isolated && !isolated[*e.Relay] {
+				isolated[*e.Relay] = true
 			}
 			for name, z := range e.Zones {
 				if all[name] == nil {
-					all[name], left[name] = &ZoneFigures{Zone: name}, map[int]bool{}
+					all[name], leftBy[name] = &ZoneFigures{Zone: name}, map[int]bool{}
 				}
 				if z.Evacuations > 0 {
-					if len(left[name]) == 0 {
+					if len(leftBy[name]) == 0 {
 						all[name].FirstLeft = e.Time.Duration().Seconds()
 					}
-					left[name][*e.Relay] = true
+					leftBy[name][*e.Relay] = true
 				}
 				all[name].Evacuations, all[name].Returns = max(all[name].Evacuations, z.Evacuations), max(all[name].Returns, z.Returns)
 			}
 		}
 	}
-	for name := range at { // also where relays do not decide by zones
-		if all[name] == nil && len(at) > 1 {
+	for name := range callTimes { // also where relays do not decide by zones
+		if all[name] == nil && len(callTimes) > 1 {
 			all[name] = &ZoneFigures{Zone: name}
 		}
 	}
-	f.LocalShare, f.LocalPossible = float64(local)/math.Max(1, float64(calls)), float64(can)/math.Max(1, float64(calls))
-	for r := range cutOff {
+	f.LocalShare, f.LocalPossible = float64(local)/math.Max(1, float64(calls)), float64(localPossible)/math.Max(1, float64(calls))
+	for r := range isolated {
 		if z := all[facts.Zones[r]]; z != nil {
 			z.Isolated++
 		}
 	}
 	for _, name := range sortedKeys(all) {
-		all[name].LeftBy = len(left[name])
-		f.zoneBack(all[name], at[name])
+		all[name].LeftBy = len(leftBy[name])
+		f.computeZoneRecovery(all[name], callTimes[name])
 		f.Zones = append(f.Zones, *all[name])
 	}
 }
 
 // again is how long a thing has to be known by nobody for its next closing to be another one.
-const again = 5 * time.Second
+const rediscoveryGap = 5 * time.Second
 
 // notes finds how well what relays share goes round.
-func (f *Figures) notes(events []history.Event) {
+func (f *Figures) computeGossip(events []history.Event) {
 	end := events[len(events)-1]
 	span := math.Max(1e-9, events[0].Parameters.ArrivalsLength.Duration().Seconds())
 	relays := math.Max(1, float64(f.Relays))
@@ -360,7 +360,7 @@
 		slices.Sort(at)
 		// Those who come to know of it much later learned of another closing of the same.
 		for i := 1; i < len(at); i++ {
-			if (at[i] - at[i-1]).Duration() > again {
+			if (at[i] - at[i-1]).Duration() > rediscoveryGap {
 				at = at[:i]
 			}
 		}
@@ -371,25 +371,25 @@
 	f.Gossip = n
 }
 
-func deliveredEnd(m *fate) string {
-	if m.at > 0 {
-		return m.end
+func outcomeIfDelivered(m *messageOutcome) string {
+	if m.delivered > 0 {
+		return m.outcome
 	}
 	return ""
 }
 
-func deliveredIn(m *fate, c history.Class) string {
-	if m.at-m.first <= c.Target {
+func deliveryOutcome(m *messageOutcome, c history.Class) string {
+	if m.delivered-m.handedIn <= c.Target {
 		return InAim
 	}
 	return Late
 }
 
 // share is what a delivery is worth, by its class's worth.
-func share(m *fate, c history.Class) float64 {
-	age := m.at - m.first
+func valueShare(m *messageOutcome, c history.Class) float64 {
+	age := m.delivered - m.handedIn
 	switch {
-	case m.at == 0 || age > c.Deadline:
+	case m.delivered == 0 || age > c.Deadline:
 		return 0
 	case age <= c.Target:
 		return 1
@@ -398,25 +398,25 @@
 }
 
 // worth adds up what was asked for and served.
-func (f *Figures) worth(order []*fate, facts *history.Parameters) {
+func (f *Figures) computeValue(order []*messageOutcome, facts *history.Parameters) {
 	var asked, served float64
 	byClass := map[string][2]float64{}
 	steps := map[int]*Point{}
 	var begun history.Micros
 	if len(order) > 0 {
-		begun = order[0].first
+		begun = order[0].handedIn
 	}
 	for _, m := range order {
 		c := facts.Classes[m.class]
-		got := c.Value * share(m, c)
+		got := c.Value * valueShare(m, c)
 		asked += c.Value
 		served += got
 		sum := byClass[m.class]
 		byClass[m.class] = [2]float64{sum[0] + c.Value, sum[1] + got}
-		f.Outcomes[m.end] += 1 / float64(len(order))
-		n := int((m.first - begun).Duration() / bucket)
+		f.Outcomes[m.outcome] += 1 / float64(len(order))
+		n := int((m.handedIn - begun).Duration() / serviceStep)
 		if steps[n] == nil {
-			steps[n] = &Point{At: (begun.Duration() + time.Duration(n)*bucket).Seconds()}
+			steps[n] = &Point{At: (begun.Duration() + time.Duration(n)*serviceStep).Seconds()}
 		}
 		steps[n].Offered += c.Value
 		steps[n].Served += got
@@ -432,7 +432,7 @@
 }
 
 // between is the share served of what was asked for in a span, in seconds.
-func (f *Figures) between(from, to float64) (float64, bool) {
+func (f *Figures) servedShare(from, to float64) (float64, bool) {
 	var asked, served float64
 	for _, p := range f.Service {
 		if p.At >= from && p.At < to {
@@ -443,7 +443,7 @@
 }
 
 // faults finds how the service fared after each fault.
-func (f *Figures) faults(events []history.Event, order []*fate) {
+func (f *Figures) computeFaults(events []history.Event, order []*messageOutcome) {
 	for _, e := range events {
 		if e.Kind != history.Fault {
 			continue
@@ -454,57 +454,57 @@
 				x.Rejected++
 			}
 		}
-		x.Before, _ = f.between(x.At-before.Seconds(), x.At)
+		x.Before, _ = f.servedShare(x.At-baselineSpan.Seconds(), x.At)
 		x.Worst = 1
 		for _, p := range f.Service {
-			if p.At < x.At-bucket.Seconds() {
+			if p.At < x.At-serviceStep.Seconds() {
 				continue
 			}
 			if p.Offered > 0 && x.Recovery == nil {
 				x.Worst = math.Min(x.Worst, p.Served/p.Offered)
 			}
 			// A fault that is not felt at once may be felt at its end: what comes back counts from then on.
-			if got, ok := f.between(p.At, p.At+backFor.Seconds()); ok && x.Recovery == nil && p.At >= x.Until && got >= backShare*x.Before {
+			if got, ok := f.servedShare(p.At, p.At+recoveredFor.Seconds()); ok && x.Recovery == nil && p.At >= x.Until && got >= recoveredShare*x.Before {
 				back := math.Max(0, p.At-x.At)
 				x.Recovery = &back
 			}
 		}
 		if e.Zone != "" {
-			f.carried(&x, e.Zone, order, events[0].Parameters)
+			f.computeDegraded(&x, e.Zone, order, events[0].Parameters)
 		}
 		f.Faults = append(f.Faults, x)
 	}
 }
 
 // carried finds how soon what is left carries what it can, beside a fault of a zone.
-func (f *Figures) carried(x *FaultFigures, zone string, order []*fate, facts *history.Parameters) {
-	elsewhere := map[int]bool{}
+func (f *Figures) computeDegraded(x *FaultFigures, zone string, order []*messageOutcome, facts *history.Parameters) {
+	servedElsewhere := map[int]bool{}
 	for _, h := range facts.Hosts {
-		elsewhere[h.Dest] = elsewhere[h.Dest] || h.Zone != zone
+		servedElsewhere[h.Dest] = servedElsewhere[h.Dest] || h.Zone != zone
 	}
 	asked := 0.0
 	for _, m := range order {
-		if at := m.first.Duration().Seconds(); at >= x.At && at < x.Until {
+		if at := m.handedIn.Duration().Seconds(); at >= x.At && at < x.Until {
 			worth := facts.Classes[m.class].Value
 			asked += worth
-			if elsewhere[m.dest] {
+			if servedElsewhere[m.dest] {
 				x.ServableShare += worth
 			}
 		}
 	}
 	x.ServableShare /= math.Max(1e-9, asked)
 	for _, p := range f.Service {
-		if p.At < x.At-bucket.Seconds() || p.At+backFor.Seconds() > x.Until {
+		if p.At < x.At-serviceStep.Seconds() || p.At+recoveredFor.Seconds() > x.Until {
 			continue
 		}
-		if got, ok := f.between(p.At, p.At+backFor.Seconds()); ok && got < backShare*x.Before*x.ServableShare {
-			x.DegradedTime = p.At + backFor.Seconds() - x.At
+		if got, ok := f.servedShare(p.At, p.At+recoveredFor.Seconds()); ok && got < recoveredShare*x.Before*x.ServableShare {
+			x.DegradedTime = p.At + recoveredFor.Seconds() - x.At
 		}
 	}
 }
 
 // zoneBack finds when a zone that was struck gets as many calls again as before.
-func (f *Figures) zoneBack(z *ZoneFigures, at []float64) {
+func (f *Figures) computeZoneRecovery(z *ZoneFigures, at []float64) {
 	from, until := math.Inf(1), 0.0
 	for i := range f.Faults {
 		if x := &f.Faults[i]; x.zone == z.Zone {
@@ -512,23 +512,23 @@
 		}
 	}
 	z.Faulted = !math.IsInf(from, 1)
-	if z.Faulted && from >= 2*callSpan.Seconds() {
-		z.Recovery = regained(at, zoneShare*usualCalls(at, from), until)
+	if z.Faulted && from >= 2*callWindow.Seconds() {
+		z.Recovery = timeToReach(at, zoneRecoveredShare*baselineCalls(at, from), until)
 	}
 }
 
 // callSpan is the span over which calls are counted, to tell when they are as many as they were.
-const callSpan = 2 * time.Second
+const callWindow = 2 * time.Second
 
 // usualCalls is how many calls a span has, in the mean of the two up to a moment.
-func usualCalls(calls []float64, until float64) float64 {
-	return within(calls, until-2*callSpan.Seconds(), until) / 2
+func baselineCalls(calls []float64, until float64) float64 {
+	return countWithin(calls, until-2*callWindow.Seconds(), until) / 2
 }
 
 // regained is how long after a moment the first whole span begins that has so many calls; nil where there is none.
-func regained(calls []float64, enough, from float64) *float64 {
-	for t := from; len(calls) > 0 && t+callSpan.Seconds() <= calls[len(calls)-1]; t += bucket.Seconds() / 2 {
-		if within(calls, t, t+callSpan.Seconds()) >= enough {
+func timeToReach(calls []float64, enough, from float64) *float64 {
+	for t := from; len(calls) > 0 && t+callWindow.Seconds() <= calls[len(calls)-1]; t += serviceStep.Seconds() / 2 {
+		if countWithin(calls, t, t+callWindow.Seconds()) >= enough {
 			after := t - from
 			return &after
 		}
@@ -537,7 +537,7 @@
 }
 
 // within counts the times in a span.
-func within(times []float64, from, to float64) (n float64) {
+func countWithin(times []float64, from, to float64) (n float64) {
 	for _, t := range times {
 		if t >= from && t < to {
 			n++
@@ -555,34 +555,34 @@
 }
 
 // peaks sums up a figure that grows within a process and begins anew with the next.
-type peaks struct{ past, last, most []float64 }
+type usageTracker struct{ finished, latest, highest []float64 }
 
-func newPeaks(n int) *peaks {
-	return &peaks{make([]float64, n), make([]float64, n), make([]float64, n)}
+func newUsageTracker(n int) *usageTracker {
+	return &usageTracker{make([]float64, n), make([]float64, n), make([]float64, n)}
 }
 
-func (p *peaks) see(relay int, v float64) {
-	if v < p.last[relay] {
-		p.past[relay] += p.last[relay]
+func (p *usageTracker) record(relay int, v float64) {
+	if v < p.latest[relay] {
+		p.finished[relay] += p.latest[relay]
 	}
-	p.last[relay] = v
-	p.most[relay] = math.Max(p.most[relay], v)
+	p.latest[relay] = v
+	p.highest[relay] = math.Max(p.highest[relay], v)
 }
 
 // spread is the mean and the most over the relays of the highest values.
-func (p *peaks) spread() (s Summary) {
-	for _, v := range p.most {
-		s.Mean += v / float64(len(p.most))
+func (p *usageTracker) peakSummary() (s Summary) {
+	for _, v := range p.highest {
+		s.Mean += v / float64(len(p.highest))
 		s.Max = math.Max(s.Max, v)
 	}
 	return s
 }
 
 // total is the same for the sums over the processes.
-func (p *peaks) total() (s Summary) {
-	for i := range p.last {
-		v := p.past[i] + p.last[i]
-		s.Mean += v / float64(len(p.last))
+func (p *usageTracker) totalSummary() (s Summary) {
+	for i := range p.latest {
+		v := p.finished[i] + p.latest[i]
+		s.Mean += v / float64(len(p.latest))
 		s.Max = math.Max(s.Max, v)
 	}
 	return s
@@ -635,7 +635,7 @@
 			line("zone "+z.Zone, "left by %d relays, the first by %.1f s, %d times by one at most, returned to %d times; %d of its relays cut off", z.LeftBy, z.FirstLeft, z.Evacuations, z.Returns, z.Isolated)
 		}
 	}
-	f.newcomersText(line)
+	f.newEndpointsText(line)
 	if n := f.Gossip; n.Sent > 0 {
 		line("notes", "%.1f a second over the fleet, %.1f bytes a second from each relay, %.1f a second to each", n.Sent, n.Bytes, n.Received)
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -12,7 +12,7 @@
 
 // planted is a history of two zones: a message every 10 ms to each of two destinations, one of them in both zones. Zone b
 // is struck from 10 to 16 s; new-n0 takes the place of an endpoint of the first destination from 20 s on.
-func planted(zoneServed func(at time.Duration) bool, newShare func(at time.Duration) bool) []history.Event {
+func twoZoneHistory(zoneBServed func(at time.Duration) bool, toNewEndpoint func(at time.Duration) bool) []history.Event {
 	relay, class := 0, history.Class{Effect: "retryable", Target: history.ToMicros(time.Second), Deadline: history.ToMicros(8 * time.Second), Value: 1}
 	events := []history.Event{{Time: 1, Kind: history.Run, Parameters: &history.Parameters{Relays: 1, Zones: []string{"a"}, ArrivalsLength: history.ToMicros(40 * time.Second),
 		Classes: map[string]history.Class{"c": class},
@@ -36,10 +36,10 @@
 			served := true
 			switch {
 			case dest == 1:
-				host, served = "d1-b", zoneServed(at)
-			case at < 20*time.Second && n%4 == 1 && zoneServed(at):
+				host, served = "d1-b", zoneBServed(at)
+			case at < 20*time.Second && n%4 == 1 && zoneBServed(at):
 				host = "d0-b"
-			case at >= 20*time.Second && newShare(at):
+			case at >= 20*time.Second && toNewEndpoint(at):
 				host = "d0-b-n0"
 			}
 			events = append(events, history.Event{Time: t, Kind: history.HandIn, Relay: history.IntPtr(relay), ID: id, Message: n, Class: "c", Dest: history.IntPtr(dest), TimeLeft: class.Deadline})
@@ -52,7 +52,7 @@
 	return append(events, history.Event{Time: history.ToMicros(41 * time.Second), Kind: history.End})
 }
 
-func near(t *testing.T, what string, got, want, by float64) {
+func expectNear(t *testing.T, what string, got, want, by float64) {
 	t.Helper()
 	if !(math.Abs(got-want) <= by) {
 		t.Errorf("%s: %v, not %v", what, got, want)
@@ -62,12 +62,12 @@
 // What a zone's fault leaves over is told from what it takes away, and so is when the zone has its calls again.
 func TestZoneFigures(t *testing.T) {
 	// Nothing of the zone is served from 10 to 18 s; the destination that is elsewhere too is served throughout.
-	f := Compute(planted(func(at time.Duration) bool { return at < 10*time.Second || at >= 18*time.Second }, func(time.Duration) bool { return false }), checker.Verdict{})
+	f := Compute(twoZoneHistory(func(at time.Duration) bool { return at < 10*time.Second || at >= 18*time.Second }, func(time.Duration) bool { return false }), checker.Verdict{})
 	x := f.Faults[0]
-	near(t, "could be served", x.ServableShare, 0.5, 0.01)
-	near(t, "carried after", x.DegradedTime, 0, 1e-9)
-	near(t, "served at worst", x.Worst, 0.5, 0.02)
-	near(t, "local, of what can be", f.LocalShare/f.LocalPossible, 1, 0.35)
+	expectNear(t, "could be served", x.ServableShare, 0.5, 0.01)
+	expectNear(t, "carried after", x.DegradedTime, 0, 1e-9)
+	expectNear(t, "served at worst", x.Worst, 0.5, 0.02)
+	expectNear(t, "local, of what can be", f.LocalShare/f.LocalPossible, 1, 0.35)
 	for _, z := range f.Zones {
 		if z.Zone == "b" && (z.Recovery == nil || math.Abs(*z.Recovery-2) > 0.5) {
 			t.Errorf("the zone is back %v after the end of its fault, not 2 s", z.Recovery)
@@ -80,21 +80,21 @@
 		t.Errorf("%d fell", f.Overloaded)
 	}
 	// All is lost for 3 s of the fault.
-	f = Compute(planted(func(at time.Duration) bool { return true }, func(time.Duration) bool { return false }), checker.Verdict{})
-	near(t, "carried, with nothing lost", f.Faults[0].DegradedTime, 0, 1e-9)
-	lossy := planted(func(at time.Duration) bool { return true }, func(time.Duration) bool { return false })
+	f = Compute(twoZoneHistory(func(at time.Duration) bool { return true }, func(time.Duration) bool { return false }), checker.Verdict{})
+	expectNear(t, "carried, with nothing lost", f.Faults[0].DegradedTime, 0, 1e-9)
+	lossy := twoZoneHistory(func(at time.Duration) bool { return true }, func(time.Duration) bool { return false })
 	for i := range lossy {
 		if e := &lossy[i]; e.Kind == history.Reply && e.Time > history.ToMicros(10*time.Second) && e.Time < history.ToMicros(13*time.Second) {
 			e.Status = "503"
 		}
 	}
-	near(t, "carried, with 3 s lost", Compute(lossy, checker.Verdict{}).Faults[0].DegradedTime, 3.5, 1)
+	expectNear(t, "carried, with 3 s lost", Compute(lossy, checker.Verdict{}).Faults[0].DegradedTime, 3.5, 1)
 }
 
 // A new endpoint's share counts until it is held back, and its whole share is that of the one before it.
-func TestNewcomerFigures(t *testing.T) {
+func TestNewEndpointFigures(t *testing.T) {
 	served := func(time.Duration) bool { return true }
-	f := Compute(planted(served, func(at time.Duration) bool { return at%(500*time.Millisecond) == 0 || at > 32*time.Second }), checker.Verdict{})
+	f := Compute(twoZoneHistory(served, func(at time.Duration) bool { return at%(500*time.Millisecond) == 0 || at > 32*time.Second }), checker.Verdict{})
 	if len(f.NewEndpoints) != 1 {
 		t.Fatalf("%+v", f.NewEndpoints)
 	}
@@ -102,7 +102,7 @@
 	if n.HeldAfter == nil || n.FullAfter == nil {
 		t.Fatalf("%+v", n)
 	}
-	near(t, "held after", *n.HeldAfter, 5, 0.1)
-	near(t, "exposed", n.ExposedShare, 0.02, 0.005)
-	near(t, "full after", *n.FullAfter, 11, 1)
+	expectNear(t, "held after", *n.HeldAfter, 5, 0.1)
+	expectNear(t, "exposed", n.ExposedShare, 0.02, 0.005)
+	expectNear(t, "full after", *n.FullAfter, 11, 1)
 }
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -33,76 +33,76 @@
 }
 
 // strikes is what a kind of fault is aimed at.
-type strikes int
+type faultTarget int
 
 const (
-	atRelays strikes = iota
-	atHosts
-	atLinks
-	atClients
+	targetRelays faultTarget = iota
+	targetEndpoints
+	targetLinks
+	targetClients
 )
 
 // kind is what is known of a kind of fault.
-type kind struct {
-	at      strikes
-	lasting bool // For has to be above 0
-	sized   string
+type faultKind struct {
+	target        faultTarget
+	needsDuration bool // For has to be above 0
+	magnitude     string
 }
 
 // Kinds are the faults that a timeline may hold.
-var Kinds = map[string]kind{
-	"kill":    {at: atRelays}, // SIGKILL; back after For, 600ms where that is 0
-	"restart": {at: atRelays}, // SIGTERM, SIGKILL 3.7 s later, back 600 ms after its end
-	"wipe":    {at: atRelays}, // SIGKILL and the folder is lost; others are handed what it held
-	"power":   {at: atRelays}, // SIGKILL, and the folder goes back to what was synced; back as after a kill
-	"turn":    {at: atRelays, sized: "the bits that turn in each journal, while its relay is down as after a kill"},
-	"full":    {at: atRelays, lasting: true}, // no file can grow any more
-	"freeze":  {at: atRelays, lasting: true},
-	"reload":  {at: atRelays}, // discovery moves to another address: a new file and SIGHUP
-	"upgrade": {at: atRelays}, // a new process beside the old one, by the inherited socket
+var Kinds = map[string]faultKind{
+	"kill":    {target: targetRelays}, // SIGKILL; back after For, 600ms where that is 0
+	"restart": {target: targetRelays}, // SIGTERM, SIGKILL 3.7 s later, back 600 ms after its end
+	"wipe":    {target: targetRelays}, // SIGKILL and the folder is lost; others are handed what it held
+	"power":   {target: targetRelays}, // SIGKILL, and the folder goes back to what was synced; back as after a kill
+	"turn":    {target: targetRelays, magnitude: "the bits that turn in each journal, while its relay is down as after a kill"},
+	"full":    {target: targetRelays, needsDuration: true}, // no file can grow any more
+	"freeze":  {target: targetRelays, needsDuration: true},
+	"reload":  {target: targetRelays}, // discovery moves to another address: a new file and SIGHUP
+	"upgrade": {target: targetRelays}, // a new process beside the old one, by the inherited socket
 
 	// These need a relay that is built with package shim.
-	"clock":      {at: atRelays, sized: "the seconds that the wall clock goes forward; back again after For, where that is not 0"},
-	"clock-back": {at: atRelays, sized: "the seconds that the wall clock goes back; forward again after For, where that is not 0"},
-	"calls-fail": {at: atRelays},                // Count system calls, or all in For
-	"short-io":   {at: atRelays, lasting: true}, // transfers move one byte at a time, and every second one is interrupted
+	"clock":      {target: targetRelays, magnitude: "the seconds that the wall clock goes forward; back again after For, where that is not 0"},
+	"clock-back": {target: targetRelays, magnitude: "the seconds that the wall clock goes back; forward again after For, where that is not 0"},
+	"calls-fail": {target: targetRelays},                      // Count system calls, or all in For
+	"short-io":   {target: targetRelays, needsDuration: true}, // transfers move one byte at a time, and every second one is interrupted
 
-	"evacuate": {at: atRelays, lasting: true}, // operators order the zone Of to be left
-	"restore":  {at: atRelays},                // or to be returned to
+	"evacuate": {target: targetRelays, needsDuration: true}, // operators order the zone Of to be left
+	"restore":  {target: targetRelays},                      // or to be returned to
 
-	"down":         {at: atHosts, lasting: true}, // refuses connections, resets the open ones; comes back cold
-	"shut":         {at: atHosts, lasting: true}, // refuses all calls; comes back cold
-	"errors":       {at: atHosts, lasting: true, sized: "the share of the calls that get 500"},
-	"slow":         {at: atHosts, lasting: true, sized: "the factor on service times"},
-	"silent":       {at: atHosts, lasting: true}, // takes calls and never answers; comes back cold
-	"stall":        {at: atHosts, lasting: true, sized: "the share of the answers that stop halfway"},
-	"lose-answers": {at: atHosts, lasting: true, sized: "the share of the answers that get lost after the call has run"},
-	"reset":        {at: atHosts, lasting: true, sized: "the share of the calls whose connection is reset"},
-	"spoil":        {at: atHosts, lasting: true, sized: "the share of the answers that can't be read"},
-	"drain":        {at: atHosts}, // DRAINING at once, DELETED after For, 4s where that is 0; a new endpoint takes its place
+	"down":         {target: targetEndpoints, needsDuration: true}, // refuses connections, resets the open ones; comes back cold
+	"shut":         {target: targetEndpoints, needsDuration: true}, // refuses all calls; comes back cold
+	"errors":       {target: targetEndpoints, needsDuration: true, magnitude: "the share of the calls that get 500"},
+	"slow":         {target: targetEndpoints, needsDuration: true, magnitude: "the factor on service times"},
+	"silent":       {target: targetEndpoints, needsDuration: true}, // takes calls and never answers; comes back cold
+	"stall":        {target: targetEndpoints, needsDuration: true, magnitude: "the share of the answers that stop halfway"},
+	"lose-answers": {target: targetEndpoints, needsDuration: true, magnitude: "the share of the answers that get lost after the call has run"},
+	"reset":        {target: targetEndpoints, needsDuration: true, magnitude: "the share of the calls whose connection is reset"},
+	"spoil":        {target: targetEndpoints, needsDuration: true, magnitude: "the share of the answers that can't be read"},
+	"drain":        {target: targetEndpoints}, // DRAINING at once, DELETED after For, 4s where that is 0; a new endpoint takes its place
 
 	// As a drain, but what takes the place is of a worse version.
-	"release-errors": {at: atHosts, sized: "the share of the calls that the new endpoint answers with 500"},
-	"release-slow":   {at: atHosts, sized: "the factor on the service times of the new endpoint"},
+	"release-errors": {target: targetEndpoints, magnitude: "the share of the calls that the new endpoint answers with 500"},
+	"release-slow":   {target: targetEndpoints, magnitude: "the factor on the service times of the new endpoint"},
 
-	"cut":        {at: atLinks, lasting: true}, // says nothing in the directions named
-	"delay":      {at: atLinks, lasting: true, sized: "the seconds that each piece of data is late"},
-	"drop-notes": {at: atRelays, lasting: true, sized: "the share of the notes that get lost"},
-	"twin-notes": {at: atRelays, lasting: true, sized: "the share of the notes that come twice, the second late"},
+	"cut":        {target: targetLinks, needsDuration: true}, // says nothing in the directions named
+	"delay":      {target: targetLinks, needsDuration: true, magnitude: "the seconds that each piece of data is late"},
+	"drop-notes": {target: targetRelays, needsDuration: true, magnitude: "the share of the notes that get lost"},
+	"twin-notes": {target: targetRelays, needsDuration: true, magnitude: "the share of the notes that come twice, the second late"},
 
-	"discovery-late":   {at: atRelays, lasting: true, sized: "the seconds that lists are late"},
-	"discovery-silent": {at: atRelays, lasting: true},
-	"discovery-busy":   {at: atRelays, lasting: true},
+	"discovery-late":   {target: targetRelays, needsDuration: true, magnitude: "the seconds that lists are late"},
+	"discovery-silent": {target: targetRelays, needsDuration: true},
+	"discovery-busy":   {target: targetRelays, needsDuration: true},
 
-	"burst":  {at: atClients, lasting: true, sized: "the factor on the rate"},
-	"shift":  {at: atClients, lasting: true, sized: "the factor on the share of a zone's relays"},
-	"leave":  {at: atClients, lasting: true, sized: "the share of the clients that leave before their answer"},
-	"crowd":  {at: atClients, lasting: true, sized: "the malformed or silent peers a second"},
-	"repeat": {at: atClients, lasting: true, sized: "the share of the messages handed in twice under one id"},
+	"burst":  {target: targetClients, needsDuration: true, magnitude: "the factor on the rate"},
+	"shift":  {target: targetClients, needsDuration: true, magnitude: "the factor on the share of a zone's relays"},
+	"leave":  {target: targetClients, needsDuration: true, magnitude: "the share of the clients that leave before their answer"},
+	"crowd":  {target: targetClients, needsDuration: true, magnitude: "the malformed or silent peers a second"},
+	"repeat": {target: targetClients, needsDuration: true, magnitude: "the share of the messages handed in twice under one id"},
 }
 
 // span is the longest that a scenario may be: loops are bounded in time.
-const span = 10 * time.Minute
+const maxLength = 10 * time.Minute
 
 // check names the first value that can't be played, by its path.
 func (s *Scenario) check() (string, error) {
@@ -112,7 +112,7 @@
 		bad  bool
 		what string
 	}{
-		{"length", s.Length <= 0 || s.Length.AsDuration() > span, "is not above 0 and at most 10m"},
+		{"length", s.Length <= 0 || s.Length.AsDuration() > maxLength, "is not above 0 and at most 10m"},
 		{"fleet.relays", f.Relays < 1 || f.Relays > 500, "is not 1 to 500"},
 		{"fleet.zones", len(f.Zones) == 0, "names no zone"},
 		{"fleet.slots", f.Slots < 1, "is not above 0"},
@@ -196,11 +196,11 @@
 			return path + "kind", fmt.Errorf("%q is no kind of fault", f.Kind)
 		case f.At.AsDuration() > s.Length.AsDuration():
 			return path + "at", fmt.Errorf("%v is after the end of the arrivals", f.At.AsDuration())
-		case k.lasting && f.Duration <= 0:
+		case k.needsDuration && f.Duration <= 0:
 			return path + "for", fmt.Errorf("a fault of the kind %q needs a time above 0", f.Kind)
-		case k.sized != "" && !(f.Magnitude > 0):
-			return path + "size", fmt.Errorf("%q needs a size above 0: %s", f.Kind, k.sized)
-		case strings.Contains(k.sized, "share of the ") && !strings.Contains(k.sized, "factor") && f.Magnitude > 1:
+		case k.magnitude != "" && !(f.Magnitude > 0):
+			return path + "size", fmt.Errorf("%q needs a size above 0: %s", f.Kind, k.magnitude)
+		case strings.Contains(k.magnitude, "share of the ") && !strings.Contains(k.magnitude, "factor") && f.Magnitude > 1:
 			return path + "size", fmt.Errorf("%v is no share", f.Magnitude)
 		case !(f.Share >= 0 && f.Share <= 1):
 			return path + "share", fmt.Errorf("%v is no share", f.Share)
@@ -214,9 +214,9 @@
 			return path + "count", errors.New("neither count nor for is above 0")
 		case f.Kind == "upgrade" && !s.Fleet.SharedSocket:
 			return path + "kind", errors.New("an upgrade needs fleet.shared_socket = true")
-		case k.at != atHosts && k.at != atLinks && (len(f.Endpoints) > 0 || len(f.Destinations) > 0):
+		case k.target != targetEndpoints && k.target != targetLinks && (len(f.Endpoints) > 0 || len(f.Destinations) > 0):
 			return path + "kind", fmt.Errorf("a fault of the kind %q strikes no endpoint", f.Kind)
-		case k.at == atHosts && len(f.Relays) > 0:
+		case k.target == targetEndpoints && len(f.Relays) > 0:
 			return path + "relays", fmt.Errorf("a fault of the kind %q strikes no relay", f.Kind)
 		}
 		if f.Kind == "calls-fail" {
@@ -256,14 +256,14 @@
 	f := &s.Faults[i]
 	var all []int
 	for r := range s.Fleet.Relays {
-		if (len(f.Relays) == 0 || slices.Contains(f.Relays, r)) && (f.Zone == "" || Kinds[f.Kind].at == atLinks || s.Fleet.Zone(r) == f.Zone) {
+		if (len(f.Relays) == 0 || slices.Contains(f.Relays, r)) && (f.Zone == "" || Kinds[f.Kind].target == targetLinks || s.Fleet.Zone(r) == f.Zone) {
 			all = append(all, r)
 		}
 	}
-	if Kinds[f.Kind].at == atLinks {
+	if Kinds[f.Kind].target == targetLinks {
 		return all
 	}
-	return sample(s, i, all)
+	return drawShare(s, i, all)
 }
 
 // StruckHosts gives the endpoints that fault i strikes, as indices of Hosts.
@@ -276,11 +276,11 @@
 			all = append(all, n)
 		}
 	}
-	return sample(s, i, all)
+	return drawShare(s, i, all)
 }
 
 // sample draws the share of a fault from those that it could strike, one at least.
-func sample(s *Scenario, i int, all []int) []int {
+func drawShare(s *Scenario, i int, all []int) []int {
 	share := s.Faults[i].Share
 	if share == 0 || len(all) == 0 {
 		return all
--- a/internal/lab/scenario/lines.go
+++ b/internal/lab/scenario/lines.go
@@ -9,13 +9,13 @@
 )
 
 // lineMap gives the line of each key of a file, by its path, such as "fault[2].relays".
-type lineMap map[string]int
+type keyLines map[string]int
 
-func joined(key []string) string { return strings.Join(key, ".") }
+func joinKey(key []string) string { return strings.Join(key, ".") }
 
 // linesOf finds the lines of all keys. The text has been decoded without an error before.
-func linesOf(text []byte) lineMap {
-	lines, seen := lineMap{}, map[string]int{}
+func parseKeyLines(text []byte) keyLines {
+	lines, seen := keyLines{}, map[string]int{}
 	var p unstable.Parser
 	p.Reset(text)
 	table := ""
@@ -28,7 +28,7 @@
 			key = append(key, string(node.Data))
 			at = p.Shape(node.Raw).Start.Line
 		}
-		path := joined(key)
+		path := joinKey(key)
 		switch e.Kind {
 		case unstable.Table:
 			table = path
@@ -48,7 +48,7 @@
 }
 
 // of gives the line of a path, else of the table that it is in, else the first.
-func (l lineMap) of(path string) int {
+func (l keyLines) lineOf(path string) int {
 	for {
 		if at, ok := l[path]; ok {
 			return at
@@ -62,7 +62,7 @@
 }
 
 // overlay gives the fields of an entry that the file does not set the values of a default.
-func overlay[T any](entry *T, base T, lines lineMap, path string) {
+func applyDefaults[T any](entry *T, base T, lines keyLines, path string) {
 	to, from := reflect.ValueOf(entry).Elem(), reflect.ValueOf(base)
 	for i := range to.NumField() {
 		if _, set := lines[path+"."+to.Type().Field(i).Tag.Get("toml")]; !set {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -155,14 +155,14 @@
 	if err := config.Decode(name, text, &s); err != nil {
 		return nil, err
 	}
-	lines := linesOf(text)
-	s.fill(lines)
+	lines := parseKeyLines(text)
+	s.fillDefaults(lines)
 	if path, err := s.check(); err != nil {
-		return nil, fmt.Errorf("%s:%d: %s: %w", name, lines.of(path), path, err)
+		return nil, fmt.Errorf("%s:%d: %s: %w", name, lines.lineOf(path), path, err)
 	}
-	s.draw()
+	s.createEndpoints()
 	if path, err := s.checkFaults(); err != nil {
-		return nil, fmt.Errorf("%s:%d: %s: %w", name, lines.of(path), path, err)
+		return nil, fmt.Errorf("%s:%d: %s: %w", name, lines.lineOf(path), path, err)
 	}
 	for i := range s.Faults {
 		if s.Faults[i].AddsReplacements() {
@@ -177,17 +177,17 @@
 }
 
 // fill gives the entries of lists their defaults, where the file has no value of its own.
-func (s *Scenario) fill(lines lineMap) {
+func (s *Scenario) fillDefaults(lines keyLines) {
 	for i := range s.Classes {
-		overlay(&s.Classes[i], defaultClass, lines, fmt.Sprintf("class[%d]", i))
+		applyDefaults(&s.Classes[i], defaultClass, lines, fmt.Sprintf("class[%d]", i))
 	}
 	for i := range s.Destinations {
-		overlay(&s.Destinations[i], defaultDestination, lines, fmt.Sprintf("destination[%d]", i))
+		applyDefaults(&s.Destinations[i], defaultDestination, lines, fmt.Sprintf("destination[%d]", i))
 	}
 }
 
 // draw makes the endpoints. A destination's number is its place among all, from 0.
-func (s *Scenario) draw() {
+func (s *Scenario) createEndpoints() {
 	no := 0
 	for i := range s.Destinations {
 		d := &s.Destinations[i]
@@ -223,12 +223,12 @@
 
 // Draw gives one number from 0 to 1 that depends on the seed and the words alone, and so not on the order in which
 // things happen in real time.
-func (s *Scenario) Draw(words string) float64 {
-	return rand.New(rand.NewPCG(s.Seed, hash(words))).Float64()
+func (s *Scenario) Draw(purpose string) float64 {
+	return rand.New(rand.NewPCG(s.Seed, hash(purpose))).Float64()
 }
 
-func hash(words string) uint64 {
+func hash(text string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(words))
+	_, _ = h.Write([]byte(text))
 	return h.Sum64()
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"milletsail/scenarios"
 )
 
-const plain = `length = "5s"
+const minimalScenario = `length = "5s"
 [fleet]
 relays = 3
 zones = ["a", "b"]
@@ -22,26 +22,26 @@
 // What can't be played is one error with the line at fault.
 func TestErrors(t *testing.T) {
 	for _, c := range []struct{ name, text, at, what string }{
-		{"unknown key", plain + "colour = 3\n", ":10:", `unknown key "destination.colour"`},
-		{"no unit", strings.Replace(plain, `"5s"`, `"5"`, 1), ":1:", "no duration with its unit"},
-		{"wrong unit", strings.Replace(plain, `"5s"`, `"5 kg"`, 1), ":1:", "no duration with its unit"},
-		{"wrong type", strings.Replace(plain, "relays = 3", `relays = "three"`, 1), ":3:", "fleet.relays"},
-		{"no TOML", plain + "[[fault\n", ":10:", ""},
-		{"no relays", strings.Replace(plain, "relays = 3", "relays = 0", 1), ":3:", "fleet.relays: is not 1 to 500"},
+		{"unknown key", minimalScenario + "colour = 3\n", ":10:", `unknown key "destination.colour"`},
+		{"no unit", strings.Replace(minimalScenario, `"5s"`, `"5"`, 1), ":1:", "no duration with its unit"},
+		{"wrong unit", strings.Replace(minimalScenario, `"5s"`, `"5 kg"`, 1), ":1:", "no duration with its unit"},
+		{"wrong type", strings.Replace(minimalScenario, "relays = 3", `relays = "three"`, 1), ":3:", "fleet.relays"},
+		{"no TOML", minimalScenario + "[[fault\n", ":10:", ""},
+		{"no relays", strings.Replace(minimalScenario, "relays = 3", "relays = 0", 1), ":3:", "fleet.relays: is not 1 to 500"},
 		{"no class", "[[destination]]\n", ":1:", "class: is missing"},
-		{"effect", strings.Replace(plain, `name = "status"`, "name = \"status\"\neffect = \"magic\"", 1), ":7:", `"magic" is not`},
-		{"limit without a rate", plain + "limit = \"rate\"\n", ":7:", "destination[0].rate"},
-		{"kind", plain + "[[fault]]\nat = \"1s\"\nkind = \"flood\"\n", ":12:", `"flood" is no kind of fault`},
-		{"relay", plain + "[[fault]]\nkind = \"kill\"\nat = \"1s\"\nrelays = [0, 3]\n", ":13:", "there is no relay 3"},
-		{"second fault", plain + "[[fault]]\nkind = \"kill\"\n[[fault]]\nkind = \"kill\"\nzone = \"z\"\n", ":14:", `there is no zone "z"`},
-		{"endpoint", plain + "[[fault]]\nkind = \"down\"\nfor = \"1s\"\nendpoints = [\"d9-e0\"]\n", ":13:", `there is no endpoint "d9-e0"`},
-		{"destination", plain + "[[fault]]\nkind = \"down\"\nfor = \"1s\"\ndestinations = [2]\n", ":13:", "there is no destination 2"},
-		{"no time", plain + "[[fault]]\nkind = \"down\"\n", ":10:", "needs a time above 0"},
-		{"no size", plain + "[[fault]]\nkind = \"slow\"\nfor = \"1s\"\n", ":10:", "needs a size above 0"},
-		{"no share", plain + "[[fault]]\nkind = \"errors\"\nfor = \"1s\"\nsize = 1.5\n", ":13:", "is no share"},
-		{"too late", plain + "[[fault]]\nkind = \"kill\"\nat = \"6s\"\n", ":12:", "after the end"},
-		{"no socket", plain + "[[fault]]\nkind = \"upgrade\"\n", ":11:", "shared_socket"},
-		{"strikes no relay", plain + "[[fault]]\nkind = \"down\"\nfor = \"1s\"\nrelays = [0]\n", ":13:", "strikes no relay"},
+		{"effect", strings.Replace(minimalScenario, `name = "status"`, "name = \"status\"\neffect = \"magic\"", 1), ":7:", `"magic" is not`},
+		{"limit without a rate", minimalScenario + "limit = \"rate\"\n", ":7:", "destination[0].rate"},
+		{"kind", minimalScenario + "[[fault]]\nat = \"1s\"\nkind = \"flood\"\n", ":12:", `"flood" is no kind of fault`},
+		{"relay", minimalScenario + "[[fault]]\nkind = \"kill\"\nat = \"1s\"\nrelays = [0, 3]\n", ":13:", "there is no relay 3"},
+		{"second fault", minimalScenario + "[[fault]]\nkind = \"kill\"\n[[fault]]\nkind = \"kill\"\nzone = \"z\"\n", ":14:", `there is no zone "z"`},
+		{"endpoint", minimalScenario + "[[fault]]\nkind = \"down\"\nfor = \"1s\"\nendpoints = [\"d9-e0\"]\n", ":13:", `there is no endpoint "d9-e0"`},
+		{"destination", minimalScenario + "[[fault]]\nkind = \"down\"\nfor = \"1s\"\ndestinations = [2]\n", ":13:", "there is no destination 2"},
+		{"no time", minimalScenario + "[[fault]]\nkind = \"down\"\n", ":10:", "needs a time above 0"},
+		{"no size", minimalScenario + "[[fault]]\nkind = \"slow\"\nfor = \"1s\"\n", ":10:", "needs a size above 0"},
+		{"no share", minimalScenario + "[[fault]]\nkind = \"errors\"\nfor = \"1s\"\nsize = 1.5\n", ":13:", "is no share"},
+		{"too late", minimalScenario + "[[fault]]\nkind = \"kill\"\nat = \"6s\"\n", ":12:", "after the end"},
+		{"no socket", minimalScenario + "[[fault]]\nkind = \"upgrade\"\n", ":11:", "shared_socket"},
+		{"strikes no relay", minimalScenario + "[[fault]]\nkind = \"down\"\nfor = \"1s\"\nrelays = [0]\n", ":13:", "strikes no relay"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, err := Parse("x.toml", []byte(c.text))
@@ -57,7 +57,7 @@
 
 // Values that the file does not give have their defaults, also in entries of lists, and 0 in the file is 0.
 func TestDefaults(t *testing.T) {
-	s, err := Parse("x.toml", []byte(plain+"service_cv = 0\n"))
+	s, err := Parse("x.toml", []byte(minimalScenario+"service_cv = 0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,8 +70,8 @@
 }
 
 // A fault strikes the same relays each time that it is asked, a share of those that it may.
-func TestStruck(t *testing.T) {
-	s, err := Parse("x.toml", []byte(strings.Replace(plain, "relays = 3", "relays = 20", 1)+
+func TestAffected(t *testing.T) {
+	s, err := Parse("x.toml", []byte(strings.Replace(minimalScenario, "relays = 3", "relays = 20", 1)+
 		"[[fault]]\nkind = \"kill\"\nshare = 0.35\n[[fault]]\nkind = \"drain\"\nendpoints = [\"d0-e1\"]\n[[fault]]\nkind = \"kill\"\nzone = \"b\"\n"))
 	if err != nil {
 		t.Fatal(err)
