--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -1,9 +1,9 @@
-// Package checker judges a history by the protocol's rules, after the run. It shares no code with the relay nor with
-// the stand-ins: all that it goes by is the history, and so it runs alone on one as well.
+// Package checker evaluates a recorded history of a lab run against the rules of the protocol. It shares no code with the relay
+// or with the lab's stand-ins and needs only the history, so it can also be applied to a history file on its own.
 //
-// It promises that each broken rule comes with the message or relay that it concerns and the lines of the history that
-// show it, that a run in which the lab was late is void and never kept, and that what a history cut off in the middle
-// can't show is not held against anyone.
+// Every violation names the message or the relay that it concerns and the history lines that show it. A run in which the lab
+// itself was late is marked invalid and never passes. If the history is truncated, only what it shows counts: an outcome that
+// would lie past its last event is not reported as missing.
 package checker
 
 import (
@@ -18,133 +18,134 @@
 	"milletsail/internal/lab/history"
 )
 
-// The rules.
+// The names of the rules, as reports show them. Each comment describes the violation.
 const (
-	Lost        = "lost"          // taken on, and no end in time
-	AfterEnd    = "after-end"     // sent on after the relay had ended it, or was told that it is over
-	SecondCopy  = "second-copy"   // two attempts out at once
-	Attempts    = "attempts"      // more attempts than the limit
-	Repeat      = "repeat"        // sent again though its class forbids it
-	HandedBack  = "handed-back"   // deferred or refused though it may have run and its class forbids a repeat
-	WrongHost   = "wrong-host"    // to an endpoint that is not of its destination, or not on the relay's list
-	Drain       = "drain"         // to an endpoint that drains or is gone
-	Wait        = "wait"          // to a destination in a told wait
-	PushedOver  = "pushed-over"   // a cold endpoint got too much from relays that saw it fail
-	Unknown     = "unknown"       // a message that no client handed in
-	NoteTooLong = "note-too-long" // a datagram of over 256 bytes
-	PeerLeft    = "peer-left"     // a malformed peer got neither an error nor a close in time, or was taken on
-	Crash       = "crash"         // a relay ended by itself, or did not start
-	Stale       = "stale"         // a relay believes something past its declared bound
-	LeftZone    = "left-zone"     // to a zone that operators had ordered to be left
-	Limits      = "limits"        // memory, descriptors or disk
+	Lost        = "lost"          // an accepted message had no outcome in time
+	AfterEnd    = "after-end"     // a message was sent after the relay had ended it, or after an endpoint had answered that it is over
+	SecondCopy  = "second-copy"   // a second attempt began while another was in flight
+	Attempts    = "attempts"      // a message had more attempts than the limit
+	Repeat      = "repeat"        // a message was sent again although its class forbids a repeat
+	HandedBack  = "handed-back"   // a message that may have run was deferred or refused although its class forbids a repeat
+	WrongHost   = "wrong-host"    // a call went to an endpoint of another destination, or to one that was never on the relay's list
+	Drain       = "drain"         // a call went to an endpoint that was draining or deleted
+	Wait        = "wait"          // a call went to a destination during a wait that its Retry-After had asked for
+	PushedOver  = "pushed-over"   // relays that had seen an endpoint fail sent it too many calls after it came back cold
+	Unknown     = "unknown"       // a call carried a message that no client had handed in
+	NoteTooLong = "note-too-long" // a relay sent a gossip datagram longer than 256 bytes
+	PeerLeft    = "peer-left"     // a malformed peer got neither an error nor a close in time, or its request was accepted
+	Crash       = "crash"         // a relay process ended by itself or did not start
+	Stale       = "stale"         // a relay held a fact older than its declared bound
+	LeftZone    = "left-zone"     // a call went to a zone that operators had ordered to evacuate
+	Limits      = "limits"        // a relay exceeded its memory, descriptor or disk limit
 )
 
-// Rules are all rules, in the order of a report.
+// Rules lists all rules in the order in which a report shows them.
 var Rules = []string{Lost, AfterEnd, SecondCopy, Attempts, Repeat, HandedBack, WrongHost, Drain, Wait, PushedOver, Unknown,
 	NoteTooLong, PeerLeft, Crash, Stale, LeftZone, Limits}
 
-// The protocol's slack.
+// Tolerances and time limits of the protocol, and thresholds of the checker.
 const (
-	timingSlack        = 50 * time.Millisecond  // on each time limit
-	outcomeWithin      = 300 * time.Millisecond // after a message's time is up
-	startupGrace       = 1500 * time.Millisecond
-	discoveryDeadline  = 6 * time.Second // what discovery has to tell counts as told
-	reloadDeadline     = 4 * time.Second // after SIGHUP
-	retryAfterSlack    = 100 * time.Millisecond
-	peerCloseWithin    = 3 * time.Second
-	evacuateWithin     = 500 * time.Millisecond // of an order, a call that was decided before it begins
-	shutdownLossWindow = 100 * time.Millisecond // of its end a process may not have taken in what it was told
-	coldSigmas         = 2.0                    // roots of the budget: the protocol leaves room for chance
-	observerShare      = 2.0 / 3
-	maxLateShare       = 0.001 // of the lab's own events, in a run that counts
-	maxLateAlways      = 3     // are none to speak of in any run
-	maxViolationLines  = 30    // of a violation
+	timingSlack        = 50 * time.Millisecond   // added to every time limit
+	outcomeWithin      = 300 * time.Millisecond  // from a message's deadline to its outcome
+	startupGrace       = 1500 * time.Millisecond // for a process to catch up after it is ready or thawed
+	discoveryDeadline  = 6 * time.Second         // after which a relay counts as informed of a change at discovery
+	reloadDeadline     = 4 * time.Second         // after SIGHUP, for a relay to have read its changed list
+	retryAfterSlack    = 100 * time.Millisecond  // for calls already under way when a Retry-After arrives
+	peerCloseWithin    = 3 * time.Second         // for a relay to answer or close a malformed peer
+	evacuateWithin     = 500 * time.Millisecond  // after an evacuation order, for calls decided before it
+	shutdownLossWindow = 100 * time.Millisecond  // before a process ends, in which it may not have read what it was sent
+	coldSigmas         = 2.0                     // square roots of the call budget allowed above it, for random variation
+	observerShare      = 2.0 / 3                 // of the calls in a window that must come from relays that saw the endpoint fail
+	maxLateShare       = 0.001                   // of the lab's own timed events that may be late in a valid run
+	maxLateAlways      = 3                       // late events that never invalidate a run, however short
+	maxViolationLines  = 30                      // shown with one violation
 )
 
-// Violation is one broken rule.
+// Violation is one breach of a rule.
 type Violation struct {
 	Rule  string `json:"rule"`
 	Relay int    `json:"relay"`
-	ID    string `json:"id,omitempty"` // of the message, where it is about one
+	ID    string `json:"id,omitempty"` // message ID; empty if the violation concerns no single message
 	Text  string `json:"text"`
-	Lines []int  `json:"lines"` // of the history
+	Lines []int  `json:"lines"` // line numbers in the history file
 }
 
-// Verdict is what a history shows.
+// Verdict is the result of checking a history.
 type Verdict struct {
 	Violations    []Violation `json:"violations"`
-	InvalidReason string      `json:"void,omitempty"` // why the run does not count
-	Truncated     bool        `json:"cut,omitempty"`  // the history has no end
-	Messages      int         `json:"messages"`       // taken on, and judged to their end
+	InvalidReason string      `json:"void,omitempty"` // reason for which the run does not count; empty for a valid run
+	Truncated     bool        `json:"cut,omitempty"`  // the history has no end event
+	Messages      int         `json:"messages"`       // accepted messages whose outcome was in time
 	Calls         int         `json:"calls"`
 }
 
-// Kept tells whether the run counts and no rule is broken.
+// Passed reports whether the run is valid and breaks no rule.
 func (v *Verdict) Passed() bool { return len(v.Violations) == 0 && v.InvalidReason == "" }
 
-// String names the verdict in a word or two.
+// String summarizes the verdict in a few words.
 func (v *Verdict) String() string {
 	switch {
 	case len(v.Violations) > 0:
-		return fmt.Sprintf("%d broken", len(v.Violations))
+		return fmt.Sprintf("%d violations", len(v.Violations))
 	case v.InvalidReason != "":
 		return "void: " + v.InvalidReason
 	case v.Truncated:
-		return "kept as far as it goes"
+		return "kept as far as the truncated history shows"
 	}
 	return "kept"
 }
 
-// us is a moment of the history.
+// micros is a time since the run began, in microseconds.
 type micros = history.Micros
 
-// call is one call as the history has it.
+// call is one call to an endpoint, assembled from its events.
 type call struct {
 	history.Event
-	finished micros // of its being out on an open connection; forever while there is none
-	notRun   map[string]bool
-	replied  micros // when the relay was told the end of the message; 0 for never
-	states   map[string]string
+	// finished is when the call stopped being in flight on an open connection; forever if the history shows no end.
+	finished micros
+	notRun   map[string]bool   // by message ID: its answer proves that it did not run
+	replied  micros            // when the reply was written to the relay; 0 if there was none
+	states   map[string]string // state of each message in the reply, by message ID
 	lines    []int
 }
 
 const forever = micros(math.MaxInt64)
 
-// handed is one message at one relay under one id.
+// submission is one message handed in to one relay under one ID.
 type submission struct {
 	relay         int
 	id            string
 	handIn        history.Event
 	class         history.Class
-	accepted      micros // when its client heard; 0 for never
-	refused       micros
-	refusalStatus string // status of a refusal
-	clientLeft    micros
+	accepted      micros // when the client got the relay's acceptance; 0 if it did not
+	refused       micros // when the client got a refusal; 0 if it did not
+	refusalStatus string // HTTP status of the refusal
+	clientLeft    micros // when the client disconnected without an answer; 0 if it did not
 	notifications []history.Event
 	calls         []*call
 	lines         []int
 }
 
-// key is a message at a relay.
+// submissionKey identifies a submission: the message ID at a relay.
 type submissionKey struct {
 	relay int
 	id    string
 }
 
-// life is what the history tells of one relay's processes.
+// relayTimeline records the process events of one relay.
 type relayTimeline struct {
 	processes   int
-	unavailable []interval // no notice is overdue in these
-	outages     []micros   // moments at which no process was left
+	unavailable []interval // periods in which overdue outcomes are excused
+	outages     []micros   // times at which no process of the relay was left
 	reloads     []micros
 	frozen      []interval
 	wiped       []micros
-	bitFlips    []micros // bits in its journal, one entry for each
+	bitFlips    []micros // one entry for each bit flipped in the relay's journal
 }
 
 type interval struct{ from, to micros }
 
-// checker is one pass over a history.
+// checker holds the state of one pass over a history.
 type checker struct {
 	parameters      *history.Parameters
 	events          []history.Event
@@ -158,17 +159,17 @@
 	endpointOutages map[string][]endpointOutage
 	evacuations     map[int]map[string]evacuation // in force, by relay and zone
 	listChanges     []history.Event
-	listsSent       map[int][]history.Event // by relay
+	listsSent       map[int][]history.Event // lists that discovery sent, by relay
 }
 
-// outage is one outage of an endpoint.
+// endpointOutage is one outage of an endpoint and its return.
 type endpointOutage struct {
 	from, restored micros
 	capacity       float64
 	overloaded     micros
 }
 
-// Check judges a history in the order of time, as history.Read gives it. cut says that it has no end.
+// Check evaluates a history in the order of time, as history.Read returns it. truncated reports that it has no end event.
 func Check(events []history.Event, truncated bool) Verdict {
 	c := &checker{parameters: events[0].Parameters, events: events, submissions: map[submissionKey]*submission{}, calls: map[int]*call{},
 		endpointOutages: map[string][]endpointOutage{}, evacuations: map[int]map[string]evacuation{}, listsSent: map[int][]history.Event{}}
@@ -203,7 +204,7 @@
 	return lines[0]
 }
 
-// broken notes a broken rule.
+// addViolation records a violation with the history lines that show it, at most maxViolationLines.
 func (c *checker) addViolation(rule string, relay int, id, text string, lines ...int) {
 	lines = slices.Clone(lines)
 	slices.Sort(lines)
@@ -214,7 +215,7 @@
 	c.verdict.Violations = append(c.verdict.Violations, Violation{rule, relay, id, text, lines})
 }
 
-// of is the relay of an event.
+// relayOf returns the relay of an event, or -1 if it has none.
 func relayOf(e *history.Event) int {
 	if e.Relay == nil {
 		return -1
@@ -222,14 +223,15 @@
 	return *e.Relay
 }
 
-// see takes in one event.
+// record applies one event to the state of the checker.
 func (c *checker) record(e *history.Event) {
 	switch e.Kind {
 	case history.Relay:
 		c.recordRelay(e)
 	case history.HandIn:
 		k := submissionKey{relayOf(e), e.ID}
-		if c.submissions[k] == nil { // one that crossed a closing connection comes once more under its id
+		// A client repeats a hand-in under the same ID if it crossed a closing connection; only the first counts.
+		if c.submissions[k] == nil {
 			h := &submission{relay: k.relay, id: e.ID, handIn: *e, class: c.parameters.Classes[e.Class], lines: []int{e.Line}}
 			c.submissions[k] = h
 			c.inOrder = append(c.inOrder, h)
@@ -296,7 +298,7 @@
 	}
 }
 
-// latest is a message by its id alone: the hand-in that was last.
+// latestByID returns the most recent submission with a message ID, at any relay.
 func (c *checker) latestByID(id string) (found *submission) {
 	for r := range c.parameters.Relays {
 		if h := c.submissions[submissionKey{r, id}]; h != nil && (found == nil || h.handIn.Time > found.handIn.Time) {
@@ -337,7 +339,7 @@
 		}
 		if e.Detail == "crashed" {
 			beginUnavailable()
-			c.addViolation(Crash, relayOf(e), "", "the relay ended by itself: "+e.Status, e.Line)
+			c.addViolation(Crash, relayOf(e), "", "the relay process ended by itself: "+e.Status, e.Line)
 		}
 	case "refused-start":
 		c.addViolation(Crash, relayOf(e), "", "the relay did not start", e.Line)
@@ -350,7 +352,8 @@
 	}
 }
 
-// closeLives ends the windows of an upgrade: the new process was ready before the old one was told to end.
+// closeTimelines ends the unavailable periods left open by upgrades: there the new process is ready before the old one gets its
+// signal to end.
 func (c *checker) closeTimelines() {
 	for _, l := range c.timelines {
 		for i := range l.unavailable {
@@ -370,16 +373,16 @@
 		if h := c.submissions[submissionKey{relayOf(e), id}]; h != nil {
 			h.calls = append(h.calls, k)
 		} else {
-			c.addViolation(Unknown, relayOf(e), id, "a call with a message that no client handed in to this relay", e.Line)
+			c.addViolation(Unknown, relayOf(e), id, "a call carried a message that no client had handed in to this relay", e.Line)
 		}
 	}
 }
 
-// order is one to leave a zone.
+// evacuation is an order of operators to leave a zone, in force from from until until.
 type evacuation struct{ from, until history.Micros }
 
-// seeZone judges a call by the orders of operators. A destination that is in the zone alone is served, and so is a
-// message that only endpoints of the zone may know.
+// checkEvacuatedZone reports a call into a zone that operators have ordered to evacuate. Calls are allowed to destinations that
+// have endpoints in this zone only, and for messages whose class deduplicates within one zone.
 func (c *checker) checkEvacuatedZone(e *history.Event) {
 	host := c.parameters.Hosts[e.Host]
 	o, ordered := c.evacuations[relayOf(e)][host.Zone]
@@ -393,13 +396,13 @@
 	}
 	for _, other := range c.parameters.Hosts {
 		if other.Dest == host.Dest && other.Zone != host.Zone {
-			c.addViolation(LeftZone, relayOf(e), firstID(e.IDs), "sent to "+e.Host+" in zone "+host.Zone+", left by order since "+formatDuration(e.FirstByte-o.from), e.Line)
+			c.addViolation(LeftZone, relayOf(e), firstID(e.IDs), "sent to "+e.Host+" in zone "+host.Zone+", which had been under an evacuation order for "+formatDuration(e.FirstByte-o.from), e.Line)
 			return
 		}
 	}
 }
 
-// never are the answers and states that prove that a message did not run.
+// notRunStatuses are the answers and message states that prove that a message did not run.
 var notRunStatuses = map[string]bool{"429": true, "503": true, "504": true, "410": true, "400": true, "413": true,
 	"refused": true, "over": true, "spent": true}
 
@@ -409,7 +412,7 @@
 		return
 	}
 	k.lines = append(k.lines, e.Line)
-	// A connection on which an answer got lost stays open until the relay gives the call up.
+	// If an answer was lost, the connection stays open and the call in flight until the relay gives it up.
 	if e.Kind != history.Broken || e.Detail == "reset" || e.Detail == "spoilt" || e.Detail == "closed" {
 		k.finished = min(k.finished, e.Time)
 	}
@@ -417,7 +420,7 @@
 		return
 	}
 	if e.Detail == "unknown" {
-		c.addViolation(Unknown, relayOf(&k.Event), firstID(k.IDs), "a call with a message that no client handed in in this form", k.lines...)
+		c.addViolation(Unknown, relayOf(&k.Event), firstID(k.IDs), "a call carried a message that no client had handed in, or not with this content", k.lines...)
 	}
 	k.replied = e.Time
 	for i, id := range k.IDs {
@@ -438,12 +441,12 @@
 		used, max float64
 	}{{"MB of memory", e.MemoryMB, f.MemoryMB}, {"descriptors", float64(e.FDs), float64(f.Sockets)}, {"MB of disk", e.DiskMB, f.DiskMB}} {
 		if u.max > 0 && u.used > u.max {
-			c.addViolation(Limits, relayOf(e), "", fmt.Sprintf("%.4g %s, %.4g at most", u.used, u.what, u.max), e.Line)
+			c.addViolation(Limits, relayOf(e), "", fmt.Sprintf("used %.4g %s, limit %.4g", u.used, u.what, u.max), e.Line)
 		}
 	}
 }
 
-// judge looks at one message at one relay.
+// checkSubmission applies the rules on single messages to one submission.
 func (c *checker) checkSubmission(sub *submission) {
 	violation := func(rule, text string, lines ...int) {
 		c.addViolation(rule, sub.relay, sub.id, text, append(slices.Clone(sub.lines), lines...)...)
@@ -456,9 +459,9 @@
 	}
 	c.checkOutcome(sub, func(text string) { violation(Lost, text, allLines()...) })
 	if len(sub.calls) > c.parameters.MaxAttempts {
-		violation(Attempts, fmt.Sprintf("%d attempts, %d at most", len(sub.calls), c.parameters.MaxAttempts), allLines()...)
+		violation(Attempts, fmt.Sprintf("%d attempts, limit %d", len(sub.calls), c.parameters.MaxAttempts), allLines()...)
 	}
-	var endedAt micros // when the relay ended the message, or knew that it is over
+	var endedAt micros // when the relay first reported the message as ended
 	if sub.refused > 0 {
 		endedAt = sub.refused
 	}
@@ -469,19 +472,19 @@
 	}
 	for i, k := range sub.calls {
 		if endedAt > 0 && k.Time > endedAt+history.ToMicros(timingSlack) {
-			violation(AfterEnd, "sent on "+formatDuration(k.Time-endedAt)+" after the relay had ended it", k.lines...)
+			violation(AfterEnd, "sent "+formatDuration(k.Time-endedAt)+" after the relay had ended it", k.lines...)
 		}
-		var mayHaveRun *call // the first that may have run
+		var mayHaveRun *call // the first earlier attempt that may have run
 		for _, earlier := range sub.calls[:i] {
 			if earlier.finished > k.Time+history.ToMicros(timingSlack) && !c.processGap(sub.relay, earlier.Time, k.Time) {
-				violation(SecondCopy, "a second attempt while one was out", append(slices.Clone(earlier.lines), k.lines...)...)
+				violation(SecondCopy, "a second attempt began while another was in flight", append(slices.Clone(earlier.lines), k.lines...)...)
 			}
 			if mayHaveRun == nil && !earlier.notRun[sub.id] {
 				mayHaveRun = earlier
 			}
 			answeredOver := earlier.states[sub.id] == "delivered" || earlier.states[sub.id] == "over"
 			if answeredOver && earlier.replied > 0 && k.Time > earlier.replied+history.ToMicros(timingSlack) && !c.processGap(sub.relay, earlier.replied, k.Time) {
-				violation(AfterEnd, "sent again "+formatDuration(k.Time-earlier.replied)+" after it was answered as over", append(slices.Clone(earlier.lines), k.lines...)...)
+				violation(AfterEnd, "sent again "+formatDuration(k.Time-earlier.replied)+" after an endpoint had answered that it was delivered or over", append(slices.Clone(earlier.lines), k.lines...)...)
 			}
 		}
 		if mayHaveRun != nil {
@@ -490,13 +493,13 @@
 			}
 		}
 		if host, ok := c.parameters.Hosts[k.Host]; !ok || sub.handIn.Dest == nil || host.Dest != *sub.handIn.Dest {
-			violation(WrongHost, "sent to "+k.Host+", which is not of its destination", k.lines...)
+			violation(WrongHost, "sent to "+k.Host+", which is not an endpoint of its destination", k.lines...)
 		}
 	}
 	c.checkHandedBack(sub, func(text string) { violation(HandedBack, text, allLines()...) })
 }
 
-// judgeEnd looks whether a message taken on had its end in time.
+// checkOutcome checks that an accepted message had an outcome in time.
 func (c *checker) checkOutcome(sub *submission, reportLost func(string)) {
 	l := c.timelines[sub.relay]
 	if sub.accepted == 0 || sub.clientLeft > 0 || slices.ContainsFunc(l.wiped, func(t micros) bool { return t > sub.accepted }) {
@@ -516,7 +519,7 @@
 		if k.states[sub.id] == "delivered" && k.replied <= c.replyValidUntil(k) {
 			endedAt = min(endedAt, k.replied)
 		}
-		// "over" is the platform's own word that nothing more is owed.
+		// An endpoint answers "over" or 410 if the message needs no further delivery.
 		if k.states[sub.id] == "over" || k.states[sub.id] == "410" {
 			endedAt = min(endedAt, k.replied)
 		}
@@ -524,17 +527,17 @@
 	switch {
 	case endedAt <= due:
 		c.verdict.Messages++
-	case due > c.lastEvent: // the history does not go so far
-	case c.consumeBitFlip(l, sub.accepted, due): // a bit that turned may cost the record that it is in
+	case due > c.lastEvent: // the history ends before the outcome is due
+	case c.consumeBitFlip(l, sub.accepted, due): // a flipped bit may have destroyed the message's journal record
 	case endedAt == forever:
-		reportLost("taken on, and never ended; its end was due " + formatDuration(due-sub.handIn.Time) + " after it was handed in")
+		reportLost("accepted, but had no outcome; it was due " + formatDuration(due-sub.handIn.Time) + " after it was handed in")
 	default:
-		reportLost("taken on, and ended " + formatDuration(endedAt-due) + " too late")
+		reportLost("accepted, but its outcome came " + formatDuration(endedAt-due) + " too late")
 	}
 }
 
-// fateOf is until when the answer to a call counts: messages that share a call share its fate, and the time of one that is
-// up ends it for all.
+// replyValidUntil returns the time until which a reply to a call counts as a delivery. Messages in one call share its outcome:
+// the earliest deadline among them, plus slack, applies to all. A call with one message has no limit.
 func (c *checker) replyValidUntil(k *call) micros {
 	until := forever
 	if len(k.IDs) > 1 {
@@ -547,7 +550,8 @@
 	return until
 }
 
-// costs tells whether a bit that turned while a message was held can have cost it; each costs one at most.
+// consumeBitFlip reports whether a bit flip while a message was held can explain its loss, and removes that flip: each one
+// excuses at most one message.
 func (c *checker) consumeBitFlip(l *relayTimeline, from, to micros) bool {
 	i := slices.IndexFunc(l.bitFlips, func(t micros) bool { return t > from && t < to })
 	if i < 0 {
@@ -557,23 +561,24 @@
 	return true
 }
 
-// forbidden tells why an attempt may not follow one that may have run.
+// repeatForbidden returns why an attempt may not follow an earlier one that may have run, or "" if it may.
 func (c *checker) repeatForbidden(h *submission, earlier, k *call) string {
 	switch h.class.Effect {
 	case "fragile":
-		return "sent again though an attempt may have run, and its class may never be repeated"
+		return "sent again although an attempt may have run and its class forbids repeats"
 	case "dedup":
 		if age := k.Time - earlier.Time; age > h.class.Memory+history.ToMicros(timingSlack) {
-			return "sent again " + formatDuration(age) + " after an attempt that may have run; receivers remember it for " + formatDuration(h.class.Memory)
+			return "sent again " + formatDuration(age) + " after an attempt that may have run; endpoints deduplicate for " + formatDuration(h.class.Memory)
 		}
 		if h.class.Group == "zone" && c.parameters.Hosts[k.Host].Zone != c.parameters.Hosts[earlier.Host].Zone {
-			return "sent again in a zone that does not know of the attempt that may have run"
+			return "sent again in another zone, which can't deduplicate against the attempt that may have run"
 		}
 	}
 	return ""
 }
 
-// judgeHandedBack looks whether a message was handed back that may have run.
+// checkHandedBack reports a message that was refused or deferred after an attempt that may have run, if its class forbids a
+// repeat.
 func (c *checker) checkHandedBack(sub *submission, violation func(string)) {
 	if sub.class.Effect == "retryable" || sub.class.Effect == "dedup" && sub.class.Group == "all" {
 		return
@@ -589,19 +594,19 @@
 	}
 	for _, k := range sub.calls {
 		if handedBackAt > 0 && k.Time < handedBackAt && !k.notRun[sub.id] {
-			violation("handed back though an attempt may have run, and its class forbids a repeat")
+			violation("handed back although an attempt may have run and its class forbids repeats")
 			return
 		}
 	}
 }
 
-// gapBetween tells whether a relay had a moment without a process, after which it may not know what it was told. What
-// was written to a process that had just ended counts as well: the lab sees that a little late.
+// processGap reports whether a relay had no process at some time in an interval, after which it may not know the answers that
+// it was sent. The interval begins earlier by the slack, since the lab sees the end of a process with a small delay.
 func (c *checker) processGap(relay int, from, to micros) bool {
 	return slices.ContainsFunc(c.timelines[relay].outages, func(t micros) bool { return t >= from-history.ToMicros(timingSlack) && t <= to })
 }
 
-// judgeWaits looks at the calls to destinations in a told wait.
+// checkRetryAfter reports calls to a destination during a wait that it asked for with Retry-After.
 func (c *checker) checkRetryAfter() {
 	type retryAfter struct {
 		from, to micros
@@ -618,7 +623,7 @@
 	for _, k := range c.callsInOrder {
 		for _, w := range waits[at{relayOf(&k.Event), c.parameters.Hosts[k.Host].Dest}] {
 			if k.Time > w.from+history.ToMicros(retryAfterSlack) && k.Time < w.to-history.ToMicros(timingSlack) && !c.processGap(relayOf(&k.Event), w.from, k.Time) {
-				c.addViolation(Wait, relayOf(&k.Event), firstID(k.IDs), "sent "+formatDuration(k.Time-w.from)+" into a told wait of "+formatDuration(w.to-w.from),
+				c.addViolation(Wait, relayOf(&k.Event), firstID(k.IDs), "sent "+formatDuration(k.Time-w.from)+" into a Retry-After wait of "+formatDuration(w.to-w.from),
 					append(slices.Clone(w.by.lines), k.lines...)...)
 				break
 			}
@@ -633,14 +638,14 @@
 	return ids[0]
 }
 
-// judgeLists looks at the calls to endpoints that drain, are gone, or were never on the relay's list.
+// checkLists reports calls to endpoints that were draining, deleted, or never on the relay's list.
 func (c *checker) checkLists() {
 	type removal struct {
 		at   micros
 		line int
-		back micros // listed as serving again
+		back micros // when it was listed as SERVING again; forever if it was not
 	}
-	added := map[string]bool{} // a host that some change brought: it is not on the first list
+	added := map[string]bool{} // endpoints that a change added; they were not on the first list
 	removals := map[string][]removal{}
 	for _, e := range c.listChanges {
 		for _, h := range e.Hosts {
@@ -657,13 +662,13 @@
 	for _, k := range c.callsInOrder {
 		relay := relayOf(&k.Event)
 		if added[k.Host] && !c.listedBefore(relay, k.Host, k.FirstByte) {
-			c.addViolation(WrongHost, relay, firstID(k.IDs), "sent to "+k.Host+", which the relay's list never had", k.lines...)
+			c.addViolation(WrongHost, relay, firstID(k.IDs), "sent to "+k.Host+", which was never on the relay's list", k.lines...)
 		}
 		for _, l := range removals[k.Host] {
 			knownAt, line := c.removalKnownAt(relay, k.Host, l.at)
 			limit := knownAt + c.parameters.DrainGrace + history.ToMicros(timingSlack)
 			if k.FirstByte > limit && k.FirstByte < l.back {
-				c.addViolation(Drain, relay, firstID(k.IDs), "sent to "+k.Host+" "+formatDuration(k.FirstByte-knownAt)+" after the relay was told that it drains or is gone",
+				c.addViolation(Drain, relay, firstID(k.IDs), "sent to "+k.Host+" "+formatDuration(k.FirstByte-knownAt)+" after the relay knew that it is draining or deleted",
 					append([]int{l.line, line}, k.lines...)...)
 				break
 			}
@@ -671,14 +676,15 @@
 	}
 }
 
-// heardOf tells whether a relay was told of an endpoint before a moment.
+// listedBefore reports whether a relay had been sent an endpoint before a point in time.
 func (c *checker) listedBefore(relay int, host string, by micros) bool {
 	return slices.ContainsFunc(c.listsSent[relay], func(e history.Event) bool {
 		return e.Time <= by && slices.ContainsFunc(e.Hosts, func(h history.ListEntry) bool { return h.Host == host && h.Health != "DELETED" })
 	})
 }
 
-// toldOf is when a relay counts as told of a change that was made at a moment, and the line that shows it.
+// removalKnownAt returns when a relay counts as informed that an endpoint was removed at a point in time, and the history line
+// that shows it (0 if only a time limit does).
 func (c *checker) removalKnownAt(relay int, host string, at micros) (micros, int) {
 	knownAt, line := at+history.ToMicros(discoveryDeadline), 0
 	l := c.timelines[relay]
@@ -697,7 +703,7 @@
 			break
 		}
 	}
-	// A machine that was lost is told anew.
+	// A relay whose state directory was wiped has to be informed again.
 	for _, wiped := range l.wiped {
 		if wiped > knownAt {
 			knownAt = wiped + history.ToMicros(discoveryDeadline)
@@ -710,7 +716,7 @@
 	return slices.ContainsFunc(e.Hosts, func(h history.ListEntry) bool { return h.Host == host && h.Health == "SERVING" })
 }
 
-// judgeCold looks whether endpoints that came back cold were pushed over by relays that had seen them fail.
+// checkColdEndpoints reports endpoints that were overloaded after coming back cold, mostly by relays that had seen them fail.
 func (c *checker) checkColdEndpoints() {
 	f := c.parameters
 	at := map[string][]*call{}
@@ -728,7 +734,7 @@
 					observers[relayOf(&k.Event)] = true
 				}
 				if k.Time < o.from && k.finished >= o.from && k.finished < o.restored && k.replied == 0 {
-					observers[relayOf(&k.Event)] = true // it was out when the outage began, and broke
+					observers[relayOf(&k.Event)] = true // the call was in flight when the outage began, and failed
 				}
 			}
 			var window []*call
@@ -753,7 +759,7 @@
 					}
 				}
 				if float64(fromObservers) >= observerShare*float64(len(window)) {
-					c.addViolation(PushedOver, relayOf(&k.Event), "", fmt.Sprintf("%s got %d calls within %s, %.0f at most, %s after its return; %d came from relays that had seen it fail",
+					c.addViolation(PushedOver, relayOf(&k.Event), "", fmt.Sprintf("%s got %d calls within %s (budget %.0f plus a margin for chance) %s after its return; %d came from relays that had seen it fail",
 						host, len(window), formatDuration(f.OverloadFor), budget, formatDuration(k.Time-o.restored), fromObservers), lines...)
 					break
 				}
@@ -762,7 +768,8 @@
 	}
 }
 
-// status is the answer to a call, where there was one.
+// replyStatus returns "200" if the reply to a call has a delivered message first, else one of its states, or "" without a
+// reply.
 func replyStatus(k *call) string {
 	for _, s := range k.states {
 		if s == "delivered" {
@@ -773,7 +780,7 @@
 	return ""
 }
 
-// judgePeers looks whether malformed peers got an error or a close in time.
+// checkPeers reports malformed peers that got neither an error nor a close in time, or whose request was accepted.
 func (c *checker) checkPeers() {
 	connected := map[int]history.Event{}
 	for _, e := range c.events {
@@ -799,10 +806,10 @@
 		case code >= 200 && code < 300:
 			c.addViolation(PeerLeft, relayOf(&e), "", "a malformed peer was answered "+e.Detail, opened.Line, e.Line)
 		case e.Detail == "left waiting" || took > history.ToMicros(peerCloseWithin+timingSlack):
-			c.addViolation(PeerLeft, relayOf(&e), "", "a malformed peer had neither an error nor a close after "+formatDuration(took), opened.Line, e.Line)
+			c.addViolation(PeerLeft, relayOf(&e), "", "a malformed peer got neither an error nor a close within "+formatDuration(took), opened.Line, e.Line)
 		}
 	}
 }
 
-// ms writes a time.
+// formatDuration formats a time rounded to milliseconds.
 func formatDuration(t micros) string { return t.Duration().Round(time.Millisecond).String() }
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -9,7 +9,7 @@
 	"milletsail/internal/lab/history"
 )
 
-// planted builds a history by hand.
+// historyBuilder builds a history event by event.
 type historyBuilder struct {
 	events []history.Event
 	calls  int
@@ -44,7 +44,7 @@
 	return p.add(at, history.Event{Kind: history.Relay, Relay: history.IntPtr(relay), Detail: what})
 }
 
-// taken hands a message in and has it taken on at once; it is given up 10 s later.
+// accepted adds a message that the relay accepts after 1 ms. Its deadline is 10 s after the hand-in.
 func (p *historyBuilder) accepted(at time.Duration, id, class string) *historyBuilder {
 	p.handIn(at, id, class)
 	return p.add(at+ms, history.Event{Kind: history.Answer, ID: id, Status: "202"})
@@ -54,7 +54,7 @@
 	return p.add(at, history.Event{Kind: history.HandIn, ID: id, Message: 1, Relay: history.IntPtr(relay), Class: class, Dest: history.IntPtr(7), TimeLeft: 10e6})
 }
 
-// call makes a call that stays out.
+// call adds a call to an endpoint that stays in flight.
 func (p *historyBuilder) call(at time.Duration, host string, ids ...string) *historyBuilder {
 	return p.callOf(relay, at, host, ids...)
 }
@@ -64,7 +64,7 @@
 	return p.add(at, history.Event{Kind: history.Call, Call: p.calls, Relay: history.IntPtr(r), Host: host, IDs: ids, FirstByte: history.ToMicros(at)})
 }
 
-// reply answers the latest call.
+// reply adds a reply to the latest call.
 func (p *historyBuilder) reply(at time.Duration, status string, wait time.Duration) *historyBuilder {
 	return p.add(at, history.Event{Kind: history.Reply, Call: p.calls, Status: status, RetryAfter: history.ToMicros(wait)})
 }
@@ -86,14 +86,14 @@
 	return p
 }
 
-// check judges what was planted, with an end at a moment.
+// check ends the history at the given time and checks it.
 func (p *historyBuilder) check(end time.Duration) Verdict {
 	p.add(end, history.Event{Kind: history.End, TimedEvents: 1000})
 	slices.SortStableFunc(p.events, func(a, b history.Event) int { return int(a.Time - b.Time) })
 	return Check(p.events, false)
 }
 
-// rulesOf lists the rules that a verdict finds broken, each once.
+// brokenRules lists the rules that a verdict reports as broken, each once.
 func brokenRules(v Verdict) (rules []string) {
 	for _, x := range v.Violations {
 		if !slices.Contains(rules, x.Rule) {
@@ -103,7 +103,8 @@
 	return rules
 }
 
-// Each rule has a history that breaks it, and one beside it that only just keeps it.
+// Checks each rule on a history that breaks it and on one that stays just within it: a rule must neither miss a violation nor
+// report a run at the limit.
 func TestRules(t *testing.T) {
 	const end = 60 * time.Second
 	s := time.Second
@@ -116,8 +117,9 @@
 			p.notification(9*s, "m", "deferred")
 		}
 	}
-	// cold plants an endpoint that came back at 20 s with 10 messages a second, and n calls then, of which so many
-	// come from a relay that had seen it fail. 2 × 10 × 0.25 × 2 s = 10 fit, and 2√10 for chance: 16 in all.
+	// coldEndpoint builds an endpoint that comes back at 20 s with a capacity of 10 messages per second and then gets n calls,
+	// of which the first ones, as many as given, come from a relay that saw it fail. The budget is 2 × 10 × 0.25 × 2 s = 10
+	// calls; 2√10 more are allowed for chance: 16 in all.
 	coldEndpoint := func(n, observed int) func(*historyBuilder) {
 		return func(p *historyBuilder) {
 			p.add(10*s, history.Event{Kind: history.Outage, Host: "h1"})
@@ -170,7 +172,7 @@
 		}, func(p *historyBuilder) {
 			p.handIn(s, "m", "status").add(s+ms, history.Event{Kind: history.Answer, ID: "m", Status: "429"}).call(s+40*ms, "h1", "m").reply(2*s, "200", 0)
 		}},
-		{AfterEnd, "after a delivery", func(p *historyBuilder) {
+		{AfterEnd, "after a delivery", func(p *historyBuilder) { // a process that was killed may not have read the answer
 			p.accepted(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "200", 0).call(4*s, "h1", "m").reply(4*s, "200", 0)
 		}, func(p *historyBuilder) { // a process that was killed may not have taken the answer in
 			p.relay(0, "started").accepted(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "200", 0)
@@ -305,26 +307,26 @@
 			c.breaks(p)
 			v := p.check(end)
 			if got := brokenRules(v); !slices.Equal(got, []string{c.rule}) {
-				t.Errorf("a history that breaks %s shows %v: %+v", c.rule, got, v.Violations)
+				t.Errorf("for a history that breaks only %s, the checker reports %v: %+v", c.rule, got, v.Violations)
 			} else if len(v.Violations[0].Lines) == 0 {
-				t.Errorf("no line of the history shows it")
+				t.Errorf("the violation names no line of the history")
 			}
 			p = newHistory()
 			c.keeps(p)
 			if v := p.check(end); len(v.Violations) > 0 {
-				t.Errorf("a history that only just keeps it: %+v", v.Violations)
+				t.Errorf("a history just within the limit is reported as a violation: %+v", v.Violations)
 			}
 		})
-	}
+	} // A truncated history must not report outcomes as missing that lie past its last event; violations that it shows still count.
 	for _, rule := range Rules {
 		if !tested[rule] {
-			t.Errorf("no history breaks %s", rule)
+			t.Errorf("no test case covers rule %s", rule)
 		}
 	}
 }
 
 func (p *historyBuilder) peer(at time.Duration, what string) *historyBuilder {
-	return p.add(at, history.Event{Kind: history.Peer, Peer: 1, Relay: history.IntPtr(relay), Detail: what})
+	return p.add(at, history.Event{Kind: history.Peer, Peer: 1, Relay: history.IntPtr(relay), Detail: what}) // A run in which more of the lab's own events were late than allowed is invalid and must not pass.
 }
 
 // A history that is cut off holds nothing against a relay that it does not show, but what it does show counts.
@@ -332,7 +334,7 @@
 	p := newHistory().accepted(time.Second, "m", "status").call(2*time.Second, "other", "m")
 	v := Check(p.events, true)
 	if got := brokenRules(v); !slices.Equal(got, []string{WrongHost}) || !v.Truncated {
-		t.Errorf("%v, cut %v", got, v.Truncated)
+		t.Errorf("truncated history: got rules %v and truncated %v, want only wrong-host and true", got, v.Truncated)
 	}
 }
 
@@ -345,10 +347,10 @@
 		p := newHistory()
 		p.add(time.Second, history.Event{Kind: history.End, TimedEvents: c.events, LateEvents: c.late})
 		if v := Check(p.events, false); (v.InvalidReason != "") != c.void || v.Passed() == c.void {
-			t.Errorf("%d of %d late: void %q, kept %v", c.late, c.events, v.InvalidReason, v.Passed())
+			t.Errorf("with %d of %d events late: got invalid reason %q, passed %v", c.late, c.events, v.InvalidReason, v.Passed())
 		}
 	}
 	if v := newHistory().add(time.Second, history.Event{Kind: history.Void, Detail: "no room"}).check(2 * time.Second); v.InvalidReason != "no room" {
-		t.Errorf("what the lab could not do: %+v", v)
+		t.Errorf("a void event must make the run invalid with its reason; got %+v", v)
 	}
 }
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,9 +1,8 @@
-// Package history is the record of a run of the lab: JSON lines, one event a line, each with its time since the run
-// began. Whoever plays a run writes one; the checker and the report read it and need nothing else.
+// Package history defines the record of a lab run: JSON lines, one event per line, each with its time since the run began. The
+// lab writes it; the checker and the report read it and need nothing else.
 //
-// It promises that a Writer may be used by many goroutines at once, that the events of one Add call stand in the file
-// as they were given, and that Read takes a file that was cut off in the middle: Cut tells so, and the whole lines
-// count.
+// A Writer may be used by several goroutines at once, and the events of one Add call are consecutive lines in the given order.
+// Read accepts a file that was cut off in the middle: it returns the complete lines and reports the history as truncated.
 package history
 
 import (
@@ -17,57 +16,62 @@
 	"time"
 )
 
-// The kinds of event, and the fields that each has beside T and Kind.
+// The kinds of event. Each comment lists the fields that the kind sets beside Time and Kind.
 const (
-	Run     = "run"     // the first line: Facts
-	Relay   = "relay"   // Relay, What: started, ready, term, killed, frozen, thawed, hup, ended, crashed, wiped, turned (Bytes: bits), refused-start and others
-	List    = "list"    // Relay, Seq, Hosts: written to the relay (Told) or changed at discovery
-	HandIn  = "hand-in" // ID, Msg, Relay, Class, Dest, Key, Left: the client sends
-	Answer  = "answer"  // ID, Status, After: the client has it
-	Left    = "left"    // ID: the client left without an answer, What says why
-	Call    = "call"    // Call, Relay, Host, IDs, Began: the last byte of a call has come
-	Reply   = "reply"   // Call, Status, States, After: written to the relay
-	Gone    = "gone"    // Call: the relay has closed the connection, or ended its sending, before the reply
-	Broken  = "broken"  // Call: a fault broke the connection, or what was written can't be read; What says which
-	Notice  = "notice"  // ID, Status, After, Relay
-	Note    = "note"    // Relay, Bytes: only notes that are too long
-	Outage  = "outage"  // Host: it fails most calls from now on
-	Back    = "back"    // Host, Rate: it serves again, cold, with this full capacity in messages a second
-	Fell    = "fell"    // Host: a cold endpoint was pushed over
-	Connect = "connect" // Relay, Host: a new connection
-	Fault   = "fault"   // What, Of: number in the scenario; Zone that it strikes; Until its end
-	Peer    = "peer"    // Peer, Relay, What: a malformed peer came, or how it ended
-	Usage   = "usage"   // Relay, MemoryMB, DiskMB, CPU (seconds since its process began), FDs
-	View    = "view"    // Relay, Oldest, Beliefs, Live, Digest, Known: what a relay believes of the fleet; What: LastView
-	Zones   = "zones"   // Relay, Zones, CutOff: how zones fare with a relay
-	Servers = "servers" // Relay, Trials: how endpoints that are new on the list fare with a relay
-	Order   = "order"   // Relay, What: it confirmed an order of operators to "evacuate" (Until) or "restore" Zone
-	Late    = "late"    // By: the lab did something later than it should have
-	Void    = "void"    // What: the lab could not do what the scenario asks
-	End     = "end"     // the last line of a run that came to its end; Events timed, LateN of them late; Notes, NoteBytes, Received
+	Run = "run" // first line of a history; Parameters
+	// Relay is a change of a relay process. Fields: Relay; Detail: started, ready, term, killed, frozen, thawed, hup, ended,
+	// crashed, wiped, turned (Bytes: number of flipped bits), refused-start and others.
+	Relay   = "relay"
+	List    = "list"    // endpoint list sent to a relay (SentToRelay) or changed at discovery; Relay, Seq, Hosts
+	HandIn  = "hand-in" // a client hands in a message; ID, Message, Relay, Class, Dest, Key, TimeLeft
+	Answer  = "answer"  // the client has the relay's answer; ID, Status, RetryAfter
+	Left    = "left"    // the client left without an answer; ID, Detail (reason)
+	Call    = "call"    // the last byte of a call arrived at an endpoint; Call, Relay, Host, IDs, FirstByte
+	Reply   = "reply"   // a reply was written to the relay; Call, Status, States, RetryAfter
+	Gone    = "gone"    // the relay closed the connection, or its sending side, before the reply; Call
+	Broken  = "broken"  // a fault broke the connection or made the reply unreadable; Call, Detail (which fault)
+	Notice  = "notice"  // a notification of a message's outcome arrived; ID, Status, RetryAfter, Relay
+	Note    = "note"    // a gossip datagram longer than the limit; Relay, Bytes
+	Outage  = "outage"  // an endpoint begins to fail most calls; Host
+	Back    = "back"    // an endpoint serves again, cold; Host, Rate (full capacity in messages per second)
+	Fell    = "fell"    // a cold endpoint was overloaded; Host
+	Connect = "connect" // a new connection to an endpoint; Relay, Host
+	Fault   = "fault"   // a fault was injected; Detail (kind), FaultIndex, Zone, EndTime
+	Peer    = "peer"    // a malformed peer connected ("came"), or how its connection ended; Peer, Relay, Detail
+	Usage   = "usage"   // resource use of a relay; Relay, MemoryMB, DiskMB, CPU (seconds of its current process), FDs
+	// View is what a relay believes of the fleet. Fields: Relay, OldestAgeRatio, FactCount, Live, Digest, KnownSince; Detail:
+	// LastView or empty.
+	View    = "view"
+	Zones   = "zones"   // state of each zone as a relay sees it; Relay, Zones, Isolated
+	Servers = "servers" // proving state of new endpoints at a relay; Relay, Trials
+	Order   = "order"   // a relay confirmed an order to "evacuate" (EndTime) or "restore" a zone; Relay, Detail, Zone
+	Late    = "late"    // the lab did something later than planned; Lateness
+	Void    = "void"    // the lab could not do what the scenario asks; Detail (reason)
+	// End is the last line of a run that completed. Fields: TimedEvents, LateEvents, GossipSent, GossipBytes, GossipReceived.
+	End = "end"
 
-	LastView = "last" // after the traffic has stopped
+	LastView = "last" // Detail of a View taken after the traffic has stopped
 )
 
-// Event is one line of a history. Fields that a kind does not have are left out.
+// Event is one line of a history. Fields that its kind does not use are left out.
 type Event struct {
 	Time           Micros                `json:"t"`
 	Kind           string                `json:"kind"`
 	Relay          *int                  `json:"relay,omitempty"`
 	ID             string                `json:"id,omitempty"`
-	Message        int                   `json:"msg,omitempty"` // the client's number of the message, over all its hand-ins; from 1
+	Message        int                   `json:"msg,omitempty"` // number that the client gave the message, the same over all its hand-ins; from 1
 	Class          string                `json:"class,omitempty"`
 	Dest           *int                  `json:"dest,omitempty"`
 	Key            string                `json:"key,omitempty"`
-	TimeLeft       Micros                `json:"left,omitempty"` // until the message is given up
+	TimeLeft       Micros                `json:"left,omitempty"` // from the hand-in to the message's deadline
 	Status         string                `json:"status,omitempty"`
-	RetryAfter     Micros                `json:"after,omitempty"` // wait, or when to come again
+	RetryAfter     Micros                `json:"after,omitempty"` // value of Retry-After, or delay before the client hands in again
 	Detail         string                `json:"what,omitempty"`
-	Call           int                   `json:"call,omitempty"` // from 1
+	Call           int                   `json:"call,omitempty"` // number of the call, from 1
 	Host           string                `json:"host,omitempty"`
 	IDs            []string              `json:"ids,omitempty"`
-	States         []string              `json:"states,omitempty"` // of IDs, in their order
-	FirstByte      Micros                `json:"began,omitempty"`  // the call's first byte
+	States         []string              `json:"states,omitempty"` // state of each message, in the order of IDs
+	FirstByte      Micros                `json:"began,omitempty"`  // when the first byte of the call arrived
 	Seq            int                   `json:"seq,omitempty"`
 	Hosts          []ListEntry           `json:"hosts,omitempty"`
 	SentToRelay    bool                  `json:"told,omitempty"`
@@ -80,12 +84,12 @@
 	DiskMB         float64               `json:"disk_mb,omitempty"`
 	CPU            float64               `json:"cpu,omitempty"`
 	FDs            int                   `json:"fds,omitempty"`
-	OldestAgeRatio float64               `json:"oldest,omitempty"` // the most that an age is of its bound
+	OldestAgeRatio float64               `json:"oldest,omitempty"` // largest ratio of a fact's age to its bound
 	Digest         uint32                `json:"digest,omitempty"`
-	KnownSince     map[string]Micros     `json:"known,omitempty"` // since when a closing or an outage has been known
-	GossipSent     int                   `json:"notes,omitempty"` // between relays: sent, one to all counting once, and their bytes
-	GossipBytes    int                   `json:"note_bytes,omitempty"`
-	GossipReceived int                   `json:"received,omitempty"` // notes carried to a relay
+	KnownSince     map[string]Micros     `json:"known,omitempty"`      // when the relay learned of each closing or outage
+	GossipSent     int                   `json:"notes,omitempty"`      // gossip messages sent between relays; a broadcast counts once
+	GossipBytes    int                   `json:"note_bytes,omitempty"` // bytes of these messages
+	GossipReceived int                   `json:"received,omitempty"`   // gossip messages delivered to relays
 	FactCount      int                   `json:"beliefs,omitempty"`
 	Live           int                   `json:"live,omitempty"`
 	Zones          map[string]ZoneState  `json:"zones,omitempty"`
@@ -97,29 +101,29 @@
 	LateEvents     int                   `json:"late,omitempty"`
 	Parameters     *Parameters           `json:"facts,omitempty"`
 
-	Line int `json:"-"` // in the file that it was read from, from 1
+	Line int `json:"-"` // line number in the file, from 1
 }
 
-// Zone is how a zone fares with a relay: its state, and how often it was left and returned to since the process started.
+// ZoneState is the state of a zone at a relay, with the numbers of evacuations and returns since its process started.
 type ZoneState struct {
 	State       string `json:"state"`
 	Evacuations int    `json:"evacuations,omitempty"`
 	Returns     int    `json:"returns,omitempty"`
 }
 
-// Trial is how an endpoint that is new on the list fares with a relay: its stage, and how often it was held back.
+// TrialState is the proving stage of a new endpoint at a relay, with the number of times that it was held back.
 type TrialState struct {
 	Stage int `json:"stage"`
 	Holds int `json:"holds,omitempty"`
 }
 
-// Listed is one endpoint of a list, or of a change of one.
+// ListEntry is one endpoint of a list, or of a change to one.
 type ListEntry struct {
 	Host   string `json:"host"`
 	Health string `json:"health"`
 }
 
-// Facts is what a checker has to know of the play.
+// Parameters are the settings of a run that the checker and the report need.
 type Parameters struct {
 	Title          string           `json:"title"`
 	Seed           uint64           `json:"seed"`
@@ -135,23 +139,23 @@
 	DiskMB         float64          `json:"disk_mb"`
 	Sockets        int              `json:"sockets"`
 	ArrivalsLength Micros           `json:"length"`
-	Zones          []string         `json:"zones,omitempty"` // of the relays, by number
+	Zones          []string         `json:"zones,omitempty"` // of the relays, by relay number
 	Classes        map[string]Class `json:"classes"`
 	Hosts          map[string]Host  `json:"hosts"`
 }
 
-// Class is what a checker has to know of a class of message.
+// Class holds the properties of a message class that the checker and the report need.
 type Class struct {
-	Effect         string  `json:"effect"` // "retryable", "dedup" or "fragile"
-	Group          string  `json:"group"`
-	Memory         Micros  `json:"memory"`
-	Target         Micros  `json:"aim"`
-	Deadline       Micros  `json:"deadline"`
-	Value          float64 `json:"worth"`
-	LateValueShare float64 `json:"late_share"`
+	Effect    string  `json:"effect"` // "retryable", "dedup" or "fragile"
+	Group     string  `json:"group"`
+	Memory    Micros  `json:"memory"`
+	Target    Micros  `json:"aim"`
+	Deadline  Micros  `json:"deadline"`
+	Worth     float64 `json:"worth"`
+	LateShare float64 `json:"late_share"`
 }
 
-// Host is what a checker has to know of an endpoint.
+// Host holds the properties of an endpoint that the checker and the report need.
 type Host struct {
 	Dest int    `json:"dest"`
 	Zone string `json:"zone"`
@@ -160,16 +164,16 @@
 // Micros is a time in microseconds.
 type Micros int64
 
-// M turns a duration into microseconds.
+// ToMicros converts a duration to microseconds.
 func ToMicros(d time.Duration) Micros { return Micros(d.Microseconds()) }
 
-// D turns microseconds into a duration.
+// Duration converts microseconds to a duration.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// N gives a pointer to a number, for the fields whose 0 means something.
+// IntPtr returns a pointer to n, for fields in which 0 is a value and nil means absent.
 func IntPtr(n int) *int { return &n }
 
-// Writer writes a history. A write that fails is remembered and given by Close.
+// Writer writes a history. Write errors are collected and returned by Close.
 type Writer struct {
 	started time.Time
 
@@ -180,18 +184,18 @@
 	err    error
 }
 
-// NewWriter begins a history at a moment; the events are kept for Events as well.
+// NewWriter starts a history whose times count from started. It also keeps the events in memory for Events.
 func NewWriter(file io.WriteCloser, started time.Time) *Writer {
 	return &Writer{started: started, out: bufio.NewWriterSize(file, 1<<20), file: file}
 }
 
-// Now is the time since the run began.
+// Now returns the time since the run began.
 func (w *Writer) Now() Micros { return ToMicros(time.Since(w.started)) }
 
-// At is the time from the begin of the run to a moment.
+// At returns the time from the start of the run to a given moment.
 func (w *Writer) At(moment time.Time) Micros { return ToMicros(moment.Sub(w.started)) }
 
-// Add writes events; one without a time gets the present one.
+// Add writes events. An event without a time gets the current one.
 func (w *Writer) Add(events ...Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -209,7 +213,7 @@
 	}
 }
 
-// Events gives what has been added, in the order of time.
+// Events returns the events added so far, in the order of time.
 func (w *Writer) Events() []Event {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -221,23 +225,23 @@
 	return all
 }
 
-// Close ends the file.
+// Close flushes and closes the file, and returns the errors of all writes.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return errors.Join(w.err, w.out.Flush(), w.file.Close())
 }
 
-// inOrder sorts events by time; those of one moment stay as they were written.
+// sortByTime sorts events by time; events of the same time keep their order.
 func sortByTime(all []Event) {
 	sort.SliceStable(all, func(i, j int) bool { return all[i].Time < all[j].Time })
 }
 
-// maxLine bounds a line of a history.
+// maxLineBytes is the longest line of a history that Read accepts.
 const maxLineBytes = 16 << 20
 
-// Read reads a history in the order of time. cut says that it has no end: the run was broken off, or the file was.
-// A line in the middle that can't be read is an error with its number.
+// Read reads a history and returns its events in the order of time. truncated reports that it has no end event: the run was
+// aborted or the file cut off. A malformed line before the last one is an error with its line number.
 func Read(from io.Reader) (all []Event, truncated bool, err error) {
 	in := bufio.NewScanner(from)
 	in.Buffer(nil, maxLineBytes)
@@ -258,18 +262,18 @@
 		return nil, false, err
 	}
 	if len(all) == 0 || all[0].Kind != Run || all[0].Parameters == nil {
-		return nil, false, errors.New("line 1: no history: the line that says what was played is missing")
+		return nil, false, errors.New("line 1: no history: want an event of kind run with facts")
 	}
 	truncated = badLine != nil || all[len(all)-1].Kind != End
 	sortByTime(all)
 	return all, truncated, nil
 }
 
-// JSON is the event as a line of the history has it.
+// JSON returns the event as a line of the history.
 func (e *Event) JSON() string {
 	line, err := json.Marshal(e)
 	if err != nil {
-		return err.Error() // figures that no JSON has, such as an infinity
+		return err.Error() // for values without a JSON form, such as an infinity
 	}
 	return string(line)
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -196,7 +196,7 @@
 		Classes: map[string]history.Class{}, Hosts: map[string]history.Host{}}
 	for _, c := range s.Classes {
 		facts.Classes[c.Name] = history.Class{Effect: c.Effect, Group: c.Group, Memory: history.ToMicros(c.Memory.AsDuration()), Target: history.ToMicros(c.Target.AsDuration()),
-			Deadline: history.ToMicros(c.Deadline.AsDuration()), Value: c.Value, LateValueShare: c.LateValueShare}
+			Deadline: history.ToMicros(c.Deadline.AsDuration()), Worth: c.Worth, LateShare: c.LateShare}
 	}
 	for r := range f.Relays {
 		facts.Zones = append(facts.Zones, f.Zone(r))
--- a/internal/lab/relays/config.go
+++ b/internal/lab/relays/config.go
@@ -22,8 +22,8 @@
 	var categories []object
 	for _, c := range s.Classes {
 		categories = append(categories, object{"name": c.Name, "aim_s": c.Target.Seconds(), "deadline_s": c.Deadline.Seconds(),
-			"idempotency": c.Effect, "group": c.Group, "memory_span_s": c.Memory.Seconds(), "points": c.Value,
-			"late_share": c.LateValueShare, "stream": false})
+			"idempotency": c.Effect, "group": c.Group, "memory_span_s": c.Memory.Seconds(), "points": c.Worth,
+			"late_share": c.LateShare, "stream": false})
 	}
 	var bulks []int
 	for i := range s.Destinations {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -239,7 +239,7 @@
 		}
 	}
 	f.Messages = len(order)
-	f.computeValue(order, facts)
+	f.computeWorth(order, facts)
 	f.Latency, f.AnswerTime = percentiles(latency), percentiles(answers)
 	n := math.Max(1, float64(f.Messages))
 	f.Attempts, f.Connections, f.RejectedShare = float64(attempts)/n, float64(connects)/n, float64(turned)/math.Max(1, float64(nCalls))
@@ -386,7 +386,7 @@
 }
 
 // share is what a delivery is worth, by its class's worth.
-func valueShare(m *messageOutcome, c history.Class) float64 {
+func worthShare(m *messageOutcome, c history.Class) float64 {
 	age := m.delivered - m.handedIn
 	switch {
 	case m.delivered == 0 || age > c.Deadline:
@@ -394,11 +394,11 @@
 	case age <= c.Target:
 		return 1
 	}
-	return 1 - (1-c.LateValueShare)*float64(age-c.Target)/math.Max(1, float64(c.Deadline-c.Target))
+	return 1 - (1-c.LateShare)*float64(age-c.Target)/math.Max(1, float64(c.Deadline-c.Target))
 }
 
 // worth adds up what was asked for and served.
-func (f *Figures) computeValue(order []*messageOutcome, facts *history.Parameters) {
+func (f *Figures) computeWorth(order []*messageOutcome, facts *history.Parameters) {
 	var asked, served float64
 	byClass := map[string][2]float64{}
 	steps := map[int]*Point{}
@@ -408,17 +408,17 @@
 	}
 	for _, m := range order {
 		c := facts.Classes[m.class]
-		got := c.Value * valueShare(m, c)
-		asked += c.Value
+		got := c.Worth * worthShare(m, c)
+		asked += c.Worth
 		served += got
 		sum := byClass[m.class]
-		byClass[m.class] = [2]float64{sum[0] + c.Value, sum[1] + got}
+		byClass[m.class] = [2]float64{sum[0] + c.Worth, sum[1] + got}
 		f.Outcomes[m.outcome] += 1 / float64(len(order))
 		n := int((m.handedIn - begun).Duration() / serviceStep)
 		if steps[n] == nil {
 			steps[n] = &Point{At: (begun.Duration() + time.Duration(n)*serviceStep).Seconds()}
 		}
-		steps[n].Offered += c.Value
+		steps[n].Offered += c.Worth
 		steps[n].Served += got
 	}
 	f.Served = served / math.Max(1e-9, asked)
@@ -485,7 +485,7 @@
 	asked := 0.0
 	for _, m := range order {
 		if at := m.handedIn.Duration().Seconds(); at >= x.At && at < x.Until {
-			worth := facts.Classes[m.class].Value
+			worth := facts.Classes[m.class].Worth
 			asked += worth
 			if servedElsewhere[m.dest] {
 				x.ServableShare += worth
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -13,7 +13,7 @@
 // planted is a history of two zones: a message every 10 ms to each of two destinations, one of them in both zones. Zone b
 // is struck from 10 to 16 s; new-n0 takes the place of an endpoint of the first destination from 20 s on.
 func twoZoneHistory(zoneBServed func(at time.Duration) bool, toNewEndpoint func(at time.Duration) bool) []history.Event {
-	relay, class := 0, history.Class{Effect: "retryable", Target: history.ToMicros(time.Second), Deadline: history.ToMicros(8 * time.Second), Value: 1}
+	relay, class := 0, history.Class{Effect: "retryable", Target: history.ToMicros(time.Second), Deadline: history.ToMicros(8 * time.Second), Worth: 1}
 	events := []history.Event{{Time: 1, Kind: history.Run, Parameters: &history.Parameters{Relays: 1, Zones: []string{"a"}, ArrivalsLength: history.ToMicros(40 * time.Second),
 		Classes: map[string]history.Class{"c": class},
 		Hosts:   map[string]history.Host{"d0-a": {Dest: 0, Zone: "a"}, "d0-b": {Dest: 0, Zone: "b"}, "d0-b-n0": {Dest: 0, Zone: "b"}, "d1-b": {Dest: 1, Zone: "b"}}}}}
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -153,7 +153,7 @@
 			return path + "group", fmt.Errorf("%q is not \"all\" or \"zone\"", c.Group)
 		case c.Target <= 0 || c.Deadline < c.Target:
 			return path + "deadline", errors.New("is under the aim, or one of them is 0")
-		case !(c.LateValueShare >= 0 && c.LateValueShare <= 1):
+		case !(c.LateShare >= 0 && c.LateShare <= 1):
 			return path + "late_share", errors.New("is not 0 to 1")
 		case !(c.Share > 0):
 			return path + "share", errors.New("is not above 0")
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -82,15 +82,15 @@
 
 // Class is a class of message.
 type Class struct {
-	Name           string   `toml:"name"`
-	Effect         string   `toml:"effect"` // "retryable", "dedup" or "fragile"
-	Group          string   `toml:"group"`  // of a dedup class: "all" or "zone"
-	Memory         Duration `toml:"memory"` // of a dedup class: how long endpoints know a key
-	Target         Duration `toml:"aim"`
-	Deadline       Duration `toml:"deadline"`
-	Value          float64  `toml:"worth"`
-	LateValueShare float64  `toml:"late_share"` // of the worth, left at the deadline
-	Share          float64  `toml:"share"`      // of the messages, relative to the other classes
+	Name      string   `toml:"name"`
+	Effect    string   `toml:"effect"` // "retryable", "dedup" or "fragile"
+	Group     string   `toml:"group"`  // of a dedup class: "all" or "zone"
+	Memory    Duration `toml:"memory"` // of a dedup class: how long endpoints know a key
+	Target    Duration `toml:"aim"`
+	Deadline  Duration `toml:"deadline"`
+	Worth     float64  `toml:"worth"`
+	LateShare float64  `toml:"late_share"` // of the worth, left at the deadline
+	Share     float64  `toml:"share"`      // of the messages, relative to the other classes
 }
 
 // Destination is one destination, or Count alike.
@@ -135,7 +135,7 @@
 }
 
 var defaultClass = Class{Effect: "retryable", Group: "all", Memory: Duration(15 * time.Second), Target: Duration(2 * time.Second),
-	Deadline: Duration(8 * time.Second), Value: 1, LateValueShare: 0.3, Share: 1}
+	Deadline: Duration(8 * time.Second), Worth: 1, LateShare: 0.3, Share: 1}
 
 var defaultDestination = Destination{Count: 1, Endpoints: 1, Share: 1, Limit: "none", Window: Duration(time.Second),
 	Service: Duration(40 * time.Millisecond), ServiceCV: 0.4, Workers: 16, Queue: 16, MaxBatch: 1, ItemCost: 0.1}
--- a/internal/scale/bed.go
+++ b/internal/scale/bed.go
@@ -159,13 +159,13 @@
 	s := scenario.Default()
 	s.Fleet.Relays, s.Fleet.Gossip, s.Fleet.Weights = 1, false, "nominal"
 	s.Fleet.MaxOpen = max(s.Fleet.MaxOpen, int(holdRoomShare*float64(b.size.held)))
-	class := scenario.Class{Effect: "retryable", Group: "all", Target: scenario.Duration(2 * time.Second), Value: 1, LateValueShare: 0.3, Share: 1,
+	class := scenario.Class{Effect: "retryable", Group: "all", Target: scenario.Duration(2 * time.Second), Worth: 1, LateShare: 0.3, Share: 1,
 		Memory: scenario.Duration(15 * time.Second)}
 	usual, held := class, class
 	usual.Name, usual.Deadline = usualClass, scenario.Duration(usualDeadline)
 	// A relay refuses what would wait long before messages of as much value that can't: those that are held have the most,
 	// and lose none of it.
-	held.Name, held.Deadline, held.Target, held.Value = heldClass, scenario.Duration(heldDeadline), scenario.Duration(heldDeadline), 2
+	held.Name, held.Deadline, held.Target, held.Worth = heldClass, scenario.Duration(heldDeadline), scenario.Duration(heldDeadline), 2
 	s.Rules.MaxRetryAfter = scenario.Duration(standin.Wait)
 	s.Classes = []scenario.Class{usual, held}
 	s.Destinations = []scenario.Destination{{Count: 1, Endpoints: 1, MaxBatch: 1}}
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -60,7 +60,7 @@
 	s.Seed, s.Fleet.Relays, s.Fleet.ShareFacts = seed, count, true
 	s.Fleet.Zones = []string{"a", "b", "c"}[:fleetZones]
 	s.Classes = []scenario.Class{{Name: usualClass, Effect: "retryable", Group: "all", Target: scenario.Duration(2 * time.Second),
-		Deadline: scenario.Duration(usualDeadline), Memory: scenario.Duration(15 * time.Second), Value: 1, LateValueShare: 0.3, Share: 1}}
+		Deadline: scenario.Duration(usualDeadline), Memory: scenario.Duration(15 * time.Second), Worth: 1, LateShare: 0.3, Share: 1}}
 	s.Destinations = []scenario.Destination{{Count: 1, Endpoints: 1, Share: 1, Limit: "none", Service: scenario.Duration(40 * time.Millisecond),
 		Workers: 16, Queue: 16, MaxBatch: 1}}
 	s.Hosts = []scenario.Host{{Name: "d0-e0", Zone: "a", Destination: &s.Destinations[0]}}
