--- a/internal/lab/campaign/campaign.go
+++ b/internal/lab/campaign/campaign.go
@@ -1,10 +1,10 @@
-// Package campaign plays a fault-injection campaign: cases made from one scenario, each over several seeds and variants,
-// and holds the figures against what each case expects.
+// Package campaign runs a fault-injection campaign: cases derived from one scenario, each run over several seeds and variants,
+// with their figures checked against what each case expects.
 //
-// It promises that a plan it returns can be played whole, that variants are paired by seed (the draws of a play follow
-// from the scenario and the seed alone), and that a play in which the lab was late never counts: it is played again, and
-// a case whose plays stay void is reported as one that shows nothing. Expectations hold for each single play, not for a
-// mean. Plan is read-only once read; Run may be called by one goroutine at a time.
+// Read validates every scenario of a plan, so a plan that it returns can be run completely. Variants are paired by seed: all
+// random draws of a run follow from the scenario and the seed. A run in which the lab was late does not count and is repeated;
+// if it stays invalid, its result says so. Expectations apply to each single run, not to a mean. A Plan is read-only after
+// Read; Run must not be called by several goroutines at once.
 package campaign
 
 import (
@@ -29,40 +29,41 @@
 // Plan is a campaign.
 type Plan struct {
 	Title    string    `toml:"title"`
-	Base     string    `toml:"base"` // the scenario that all cases begin with
+	Base     string    `toml:"base"` // name of the scenario that all cases derive from
 	Seeds    int       `toml:"seeds"`
-	Parallel int       `toml:"at_once"` // plays side by side
+	Parallel int       `toml:"at_once"` // number of runs at the same time
 	Variants []Variant `toml:"variant"`
 	Cases    []Case    `toml:"case"`
 
-	scenarios map[[2]string][]byte // by case and variant
+	scenarios map[[2]string][]byte // scenario text, by case and variant
 }
 
-// Variant is one of the sides that are compared; the first is the one that the others are held against.
+// Variant is one of the sides that are compared. The first variant is the baseline for the others.
 type Variant struct {
 	Name      string         `toml:"name"`
-	Overrides map[string]any `toml:"set"` // of the scenario; arrays take the place of what was there
+	Overrides map[string]any `toml:"set"` // values that override the scenario's; an array replaces the whole array
 }
 
-// Case is one situation.
+// Case is one situation that a campaign tests.
 type Case struct {
 	Name      string         `toml:"name"`
 	Title     string         `toml:"title"`
-	Seeds     int            `toml:"seeds"`    // in place of the plan's; 0 for those
-	Variants  []string       `toml:"variants"` // all where empty
+	Seeds     int            `toml:"seeds"`    // overrides the plan's number of seeds; 0 keeps it
+	Variants  []string       `toml:"variants"` // names of the variants to run; all if empty
 	Overrides map[string]any `toml:"set"`
 	Expect    []Expect       `toml:"expect"`
 }
 
-// Expect bounds a figure in each play of a case.
+// Expect bounds a figure in each run of a case.
 type Expect struct {
 	Figure  string   `toml:"figure"`
-	Variant string   `toml:"variant"` // all where empty
+	Variant string   `toml:"variant"` // variant that the bound applies to; all if empty
 	Min     *float64 `toml:"least"`
 	Max     *float64 `toml:"most"`
 }
 
-// Figures are what a campaign can look at, by name. One that a play does not have is 0, one that never came about +Inf.
+// Figures are the figures that a campaign can report and bound, by name. A figure without data in a run is 0; the time of an
+// event that never happened is +Inf.
 var Figures = map[string]func(*report.Figures) float64{
 	"served":      func(f *report.Figures) float64 { return f.Served },
 	"late":        func(f *report.Figures) float64 { return f.Outcomes[report.Late] },
@@ -74,7 +75,7 @@
 	"evacuations": maxOver(zones, func(z *report.ZoneFigures) float64 { return float64(z.Evacuations) }),
 	"returns":     maxOver(zones, func(z *report.ZoneFigures) float64 { return float64(z.Returns) }),
 	"left":        maxOver(zones, func(z *report.ZoneFigures) float64 { return float64(z.LeftBy) }),
-	// accused is the relays that left a zone that no fault has struck.
+	// accused is the largest number of relays that evacuated one zone without a fault.
 	"accused": maxOver(zones, func(z *report.ZoneFigures) float64 {
 		if z.Faulted {
 			return 0
@@ -90,8 +91,9 @@
 	}),
 	"carried": maxOver(faults, func(x *report.FaultFigures) float64 { return x.DegradedTime }),
 	"back":    maxOver(faults, func(x *report.FaultFigures) float64 { return orInfinity(x.Recovery) }),
-	// exposed is the most of a new endpoint's share of its destination's calls, until it was held back or for 20 s, new_full
-	// when the last had its whole share, new_failed the calls to them that got an error.
+	// exposed is the largest share of its destination's calls that a new endpoint got until it was held back, or in its first
+	// 20 s. new_full is when the last new endpoint had its full traffic. new_failed is the number of calls to new endpoints
+	// that got an error.
 	"exposed":  maxOver(newEndpoints, func(n *report.NewEndpoint) float64 { return n.ExposedShare }),
 	"new_full": maxOver(newEndpoints, func(n *report.NewEndpoint) float64 { return orInfinity(n.FullAfter) }),
 	"new_failed": func(f *report.Figures) (sum float64) {
@@ -121,7 +123,7 @@
 func faults(f *report.Figures) []report.FaultFigures      { return f.Faults }
 func newEndpoints(f *report.Figures) []report.NewEndpoint { return f.NewEndpoints }
 
-// most is the most of a figure over the zones, the faults or the new endpoints of a play; 0 where there are none.
+// maxOver returns a figure that is the maximum over a run's zones, faults or new endpoints; 0 if there are none.
 func maxOver[T any](all func(*report.Figures) []T, of func(*T) float64) func(*report.Figures) float64 {
 	return func(f *report.Figures) (most float64) {
 		for _, x := range all(f) {
@@ -131,7 +133,8 @@
 	}
 }
 
-// Read reads a campaign strictly; name stands for the file in errors. base gives the text of a scenario by its name.
+// Read parses a campaign and rejects unknown keys; name identifies the file in errors. base returns the text of a scenario by
+// its name.
 func Read(name string, text []byte, base func(string) ([]byte, error)) (*Plan, error) {
 	p := &Plan{Seeds: 5, Parallel: 1, scenarios: map[[2]string][]byte{}}
 	if err := config.Decode(name, text, p); err != nil {
@@ -164,18 +167,18 @@
 
 func (p *Plan) check() error {
 	if p.Seeds < 1 || p.Parallel < 1 || len(p.Cases) == 0 {
-		return errors.New("seeds or at_once is not above 0, or there is no case")
+		return errors.New("seeds and at_once must be above 0, and there must be at least one case")
 	}
 	variants, cases := map[string]bool{"": true}, map[string]bool{"": true}
 	for _, v := range p.Variants {
 		if variants[v.Name] {
-			return fmt.Errorf("variant %q is nameless or named twice", v.Name)
+			return fmt.Errorf("variant %q: name is empty or used twice", v.Name)
 		}
 		variants[v.Name] = true
 	}
 	for _, c := range p.Cases {
 		if cases[c.Name] || c.Seeds < 0 {
-			return fmt.Errorf("case %q is nameless, named twice, or of less than no seeds", c.Name)
+			return fmt.Errorf("case %q: name is empty or used twice, or seeds is below 0", c.Name)
 		}
 		cases[c.Name] = true
 		for _, v := range c.Variants {
@@ -186,18 +189,18 @@
 		for _, e := range c.Expect {
 			switch {
 			case Figures[e.Figure] == nil:
-				return fmt.Errorf("case %q: there is no figure %q: there are %v", c.Name, e.Figure, slices.Sorted(maps.Keys(Figures)))
+				return fmt.Errorf("case %q: unknown figure %q; known figures: %v", c.Name, e.Figure, slices.Sorted(maps.Keys(Figures)))
 			case !variants[e.Variant]:
 				return fmt.Errorf("case %q: there is no variant %q", c.Name, e.Variant)
 			case e.Min == nil && e.Max == nil:
-				return fmt.Errorf("case %q: %s is bound by nothing", c.Name, e.Figure)
+				return fmt.Errorf("case %q: the bound on %s needs least or most", c.Name, e.Figure)
 			}
 		}
 	}
 	return nil
 }
 
-// with sets values of a scenario, one set after the other.
+// applyOverrides applies sets of values to the text of a scenario, in order.
 func applyOverrides(base []byte, sets ...map[string]any) ([]byte, error) {
 	all := map[string]any{}
 	if err := toml.Unmarshal(base, &all); err != nil {
@@ -211,7 +214,7 @@
 	return out.Bytes(), err
 }
 
-// merge sets values in a tree of tables.
+// merge sets values in a tree of tables; nested tables are merged, other values replaced.
 func merge(into, set map[string]any) {
 	for key, v := range set {
 		if table, ok := v.(map[string]any); ok {
@@ -224,11 +227,11 @@
 	}
 }
 
-// Scenario gives what a case plays with a variant and a seed.
+// Scenario returns the scenario of a case with a variant and a seed.
 func (p *Plan) Scenario(c, variant string, seed uint64) (*scenario.Scenario, error) {
 	text, ok := p.scenarios[[2]string{c, variant}]
 	if !ok {
-		return nil, fmt.Errorf("there is no case %q with a variant %q", c, variant)
+		return nil, fmt.Errorf("the plan has no case %q with a variant %q", c, variant)
 	}
 	text, err := applyOverrides(text, map[string]any{"seed": int64(seed)})
 	if err != nil {
@@ -237,30 +240,30 @@
 	return scenario.Parse(p.Base, text)
 }
 
-// Play is one play that counts, or one that stayed void.
+// RunResult is the result of a run that counts, or of one that was invalid in every attempt.
 type RunResult struct {
 	Case              string             `json:"case"`
 	Variant           string             `json:"variant"`
 	Seed              uint64             `json:"seed"`
 	InvalidReason     string             `json:"void,omitempty"`
-	Violations        []string           `json:"broken,omitempty"` // rules
-	UnmetExpectations []string           `json:"missed,omitempty"` // expectations
+	Violations        []string           `json:"broken,omitempty"` // rule violations as text
+	UnmetExpectations []string           `json:"missed,omitempty"` // expectations not met, as text
 	Figures           map[string]float64 `json:"figures"`
 	attempts          int
 }
 
-// mostTries of a play that is void: another program had the processors.
+// maxAttempts bounds the attempts at a run that is invalid, usually since other programs used the processors.
 const maxAttempts = 4
 
-// Player plays a scenario.
+// Runner runs a scenario.
 type Runner func(context.Context, *scenario.Scenario) (*report.Figures, error)
 
-// Run plays the cases that are named, or all, and tells played of each play in turn. It ends early on the first play
-// that could not be played.
+// Run runs the named cases, or all if none is named, and calls onResult after each run. It stops at the first run that returns
+// an error.
 func (p *Plan) Run(ctx context.Context, cases []string, run Runner, onResult func(RunResult)) ([]RunResult, error) {
 	for _, name := range cases {
 		if !slices.ContainsFunc(p.Cases, func(c Case) bool { return c.Name == name }) {
-			return nil, fmt.Errorf("there is no case %q", name)
+			return nil, fmt.Errorf("the plan has no case %q", name)
 		}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -293,7 +296,8 @@
 			seeds = p.Seeds
 		}
 		for seed := range seeds {
-			for _, v := range p.Variants { // a pair side by side meets the same of what else the machine does
+			// The variants of a seed run close together, so that they see a similar load of the machine.
+			for _, v := range p.Variants {
 				if len(c.Variants) > 0 && !slices.Contains(c.Variants, v.Name) {
 					continue
 				}
@@ -309,7 +313,7 @@
 	return results, context.Cause(ctx)
 }
 
-// play plays one until it counts.
+// runUntilValid runs one case, variant and seed until the run is valid, at most maxAttempts times.
 func (p *Plan) runUntilValid(ctx context.Context, result RunResult, run Runner) (RunResult, error) {
 	for result.attempts < maxAttempts {
 		result.attempts++
@@ -323,7 +327,7 @@
 		}
 		result.InvalidReason, result.Violations, result.UnmetExpectations, result.Figures = f.Verdict.InvalidReason, nil, nil, map[string]float64{}
 		for name, of := range Figures {
-			if v := of(f); !math.IsInf(v, 0) { // JSON has none; a figure that is missing never came about
+			if v := of(f); !math.IsInf(v, 0) { // JSON has no infinity; a figure that is absent never came about
 				result.Figures[name] = v
 			}
 		}
@@ -337,21 +341,21 @@
 				continue
 			}
 			if e.Min != nil && !(v >= *e.Min) {
-				result.UnmetExpectations = append(result.UnmetExpectations, fmt.Sprintf("%s is %.4g, under %.4g", e.Figure, v, *e.Min))
+				result.UnmetExpectations = append(result.UnmetExpectations, fmt.Sprintf("%s is %.4g, below the minimum of %.4g", e.Figure, v, *e.Min))
 			}
 			if e.Max != nil && !(v <= *e.Max) {
-				result.UnmetExpectations = append(result.UnmetExpectations, fmt.Sprintf("%s is %.4g, over %.4g", e.Figure, v, *e.Max))
+				result.UnmetExpectations = append(result.UnmetExpectations, fmt.Sprintf("%s is %.4g, above the maximum of %.4g", e.Figure, v, *e.Max))
 			}
 		}
-		if result.InvalidReason == "" { // else what it shows may be the lab's own doing
+		if result.InvalidReason == "" { // an invalid run may show effects of the lab itself
 			break
 		}
 	}
 	return result, nil
 }
 
-// Row is one figure of a case: the mean and the ends over the plays of a variant, and where there is a first variant to
-// hold it against, the mean of the paired differences with its confidence interval of 95%.
+// Row is one figure of a case for one variant: its mean, minimum and maximum over the runs. For variants other than the
+// baseline it also holds the mean difference from the baseline, paired by seed, with its 95% confidence interval.
 type Row struct {
 	Case, Variant, Figure   string
 	Runs                    int
@@ -360,7 +364,8 @@
 	Diff, DiffLow, DiffHigh float64
 }
 
-// Table sums up plays by case, figure and variant. Void plays are left out, and figures that did not come about in each.
+// Table summarizes results by case, figure and variant. It leaves out invalid runs, and runs in which the figure never came
+// about.
 func (p *Plan) Table(results []RunResult, figures []string) (rows []Row) {
 	for _, c := range p.Cases {
 		by := map[string]map[uint64]RunResult{}
--- a/internal/lab/campaign/campaign_test.go
+++ b/internal/lab/campaign/campaign_test.go
@@ -43,7 +43,7 @@
 	return p
 }
 
-// Values of a case and a variant take the place of the scenario's, and the rest stays.
+// Values of the case and the variant must override the scenario's, and all others must stay.
 func TestScenario(t *testing.T) {
 	p := read(t, sampleCampaign)
 	s, err := p.Scenario("one", "b", 9)
@@ -56,14 +56,14 @@
 		t.Fatal(err)
 	}
 	if s.Seed != 9 || s.Fleet.Relays != 7 || s.Load.Rate != 50 || len(s.Faults) != 1 || len(s.Hosts) != len(base.Hosts) || s.Length != base.Length {
-		t.Errorf("%+v", s)
+		t.Errorf("scenario of case one, variant b, seed 9 does not combine base and overrides: %+v", s)
 	}
 	if other, err := p.Scenario("one", "a", 9); err != nil || other.Fleet.Relays != base.Fleet.Relays {
-		t.Errorf("variant a: %v, %v", other, err)
+		t.Errorf("scenario of variant a does not keep the base's number of relays: %v, error %v", other, err)
 	}
 }
 
-// What can't be played, or held, is an error before anything starts.
+// A plan with a value that can't be run or checked must be rejected by Read, before any run starts.
 func TestReadRejectsInvalidPlans(t *testing.T) {
 	for from, to := range map[string]string{
 		`base = "calm"`:      `base = "none"`,
@@ -79,13 +79,13 @@
 		`, least = 0.9`:      ``,
 	} {
 		if _, err := Read("plan.toml", []byte(strings.Replace(sampleCampaign, from, to, 1)), scenarios.Get); err == nil || !strings.HasPrefix(err.Error(), "plan.toml") {
-			t.Errorf("%s: %v", to, err)
+			t.Errorf("plan with %s: got error %v, want one that begins with the file name", to, err)
 		}
 	}
 }
 
-// Each play counts once, void ones are played again and stay out of the figures, expectations hold for each play, and
-// differences are paired by seed.
+// Each run must count once, invalid runs must be repeated and left out of the figures, expectations must apply to each run, and
+// differences must be paired by seed.
 func TestRun(t *testing.T) {
 	p := read(t, sampleCampaign)
 	var mu sync.Mutex
@@ -116,7 +116,7 @@
 	}
 	results, err := p.Run(t.Context(), nil, runner, func(RunResult) {})
 	if err != nil || len(results) != 9 {
-		t.Fatalf("%d plays, %v", len(results), err)
+		t.Fatalf("got %d results and error %v, want 9 and none", len(results), err)
 	}
 	void, missed, broken := 0, 0, 0
 	for _, result := range results {
@@ -127,42 +127,42 @@
 		broken += len(result.Violations)
 	}
 	if void != 1 || missed != 2 || broken != 1 || tries["b2"] != 3 {
-		t.Errorf("%d void, %d missed, %d broken, %d tries of a play that is void at first", void, missed, broken, tries["b2"])
+		t.Errorf("got %d invalid, %d unmet expectations, %d violations, %d attempts at a run that is invalid twice; want 1, 2, 1, 3", void, missed, broken, tries["b2"])
 	}
 	for _, row := range p.Table(results, []string{"served"}) {
 		if row.Case == "one" && row.Variant == "b" {
-			// Seeds 1 and 2 are 0.1 up, 4 is 0.34 down; 3 has no pair.
+			// The difference is +0.1 for seeds 1 and 2 and −0.34 for seed 4; seed 3 has no pair.
 			if row.Runs != 4 || row.Pairs != 3 || math.Abs(row.Diff-(0.1+0.1-0.34)/3) > 1e-9 || row.Low != 0.5 {
-				t.Errorf("%+v", row)
+				t.Errorf("row of variant b: got %+v, want 4 runs, 3 pairs and the mean of their differences", row)
 			}
 		}
 	}
 	if _, err := p.Run(t.Context(), []string{"three"}, runner, func(RunResult) {}); err == nil {
-		t.Error("a case that is not there is played")
+		t.Error("running a case that does not exist returned no error")
 	}
 	failing := errors.New("no sockets")
 	if _, err := p.Run(t.Context(), nil, func(context.Context, *scenario.Scenario) (*report.Figures, error) { return nil, failing }, func(RunResult) {}); !errors.Is(err, failing) {
-		t.Errorf("a play that can't be played: %v", err)
+		t.Errorf("got error %v, want the error of the failed run", err)
 	}
 }
 
-// Of zones only those that a fault has struck can be accused rightly, or come back.
+// Only zones without a fault count as accused, and only zones with a fault can recover.
 func TestZoneFigures(t *testing.T) {
 	back := 2.5
 	f := &report.Figures{Zones: []report.ZoneFigures{{Zone: "a", LeftBy: 3}, {Zone: "b", LeftBy: 20, Faulted: true, Recovery: &back}}}
 	if v := Figures["zone_back"](f); v != back {
-		t.Errorf("back after %v", v)
+		t.Errorf("zone_back: got %v, want the recovery time of zone b", v)
 	}
 	if v := Figures["accused"](f); v != 3 {
-		t.Errorf("%v accuse a zone that is well", v)
+		t.Errorf("accused: got %v, want the 3 relays that evacuated the zone without a fault", v)
 	}
 	f.Zones[1].Recovery = nil
 	if v := Figures["zone_back"](f); !math.IsInf(v, 1) {
-		t.Errorf("a zone that never came back is back after %v", v)
+		t.Errorf("zone_back of a zone that never recovered: got %v, want +Inf", v)
 	}
 }
 
-// The campaigns that come with the program can be played.
+// Every campaign that ships with the program must be valid.
 func TestCampaigns(t *testing.T) {
 	for _, name := range []string{"zones", "servers"} {
 		text, err := scenarios.Campaign(name)
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,5 +1,5 @@
-// Package compare plays two sides on the same seeds in turn and gives paired differences. The side that begins changes
-// with each seed, so that neither gains from what the machine does over time.
+// Package compare runs two sides on the same seeds and computes paired differences. The side that runs first alternates with
+// the seed, so that neither side gains from changes of the machine's load over time.
 package compare
 
 import (
@@ -11,27 +11,27 @@
 	"milletsail/internal/lab/report"
 )
 
-// Side is one of two that are compared.
+// Side is one of the two sides of a comparison.
 type Side struct {
 	Name string
 	Run  func(seed uint64) (*report.Figures, error)
 }
 
-// Row is one figure: the means of both sides, and the mean difference with its confidence interval of 95%.
+// Row is one figure: the means of both sides, and the mean difference B−A with its 95% confidence interval.
 type Row struct {
 	Name                  string
 	A, B, Diff, Low, High float64
 }
 
-// Result is a comparison.
+// Result is the result of a comparison.
 type Result struct {
 	Rows         []Row
 	Pairs        int
-	InvalidPairs int    // pairs left out, since the lab was late in one of their plays
-	Violations   [2]int // rules broken, by side
+	InvalidPairs int    // pairs left out because one of their runs was invalid
+	Violations   [2]int // number of rule violations, by side
 }
 
-// figures are what is compared.
+// comparedFigures are the figures that a comparison reports.
 var comparedFigures = []struct {
 	name string
 	of   func(*report.Figures) float64
@@ -47,7 +47,7 @@
 	{"MB a relay", func(f *report.Figures) float64 { return f.MemoryMB.Mean }},
 }
 
-// Pairs plays both sides on seeds from 1 on; played is told of each play.
+// Pairs runs both sides on the seeds 1 to seeds and calls onRun after each run.
 func Pairs(sides [2]Side, seeds int, onRun func(seed uint64, side int, f *report.Figures)) (*Result, error) {
 	r := &Result{}
 	var pairs [][2]*report.Figures
@@ -84,8 +84,8 @@
 	return r, nil
 }
 
-// Interval is the mean of differences with its confidence interval of 95%, by Student's t; without two of them the
-// interval is everything.
+// Interval returns the mean of paired differences with its 95% confidence interval by Student's t. With fewer than two
+// differences the interval is unbounded.
 func Interval(diffs []float64) (mean, low, high float64) {
 	n := float64(len(diffs))
 	if n < 2 {
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -8,19 +8,19 @@
 	"milletsail/internal/lab/report"
 )
 
-// The interval is that of the textbook: mean 2, deviation 1, n 4, t 3.182.
+// Checks the interval against a textbook value: mean 2, four differences, t quantile 3.182.
 func TestInterval(t *testing.T) {
 	mean, low, high := Interval([]float64{1, 2, 2, 3})
 	half := 3.18245 * math.Sqrt(2.0/3) / 2
 	if math.Abs(mean-2) > 1e-9 || math.Abs(high-2-half) > 1e-3 || math.Abs(2-low-half) > 1e-3 {
-		t.Errorf("%v, %v to %v; half should be %v", mean, low, high, half)
+		t.Errorf("got mean %v, interval %v to %v; want mean 2 and half-width %v", mean, low, high, half)
 	}
 	if _, low, high := Interval([]float64{1}); !math.IsInf(low, -1) || !math.IsInf(high, 1) {
-		t.Errorf("of one difference: %v to %v", low, high)
+		t.Errorf("interval of one difference: got %v to %v, want it unbounded", low, high)
 	}
 }
 
-// Pairs are played on the same seeds, the side that begins changes, and a void play takes its pair out.
+// Both sides must run on the same seeds, the side that runs first must alternate, and an invalid run must take its pair out.
 func TestPairs(t *testing.T) {
 	var order []int
 	side := func(of int, served float64) Side {
@@ -40,9 +40,9 @@
 		t.Fatal(err)
 	}
 	if row := r.Rows[0]; r.Pairs != 3 || r.InvalidPairs != 1 || r.Violations != [2]int{2, 0} || math.Abs(row.Diff-0.1) > 1e-9 {
-		t.Errorf("%+v", r)
+		t.Errorf("got %+v; want 3 pairs, 1 invalid pair, 2 violations of side 0, and a difference of 0.1", r)
 	}
 	if order[0] == order[2] || order[0] == order[1] {
-		t.Errorf("order %v", order)
+		t.Errorf("the first side does not alternate: sides ran in the order %v", order)
 	}
 }
--- a/internal/lab/report/files.go
+++ b/internal/lab/report/files.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Write puts the figures into a folder: figures.json, service.svg and index.html, which shows both.
+// Write writes the figures into a directory: figures.json, service.svg and index.html, which shows both.
 func (f *Figures) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -46,16 +46,16 @@
 <p>Verdict: <strong>{{.Figures.Verdict.String}}</strong></p>
 {{.Picture}}
 <pre>{{.Text}}</pre>
-{{with .Figures.Verdict.Violations}}<h2>Broken rules</h2>
-<table><tr><th>rule</th><th>relay</th><th>message</th><th>what</th><th>lines of the history</th></tr>
+{{with .Figures.Verdict.Violations}}<h2>Violations</h2>
+<table><tr><th>rule</th><th>relay</th><th>message</th><th>description</th><th>lines of the history</th></tr>
 {{range .}}<tr><td>{{.Rule}}</td><td>{{.Relay}}</td><td>{{.ID}}</td><td>{{.Text}}</td><td>{{.Lines}}</td></tr>{{end}}</table>{{end}}
 </body></html>
 `))
 
-// picture draws the service over time, with the faults as bands.
+// serviceChart draws the service over time as SVG, with the faults as shaded bands.
 func (f *Figures) serviceChart() ([]byte, error) {
 	p := plot.New()
-	p.Title.Text = "Worth served of what arrived, by the time of arrival"
+	p.Title.Text = "Share of the worth served, by time of arrival"
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "share"
 	p.Y.Min, p.Y.Max = 0, 1.05
 	for _, x := range f.Faults {
--- a/internal/lab/report/newcomers.go
+++ b/internal/lab/report/newcomers.go
@@ -10,18 +10,20 @@
 	"milletsail/internal/lab/history"
 )
 
-// Newcomer is how an endpoint fared that took the place of another. Times are in seconds since it was listed.
+// NewEndpoint describes an endpoint that replaced another one. Times are in seconds since it was listed; Listed is in seconds
+// since the run began.
 type NewEndpoint struct {
 	Host   string  `json:"host"`
 	Listed float64 `json:"at"`
-	// Held is when half of the relays that were asked had held it back; none where they never had. Exposed is its share of
-	// its destination's calls until then, or for the first exposedFor.
+	// HeldAfter is the median time at which relays held the endpoint back; nil if fewer than half of the relays that reported
+	// on it did. ExposedShare is its share of its destination's calls until then, or over exposureWindow if it was not held
+	// back.
 	HeldAfter    *float64 `json:"held,omitempty"`
 	ExposedShare float64  `json:"exposed"`
-	FailedCalls  int      `json:"failed"` // of its calls, those that got an error, over the whole play
+	FailedCalls  int      `json:"failed"` // calls to it that were answered with 500, over the whole run
 	Calls        int      `json:"calls"`
-	// Full is when it first got fullShare, in a span of callSpan, of the calls that the one before it had got; none where it
-	// did not.
+	// FullAfter is when it first got fullTrafficShare of the calls that its predecessor had got, counted over callWindow; nil
+	// if it never did.
 	FullAfter *float64 `json:"full,omitempty"`
 }
 
@@ -30,7 +32,7 @@
 	fullTrafficShare = 0.85
 )
 
-// newcomers finds how endpoints that took the place of others fared.
+// computeNewEndpoints computes the figures of the endpoints that replaced others.
 func (f *Figures) computeNewEndpoints(events []history.Event) {
 	facts := events[0].Parameters
 	calls, hostOfCall, failed := map[string][]float64{}, map[int]string{}, map[string]int{}
@@ -98,13 +100,13 @@
 	}
 }
 
-// median is the middle of some times; there is one at least.
+// median returns the upper median of the times, of which there must be at least one. It sorts them in place.
 func median(times []float64) float64 {
 	slices.Sort(times)
 	return times[len(times)/2]
 }
 
-// newcomersText writes them for a terminal.
+// newEndpointsText writes one line of a table per new endpoint.
 func (f *Figures) newEndpointsText(line func(name, format string, args ...any)) {
 	for _, n := range f.NewEndpoints {
 		fate := "never held back"
@@ -112,8 +114,8 @@
 			fate = fmt.Sprintf("held back after %s", seconds(*n.HeldAfter))
 		}
 		if n.FullAfter != nil {
-			fate += fmt.Sprintf(", had the share of the one before it after %s", seconds(*n.FullAfter))
+			fate += fmt.Sprintf(", had its predecessor's traffic after %s", seconds(*n.FullAfter))
 		}
-		line("new "+n.Host, "at %.1f s, %s; %.1f%% of its destination's calls until then, or in %v; %d of its %d calls failed", n.Listed, fate, 100*n.ExposedShare, exposureWindow, n.FailedCalls, n.Calls)
+		line("new endpoint "+n.Host, "at %.1f s, %s; %.1f%% of its destination's calls until held back, or in the first %v; %d of its %d calls failed", n.Listed, fate, 100*n.ExposedShare, exposureWindow, n.FailedCalls, n.Calls)
 	}
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report turns a history into the figures that people read: what was served and refused, how fast, at what
-// cost, and how quickly service came back after each fault. It needs the history alone.
+// Package report computes the figures of a run from its history: what was served and refused, how fast, at what cost, and how
+// quickly service recovered after each fault. It needs the history only.
 package report
 
 import (
@@ -19,16 +19,17 @@
 )
 
 const (
-	// bucket is the step of the service over time.
+	// serviceStep is the resolution of the service over time.
 	serviceStep = 500 * time.Millisecond
-	// before is the span before a fault that its service is compared with, backShare the share of that which counts as
-	// back, for backFor at least.
+	// baselineSpan is the span before a fault that gives the baseline of its service. Service counts as recovered when it
+	// reaches recoveredShare of the baseline over recoveredFor.
 	baselineSpan, recoveredShare, recoveredFor = 4 * time.Second, 0.95, time.Second
-	// zoneShare of the calls that it got before, in spans of callSpan, count as back for a zone: a span holds some 200.
+	// zoneRecoveredShare is the share of a zone's earlier calls, over callWindow, at which the zone counts as recovered; a
+	// window holds about 200 calls.
 	zoneRecoveredShare = 0.9
 )
 
-// The ends of a message, as the client sees them.
+// The outcomes of a message from the client's point of view, as reports show them.
 const (
 	InAim         = "in aim"
 	Late          = "late"
@@ -40,76 +41,76 @@
 	Unresolved    = "no end"
 )
 
-// Ends are all of them, in the order of a report.
+// Outcomes lists all outcomes in the order in which a report shows them.
 var Outcomes = []string{InAim, Late, Refused, HandedBack, Undeliverable, Failed, Unanswered, Unresolved}
 
-// Figures are what a play comes to. Times are in seconds, shares from 0 to 1.
+// Figures are the results of one run. Times are in seconds, shares from 0 to 1.
 type Figures struct {
 	Title    string `json:"title"`
 	Seed     uint64 `json:"seed"`
 	Relays   int    `json:"relays"`
 	Messages int    `json:"messages"`
 
-	Served        float64            `json:"served"`    // worth served, by the worth asked for
-	Outcomes      map[string]float64 `json:"ends"`      // shares of the messages
-	ByClass       map[string]float64 `json:"by_class"`  // worth served
-	Latency       map[string]float64 `json:"latency"`   // of the delivered, since they were first handed in
-	AnswerTime    map[string]float64 `json:"answer"`    // of the relays' answers to clients
-	Attempts      float64            `json:"attempts"`  // messages in calls, a message
-	RejectedShare float64            `json:"turned"`    // calls turned away, a call
-	Connections   float64            `json:"connects"`  // new connections, a message
-	CPU           Summary            `json:"cpu"`       // seconds a relay, over its processes
-	MemoryMB      Summary            `json:"memory_mb"` // most, a relay
+	Served        float64            `json:"served"`    // worth served, as a share of the worth of all messages
+	Outcomes      map[string]float64 `json:"ends"`      // share of the messages with each outcome
+	ByClass       map[string]float64 `json:"by_class"`  // worth served, as a share of the class's worth
+	Latency       map[string]float64 `json:"latency"`   // percentiles of the time from first hand-in to delivery
+	AnswerTime    map[string]float64 `json:"answer"`    // percentiles of the relays' answer times to clients
+	Attempts      float64            `json:"attempts"`  // message attempts per message
+	RejectedShare float64            `json:"turned"`    // share of the calls answered with 429 or 503
+	Connections   float64            `json:"connects"`  // new connections per message
+	CPU           Summary            `json:"cpu"`       // seconds per relay, summed over its processes
+	MemoryMB      Summary            `json:"memory_mb"` // peak per relay
 	DiskMB        Summary            `json:"disk_mb"`
 
 	Faults     []FaultFigures `json:"faults"`
 	Gossip     GossipFigures  `json:"notes"`
-	LocalShare float64        `json:"local"` // share of the calls to the relay's own zone, where there are several
-	// LocalMost is the share of the calls whose destination has an endpoint in the relay's own zone.
+	LocalShare float64        `json:"local"` // share of the calls to the relay's own zone; 0 where relays have no zones
+	// LocalPossible is the share of the calls whose destination has an endpoint in the relay's own zone.
 	LocalPossible float64       `json:"local_most"`
-	Overloaded    int           `json:"fell"` // cold endpoints that were pushed over
+	Overloaded    int           `json:"fell"` // number of overloads of cold endpoints
 	Zones         []ZoneFigures `json:"zones"`
-	// Newcomers are the endpoints that took the place of others.
+	// NewEndpoints are the endpoints that replaced others.
 	NewEndpoints []NewEndpoint   `json:"newcomers,omitempty"`
 	Service      []Point         `json:"service"`
 	Verdict      checker.Verdict `json:"verdict"`
 	Lab          Lab             `json:"lab"`
 }
 
-// Lab is how well the lab itself kept its times.
+// Lab describes how punctual the lab itself was.
 type Lab struct {
-	Events      int     `json:"events"` // that it had to do at a time of its own
+	Events      int     `json:"events"` // events that the lab had to do at a planned time
 	Late        int     `json:"late"`
 	MaxLateness float64 `json:"late_most"`
 }
 
-// Notes is what relays told each other, and how far they agree, where they share what they learn.
+// GossipFigures describe the gossip between relays and how far the relays agree, in runs that share facts.
 type GossipFigures struct {
-	Sent           float64            `json:"sent"`     // a second, over the fleet; one to all counts once
-	Bytes          float64            `json:"bytes"`    // a second that a relay sends
-	Received       float64            `json:"received"` // notes a second that a relay gets
-	Views          int                `json:"views"`    // asked for
-	OldestAgeRatio map[string]float64 `json:"oldest"`   // of the values in a view the oldest, as a share of its bound
+	Sent           float64            `json:"sent"`     // messages per second over the fleet; a broadcast counts once
+	Bytes          float64            `json:"bytes"`    // bytes per second that a relay sends
+	Received       float64            `json:"received"` // messages per second that a relay receives
+	Views          int                `json:"views"`    // number of views that the lab requested
+	OldestAgeRatio map[string]float64 `json:"oldest"`   // percentiles of the oldest fact's age in a view, as a share of its bound
 	Propagation    []Propagation      `json:"known"`
-	FinalViews     int                `json:"last"`  // views after the traffic stopped
-	FinalAgreeing  int                `json:"agree"` // of these, with the digest that most have
+	FinalViews     int                `json:"last"`  // number of views taken after the traffic stopped
+	FinalAgreeing  int                `json:"agree"` // number of these with the most common digest
 }
 
-// ZoneFigures is how the relays left a zone and returned to it.
+// ZoneFigures describe how the relays evacuated a zone and returned to it.
 type ZoneFigures struct {
 	Zone        string  `json:"zone"`
-	LeftBy      int     `json:"left"`        // relays that left it
+	LeftBy      int     `json:"left"`        // number of relays that evacuated it
 	Evacuations int     `json:"evacuations"` // most by one process
 	Returns     int     `json:"returns"`
-	Isolated    int     `json:"cut_off"` // of its relays, those that took themselves for cut off
-	FirstLeft   float64 `json:"at"`      // when the first was seen to have left
-	// Back is how many seconds after the end of the last fault that struck the zone it got as many calls again as before the
-	// first, by zoneShare and in spans of callSpan; none where it did not, or where no fault struck it.
+	Isolated    int     `json:"cut_off"` // number of its relays that considered themselves isolated
+	FirstLeft   float64 `json:"at"`      // when the first relay was seen to have evacuated it
+	// Recovery is the time from the end of the last fault in the zone until the zone gets zoneRecoveredShare of the calls that
+	// it got before the first one, counted over callWindow. It is nil if the zone did not recover or had no fault.
 	Recovery *float64 `json:"back,omitempty"`
-	Faulted  bool     `json:"hit"` // by a fault
+	Faulted  bool     `json:"hit"` // whether a fault affected the zone
 }
 
-// Known is how soon the relays knew of a closing or an outage, after the first of them.
+// Propagation is how quickly the relays learned of a closing or an outage, counted from the first relay that knew.
 type Propagation struct {
 	Fact   string  `json:"what"`
 	At     float64 `json:"at"`
@@ -118,46 +119,46 @@
 	P99    float64 `json:"p99"`
 }
 
-// Spread is a figure over the relays.
+// Summary is the mean and the maximum of a figure over the relays.
 type Summary struct {
 	Mean float64 `json:"mean"`
 	Max  float64 `json:"most"`
 }
 
-// Point is the service to the messages that arrived in one step of time.
+// Point is the service to the messages first handed in within one step of time.
 type Point struct {
 	At      float64 `json:"at"`
-	Offered float64 `json:"asked"` // worth
+	Offered float64 `json:"asked"` // worth of these messages
 	Served  float64 `json:"served"`
 }
 
-// FaultFigures is what a fault did to the service.
+// FaultFigures describe the effect of one fault on the service.
 type FaultFigures struct {
 	Kind     string   `json:"kind"`
 	At       float64  `json:"at"`
 	Until    float64  `json:"until"`
-	Before   float64  `json:"before"` // share of the worth served
-	Worst    float64  `json:"worst"`  // in one step, up to the next fault
-	Rejected int      `json:"turned"` // calls turned away while it lasted
-	zone     string   // that it struck
-	Recovery *float64 `json:"back,omitempty"` // seconds from its begin until 95% of Before; none if it did not come back
-	// Can is the share of the worth asked for while it lasts whose destinations have an endpoint outside of the zone that it
-	// strikes, and Carried the seconds from its begin after which, while it lasts, never less than 95% of Before by that share
-	// is served in a second; 0 where it strikes no zone.
+	Before   float64  `json:"before"` // share of the worth served over baselineSpan before the fault
+	Worst    float64  `json:"worst"`  // lowest share in one step, from the fault until recovery
+	Rejected int      `json:"turned"` // calls answered with 429 or 503 during the fault
+	zone     string   // zone that the fault affects; empty if it is not about a zone
+	Recovery *float64 `json:"back,omitempty"` // seconds from the fault's start until 95% of Before, at its end or later; nil without recovery
+	// ServableShare is the share of the worth offered during a zone's fault whose destinations also have an endpoint outside of
+	// that zone. DegradedTime is the number of seconds from the start of the fault to the end of the last one-second window in
+	// which less than 95% of Before × ServableShare was served. Both are 0 for a fault that is not about a zone.
 	ServableShare float64 `json:"can"`
 	DegradedTime  float64 `json:"carried"`
 }
 
-// fate is one message over all its hand-ins.
+// messageOutcome tracks one message over all its hand-ins.
 type messageOutcome struct {
 	class               string
 	dest                int
-	delivered, handedIn history.Micros // delivered; first handed in
+	delivered, handedIn history.Micros // delivered is 0 until delivery; handedIn is the first hand-in
 	outcome             string
 	ids                 []string
 }
 
-// Of computes the figures of a history.
+// Compute computes the figures of a history and includes the checker's verdict.
 func Compute(events []history.Event, v checker.Verdict) *Figures {
 	facts := events[0].Parameters
 	f := &Figures{Title: facts.Title, Seed: facts.Seed, Relays: facts.Relays, Verdict: v, Outcomes: map[string]float64{}, ByClass: map[string]float64{}}
@@ -251,18 +252,18 @@
 	return f
 }
 
-// zones finds how much stays in a zone, and how zones were left and returned to.
+// computeZones computes the share of calls within a zone, and the evacuations and recoveries of each zone.
 func (f *Figures) computeZones(events []history.Event) {
 	facts := events[0].Parameters
 	calls, local, localPossible := 0, 0, 0
-	destinationZones := map[int]map[string]bool{} // destinations' zones
+	destinationZones := map[int]map[string]bool{} // zones with an endpoint, by destination
 	for _, h := range facts.Hosts {
 		if destinationZones[h.Dest] == nil {
 			destinationZones[h.Dest] = map[string]bool{}
 		}
 		destinationZones[h.Dest][h.Zone] = true
 	}
-	callTimes := map[string][]float64{} // calls into a zone
+	callTimes := map[string][]float64{} // times of the calls into each zone, in seconds
 	all := map[string]*ZoneFigures{}
 	leftBy, isolated := map[string]map[int]bool{}, map[int]bool{}
 	for i := range events {
@@ -298,7 +299,7 @@
 			}
 		}
 	}
-	for name := range callTimes { // also where relays do not decide by zones
+	for name := range callTimes { // include zones of runs in which relays do not decide by zone
 		if all[name] == nil && len(callTimes) > 1 {
 			all[name] = &ZoneFigures{Zone: name}
 		}
@@ -316,17 +317,18 @@
 	}
 }
 
-// again is how long a thing has to be known by nobody for its next closing to be another one.
+// rediscoveryGap separates events of the same fact: a relay that learns of it this much later than the one before has seen
+// another closing or outage.
 const rediscoveryGap = 5 * time.Second
 
-// notes finds how well what relays share goes round.
+// computeGossip computes the cost of gossip and how quickly and fully facts spread.
 func (f *Figures) computeGossip(events []history.Event) {
 	end := events[len(events)-1]
 	span := math.Max(1e-9, events[0].Parameters.ArrivalsLength.Duration().Seconds())
 	relays := math.Max(1, float64(f.Relays))
 	n := GossipFigures{Sent: float64(end.GossipSent) / span, Bytes: float64(end.GossipBytes) / span / relays, Received: float64(end.GossipReceived) / span / relays}
 	oldest := hdrhistogram.New(1, 10_000_000, 4)
-	first := map[string]map[int]history.Micros{} // when each relay first knew of a thing
+	first := map[string]map[int]history.Micros{} // when each relay first knew of a fact
 	digests := map[uint32]int{}
 	for i := range events {
 		e := &events[i]
@@ -358,7 +360,7 @@
 			at = append(at, t)
 		}
 		slices.Sort(at)
-		// Those who come to know of it much later learned of another closing of the same.
+		// Relays that learned of it after a long gap refer to a later closing of the same thing.
 		for i := 1; i < len(at); i++ {
 			if (at[i] - at[i-1]).Duration() > rediscoveryGap {
 				at = at[:i]
@@ -385,7 +387,8 @@
 	return Late
 }
 
-// share is what a delivery is worth, by its class's worth.
+// worthShare returns the share of its worth that a message earns: 1 within the class's target, falling to its late share at the
+// deadline, 0 later or without delivery.
 func worthShare(m *messageOutcome, c history.Class) float64 {
 	age := m.delivered - m.handedIn
 	switch {
@@ -397,7 +400,7 @@
 	return 1 - (1-c.LateShare)*float64(age-c.Target)/math.Max(1, float64(c.Deadline-c.Target))
 }
 
-// worth adds up what was asked for and served.
+// computeWorth sums the worth offered and served, overall, by class and by step of time.
 func (f *Figures) computeWorth(order []*messageOutcome, facts *history.Parameters) {
 	var asked, served float64
 	byClass := map[string][2]float64{}
@@ -431,7 +434,8 @@
 	slices.SortFunc(f.Service, func(a, b Point) int { return cmp.Compare(a.At, b.At) })
 }
 
-// between is the share served of what was asked for in a span, in seconds.
+// servedShare returns the share of the offered worth that was served in a span, given in seconds; ok is false if nothing was
+// offered.
 func (f *Figures) servedShare(from, to float64) (float64, bool) {
 	var asked, served float64
 	for _, p := range f.Service {
@@ -442,7 +446,7 @@
 	return served / math.Max(1e-9, asked), asked > 0
 }
 
-// faults finds how the service fared after each fault.
+// computeFaults computes the effect of each fault on the service.
 func (f *Figures) computeFaults(events []history.Event, order []*messageOutcome) {
 	for _, e := range events {
 		if e.Kind != history.Fault {
@@ -463,7 +467,7 @@
 			if p.Offered > 0 && x.Recovery == nil {
 				x.Worst = math.Min(x.Worst, p.Served/p.Offered)
 			}
-			// A fault that is not felt at once may be felt at its end: what comes back counts from then on.
+			// Some faults show only at their end, so recovery counts from then on.
 			if got, ok := f.servedShare(p.At, p.At+recoveredFor.Seconds()); ok && x.Recovery == nil && p.At >= x.Until && got >= recoveredShare*x.Before {
 				back := math.Max(0, p.At-x.At)
 				x.Recovery = &back
@@ -476,7 +480,7 @@
 	}
 }
 
-// carried finds how soon what is left carries what it can, beside a fault of a zone.
+// computeDegraded computes, for a fault of a zone, which share the rest can serve and how long less was served.
 func (f *Figures) computeDegraded(x *FaultFigures, zone string, order []*messageOutcome, facts *history.Parameters) {
 	servedElsewhere := map[int]bool{}
 	for _, h := range facts.Hosts {
@@ -503,7 +507,7 @@
 	}
 }
 
-// zoneBack finds when a zone that was struck gets as many calls again as before.
+// computeZoneRecovery computes when a zone that had a fault gets as many calls as before.
 func (f *Figures) computeZoneRecovery(z *ZoneFigures, at []float64) {
 	from, until := math.Inf(1), 0.0
 	for i := range f.Faults {
@@ -517,15 +521,16 @@
 	}
 }
 
-// callSpan is the span over which calls are counted, to tell when they are as many as they were.
+// callWindow is the span over which calls are counted to compare their number with an earlier one.
 const callWindow = 2 * time.Second
 
-// usualCalls is how many calls a span has, in the mean of the two up to a moment.
+// baselineCalls returns the mean number of calls in the last two windows before a point in time.
 func baselineCalls(calls []float64, until float64) float64 {
 	return countWithin(calls, until-2*callWindow.Seconds(), until) / 2
 }
 
-// regained is how long after a moment the first whole span begins that has so many calls; nil where there is none.
+// timeToReach returns how long after from the first complete window begins that has at least enough calls, or nil if there is
+// none.
 func timeToReach(calls []float64, enough, from float64) *float64 {
 	for t := from; len(calls) > 0 && t+callWindow.Seconds() <= calls[len(calls)-1]; t += serviceStep.Seconds() / 2 {
 		if countWithin(calls, t, t+callWindow.Seconds()) >= enough {
@@ -536,7 +541,7 @@
 	return nil
 }
 
-// within counts the times in a span.
+// countWithin counts the times in a span; from is included, to is not.
 func countWithin(times []float64, from, to float64) (n float64) {
 	for _, t := range times {
 		if t >= from && t < to {
@@ -554,7 +559,7 @@
 	return all
 }
 
-// peaks sums up a figure that grows within a process and begins anew with the next.
+// usageTracker tracks, per relay, a figure that starts again from a low value with each new process.
 type usageTracker struct{ finished, latest, highest []float64 }
 
 func newUsageTracker(n int) *usageTracker {
@@ -569,7 +574,7 @@
 	p.highest[relay] = math.Max(p.highest[relay], v)
 }
 
-// spread is the mean and the most over the relays of the highest values.
+// peakSummary summarizes the highest value of each relay.
 func (p *usageTracker) peakSummary() (s Summary) {
 	for _, v := range p.highest {
 		s.Mean += v / float64(len(p.highest))
@@ -578,7 +583,7 @@
 	return s
 }
 
-// total is the same for the sums over the processes.
+// totalSummary summarizes the sum over the processes of each relay.
 func (p *usageTracker) totalSummary() (s Summary) {
 	for i := range p.latest {
 		v := p.finished[i] + p.latest[i]
@@ -588,7 +593,7 @@
 	return s
 }
 
-// Text writes the figures for a terminal.
+// Text writes the figures as a table for a terminal.
 func (f *Figures) Text(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
 	line := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
@@ -612,44 +617,44 @@
 	}{{"delivered after", f.Latency}, {"answered after", f.AnswerTime}} {
 		line(l.name, "p50 %s, p90 %s, p99 %s, p99.9 %s", seconds(l.of["p50"]), seconds(l.of["p90"]), seconds(l.of["p99"]), seconds(l.of["p99.9"]))
 	}
-	line("a message", "%.2f attempts, %.2f new connections; %.1f%% of the calls turned away", f.Attempts, f.Connections, 100*f.RejectedShare)
-	line("a relay", "%.2f s of CPU (%.2f at most), %.0f MB (%.0f at most), %.2f MB of disk at most", f.CPU.Mean, f.CPU.Max, f.MemoryMB.Mean, f.MemoryMB.Max, f.DiskMB.Max)
+	line("per message", "%.2f attempts, %.2f new connections; %.1f%% of the calls rejected", f.Attempts, f.Connections, 100*f.RejectedShare)
+	line("per relay", "%.2f s of CPU (%.2f at most), %.0f MB (%.0f at most), %.2f MB of disk at most", f.CPU.Mean, f.CPU.Max, f.MemoryMB.Mean, f.MemoryMB.Max, f.DiskMB.Max)
 	for _, x := range f.Faults {
-		back := "not back to 95% of that"
+		back := "no recovery to 95% of that"
 		if x.Recovery != nil {
-			back = fmt.Sprintf("back to 95%% of that after %s", seconds(*x.Recovery))
+			back = fmt.Sprintf("recovered to 95%% of that after %s", seconds(*x.Recovery))
 		}
-		line(fmt.Sprintf("%s at %.1f s", x.Kind, x.At), "served %.1f%% before, %.1f%% at worst, %s; %d calls turned away", 100*x.Before, 100*x.Worst, back, x.Rejected)
+		line(fmt.Sprintf("%s at %.1f s", x.Kind, x.At), "served %.1f%% before, %.1f%% at worst, %s; %d calls rejected", 100*x.Before, 100*x.Worst, back, x.Rejected)
 		if x.zone != "" {
-			line("", "%.1f%% could be served, and 95%% of that was for good after %s", 100*x.Before*x.ServableShare, seconds(x.DegradedTime))
+			line("", "%.1f%% could be served without the zone; at least 95%% of that was served after %s", 100*x.Before*x.ServableShare, seconds(x.DegradedTime))
 		}
 	}
 	if len(f.Zones) > 0 {
-		line("in the own zone", "%.1f%% of the calls, where %.1f%% can be", 100*f.LocalShare, 100*f.LocalPossible)
+		line("calls in own zone", "%.1f%% of the calls; %.1f%% have an endpoint there", 100*f.LocalShare, 100*f.LocalPossible)
 	}
 	for _, z := range f.Zones {
 		if z.Recovery != nil {
-			line("zone "+z.Zone, "as many calls as before %s after the fault's end", seconds(*z.Recovery))
+			line("zone "+z.Zone, "calls recovered %s after the end of the fault", seconds(*z.Recovery))
 		}
 		if z.LeftBy > 0 || z.Isolated > 0 {
-			line("zone "+z.Zone, "left by %d relays, the first by %.1f s, %d times by one at most, returned to %d times; %d of its relays cut off", z.LeftBy, z.FirstLeft, z.Evacuations, z.Returns, z.Isolated)
+			line("zone "+z.Zone, "evacuated by %d relays, first seen at %.1f s, at most %d times by one process; returns at most %d; %d of its relays isolated", z.LeftBy, z.FirstLeft, z.Evacuations, z.Returns, z.Isolated)
 		}
 	}
 	f.newEndpointsText(line)
 	if n := f.Gossip; n.Sent > 0 {
-		line("notes", "%.1f a second over the fleet, %.1f bytes a second from each relay, %.1f a second to each", n.Sent, n.Bytes, n.Received)
+		line("gossip", "%.1f messages/s over the fleet, %.1f bytes/s sent per relay, %.1f messages/s received per relay", n.Sent, n.Bytes, n.Received)
 	}
 	if n := f.Gossip; n.Views > 0 {
-		line("views", "%d, the oldest value at %.3f of its bound (p99.9 %.3f); %d of %d agree at the end", n.Views, n.OldestAgeRatio["most"], n.OldestAgeRatio["p99.9"], n.FinalAgreeing, n.FinalViews)
+		line("views", "%d, oldest fact at %.3f of its age bound (p99.9 %.3f); at the end %d of %d agree", n.Views, n.OldestAgeRatio["most"], n.OldestAgeRatio["p99.9"], n.FinalAgreeing, n.FinalViews)
 		for _, k := range n.Propagation[:min(3, len(n.Propagation))] {
-			line("known", "%s, at %.1f s: to %d relays, half of them in %s, 99%% in %s", k.Fact, k.At, k.Relays, seconds(k.P50), seconds(k.P99))
+			line("known", "%s, first at %.1f s: known to %d relays, to half of them within %s, to 99%% within %s", k.Fact, k.At, k.Relays, seconds(k.P50), seconds(k.P99))
 		}
 	}
 	if f.Overloaded > 0 {
-		line("cold endpoints", "%d pushed over", f.Overloaded)
+		line("cold endpoints", "%d overloads", f.Overloaded)
 	}
-	line("the lab", "late for %d of %d events, by %s at most", f.Lab.Late, f.Lab.Events, seconds(f.Lab.MaxLateness))
-	line("verdict", "%s (%d messages taken on and followed to their end, %d calls)", f.Verdict.String(), f.Verdict.Messages, f.Verdict.Calls)
+	line("the lab", "%d of %d timed events late, by at most %s", f.Lab.Late, f.Lab.Events, seconds(f.Lab.MaxLateness))
+	line("verdict", "%s (%d accepted messages with an outcome in time, %d calls)", f.Verdict.String(), f.Verdict.Messages, f.Verdict.Calls)
 	return w.Flush()
 }
 
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -10,8 +10,9 @@
 	"milletsail/internal/lab/history"
 )
 
-// planted is a history of two zones: a message every 10 ms to each of two destinations, one of them in both zones. Zone b
-// is struck from 10 to 16 s; new-n0 takes the place of an endpoint of the first destination from 20 s on.
+// twoZoneHistory builds a history with two zones and, every 10 ms, a message to each of two destinations; the first destination
+// has endpoints in both zones. Zone b has a fault from 10 to 16 s. From 20 s on, d0-b-n0 replaces an endpoint of the first
+// destination.
 func twoZoneHistory(zoneBServed func(at time.Duration) bool, toNewEndpoint func(at time.Duration) bool) []history.Event {
 	relay, class := 0, history.Class{Effect: "retryable", Target: history.ToMicros(time.Second), Deadline: history.ToMicros(8 * time.Second), Worth: 1}
 	events := []history.Event{{Time: 1, Kind: history.Run, Parameters: &history.Parameters{Relays: 1, Zones: []string{"a"}, ArrivalsLength: history.ToMicros(40 * time.Second),
@@ -55,13 +56,14 @@
 func expectNear(t *testing.T, what string, got, want, by float64) {
 	t.Helper()
 	if !(math.Abs(got-want) <= by) {
-		t.Errorf("%s: %v, not %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
 
-// What a zone's fault leaves over is told from what it takes away, and so is when the zone has its calls again.
+// For a fault of a zone, the report must separate what the other zone can still serve from what is lost, and must find when the
+// zone gets its calls again.
 func TestZoneFigures(t *testing.T) {
-	// Nothing of the zone is served from 10 to 18 s; the destination that is elsewhere too is served throughout.
+	// Zone b serves nothing from 10 to 18 s; the destination with an endpoint in zone a is served throughout.
 	f := Compute(twoZoneHistory(func(at time.Duration) bool { return at < 10*time.Second || at >= 18*time.Second }, func(time.Duration) bool { return false }), checker.Verdict{})
 	x := f.Faults[0]
 	expectNear(t, "could be served", x.ServableShare, 0.5, 0.01)
@@ -70,16 +72,16 @@
 	expectNear(t, "local, of what can be", f.LocalShare/f.LocalPossible, 1, 0.35)
 	for _, z := range f.Zones {
 		if z.Zone == "b" && (z.Recovery == nil || math.Abs(*z.Recovery-2) > 0.5) {
-			t.Errorf("the zone is back %v after the end of its fault, not 2 s", z.Recovery)
+			t.Errorf("zone b recovered %v s after the end of its fault, want 2 s", z.Recovery)
 		}
 		if z.Faulted != (z.Zone == "b") {
-			t.Errorf("zone %s hit: %v", z.Zone, z.Faulted)
+			t.Errorf("zone %s: got faulted %v, want true for zone b only", z.Zone, z.Faulted)
 		}
 	}
 	if f.Overloaded != 1 {
-		t.Errorf("%d fell", f.Overloaded)
+		t.Errorf("got %d overloaded endpoints, want 1", f.Overloaded)
 	}
-	// All is lost for 3 s of the fault.
+	// Here all calls fail during the first 3 s of the fault.
 	f = Compute(twoZoneHistory(func(at time.Duration) bool { return true }, func(time.Duration) bool { return false }), checker.Verdict{})
 	expectNear(t, "carried, with nothing lost", f.Faults[0].DegradedTime, 0, 1e-9)
 	lossy := twoZoneHistory(func(at time.Duration) bool { return true }, func(time.Duration) bool { return false })
@@ -91,16 +93,17 @@
 	expectNear(t, "carried, with 3 s lost", Compute(lossy, checker.Verdict{}).Faults[0].DegradedTime, 3.5, 1)
 }
 
-// A new endpoint's share counts until it is held back, and its whole share is that of the one before it.
+// A new endpoint's exposure must count only until it is held back, and its full traffic must be measured against its
+// predecessor's.
 func TestNewEndpointFigures(t *testing.T) {
 	served := func(time.Duration) bool { return true }
 	f := Compute(twoZoneHistory(served, func(at time.Duration) bool { return at%(500*time.Millisecond) == 0 || at > 32*time.Second }), checker.Verdict{})
 	if len(f.NewEndpoints) != 1 {
-		t.Fatalf("%+v", f.NewEndpoints)
+		t.Fatalf("got new endpoints %+v, want exactly one", f.NewEndpoints)
 	}
 	n := f.NewEndpoints[0]
 	if n.HeldAfter == nil || n.FullAfter == nil {
-		t.Fatalf("%+v", n)
+		t.Fatalf("new endpoint %+v: want a hold and full traffic", n)
 	}
 	expectNear(t, "held after", *n.HeldAfter, 5, 0.1)
 	expectNear(t, "exposed", n.ExposedShare, 0.02, 0.005)
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -11,28 +11,28 @@
 	"milletsail/internal/lab/shim"
 )
 
-// Fault is one entry of the timeline. What it strikes is named by Relays, Destinations, Endpoints or Zone, or drawn
-// as a Share of those; a fault that names nothing strikes all.
+// Fault is one entry of a scenario's fault timeline. Relays, Destinations, Endpoints and Zone narrow down what it affects; a
+// fault that sets none of them affects everything that its kind can affect. Share draws some of those at random.
 type Fault struct {
 	At           Duration `toml:"at"`
-	Duration     Duration `toml:"for"` // 0 where Kind has an end of its own
+	Duration     Duration `toml:"for"` // how long the fault lasts; 0 only for kinds that end by themselves
 	Kind         string   `toml:"kind"`
 	Relays       []int    `toml:"relays"`
 	Destinations []int    `toml:"destinations"`
 	Endpoints    []string `toml:"endpoints"`
 	Zone         string   `toml:"zone"`
-	Share        float64  `toml:"share"`     // of the ones named, drawn; 0 for all
-	Stagger      Duration `toml:"step"`      // between one struck and the next
-	Magnitude    float64  `toml:"size"`      // see Kinds
-	Wait         Duration `toml:"wait"`      // told by a destination that is shut; 0 for none
-	OrderZone    string   `toml:"of"`        // the zone of an order to leave or to return to it
+	Share        float64  `toml:"share"`     // share of the selected relays or endpoints, drawn at random; 0 for all
+	Stagger      Duration `toml:"step"`      // delay from one affected relay or endpoint to the next
+	Magnitude    float64  `toml:"size"`      // meaning and unit depend on Kind; see Kinds
+	Wait         Duration `toml:"wait"`      // Retry-After that a shut destination sends; 0 for none
+	OrderZone    string   `toml:"of"`        // zone that an evacuate or restore order names
 	Direction    string   `toml:"direction"` // of a cut: "both", "to" the endpoints or "from" them
-	Call         string   `toml:"call"`      // of the system calls that fail, as package shim names it
-	Errno        string   `toml:"errno"`     // that they fail with, such as "ENFILE"
-	Count        int      `toml:"count"`     // so many calls fail; 0 for all of them in For
+	Call         string   `toml:"call"`      // system call that fails, by its name in package shim
+	Errno        string   `toml:"errno"`     // error that the system calls return, such as "ENFILE"
+	Count        int      `toml:"count"`     // number of system calls that fail; 0 for all within Duration
 }
 
-// strikes is what a kind of fault is aimed at.
+// faultTarget is what a kind of fault affects.
 type faultTarget int
 
 const (
@@ -42,50 +42,50 @@
 	targetClients
 )
 
-// kind is what is known of a kind of fault.
+// faultKind describes a kind of fault.
 type faultKind struct {
 	target        faultTarget
-	needsDuration bool // For has to be above 0
+	needsDuration bool // Duration must be above 0
 	magnitude     string
 }
 
-// Kinds are the faults that a timeline may hold.
+// Kinds are the kinds of fault that a timeline may hold, by the name in scenario files.
 var Kinds = map[string]faultKind{
-	"kill":    {target: targetRelays}, // SIGKILL; back after For, 600ms where that is 0
-	"restart": {target: targetRelays}, // SIGTERM, SIGKILL 3.7 s later, back 600 ms after its end
-	"wipe":    {target: targetRelays}, // SIGKILL and the folder is lost; others are handed what it held
-	"power":   {target: targetRelays}, // SIGKILL, and the folder goes back to what was synced; back as after a kill
+	"kill":    {target: targetRelays}, // SIGKILL; restarted after Duration, or after 600 ms if that is 0
+	"restart": {target: targetRelays}, // SIGTERM, SIGKILL after 3.7 s, restarted 600 ms after the process ended
+	"wipe":    {target: targetRelays}, // SIGKILL, and the state directory is lost; its messages are handed over to other relays
+	"power":   {target: targetRelays}, // SIGKILL, and the state directory reverts to what was synced; restarted as after a kill
 	"turn":    {target: targetRelays, magnitude: "the bits that turn in each journal, while its relay is down as after a kill"},
-	"full":    {target: targetRelays, needsDuration: true}, // no file can grow any more
+	"full":    {target: targetRelays, needsDuration: true}, // no file can grow
 	"freeze":  {target: targetRelays, needsDuration: true},
-	"reload":  {target: targetRelays}, // discovery moves to another address: a new file and SIGHUP
-	"upgrade": {target: targetRelays}, // a new process beside the old one, by the inherited socket
+	"reload":  {target: targetRelays}, // discovery moves to another address: a new configuration file and SIGHUP
+	"upgrade": {target: targetRelays}, // a new process starts beside the old one and inherits its socket
 
-	// These need a relay that is built with package shim.
+	// These kinds need a relay that is built with package shim.
 	"clock":      {target: targetRelays, magnitude: "the seconds that the wall clock goes forward; back again after For, where that is not 0"},
 	"clock-back": {target: targetRelays, magnitude: "the seconds that the wall clock goes back; forward again after For, where that is not 0"},
-	"calls-fail": {target: targetRelays},                      // Count system calls, or all in For
-	"short-io":   {target: targetRelays, needsDuration: true}, // transfers move one byte at a time, and every second one is interrupted
+	"calls-fail": {target: targetRelays},                      // Count system calls fail, or all within Duration
+	"short-io":   {target: targetRelays, needsDuration: true}, // reads and writes transfer one byte at a time, and every second one is interrupted
 
-	"evacuate": {target: targetRelays, needsDuration: true}, // operators order the zone Of to be left
-	"restore":  {target: targetRelays},                      // or to be returned to
+	"evacuate": {target: targetRelays, needsDuration: true}, // operators order relays to evacuate OrderZone
+	"restore":  {target: targetRelays},                      // operators order relays to return to OrderZone
 
-	"down":         {target: targetEndpoints, needsDuration: true}, // refuses connections, resets the open ones; comes back cold
-	"shut":         {target: targetEndpoints, needsDuration: true}, // refuses all calls; comes back cold
+	"down":         {target: targetEndpoints, needsDuration: true}, // refuses connections and resets the open ones; comes back cold
+	"shut":         {target: targetEndpoints, needsDuration: true}, // rejects all calls; comes back cold
 	"errors":       {target: targetEndpoints, needsDuration: true, magnitude: "the share of the calls that get 500"},
 	"slow":         {target: targetEndpoints, needsDuration: true, magnitude: "the factor on service times"},
-	"silent":       {target: targetEndpoints, needsDuration: true}, // takes calls and never answers; comes back cold
+	"silent":       {target: targetEndpoints, needsDuration: true}, // accepts calls and never answers; comes back cold
 	"stall":        {target: targetEndpoints, needsDuration: true, magnitude: "the share of the answers that stop halfway"},
 	"lose-answers": {target: targetEndpoints, needsDuration: true, magnitude: "the share of the answers that get lost after the call has run"},
 	"reset":        {target: targetEndpoints, needsDuration: true, magnitude: "the share of the calls whose connection is reset"},
 	"spoil":        {target: targetEndpoints, needsDuration: true, magnitude: "the share of the answers that can't be read"},
-	"drain":        {target: targetEndpoints}, // DRAINING at once, DELETED after For, 4s where that is 0; a new endpoint takes its place
+	"drain":        {target: targetEndpoints}, // DRAINING at once, DELETED after Duration (4 s if that is 0); a new endpoint replaces it
 
-	// As a drain, but what takes the place is of a worse version.
+	// Like a drain, but the new endpoint runs a faulty version.
 	"release-errors": {target: targetEndpoints, magnitude: "the share of the calls that the new endpoint answers with 500"},
 	"release-slow":   {target: targetEndpoints, magnitude: "the factor on the service times of the new endpoint"},
 
-	"cut":        {target: targetLinks, needsDuration: true}, // says nothing in the directions named
+	"cut":        {target: targetLinks, needsDuration: true}, // drops all data in the given directions
 	"delay":      {target: targetLinks, needsDuration: true, magnitude: "the seconds that each piece of data is late"},
 	"drop-notes": {target: targetRelays, needsDuration: true, magnitude: "the share of the notes that get lost"},
 	"twin-notes": {target: targetRelays, needsDuration: true, magnitude: "the share of the notes that come twice, the second late"},
@@ -101,10 +101,10 @@
 	"repeat": {target: targetClients, needsDuration: true, magnitude: "the share of the messages handed in twice under one id"},
 }
 
-// span is the longest that a scenario may be: loops are bounded in time.
+// maxLength is the longest scenario allowed; it bounds the loops of a run.
 const maxLength = 10 * time.Minute
 
-// check names the first value that can't be played, by its path.
+// check returns the path of the first value that is out of range, and an error that says why. Faults are left to checkFaults.
 func (s *Scenario) check() (string, error) {
 	f, r, l := &s.Fleet, &s.Rules, &s.Load
 	for _, c := range []struct {
@@ -186,7 +186,7 @@
 	return "", nil
 }
 
-// checkFaults names the first fault that can't strike.
+// checkFaults returns the path of the first invalid value in the fault timeline, and an error that says why.
 func (s *Scenario) checkFaults() (string, error) {
 	for i := range s.Faults {
 		f, path := &s.Faults[i], fmt.Sprintf("fault[%d].", i)
@@ -246,10 +246,10 @@
 	return "", nil
 }
 
-// Replaces tells whether a fault puts new endpoints in the place of others.
+// AddsReplacements reports whether the fault adds new endpoints that replace others.
 func (f *Fault) AddsReplacements() bool {
 	return f.Kind == "drain" || strings.HasPrefix(f.Kind, "release-")
-}
+} // AffectedRelays returns the relays that fault i affects, in the order in which it affects them.
 
 // StruckRelays gives the relays that fault i strikes, in the order in which it does.
 func (s *Scenario) AffectedRelays(i int) []int {
@@ -264,7 +264,7 @@
 		return all
 	}
 	return drawShare(s, i, all)
-}
+} // AffectedEndpoints returns the endpoints that fault i affects, as indices of Hosts.
 
 // StruckHosts gives the endpoints that fault i strikes, as indices of Hosts.
 func (s *Scenario) AffectedEndpoints(i int) []int {
@@ -277,7 +277,7 @@
 		}
 	}
 	return drawShare(s, i, all)
-}
+} // drawShare draws the share of a fault from the relays or endpoints that it may affect, but at least one. The draw depends on the seed and the fault's index only.
 
 // sample draws the share of a fault from those that it could strike, one at least.
 func drawShare(s *Scenario, i int, all []int) []int {
--- a/internal/lab/scenario/lines.go
+++ b/internal/lab/scenario/lines.go
@@ -8,12 +8,12 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineMap gives the line of each key of a file, by its path, such as "fault[2].relays".
+// keyLines maps the path of each key in a file, such as "fault[2].relays", to its line number.
 type keyLines map[string]int
 
 func joinKey(key []string) string { return strings.Join(key, ".") }
 
-// linesOf finds the lines of all keys. The text has been decoded without an error before.
+// parseKeyLines finds the lines of all keys. The text must have been decoded without an error before.
 func parseKeyLines(text []byte) keyLines {
 	lines, seen := keyLines{}, map[string]int{}
 	var p unstable.Parser
@@ -47,7 +47,7 @@
 	return lines
 }
 
-// of gives the line of a path, else of the table that it is in, else the first.
+// lineOf returns the line of a path, or of the innermost table around it that the file has, or 1.
 func (l keyLines) lineOf(path string) int {
 	for {
 		if at, ok := l[path]; ok {
@@ -61,7 +61,7 @@
 	}
 }
 
-// overlay gives the fields of an entry that the file does not set the values of a default.
+// applyDefaults sets the fields of an entry that the file leaves out to their values in base.
 func applyDefaults[T any](entry *T, base T, lines keyLines, path string) {
 	to, from := reflect.ValueOf(entry).Elem(), reflect.ValueOf(base)
 	for i := range to.NumField() {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -19,7 +19,7 @@
 endpoints = 2
 `
 
-// What can't be played is one error with the line at fault.
+// A scenario that can't be run must be rejected with one error that gives the line of the wrong value.
 func TestErrors(t *testing.T) {
 	for _, c := range []struct{ name, text, at, what string }{
 		{"unknown key", minimalScenario + "colour = 3\n", ":10:", `unknown key "destination.colour"`},
@@ -46,30 +46,30 @@
 		t.Run(c.name, func(t *testing.T) {
 			s, err := Parse("x.toml", []byte(c.text))
 			if err == nil {
-				t.Fatalf("taken: %+v", s)
+				t.Fatalf("the invalid scenario was accepted: %+v", s)
 			}
 			if got := err.Error(); !strings.HasPrefix(got, "x.toml"+c.at) || !strings.Contains(got, c.what) || strings.Contains(got, "\n") {
-				t.Errorf("%s; want x.toml%s ... %s", got, c.at, c.what)
+				t.Errorf("got error %s; want one that begins with x.toml%s and contains %s", got, c.at, c.what)
 			}
 		})
 	}
 }
 
-// Values that the file does not give have their defaults, also in entries of lists, and 0 in the file is 0.
+// Values that the file leaves out must get their defaults, also in list entries, and an explicit 0 must stay 0.
 func TestDefaults(t *testing.T) {
 	s, err := Parse("x.toml", []byte(minimalScenario+"service_cv = 0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if d := s.Destinations[0]; d.Workers != defaultDestination.Workers || d.ServiceCV != 0 || d.Endpoints != 2 {
-		t.Errorf("%+v", d)
+		t.Errorf("destination does not combine file and defaults: %+v", d)
 	}
 	if len(s.Hosts) != 4 || s.Hosts[3].Name != "d1-e1" || s.Hosts[3].Dest != 1 {
-		t.Errorf("%+v", s.Hosts)
+		t.Errorf("endpoints of the scenario: got %+v, want 4 with d1-e1 last", s.Hosts)
 	}
 }
 
-// A fault strikes the same relays each time that it is asked, a share of those that it may.
+// A fault must affect the same relays each time that it is asked for, and only the given share of those that it may affect.
 func TestAffected(t *testing.T) {
 	s, err := Parse("x.toml", []byte(strings.Replace(minimalScenario, "relays = 3", "relays = 20", 1)+
 		"[[fault]]\nkind = \"kill\"\nshare = 0.35\n[[fault]]\nkind = \"drain\"\nendpoints = [\"d0-e1\"]\n[[fault]]\nkind = \"kill\"\nzone = \"b\"\n"))
@@ -77,17 +77,17 @@
 		t.Fatal(err)
 	}
 	if a, b := s.AffectedRelays(0), s.AffectedRelays(0); len(a) != 7 || !slices.Equal(a, b) {
-		t.Errorf("%v, then %v", a, b)
+		t.Errorf("got affected relays %v, then %v; want the same 7 both times", a, b)
 	}
 	if got := s.AffectedRelays(2); len(got) != 10 || slices.ContainsFunc(got, func(r int) bool { return r%2 == 0 }) {
-		t.Errorf("of zone b: %v", got)
+		t.Errorf("got affected relays %v; want the 10 with odd numbers, in zone b", got)
 	}
 	if h := s.Hosts[len(s.Hosts)-1]; h.Name != "d0-e1-n1" || h.AddedByFault != 2 || s.Hosts[h.Replaces].Name != "d0-e1" {
-		t.Errorf("in place of the one that drains: %+v", h)
+		t.Errorf("got replacement endpoint %+v, want d0-e1-n1 in place of d0-e1", h)
 	}
 }
 
-// All scenarios that come with the program can be played.
+// Every scenario that ships with the program must be valid.
 func TestScenarios(t *testing.T) {
 	for _, name := range scenarios.Names() {
 		text, err := scenarios.Get(name)
