--- a/internal/lab/campaign/campaign_test.go
+++ b/internal/lab/campaign/campaign_test.go
@@ -89,7 +89,7 @@
 func TestRun(t *testing.T) {
 	p := read(t, sampleCampaign)
 	var mu sync.Mutex
-	tries := map[string]int{}
+	attempts := map[string]int{}
 	runner := func(_ context.Context, s *scenario.Scenario) (*report.Figures, error) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -98,13 +98,13 @@
 			side = "b"
 		}
 		key := side + string(rune('0'+s.Seed))
-		tries[key]++
+		attempts[key]++
 		f := &report.Figures{Served: 0.8 + 0.01*float64(s.Seed)}
 		if side == "b" {
 			f.Served += 0.1
 		}
 		switch {
-		case side == "b" && s.Seed == 2 && tries[key] < 3:
+		case side == "b" && s.Seed == 2 && attempts[key] < 3:
 			f.Verdict.InvalidReason, f.Served = "late", 0
 		case side == "a" && s.Seed == 3 && s.Load.Rate == 50:
 			f.Verdict.InvalidReason = "late"
@@ -118,16 +118,16 @@
 	if err != nil || len(results) != 9 {
 		t.Fatalf("got %d results and error %v, want 9 and none", len(results), err)
 	}
-	void, missed, broken := 0, 0, 0
+	invalid, unmet, violations := 0, 0, 0
 	for _, result := range results {
 		if result.InvalidReason != "" {
-			void++
+			invalid++
 		}
-		missed += len(result.UnmetExpectations)
-		broken += len(result.Violations)
+		unmet += len(result.UnmetExpectations)
+		violations += len(result.Violations)
 	}
-	if void != 1 || missed != 2 || broken != 1 || tries["b2"] != 3 {
-		t.Errorf("got %d invalid, %d unmet expectations, %d violations, %d attempts at a run that is invalid twice; want 1, 2, 1, 3", void, missed, broken, tries["b2"])
+	if invalid != 1 || unmet != 2 || violations != 1 || attempts["b2"] != 3 {
+		t.Errorf("got %d invalid, %d unmet expectations, %d violations, %d attempts at a run that is invalid twice; want 1, 2, 1, 3", invalid, unmet, violations, attempts["b2"])
 	}
 	for _, row := range p.Table(results, []string{"served"}) {
 		if row.Case == "one" && row.Variant == "b" {
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -77,10 +77,10 @@
 	return p.add(at, history.Event{Kind: history.Notice, Relay: history.IntPtr(relay), ID: id, Status: status})
 }
 
-func (p *historyBuilder) list(at time.Duration, host, health string, told ...time.Duration) *historyBuilder {
+func (p *historyBuilder) list(at time.Duration, host, health string, sentAt ...time.Duration) *historyBuilder {
 	hosts := []history.ListEntry{{Host: host, Health: health}}
 	p.add(at, history.Event{Kind: history.List, Hosts: hosts})
-	for _, t := range told {
+	for _, t := range sentAt {
 		p.add(t, history.Event{Kind: history.List, Relay: history.IntPtr(relay), SentToRelay: true, Hosts: hosts})
 	}
 	return p
@@ -157,7 +157,7 @@
 		}, func(p *historyBuilder) {
 			p.relay(0, "started").accepted(s, "m", "status").relay(11*s, "killed").relay(11*s, "ended").relay(12*s, "started").relay(13*s, "ready").notification(14*s+490*ms, "m", "deferred")
 		}},
-		{Lost, "a folder that is lost", func(p *historyBuilder) {
+		{Lost, "a wiped state directory", func(p *historyBuilder) {
 			p.relay(0, "started").accepted(s, "m", "status").relay(8*s, "killed").relay(8*s, "ended").relay(9*s, "started").relay(9*s, "ready")
 		}, func(p *historyBuilder) {
 			p.relay(0, "started").accepted(s, "m", "status").relay(8*s, "killed").relay(8*s, "ended").relay(8*s, "wiped").relay(9*s, "started").relay(9*s, "ready")
@@ -172,13 +172,13 @@
 		}, func(p *historyBuilder) {
 			p.handIn(s, "m", "status").add(s+ms, history.Event{Kind: history.Answer, ID: "m", Status: "429"}).call(s+40*ms, "h1", "m").reply(2*s, "200", 0)
 		}},
-		{AfterEnd, "after a delivery", func(p *historyBuilder) { // a process that was killed may not have read the answer
+		{AfterEnd, "after a delivery", func(p *historyBuilder) {
 			p.accepted(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "200", 0).call(4*s, "h1", "m").reply(4*s, "200", 0)
-		}, func(p *historyBuilder) { // a process that was killed may not have taken the answer in
+		}, func(p *historyBuilder) { // a process that was killed may not have read the answer
 			p.relay(0, "started").accepted(s, "m", "status").call(2*s, "h1", "m").reply(3*s, "200", 0)
 			p.relay(3*s+ms, "killed").relay(3*s+ms, "ended").relay(3*s+600*ms, "started").relay(3*s+700*ms, "ready").call(4*s, "h1", "m").reply(4*s, "200", 0)
 		}},
-		{SecondCopy, "while one is out", func(p *historyBuilder) {
+		{SecondCopy, "while one is in flight", func(p *historyBuilder) {
 			p.accepted(s, "m", "status").call(2*s, "h1", "m").connectionClosed(2*s+160*ms).call(2*s+100*ms, "h2", "m").reply(3*s, "200", 0)
 		}, func(p *historyBuilder) {
 			p.accepted(s, "m", "status").call(2*s, "h1", "m").connectionClosed(2*s+140*ms).call(2*s+100*ms, "h2", "m").reply(3*s, "200", 0)
@@ -203,7 +203,7 @@
 			p.relay(0, "started").accepted(s, "m", "booking").call(2*s, "h1", "m").relay(2*s+ms, "killed").connectionClosed(2*s+ms).relay(2*s+ms, "ended")
 			p.relay(3*s, "started").relay(3*s, "ready").notification(4*s, "m", "undeliverable")
 		}},
-		{Repeat, "forgotten", func(p *historyBuilder) {
+		{Repeat, "past the deduplication time", func(p *historyBuilder) {
 			p.accepted(s, "m", "payment").call(2*s, "h1", "m").connectionClosed(3*s).call(7*s+60*ms, "h2", "m").reply(7*s+70*ms, "200", 0)
 		}, func(p *historyBuilder) {
 			p.accepted(s, "m", "payment").call(2*s, "h1", "m").connectionClosed(3*s).call(7*s+40*ms, "h2", "m").reply(7*s+70*ms, "200", 0)
@@ -226,12 +226,12 @@
 		}, func(p *historyBuilder) {
 			p.list(s, "new", "SERVING", 2*s).accepted(s, "m", "status").call(2*s, "new", "m").reply(3*s, "200", 0)
 		}},
-		{Drain, "told", func(p *historyBuilder) {
+		{Drain, "listed as draining", func(p *historyBuilder) {
 			p.list(s, "h1", "DRAINING", 2*s).accepted(3*s, "m", "status").call(4*s+60*ms, "h1", "m").reply(5*s, "200", 0)
 		}, func(p *historyBuilder) {
 			p.list(s, "h1", "DRAINING", 2*s).accepted(3*s, "m", "status").call(4*s+40*ms, "h1", "m").reply(5*s, "200", 0)
 		}},
-		{Drain, "counts as told", func(p *historyBuilder) {
+		{Drain, "deleted, no list sent", func(p *historyBuilder) {
 			p.list(s, "h1", "DELETED").accepted(8*s, "m", "status").call(9*s+60*ms, "h1", "m").reply(10*s, "200", 0)
 		}, func(p *historyBuilder) {
 			p.list(s, "h1", "DELETED").accepted(8*s, "m", "status").call(9*s+40*ms, "h1", "m").reply(10*s, "200", 0)
@@ -241,7 +241,7 @@
 		}, func(p *historyBuilder) {
 			p.list(s, "h1", "DELETED").relay(s+100*ms, "hup").accepted(7*s, "m", "status").call(7*s+140*ms, "h1", "m").reply(8*s, "200", 0)
 		}},
-		{Wait, "told", func(p *historyBuilder) {
+		{Wait, "Retry-After of a 429", func(p *historyBuilder) {
 			p.accepted(s, "m", "status").accepted(s, "n", "status").call(2*s, "h1", "m").reply(2*s, "429", s).notification(9*s, "m", "deferred")
 			p.call(2*s+940*ms, "h2", "n").reply(3*s, "200", 0)
 		}, func(p *historyBuilder) {
@@ -257,7 +257,7 @@
 		}},
 		{PushedOver, "too much", coldEndpoint(17, 17), coldEndpoint(16, 16)},
 		{PushedOver, "by relays that knew", coldEndpoint(17, 12), coldEndpoint(17, 11)},
-		{Unknown, "nobody's", func(p *historyBuilder) {
+		{Unknown, "no hand-in", func(p *historyBuilder) {
 			p.call(s, "h1", "x").add(s, history.Event{Kind: history.Reply, Call: 1, Status: "400", Detail: "unknown"})
 		}, func(p *historyBuilder) {
 			p.accepted(s, "x", "status").call(2*s, "h1", "x").reply(2*s, "400", 0).notification(3*s, "x", "undeliverable")
@@ -272,7 +272,7 @@
 		}, func(*historyBuilder) {}},
 		{PeerLeft, "late", func(p *historyBuilder) { p.peer(s, "came").peer(4*s+60*ms, "closed") },
 			func(p *historyBuilder) { p.peer(s, "came").peer(4*s+40*ms, "closed") }},
-		{PeerLeft, "taken on", func(p *historyBuilder) { p.peer(s, "came").peer(2*s, "202") }, func(p *historyBuilder) { p.peer(s, "came").peer(2*s, "400") }},
+		{PeerLeft, "accepted", func(p *historyBuilder) { p.peer(s, "came").peer(2*s, "202") }, func(p *historyBuilder) { p.peer(s, "came").peer(2*s, "400") }},
 		{Crash, "by itself", func(p *historyBuilder) { p.relay(0, "started").relay(s, "crashed") }, func(p *historyBuilder) { p.relay(0, "started").relay(s, "term").relay(s, "ended") }},
 		{Crash, "no start", func(p *historyBuilder) { p.relay(0, "started").relay(s, "refused-start") }, func(p *historyBuilder) { p.relay(0, "started").relay(s, "ready") }},
 		{LeftZone, "to a zone that is left", func(p *historyBuilder) {
@@ -283,7 +283,7 @@
 			p.accepted(s, "m", "status").call(1400*ms, "h1", "m").reply(1500*ms, "200", 0)
 			p.accepted(s, "n", "status").call(2*s, "h2", "n").reply(2100*ms, "200", 0)
 		}},
-		{Stale, "past its bound", func(p *historyBuilder) {
+		{Stale, "past its age bound", func(p *historyBuilder) {
 			p.add(s, history.Event{Kind: history.View, Relay: history.IntPtr(relay), OldestAgeRatio: 1})
 		},
 			func(p *historyBuilder) {
@@ -317,7 +317,7 @@
 				t.Errorf("a history just within the limit is reported as a violation: %+v", v.Violations)
 			}
 		})
-	} // A truncated history must not report outcomes as missing that lie past its last event; violations that it shows still count.
+	}
 	for _, rule := range Rules {
 		if !tested[rule] {
 			t.Errorf("no test case covers rule %s", rule)
@@ -326,10 +326,10 @@
 }
 
 func (p *historyBuilder) peer(at time.Duration, what string) *historyBuilder {
-	return p.add(at, history.Event{Kind: history.Peer, Peer: 1, Relay: history.IntPtr(relay), Detail: what}) // A run in which more of the lab's own events were late than allowed is invalid and must not pass.
+	return p.add(at, history.Event{Kind: history.Peer, Peer: 1, Relay: history.IntPtr(relay), Detail: what})
 }
 
-// A history that is cut off holds nothing against a relay that it does not show, but what it does show counts.
+// A truncated history must not report outcomes as missing that lie past its last event; violations that it shows still count.
 func TestTruncatedHistory(t *testing.T) {
 	p := newHistory().accepted(time.Second, "m", "status").call(2*time.Second, "other", "m")
 	v := Check(p.events, true)
@@ -338,15 +338,15 @@
 	}
 }
 
-// A run in which the lab was late is void, and not kept.
+// A run in which more of the lab's own events were late than allowed is invalid and must not pass.
 func TestInvalidRun(t *testing.T) {
 	for _, c := range []struct {
 		events, late int
-		void         bool
+		invalid      bool
 	}{{1000, 3, false}, {1000, 4, true}, {10000, 10, false}, {10000, 11, true}} {
 		p := newHistory()
 		p.add(time.Second, history.Event{Kind: history.End, TimedEvents: c.events, LateEvents: c.late})
-		if v := Check(p.events, false); (v.InvalidReason != "") != c.void || v.Passed() == c.void {
+		if v := Check(p.events, false); (v.InvalidReason != "") != c.invalid || v.Passed() == c.invalid {
 			t.Errorf("with %d of %d events late: got invalid reason %q, passed %v", c.late, c.events, v.InvalidReason, v.Passed())
 		}
 	}
--- a/internal/lab/report/newcomers.go
+++ b/internal/lab/report/newcomers.go
@@ -109,13 +109,13 @@
 // newEndpointsText writes one line of a table per new endpoint.
 func (f *Figures) newEndpointsText(line func(name, format string, args ...any)) {
 	for _, n := range f.NewEndpoints {
-		fate := "never held back"
+		status := "never held back"
 		if n.HeldAfter != nil {
-			fate = fmt.Sprintf("held back after %s", seconds(*n.HeldAfter))
+			status = fmt.Sprintf("held back after %s", seconds(*n.HeldAfter))
 		}
 		if n.FullAfter != nil {
-			fate += fmt.Sprintf(", had its predecessor's traffic after %s", seconds(*n.FullAfter))
+			status += fmt.Sprintf(", had its predecessor's traffic after %s", seconds(*n.FullAfter))
 		}
-		line("new endpoint "+n.Host, "at %.1f s, %s; %.1f%% of its destination's calls until held back, or in the first %v; %d of its %d calls failed", n.Listed, fate, 100*n.ExposedShare, exposureWindow, n.FailedCalls, n.Calls)
+		line("new endpoint "+n.Host, "at %.1f s, %s; %.1f%% of its destination's calls until held back, or in the first %v; %d of its %d calls failed", n.Listed, status, 100*n.ExposedShare, exposureWindow, n.FailedCalls, n.Calls)
 	}
 }
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -46,7 +46,9 @@
 type faultKind struct {
 	target        faultTarget
 	needsDuration bool // Duration must be above 0
-	magnitude     string
+	// magnitude says what Fault.Magnitude means; empty if the kind takes none. A text with "share of the " but without "factor"
+	// also limits Magnitude to 1: checkFaults looks for these words.
+	magnitude string
 }
 
 // Kinds are the kinds of fault that a timeline may hold, by the name in scenario files.
@@ -55,15 +57,15 @@
 	"restart": {target: targetRelays}, // SIGTERM, SIGKILL after 3.7 s, restarted 600 ms after the process ended
 	"wipe":    {target: targetRelays}, // SIGKILL, and the state directory is lost; its messages are handed over to other relays
 	"power":   {target: targetRelays}, // SIGKILL, and the state directory reverts to what was synced; restarted as after a kill
-	"turn":    {target: targetRelays, magnitude: "the bits that turn in each journal, while its relay is down as after a kill"},
+	"turn":    {target: targetRelays, magnitude: "the number of bits flipped in each journal while its relay is down as after a kill"},
 	"full":    {target: targetRelays, needsDuration: true}, // no file can grow
 	"freeze":  {target: targetRelays, needsDuration: true},
 	"reload":  {target: targetRelays}, // discovery moves to another address: a new configuration file and SIGHUP
 	"upgrade": {target: targetRelays}, // a new process starts beside the old one and inherits its socket
 
 	// These kinds need a relay that is built with package shim.
-	"clock":      {target: targetRelays, magnitude: "the seconds that the wall clock goes forward; back again after For, where that is not 0"},
-	"clock-back": {target: targetRelays, magnitude: "the seconds that the wall clock goes back; forward again after For, where that is not 0"},
+	"clock":      {target: targetRelays, magnitude: "the seconds by which the wall clock goes forward; it goes back after the fault's for if that is above 0"},
+	"clock-back": {target: targetRelays, magnitude: "the seconds by which the wall clock goes back; it goes forward again after the fault's for if that is above 0"},
 	"calls-fail": {target: targetRelays},                      // Count system calls fail, or all within Duration
 	"short-io":   {target: targetRelays, needsDuration: true}, // reads and writes transfer one byte at a time, and every second one is interrupted
 
@@ -72,13 +74,13 @@
 
 	"down":         {target: targetEndpoints, needsDuration: true}, // refuses connections and resets the open ones; comes back cold
 	"shut":         {target: targetEndpoints, needsDuration: true}, // rejects all calls; comes back cold
-	"errors":       {target: targetEndpoints, needsDuration: true, magnitude: "the share of the calls that get 500"},
+	"errors":       {target: targetEndpoints, needsDuration: true, magnitude: "the share of the calls that are answered with 500"},
 	"slow":         {target: targetEndpoints, needsDuration: true, magnitude: "the factor on service times"},
 	"silent":       {target: targetEndpoints, needsDuration: true}, // accepts calls and never answers; comes back cold
 	"stall":        {target: targetEndpoints, needsDuration: true, magnitude: "the share of the answers that stop halfway"},
 	"lose-answers": {target: targetEndpoints, needsDuration: true, magnitude: "the share of the answers that get lost after the call has run"},
 	"reset":        {target: targetEndpoints, needsDuration: true, magnitude: "the share of the calls whose connection is reset"},
-	"spoil":        {target: targetEndpoints, needsDuration: true, magnitude: "the share of the answers that can't be read"},
+	"spoil":        {target: targetEndpoints, needsDuration: true, magnitude: "the share of the answers that are malformed"},
 	"drain":        {target: targetEndpoints}, // DRAINING at once, DELETED after Duration (4 s if that is 0); a new endpoint replaces it
 
 	// Like a drain, but the new endpoint runs a faulty version.
@@ -86,19 +88,19 @@
 	"release-slow":   {target: targetEndpoints, magnitude: "the factor on the service times of the new endpoint"},
 
 	"cut":        {target: targetLinks, needsDuration: true}, // drops all data in the given directions
-	"delay":      {target: targetLinks, needsDuration: true, magnitude: "the seconds that each piece of data is late"},
-	"drop-notes": {target: targetRelays, needsDuration: true, magnitude: "the share of the notes that get lost"},
-	"twin-notes": {target: targetRelays, needsDuration: true, magnitude: "the share of the notes that come twice, the second late"},
+	"delay":      {target: targetLinks, needsDuration: true, magnitude: "the seconds by which each piece of data is delayed"},
+	"drop-notes": {target: targetRelays, needsDuration: true, magnitude: "the share of the gossip messages that are lost"},
+	"twin-notes": {target: targetRelays, needsDuration: true, magnitude: "the share of the gossip messages that arrive twice, the second one delayed"},
 
-	"discovery-late":   {target: targetRelays, needsDuration: true, magnitude: "the seconds that lists are late"},
+	"discovery-late":   {target: targetRelays, needsDuration: true, magnitude: "the seconds by which lists are delayed"},
 	"discovery-silent": {target: targetRelays, needsDuration: true},
 	"discovery-busy":   {target: targetRelays, needsDuration: true},
 
-	"burst":  {target: targetClients, needsDuration: true, magnitude: "the factor on the rate"},
+	"burst":  {target: targetClients, needsDuration: true, magnitude: "the factor on the rate of arrivals"},
 	"shift":  {target: targetClients, needsDuration: true, magnitude: "the factor on the share of a zone's relays"},
 	"leave":  {target: targetClients, needsDuration: true, magnitude: "the share of the clients that leave before their answer"},
-	"crowd":  {target: targetClients, needsDuration: true, magnitude: "the malformed or silent peers a second"},
-	"repeat": {target: targetClients, needsDuration: true, magnitude: "the share of the messages handed in twice under one id"},
+	"crowd":  {target: targetClients, needsDuration: true, magnitude: "the number of malformed or silent peers per second"},
+	"repeat": {target: targetClients, needsDuration: true, magnitude: "the share of the messages that are handed in twice under one ID"},
 }
 
 // maxLength is the longest scenario allowed; it bounds the loops of a run.
@@ -146,13 +148,13 @@
 		path := fmt.Sprintf("class[%d].", i)
 		switch {
 		case c.Name == "" || strings.ContainsAny(c.Name, "/ ?"):
-			return path + "name", fmt.Errorf("%q is no name of a class", c.Name)
+			return path + "name", fmt.Errorf("%q is no class name: it is empty or contains a slash, a space or a question mark", c.Name)
 		case !slices.Contains([]string{"retryable", "dedup", "fragile"}, c.Effect):
 			return path + "effect", fmt.Errorf("%q is not \"retryable\", \"dedup\" or \"fragile\"", c.Effect)
 		case c.Group != "all" && c.Group != "zone":
 			return path + "group", fmt.Errorf("%q is not \"all\" or \"zone\"", c.Group)
 		case c.Target <= 0 || c.Deadline < c.Target:
-			return path + "deadline", errors.New("is under the aim, or one of them is 0")
+			return path + "deadline", errors.New("is below aim, or aim is not above 0")
 		case !(c.LateShare >= 0 && c.LateShare <= 1):
 			return path + "late_share", errors.New("is not 0 to 1")
 		case !(c.Share > 0):
@@ -169,17 +171,17 @@
 		case !slices.Contains([]string{"none", "rate", "window"}, d.Limit):
 			return path + "limit", fmt.Errorf("%q is not \"none\", \"rate\" or \"window\"", d.Limit)
 		case d.Limit != "none" && !(d.Rate > 0):
-			return path + "rate", errors.New("is not above 0, and there is a limit")
+			return path + "rate", errors.New("is not above 0, which the limit needs")
 		case d.Limit == "window" && d.Window <= 0:
 			return path + "window", errors.New("is not above 0")
 		case d.Service <= 0 || !(d.ServiceCV >= 0 && d.ServiceCV <= 3):
 			return path + "service", errors.New("service is not above 0, or service_cv is not 0 to 3")
 		case d.Workers < 1 || d.Queue < 0 || d.Connections < 0 || d.MaxBatch < 1:
-			return path + "workers", errors.New("workers and bulk have to be above 0, queue and connections not below it")
+			return path + "workers", errors.New("workers and bulk have to be above 0, queue and connections not below 0")
 		}
 		for _, z := range d.Zones {
 			if !slices.Contains(s.Fleet.Zones, z) {
-				return path + "zones", fmt.Errorf("%q is no zone of the fleet", z)
+				return path + "zones", fmt.Errorf("%q is not a zone of the fleet", z)
 			}
 		}
 	}
@@ -195,29 +197,29 @@
 		case !ok:
 			return path + "kind", fmt.Errorf("%q is no kind of fault", f.Kind)
 		case f.At.AsDuration() > s.Length.AsDuration():
-			return path + "at", fmt.Errorf("%v is after the end of the arrivals", f.At.AsDuration())
+			return path + "at", fmt.Errorf("%v is after the end of the scenario's arrivals", f.At.AsDuration())
 		case k.needsDuration && f.Duration <= 0:
-			return path + "for", fmt.Errorf("a fault of the kind %q needs a time above 0", f.Kind)
+			return path + "for", fmt.Errorf("a fault of the kind %q needs a duration above 0", f.Kind)
 		case k.magnitude != "" && !(f.Magnitude > 0):
 			return path + "size", fmt.Errorf("%q needs a size above 0: %s", f.Kind, k.magnitude)
 		case strings.Contains(k.magnitude, "share of the ") && !strings.Contains(k.magnitude, "factor") && f.Magnitude > 1:
-			return path + "size", fmt.Errorf("%v is no share", f.Magnitude)
+			return path + "size", fmt.Errorf("%v is not a share from 0 to 1", f.Magnitude)
 		case !(f.Share >= 0 && f.Share <= 1):
-			return path + "share", fmt.Errorf("%v is no share", f.Share)
+			return path + "share", fmt.Errorf("%v is not a share from 0 to 1", f.Share)
 		case f.Direction != "" && !slices.Contains([]string{"both", "to", "from"}, f.Direction):
 			return path + "direction", fmt.Errorf("%q is not \"both\", \"to\" or \"from\"", f.Direction)
 		case f.Zone != "" && !slices.Contains(s.Fleet.Zones, f.Zone):
 			return path + "zone", fmt.Errorf("there is no zone %q", f.Zone)
 		case (f.Kind == "evacuate" || f.Kind == "restore") && (!s.Fleet.ZoneAware || !slices.Contains(s.Fleet.Zones, f.OrderZone)):
-			return path + "of", fmt.Errorf("an order needs fleet.zoned = true and a zone of the fleet, not %q", f.OrderZone)
+			return path + "of", fmt.Errorf("an evacuate or restore fault needs fleet.zoned = true and a zone of the fleet, not %q", f.OrderZone)
 		case f.Kind == "calls-fail" && f.Count <= 0 && f.Duration <= 0:
-			return path + "count", errors.New("neither count nor for is above 0")
+			return path + "count", errors.New("count or for has to be above 0")
 		case f.Kind == "upgrade" && !s.Fleet.SharedSocket:
 			return path + "kind", errors.New("an upgrade needs fleet.shared_socket = true")
 		case k.target != targetEndpoints && k.target != targetLinks && (len(f.Endpoints) > 0 || len(f.Destinations) > 0):
-			return path + "kind", fmt.Errorf("a fault of the kind %q strikes no endpoint", f.Kind)
+			return path + "kind", fmt.Errorf("a fault of the kind %q does not affect endpoints or destinations", f.Kind)
 		case k.target == targetEndpoints && len(f.Relays) > 0:
-			return path + "relays", fmt.Errorf("a fault of the kind %q strikes no relay", f.Kind)
+			return path + "relays", fmt.Errorf("a fault of the kind %q does not affect relays", f.Kind)
 		}
 		if f.Kind == "calls-fail" {
 			if _, err := shim.ParseCall(f.Call); err != nil {
@@ -229,12 +231,12 @@
 		}
 		for _, r := range f.Relays {
 			if r < 0 || r >= s.Fleet.Relays {
-				return path + "relays", fmt.Errorf("there is no relay %d: they are 0 to %d", r, s.Fleet.Relays-1)
+				return path + "relays", fmt.Errorf("there is no relay %d: relays are numbered 0 to %d", r, s.Fleet.Relays-1)
 			}
 		}
 		for _, d := range f.Destinations {
 			if d < 0 || d >= s.DestinationCount() {
-				return path + "destinations", fmt.Errorf("there is no destination %d: they are 0 to %d", d, s.DestinationCount()-1)
+				return path + "destinations", fmt.Errorf("there is no destination %d: destinations are numbered 0 to %d", d, s.DestinationCount()-1)
 			}
 		}
 		for _, e := range f.Endpoints {
@@ -249,43 +251,44 @@
 // AddsReplacements reports whether the fault adds new endpoints that replace others.
 func (f *Fault) AddsReplacements() bool {
 	return f.Kind == "drain" || strings.HasPrefix(f.Kind, "release-")
-} // AffectedRelays returns the relays that fault i affects, in the order in which it affects them.
+}
 
-// StruckRelays gives the relays that fault i strikes, in the order in which it does.
+// AffectedRelays returns the relays that fault i affects, in the order in which it affects them.
 func (s *Scenario) AffectedRelays(i int) []int {
 	f := &s.Faults[i]
-	var all []int
+	var candidates []int
 	for r := range s.Fleet.Relays {
 		if (len(f.Relays) == 0 || slices.Contains(f.Relays, r)) && (f.Zone == "" || Kinds[f.Kind].target == targetLinks || s.Fleet.Zone(r) == f.Zone) {
-			all = append(all, r)
+			candidates = append(candidates, r)
 		}
 	}
 	if Kinds[f.Kind].target == targetLinks {
-		return all
+		return candidates
 	}
-	return drawShare(s, i, all)
-} // AffectedEndpoints returns the endpoints that fault i affects, as indices of Hosts.
+	return drawShare(s, i, candidates)
+}
 
-// StruckHosts gives the endpoints that fault i strikes, as indices of Hosts.
+// AffectedEndpoints returns the endpoints that fault i affects, as indices of Hosts.
 func (s *Scenario) AffectedEndpoints(i int) []int {
 	f := &s.Faults[i]
-	var all []int
+	var candidates []int
 	for n, h := range s.Hosts {
 		if h.AddedByFault == 0 && (len(f.Destinations) == 0 || slices.Contains(f.Destinations, h.Dest)) && (f.Zone == "" || h.Zone == f.Zone) &&
 			(len(f.Endpoints) == 0 || slices.Contains(f.Endpoints, h.Name)) {
-			all = append(all, n)
+			candidates = append(candidates, n)
 		}
 	}
-	return drawShare(s, i, all)
-} // drawShare draws the share of a fault from the relays or endpoints that it may affect, but at least one. The draw depends on the seed and the fault's index only.
+	return drawShare(s, i, candidates)
+}
 
-// sample draws the share of a fault from those that it could strike, one at least.
-func drawShare(s *Scenario, i int, all []int) []int {
+// drawShare draws the share of a fault from the relays or endpoints that it may affect, but at least one.
+// The draw depends only on the seed and the fault's index.
+func drawShare(s *Scenario, i int, candidates []int) []int {
 	share := s.Faults[i].Share
-	if share == 0 || len(all) == 0 {
-		return all
+	if share == 0 || len(candidates) == 0 {
+		return candidates
 	}
 	draws := s.Draws(fmt.Sprintf("fault %d", i))
-	draws.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
-	return all[:max(1, int(math.Round(share*float64(len(all)))))]
+	draws.Shuffle(len(candidates), func(a, b int) { candidates[a], candidates[b] = candidates[b], candidates[a] })
+	return candidates[:max(1, int(math.Round(share*float64(len(candidates)))))]
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -36,12 +36,12 @@
 		{"second fault", minimalScenario + "[[fault]]\nkind = \"kill\"\n[[fault]]\nkind = \"kill\"\nzone = \"z\"\n", ":14:", `there is no zone "z"`},
 		{"endpoint", minimalScenario + "[[fault]]\nkind = \"down\"\nfor = \"1s\"\nendpoints = [\"d9-e0\"]\n", ":13:", `there is no endpoint "d9-e0"`},
 		{"destination", minimalScenario + "[[fault]]\nkind = \"down\"\nfor = \"1s\"\ndestinations = [2]\n", ":13:", "there is no destination 2"},
-		{"no time", minimalScenario + "[[fault]]\nkind = \"down\"\n", ":10:", "needs a time above 0"},
+		{"no time", minimalScenario + "[[fault]]\nkind = \"down\"\n", ":10:", "needs a duration above 0"},
 		{"no size", minimalScenario + "[[fault]]\nkind = \"slow\"\nfor = \"1s\"\n", ":10:", "needs a size above 0"},
-		{"no share", minimalScenario + "[[fault]]\nkind = \"errors\"\nfor = \"1s\"\nsize = 1.5\n", ":13:", "is no share"},
+		{"no share", minimalScenario + "[[fault]]\nkind = \"errors\"\nfor = \"1s\"\nsize = 1.5\n", ":13:", "is not a share"},
 		{"too late", minimalScenario + "[[fault]]\nkind = \"kill\"\nat = \"6s\"\n", ":12:", "after the end"},
 		{"no socket", minimalScenario + "[[fault]]\nkind = \"upgrade\"\n", ":11:", "shared_socket"},
-		{"strikes no relay", minimalScenario + "[[fault]]\nkind = \"down\"\nfor = \"1s\"\nrelays = [0]\n", ":13:", "strikes no relay"},
+		{"relays of an endpoint fault", minimalScenario + "[[fault]]\nkind = \"down\"\nfor = \"1s\"\nrelays = [0]\n", ":13:", "does not affect relays"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, err := Parse("x.toml", []byte(c.text))
