--- a/internal/lab/campaign/campaign.go
+++ b/internal/lab/campaign/campaign.go
@@ -35,7 +35,7 @@
 	Variants []Variant `toml:"variant"`
 	Cases    []Case    `toml:"case"`
 
-	scenarios map[[2]string][]byte // scenario text, by case and variant
+	scenarios map[[2]string][]byte // scenario texts, by case and variant
 }
 
 // Variant is one of the sides that are compared. The first variant is the baseline for the others.
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -45,20 +45,20 @@
 
 // Tolerances and time limits of the protocol, and thresholds of the checker.
 const (
-	timingSlack        = 50 * time.Millisecond   // added to every time limit
-	outcomeWithin      = 300 * time.Millisecond  // from a message's deadline to its outcome
-	startupGrace       = 1500 * time.Millisecond // for a process to catch up after it is ready or thawed
-	discoveryDeadline  = 6 * time.Second         // after which a relay counts as informed of a change at discovery
-	reloadDeadline     = 4 * time.Second         // after SIGHUP, for a relay to have read its changed list
-	retryAfterSlack    = 100 * time.Millisecond  // for calls already under way when a Retry-After arrives
-	peerCloseWithin    = 3 * time.Second         // for a relay to answer or close a malformed peer
-	evacuateWithin     = 500 * time.Millisecond  // after an evacuation order, for calls decided before it
-	shutdownLossWindow = 100 * time.Millisecond  // before a process ends, in which it may not have read what it was sent
-	coldSigmas         = 2.0                     // square roots of the call budget allowed above it, for random variation
-	observerShare      = 2.0 / 3                 // of the calls in a window that must come from relays that saw the endpoint fail
-	maxLateShare       = 0.001                   // of the lab's own timed events that may be late in a valid run
-	maxLateAlways      = 3                       // late events that never invalidate a run, however short
-	maxViolationLines  = 30                      // shown with one violation
+	timingSlack        = 50 * time.Millisecond   // tolerance added to every time limit
+	outcomeWithin      = 300 * time.Millisecond  // longest time from a message's deadline to its outcome
+	startupGrace       = 1500 * time.Millisecond // time for a process to catch up after it is ready or thawed
+	discoveryDeadline  = 6 * time.Second         // time after which a relay counts as informed of a change at discovery
+	reloadDeadline     = 4 * time.Second         // time after SIGHUP within which a relay must use its changed list
+	retryAfterSlack    = 100 * time.Millisecond  // tolerance for calls already under way when a Retry-After arrives
+	peerCloseWithin    = 3 * time.Second         // longest time until a relay answers or closes a malformed peer
+	evacuateWithin     = 500 * time.Millisecond  // tolerance after an evacuation order for calls decided before it
+	shutdownLossWindow = 100 * time.Millisecond  // time before its end in which a process may not have read a list sent to it
+	coldSigmas         = 2.0                     // margin above a call budget for random variation, in square roots of the budget
+	observerShare      = 2.0 / 3                 // smallest share, of all calls in the window, from relays that saw the endpoint fail
+	maxLateShare       = 0.001                   // largest share of the lab's own timed events that may be late in a valid run
+	maxLateAlways      = 3                       // number of late events that never invalidates a run, however short
+	maxViolationLines  = 30                      // most history lines shown with one violation
 )
 
 // Violation is one breach of a rule.
@@ -103,9 +103,9 @@
 	history.Event
 	// finished is when the call stopped being in flight on an open connection; forever if the history shows no end.
 	finished micros
-	notRun   map[string]bool   // by message ID: its answer proves that it did not run
+	notRun   map[string]bool   // whether the answer proves that a message did not run, by message ID
 	replied  micros            // when the reply was written to the relay; 0 if there was none
-	states   map[string]string // state of each message in the reply, by message ID
+	states   map[string]string // reply's state of each message, by message ID
 	lines    []int
 }
 
@@ -135,7 +135,7 @@
 // relayTimeline records the process events of one relay.
 type relayTimeline struct {
 	processes   int
-	unavailable []interval // periods in which overdue outcomes are excused
+	unavailable []interval // periods without a ready process, which extend the time limits for outcomes
 	outages     []micros   // times at which no process of the relay was left
 	reloads     []micros
 	frozen      []interval
@@ -157,7 +157,7 @@
 	callsInOrder    []*call
 	timelines       []*relayTimeline
 	endpointOutages map[string][]endpointOutage
-	evacuations     map[int]map[string]evacuation // in force, by relay and zone
+	evacuations     map[int]map[string]evacuation // evacuation orders in force, by relay and zone
 	listChanges     []history.Event
 	listsSent       map[int][]history.Event // lists that discovery sent, by relay
 }
@@ -378,11 +378,11 @@
 	}
 }
 
-// evacuation is an order of operators to leave a zone, in force from from until until.
+// evacuation is an order of operators to leave a zone, with the times between which it is in force.
 type evacuation struct{ from, until history.Micros }
 
 // checkEvacuatedZone reports a call into a zone that operators have ordered to evacuate. Calls are allowed to destinations that
-// have endpoints in this zone only, and for messages whose class deduplicates within one zone.
+// have endpoints in this zone only, and for messages whose class deduplicates within one zone only.
 func (c *checker) checkEvacuatedZone(e *history.Event) {
 	host := c.parameters.Hosts[e.Host]
 	o, ordered := c.evacuations[relayOf(e)][host.Zone]
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -59,7 +59,7 @@
 	Kind           string                `json:"kind"`
 	Relay          *int                  `json:"relay,omitempty"`
 	ID             string                `json:"id,omitempty"`
-	Message        int                   `json:"msg,omitempty"` // number that the client gave the message, the same over all its hand-ins; from 1
+	Message        int                   `json:"msg,omitempty"` // the client's number of the message, the same over all its hand-ins; from 1
 	Class          string                `json:"class,omitempty"`
 	Dest           *int                  `json:"dest,omitempty"`
 	Key            string                `json:"key,omitempty"`
@@ -88,7 +88,7 @@
 	Digest         uint32                `json:"digest,omitempty"`
 	KnownSince     map[string]Micros     `json:"known,omitempty"`      // when the relay learned of each closing or outage
 	GossipSent     int                   `json:"notes,omitempty"`      // gossip messages sent between relays; a broadcast counts once
-	GossipBytes    int                   `json:"note_bytes,omitempty"` // bytes of these messages
+	GossipBytes    int                   `json:"note_bytes,omitempty"` // bytes of the gossip messages sent; a broadcast counts once
 	GossipReceived int                   `json:"received,omitempty"`   // gossip messages delivered to relays
 	FactCount      int                   `json:"beliefs,omitempty"`
 	Live           int                   `json:"live,omitempty"`
@@ -139,7 +139,7 @@
 	DiskMB         float64          `json:"disk_mb"`
 	Sockets        int              `json:"sockets"`
 	ArrivalsLength Micros           `json:"length"`
-	Zones          []string         `json:"zones,omitempty"` // of the relays, by relay number
+	Zones          []string         `json:"zones,omitempty"` // zone of each relay, by relay number
 	Classes        map[string]Class `json:"classes"`
 	Hosts          map[string]Host  `json:"hosts"`
 }
--- a/internal/lab/report/newcomers.go
+++ b/internal/lab/report/newcomers.go
@@ -20,7 +20,7 @@
 	// back.
 	HeldAfter    *float64 `json:"held,omitempty"`
 	ExposedShare float64  `json:"exposed"`
-	FailedCalls  int      `json:"failed"` // calls to it that were answered with 500, over the whole run
+	FailedCalls  int      `json:"failed"` // calls to the endpoint that were answered with 500, over the whole run
 	Calls        int      `json:"calls"`
 	// FullAfter is when it first got fullTrafficShare of the calls that its predecessor had got, counted over callWindow; nil
 	// if it never did.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -52,15 +52,15 @@
 	Messages int    `json:"messages"`
 
 	Served        float64            `json:"served"`    // worth served, as a share of the worth of all messages
-	Outcomes      map[string]float64 `json:"ends"`      // share of the messages with each outcome
+	Outcomes      map[string]float64 `json:"ends"`      // share of the messages, by outcome
 	ByClass       map[string]float64 `json:"by_class"`  // worth served, as a share of the class's worth
 	Latency       map[string]float64 `json:"latency"`   // percentiles of the time from first hand-in to delivery
 	AnswerTime    map[string]float64 `json:"answer"`    // percentiles of the relays' answer times to clients
-	Attempts      float64            `json:"attempts"`  // message attempts per message
+	Attempts      float64            `json:"attempts"`  // delivery attempts per message
 	RejectedShare float64            `json:"turned"`    // share of the calls answered with 429 or 503
 	Connections   float64            `json:"connects"`  // new connections per message
 	CPU           Summary            `json:"cpu"`       // seconds per relay, summed over its processes
-	MemoryMB      Summary            `json:"memory_mb"` // peak per relay
+	MemoryMB      Summary            `json:"memory_mb"` // peak memory per relay
 	DiskMB        Summary            `json:"disk_mb"`
 
 	Faults     []FaultFigures `json:"faults"`
@@ -93,14 +93,14 @@
 	OldestAgeRatio map[string]float64 `json:"oldest"`   // percentiles of the oldest fact's age in a view, as a share of its bound
 	Propagation    []Propagation      `json:"known"`
 	FinalViews     int                `json:"last"`  // number of views taken after the traffic stopped
-	FinalAgreeing  int                `json:"agree"` // number of these with the most common digest
+	FinalAgreeing  int                `json:"agree"` // number of final views with the most common digest
 }
 
 // ZoneFigures describe how the relays evacuated a zone and returned to it.
 type ZoneFigures struct {
 	Zone        string  `json:"zone"`
 	LeftBy      int     `json:"left"`        // number of relays that evacuated it
-	Evacuations int     `json:"evacuations"` // most by one process
+	Evacuations int     `json:"evacuations"` // largest number of evacuations by one process
 	Returns     int     `json:"returns"`
 	Isolated    int     `json:"cut_off"` // number of its relays that considered themselves isolated
 	FirstLeft   float64 `json:"at"`      // when the first relay was seen to have evacuated it
@@ -128,7 +128,7 @@
 // Point is the service to the messages first handed in within one step of time.
 type Point struct {
 	At      float64 `json:"at"`
-	Offered float64 `json:"asked"` // worth of these messages
+	Offered float64 `json:"asked"` // worth of the messages handed in within the step
 	Served  float64 `json:"served"`
 }
 
@@ -138,7 +138,7 @@
 	At       float64  `json:"at"`
 	Until    float64  `json:"until"`
 	Before   float64  `json:"before"` // share of the worth served over baselineSpan before the fault
-	Worst    float64  `json:"worst"`  // lowest share in one step, from the fault until recovery
+	Worst    float64  `json:"worst"`  // lowest share of the worth served in one step, from the fault until recovery
 	Rejected int      `json:"turned"` // calls answered with 429 or 503 during the fault
 	zone     string   // zone that the fault affects; empty if it is not about a zone
 	Recovery *float64 `json:"back,omitempty"` // seconds from the fault's start until 95% of Before, at its end or later; nil without recovery
--- a/internal/lab/scenario/faults.go
+++ b/internal/lab/scenario/faults.go
@@ -26,7 +26,7 @@
 	Magnitude    float64  `toml:"size"`      // meaning and unit depend on Kind; see Kinds
 	Wait         Duration `toml:"wait"`      // Retry-After that a shut destination sends; 0 for none
 	OrderZone    string   `toml:"of"`        // zone that an evacuate or restore order names
-	Direction    string   `toml:"direction"` // of a cut: "both", "to" the endpoints or "from" them
+	Direction    string   `toml:"direction"` // data that a cut drops: "to" the endpoints, "from" them or "both"
 	Call         string   `toml:"call"`      // system call that fails, by its name in package shim
 	Errno        string   `toml:"errno"`     // error that the system calls return, such as "ENFILE"
 	Count        int      `toml:"count"`     // number of system calls that fail; 0 for all within Duration
