--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -19,8 +19,8 @@
 	"milletsail/internal/relay/handover"
 )
 
-// inherits has the platform hold the clients' socket.
-func (p *platform) inherits() {
+// openClientSocket opens the socket for clients in the test process, so that relays inherit it and share it over an upgrade.
+func (p *platform) openClientSocket() {
 	p.t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(p.t.Context(), "tcp", p.addr)
 	if err != nil {
@@ -29,20 +29,20 @@
 	defer func() { _ = l.Close() }()
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
-		p.t.Fatalf("a listener of type %T", l)
+		p.t.Fatalf("listener has type %T, want *net.TCPListener", l)
 	}
-	if p.shared, err = tcp.File(); err != nil {
+	if p.clientSocket, err = tcp.File(); err != nil {
 		p.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { _ = p.shared.Close() })
+	p.t.Cleanup(func() { _ = p.clientSocket.Close() })
 }
 
-// upgrade starts a process beside the one that runs, and waits until it takes clients.
-func (p *platform) upgrade() *child {
+// startSuccessor starts a second relay process next to the running one, and waits until it serves clients after a handover.
+func (p *platform) startSuccessor() *child {
 	p.t.Helper()
 	p.admin = closedAddress(p.t)
 	c := p.start()
-	p.until("the new process takes clients", func() bool {
+	p.waitUntil("the successor serves clients", func() bool {
 		conn, err := (&net.Dialer{}).DialContext(p.t.Context(), "tcp", p.admin)
 		if err != nil {
 			return false
@@ -55,98 +55,99 @@
 	return c
 }
 
-// keptConn is a client's connection that carries one message after another.
-type keptConn struct {
+// clientConn is a client's persistent connection, on which it submits one message after another.
+type clientConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func (p *platform) keep() *keptConn {
+// connectClient opens a client's connection to the relay. It is closed when the test ends.
+func (p *platform) connectClient() *clientConn {
 	p.t.Helper()
 	c, err := (&net.Dialer{}).DialContext(p.t.Context(), "tcp", p.addr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { _ = c.Close() })
-	return &keptConn{c, bufio.NewReader(c)}
+	return &clientConn{c, bufio.NewReader(c)}
 }
 
-// handIn hands a message in and gives the answer.
-func (c *keptConn) handIn(t *testing.T, class, id string) answer {
+// submit submits a message for destination 7 and returns the relay's response.
+func (c *clientConn) submit(t *testing.T, class, id string) httpResponse {
 	t.Helper()
 	_, _ = fmt.Fprintf(c, "POST /%s HTTP/1.1\r\nHost: relay\r\nTenant: acme\r\nRequest-Id: %s\r\nIdempotency-Key: key-%s\r\n"+
 		"Request-Timeout: 25\r\nX-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi", class, id, id)
-	resp, err := nextAnswer(c.in)
+	resp, err := readResponse(c.in)
 	if err != nil {
-		t.Fatalf("%s: %v", id, err)
+		t.Fatalf("no response to message %s: %v", id, err)
 	}
 	return resp
 }
 
-// exit waits for the end of a process.
-func (c *child) exit(t *testing.T) error {
+// waitForExit waits until the process ends and returns its error.
+func (c *child) waitForExit(t *testing.T) error {
 	t.Helper()
 	select {
 	case err := <-c.exited:
 		return err
-	case <-time.After(long):
-		t.Fatal("the process does not end")
+	case <-time.After(testTimeout):
+		t.Fatal("the process did not exit in time")
 		return nil
 	}
 }
 
-// A new version takes over under load: the call that is out ends in the old process and counts in the new one,
-// clients keep their connections for one more answer, and each message is sent once.
-func TestUpgrade(t *testing.T) {
+// An upgrade under load must neither lose a message nor send one twice: the result of a call in flight in the predecessor has to
+// count in the successor, and a client's open connection has to get one more response before it is closed.
+func TestUpgradeUnderLoad(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	hold := make(chan bool)
-	p.answer = p.held(hold)
-	p.inherits()
+	p.respond = p.respondAfter(hold)
+	p.openClientSocket()
 	old := p.start()
-	c := p.keep()
-	c.handIn(t, "order", "out")
-	p.until("its call is out", func() bool { return slices.Contains(p.sent(), "out") })
-	p.upgrade()
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
-	if resp := c.handIn(t, "order", "through the old one"); resp.StatusCode != http.StatusAccepted || !resp.Close {
-		t.Errorf("through the old process: %s, close %v", resp.Status, resp.Close)
+	c := p.connectClient()
+	c.submit(t, "order", "out")
+	p.waitUntil("its call is in flight", func() bool { return slices.Contains(p.calls(), "out") })
+	p.startSuccessor()
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
+	if resp := c.submit(t, "order", "through the old one"); resp.StatusCode != http.StatusAccepted || !resp.Close {
+		t.Errorf("response through the predecessor: %s, close %v; want 202 with close", resp.Status, resp.Close)
 	}
-	p.take("order", "to the new one", "25")
-	p.until("both are delivered beside the call that is out", func() bool { return len(p.sent()) == 3 })
-	p.until("their answers are counted", func() bool {
-		return strings.Contains(askOperator(t, p.admin, "counters\n"), "relay_pending 1\n")
+	p.submitAccepted("order", "to the new one", "25")
+	p.waitUntil("both messages are delivered next to the call in flight", func() bool { return len(p.calls()) == 3 })
+	p.waitUntil("their results are counted", func() bool {
+		return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), "relay_pending 1\n")
 	})
 	close(hold)
-	if err := old.exit(t); err != nil {
-		t.Errorf("the old process: %v", err)
+	if err := old.waitForExit(t); err != nil {
+		t.Errorf("predecessor exited with an error: %v", err)
 	}
-	p.until("all are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if sent, told := p.sent(), p.told(); len(sent) != 3 || len(told) != 0 {
-		t.Errorf("calls %v, notices %v", sent, told)
+	p.waitUntil("all messages have ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if sent, notifications := p.calls(), p.notifications(); len(sent) != 3 || len(notifications) != 0 {
+		t.Errorf("calls %v, notifications %v; want 3 calls and no notification", sent, notifications)
 	}
-	// And once more, the new one being the old one now.
-	p.upgrade()
-	p.take("order", "later", "25")
-	p.until("it is delivered", func() bool { return slices.Contains(p.sent(), "later") })
+	// The successor of the first upgrade is the predecessor of a second one.
+	p.startSuccessor()
+	p.submitAccepted("order", "later", "25")
+	p.waitUntil("the message is delivered", func() bool { return slices.Contains(p.calls(), "later") })
 }
 
-// The new process finds the journal damaged, so that each message may have one more attempt: the call that is out is
-// still the only one, and its end counts.
-func TestUpgradeWithADamagedJournal(t *testing.T) {
+// A successor that reads a damaged journal assumes a lost attempt for each message. It must not act on such an attempt for a
+// message whose call is in flight in the predecessor: the message is sent once, and the result of that call counts.
+func TestUpgradeWithDamagedJournal(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	hold := make(chan bool)
-	p.answer = p.held(hold)
-	p.inherits()
+	p.respond = p.respondAfter(hold)
+	p.openClientSocket()
 	old := p.start()
-	p.take("order", "out", "25")
-	p.until("its call is out", func() bool { return len(p.sent()) == 1 })
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
-	p.take("status", "over", "25")
-	p.called()
-	p.until("it is over", func() bool { return len(readEntries(t, p.dir)) == 1 })
-	segments, err := filepath.Glob(filepath.Join(p.dir, "segment-*"))
+	p.submitAccepted("order", "out", "25")
+	p.waitUntil("its call is in flight", func() bool { return len(p.calls()) == 1 })
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
+	p.submitAccepted("status", "over", "25")
+	p.nextCall()
+	p.waitUntil("the message has ended", func() bool { return len(readEntries(t, p.stateDir)) == 1 })
+	segments, err := filepath.Glob(filepath.Join(p.stateDir, "segment-*"))
 	if err != nil || len(segments) != 1 {
 		t.Fatal(segments, err)
 	}
@@ -159,39 +160,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lastRecords := make([]byte, 60) // that its call has ended, and that it is over
+	lastRecords := make([]byte, 60) // the records of the end of the call and of the message
 	if _, err := file.WriteAt(lastRecords, info.Size()-int64(len(lastRecords))); err != nil {
 		t.Fatal(err)
 	}
-	p.take("status", "behind the damage", "25")
-	p.called()
-	p.until("it is over, and the call that is out has one beside it that may be missing", func() bool {
-		e := readEntries(t, p.dir)
+	p.submitAccepted("status", "behind the damage", "25")
+	p.nextCall()
+	p.waitUntil("the message after the damage has ended, and the one in flight has a second, uncertain attempt", func() bool {
+		e := readEntries(t, p.stateDir)
 		return !slices.ContainsFunc(e, func(e *journal.Entry) bool { return e.ID == "behind the damage" }) && len(e[0].Attempts) > 1
 	})
-	p.upgrade()
-	p.take("status", "new", "25")
-	p.until("the new process sends", func() bool { return slices.Contains(p.sent(), "new") })
-	once := func() bool {
-		return len(slices.DeleteFunc(p.sent(), func(id string) bool { return id != "out" })) == 1
+	p.startSuccessor()
+	p.submitAccepted("status", "new", "25")
+	p.waitUntil("the successor sends a message", func() bool { return slices.Contains(p.calls(), "new") })
+	sentOnce := func() bool {
+		return len(slices.DeleteFunc(p.calls(), func(id string) bool { return id != "out" })) == 1
 	}
-	if !once() {
-		t.Errorf("a second attempt while one is out: %v", p.sent())
+	if !sentOnce() {
+		t.Errorf("the message with a call in flight was sent again: calls %v", p.calls())
 	}
 	close(hold)
-	if err := old.exit(t); err != nil {
-		t.Errorf("the old process: %v", err)
+	if err := old.waitForExit(t); err != nil {
+		t.Errorf("predecessor exited with an error: %v", err)
 	}
-	p.until("all are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if !once() || len(p.told()) != 0 {
-		t.Errorf("calls %v, notices %v", p.sent(), p.told())
+	p.waitUntil("all messages have ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if !sentOnce() || len(p.notifications()) != 0 {
+		t.Errorf("calls %v, notifications %v; want one call for the message in flight and no notification",
+			p.calls(), p.notifications())
 	}
 }
 
-// A wait that the old process was told binds the new one too.
+// An endpoint's request to wait, received by the predecessor, has to bind the successor too; it is transferred in the offer.
 func TestRetryAfterSurvivesUpgrade(t *testing.T) {
 	p := newPlatform(t)
-	var told time.Time
+	var refusedAt time.Time
 	addr := serveRaw(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		for {
@@ -200,59 +202,59 @@
 				return
 			}
 			text := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-			p.set(func() {
-				if told.IsZero() {
-					told, text = time.Now(), "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n"
-				} else if wait := time.Since(told); wait < 1500*time.Millisecond {
-					t.Errorf("sent again after %v", wait)
+			p.update(func() {
+				if refusedAt.IsZero() {
+					refusedAt, text = time.Now(), "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n"
+				} else if wait := time.Since(refusedAt); wait < 1500*time.Millisecond {
+					t.Errorf("sent again after %v, want at least 1.5 s", wait)
 				}
 			})
 			_, _ = io.WriteString(c, text)
-			p.began <- req.Header.Get("Request-Id")
+			p.callStarted <- req.Header.Get("Request-Id")
 		}
 	})
 	p.hosts = []Member{{Host: "h1", Dial: addr, Site: "a", Class: "m2", Block: 7, Health: "SERVING", Share: 100}}
-	p.inherits()
+	p.openClientSocket()
 	p.start()
-	p.take("status", "m", "25")
-	p.called()
-	p.until("the refusal is noted", func() bool {
-		e := readEntries(t, p.dir)
+	p.submitAccepted("status", "m", "25")
+	p.nextCall()
+	p.waitUntil("the refusal is in the journal", func() bool {
+		e := readEntries(t, p.stateDir)
 		return len(e) == 1 && len(e[0].Attempts) == 1 && e[0].Attempts[0].Ended
 	})
-	p.upgrade()
-	p.called()
+	p.startSuccessor()
+	p.nextCall()
 }
 
-// An old process that is silent is ended, and the new one starts from the journal.
-func TestSilentOldProcess(t *testing.T) {
+// A predecessor that does not respond must not block an upgrade: the successor has to kill it and to start from the journal.
+func TestUnresponsivePredecessorIsKilled(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
-	p.inherits()
+	p.respond = func(*http.Request) int { return 0 }
+	p.openClientSocket()
 	old := p.start()
-	p.take("status", "m", "25")
-	p.called()
+	p.submitAccepted("status", "m", "25")
+	p.nextCall()
 	if err := old.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
-	p.upgrade()
-	if err := old.exit(t); err == nil {
-		t.Error("the silent process ended in order")
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
+	p.startSuccessor()
+	if err := old.waitForExit(t); err == nil {
+		t.Error("the stopped predecessor exited without an error, want it killed")
 	}
-	p.until("the message is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if got := p.sent(); len(got) != 2 || len(p.told()) != 0 {
-		t.Errorf("calls %v, notices %v", got, p.told())
+	p.waitUntil("the message has ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if got := p.calls(); len(got) != 2 || len(p.notifications()) != 0 {
+		t.Errorf("calls %v, notifications %v; want two calls and no notification", got, p.notifications())
 	}
 }
 
-// A new process that dies in the middle of its steps changes nothing, and one that dies as the owner leaves the
-// journal to the next.
-func TestNewProcessDies(t *testing.T) {
+// A successor that dies before the transfer must not disturb the predecessor, which continues to deliver. One that dies after the
+// transfer must not lose the messages: the predecessor exits, and the next process delivers them from the journal.
+func TestSuccessorDiesAtEachStep(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.inherits()
+	p.openClientSocket()
 	old := p.start()
 	request := func(conn net.Conn) error {
 		_, err := io.WriteString(conn, `{"step":"ask"}`+"\n")
@@ -260,63 +262,64 @@
 	}
 	steps := []struct {
 		name string
-		take func(net.Conn) error
+		act  func(net.Conn) error
 	}{
-		{"before it asks", func(net.Conn) error { return nil }},
-		{"once it has asked", request},
-		{"with the offer", func(conn net.Conn) error {
+		{"before the request", func(net.Conn) error { return nil }},
+		{"after the request", request},
+		{"after the offer", func(conn net.Conn) error {
 			if err := request(conn); err != nil {
 				return err
 			}
 			offer, err := bufio.NewReader(conn).ReadString('\n')
 			if err == nil && !strings.HasPrefix(offer, `{"offer":`) {
-				return fmt.Errorf("the predecessor sent %q", offer)
+				return fmt.Errorf("predecessor sent %q, want an offer", offer)
 			}
 			return err
 		}},
 	}
 	for _, s := range steps {
-		c, err := (&net.Dialer{}).DialContext(t.Context(), "unix", filepath.Join(p.dir, "handover"))
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "unix", filepath.Join(p.stateDir, "handover"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = c.SetDeadline(time.Now().Add(long))
-		if err := s.take(c); err != nil {
-			t.Errorf("%s: %v", s.name, err)
+		_ = c.SetDeadline(time.Now().Add(testTimeout))
+		if err := s.act(c); err != nil {
+			t.Errorf("successor that dies %s: %v", s.name, err)
 		}
 		_ = c.Close()
-		p.take("status", s.name, "25")
-		p.until(s.name, func() bool { return slices.Contains(p.sent(), s.name) })
+		p.submitAccepted("status", s.name, "25")
+		p.waitUntil("a message is delivered after a successor died "+s.name,
+			func() bool { return slices.Contains(p.calls(), s.name) })
 	}
 
-	p.answer = func(*http.Request) int { return 0 }
-	p.take("status", "out", "25")
-	p.until("its call is out", func() bool { return slices.Contains(p.sent(), "out") })
-	acquired, err := handover.Request(t.Context(), p.dir, clock.Now().Add(long))
+	p.respond = func(*http.Request) int { return 0 }
+	p.submitAccepted("status", "out", "25")
+	p.waitUntil("its call is in flight", func() bool { return slices.Contains(p.calls(), "out") })
+	acquired, err := handover.Request(t.Context(), p.stateDir, clock.Now().Add(testTimeout))
 	if err != nil || len(acquired.Offer.InFlight) != 1 {
-		t.Fatalf("acquired %+v, %v", acquired, err)
+		t.Fatalf("handover.Request returned %+v, error %v; want one attempt in flight", acquired, err)
 	}
 	acquired.Predecessor.Close()
-	if err := old.exit(t); err != nil { // its call is off the wire with it
+	if err := old.waitForExit(t); err != nil { // the call in flight ends with the process
 		t.Error(err)
 	}
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.start()
-	p.until("the next one delivers", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitUntil("the next process delivers the message", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
 }
 
-// A folder whose path is too long for a socket can be handed over too.
-func TestSocketInALongPath(t *testing.T) {
+// A handover has to work in a state directory whose path is longer than the path of a Unix socket may be.
+func TestHandoverInLongPath(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.dir += "/" + strings.Repeat("long", 30)
-	if err := os.Mkdir(p.dir, 0o700); err != nil {
+	p.stateDir += "/" + strings.Repeat("long", 30)
+	if err := os.Mkdir(p.stateDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	p.inherits()
+	p.openClientSocket()
 	old := p.start()
-	p.upgrade()
-	if err := old.exit(t); err != nil {
+	p.startSuccessor()
+	if err := old.waitForExit(t); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/relay/sharing.go
+++ b/internal/relay/sharing.go
@@ -9,8 +9,8 @@
 	"milletsail/policy"
 )
 
-// newFleetService returns the service that shares what this relay learns with the fleet. It brings the loop what the others
-// share.
+// newFleetService returns the service that shares this relay's observations with the other relays of the fleet. What the others
+// share becomes events of the loop.
 func (l *loop) newFleetService(dir string) *live.Service {
 	s := &l.cfg.Settings
 	return live.New(live.Options{Incarnation: live.NextIncarnation(dir), Self: s.Ordinal, Size: s.NInstances, Version: version(),
@@ -22,32 +22,34 @@
 				l.gossip.Send(to, message)
 			}
 		},
-		OnAssessment: func(a live.PeerAssessment) { l.offerEvent(fleetAssessed{a}) },
+		OnAssessment: func(a live.PeerAssessment) { l.tryEnqueue(peersAssessed{a}) },
 		OnFact: func(f fleet.Fact, age time.Duration) {
-			if o, ok := observation(f, age); ok {
-				l.offerEvent(gossipReceived{o.Encode()})
+			if o, ok := observationFromFact(f, age); ok {
+				l.tryEnqueue(gossipReceived{o.Encode()})
 			}
 		}})
 }
 
-// receiveGossip hands a message of another relay to the service that it is for; for the goroutine of the gossip transport.
+// receiveGossip passes a message from another relay to the fleet service or, if it is not one of the service's, to the policy.
+// The goroutine of the gossip transport calls it.
 func (l *loop) receiveGossip(from int, message []byte) {
 	if l.fleet.Accepts(message) {
 		l.fleet.Receive(from, message)
 		return
 	}
-	l.offerEvent(gossipReceived{message})
+	l.tryEnqueue(gossipReceived{message})
 }
 
-// offerEvent enqueues an event that may be lost: it is, where the inbox is full.
-func (l *loop) offerEvent(e event) {
+// tryEnqueue enqueues an event that may be lost. It drops the event if the inbox is full.
+func (l *loop) tryEnqueue(e event) {
 	select {
 	case l.inbox <- e:
 	default:
 	}
 }
 
-// broadcast sends a gossip message of the policy to all other relays: as a fact where the fleet shares what it learns.
+// broadcast sends a gossip message of the policy to all other relays. If the fleet service is enabled, observations are shared
+// through it as facts instead.
 func (l *loop) broadcast(message []byte) {
 	observed, ok := policy.DecodeObservation(message)
 	if l.fleet == nil || !ok {
@@ -59,15 +61,16 @@
 	case observed.CircuitClosed:
 		kind = fleet.KindDestinationOpen
 	case observed.Recovered:
-		return // PersistHealth says the same
+		return // persistHealth has shared the recovery already
 	case observed.ConnectError:
 		kind, key, value = fleet.KindConnectionRejected, observed.Endpoint, 0
 	}
-	l.fleet.Observe(kind, key, value, false, observed.CallAge) // the policy limits how many relays report it
+	l.fleet.Observe(kind, key, value, false, observed.CallAge) // false: the policy itself limits how many relays report it
 }
 
-// observation returns what a fact says to the policy, if it is of the kinds that gossip messages carry.
-func observation(fact fleet.Fact, age time.Duration) (observed policy.Observation, ok bool) {
+// observationFromFact converts a fact to an observation for the policy. It reports false for facts of other kinds and for
+// those with an invalid destination.
+func observationFromFact(fact fleet.Fact, age time.Duration) (observed policy.Observation, ok bool) {
 	observed = policy.Observation{
 		CircuitOpen:   fact.Kind == fleet.KindDestinationClosed,
 		CircuitClosed: fact.Kind == fleet.KindDestinationOpen,
@@ -90,19 +93,19 @@
 	return observed, true
 }
 
-// assessmentEvents translates an assessment of the fleet into the policy's events.
-func assessmentEvents(s live.PeerAssessment) []policy.Event {
-	events := []policy.Event{policy.PeerSuspected{Destination: s.Dest, Endpoint: s.Endpoint, Observers: s.Observers,
-		RecentObservers: s.RecentObservers, OldestAge: s.OldestAge, NewestAge: s.NewestAge, ValidFor: s.ValidFor, Rank: s.Rank}}
-	if s.Rates.Reporters > 0 {
-		events = append(events, policy.PeerRateReceived{Destination: s.Dest, LiveRelays: s.LiveRelays, Reporters: s.Rates.Reporters,
-			RateShare: s.Rates.RateShare, ArrivalRate: s.Rates.ArrivalRate, ArrivalRateError: s.Rates.ArrivalRateError,
-			ArrivalRateByZone: s.ArrivalRateByZone, ValidFor: s.Rates.ValidFor})
+// assessmentEvents converts the fleet's assessment of a destination or an endpoint to events of the policy.
+func assessmentEvents(a live.PeerAssessment) []policy.Event {
+	events := []policy.Event{policy.PeerSuspected{Destination: a.Dest, Endpoint: a.Endpoint, Observers: a.Observers,
+		RecentObservers: a.RecentObservers, OldestAge: a.OldestAge, NewestAge: a.NewestAge, ValidFor: a.ValidFor, Rank: a.Rank}}
+	if a.Rates.Reporters > 0 {
+		events = append(events, policy.PeerRateReceived{Destination: a.Dest, LiveRelays: a.LiveRelays, Reporters: a.Rates.Reporters,
+			RateShare: a.Rates.RateShare, ArrivalRate: a.Rates.ArrivalRate, ArrivalRateError: a.Rates.ArrivalRateError,
+			ArrivalRateByZone: a.ArrivalRateByZone, ValidFor: a.Rates.ValidFor})
 	}
 	return events
 }
 
-// observeFailure reports an attempt that failed to the fleet.
+// observeFailure reports a failed attempt to the fleet service, if the outcome may be the endpoint's fault.
 func (l *loop) observeFailure(e attemptEnded) {
 	switch e.Outcome {
 	case policy.ConnectError, policy.Failed, policy.Reset, policy.TimedOut:
--- a/internal/relay/wire_handover_proxy_test.go
+++ b/internal/relay/wire_handover_proxy_test.go
@@ -10,21 +10,19 @@
 	"testing"
 )
 
-// handoverProxy stands between an old process and a new one, and keeps each line that goes over their link before it
-// passes it on.
+// handoverProxy sits between a predecessor and a successor. It records each line of their link and then forwards it.
 type handoverProxy struct {
-	t     *testing.T
-	path  string                  // of the old process's socket
-	meet  func(handoverLine) bool // is called with each line, and tells whether it is to be passed on
-	lines chan handoverLine
+	t      *testing.T
+	path   string                  // path of the predecessor's socket
+	onLine func(handoverLine) bool // called with each line; reports whether to forward it
+	lines  chan handoverLine       // the recorded lines
 }
 
-// proxyHandover puts a proxy in the place of the socket in a folder. The old process's socket goes on under another
-// name.
+// proxyHandover renames the predecessor's socket in a state directory and listens in its place with a proxy.
 func proxyHandover(t *testing.T, dir string, meet func(handoverLine) bool) *handoverProxy {
 	t.Helper()
 	socket := filepath.Join(dir, "handover")
-	proxy := &handoverProxy{t: t, path: socket + "-old", meet: meet, lines: make(chan handoverLine, 1000)}
+	proxy := &handoverProxy{t: t, path: socket + "-old", onLine: meet, lines: make(chan handoverLine, 1000)}
 	if err := os.Rename(socket, proxy.path); err != nil {
 		t.Fatal(err)
 	}
@@ -32,50 +30,51 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener.SetUnlinkOnClose(false) // by then it is the new process's
+	listener.SetUnlinkOnClose(false) // by then the path belongs to the successor's socket
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			newer, err := listener.Accept()
-			if err != nil { // closed
+			successor, err := listener.Accept()
+			if err != nil { // the listener is closed
 				return
 			}
-			go proxy.join(newer)
+			go proxy.connect(successor)
 		}
 	}()
 	return proxy
 }
 
-// join joins a new process with the old one.
-func (p *handoverProxy) join(newer net.Conn) {
-	defer func() { _ = newer.Close() }()
-	old, err := (&net.Dialer{}).DialContext(p.t.Context(), "unix", p.path)
+// connect connects to the predecessor and forwards lines in both directions until both sides have ended.
+func (p *handoverProxy) connect(successor net.Conn) {
+	defer func() { _ = successor.Close() }()
+	predecessor, err := (&net.Dialer{}).DialContext(p.t.Context(), "unix", p.path)
 	if err != nil {
 		p.t.Error(err)
 		return
 	}
-	defer func() { _ = old.Close() }()
-	var both sync.WaitGroup
-	both.Go(func() { p.pass("new", newer, old) })
-	both.Go(func() { p.pass("old", old, newer) })
-	both.Wait()
+	defer func() { _ = predecessor.Close() }()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forwardLines("new", successor, predecessor) })
+	directions.Go(func() { p.forwardLines("old", predecessor, successor) })
+	directions.Wait()
 }
 
-// pass passes the lines of one process on to the other, and then its end.
-func (p *handoverProxy) pass(from string, source, sink net.Conn) {
+// forwardLines records and forwards the lines that one process sends to the other. At their end it closes the sending side of
+// the other connection.
+func (p *handoverProxy) forwardLines(from string, source, sink net.Conn) {
 	in := bufio.NewReader(source)
 	for {
 		text, err := in.ReadString('\n')
 		if err != nil {
-			if half, ok := sink.(*net.UnixConn); ok {
-				_ = half.CloseWrite()
+			if unixConn, ok := sink.(*net.UnixConn); ok {
+				_ = unixConn.CloseWrite()
 			}
 			return
 		}
 		line := handoverLine{from: from, kind: handoverKind.FindString(text), text: text}
-		passes := p.meet(line)
+		forward := p.onLine(line)
 		p.lines <- line
-		if passes {
+		if forward {
 			_, _ = io.WriteString(sink, text)
 		}
 	}
