--- a/cmd/milletsail/scenariorun.go
+++ b/cmd/milletsail/scenariorun.go
@@ -98,7 +98,7 @@
 	return func(at time.Duration) {
 		var active []string
 		for _, fault := range s.Faults {
-			if at >= fault.At.AsDuration() && at < fault.At.AsDuration()+max(fault.For.AsDuration(), time.Second) {
+			if at >= fault.At.AsDuration() && at < fault.At.AsDuration()+max(fault.Duration.AsDuration(), time.Second) {
 				active = append(active, fault.Kind)
 			}
 		}
@@ -118,7 +118,7 @@
 // showResult prints the report of a run and the broken rules, writes the report's files if --report is set, and returns the exit
 // status as an error.
 func (r *scenarioRun) showResult(command *cobra.Command, events []history.Event, outcome checker.Verdict) error {
-	metrics := report.Of(events, outcome)
+	metrics := report.Compute(events, outcome)
 	if !r.quiet {
 		command.PrintErrln()
 	}
@@ -160,7 +160,7 @@
 	switch {
 	case len(outcome.Violations) > 0:
 		return errProblemFound
-	case outcome.Void != "" || outcome.Cut:
+	case outcome.InvalidReason != "" || outcome.Truncated:
 		return errInvalidRun
 	}
 	return nil
--- a/internal/lab/campaign/campaign_test.go
+++ b/internal/lab/campaign/campaign_test.go
@@ -14,7 +14,7 @@
 	"milletsail/scenarios"
 )
 
-const form = `
+const sampleCampaign = `
 base = "calm"
 seeds = 4
 at_once = 3
@@ -43,9 +43,9 @@
 	return p
 }
 
-// Values of a case and a variant take the place of the scenario's, and the rest stays.
+// Values of the case and the variant must override the scenario's, and all others must stay.
 func TestScenario(t *testing.T) {
-	p := read(t, form)
+	p := read(t, sampleCampaign)
 	s, err := p.Scenario("one", "b", 9)
 	if err != nil {
 		t.Fatal(err)
@@ -56,15 +56,15 @@
 		t.Fatal(err)
 	}
 	if s.Seed != 9 || s.Fleet.Relays != 7 || s.Load.Rate != 50 || len(s.Faults) != 1 || len(s.Hosts) != len(base.Hosts) || s.Length != base.Length {
-		t.Errorf("%+v", s)
+		t.Errorf("scenario of case one, variant b, seed 9 does not combine base and overrides: %+v", s)
 	}
 	if other, err := p.Scenario("one", "a", 9); err != nil || other.Fleet.Relays != base.Fleet.Relays {
-		t.Errorf("variant a: %v, %v", other, err)
+		t.Errorf("scenario of variant a does not keep the base's number of relays: %v, error %v", other, err)
 	}
 }
 
-// What can't be played, or held, is an error before anything starts.
-func TestReadRefuses(t *testing.T) {
+// A plan with a value that can't be run or checked must be rejected by Read, before any run starts.
+func TestReadRejectsInvalidPlans(t *testing.T) {
 	for from, to := range map[string]string{
 		`base = "calm"`:      `base = "none"`,
 		"seeds = 4":          "seeds = 0",
@@ -78,19 +78,19 @@
 		`name = "b"`:         `name = "a"`,
 		`, least = 0.9`:      ``,
 	} {
-		if _, err := Read("plan.toml", []byte(strings.Replace(form, from, to, 1)), scenarios.Get); err == nil || !strings.HasPrefix(err.Error(), "plan.toml") {
-			t.Errorf("%s: %v", to, err)
+		if _, err := Read("plan.toml", []byte(strings.Replace(sampleCampaign, from, to, 1)), scenarios.Get); err == nil || !strings.HasPrefix(err.Error(), "plan.toml") {
+			t.Errorf("plan with %s: got error %v, want one that begins with the file name", to, err)
 		}
 	}
 }
 
-// Each play counts once, void ones are played again and stay out of the figures, expectations hold for each play, and
-// differences are paired by seed.
+// Each run must count once, invalid runs must be repeated and left out of the figures, expectations must apply to each run, and
+// differences must be paired by seed.
 func TestRun(t *testing.T) {
-	p := read(t, form)
+	p := read(t, sampleCampaign)
 	var mu sync.Mutex
-	tries := map[string]int{}
-	player := func(_ context.Context, s *scenario.Scenario) (*report.Figures, error) {
+	attempts := map[string]int{}
+	runner := func(_ context.Context, s *scenario.Scenario) (*report.Figures, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		side := "a"
@@ -98,71 +98,71 @@
 			side = "b"
 		}
 		key := side + string(rune('0'+s.Seed))
-		tries[key]++
+		attempts[key]++
 		f := &report.Figures{Served: 0.8 + 0.01*float64(s.Seed)}
 		if side == "b" {
 			f.Served += 0.1
 		}
 		switch {
-		case side == "b" && s.Seed == 2 && tries[key] < 3:
-			f.Verdict.Void, f.Served = "late", 0
+		case side == "b" && s.Seed == 2 && attempts[key] < 3:
+			f.Verdict.InvalidReason, f.Served = "late", 0
 		case side == "a" && s.Seed == 3 && s.Load.Rate == 50:
-			f.Verdict.Void = "late"
+			f.Verdict.InvalidReason = "late"
 		case side == "b" && s.Seed == 4:
-			f.Served, f.Fell = 0.5, 1
+			f.Served, f.Overloaded = 0.5, 1
 			f.Verdict.Violations = []checker.Violation{{Rule: checker.Lost}}
 		}
 		return f, nil
 	}
-	plays, err := p.Run(t.Context(), nil, player, func(Play) {})
-	if err != nil || len(plays) != 9 {
-		t.Fatalf("%d plays, %v", len(plays), err)
+	results, err := p.Run(t.Context(), nil, runner, func(RunResult) {})
+	if err != nil || len(results) != 9 {
+		t.Fatalf("got %d results and error %v, want 9 and none", len(results), err)
 	}
-	void, missed, broken := 0, 0, 0
-	for _, one := range plays {
-		if one.Void != "" {
-			void++
+	invalid, unmet, violations := 0, 0, 0
+	for _, result := range results {
+		if result.InvalidReason != "" {
+			invalid++
 		}
-		missed += len(one.Missed)
-		broken += len(one.Broken)
+		unmet += len(result.UnmetExpectations)
+		violations += len(result.Violations)
 	}
-	if void != 1 || missed != 2 || broken != 1 || tries["b2"] != 3 {
-		t.Errorf("%d void, %d missed, %d broken, %d tries of a play that is void at first", void, missed, broken, tries["b2"])
+	if invalid != 1 || unmet != 2 || violations != 1 || attempts["b2"] != 3 {
+		t.Errorf("got %d invalid, %d unmet expectations, %d violations, %d attempts at a run that is invalid twice; want 1, 2, 1, 3", invalid, unmet, violations, attempts["b2"])
 	}
-	for _, row := range p.Table(plays, []string{"served"}) {
+	for _, row := range p.Table(results, []string{"served"}) {
 		if row.Case == "one" && row.Variant == "b" {
-			// Seeds 1 and 2 are 0.1 up, 4 is 0.34 down; 3 has no pair.
-			if row.Plays != 4 || row.Pairs != 3 || math.Abs(row.Diff-(0.1+0.1-0.34)/3) > 1e-9 || row.Low != 0.5 {
-				t.Errorf("%+v", row)
+			// The difference is +0.1 for seeds 1 and 2 and −0.34 for seed 4; seed 3 has no pair.
+			if row.Runs != 4 || row.Pairs != 3 || math.Abs(row.Diff-(0.1+0.1-0.34)/3) > 1e-9 || row.Low != 0.5 {
+				t.Errorf("row of variant b: got %+v, want 4 runs, 3 pairs and the mean of their differences", row)
 			}
 		}
 	}
-	if _, err := p.Run(t.Context(), []string{"three"}, player, func(Play) {}); err == nil {
-		t.Error("a case that is not there is played")
+	if _, err := p.Run(t.Context(), []string{"three"}, runner, func(RunResult) {}); err == nil {
+		t.Error("running a case that does not exist returned no error")
 	}
 	failing := errors.New("no sockets")
-	if _, err := p.Run(t.Context(), nil, func(context.Context, *scenario.Scenario) (*report.Figures, error) { return nil, failing }, func(Play) {}); !errors.Is(err, failing) {
-		t.Errorf("a play that can't be played: %v", err)
+	if _, err := p.Run(t.Context(), nil, func(context.Context, *scenario.Scenario) (*report.Figures, error) { return nil, failing }, func(RunResult) {}); !errors.Is(err, failing) {
+		t.Errorf("got error %v, want the error of the failed run", err)
 	}
 }
 
-// Of zones only those that a fault has struck can be accused rightly, or come back.
+// Only zones without a fault count as accused, and only zones with a fault can recover.
 func TestZoneFigures(t *testing.T) {
 	back := 2.5
-	f := &report.Figures{Zones: []report.ZoneFigures{{Zone: "a", Left: 3}, {Zone: "b", Left: 20, Hit: true, Back: &back}}}
+	f := &report.Figures{Zones: []report.ZoneFigures{{Zone: "a", LeftBy: 3}, {Zone: "b", LeftBy: 20, Faulted: true, Recovery: &back}}}
 	if v := Figures["zone_back"](f); v != back {
-		t.Errorf("back after %v", v)
+		t.Errorf("zone_back: got %v, want the recovery time of zone b", v)
 	}
 	if v := Figures["accused"](f); v != 3 {
-		t.Errorf("%v accuse a zone that is well", v)
+		t.Errorf("accused: got %v, want the 3 relays that evacuated the zone without a fault", v)
 	}
-	f.Zones[1].Back = nil
+	f.Zones[1].Recovery = nil
 	if v := Figures["zone_back"](f); !math.IsInf(v, 1) {
-		t.Errorf("a zone that never came back is back after %v", v)
+		t.Errorf("zone_back of a zone that never recovered: got %v, want +Inf", v)
 	}
 }
 
-// The campaigns that come with the program can be played.
+// Every campaign that ships with the program must be valid.
 func TestCampaigns(t *testing.T) {
 	for _, name := range []string{"zones", "servers"} {
 		text, err := scenarios.Campaign(name)
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,5 +1,5 @@
-// Package compare plays two sides on the same seeds in turn and gives paired differences. The side that begins changes
-// with each seed, so that neither gains from what the machine does over time.
+// Package compare runs two sides on the same seeds and computes paired differences. The side that runs first alternates with
+// the seed, so that neither side gains from changes of the machine's load over time.
 package compare
 
 import (
@@ -11,65 +11,65 @@
 	"milletsail/internal/lab/report"
 )
 
-// Side is one of two that are compared.
+// Side is one of the two sides of a comparison.
 type Side struct {
 	Name string
-	Play func(seed uint64) (*report.Figures, error)
+	Run  func(seed uint64) (*report.Figures, error)
 }
 
-// Row is one figure: the means of both sides, and the mean difference with its confidence interval of 95%.
+// Row is one figure: the means of both sides, and the mean difference B−A with its 95% confidence interval.
 type Row struct {
 	Name                  string
 	A, B, Diff, Low, High float64
 }
 
-// Result is a comparison.
+// Result is the result of a comparison.
 type Result struct {
-	Rows   []Row
-	Pairs  int
-	Void   int    // pairs left out, since the lab was late in one of their plays
-	Broken [2]int // rules broken, by side
+	Rows         []Row
+	Pairs        int
+	InvalidPairs int    // pairs left out because one of their runs was invalid
+	Violations   [2]int // number of rule violations, by side
 }
 
-// figures are what is compared.
-var figures = []struct {
+// comparedFigures are the figures that a comparison reports.
+var comparedFigures = []struct {
 	name string
 	of   func(*report.Figures) float64
 }{
 	{"worth served", func(f *report.Figures) float64 { return f.Served }},
-	{"refused", func(f *report.Figures) float64 { return f.Ends[report.Refused] + f.Ends[report.HandedBack] }},
+	{"refused", func(f *report.Figures) float64 { return f.Outcomes[report.Refused] + f.Outcomes[report.HandedBack] }},
 	{"delivered p50 s", func(f *report.Figures) float64 { return f.Latency["p50"] }},
 	{"delivered p99 s", func(f *report.Figures) float64 { return f.Latency["p99"] }},
 	{"attempts a message", func(f *report.Figures) float64 { return f.Attempts }},
-	{"calls turned away", func(f *report.Figures) float64 { return f.Turned }},
-	{"connections a message", func(f *report.Figures) float64 { return f.Connects }},
+	{"calls turned away", func(f *report.Figures) float64 { return f.RejectedShare }},
+	{"connections a message", func(f *report.Figures) float64 { return f.Connections }},
 	{"CPU s a relay", func(f *report.Figures) float64 { return f.CPU.Mean }},
 	{"MB a relay", func(f *report.Figures) float64 { return f.MemoryMB.Mean }},
 }
 
-// Pairs plays both sides on seeds from 1 on; played is told of each play.
-func Pairs(sides [2]Side, seeds int, played func(seed uint64, side int, f *report.Figures)) (*Result, error) {
+// Pairs runs both sides on the seeds 1 to seeds and calls onRun after each run.
+func Pairs(sides [2]Side, seeds int, onRun func(seed uint64, side int, f *report.Figures)) (*Result, error) {
 	r := &Result{}
 	var pairs [][2]*report.Figures
 	for seed := uint64(1); seed <= uint64(seeds); seed++ {
 		var pair [2]*report.Figures
 		for _, side := range [][]int{{0, 1}, {1, 0}}[seed%2] {
-			f, err := sides[side].Play(seed)
+			f, err := sides[side].Run(seed)
 			if err != nil {
 				return nil, err
 			}
-			played(seed, side, f)
-			r.Broken[side] += len(f.Verdict.Violations)
+			onRun(seed, side, f)
+			r.Violations[side] += len(f.Verdict.Violations)
 			pair[side] = f
 		}
-		if pair[0].Verdict.Void != "" || pair[1].Verdict.Void != "" {
-			r.Void++
+		if pair[0].Verdict.InvalidReason != "" || pair[1].Verdict.InvalidReason != "" {
+			r.InvalidPairs++
 			continue
 		}
 		pairs = append(pairs, pair)
 	}
 	r.Pairs = len(pairs)
-	for _, fig := range figures {
+	for _, fig := range comparedFigures {
 		row := Row{Name: fig.name}
 		var diffs []float64
 		for _, pair := range pairs {
@@ -84,8 +84,8 @@
 	return r, nil
 }
 
-// Interval is the mean of differences with its confidence interval of 95%, by Student's t; without two of them the
-// interval is everything.
+// Interval returns the mean of paired differences with its 95% confidence interval by Student's t. With fewer than two
+// differences the interval is unbounded.
 func Interval(diffs []float64) (mean, low, high float64) {
 	n := float64(len(diffs))
 	if n < 2 {
--- a/internal/lab/report/files.go
+++ b/internal/lab/report/files.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Write puts the figures into a folder: figures.json, service.svg and index.html, which shows both.
+// Write writes the figures into a directory: figures.json, service.svg and index.html, which shows both.
 func (f *Figures) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	picture, err := f.picture()
+	picture, err := f.serviceChart()
 	if err != nil {
 		return err
 	}
@@ -33,12 +33,12 @@
 	if err := f.Text(&table); err != nil {
 		return err
 	}
-	err = pageForm.Execute(&page, map[string]any{"Figures": f, "Text": table.String(), "Picture": template.HTML(picture)})
+	err = pageTemplate.Execute(&page, map[string]any{"Figures": f, "Text": table.String(), "Picture": template.HTML(picture)})
 	return errors.Join(err, os.WriteFile(filepath.Join(dir, "figures.json"), append(text, '\n'), 0o644),
 		os.WriteFile(filepath.Join(dir, "service.svg"), picture, 0o644), os.WriteFile(filepath.Join(dir, "index.html"), page.Bytes(), 0o644))
 }
 
-var pageForm = template.Must(template.New("page").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Figures.Title}}</title>
 <style>body{font:15px/1.5 sans-serif;max-width:60em;margin:2em auto;padding:0 1em}pre{overflow-x:auto;background:#f6f6f6;padding:1em}
 table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:left;border-bottom:1px solid #ddd}svg{max-width:100%;height:auto}</style></head><body>
@@ -46,20 +46,20 @@
 <p>Verdict: <strong>{{.Figures.Verdict.String}}</strong></p>
 {{.Picture}}
 <pre>{{.Text}}</pre>
-{{with .Figures.Verdict.Violations}}<h2>Broken rules</h2>
-<table><tr><th>rule</th><th>relay</th><th>message</th><th>what</th><th>lines of the history</th></tr>
+{{with .Figures.Verdict.Violations}}<h2>Violations</h2>
+<table><tr><th>rule</th><th>relay</th><th>message</th><th>description</th><th>lines of the history</th></tr>
 {{range .}}<tr><td>{{.Rule}}</td><td>{{.Relay}}</td><td>{{.ID}}</td><td>{{.Text}}</td><td>{{.Lines}}</td></tr>{{end}}</table>{{end}}
 </body></html>
 `))
 
-// picture draws the service over time, with the faults as bands.
-func (f *Figures) picture() ([]byte, error) {
+// serviceChart draws the service over time as SVG, with the faults as shaded bands.
+func (f *Figures) serviceChart() ([]byte, error) {
 	p := plot.New()
-	p.Title.Text = "Worth served of what arrived, by the time of arrival"
+	p.Title.Text = "Share of the worth served, by time of arrival"
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "share"
 	p.Y.Min, p.Y.Max = 0, 1.05
 	for _, x := range f.Faults {
-		until := max(x.Until, x.At+bucket.Seconds()/2)
+		until := max(x.Until, x.At+serviceStep.Seconds()/2)
 		band, err := plotter.NewPolygon(plotter.XYs{{X: x.At, Y: 0}, {X: until, Y: 0}, {X: until, Y: 1.05}, {X: x.At, Y: 1.05}})
 		if err != nil {
 			return nil, err
@@ -74,8 +74,8 @@
 	}
 	var line plotter.XYs
 	for _, point := range f.Service {
-		if point.Asked > 0 {
-			line = append(line, plotter.XY{X: point.At, Y: point.Served / point.Asked})
+		if point.Offered > 0 {
+			line = append(line, plotter.XY{X: point.At, Y: point.Served / point.Offered})
 		}
 	}
 	if len(line) > 0 {
--- a/internal/lab/report/newcomers.go
+++ b/internal/lab/report/newcomers.go
@@ -10,110 +10,112 @@
 	"milletsail/internal/lab/history"
 )
 
-// Newcomer is how an endpoint fared that took the place of another. Times are in seconds since it was listed.
-type Newcomer struct {
-	Host string  `json:"host"`
-	At   float64 `json:"at"`
-	// Held is when half of the relays that were asked had held it back; none where they never had. Exposed is its share of
-	// its destination's calls until then, or for the first exposedFor.
-	Held    *float64 `json:"held,omitempty"`
-	Exposed float64  `json:"exposed"`
-	Failed  int      `json:"failed"` // of its calls, those that got an error, over the whole play
-	Calls   int      `json:"calls"`
-	// Full is when it first got fullShare, in a span of callSpan, of the calls that the one before it had got; none where it
-	// did not.
-	Full *float64 `json:"full,omitempty"`
+// NewEndpoint describes an endpoint that replaced another one. Times are in seconds since it was listed; Listed is in seconds
+// since the run began.
+type NewEndpoint struct {
+	Host   string  `json:"host"`
+	Listed float64 `json:"at"`
+	// HeldAfter is the median time at which relays held the endpoint back; nil if fewer than half of the relays that reported
+	// on it did. ExposedShare is its share of its destination's calls until then, or over exposureWindow if it was not held
+	// back.
+	HeldAfter    *float64 `json:"held,omitempty"`
+	ExposedShare float64  `json:"exposed"`
+	FailedCalls  int      `json:"failed"` // calls to the endpoint that were answered with 500, over the whole run
+	Calls        int      `json:"calls"`
+	// FullAfter is when it first got fullTrafficShare of the calls that its predecessor had got, counted over callWindow; nil
+	// if it never did.
+	FullAfter *float64 `json:"full,omitempty"`
 }
 
 const (
-	exposedFor = 20 * time.Second
-	fullShare  = 0.85
+	exposureWindow   = 20 * time.Second
+	fullTrafficShare = 0.85
 )
 
-// newcomers finds how endpoints that took the place of others fared.
-func (f *Figures) newcomers(events []history.Event) {
-	facts := events[0].Facts
-	calls, byNo, failed := map[string][]float64{}, map[int]string{}, map[string]int{}
-	born, order := map[string]float64{}, []string(nil)
-	holds, asked := map[string]map[int]float64{}, map[string]map[int]bool{}
+// computeNewEndpoints computes the figures of the endpoints that replaced others.
+func (f *Figures) computeNewEndpoints(events []history.Event) {
+	facts := events[0].Parameters
+	calls, hostOfCall, failed := map[string][]float64{}, map[int]string{}, map[string]int{}
+	listed, order := map[string]float64{}, []string(nil)
+	heldAt, reporting := map[string]map[int]float64{}, map[string]map[int]bool{}
 	for i := range events {
 		e := &events[i]
-		at := e.T.D().Seconds()
+		at := e.Time.Duration().Seconds()
 		switch e.Kind {
 		case history.List:
 			for _, h := range e.Hosts {
-				if _, ok := born[h.Host]; !ok && !e.Told && h.Health == "SERVING" && strings.Contains(h.Host, "-n") {
-					born[h.Host] = at
+				if _, ok := listed[h.Host]; !ok && !e.SentToRelay && h.Health == "SERVING" && strings.Contains(h.Host, "-n") {
+					listed[h.Host] = at
 					order = append(order, h.Host)
-					holds[h.Host], asked[h.Host] = map[int]float64{}, map[int]bool{}
+					heldAt[h.Host], reporting[h.Host] = map[int]float64{}, map[int]bool{}
 				}
 			}
 		case history.Call:
 			calls[e.Host] = append(calls[e.Host], at)
-			byNo[e.Call] = e.Host
+			hostOfCall[e.Call] = e.Host
 		case history.Reply:
 			if e.Status == "500" {
-				failed[byNo[e.Call]]++
+				failed[hostOfCall[e.Call]]++
 			}
 		case history.Servers:
 			for host, t := range e.Trials {
-				if asked[host] == nil {
+				if reporting[host] == nil {
 					continue
 				}
-				asked[host][*e.Relay] = true
-				if _, had := holds[host][*e.Relay]; !had && t.Holds > 0 {
-					holds[host][*e.Relay] = at
+				reporting[host][*e.Relay] = true
+				if _, had := heldAt[host][*e.Relay]; !had && t.Holds > 0 {
+					heldAt[host][*e.Relay] = at
 				}
 			}
 		}
 	}
 	for _, host := range order {
-		n := Newcomer{Host: host, At: born[host], Failed: failed[host], Calls: len(calls[host])}
-		until := n.At + exposedFor.Seconds()
+		n := NewEndpoint{Host: host, Listed: listed[host], FailedCalls: failed[host], Calls: len(calls[host])}
+		until := n.Listed + exposureWindow.Seconds()
 		var times []float64
-		for _, at := range holds[host] {
+		for _, at := range heldAt[host] {
 			times = append(times, at)
 		}
-		if len(times) > 0 && 2*len(times) >= len(asked[host]) {
+		if len(times) > 0 && 2*len(times) >= len(reporting[host]) {
 			until = median(times)
-			held := until - n.At
-			n.Held = &held
+			held := until - n.Listed
+			n.HeldAfter = &held
 		}
 		var own, all float64
 		for other, at := range calls {
 			if facts.Hosts[other].Dest == facts.Hosts[host].Dest {
-				c := within(at, n.At, until)
+				c := countWithin(at, n.Listed, until)
 				all += c
 				if other == host {
 					own += c
 				}
 			}
 		}
-		n.Exposed = own / math.Max(1, all)
+		n.ExposedShare = own / math.Max(1, all)
 		before, _, _ := strings.Cut(host, "-n")
-		if usual := usualCalls(calls[before], n.At); usual > 0 {
-			n.Full = regained(calls[host], fullShare*usual, n.At)
+		if usual := baselineCalls(calls[before], n.Listed); usual > 0 {
+			n.FullAfter = timeToReach(calls[host], fullTrafficShare*usual, n.Listed)
 		}
-		f.Newcomers = append(f.Newcomers, n)
+		f.NewEndpoints = append(f.NewEndpoints, n)
 	}
 }
 
-// median is the middle of some times; there is one at least.
+// median returns the upper median of the times, of which there must be at least one. It sorts them in place.
 func median(times []float64) float64 {
 	slices.Sort(times)
 	return times[len(times)/2]
 }
 
-// newcomersText writes them for a terminal.
-func (f *Figures) newcomersText(line func(name, format string, args ...any)) {
-	for _, n := range f.Newcomers {
-		fate := "never held back"
-		if n.Held != nil {
-			fate = fmt.Sprintf("held back after %s", seconds(*n.Held))
+// newEndpointsText writes one line of a table per new endpoint.
+func (f *Figures) newEndpointsText(line func(name, format string, args ...any)) {
+	for _, n := range f.NewEndpoints {
+		status := "never held back"
+		if n.HeldAfter != nil {
+			status = fmt.Sprintf("held back after %s", seconds(*n.HeldAfter))
 		}
-		if n.Full != nil {
-			fate += fmt.Sprintf(", had the share of the one before it after %s", seconds(*n.Full))
+		if n.FullAfter != nil {
+			status += fmt.Sprintf(", had its predecessor's traffic after %s", seconds(*n.FullAfter))
 		}
-		line("new "+n.Host, "at %.1f s, %s; %.1f%% of its destination's calls until then, or in %v; %d of its %d calls failed", n.At, fate, 100*n.Exposed, exposedFor, n.Failed, n.Calls)
+		line("new endpoint "+n.Host, "at %.1f s, %s; %.1f%% of its destination's calls until held back, or in the first %v; %d of its %d calls failed", n.Listed, status, 100*n.ExposedShare, exposureWindow, n.FailedCalls, n.Calls)
 	}
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report turns a history into the figures that people read: what was served and refused, how fast, at what
-// cost, and how quickly service came back after each fault. It needs the history alone.
+// Package report computes the figures of a run from its history: what was served and refused, how fast, at what cost, and how
+// quickly service recovered after each fault. It needs the history only.
 package report
 
 import (
@@ -19,192 +19,193 @@
 )
 
 const (
-	// bucket is the step of the service over time.
-	bucket = 500 * time.Millisecond
-	// before is the span before a fault that its service is compared with, backShare the share of that which counts as
-	// back, for backFor at least.
-	before, backShare, backFor = 4 * time.Second, 0.95, time.Second
-	// zoneShare of the calls that it got before, in spans of callSpan, count as back for a zone: a span holds some 200.
-	zoneShare = 0.9
+	// serviceStep is the resolution of the service over time.
+	serviceStep = 500 * time.Millisecond
+	// baselineSpan is the span before a fault that gives the baseline of its service. Service counts as recovered when it
+	// reaches recoveredShare of the baseline over recoveredFor.
+	baselineSpan, recoveredShare, recoveredFor = 4 * time.Second, 0.95, time.Second
+	// zoneRecoveredShare is the share of a zone's earlier calls, over callWindow, at which the zone counts as recovered; a
+	// window holds about 200 calls.
+	zoneRecoveredShare = 0.9
 )
 
-// The ends of a message, as the client sees them.
+// The outcomes of a message from the client's point of view, as reports show them.
 const (
 	InAim         = "in aim"
-	InTime        = "late"
+	Late          = "late"
 	Refused       = "refused"
 	HandedBack    = "handed back"
 	Undeliverable = "undeliverable"
 	Failed        = "failed"
-	LeftWaiting   = "no answer"
-	NoEnd         = "no end"
+	Unanswered    = "no answer"
+	Unresolved    = "no end"
 )
 
-// Ends are all of them, in the order of a report.
-var Ends = []string{InAim, InTime, Refused, HandedBack, Undeliverable, Failed, LeftWaiting, NoEnd}
+// Outcomes lists all outcomes in the order in which a report shows them.
+var Outcomes = []string{InAim, Late, Refused, HandedBack, Undeliverable, Failed, Unanswered, Unresolved}
 
-// Figures are what a play comes to. Times are in seconds, shares from 0 to 1.
+// Figures are the results of one run. Times are in seconds, shares from 0 to 1.
 type Figures struct {
 	Title    string `json:"title"`
 	Seed     uint64 `json:"seed"`
 	Relays   int    `json:"relays"`
 	Messages int    `json:"messages"`
 
-	Served   float64            `json:"served"`    // worth served, by the worth asked for
-	Ends     map[string]float64 `json:"ends"`      // shares of the messages
-	ByClass  map[string]float64 `json:"by_class"`  // worth served
-	Latency  map[string]float64 `json:"latency"`   // of the delivered, since they were first handed in
-	Answer   map[string]float64 `json:"answer"`    // of the relays' answers to clients
-	Attempts float64            `json:"attempts"`  // messages in calls, a message
-	Turned   float64            `json:"turned"`    // calls turned away, a call
-	Connects float64            `json:"connects"`  // new connections, a message
-	CPU      Spread             `json:"cpu"`       // seconds a relay, over its processes
-	MemoryMB Spread             `json:"memory_mb"` // most, a relay
-	DiskMB   Spread             `json:"disk_mb"`
-
-	Faults []FaultFigures `json:"faults"`
-	Notes  Notes          `json:"notes"`
-	Local  float64        `json:"local"` // share of the calls to the relay's own zone, where there are several
-	// LocalMost is the share of the calls whose destination has an endpoint in the relay's own zone.
-	LocalMost float64       `json:"local_most"`
-	Fell      int           `json:"fell"` // cold endpoints that were pushed over
-	Zones     []ZoneFigures `json:"zones"`
-	// Newcomers are the endpoints that took the place of others.
-	Newcomers []Newcomer      `json:"newcomers,omitempty"`
-	Service   []Point         `json:"service"`
-	Verdict   checker.Verdict `json:"verdict"`
-	Lab       Lab             `json:"lab"`
+	Served        float64            `json:"served"`    // worth served, as a share of the worth of all messages
+	Outcomes      map[string]float64 `json:"ends"`      // share of the messages, by outcome
+	ByClass       map[string]float64 `json:"by_class"`  // worth served, as a share of the class's worth
+	Latency       map[string]float64 `json:"latency"`   // percentiles of the time from first hand-in to delivery
+	AnswerTime    map[string]float64 `json:"answer"`    // percentiles of the relays' answer times to clients
+	Attempts      float64            `json:"attempts"`  // delivery attempts per message
+	RejectedShare float64            `json:"turned"`    // share of the calls answered with 429 or 503
+	Connections   float64            `json:"connects"`  // new connections per message
+	CPU           Summary            `json:"cpu"`       // seconds per relay, summed over its processes
+	MemoryMB      Summary            `json:"memory_mb"` // peak memory per relay
+	DiskMB        Summary            `json:"disk_mb"`
+
+	Faults     []FaultFigures `json:"faults"`
+	Gossip     GossipFigures  `json:"notes"`
+	LocalShare float64        `json:"local"` // share of the calls to the relay's own zone; 0 where relays have no zones
+	// LocalPossible is the share of the calls whose destination has an endpoint in the relay's own zone.
+	LocalPossible float64       `json:"local_most"`
+	Overloaded    int           `json:"fell"` // number of overloads of cold endpoints
+	Zones         []ZoneFigures `json:"zones"`
+	// NewEndpoints are the endpoints that replaced others.
+	NewEndpoints []NewEndpoint   `json:"newcomers,omitempty"`
+	Service      []Point         `json:"service"`
+	Verdict      checker.Verdict `json:"verdict"`
+	Lab          Lab             `json:"lab"`
 }
 
-// Lab is how well the lab itself kept its times.
+// Lab describes how punctual the lab itself was.
 type Lab struct {
-	Events   int     `json:"events"` // that it had to do at a time of its own
-	Late     int     `json:"late"`
-	LateMost float64 `json:"late_most"`
+	Events      int     `json:"events"` // events that the lab had to do at a planned time
+	Late        int     `json:"late"`
+	MaxLateness float64 `json:"late_most"`
 }
 
-// Notes is what relays told each other, and how far they agree, where they share what they learn.
-type Notes struct {
-	Sent     float64            `json:"sent"`     // a second, over the fleet; one to all counts once
-	Bytes    float64            `json:"bytes"`    // a second that a relay sends
-	Received float64            `json:"received"` // notes a second that a relay gets
-	Views    int                `json:"views"`    // asked for
-	Oldest   map[string]float64 `json:"oldest"`   // of the values in a view the oldest, as a share of its bound
-	Known    []Known            `json:"known"`
-	Last     int                `json:"last"`  // views after the traffic stopped
-	Agree    int                `json:"agree"` // of these, with the digest that most have
+// GossipFigures describe the gossip between relays and how far the relays agree, in runs that share facts.
+type GossipFigures struct {
+	Sent           float64            `json:"sent"`     // messages per second over the fleet; a broadcast counts once
+	Bytes          float64            `json:"bytes"`    // bytes per second that a relay sends
+	Received       float64            `json:"received"` // messages per second that a relay receives
+	Views          int                `json:"views"`    // number of views that the lab requested
+	OldestAgeRatio map[string]float64 `json:"oldest"`   // percentiles of the oldest fact's age in a view, as a share of its bound
+	Propagation    []Propagation      `json:"known"`
+	FinalViews     int                `json:"last"`  // number of views taken after the traffic stopped
+	FinalAgreeing  int                `json:"agree"` // number of final views with the most common digest
 }
 
-// ZoneFigures is how the relays left a zone and returned to it.
+// ZoneFigures describe how the relays evacuated a zone and returned to it.
 type ZoneFigures struct {
 	Zone        string  `json:"zone"`
-	Left        int     `json:"left"`        // relays that left it
-	Evacuations int     `json:"evacuations"` // most by one process
+	LeftBy      int     `json:"left"`        // number of relays that evacuated it
+	Evacuations int     `json:"evacuations"` // largest number of evacuations by one process
 	Returns     int     `json:"returns"`
-	CutOff      int     `json:"cut_off"` // of its relays, those that took themselves for cut off
-	At          float64 `json:"at"`      // when the first was seen to have left
-	// Back is how many seconds after the end of the last fault that struck the zone it got as many calls again as before the
-	// first, by zoneShare and in spans of callSpan; none where it did not, or where no fault struck it.
-	Back *float64 `json:"back,omitempty"`
-	Hit  bool     `json:"hit"` // by a fault
+	Isolated    int     `json:"cut_off"` // number of its relays that considered themselves isolated
+	FirstLeft   float64 `json:"at"`      // when the first relay was seen to have evacuated it
+	// Recovery is the time from the end of the last fault in the zone until the zone gets zoneRecoveredShare of the calls that
+	// it got before the first one, counted over callWindow. It is nil if the zone did not recover or had no fault.
+	Recovery *float64 `json:"back,omitempty"`
+	Faulted  bool     `json:"hit"` // whether a fault affected the zone
 }
 
-// Known is how soon the relays knew of a closing or an outage, after the first of them.
-type Known struct {
-	What   string  `json:"what"`
+// Propagation is how quickly the relays learned of a closing or an outage, counted from the first relay that knew.
+type Propagation struct {
+	Fact   string  `json:"what"`
 	At     float64 `json:"at"`
 	Relays int     `json:"relays"`
 	P50    float64 `json:"p50"`
 	P99    float64 `json:"p99"`
 }
 
-// Spread is a figure over the relays.
-type Spread struct {
+// Summary is the mean and the maximum of a figure over the relays.
+type Summary struct {
 	Mean float64 `json:"mean"`
-	Most float64 `json:"most"`
+	Max  float64 `json:"most"`
 }
 
-// Point is the service to the messages that arrived in one step of time.
+// Point is the service to the messages first handed in within one step of time.
 type Point struct {
-	At     float64 `json:"at"`
-	Asked  float64 `json:"asked"` // worth
-	Served float64 `json:"served"`
+	At      float64 `json:"at"`
+	Offered float64 `json:"asked"` // worth of the messages handed in within the step
+	Served  float64 `json:"served"`
 }
 
-// FaultFigures is what a fault did to the service.
+// FaultFigures describe the effect of one fault on the service.
 type FaultFigures struct {
-	Kind   string   `json:"kind"`
-	At     float64  `json:"at"`
-	Until  float64  `json:"until"`
-	Before float64  `json:"before"` // share of the worth served
-	Worst  float64  `json:"worst"`  // in one step, up to the next fault
-	Turned int      `json:"turned"` // calls turned away while it lasted
-	zone   string   // that it struck
-	Back   *float64 `json:"back,omitempty"` // seconds from its begin until 95% of Before; none if it did not come back
-	// Can is the share of the worth asked for while it lasts whose destinations have an endpoint outside of the zone that it
-	// strikes, and Carried the seconds from its begin after which, while it lasts, never less than 95% of Before by that share
-	// is served in a second; 0 where it strikes no zone.
-	Can     float64 `json:"can"`
-	Carried float64 `json:"carried"`
+	Kind     string   `json:"kind"`
+	At       float64  `json:"at"`
+	Until    float64  `json:"until"`
+	Before   float64  `json:"before"` // share of the worth served over baselineSpan before the fault
+	Worst    float64  `json:"worst"`  // lowest share of the worth served in one step, from the fault until recovery
+	Rejected int      `json:"turned"` // calls answered with 429 or 503 during the fault
+	zone     string   // zone that the fault affects; empty if it is not about a zone
+	Recovery *float64 `json:"back,omitempty"` // seconds from the fault's start until 95% of Before, at its end or later; nil without recovery
+	// ServableShare is the share of the worth offered during a zone's fault whose destinations also have an endpoint outside of
+	// that zone. DegradedTime is the number of seconds from the start of the fault to the end of the last one-second window in
+	// which less than 95% of Before × ServableShare was served. Both are 0 for a fault that is not about a zone.
+	ServableShare float64 `json:"can"`
+	DegradedTime  float64 `json:"carried"`
 }
 
-// fate is one message over all its hand-ins.
-type fate struct {
-	class     string
-	dest      int
-	at, first history.Micros // delivered; first handed in
-	end       string
-	ids       []string
+// messageOutcome tracks one message over all its hand-ins.
+type messageOutcome struct {
+	class               string
+	dest                int
+	delivered, handedIn history.Micros // delivered is 0 until delivery; handedIn is the first hand-in
+	outcome             string
+	ids                 []string
 }
 
-// Of computes the figures of a history.
-func Of(events []history.Event, v checker.Verdict) *Figures {
-	facts := events[0].Facts
-	f := &Figures{Title: facts.Title, Seed: facts.Seed, Relays: facts.Relays, Verdict: v, Ends: map[string]float64{}, ByClass: map[string]float64{}}
-	msgs, byID := map[int]*fate{}, map[string]*fate{}
-	var order []*fate
+// Compute computes the figures of a history and includes the checker's verdict.
+func Compute(events []history.Event, v checker.Verdict) *Figures {
+	facts := events[0].Parameters
+	f := &Figures{Title: facts.Title, Seed: facts.Seed, Relays: facts.Relays, Verdict: v, Outcomes: map[string]float64{}, ByClass: map[string]float64{}}
+	msgs, byID := map[int]*messageOutcome{}, map[string]*messageOutcome{}
+	var order []*messageOutcome
 	sent := map[string]history.Micros{}
 	latency, answers := hdrhistogram.New(1, time.Hour.Microseconds(), 3), hdrhistogram.New(1, time.Hour.Microseconds(), 3)
 	calls := map[int][]string{}
 	var attempts, nCalls, turned, connects int
-	cpu, memory, disk := newPeaks(facts.Relays), newPeaks(facts.Relays), newPeaks(facts.Relays)
+	cpu, memory, disk := newUsageTracker(facts.Relays), newUsageTracker(facts.Relays), newUsageTracker(facts.Relays)
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
 		case history.HandIn:
-			m := msgs[e.Msg]
+			m := msgs[e.Message]
 			if m == nil {
-				m = &fate{class: e.Class, first: e.T, dest: -1}
+				m = &messageOutcome{class: e.Class, handedIn: e.Time, dest: -1}
 				if e.Dest != nil {
 					m.dest = *e.Dest
 				}
-				msgs[e.Msg] = m
+				msgs[e.Message] = m
 				order = append(order, m)
 			}
 			m.ids = append(m.ids, e.ID)
 			byID[e.ID] = m
-			sent[e.ID] = e.T
-			m.end = cmp.Or(deliveredEnd(m), NoEnd)
+			sent[e.ID] = e.Time
+			m.outcome = cmp.Or(outcomeIfDelivered(m), Unresolved)
 		case history.Answer:
-			_ = answers.RecordValue(max(1, int64(e.T-sent[e.ID])))
-			if m := byID[e.ID]; m != nil && m.at == 0 {
+			_ = answers.RecordValue(max(1, int64(e.Time-sent[e.ID])))
+			if m := byID[e.ID]; m != nil && m.delivered == 0 {
 				switch e.Status {
 				case "200", "202":
 				case "429", "503":
-					m.end = Refused
+					m.outcome = Refused
 				default:
-					m.end = Failed
+					m.outcome = Failed
 				}
 			}
 		case history.Left:
-			if m := byID[e.ID]; m != nil && m.at == 0 {
-				m.end = LeftWaiting
+			if m := byID[e.ID]; m != nil && m.delivered == 0 {
+				m.outcome = Unanswered
 			}
 		case history.Notice:
-			if m := byID[e.ID]; m != nil && m.at == 0 && e.ID == m.ids[len(m.ids)-1] {
-				m.end = HandedBack
+			if m := byID[e.ID]; m != nil && m.delivered == 0 && e.ID == m.ids[len(m.ids)-1] {
+				m.outcome = HandedBack
 				if e.Status == "undeliverable" {
-					m.end = Undeliverable
+					m.outcome = Undeliverable
 				}
 			}
 		case history.Call:
@@ -217,54 +218,54 @@
 			}
 			for n, id := range calls[e.Call] {
 				m := byID[id]
-				if e.Status != "200" || len(e.States) > n && e.States[n] != "delivered" || m == nil || m.at > 0 {
+				if e.Status != "200" || len(e.States) > n && e.States[n] != "delivered" || m == nil || m.delivered > 0 {
 					continue
 				}
-				m.at = e.T
-				m.end = deliveredIn(m, facts.Classes[m.class])
-				_ = latency.RecordValue(max(1, int64(m.at-m.first)))
+				m.delivered = e.Time
+				m.outcome = deliveryOutcome(m, facts.Classes[m.class])
+				_ = latency.RecordValue(max(1, int64(m.delivered-m.handedIn)))
 			}
 		case history.Connect:
 			connects++
 		case history.Fell:
-			f.Fell++
+			f.Overloaded++
 		case history.Usage:
-			cpu.see(*e.Relay, e.CPU)
-			memory.see(*e.Relay, e.MemoryMB)
-			disk.see(*e.Relay, e.DiskMB)
+			cpu.record(*e.Relay, e.CPU)
+			memory.record(*e.Relay, e.MemoryMB)
+			disk.record(*e.Relay, e.DiskMB)
 		case history.Late:
-			f.Lab.LateMost = math.Max(f.Lab.LateMost, e.By.D().Seconds())
+			f.Lab.MaxLateness = math.Max(f.Lab.MaxLateness, e.Lateness.Duration().Seconds())
 		case history.End:
-			f.Lab.Events, f.Lab.Late = e.Events, e.LateN
+			f.Lab.Events, f.Lab.Late = e.TimedEvents, e.LateEvents
 		}
 	}
 	f.Messages = len(order)
-	f.worth(order, facts)
-	f.Latency, f.Answer = percentiles(latency), percentiles(answers)
+	f.computeWorth(order, facts)
+	f.Latency, f.AnswerTime = percentiles(latency), percentiles(answers)
 	n := math.Max(1, float64(f.Messages))
-	f.Attempts, f.Connects, f.Turned = float64(attempts)/n, float64(connects)/n, float64(turned)/math.Max(1, float64(nCalls))
-	f.CPU, f.MemoryMB, f.DiskMB = cpu.total(), memory.spread(), disk.spread()
-	f.faults(events, order)
-	f.notes(events)
-	f.zones(events)
-	f.newcomers(events)
+	f.Attempts, f.Connections, f.RejectedShare = float64(attempts)/n, float64(connects)/n, float64(turned)/math.Max(1, float64(nCalls))
+	f.CPU, f.MemoryMB, f.DiskMB = cpu.totalSummary(), memory.peakSummary(), disk.peakSummary()
+	f.computeFaults(events, order)
+	f.computeGossip(events)
+	f.computeZones(events)
+	f.computeNewEndpoints(events)
 	return f
 }
 
-// zones finds how much stays in a zone, and how zones were left and returned to.
-func (f *Figures) zones(events []history.Event) {
-	facts := events[0].Facts
-	calls, local, can := 0, 0, 0
-	near := map[int]map[string]bool{} // destinations' zones
+// computeZones computes the share of calls within a zone, and the evacuations and recoveries of each zone.
+func (f *Figures) computeZones(events []history.Event) {
+	facts := events[0].Parameters
+	calls, local, localPossible := 0, 0, 0
+	destinationZones := map[int]map[string]bool{} // zones with an endpoint, by destination
 	for _, h := range facts.Hosts {
-		if near[h.Dest] == nil {
-			near[h.Dest] = map[string]bool{}
+		if destinationZones[h.Dest] == nil {
+			destinationZones[h.Dest] = map[string]bool{}
 		}
-		near[h.Dest][h.Zone] = true
+		destinationZones[h.Dest][h.Zone] = true
 	}
-	at := map[string][]float64{} // calls into a zone
+	callTimes := map[string][]float64{} // times of the calls into each zone, in seconds
 	all := map[string]*ZoneFigures{}
-	left, cutOff := map[string]map[int]bool{}, map[int]bool{}
+	leftBy, isolated := map[string]map[int]bool{}, map[int]bool{}
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
@@ -272,61 +273,62 @@
 			if e.Relay != nil && *e.Relay < len(facts.Zones) {
 				calls++
 				host := facts.Hosts[e.Host]
-				at[host.Zone] = append(at[host.Zone], e.T.D().Seconds())
+				callTimes[host.Zone] = append(callTimes[host.Zone], e.Time.Duration().Seconds())
 				if host.Zone == facts.Zones[*e.Relay] {
 					local++
 				}
-				if near[host.Dest][facts.Zones[*e.Relay]] {
-					can++
+				if destinationZones[host.Dest][facts.Zones[*e.Relay]] {
+					localPossible++
 				}
 			}
 		case history.Zones:
-			if e.CutOff && !cutOff[*e.Relay] {
-				cutOff[*e.Relay] = true
+			if e.Isolated && !isolated[*e.Relay] {
+				isolated[*e.Relay] = true
 			}
 			for name, z := range e.Zones {
 				if all[name] == nil {
-					all[name], left[name] = &ZoneFigures{Zone: name}, map[int]bool{}
+					all[name], leftBy[name] = &ZoneFigures{Zone: name}, map[int]bool{}
 				}
 				if z.Evacuations > 0 {
-					if len(left[name]) == 0 {
-						all[name].At = e.T.D().Seconds()
+					if len(leftBy[name]) == 0 {
+						all[name].FirstLeft = e.Time.Duration().Seconds()
 					}
-					left[name][*e.Relay] = true
+					leftBy[name][*e.Relay] = true
 				}
 				all[name].Evacuations, all[name].Returns = max(all[name].Evacuations, z.Evacuations), max(all[name].Returns, z.Returns)
 			}
 		}
 	}
-	for name := range at { // also where relays do not decide by zones
-		if all[name] == nil && len(at) > 1 {
+	for name := range callTimes { // include zones of runs in which relays do not decide by zone
+		if all[name] == nil && len(callTimes) > 1 {
 			all[name] = &ZoneFigures{Zone: name}
 		}
 	}
-	f.Local, f.LocalMost = float64(local)/math.Max(1, float64(calls)), float64(can)/math.Max(1, float64(calls))
-	for r := range cutOff {
+	f.LocalShare, f.LocalPossible = float64(local)/math.Max(1, float64(calls)), float64(localPossible)/math.Max(1, float64(calls))
+	for r := range isolated {
 		if z := all[facts.Zones[r]]; z != nil {
-			z.CutOff++
+			z.Isolated++
 		}
 	}
 	for _, name := range sortedKeys(all) {
-		all[name].Left = len(left[name])
-		f.zoneBack(all[name], at[name])
+		all[name].LeftBy = len(leftBy[name])
+		f.computeZoneRecovery(all[name], callTimes[name])
 		f.Zones = append(f.Zones, *all[name])
 	}
 }
 
-// again is how long a thing has to be known by nobody for its next closing to be another one.
-const again = 5 * time.Second
+// rediscoveryGap separates events of the same fact: a relay that learns of it this much later than the one before has seen
+// another closing or outage.
+const rediscoveryGap = 5 * time.Second
 
-// notes finds how well what relays share goes round.
-func (f *Figures) notes(events []history.Event) {
+// computeGossip computes the cost of gossip and how quickly and fully facts spread.
+func (f *Figures) computeGossip(events []history.Event) {
 	end := events[len(events)-1]
-	span := math.Max(1e-9, events[0].Facts.Length.D().Seconds())
+	span := math.Max(1e-9, events[0].Parameters.ArrivalsLength.Duration().Seconds())
 	relays := math.Max(1, float64(f.Relays))
-	n := Notes{Sent: float64(end.Notes) / span, Bytes: float64(end.NoteBytes) / span / relays, Received: float64(end.Received) / span / relays}
+	n := GossipFigures{Sent: float64(end.GossipSent) / span, Bytes: float64(end.GossipBytes) / span / relays, Received: float64(end.GossipReceived) / span / relays}
 	oldest := hdrhistogram.New(1, 10_000_000, 4)
-	first := map[string]map[int]history.Micros{} // when each relay first knew of a thing
+	first := map[string]map[int]history.Micros{} // when each relay first knew of a fact
 	digests := map[uint32]int{}
 	for i := range events {
 		e := &events[i]
@@ -334,13 +336,13 @@
 			continue
 		}
 		n.Views++
-		_ = oldest.RecordValue(max(1, int64(e.Oldest*1e6)))
-		if e.What == history.LastView {
-			n.Last++
+		_ = oldest.RecordValue(max(1, int64(e.OldestAgeRatio*1e6)))
+		if e.Detail == history.LastView {
+			n.FinalViews++
 			digests[e.Digest]++
-			n.Agree = max(n.Agree, digests[e.Digest])
+			n.FinalAgreeing = max(n.FinalAgreeing, digests[e.Digest])
 		}
-		for what, at := range e.Known {
+		for what, at := range e.KnownSince {
 			if first[what] == nil {
 				first[what] = map[int]history.Micros{}
 			}
@@ -350,7 +352,7 @@
 		}
 	}
 	if n.Views > 0 {
-		n.Oldest = map[string]float64{"p50": float64(oldest.ValueAtPercentile(50)) / 1e6, "p99.9": float64(oldest.ValueAtPercentile(99.9)) / 1e6, "most": float64(oldest.Max()) / 1e6}
+		n.OldestAgeRatio = map[string]float64{"p50": float64(oldest.ValueAtPercentile(50)) / 1e6, "p99.9": float64(oldest.ValueAtPercentile(99.9)) / 1e6, "most": float64(oldest.Max()) / 1e6}
 	}
 	for _, what := range sortedKeys(first) {
 		var at []history.Micros
@@ -358,67 +360,68 @@
 			at = append(at, t)
 		}
 		slices.Sort(at)
-		// Those who come to know of it much later learned of another closing of the same.
+		// Relays that learned of it after a long gap refer to a later closing of the same thing.
 		for i := 1; i < len(at); i++ {
-			if (at[i] - at[i-1]).D() > again {
+			if (at[i] - at[i-1]).Duration() > rediscoveryGap {
 				at = at[:i]
 			}
 		}
-		after := func(share float64) float64 { return (at[int(share*float64(len(at)-1))] - at[0]).D().Seconds() }
-		n.Known = append(n.Known, Known{What: what, At: at[0].D().Seconds(), Relays: len(at), P50: after(0.5), P99: after(0.99)})
+		after := func(share float64) float64 { return (at[int(share*float64(len(at)-1))] - at[0]).Duration().Seconds() }
+		n.Propagation = append(n.Propagation, Propagation{Fact: what, At: at[0].Duration().Seconds(), Relays: len(at), P50: after(0.5), P99: after(0.99)})
 	}
-	slices.SortFunc(n.Known, func(a, b Known) int { return cmp.Compare(b.Relays, a.Relays) })
-	f.Notes = n
+	slices.SortFunc(n.Propagation, func(a, b Propagation) int { return cmp.Compare(b.Relays, a.Relays) })
+	f.Gossip = n
 }
 
-func deliveredEnd(m *fate) string {
-	if m.at > 0 {
-		return m.end
+func outcomeIfDelivered(m *messageOutcome) string {
+	if m.delivered > 0 {
+		return m.outcome
 	}
 	return ""
 }
 
-func deliveredIn(m *fate, c history.Class) string {
-	if m.at-m.first <= c.Aim {
+func deliveryOutcome(m *messageOutcome, c history.Class) string {
+	if m.delivered-m.handedIn <= c.Target {
 		return InAim
 	}
-	return InTime
+	return Late
 }
 
-// share is what a delivery is worth, by its class's worth.
-func share(m *fate, c history.Class) float64 {
-	age := m.at - m.first
+// worthShare returns the share of its worth that a message earns: 1 within the class's target, falling to its late share at the
+// deadline, 0 later or without delivery.
+func worthShare(m *messageOutcome, c history.Class) float64 {
+	age := m.delivered - m.handedIn
 	switch {
-	case m.at == 0 || age > c.Deadline:
+	case m.delivered == 0 || age > c.Deadline:
 		return 0
-	case age <= c.Aim:
+	case age <= c.Target:
 		return 1
 	}
-	return 1 - (1-c.LateShare)*float64(age-c.Aim)/math.Max(1, float64(c.Deadline-c.Aim))
+	return 1 - (1-c.LateShare)*float64(age-c.Target)/math.Max(1, float64(c.Deadline-c.Target))
 }
 
-// worth adds up what was asked for and served.
-func (f *Figures) worth(order []*fate, facts *history.Facts) {
+// computeWorth sums the worth offered and served, overall, by class and by step of time.
+func (f *Figures) computeWorth(order []*messageOutcome, facts *history.Parameters) {
 	var asked, served float64
 	byClass := map[string][2]float64{}
 	steps := map[int]*Point{}
 	var begun history.Micros
 	if len(order) > 0 {
-		begun = order[0].first
+		begun = order[0].handedIn
 	}
 	for _, m := range order {
 		c := facts.Classes[m.class]
-		got := c.Worth * share(m, c)
+		got := c.Worth * worthShare(m, c)
 		asked += c.Worth
 		served += got
 		sum := byClass[m.class]
 		byClass[m.class] = [2]float64{sum[0] + c.Worth, sum[1] + got}
-		f.Ends[m.end] += 1 / float64(len(order))
-		n := int((m.first - begun).D() / bucket)
+		f.Outcomes[m.outcome] += 1 / float64(len(order))
+		n := int((m.handedIn - begun).Duration() / serviceStep)
 		if steps[n] == nil {
-			steps[n] = &Point{At: (begun.D() + time.Duration(n)*bucket).Seconds()}
+			steps[n] = &Point{At: (begun.Duration() + time.Duration(n)*serviceStep).Seconds()}
 		}
-		steps[n].Asked += c.Worth
+		steps[n].Offered += c.Worth
 		steps[n].Served += got
 	}
 	f.Served = served / math.Max(1e-9, asked)
@@ -431,104 +434,106 @@
 	slices.SortFunc(f.Service, func(a, b Point) int { return cmp.Compare(a.At, b.At) })
 }
 
-// between is the share served of what was asked for in a span, in seconds.
-func (f *Figures) between(from, to float64) (float64, bool) {
+// servedShare returns the share of the offered worth that was served in a span, given in seconds; ok is false if nothing was
+// offered.
+func (f *Figures) servedShare(from, to float64) (float64, bool) {
 	var asked, served float64
 	for _, p := range f.Service {
 		if p.At >= from && p.At < to {
-			asked, served = asked+p.Asked, served+p.Served
+			asked, served = asked+p.Offered, served+p.Served
 		}
 	}
 	return served / math.Max(1e-9, asked), asked > 0
 }
 
-// faults finds how the service fared after each fault.
-func (f *Figures) faults(events []history.Event, order []*fate) {
+// computeFaults computes the effect of each fault on the service.
+func (f *Figures) computeFaults(events []history.Event, order []*messageOutcome) {
 	for _, e := range events {
 		if e.Kind != history.Fault {
 			continue
 		}
-		x := FaultFigures{Kind: e.What, zone: e.Zone, At: e.T.D().Seconds(), Until: max(e.Until, e.T).D().Seconds()}
+		x := FaultFigures{Kind: e.Detail, zone: e.Zone, At: e.Time.Duration().Seconds(), Until: max(e.EndTime, e.Time).Duration().Seconds()}
 		for i := range events {
-			if r := &events[i]; r.Kind == history.Reply && r.T >= e.T && r.T < max(e.Until, e.T) && (r.Status == "429" || r.Status == "503") {
-				x.Turned++
+			if r := &events[i]; r.Kind == history.Reply && r.Time >= e.Time && r.Time < max(e.EndTime, e.Time) && (r.Status == "429" || r.Status == "503") {
+				x.Rejected++
 			}
 		}
-		x.Before, _ = f.between(x.At-before.Seconds(), x.At)
+		x.Before, _ = f.servedShare(x.At-baselineSpan.Seconds(), x.At)
 		x.Worst = 1
 		for _, p := range f.Service {
-			if p.At < x.At-bucket.Seconds() {
+			if p.At < x.At-serviceStep.Seconds() {
 				continue
 			}
-			if p.Asked > 0 && x.Back == nil {
-				x.Worst = math.Min(x.Worst, p.Served/p.Asked)
+			if p.Offered > 0 && x.Recovery == nil {
+				x.Worst = math.Min(x.Worst, p.Served/p.Offered)
 			}
-			// A fault that is not felt at once may be felt at its end: what comes back counts from then on.
-			if got, ok := f.between(p.At, p.At+backFor.Seconds()); ok && x.Back == nil && p.At >= x.Until && got >= backShare*x.Before {
+			// Some faults show only at their end, so recovery counts from then on.
+			if got, ok := f.servedShare(p.At, p.At+recoveredFor.Seconds()); ok && x.Recovery == nil && p.At >= x.Until && got >= recoveredShare*x.Before {
 				back := math.Max(0, p.At-x.At)
-				x.Back = &back
+				x.Recovery = &back
 			}
 		}
 		if e.Zone != "" {
-			f.carried(&x, e.Zone, order, events[0].Facts)
+			f.computeDegraded(&x, e.Zone, order, events[0].Parameters)
 		}
 		f.Faults = append(f.Faults, x)
 	}
 }
 
-// carried finds how soon what is left carries what it can, beside a fault of a zone.
-func (f *Figures) carried(x *FaultFigures, zone string, order []*fate, facts *history.Facts) {
-	elsewhere := map[int]bool{}
+// computeDegraded computes, for a fault of a zone, which share the rest can serve and how long less was served.
+func (f *Figures) computeDegraded(x *FaultFigures, zone string, order []*messageOutcome, facts *history.Parameters) {
+	servedElsewhere := map[int]bool{}
 	for _, h := range facts.Hosts {
-		elsewhere[h.Dest] = elsewhere[h.Dest] || h.Zone != zone
+		servedElsewhere[h.Dest] = servedElsewhere[h.Dest] || h.Zone != zone
 	}
 	asked := 0.0
 	for _, m := range order {
-		if at := m.first.D().Seconds(); at >= x.At && at < x.Until {
+		if at := m.handedIn.Duration().Seconds(); at >= x.At && at < x.Until {
 			worth := facts.Classes[m.class].Worth
 			asked += worth
-			if elsewhere[m.dest] {
-				x.Can += worth
+			if servedElsewhere[m.dest] {
+				x.ServableShare += worth
 			}
 		}
 	}
-	x.Can /= math.Max(1e-9, asked)
+	x.ServableShare /= math.Max(1e-9, asked)
 	for _, p := range f.Service {
-		if p.At < x.At-bucket.Seconds() || p.At+backFor.Seconds() > x.Until {
+		if p.At < x.At-serviceStep.Seconds() || p.At+recoveredFor.Seconds() > x.Until {
 			continue
 		}
-		if got, ok := f.between(p.At, p.At+backFor.Seconds()); ok && got < backShare*x.Before*x.Can {
-			x.Carried = p.At + backFor.Seconds() - x.At
+		if got, ok := f.servedShare(p.At, p.At+recoveredFor.Seconds()); ok && got < recoveredShare*x.Before*x.ServableShare {
+			x.DegradedTime = p.At + recoveredFor.Seconds() - x.At
 		}
 	}
 }
 
-// zoneBack finds when a zone that was struck gets as many calls again as before.
-func (f *Figures) zoneBack(z *ZoneFigures, at []float64) {
+// computeZoneRecovery computes when a zone that had a fault gets as many calls as before.
+func (f *Figures) computeZoneRecovery(z *ZoneFigures, at []float64) {
 	from, until := math.Inf(1), 0.0
 	for i := range f.Faults {
 		if x := &f.Faults[i]; x.zone == z.Zone {
 			from, until = math.Min(from, x.At), math.Max(until, x.Until)
 		}
 	}
-	z.Hit = !math.IsInf(from, 1)
-	if z.Hit && from >= 2*callSpan.Seconds() {
-		z.Back = regained(at, zoneShare*usualCalls(at, from), until)
+	z.Faulted = !math.IsInf(from, 1)
+	if z.Faulted && from >= 2*callWindow.Seconds() {
+		z.Recovery = timeToReach(at, zoneRecoveredShare*baselineCalls(at, from), until)
 	}
 }
 
-// callSpan is the span over which calls are counted, to tell when they are as many as they were.
-const callSpan = 2 * time.Second
+// callWindow is the span over which calls are counted to compare their number with an earlier one.
+const callWindow = 2 * time.Second
 
-// usualCalls is how many calls a span has, in the mean of the two up to a moment.
-func usualCalls(calls []float64, until float64) float64 {
-	return within(calls, until-2*callSpan.Seconds(), until) / 2
+// baselineCalls returns the mean number of calls in the last two windows before a point in time.
+func baselineCalls(calls []float64, until float64) float64 {
+	return countWithin(calls, until-2*callWindow.Seconds(), until) / 2
 }
 
-// regained is how long after a moment the first whole span begins that has so many calls; nil where there is none.
-func regained(calls []float64, enough, from float64) *float64 {
-	for t := from; len(calls) > 0 && t+callSpan.Seconds() <= calls[len(calls)-1]; t += bucket.Seconds() / 2 {
-		if within(calls, t, t+callSpan.Seconds()) >= enough {
+// timeToReach returns how long after from the first complete window begins that has at least enough calls, or nil if there is
+// none.
+func timeToReach(calls []float64, enough, from float64) *float64 {
+	for t := from; len(calls) > 0 && t+callWindow.Seconds() <= calls[len(calls)-1]; t += serviceStep.Seconds() / 2 {
+		if countWithin(calls, t, t+callWindow.Seconds()) >= enough {
 			after := t - from
 			return &after
 		}
@@ -536,8 +541,8 @@
 	return nil
 }
 
-// within counts the times in a span.
-func within(times []float64, from, to float64) (n float64) {
+// countWithin counts the times in a span; from is included, to is not.
+func countWithin(times []float64, from, to float64) (n float64) {
 	for _, t := range times {
 		if t >= from && t < to {
 			n++
@@ -554,41 +559,41 @@
 	return all
 }
 
-// peaks sums up a figure that grows within a process and begins anew with the next.
-type peaks struct{ past, last, most []float64 }
+// usageTracker tracks, per relay, a figure that starts again from a low value with each new process.
+type usageTracker struct{ finished, latest, highest []float64 }
 
-func newPeaks(n int) *peaks {
-	return &peaks{make([]float64, n), make([]float64, n), make([]float64, n)}
+func newUsageTracker(n int) *usageTracker {
+	return &usageTracker{make([]float64, n), make([]float64, n), make([]float64, n)}
 }
 
-func (p *peaks) see(relay int, v float64) {
-	if v < p.last[relay] {
-		p.past[relay] += p.last[relay]
+func (p *usageTracker) record(relay int, v float64) {
+	if v < p.latest[relay] {
+		p.finished[relay] += p.latest[relay]
 	}
-	p.last[relay] = v
-	p.most[relay] = math.Max(p.most[relay], v)
+	p.latest[relay] = v
+	p.highest[relay] = math.Max(p.highest[relay], v)
 }
 
-// spread is the mean and the most over the relays of the highest values.
-func (p *peaks) spread() (s Spread) {
-	for _, v := range p.most {
-		s.Mean += v / float64(len(p.most))
-		s.Most = math.Max(s.Most, v)
+// peakSummary summarizes the highest value of each relay.
+func (p *usageTracker) peakSummary() (s Summary) {
+	for _, v := range p.highest {
+		s.Mean += v / float64(len(p.highest))
+		s.Max = math.Max(s.Max, v)
 	}
 	return s
 }
 
-// total is the same for the sums over the processes.
-func (p *peaks) total() (s Spread) {
-	for i := range p.last {
-		v := p.past[i] + p.last[i]
-		s.Mean += v / float64(len(p.last))
-		s.Most = math.Max(s.Most, v)
+// totalSummary summarizes the sum over the processes of each relay.
+func (p *usageTracker) totalSummary() (s Summary) {
+	for i := range p.latest {
+		v := p.finished[i] + p.latest[i]
+		s.Mean += v / float64(len(p.latest))
+		s.Max = math.Max(s.Max, v)
 	}
 	return s
 }
 
-// Text writes the figures for a terminal.
+// Text writes the figures as a table for a terminal.
 func (f *Figures) Text(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
 	line := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
@@ -600,8 +605,8 @@
 	}
 	line("by class", "%s", strings.Join(parts, ", "))
 	parts = nil
-	for _, end := range Ends {
-		if v, ok := f.Ends[end]; ok {
+	for _, end := range Outcomes {
+		if v, ok := f.Outcomes[end]; ok {
 			parts = append(parts, fmt.Sprintf("%s %.1f%%", end, 100*v))
 		}
 	}
@@ -609,47 +614,47 @@
 	for _, l := range []struct {
 		name string
 		of   map[string]float64
-	}{{"delivered after", f.Latency}, {"answered after", f.Answer}} {
+	}{{"delivered after", f.Latency}, {"answered after", f.AnswerTime}} {
 		line(l.name, "p50 %s, p90 %s, p99 %s, p99.9 %s", seconds(l.of["p50"]), seconds(l.of["p90"]), seconds(l.of["p99"]), seconds(l.of["p99.9"]))
 	}
-	line("a message", "%.2f attempts, %.2f new connections; %.1f%% of the calls turned away", f.Attempts, f.Connects, 100*f.Turned)
-	line("a relay", "%.2f s of CPU (%.2f at most), %.0f MB (%.0f at most), %.2f MB of disk at most", f.CPU.Mean, f.CPU.Most, f.MemoryMB.Mean, f.MemoryMB.Most, f.DiskMB.Most)
+	line("per message", "%.2f attempts, %.2f new connections; %.1f%% of the calls rejected", f.Attempts, f.Connections, 100*f.RejectedShare)
+	line("per relay", "%.2f s of CPU (%.2f at most), %.0f MB (%.0f at most), %.2f MB of disk at most", f.CPU.Mean, f.CPU.Max, f.MemoryMB.Mean, f.MemoryMB.Max, f.DiskMB.Max)
 	for _, x := range f.Faults {
-		back := "not back to 95% of that"
-		if x.Back != nil {
-			back = fmt.Sprintf("back to 95%% of that after %s", seconds(*x.Back))
+		back := "no recovery to 95% of that"
+		if x.Recovery != nil {
+			back = fmt.Sprintf("recovered to 95%% of that after %s", seconds(*x.Recovery))
 		}
-		line(fmt.Sprintf("%s at %.1f s", x.Kind, x.At), "served %.1f%% before, %.1f%% at worst, %s; %d calls turned away", 100*x.Before, 100*x.Worst, back, x.Turned)
+		line(fmt.Sprintf("%s at %.1f s", x.Kind, x.At), "served %.1f%% before, %.1f%% at worst, %s; %d calls rejected", 100*x.Before, 100*x.Worst, back, x.Rejected)
 		if x.zone != "" {
-			line("", "%.1f%% could be served, and 95%% of that was for good after %s", 100*x.Before*x.Can, seconds(x.Carried))
+			line("", "%.1f%% could be served without the zone; at least 95%% of that was served after %s", 100*x.Before*x.ServableShare, seconds(x.DegradedTime))
 		}
 	}
 	if len(f.Zones) > 0 {
-		line("in the own zone", "%.1f%% of the calls, where %.1f%% can be", 100*f.Local, 100*f.LocalMost)
+		line("calls in own zone", "%.1f%% of the calls; %.1f%% have an endpoint there", 100*f.LocalShare, 100*f.LocalPossible)
 	}
 	for _, z := range f.Zones {
-		if z.Back != nil {
-			line("zone "+z.Zone, "as many calls as before %s after the fault's end", seconds(*z.Back))
+		if z.Recovery != nil {
+			line("zone "+z.Zone, "calls recovered %s after the end of the fault", seconds(*z.Recovery))
 		}
-		if z.Left > 0 || z.CutOff > 0 {
-			line("zone "+z.Zone, "left by %d relays, the first by %.1f s, %d times by one at most, returned to %d times; %d of its relays cut off", z.Left, z.At, z.Evacuations, z.Returns, z.CutOff)
+		if z.LeftBy > 0 || z.Isolated > 0 {
+			line("zone "+z.Zone, "evacuated by %d relays, first seen at %.1f s, at most %d times by one process; returns at most %d; %d of its relays isolated", z.LeftBy, z.FirstLeft, z.Evacuations, z.Returns, z.Isolated)
 		}
 	}
-	f.newcomersText(line)
-	if n := f.Notes; n.Sent > 0 {
-		line("notes", "%.1f a second over the fleet, %.1f bytes a second from each relay, %.1f a second to each", n.Sent, n.Bytes, n.Received)
+	f.newEndpointsText(line)
+	if n := f.Gossip; n.Sent > 0 {
+		line("gossip", "%.1f messages/s over the fleet, %.1f bytes/s sent per relay, %.1f messages/s received per relay", n.Sent, n.Bytes, n.Received)
 	}
-	if n := f.Notes; n.Views > 0 {
-		line("views", "%d, the oldest value at %.3f of its bound (p99.9 %.3f); %d of %d agree at the end", n.Views, n.Oldest["most"], n.Oldest["p99.9"], n.Agree, n.Last)
-		for _, k := range n.Known[:min(3, len(n.Known))] {
-			line("known", "%s, at %.1f s: to %d relays, half of them in %s, 99%% in %s", k.What, k.At, k.Relays, seconds(k.P50), seconds(k.P99))
+	if n := f.Gossip; n.Views > 0 {
+		line("views", "%d, oldest fact at %.3f of its age bound (p99.9 %.3f); at the end %d of %d agree", n.Views, n.OldestAgeRatio["most"], n.OldestAgeRatio["p99.9"], n.FinalAgreeing, n.FinalViews)
+		for _, k := range n.Propagation[:min(3, len(n.Propagation))] {
+			line("known", "%s, first at %.1f s: known to %d relays, to half of them within %s, to 99%% within %s", k.Fact, k.At, k.Relays, seconds(k.P50), seconds(k.P99))
 		}
 	}
-	if f.Fell > 0 {
-		line("cold endpoints", "%d pushed over", f.Fell)
+	if f.Overloaded > 0 {
+		line("cold endpoints", "%d overloads", f.Overloaded)
 	}
-	line("the lab", "late for %d of %d events, by %s at most", f.Lab.Late, f.Lab.Events, seconds(f.Lab.LateMost))
-	line("verdict", "%s (%d messages taken on and followed to their end, %d calls)", f.Verdict.String(), f.Verdict.Messages, f.Verdict.Calls)
+	line("the lab", "%d of %d timed events late, by at most %s", f.Lab.Late, f.Lab.Events, seconds(f.Lab.MaxLateness))
+	line("verdict", "%s (%d accepted messages with an outcome in time, %d calls)", f.Verdict.String(), f.Verdict.Messages, f.Verdict.Calls)
 	return w.Flush()
 }
 
--- a/internal/lab/scenario/lines.go
+++ b/internal/lab/scenario/lines.go
@@ -8,14 +8,14 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineMap gives the line of each key of a file, by its path, such as "fault[2].relays".
-type lineMap map[string]int
+// keyLines maps the path of each key in a file, such as "fault[2].relays", to its line number.
+type keyLines map[string]int
 
-func joined(key []string) string { return strings.Join(key, ".") }
+func joinKey(key []string) string { return strings.Join(key, ".") }
 
-// linesOf finds the lines of all keys. The text has been decoded without an error before.
-func linesOf(text []byte) lineMap {
-	lines, seen := lineMap{}, map[string]int{}
+// parseKeyLines finds the lines of all keys. The text must have been decoded without an error before.
+func parseKeyLines(text []byte) keyLines {
+	lines, seen := keyLines{}, map[string]int{}
 	var p unstable.Parser
 	p.Reset(text)
 	table := ""
@@ -28,7 +28,7 @@
 			key = append(key, string(node.Data))
 			at = p.Shape(node.Raw).Start.Line
 		}
-		path := joined(key)
+		path := joinKey(key)
 		switch e.Kind {
 		case unstable.Table:
 			table = path
@@ -47,8 +47,8 @@
 	return lines
 }
 
-// of gives the line of a path, else of the table that it is in, else the first.
-func (l lineMap) of(path string) int {
+// lineOf returns the line of a path, or of the innermost table around it that the file has, or 1.
+func (l keyLines) lineOf(path string) int {
 	for {
 		if at, ok := l[path]; ok {
 			return at
@@ -61,8 +61,8 @@
 	}
 }
 
-// overlay gives the fields of an entry that the file does not set the values of a default.
-func overlay[T any](entry *T, base T, lines lineMap, path string) {
+// applyDefaults sets the fields of an entry that the file leaves out to their values in base.
+func applyDefaults[T any](entry *T, base T, lines keyLines, path string) {
 	to, from := reflect.ValueOf(entry).Elem(), reflect.ValueOf(base)
 	for i := range to.NumField() {
 		if _, set := lines[path+"."+to.Type().Field(i).Tag.Get("toml")]; !set {
