--- a/cmd/milletsail/scenariofile.go
+++ b/cmd/milletsail/scenariofile.go
@@ -50,7 +50,7 @@
 
 // measure runs a scenario with a relay, and returns the metrics.
 func measure(ctx context.Context, s *scenario.Scenario, relay string) (*report.Figures, error) {
-	result, err := lab.Play(ctx, s, lab.Options{Binary: relay})
+	result, err := lab.Run(ctx, s, lab.Options{Binary: relay})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/milletsail/scenariorun.go
+++ b/cmd/milletsail/scenariorun.go
@@ -53,11 +53,11 @@
 	if !r.quiet {
 		options.Progress = progressPrinter(command, script)
 	}
-	var rolled lab.Rolled
+	var rolled lab.RolloutResult
 	if r.rollout != "" {
-		options.Beside = lab.Roll(r.rollout, r.rolloutPlan(), rolloutStart, r.rollback, &rolled)
+		options.DuringRun = lab.RunRollout(r.rollout, r.rolloutPlan(), rolloutStart, r.rollback, &rolled)
 	}
-	result, err := lab.Play(command.Context(), script, options)
+	result, err := lab.Run(command.Context(), script, options)
 	if err != nil {
 		return err
 	}
@@ -78,9 +78,9 @@
 }
 
 // showRolledOut prints how the rollout beside a run went.
-func showRolledOut(command *cobra.Command, rolled *lab.Rolled) error {
+func showRolledOut(command *cobra.Command, rolled *lab.RolloutResult) error {
 	command.Printf("rollout: ended in stage %d after %.1f s with %d relays changed; taken back in %.1f s\n", rolled.State.Stage+1,
-		rolled.Took.Seconds(), rolled.Most, rolled.Back.Seconds())
+		rolled.Duration.Seconds(), rolled.MaxUpdated, rolled.RollbackDuration.Seconds())
 	if rolled.State.Plan == nil {
 		return nil
 	}
--- a/internal/lab/clients/clients.go
+++ b/internal/lab/clients/clients.go
@@ -23,15 +23,15 @@
 
 const (
 	// lateAfter is when an arrival that the lab is late with counts: the protocol's slack on sockets.
-	lateAfter = 50 * time.Millisecond
+	lateThreshold = 50 * time.Millisecond
 	// mostHandIns of one message, its first one included.
-	mostHandIns = 12
+	maxHandIns = 12
 	// frontNotices is about how long a client whose relay died waits before it comes to another one.
-	frontNotices = 300 * time.Millisecond
+	failoverDelay = 300 * time.Millisecond
 	// againAfter is when a client comes again that was told no time, leastLeft the time below which none does.
-	againAfter, leastLeft = 500 * time.Millisecond, 100 * time.Millisecond
+	defaultRetryDelay, minTimeLeft = 500 * time.Millisecond, 100 * time.Millisecond
 	// keepOpen is how long a client keeps an idle connection.
-	keepOpen = 5 * time.Second
+	maxIdleTime = 5 * time.Second
 )
 
 // Clients hands the messages of one run in.
@@ -46,15 +46,15 @@
 
 	events, late atomic.Int64
 
-	mu    sync.Mutex
-	live  map[int]*message // without an end, by Msg
-	owed  map[string]*message
-	idle  [][]*conn // by relay
-	faint stretchy
+	mu         sync.Mutex
+	unfinished map[int]*message // without an end, by Msg
+	accepted   map[string]*message
+	idle       [][]*conn // by relay
+	faults     clientFaults
 }
 
 // stretchy is what client faults change while they last.
-type stretchy struct{ leave, repeat float64 }
+type clientFaults struct{ leave, repeat float64 }
 
 // message is one message over all its hand-ins.
 type message struct {
@@ -75,9 +75,9 @@
 
 // New prepares the clients of a run that begins at a moment. They end with ctx.
 func New(ctx context.Context, s *scenario.Scenario, h *history.Writer, p *platform.Platform, subnet *platform.Subnet) *Clients {
-	c := &Clients{s: s, h: h, p: p, subnet: subnet, ctx: ctx, live: map[int]*message{}, owed: map[string]*message{},
+	c := &Clients{s: s, h: h, p: p, subnet: subnet, ctx: ctx, unfinished: map[int]*message{}, accepted: map[string]*message{},
 		idle: make([][]*conn, s.Fleet.Relays)}
-	p.Noticed, p.Delivered = c.noticed, c.delivered
+	p.OnNotification, p.OnDelivery = c.notified, c.delivered
 	return c
 }
 
@@ -86,7 +86,7 @@
 func (c *Clients) Run(plan []Arrival) {
 	c.begun = time.Now()
 	for _, a := range plan {
-		c.at(c.begun.Add(a.At), true)
+		c.waitUntil(c.begun.Add(a.At), true)
 		if c.ctx.Err() != nil {
 			break
 		}
@@ -96,21 +96,21 @@
 			m.body[i] = byte(rng.Uint32())
 		}
 		c.mu.Lock()
-		c.live[m.Msg] = m
+		c.unfinished[m.Msg] = m
 		c.mu.Unlock()
 		c.work.Go(func() { c.handIn(m, m.Home, "") })
 	}
 	c.work.Wait()
-	for c.ctx.Err() == nil && c.waiting() {
+	for c.ctx.Err() == nil && c.awaitsOutcome() {
 		clock.Sleep(c.ctx, 20*time.Millisecond)
 	}
 }
 
 // waiting tells whether a message may still get its end, some time after its deadline included.
-func (c *Clients) waiting() bool {
+func (c *Clients) awaitsOutcome() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, m := range c.live {
+	for _, m := range c.unfinished {
 		if time.Since(m.deadline) < time.Second {
 			return true
 		}
@@ -119,70 +119,70 @@
 }
 
 // Timed is how many events the lab had to do at a time of its own, and how many of them came late.
-func (c *Clients) Timed() (events, late int) { return int(c.events.Load()), int(c.late.Load()) }
+func (c *Clients) TimingCounts() (events, late int) { return int(c.events.Load()), int(c.late.Load()) }
 
 // at waits for a moment, and counts whether the lab was late for it.
-func (c *Clients) at(moment time.Time, counts bool) {
+func (c *Clients) waitUntil(moment time.Time, counts bool) {
 	clock.Sleep(c.ctx, time.Until(moment))
 	by := time.Since(moment)
 	if !counts || c.ctx.Err() != nil {
 		return
 	}
 	c.events.Add(1)
-	if by > lateAfter {
+	if by > lateThreshold {
 		c.late.Add(1)
 		c.h.Add(history.Event{Kind: history.Late, By: history.M(by)})
 	}
 }
 
 // Change sets the share of the clients that leave early, and of those that send a message twice under one id.
-func (c *Clients) Change(leave, repeat float64) {
+func (c *Clients) SetClientFaults(leave, repeat float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.faint = stretchy{leave, repeat}
+	c.faults = clientFaults{leave, repeat}
 }
 
 // done takes a message off the live ones, and tells whether it was one.
-func (c *Clients) done(m *message) {
+func (c *Clients) finish(m *message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.live, m.Msg)
-	delete(c.owed, m.id)
+	delete(c.unfinished, m.Msg)
+	delete(c.accepted, m.id)
 }
 
 func (c *Clients) delivered(d platform.Message, _ history.Micros) {
 	c.mu.Lock()
-	m := c.owed[d.ID]
+	m := c.accepted[d.ID]
 	c.mu.Unlock()
 	if m != nil {
-		c.done(m)
+		c.finish(m)
 	}
 }
 
 // noticed has the client of a message that was handed back come again.
-func (c *Clients) noticed(d platform.Message, status string, after time.Duration) {
+func (c *Clients) notified(d platform.Message, status string, after time.Duration) {
 	c.mu.Lock()
-	m := c.owed[d.ID]
-	delete(c.owed, d.ID)
+	m := c.accepted[d.ID]
+	delete(c.accepted, d.ID)
 	c.mu.Unlock()
 	switch {
 	case m == nil:
 	case status == "deferred":
-		c.later(m, c.elsewhere(m, m.relay), after, "1", true)
+		c.scheduleRetry(m, c.otherRelay(m, m.relay), after, "1", true)
 	default:
-		c.done(m)
+		c.finish(m)
 	}
 }
 
 // later has a client come again after a wait, if it is one that does and there is time left.
-func (c *Clients) later(m *message, relay int, after time.Duration, mark string, mayStay bool) {
+func (c *Clients) scheduleRetry(m *message, relay int, after time.Duration, mark string, mayGiveUp bool) {
 	if after <= 0 {
-		after = againAfter
+		after = defaultRetryDelay
 	}
 	after = min(after, c.s.Rules.MaxRetryAfter.AsDuration())
-	stays := mayStay && c.s.Draw(fmt.Sprintf("returns %d %d", m.Msg, m.handIns)) >= c.s.Load.Returns
-	if stays || m.handIns >= mostHandIns || time.Until(m.deadline) < after+leastLeft {
-		c.done(m)
+	givesUp := mayGiveUp && c.s.Draw(fmt.Sprintf("returns %d %d", m.Msg, m.handIns)) >= c.s.Load.Returns
+	if givesUp || m.handIns >= maxHandIns || time.Until(m.deadline) < after+minTimeLeft {
+		c.finish(m)
 		return
 	}
 	c.work.Go(func() {
@@ -194,13 +194,13 @@
 }
 
 // elsewhere draws another relay for a client, where there is one.
-func (c *Clients) elsewhere(m *message, not int) int {
+func (c *Clients) otherRelay(m *message, current int) int {
 	n := c.s.Fleet.Relays
 	if n == 1 {
-		return not
+		return current
 	}
 	r := int(c.s.Draw(fmt.Sprintf("elsewhere %d %d", m.Msg, m.handIns)) * float64(n-1))
-	if r >= not {
+	if r >= current {
 		r++
 	}
 	return min(r, n-1)
@@ -208,24 +208,24 @@
 
 // HandOver hands what a relay held to others: its machine is lost with its folder. What may have run and may not be
 // repeated stays lost.
-func (c *Clients) HandOver(relay int) {
+func (c *Clients) RelayLost(relay int) {
 	c.mu.Lock()
 	var all []*message
-	for id, m := range c.owed {
+	for id, m := range c.accepted {
 		if m.relay == relay {
-			delete(c.owed, id)
+			delete(c.accepted, id)
 			all = append(all, m)
 		}
 	}
 	c.mu.Unlock()
 	for _, m := range all {
-		_, ran := c.p.Fate(m.id)
+		_, ran := c.p.DeliveryState(m.id)
 		c.p.Withdraw(m.id)
 		if ran && m.Class.Effect != "retryable" {
-			c.done(m)
+			c.finish(m)
 			continue
 		}
-		c.later(m, c.elsewhere(m, relay), frontNotices, "again", false)
+		c.scheduleRetry(m, c.otherRelay(m, relay), failoverDelay, "again", false)
 	}
 }
 
@@ -242,7 +242,7 @@
 func (c *Clients) handIn(m *message, relay int, mark string) {
 	c.mu.Lock()
 	m.handIns++
-	leave, repeat := c.faint.leave, c.faint.repeat
+	leave, repeat := c.faults.leave, c.faults.repeat
 	c.mu.Unlock()
 	draw := func(what string) float64 { return c.s.Draw(fmt.Sprintf("%s %d %d", what, m.Msg, m.handIns)) }
 	id := fmt.Sprintf("%016x", c.s.Draws(fmt.Sprintf("id %d %d", m.Msg, m.handIns)).Uint64())
@@ -250,7 +250,7 @@
 	c.p.Register(platform.Message{ID: id, Msg: m.Msg, Class: m.Class.Name, Dest: m.Dest, Key: m.Key, Body: m.body, Deadline: m.deadline})
 	c.mu.Lock()
 	m.id, m.relay = id, relay
-	c.owed[id] = m
+	c.accepted[id] = m
 	c.mu.Unlock()
 	patience := c.s.Rules.Patience.AsDuration()
 	early := leave > 0 && draw("leaves") < leave
@@ -263,7 +263,7 @@
 	defer cancel()
 	request := encode(m, id, left, mark)
 	if repeat > 0 && draw("repeats") < repeat {
-		c.tease(ctx, relay, request)
+		c.sendAborted(ctx, relay, request)
 	}
 	r, err := c.exchange(ctx, relay, request)
 	if c.ctx.Err() != nil {
@@ -277,14 +277,14 @@
 		return // the relay owes it its end
 	}
 	c.mu.Lock()
-	delete(c.owed, id)
+	delete(c.accepted, id)
 	c.mu.Unlock()
 	c.p.Withdraw(id)
 	switch {
 	case err == nil && (r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable):
-		c.later(m, relay, r.after, "1", true)
+		c.scheduleRetry(m, relay, r.after, "1", true)
 	case err == nil:
-		c.done(m)
+		c.finish(m)
 	default:
 		what := "dead"
 		if ctx.Err() != nil {
@@ -296,9 +296,9 @@
 			what = "early"
 		}
 		c.h.Add(history.Event{Kind: history.Left, ID: id, What: what})
-		after := time.Duration((0.5 + draw("after")) * float64(frontNotices))
+		after := time.Duration((0.5 + draw("after")) * float64(failoverDelay))
 		// A client whose relay is gone goes to another; the same one is as good as any where it only was slow.
-		c.later(m, c.elsewhere(m, relay), after, "again", early)
+		c.scheduleRetry(m, c.otherRelay(m, relay), after, "again", early)
 	}
 }
 
@@ -316,7 +316,7 @@
 }
 
 // tease sends a request and closes the connection at once, as one does whose network breaks; the request comes again.
-func (c *Clients) tease(ctx context.Context, relay int, request []byte) {
+func (c *Clients) sendAborted(ctx context.Context, relay int, request []byte) {
 	if k, err := c.dial(ctx, relay); err == nil {
 		_, _ = k.Write(request)
 		_ = k.Close()
@@ -326,7 +326,7 @@
 // exchange sends a request and gives its answer. Where a kept connection ends before the answer, the relay's closing
 // may have crossed the request: it is sent once more on a new connection.
 func (c *Clients) exchange(ctx context.Context, relay int, request []byte) (reply, error) {
-	if k := c.kept(relay); k != nil {
+	if k := c.takeIdle(relay); k != nil {
 		r, err := c.send(ctx, k, relay, request)
 		if err == nil || !errors.Is(err, errClosed) {
 			return r, err
@@ -349,13 +349,13 @@
 }
 
 // kept gives a connection that was kept, if there is one.
-func (c *Clients) kept(relay int) *conn {
+func (c *Clients) takeIdle(relay int) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for list := c.idle[relay]; len(list) > 0; list = c.idle[relay] {
 		k := list[len(list)-1]
 		c.idle[relay] = list[:len(list)-1]
-		if time.Since(k.since) < keepOpen {
+		if time.Since(k.since) < maxIdleTime {
 			return k
 		}
 		_ = k.Close()
--- a/internal/lab/clients/crowd.go
+++ b/internal/lab/clients/malformed.go
@@ -13,10 +13,10 @@
 )
 
 // peerWaits is how long a malformed peer waits for an error or a close: a second more than it is owed.
-const peerWaits = 4 * time.Second
+const malformedTimeout = 4 * time.Second
 
 // improper are what peers send that send no proper request; "" is silence.
-var improper = []string{
+var malformedRequests = []string{
 	"",
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
 	"POST /",
@@ -31,7 +31,7 @@
 }
 
 // Crowd has malformed or silent peers come to relays, so many a second, until ctx ends.
-func (c *Clients) Crowd(ctx context.Context, fault int, relays []int, rate float64) {
+func (c *Clients) SendMalformed(ctx context.Context, fault int, relays []int, rate float64) {
 	rng := c.s.Draws(fmt.Sprintf("crowd %d", fault))
 	due := time.Now()
 	for n := 1; len(relays) > 0; n++ {
@@ -40,21 +40,21 @@
 		if ctx.Err() != nil {
 			return
 		}
-		relay, text := relays[rng.IntN(len(relays))], improper[rng.IntN(len(improper))]
+		relay, text := relays[rng.IntN(len(relays))], malformedRequests[rng.IntN(len(malformedRequests))]
 		text = strings.NewReplacer("CLASS", c.s.Classes[0].Name, "ID", fmt.Sprintf("peer-%d-%d", fault, n)).Replace(text)
-		c.work.Go(func() { c.peer(relay, fault*1_000_000+n, text) })
+		c.work.Go(func() { c.sendMalformed(relay, fault*1_000_000+n, text) })
 	}
 }
 
 // peer sends what is no proper request, and notes how it ends.
-func (c *Clients) peer(relay, no int, text string) {
+func (c *Clients) sendMalformed(relay, no int, text string) {
 	raw, err := net.DialTimeout("tcp", c.subnet.Clients(relay), time.Second)
 	if err != nil {
 		return
 	}
 	defer raw.Close()
 	c.h.Add(history.Event{Kind: history.Peer, Peer: no, Relay: history.N(relay), What: "came"})
-	_ = raw.SetDeadline(time.Now().Add(peerWaits))
+	_ = raw.SetDeadline(time.Now().Add(malformedTimeout))
 	_, _ = io.WriteString(raw, text)
 	var line [12]byte
 	n, err := io.ReadFull(raw, line[:])
--- a/internal/lab/clients/plan.go
+++ b/internal/lab/clients/plan.go
@@ -26,7 +26,7 @@
 }
 
 // stretch is a span of time with a factor on something.
-type stretch struct {
+type loadChange struct {
 	from, to time.Duration
 	factor   float64
 	relays   []int // struck; nil for all
@@ -35,9 +35,9 @@
 // Plan draws the arrivals of a scenario: Poisson at the rate of the moment, a share of them in clumps for one
 // destination, unevenly over relays and destinations.
 func Plan(s *scenario.Scenario) []Arrival {
-	var bursts, shifts []stretch
+	var bursts, shifts []loadChange
 	for i, f := range s.Faults {
-		span := stretch{from: f.At.AsDuration(), to: f.At.AsDuration() + f.For.AsDuration(), factor: f.Size}
+		span := loadChange{from: f.At.AsDuration(), to: f.At.AsDuration() + f.For.AsDuration(), factor: f.Size}
 		switch f.Kind {
 		case "burst":
 			bursts = append(bursts, span)
@@ -50,7 +50,7 @@
 	for _, b := range bursts {
 		most *= math.Max(1, b.factor)
 	}
-	d := &drawing{s: s, rng: s.Draws("arrivals"), shifts: shifts}
+	d := &planner{s: s, rng: s.Draws("arrivals"), shifts: shifts}
 	d.relays = shares(s, "relays", s.Fleet.Relays, s.Fleet.Spread)
 	for i := range s.Destinations {
 		for range s.Destinations[i].Count {
@@ -89,27 +89,27 @@
 			}
 		}
 	}
-	sort.SliceStable(d.all, func(i, j int) bool { return d.all[i].At < d.all[j].At })
-	for i := range d.all {
-		a := &d.all[i]
+	sort.SliceStable(d.arrivals, func(i, j int) bool { return d.arrivals[i].At < d.arrivals[j].At })
+	for i := range d.arrivals {
+		a := &d.arrivals[i]
 		a.Msg = i + 1
 		if a.Class.Effect == "dedup" {
 			a.Key = fmt.Sprintf("%016x%016x", d.rng.Uint64(), d.rng.Uint64())
 		}
 	}
-	return d.all
+	return d.arrivals
 }
 
 // drawing is a plan as it grows.
-type drawing struct {
+type planner struct {
 	s                      *scenario.Scenario
 	rng                    *rand.Rand
 	relays, dests, classes []float64
-	shifts                 []stretch
-	all                    []Arrival
+	shifts                 []loadChange
+	arrivals               []Arrival
 }
 
-func (d *drawing) add(at time.Duration, dest, class int) {
+func (d *planner) add(at time.Duration, dest, class int) {
 	weights := d.relays
 	for _, shift := range d.shifts {
 		if at >= shift.from && at < shift.to {
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	d.all = append(d.all, Arrival{At: at, Class: &d.s.Classes[class], Dest: dest, Home: pick(d.rng, weights)})
+	d.arrivals = append(d.arrivals, Arrival{At: at, Class: &d.s.Classes[class], Dest: dest, Home: pick(d.rng, weights)})
 }
 
 // shares draws lognormal weights with a sigma.
--- a/internal/lab/faulty/main.go
+++ b/internal/lab/faulty/main.go
@@ -69,7 +69,7 @@
 func run() error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	b := &between{fault: cmp.Or(planted, os.Getenv("LAB_FAULT")), dials: map[string]string{}}
+	b := &proxy{fault: cmp.Or(planted, os.Getenv("LAB_FAULT")), proxied: map[string]string{}}
 	if !slices.Contains(faults, b.fault) {
 		return fmt.Errorf("LAB_FAULT: %q is none of %v", b.fault, faults)
 	}
@@ -82,7 +82,7 @@
 		time.Sleep(time.Minute)
 		return nil
 	case leak:
-		go leakOn()
+		go leakMemory()
 	}
 	state := os.Getenv("NODE_STATE")
 	if b.fault == lostEntry {
@@ -97,7 +97,7 @@
 		}
 	}
 	given, path := os.Getenv("NODE_CONFIG"), filepath.Join(os.Getenv("TMPDIR"), fmt.Sprintf("faulty-%d.json", os.Getpid()))
-	if err := b.rewrite(given, path); err != nil {
+	if err := b.rewriteConfig(given, path); err != nil {
 		return err
 	}
 	cfg, err := config.Read(path)
@@ -107,14 +107,14 @@
 	if b.fault == none || b.fault == noSync {
 		// Each start counts as one of the machine: these lose power. A version beside another one must not, since a process
 		// that hands over lives on the machine that is.
-		cfg.Files, cfg.Boot = &noting{FS: journal.Disk, path: filepath.Join(os.Getenv("TMPDIR"), relays.Synced), deaf: b.fault == noSync}, fmt.Sprint(os.Getpid())
+		cfg.Files, cfg.Boot = &syncRecorder{FS: journal.Disk, path: filepath.Join(os.Getenv("TMPDIR"), relays.SyncedFile), ignoreSyncs: b.fault == noSync}, fmt.Sprint(os.Getpid())
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	passed := make(chan os.Signal)
 	go func() {
 		for s := range hup {
-			if err := b.rewrite(given, path); err != nil {
+			if err := b.rewriteConfig(given, path); err != nil {
 				fmt.Fprintln(os.Stderr, "faulty:", err)
 				continue
 			}
@@ -125,7 +125,7 @@
 }
 
 // leakOn takes memory for good, up to a bound.
-func leakOn() {
+func leakMemory() {
 	var kept [][]byte
 	for range 100 {
 		chunk := make([]byte, 2<<20)
@@ -140,15 +140,15 @@
 }
 
 // between is what stands between the relay and the platform.
-type between struct {
+type proxy struct {
 	fault string
 
-	mu    sync.Mutex
-	dials map[string]string // endpoints' addresses, and those that stand for them
+	mu      sync.Mutex
+	proxied map[string]string // endpoints' addresses, and those that stand for them
 }
 
 // rewrite gives the relay a configuration that leads it to us.
-func (b *between) rewrite(given, to string) error {
+func (b *proxy) rewriteConfig(given, to string) error {
 	text, err := os.ReadFile(given)
 	if err != nil {
 		return err
@@ -158,11 +158,11 @@
 		return err
 	}
 	address, _ := c["discovery"].(string)
-	if c["discovery"], err = b.discovery(address); err != nil {
+	if c["discovery"], err = b.proxyDiscovery(address); err != nil {
 		return err
 	}
 	if known, ok := c["known"].(map[string]any); ok {
-		if err := b.members(known); err != nil {
+		if err := b.rewriteMembers(known); err != nil {
 			return err
 		}
 	}
@@ -179,7 +179,7 @@
 }
 
 // members changes a list as the fault has it.
-func (b *between) members(list map[string]any) error {
+func (b *proxy) rewriteMembers(list map[string]any) error {
 	hosts, _ := list["hosts"].([]any)
 	for _, entry := range hosts {
 		h, _ := entry.(map[string]any)
@@ -190,17 +190,17 @@
 			continue
 		}
 		dial, _ := h["dial"].(string)
-		stand, err := b.endpoint(dial)
+		proxyAddr, err := b.proxyEndpoint(dial)
 		if err != nil {
 			return err
 		}
-		h["dial"] = stand
+		h["dial"] = proxyAddr
 	}
 	return nil
 }
 
 // discovery stands for a discovery address.
-func (b *between) discovery(address string) (string, error) {
+func (b *proxy) proxyDiscovery(address string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -218,7 +218,7 @@
 	return l.Addr().String(), nil
 }
 
-func (b *between) forward(w http.ResponseWriter, r *http.Request, address string) error {
+func (b *proxy) forward(w http.ResponseWriter, r *http.Request, address string) error {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return err
@@ -245,7 +245,7 @@
 		line := lines.Bytes()
 		var list map[string]any
 		if json.Unmarshal(line, &list) == nil {
-			if err := b.members(list); err != nil {
+			if err := b.rewriteMembers(list); err != nil {
 				return err
 			}
 			if line, err = json.Marshal(list); err != nil {
@@ -261,13 +261,13 @@
 }
 
 // endpoint stands for an endpoint's address.
-func (b *between) endpoint(address string) (string, error) {
+func (b *proxy) proxyEndpoint(address string) (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if stand, ok := b.dials[address]; ok {
-		return stand, nil
+	if proxyAddr, ok := b.proxied[address]; ok {
+		return proxyAddr, nil
 	}
-	l, err := net.Listen("tcp", standing(address))
+	l, err := net.Listen("tcp", endpointProxyAddress(address))
 	if err != nil { // the process before still has it, in an upgrade
 		l, err = net.Listen("tcp", "127.0.0.1:0")
 	}
@@ -280,22 +280,22 @@
 			if err != nil {
 				return
 			}
-			go b.carry(c, address)
+			go b.forwardConn(c, address)
 		}
 	}()
-	b.dials[address] = l.Addr().String()
-	return b.dials[address], nil
+	b.proxied[address] = l.Addr().String()
+	return b.proxied[address], nil
 }
 
 // standing is where we stand for an address: the same place after a restart, since the relay remembers its list.
-func standing(address string) string {
+func endpointProxyAddress(address string) string {
 	host, port, _ := net.SplitHostPort(address)
 	n, _ := strconv.Atoi(port)
 	return net.JoinHostPort(host, strconv.Itoa(n+20000))
 }
 
 // carry carries a connection of the relay to an endpoint, and spoils what passes.
-func (b *between) carry(c net.Conn, address string) {
+func (b *proxy) forwardConn(c net.Conn, address string) {
 	defer c.Close()
 	up, err := net.Dial("tcp", address)
 	if err != nil {
@@ -304,10 +304,10 @@
 	defer up.Close()
 	var out io.Writer = up
 	if b.fault == secondCopy {
-		if twin, err := net.Dial("tcp", address); err == nil {
-			defer twin.Close()
-			go func() { _, _ = io.Copy(io.Discard, twin) }()
-			out = io.MultiWriter(twin, up)
+		if duplicate, err := net.Dial("tcp", address); err == nil {
+			defer duplicate.Close()
+			go func() { _, _ = io.Copy(io.Discard, duplicate) }()
+			out = io.MultiWriter(duplicate, up)
 		}
 	}
 	go func() {
--- a/internal/lab/faulty/noting.go
+++ b/internal/lab/faulty/syncrecorder.go
@@ -10,57 +10,57 @@
 
 // noting is the disk, which notes what a power loss would leave of it: for each file that has a durable name, how much
 // of it was synced. It is used by one goroutine.
-type noting struct {
+type syncRecorder struct {
 	journal.FS
-	path    string
-	deaf    bool                  // nothing is ever durable but names
-	files   map[string]*notedFile // by present name
-	durable map[string]int64      // by durable name
+	path        string
+	ignoreSyncs bool                     // nothing is ever durable but names
+	files       map[string]*recordedFile // by present name
+	durable     map[string]int64         // by durable name
 }
 
-type notedFile struct {
+type recordedFile struct {
 	journal.File
-	n            *noting
+	recorder     *syncRecorder
 	name         string
 	size, synced int64
 }
 
-func (n *noting) Create(path string) (journal.File, error) {
+func (n *syncRecorder) Create(path string) (journal.File, error) {
 	f, err := n.FS.Create(path)
 	if err != nil {
 		return nil, err
 	}
 	if n.files == nil {
-		n.files, n.durable = map[string]*notedFile{}, map[string]int64{}
+		n.files, n.durable = map[string]*recordedFile{}, map[string]int64{}
 	}
 	name := filepath.Base(path)
-	n.files[name] = &notedFile{File: f, n: n, name: name}
+	n.files[name] = &recordedFile{File: f, recorder: n, name: name}
 	return n.files[name], nil
 }
 
-func (f *notedFile) Write(b []byte) (int, error) {
+func (f *recordedFile) Write(b []byte) (int, error) {
 	written, err := f.File.Write(b)
 	f.size += int64(written)
 	return written, err
 }
 
 // Sync is durable once the note of it is written: that must not come before the sync itself.
-func (f *notedFile) Sync() error {
+func (f *recordedFile) Sync() error {
 	if err := f.File.Sync(); err != nil {
 		return err
 	}
-	if f.n.deaf {
+	if f.recorder.ignoreSyncs {
 		return nil
 	}
 	f.synced = f.size
-	if _, ok := f.n.durable[f.name]; ok {
-		f.n.durable[f.name] = f.size
-		return f.n.write()
+	if _, ok := f.recorder.durable[f.name]; ok {
+		f.recorder.durable[f.name] = f.size
+		return f.recorder.save()
 	}
 	return nil
 }
 
-func (n *noting) Rename(from, to string) error {
+func (n *syncRecorder) Rename(from, to string) error {
 	if err := n.FS.Rename(from, to); err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 }
 
 // SyncDir makes the names that there are durable, and takes those away that are gone.
-func (n *noting) SyncDir(dir string) error {
+func (n *syncRecorder) SyncDir(dir string) error {
 	if err := n.FS.SyncDir(dir); err != nil {
 		return err
 	}
@@ -92,10 +92,10 @@
 			n.durable[name] = info.Size()
 		}
 	}
-	return n.write()
+	return n.save()
 }
 
-func (n *noting) write() error {
+func (n *syncRecorder) save() error {
 	text, err := json.Marshal(n.durable)
 	if err != nil {
 		return err
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -39,11 +39,11 @@
 	Logs     string                 // folder that the relays' logs are copied to; empty for none
 	Progress func(at time.Duration) // called each second; nil for no calls
 	// Beside is run beside the traffic, from its begin until it returns or the traffic has stopped; nil for nothing.
-	Beside func(ctx context.Context, p *Beside) error
+	DuringRun func(ctx context.Context, p *ActiveRun) error
 }
 
 // Beside is what runs beside a play has of it.
-type Beside struct {
+type ActiveRun struct {
 	Scenario *scenario.Scenario
 	Relays   []*relays.Relay
 	Dir      string // that is removed with the play
@@ -58,23 +58,23 @@
 }
 
 // settle is the time after the last message's end in which calls that are still out may end.
-const settle = 300 * time.Millisecond
+const settleTime = 300 * time.Millisecond
 
 // agreeIn is the time in which relays that share should have come to one view, once the traffic has stopped.
-const agreeIn = 3 * time.Second
+const convergenceTime = 3 * time.Second
 
 // folderPrefix begins the names of the lab's folders; the id of its process follows.
-const folderPrefix = "milletsail-lab-"
+const runDirPrefix = "milletsail-lab-"
 
 // Play plays a scenario to its end. An error says that it could not be played, or was broken off by ctx; a broken
 // rule is in the verdict.
-func Play(ctx context.Context, s *scenario.Scenario, o Options) (result *Result, err error) {
-	dir, err := folder()
+func Run(ctx context.Context, s *scenario.Scenario, o Options) (result *Result, err error) {
+	dir, err := createRunDir()
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	subnet, err := platform.TakeSubnet()
+	subnet, err := platform.AcquireSubnet()
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 	}
 	h := history.NewWriter(file, time.Now())
 	defer func() { err = errors.Join(err, h.Close()) }()
-	h.Add(history.Event{T: 1, Kind: history.Run, Facts: factsOf(s)})
+	h.Add(history.Event{T: 1, Kind: history.Run, Facts: runParameters(s)})
 
 	p, err := platform.New(s, h, subnet)
 	if err != nil {
@@ -112,55 +112,55 @@
 		return nil, err
 	}
 	plan := clients.Plan(s)
-	t := &timeline{s: s, h: h, p: p, c: c, fleet: fleet, begun: time.Now()}
+	t := &faultInjector{s: s, h: h, p: p, c: c, fleet: fleet, startTime: time.Now()}
 	faults, stopFaults := context.WithCancel(ctx)
 	defer stopFaults()
 	var work sync.WaitGroup
 	for i := range s.Faults {
-		work.Go(func() { t.play(faults, i) })
+		work.Go(func() { t.injectAtTime(faults, i) })
 	}
 	if o.Progress != nil {
 		work.Go(func() {
 			for clock.Sleep(faults, time.Second) {
-				o.Progress(time.Since(t.begun))
+				o.Progress(time.Since(t.startTime))
 			}
 		})
 	}
-	var beside error
-	if o.Beside != nil {
+	var duringErr error
+	if o.DuringRun != nil {
 		work.Go(func() {
-			beside = o.Beside(faults, &Beside{Scenario: s, Relays: fleet.Relays, Dir: dir, Binary: o.Binary})
+			duringErr = o.DuringRun(faults, &ActiveRun{Scenario: s, Relays: fleet.Relays, Dir: dir, Binary: o.Binary})
 		})
 	}
 	c.Run(plan)
-	clock.Sleep(ctx, settle)
-	notes, noteBytes, received := p.NotesSent()
+	clock.Sleep(ctx, settleTime)
+	notes, noteBytes, received := p.DatagramCounts()
 	if s.Fleet.Shares {
-		clock.Sleep(ctx, agreeIn)
-		fleet.Look()
+		clock.Sleep(ctx, convergenceTime)
+		fleet.RecordViews()
 	}
 	stopFaults()
 	work.Wait()
-	if err := errors.Join(ctx.Err(), beside); err != nil {
+	if err := errors.Join(ctx.Err(), duringErr); err != nil {
 		return nil, err
 	}
 	fleet.Stop()
-	events, late := c.Timed()
+	events, late := c.TimingCounts()
 	h.Add(history.Event{Kind: history.End, Events: events, LateN: late, Notes: notes, NoteBytes: noteBytes, Received: received})
 	all := h.Events()
 	return &Result{s, all, checker.Check(all, false)}, nil
 }
 
 // folder makes the folder of a play, and removes those of labs that are gone.
-func folder() (string, error) {
-	old, _ := filepath.Glob(filepath.Join(os.TempDir(), folderPrefix+"*"))
+func createRunDir() (string, error) {
+	old, _ := filepath.Glob(filepath.Join(os.TempDir(), runDirPrefix+"*"))
 	for _, dir := range old {
-		id, _, _ := strings.Cut(strings.TrimPrefix(filepath.Base(dir), folderPrefix), "-")
+		id, _, _ := strings.Cut(strings.TrimPrefix(filepath.Base(dir), runDirPrefix), "-")
 		if pid, err := strconv.Atoi(id); err == nil && errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) {
 			_ = os.RemoveAll(dir)
 		}
 	}
-	return os.MkdirTemp("", folderPrefix+strconv.Itoa(os.Getpid())+"-")
+	return os.MkdirTemp("", runDirPrefix+strconv.Itoa(os.Getpid())+"-")
 }
 
 // copyLogs keeps the relays' logs.
@@ -188,7 +188,7 @@
 }
 
 // factsOf is what a checker has to know of a scenario.
-func factsOf(s *scenario.Scenario) *history.Facts {
+func runParameters(s *scenario.Scenario) *history.Facts {
 	r, f := &s.Rules, &s.Fleet
 	facts := &history.Facts{Title: s.Title, Seed: s.Seed, Relays: f.Relays, MaxAttempts: r.MaxAttempts, Patience: history.M(r.Patience.AsDuration()),
 		DrainGrace: history.M(r.DrainGrace.AsDuration()), ColdShare: r.ColdShare, RampTime: history.M(r.RampTime.AsDuration()), OverloadFactor: r.OverloadFactor,
@@ -208,71 +208,71 @@
 }
 
 // timeline plays the faults of a scenario.
-type timeline struct {
-	s     *scenario.Scenario
-	h     *history.Writer
-	p     *platform.Platform
-	c     *clients.Clients
-	fleet *relays.Fleet
-	begun time.Time
+type faultInjector struct {
+	s         *scenario.Scenario
+	h         *history.Writer
+	p         *platform.Platform
+	c         *clients.Clients
+	fleet     *relays.Fleet
+	startTime time.Time
 }
 
 // drainFor is how long a draining endpoint stays on the list where the scenario does not say.
-const drainFor = 4 * time.Second
+const defaultDrainTime = 4 * time.Second
 
 // play waits for the time of a fault, and brings it about and to its end.
-func (t *timeline) play(ctx context.Context, i int) {
+func (t *faultInjector) injectAtTime(ctx context.Context, i int) {
 	f := &t.s.Faults[i]
-	if !clock.Sleep(ctx, time.Until(t.begun.Add(f.At.AsDuration()))) {
+	if !clock.Sleep(ctx, time.Until(t.startTime.Add(f.At.AsDuration()))) {
 		return
 	}
 	now := t.h.Now()
 	t.h.Add(history.Event{T: now, Kind: history.Fault, What: f.Kind, Zone: f.Zone, Of: i, Until: now + history.M(f.For.AsDuration())})
 	slog.Debug("fault", "kind", f.Kind, "at", f.At.AsDuration(), "for", f.For.AsDuration())
-	if err := t.strike(ctx, i, f); err != nil && ctx.Err() == nil {
+	if err := t.inject(ctx, i, f); err != nil && ctx.Err() == nil {
 		slog.Error("fault", "kind", f.Kind, "err", err)
 	}
 }
 
-func (t *timeline) strike(ctx context.Context, i int, f *scenario.Fault) error {
+func (t *faultInjector) inject(ctx context.Context, i int, f *scenario.Fault) error {
 	lasting := func(begin, end func()) error {
 		begin()
 		clock.Sleep(ctx, f.For.AsDuration())
 		end()
 		return nil
 	}
-	struck := t.s.StruckRelays(i)
+	affected := t.s.StruckRelays(i)
 	switch f.Kind {
 	case "kill", "wipe", "power", "turn":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error {
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error {
 			return r.Kill(ctx, f.For.AsDuration(), func(dir string) error {
 				switch f.Kind {
 				case "wipe":
 					err := r.Wipe(dir)
-					t.c.HandOver(r.No)
+					t.c.RelayLost(r.No)
 					return err
 				case "power":
 					return r.LosePower(dir)
 				case "turn":
-					return r.Turn(dir, i, int(f.Size))
+					return r.FlipBits(dir, i, int(f.Size))
 				}
 				return nil
 			})
 		})
 	case "full":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Fill(ctx, f.For.AsDuration()) })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { return r.FillDisk(ctx, f.For.AsDuration()) })
 	case "restart":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Restart(ctx) })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { return r.Restart(ctx) })
 	case "upgrade":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Upgrade(ctx) })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { return r.Upgrade(ctx) })
 	case "clock", "clock-back", "calls-fail", "short-io":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return shimmed(ctx, r, f) })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { return injectShimFault(ctx, r, f) })
 	case "evacuate", "restore":
 		line := "zone " + f.Kind + " " + f.Of
 		if f.Kind == "evacuate" {
 			line += " " + f.For.AsDuration().String()
 		}
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error {
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error {
 			if err := r.Order(line); err != nil {
 				return err
 			}
@@ -281,62 +281,62 @@
 			return nil
 		})
 	case "reload":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Reload() })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { return r.Reload() })
 	case "freeze":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { r.Freeze(ctx, f.For.AsDuration()); return nil })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { r.Freeze(ctx, f.For.AsDuration()); return nil })
 	case "drain", "release-errors", "release-slow":
-		return t.drain(ctx, i, f)
+		return t.drainEndpoints(ctx, i, f)
 	case "cut":
-		return t.cut(ctx, i, f, struck)
+		return t.cutLinks(ctx, i, f, affected)
 	case "delay":
 		hosts := t.s.StruckHosts(i)
-		on := func(r, h int) bool { return slices.Contains(struck, r) && slices.Contains(hosts, h) }
-		return lasting(func() { t.p.Delay(time.Duration(f.Size*float64(time.Second)), on) }, func() { t.p.Delay(0, on) })
+		on := func(r, h int) bool { return slices.Contains(affected, r) && slices.Contains(hosts, h) }
+		return lasting(func() { t.p.DelayLinks(time.Duration(f.Size*float64(time.Second)), on) }, func() { t.p.DelayLinks(0, on) })
 	case "drop-notes", "twin-notes":
 		drop, twin := f.Size, 0.0
 		if f.Kind == "twin-notes" {
 			drop, twin = 0, f.Size
 		}
-		return lasting(func() { each(struck, func(r int) { t.p.SpoilNotes(r, drop, twin) }) },
-			func() { each(struck, func(r int) { t.p.SpoilNotes(r, 0, 0) }) })
+		return lasting(func() { forEach(affected, func(r int) { t.p.ImpairDatagrams(r, drop, twin) }) },
+			func() { forEach(affected, func(r int) { t.p.ImpairDatagrams(r, 0, 0) }) })
 	case "discovery-late", "discovery-silent", "discovery-busy":
 		var late time.Duration
 		if f.Kind == "discovery-late" {
 			late = time.Duration(f.Size * float64(time.Second))
 		}
 		return lasting(func() {
-			each(struck, func(r int) { t.p.Discovery(r, late, f.Kind == "discovery-silent", f.Kind == "discovery-busy") })
-		}, func() { each(struck, func(r int) { t.p.Discovery(r, 0, false, false) }) })
+			forEach(affected, func(r int) { t.p.SetDiscoveryFaults(r, late, f.Kind == "discovery-silent", f.Kind == "discovery-busy") })
+		}, func() { forEach(affected, func(r int) { t.p.SetDiscoveryFaults(r, 0, false, false) }) })
 	case "leave":
-		return lasting(func() { t.c.Change(f.Size, 0) }, func() { t.c.Change(0, 0) })
+		return lasting(func() { t.c.SetClientFaults(f.Size, 0) }, func() { t.c.SetClientFaults(0, 0) })
 	case "repeat":
-		return lasting(func() { t.c.Change(0, f.Size) }, func() { t.c.Change(0, 0) })
+		return lasting(func() { t.c.SetClientFaults(0, f.Size) }, func() { t.c.SetClientFaults(0, 0) })
 	case "crowd":
 		ctx, cancel := context.WithTimeout(ctx, f.For.AsDuration())
 		defer cancel()
-		t.c.Crowd(ctx, i, struck, f.Size)
+		t.c.SendMalformed(ctx, i, affected, f.Size)
 		return nil
 	case "burst", "shift": // in the plan
 		return nil
 	}
 	hosts := t.s.StruckHosts(i)
-	return lasting(func() { each(hosts, func(h int) { t.p.Strike(i, h, troubleOf(f)) }) },
-		func() { each(hosts, func(h int) { t.p.Relieve(i, h) }) })
+	return lasting(func() { forEach(hosts, func(h int) { t.p.Impair(i, h, impairmentOf(f)) }) },
+		func() { forEach(hosts, func(h int) { t.p.EndImpairment(i, h) }) })
 }
 
-func each(all []int, do func(int)) {
+func forEach(all []int, do func(int)) {
 	for _, n := range all {
 		do(n)
 	}
 }
 
 // troubleOf is what a fault does to an endpoint.
-func troubleOf(f *scenario.Fault) (t platform.Trouble) {
+func impairmentOf(f *scenario.Fault) (t platform.Impairment) {
 	switch f.Kind {
 	case "down":
 		t.Down = true
 	case "shut":
-		t.Shut, t.Wait = true, f.Wait.AsDuration()
+		t.Refuse, t.Wait = true, f.Wait.AsDuration()
 	case "silent":
 		t.Silent = true
 	case "errors", "release-errors":
@@ -346,21 +346,21 @@
 	case "stall":
 		t.Stall = f.Size
 	case "lose-answers":
-		t.Lose = f.Size
+		t.DropAnswers = f.Size
 	case "reset":
 		t.Reset = f.Size
 	case "spoil":
-		t.Spoil = f.Size
+		t.Corrupt = f.Size
 	}
 	return t
 }
 
 // relays does something to relays, one a step, or to all at once.
-func (t *timeline) relays(ctx context.Context, struck []int, f *scenario.Fault, do func(*relays.Relay) error) error {
+func (t *faultInjector) forEachRelay(ctx context.Context, affected []int, f *scenario.Fault, do func(*relays.Relay) error) error {
 	var mu sync.Mutex
 	var all error
 	var work sync.WaitGroup
-	for _, r := range struck {
+	for _, r := range affected {
 		work.Go(func() {
 			err := do(t.fleet.Relays[r])
 			mu.Lock()
@@ -376,24 +376,24 @@
 }
 
 // drain takes endpoints off the list, each with one that takes its place.
-func (t *timeline) drain(ctx context.Context, i int, f *scenario.Fault) error {
-	stays := f.For.AsDuration()
-	if stays == 0 {
-		stays = drainFor
+func (t *faultInjector) drainEndpoints(ctx context.Context, i int, f *scenario.Fault) error {
+	listedFor := f.For.AsDuration()
+	if listedFor == 0 {
+		listedFor = defaultDrainTime
 	}
 	for n, h := range t.s.Hosts {
 		if h.Born != i+1 {
 			continue
 		}
 		if f.Kind != "drain" { // what takes the place is worse
-			t.p.Strike(i, n, troubleOf(f))
+			t.p.Impair(i, n, impairmentOf(f))
 		}
-		if err := errors.Join(t.p.List(n, "SERVING"), t.p.List(h.Old, "DRAINING")); err != nil {
+		if err := errors.Join(t.p.SetHealth(n, "SERVING"), t.p.SetHealth(h.Old, "DRAINING")); err != nil {
 			return err
 		}
-		time.AfterFunc(stays, func() {
+		time.AfterFunc(listedFor, func() {
 			if ctx.Err() == nil {
-				_ = t.p.List(h.Old, "DELETED")
+				_ = t.p.SetHealth(h.Old, "DELETED")
 			}
 		})
 		if !clock.Sleep(ctx, f.Step.AsDuration()) {
@@ -405,7 +405,7 @@
 
 // cut cuts links. With a zone, those that lead into it or out of it; "to" is then into it, "from" out of it.
 // Otherwise those between the relays and the endpoints that are named.
-func (t *timeline) cut(ctx context.Context, i int, f *scenario.Fault, struck []int) error {
+func (t *faultInjector) cutLinks(ctx context.Context, i int, f *scenario.Fault, affected []int) error {
 	hosts := t.s.StruckHosts(i)
 	way := func(direction string) bool {
 		return f.Direction == "" || f.Direction == "both" || f.Direction == direction
@@ -414,19 +414,19 @@
 	crosses := func(from, to string) bool {
 		return from != to && (from == f.Zone && way("from") || to == f.Zone && way("to"))
 	}
-	to := func(r, h int) bool { return way("to") && slices.Contains(struck, r) && slices.Contains(hosts, h) }
-	from := func(r, h int) bool { return way("from") && slices.Contains(struck, r) && slices.Contains(hosts, h) }
+	to := func(r, h int) bool { return way("to") && slices.Contains(affected, r) && slices.Contains(hosts, h) }
+	from := func(r, h int) bool { return way("from") && slices.Contains(affected, r) && slices.Contains(hosts, h) }
 	between := func(int, int) bool { return false }
 	if f.Zone != "" {
 		to = func(r, h int) bool { return crosses(zone(r), t.s.Hosts[h].Zone) }
 		from = func(r, h int) bool { return crosses(t.s.Hosts[h].Zone, zone(r)) }
 		between = func(a, b int) bool { return crosses(zone(a), zone(b)) }
 	}
-	t.p.Cut(1, to, from)
-	t.p.CutNotes(1, between)
+	t.p.CutLinks(1, to, from)
+	t.p.CutDatagrams(1, between)
 	clock.Sleep(ctx, f.For.AsDuration())
-	t.p.Cut(-1, to, from)
-	t.p.CutNotes(-1, between)
+	t.p.CutLinks(-1, to, from)
+	t.p.CutDatagrams(-1, between)
 	return nil
 }
 
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -52,47 +52,47 @@
 }
 
 // mostVoid plays in a row may be void: another program had the processors. A void play is no verdict of either kind.
-const mostVoid = 6
+const maxInvalidRuns = 6
 
 // alone is for a play that is repeated: the ones beside it may have been what made the lab late.
-var alone sync.Mutex
+var retryLock sync.Mutex
 
 // atOnce bounds the plays side by side: they mostly wait, but each that comes late is played again, alone.
-var atOnce = make(chan bool, 5)
+var runSlots = make(chan bool, 5)
 
 // playing is a play that has been begun.
-type playing struct {
+type pendingRun struct {
 	result *Result
 	err    error
 	done   chan bool
 }
 
 // begin begins a play, which is repeated until it counts.
-func begin(t *testing.T, name string, o Options) *playing {
+func startRun(t *testing.T, name string, o Options) *pendingRun {
 	t.Helper()
-	s, p := named(t, name), &playing{done: make(chan bool)}
+	s, p := loadScenario(t, name), &pendingRun{done: make(chan bool)}
 	ctx := t.Context()
 	go func() {
 		defer close(p.done)
-		atOnce <- true
-		defer func() { <-atOnce }()
-		for try := range mostVoid {
+		runSlots <- true
+		defer func() { <-runSlots }()
+		for try := range maxInvalidRuns {
 			if try == 1 {
-				alone.Lock()
-				defer alone.Unlock()
+				retryLock.Lock()
+				defer retryLock.Unlock()
 			}
-			p.result, p.err = Play(ctx, s, o)
+			p.result, p.err = Run(ctx, s, o)
 			if p.err != nil || p.result.Verdict.Void == "" {
 				return
 			}
 		}
-		p.err = fmt.Errorf("%d plays are void: %s", mostVoid, p.result.Verdict.Void)
+		p.err = fmt.Errorf("%d plays are void: %s", maxInvalidRuns, p.result.Verdict.Void)
 	}()
 	return p
 }
 
 // end waits for a play.
-func (p *playing) end(t *testing.T) *Result {
+func (p *pendingRun) wait(t *testing.T) *Result {
 	t.Helper()
 	<-p.done
 	if p.err != nil {
@@ -101,7 +101,7 @@
 	return p.result
 }
 
-func named(t *testing.T, name string) *scenario.Scenario {
+func loadScenario(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
 	text, err := scenarios.Get(name)
 	if err != nil {
@@ -117,13 +117,13 @@
 // The relay keeps all rules while relays are killed, a zone is cut off, destinations fail, endpoints drain, machines
 // are lost, processes are replaced, clients misbehave, and journals are cut back, damaged and full; and a relay with a
 // fault planted is caught.
-func TestPlays(t *testing.T) {
-	plays := map[string]*playing{}
+func TestScenariosKeepRules(t *testing.T) {
+	runs := map[string]*pendingRun{}
 	for _, name := range []string{"herd", "zone", "outage", "drain", "upgrade", "wipe", "clients", "order", "servers"} {
-		plays[name] = begin(t, name, Options{Binary: relayBinary})
+		runs[name] = startRun(t, name, Options{Binary: relayBinary})
 	}
 	// Only a relay whose syncs are noted can lose power.
-	plays["recovery"] = begin(t, "recovery", Options{Binary: faultyBinary, Env: []string{"LAB_FAULT=none"}})
+	runs["recovery"] = startRun(t, "recovery", Options{Binary: faultyBinary, Env: []string{"LAB_FAULT=none"}})
 	planted := []struct{ fault, scenario, rule string }{
 		{"second-copy", "calm", checker.SecondCopy},
 		{"late-end", "overload", checker.Lost},
@@ -134,13 +134,13 @@
 		{"no-sync", "recovery", checker.Lost},
 	}
 	for _, c := range planted {
-		plays[c.fault] = begin(t, c.scenario, Options{Binary: faultyBinary, Env: []string{"LAB_FAULT=" + c.fault}})
+		runs[c.fault] = startRun(t, c.scenario, Options{Binary: faultyBinary, Env: []string{"LAB_FAULT=" + c.fault}})
 	}
-	for name, p := range plays {
+	for name, p := range runs {
 		if i := slices.IndexFunc(planted, func(c struct{ fault, scenario, rule string }) bool { return c.fault == name }); i >= 0 {
 			t.Run(name, func(t *testing.T) {
 				found := map[string]int{}
-				for _, x := range p.end(t).Verdict.Violations {
+				for _, x := range p.wait(t).Verdict.Violations {
 					found[x.Rule]++
 				}
 				if found[planted[i].rule] == 0 {
@@ -150,7 +150,7 @@
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
-			r := p.end(t)
+			r := p.wait(t)
 			v := r.Verdict
 			if name == "servers" { // without proving themselves, some 25 calls a second go there
 				for _, n := range report.Of(r.Events, v).Newcomers {
@@ -170,7 +170,7 @@
 }
 
 // Whatever ends the lab, its relays end with it, and a lab that is told to end leaves no folder.
-func TestNothingStays(t *testing.T) {
+func TestNoProcessOrDirRemains(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(sig.String(), func(t *testing.T) {
 			t.Parallel()
@@ -198,7 +198,7 @@
 				}
 				return true
 			})
-			left, err := filepath.Glob(filepath.Join(tmp, folderPrefix+"*"))
+			left, err := filepath.Glob(filepath.Join(tmp, runDirPrefix+"*"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -210,20 +210,20 @@
 }
 
 // The folder of a lab that was killed goes with the next one's start, that of one that runs stays.
-func TestOldFolders(t *testing.T) {
+func TestStaleRunDirsRemoved(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	dead := exec.Command("true")
 	if err := dead.Run(); err != nil {
 		t.Fatal(err)
 	}
-	stale := filepath.Join(os.TempDir(), folderPrefix+strconv.Itoa(dead.Process.Pid)+"-1")
-	running := filepath.Join(os.TempDir(), folderPrefix+strconv.Itoa(os.Getppid())+"-1")
+	stale := filepath.Join(os.TempDir(), runDirPrefix+strconv.Itoa(dead.Process.Pid)+"-1")
+	running := filepath.Join(os.TempDir(), runDirPrefix+strconv.Itoa(os.Getppid())+"-1")
 	for _, dir := range []string{stale, running} {
 		if err := os.Mkdir(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := folder(); err != nil {
+	if _, err := createRunDir(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(stale); err == nil {
@@ -235,11 +235,11 @@
 }
 
 // A relay that does not start is an error with its own words, and what it was given is taken away.
-func TestNoStart(t *testing.T) {
-	s := named(t, "calm")
+func TestRelayStartFailure(t *testing.T) {
+	s := loadScenario(t, "calm")
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	_, err := Play(ctx, s, Options{Binary: faultyBinary, Env: []string{"LAB_FAULT=no-such-fault"}})
+	_, err := Run(ctx, s, Options{Binary: faultyBinary, Env: []string{"LAB_FAULT=no-such-fault"}})
 	if err == nil || !strings.Contains(err.Error(), "no-such-fault") {
 		t.Errorf("%v", err)
 	}
--- /dev/null
+++ b/internal/lab/platform/datagrams.go
@@ -0,0 +1,170 @@
+package platform
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"sync"
+	"time"
+
+	"milletsail/internal/lab/history"
+)
+
+// maxNote is the longest datagram that one relay may send another.
+const maxDatagramBytes = 256
+
+// notes carries datagrams between relays. Each relay has one address at which all others reach it and from which its
+// own come to them; the pair of relays follows from that and from the sender's address.
+type datagramNetwork struct {
+	p          *Platform
+	conns      []*net.UDPConn // by relay
+	broadcast  *net.UDPConn
+	relayOf    map[netip.AddrPort]int
+	listenAddr []netip.AddrPort // where relays listen
+
+	mu              sync.Mutex
+	cuts            [][]int // cuts in force, by sender and receiver
+	drop, duplicate []float64
+	carried         int // to one relay each
+	sent, sentBytes int // datagrams taken, and their bytes
+	closed          chan struct{}
+	work            sync.WaitGroup
+}
+
+// newNotes opens the carrier, unless something failed before.
+func newDatagramNetwork(p *Platform, openErr error) (*datagramNetwork, error) {
+	if openErr != nil {
+		return nil, openErr
+	}
+	relays := p.s.Fleet.Relays
+	n := &datagramNetwork{p: p, relayOf: map[netip.AddrPort]int{}, drop: make([]float64, relays), duplicate: make([]float64, relays),
+		closed: make(chan struct{})}
+	for r := range relays {
+		at, err := netip.ParseAddrPort(p.net.PeerListen(r))
+		if err != nil {
+			return nil, err
+		}
+		n.listenAddr, n.relayOf[at] = append(n.listenAddr, at), r
+		n.cuts = append(n.cuts, make([]int, relays))
+		conn, err := listenUDP(p.net.Peer(r))
+		if err != nil {
+			n.close()
+			return nil, err
+		}
+		n.conns = append(n.conns, conn)
+	}
+	var err error
+	if n.broadcast, err = listenUDP(p.net.PeersAll()); err != nil {
+		n.close()
+		return nil, err
+	}
+	for r, conn := range n.conns {
+		n.work.Go(func() { n.receive(conn, func(int) []int { return []int{r} }) })
+	}
+	n.work.Go(func() {
+		n.receive(n.broadcast, func(sender int) (all []int) {
+			for r := range n.listenAddr {
+				if r != sender {
+					all = append(all, r)
+				}
+			}
+			return all
+		})
+	})
+	return n, nil
+}
+
+func listenUDP(addr string) (*net.UDPConn, error) {
+	a, err := net.ResolveUDPAddr("udp4", addr)
+	if err != nil {
+		return nil, err
+	}
+	return net.ListenUDP("udp4", a)
+}
+
+func (n *datagramNetwork) close() {
+	close(n.closed)
+	for _, conn := range n.conns {
+		_ = conn.Close()
+	}
+	if n.broadcast != nil {
+		_ = n.broadcast.Close()
+	}
+	n.work.Wait()
+}
+
+// take carries what comes in at an address to those that it stands for.
+func (n *datagramNetwork) receive(in *net.UDPConn, to func(sender int) []int) {
+	buf := make([]byte, 64<<10)
+	for {
+		size, from, err := in.ReadFromUDPAddrPort(buf)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		sender, known := n.relayOf[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		if err != nil || !known {
+			continue
+		}
+		if size > maxDatagramBytes {
+			n.p.h.Add(history.Event{Kind: history.Note, Relay: history.N(sender), Bytes: size})
+		}
+		datagram := append([]byte(nil), buf[:size]...)
+		n.mu.Lock()
+		n.sent, n.sentBytes = n.sent+1, n.sentBytes+size
+		n.mu.Unlock()
+		for _, r := range to(sender) {
+			n.deliver(sender, r, datagram)
+		}
+	}
+}
+
+// carry brings a note from one relay to another, as the network between them does.
+func (n *datagramNetwork) deliver(from, to int, datagram []byte) {
+	n.mu.Lock()
+	n.carried++
+	no, cut := n.carried, n.cuts[from][to] > 0
+	drop, duplicate := max(n.drop[from], n.drop[to]), max(n.duplicate[from], n.duplicate[to])
+	n.mu.Unlock()
+	if cut || drop > 0 && n.p.s.Draw(fmt.Sprintf("drop %d", no)) < drop {
+		return
+	}
+	_, _ = n.conns[from].WriteToUDPAddrPort(datagram, n.listenAddr[to])
+	if duplicate > 0 && n.p.s.Draw(fmt.Sprintf("twin %d", no)) < duplicate {
+		late := time.Duration(n.p.s.Draw(fmt.Sprintf("twin late %d", no)) * float64(time.Second))
+		time.AfterFunc(late, func() {
+			select {
+			case <-n.closed:
+			default:
+				_, _ = n.conns[from].WriteToUDPAddrPort(datagram, n.listenAddr[to])
+			}
+		})
+	}
+}
+
+// NotesSent counts the notes that relays have sent, one to all counting once, their bytes, and those carried to one relay.
+func (p *Platform) DatagramCounts() (datagrams, bytes, received int) {
+	p.datagrams.mu.Lock()
+	defer p.datagrams.mu.Unlock()
+	return p.datagrams.sent, p.datagrams.sentBytes, p.datagrams.carried
+}
+
+// CutNotes cuts (by 1) or heals (by -1) the way of notes from one relay to another.
+func (p *Platform) CutDatagrams(by int, between func(from, to int) bool) {
+	p.datagrams.mu.Lock()
+	defer p.datagrams.mu.Unlock()
+	for from := range p.datagrams.cuts {
+		for to := range p.datagrams.cuts[from] {
+			if from != to && between(from, to) {
+				p.datagrams.cuts[from][to] += by
+			}
+		}
+	}
+}
+
+// SpoilNotes has a share of the notes from and to a relay lost, and a share come twice, the second up to a second late.
+func (p *Platform) ImpairDatagrams(relay int, drop, duplicate float64) {
+	p.datagrams.mu.Lock()
+	defer p.datagrams.mu.Unlock()
+	p.datagrams.drop[relay], p.datagrams.duplicate[relay] = drop, duplicate
+}
--- a/internal/lab/platform/discovery.go
+++ b/internal/lab/platform/discovery.go
@@ -21,13 +21,13 @@
 
 const (
 	// listLag is what the agent of a relay has its lists late by, drawn up to it.
-	listLag = 300 * time.Millisecond
+	maxListLag = 300 * time.Millisecond
 	// emptyLine is the time between the empty lines of a watch on which nothing changes.
-	emptyLine = 2 * time.Second
+	keepAliveInterval = 2 * time.Second
 	// oldAddress is how long the open connections to a discovery that has moved stay.
-	oldAddress = 1500 * time.Millisecond
+	movedGrace = 1500 * time.Millisecond
 	// busyWait is what an overbooked discovery tells.
-	busyWait = "0.5"
+	busyRetryAfter = "0.5"
 )
 
 // change is one version of the list: what happened to one endpoint. Version n is change n-1.
@@ -38,7 +38,7 @@
 }
 
 // entryOf is one endpoint in discovery's form.
-type entryOf struct {
+type memberEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -50,13 +50,13 @@
 }
 
 // Entry is one endpoint in discovery's form, for stand-ins that keep lists of their own.
-type Entry = entryOf
+type Entry = memberEntry
 
 // Members is a list, or changes of it, in discovery's form.
 type Members struct {
-	Seq   int       `json:"seq"`
-	Whole bool      `json:"whole"`
-	Hosts []entryOf `json:"hosts"`
+	Seq   int           `json:"seq"`
+	Whole bool          `json:"whole"`
+	Hosts []memberEntry `json:"hosts"`
 }
 
 // agent is the discovery of one relay.
@@ -106,7 +106,7 @@
 }
 
 // set changes an agent and wakes its watches.
-func (a *agent) set(change func()) {
+func (a *agent) update(change func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change()
@@ -122,13 +122,13 @@
 }
 
 // Discovery changes how the discovery of a relay behaves: lists late by so much more, silent, or overbooked.
-func (p *Platform) Discovery(relay int, late time.Duration, silent, busy bool) {
-	p.agents[relay].set(func() { a := p.agents[relay]; a.late, a.silent, a.busy = late, silent, busy })
+func (p *Platform) SetDiscoveryFaults(relay int, late time.Duration, silent, busy bool) {
+	p.agents[relay].update(func() { a := p.agents[relay]; a.late, a.silent, a.busy = late, silent, busy })
 }
 
 // Move gives the discovery of a relay another address. The old one takes nothing new, and its open connections end
 // after a while.
-func (p *Platform) Move(relay int) error {
+func (p *Platform) MoveDiscovery(relay int) error {
 	a := p.agents[relay]
 	a.mu.Lock()
 	old, l := a.srv, a.l
@@ -138,12 +138,12 @@
 		return err
 	}
 	_ = l.Close()
-	time.AfterFunc(oldAddress, func() { _ = old.Close() })
+	time.AfterFunc(movedGrace, func() { _ = old.Close() })
 	return nil
 }
 
 // Known gives the list as a relay may have it in its configuration: as of a version, 0 for the first one.
-func (p *Platform) Known(relay, seq int) Members {
+func (p *Platform) InitialMembers(relay, seq int) Members {
 	first := 0
 	for _, h := range p.s.Hosts {
 		if h.Born == 0 {
@@ -154,10 +154,10 @@
 }
 
 // Seq is the present version of the list.
-func (p *Platform) Seq() int {
+func (p *Platform) ListVersion() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.list)
+	return len(p.changes)
 }
 
 // DiscoveryAddress is where a relay finds its discovery now.
@@ -170,16 +170,16 @@
 
 // List changes the health of an endpoint on the list; a deleted one's address takes nothing any more, and one that is
 // listed anew is opened.
-func (p *Platform) List(host int, health string) error {
+func (p *Platform) SetHealth(host int, health string) error {
 	h := p.hosts[host]
 	h.mu.Lock()
 	if health == draining {
-		h.refuses = time.Now().Add(p.s.Rules.DrainGrace.AsDuration())
+		h.refuseFrom = time.Now().Add(p.s.Rules.DrainGrace.AsDuration())
 	}
 	fresh := !h.listed && health == serving
 	h.listed = h.listed || fresh
 	if fresh {
-		h.born = time.Now()
+		h.listedAt = time.Now()
 	}
 	h.mu.Unlock()
 	if fresh {
@@ -190,12 +190,12 @@
 		}
 	}
 	p.mu.Lock()
-	p.list = append(p.list, change{time.Now(), host, health})
-	seq := len(p.list)
+	p.changes = append(p.changes, change{time.Now(), host, health})
+	seq := len(p.changes)
 	p.h.Add(history.Event{Kind: history.List, Seq: seq, Hosts: []history.Listed{{Host: h.Name, Health: health}}})
 	p.mu.Unlock()
 	for _, a := range p.agents {
-		a.set(func() {})
+		a.update(func() {})
 	}
 	return nil
 }
@@ -203,7 +203,7 @@
 // members gives the list of a version, or its changes since another where that is above 0.
 func (p *Platform) members(relay, seq, since int) Members {
 	p.mu.Lock()
-	list := append([]change(nil), p.list[:min(seq, len(p.list))]...)
+	list := append([]change(nil), p.changes[:min(seq, len(p.changes))]...)
 	p.mu.Unlock()
 	health := map[int]string{}
 	var order []int
@@ -215,42 +215,42 @@
 			health[c.host] = c.health
 		}
 	}
-	m := Members{Seq: len(list), Whole: since == 0, Hosts: []entryOf{}}
+	m := Members{Seq: len(list), Whole: since == 0, Hosts: []memberEntry{}}
 	for _, no := range order {
 		h := p.hosts[no]
 		if m.Whole && health[no] == deleted {
 			continue
 		}
-		m.Hosts = append(m.Hosts, entryOf{Host: h.Name, Dial: p.net.Host(relay, no), Site: h.Zone,
-			Class: p.Shape(h.Of.Bulk), Block: h.Dest, Health: health[no], Share: p.weight(&h.Host), BornMS: h.bornMS()})
+		m.Hosts = append(m.Hosts, memberEntry{Host: h.Name, Dial: p.net.Host(relay, no), Site: h.Zone,
+			Class: p.Shape(h.Of.Bulk), Block: h.Dest, Health: health[no], Share: p.weight(&h.Host), BornMS: h.listedAtMS()})
 	}
 	return m
 }
 
 // bornMS is when an endpoint that came later started, as discovery tells it.
-func (h *host) bornMS() int64 {
+func (h *host) listedAtMS() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.born.IsZero() {
+	if h.listedAt.IsZero() {
 		return 0
 	}
-	return h.born.UnixMilli()
+	return h.listedAt.UnixMilli()
 }
 
 // Shape names the kind of destination whose calls take so many messages at most.
 func (p *Platform) Shape(bulk int) string { return "bulk" + strconv.Itoa(bulk) }
 
 // visible is the newest version that an agent has by now, and when it will have the next; zero for none to come.
-func (a *agent) visible(late time.Duration) (seq int, next time.Time) {
-	lag := late + time.Duration(a.p.s.Draw("lag "+strconv.Itoa(a.relay))*float64(listLag))
+func (a *agent) visibleVersion(late time.Duration) (seq int, next time.Time) {
+	lag := late + time.Duration(a.p.s.Draw("lag "+strconv.Itoa(a.relay))*float64(maxListLag))
 	a.p.mu.Lock()
 	defer a.p.mu.Unlock()
-	for i, c := range a.p.list {
+	for i, c := range a.p.changes {
 		if due := c.at.Add(lag); !c.at.IsZero() && time.Now().Before(due) {
 			return i, due
 		}
 	}
-	return len(a.p.list), time.Time{}
+	return len(a.p.changes), time.Time{}
 }
 
 func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
@@ -273,7 +273,7 @@
 	}
 	var all []notice
 	in := bufio.NewScanner(r.Body)
-	in.Buffer(nil, maxBody)
+	in.Buffer(nil, maxBodyBytes)
 	for in.Scan() {
 		var n notice
 		if err := json.Unmarshal(in.Bytes(), &n); err != nil || n.ID == "" || n.Status != "undeliverable" && n.Status != "deferred" {
@@ -283,7 +283,7 @@
 		all = append(all, n)
 	}
 	for _, n := range all {
-		a.p.noticed(a.relay, n.ID, n.Status, time.Duration(n.AgainMS)*time.Millisecond)
+		a.p.receiveNotification(a.relay, n.ID, n.Status, time.Duration(n.AgainMS)*time.Millisecond)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -297,7 +297,7 @@
 	for {
 		_, silent, busy, wake := a.state()
 		if busy {
-			w.Header().Set("Retry-After", busyWait)
+			w.Header().Set("Retry-After", busyRetryAfter)
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -314,13 +314,13 @@
 	first := true
 	for {
 		late, silent, _, wake := a.state()
-		seq, next := a.visible(late)
-		wait := emptyLine
+		seq, next := a.visibleVersion(late)
+		wait := keepAliveInterval
 		if !next.IsZero() {
 			wait = min(wait, time.Until(next))
 		}
 		if !silent && (first || seq > since) {
-			if !a.tell(w, seq, since) {
+			if !a.writeMembers(w, seq, since) {
 				return
 			}
 			if !stream {
@@ -338,7 +338,7 @@
 		case <-wake:
 			t.Stop()
 		case <-t.C:
-			if _, silent, _, _ := a.state(); !silent && wait == emptyLine {
+			if _, silent, _, _ := a.state(); !silent && wait == keepAliveInterval {
 				if _, err := w.Write([]byte("\n")); err != nil {
 					return
 				}
@@ -349,7 +349,7 @@
 }
 
 // tell writes a list, or the changes since a version, to the relay.
-func (a *agent) tell(w http.ResponseWriter, seq, since int) bool {
+func (a *agent) writeMembers(w http.ResponseWriter, seq, since int) bool {
 	if since > seq {
 		since = 0
 	}
--- a/internal/lab/platform/hosts.go
+++ b/internal/lab/platform/hosts.go
@@ -22,94 +22,94 @@
 
 const (
 	// maxBody bounds the body of a call, as the protocol has it.
-	maxBody = 64 << 10
+	maxBodyBytes = 64 << 10
 	// callTime bounds how long a call may take to come, from its first byte.
-	callTime = 10 * time.Second
+	callReadTimeout = 10 * time.Second
 	// coldSlack is what a cold endpoint takes beyond its budget before it falls over, in roots of the budget: the
 	// protocol leaves some room for chance and does not say how much.
-	coldSlack = 2
+	coldBurstFactor = 2
 	// rateDepth is the time for which a rate limit saves up room.
-	rateDepth = 250 * time.Millisecond
+	rateBurst = 250 * time.Millisecond
 )
 
 // Trouble is what a fault does to an endpoint. Shares are of its calls or answers.
-type Trouble struct {
-	Down, Shut, Silent                bool
-	Wait                              time.Duration // told while shut; 0 for none
-	Errors, Stall, Lose, Reset, Spoil float64
-	Slow                              float64 // factor on service times; 0 for none
+type Impairment struct {
+	Down, Refuse, Silent                       bool
+	Wait                                       time.Duration // told while shut; 0 for none
+	Errors, Stall, DropAnswers, Reset, Corrupt float64
+	Slow                                       float64 // factor on service times; 0 for none
 }
 
 // fails tells whether most calls fail: what follows is a cold return.
-func (t Trouble) fails() bool { return t.Down || t.Shut || t.Silent || t.Errors >= 0.5 }
+func (t Impairment) isOutage() bool { return t.Down || t.Refuse || t.Silent || t.Errors >= 0.5 }
 
 // host is one endpoint.
 type host struct {
 	p       *Platform
-	no      int
+	index   int
 	ports   []*port // by relay
 	workers chan bool
 
 	scenario.Host
-	mu       sync.Mutex
-	listed   bool
-	born     time.Time // when it was listed; zero for from the start
-	refuses  time.Time // a draining endpoint takes nothing from then on; zero for never
-	troubles map[int]Trouble
-	open     int       // connections
-	waiting  int       // calls in the queue
-	back     time.Time // since when it serves again after an outage; zero for long ago
-	fell     bool
-	recent   []time.Time // calls while cold
+	mu          sync.Mutex
+	listed      bool
+	listedAt    time.Time // when it was listed; zero for from the start
+	refuseFrom  time.Time // a draining endpoint takes nothing from then on; zero for never
+	impairments map[int]Impairment
+	open        int       // connections
+	waiting     int       // calls in the queue
+	recoveredAt time.Time // since when it serves again after an outage; zero for long ago
+	overloaded  bool
+	recentCalls []time.Time // calls while cold
 }
 
 func newHost(p *Platform, no int) *host {
-	h := &host{p: p, no: no, Host: p.s.Hosts[no], troubles: map[int]Trouble{}}
+	h := &host{p: p, index: no, Host: p.s.Hosts[no], impairments: map[int]Impairment{}}
 	h.listed = h.Born == 0
 	h.workers = make(chan bool, h.Of.Workers)
 	return h
 }
 
 // trouble is all that strikes an endpoint at the moment; the lock is held.
-func (h *host) trouble() (t Trouble) {
-	for _, o := range h.troubles {
-		t.Down, t.Shut, t.Silent = t.Down || o.Down, t.Shut || o.Shut, t.Silent || o.Silent
+func (h *host) impairment() (t Impairment) {
+	for _, o := range h.impairments {
+		t.Down, t.Refuse, t.Silent = t.Down || o.Down, t.Refuse || o.Refuse, t.Silent || o.Silent
 		t.Wait, t.Slow = max(t.Wait, o.Wait), max(t.Slow, o.Slow)
-		t.Errors, t.Stall, t.Lose = max(t.Errors, o.Errors), max(t.Stall, o.Stall), max(t.Lose, o.Lose)
-		t.Reset, t.Spoil = max(t.Reset, o.Reset), max(t.Spoil, o.Spoil)
+		t.Errors, t.Stall, t.DropAnswers = max(t.Errors, o.Errors), max(t.Stall, o.Stall), max(t.DropAnswers, o.DropAnswers)
+		t.Reset, t.Corrupt = max(t.Reset, o.Reset), max(t.Corrupt, o.Corrupt)
 	}
-	t.Down = t.Down || h.fell
+	t.Down = t.Down || h.overloaded
 	return t
 }
 
 // Strike has a fault, by its number, do something to an endpoint until Relieve.
-func (p *Platform) Strike(fault, host int, t Trouble) { p.hosts[host].change(fault, &t) }
+func (p *Platform) Impair(fault, host int, t Impairment) { p.hosts[host].setImpairment(fault, &t) }
 
 // Relieve ends what a fault does to an endpoint.
-func (p *Platform) Relieve(fault, host int) { p.hosts[host].change(fault, nil) }
+func (p *Platform) EndImpairment(fault, host int) { p.hosts[host].setImpairment(fault, nil) }
 
-func (h *host) change(fault int, t *Trouble) {
+func (h *host) setImpairment(fault int, t *Impairment) {
 	h.mu.Lock()
-	before := h.trouble()
+	before := h.impairment()
 	if t != nil {
-		h.troubles[fault] = *t
+		h.impairments[fault] = *t
 	} else {
-		delete(h.troubles, fault)
+		delete(h.impairments, fault)
 	}
-	after := h.trouble()
+	after := h.impairment()
 	switch {
-	case after.fails() && !before.fails():
+	case after.isOutage() && !before.isOutage():
 		h.p.h.Add(history.Event{Kind: history.Outage, Host: h.Name})
-	case before.fails() && !after.fails():
-		h.back, h.recent = time.Now(), nil
+	case before.isOutage() && !after.isOutage():
+		h.recoveredAt, h.recentCalls = time.Now(), nil
 		h.p.h.Add(history.Event{Kind: history.Back, Host: h.Name, Rate: Capacity(&h.Host)})
 	}
 	h.mu.Unlock()
-	h.reachable(before.Down, after.Down)
+	h.updatePorts(before.Down, after.Down)
 }
 
 // reachable opens or closes the ports of an endpoint that comes up or goes down.
-func (h *host) reachable(before, after bool) {
+func (h *host) updatePorts(before, after bool) {
 	for _, o := range h.ports {
 		if after && !before {
 			o.close()
@@ -122,28 +122,28 @@
 }
 
 // warmth is the share of its capacity that an endpoint has at a moment; the lock is held.
-func (h *host) warmth(at time.Time) float64 {
+func (h *host) capacityShare(at time.Time) float64 {
 	r := &h.p.s.Rules
-	if h.back.IsZero() || r.RampTime <= 0 {
+	if h.recoveredAt.IsZero() || r.RampTime <= 0 {
 		return 1
 	}
-	return math.Min(1, r.ColdShare+(1-r.ColdShare)*at.Sub(h.back).Seconds()/r.RampTime.Seconds())
+	return math.Min(1, r.ColdShare+(1-r.ColdShare)*at.Sub(h.recoveredAt).Seconds()/r.RampTime.Seconds())
 }
 
 // chill counts a call at a cold endpoint, and pushes it over where calls are too many; the lock is held. It tells
 // whether it fell.
-func (h *host) chill(now time.Time) bool {
+func (h *host) overloadsCold(now time.Time) bool {
 	r := &h.p.s.Rules
-	if h.back.IsZero() || now.Sub(h.back) > r.RampTime.AsDuration() {
+	if h.recoveredAt.IsZero() || now.Sub(h.recoveredAt) > r.RampTime.AsDuration() {
 		return false
 	}
 	from := now.Add(-r.OverloadFor.AsDuration())
-	h.recent = append(h.recent, now)
-	for len(h.recent) > 0 && h.recent[0].Before(from) {
-		h.recent = h.recent[1:]
+	h.recentCalls = append(h.recentCalls, now)
+	for len(h.recentCalls) > 0 && h.recentCalls[0].Before(from) {
+		h.recentCalls = h.recentCalls[1:]
 	}
-	budget := r.OverloadFactor * Capacity(&h.Host) * h.warmth(now) * r.OverloadFor.Seconds()
-	return float64(len(h.recent)) > budget+coldSlack*math.Sqrt(budget)
+	budget := r.OverloadFactor * Capacity(&h.Host) * h.capacityShare(now) * r.OverloadFor.Seconds()
+	return float64(len(h.recentCalls)) > budget+coldBurstFactor*math.Sqrt(budget)
 }
 
 // hostConn is a connection of a relay to an endpoint.
@@ -152,8 +152,8 @@
 	port   *port
 	ctx    context.Context
 	end    context.CancelFunc
-	in     chan chunk
-	rest   []byte
+	chunks chan chunk
+	unread []byte
 	sentAt time.Time // when the relay sent the latest bytes that were read
 	// closedAt is when the relay closed, in nanoseconds since 1970; 0 while it has not.
 	closedAt atomic.Int64
@@ -162,11 +162,11 @@
 
 // call is one call at an endpoint.
 type call struct {
-	no    int
-	relay int
-	bulk  bool
-	msgs  []*entry
-	tries []int // calls of each message, this one included
+	no       int
+	relay    int
+	bulk     bool
+	msgs     []*entry
+	attempts []int // calls of each message, this one included
 }
 
 func (c *call) ids() (ids []string) {
@@ -183,7 +183,7 @@
 	noSlot bool
 	states []string // of a bulk call that is answered 200
 	ran    bool
-	hangs  bool // never comes
+	never  bool // never comes
 }
 
 // serve takes calls from a connection, one at a time, until it ends.
@@ -191,7 +191,7 @@
 	h := c.port.host
 	h.mu.Lock()
 	h.open++
-	crowded := h.Of.Connections > 0 && h.open > h.Of.Connections
+	overLimit := h.Of.Connections > 0 && h.open > h.Of.Connections
 	h.mu.Unlock()
 	defer func() {
 		h.mu.Lock()
@@ -208,19 +208,19 @@
 			return
 		}
 		began := c.sentAt
-		tooLong.Reset(callTime)
+		tooLong.Reset(callReadTimeout)
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(req.Body, 2*maxBody))
+		body, err := io.ReadAll(io.LimitReader(req.Body, 2*maxBodyBytes))
 		if err != nil {
 			return
 		}
 		tooLong.Stop()
-		whole := c.sentAt
+		received := c.sentAt
 		next = c.peek(in)
-		if !c.handle(req, body, began, whole, next, crowded) || crowded {
+		if !c.handle(req, body, began, received, next, overLimit) || overLimit {
 			return
 		}
 	}
@@ -237,17 +237,17 @@
 }
 
 // handle answers one call and tells whether the connection goes on.
-func (c *hostConn) handle(req *http.Request, body []byte, began, whole time.Time, next chan error, crowded bool) bool {
+func (c *hostConn) handle(req *http.Request, body []byte, began, received time.Time, next chan error, overLimit bool) bool {
 	h, p := c.port.host, c.port.p
-	call, a := p.take(c.port.relay, h, req, body, began, whole)
+	call, a := p.receiveCall(c.port.relay, h, req, body, began, received)
 	if call == nil {
 		return c.write(nil, a)
 	}
 	var left sync.Once
-	leave := func() { left.Do(func() { p.leave(c.port.relay) }) }
-	defer leave()
+	release := func() { left.Do(func() { p.releaseSlot(c.port.relay) }) }
+	defer release()
 	if a.status == 0 {
-		a = h.admit(call, crowded)
+		a = h.admit(call, overLimit)
 	}
 	ctx, quit := context.WithCancel(c.ctx)
 	defer quit()
@@ -261,10 +261,10 @@
 		case <-ctx.Done():
 		}
 	}()
-	if a.status == 0 && !a.hangs {
+	if a.status == 0 && !a.never {
 		a = h.run(ctx, call)
 	}
-	what, part := h.spoils(call, a)
+	what, part := h.answerFault(call, a)
 	ended := func() bool {
 		_, closed := c.closed()
 		return closed || ctx.Err() != nil
@@ -272,8 +272,8 @@
 	switch {
 	case ended():
 	case what == "":
-		c.port.link.pass(ctx, false)
-		leave() // before the relay can know that the slot is free
+		c.port.link.waitOpen(ctx, false)
+		release() // before the relay can know that the slot is free
 		if !ended() && c.write(call, a) {
 			return true
 		}
@@ -305,25 +305,25 @@
 }
 
 // spoils tells what becomes of an answer instead of its being written, with what is written of it.
-func (h *host) spoils(c *call, a answer) (what string, part []byte) {
+func (h *host) answerFault(c *call, a answer) (what string, part []byte) {
 	h.mu.Lock()
-	t := h.trouble()
+	t := h.impairment()
 	h.mu.Unlock()
 	hits := func(what string, share float64) bool {
-		return share > 0 && h.p.s.Draw(fmt.Sprintf("%s %s %d", what, c.msgs[0].ID, c.tries[0])) < share
+		return share > 0 && h.p.s.Draw(fmt.Sprintf("%s %s %d", what, c.msgs[0].ID, c.attempts[0])) < share
 	}
 	switch {
-	case a.hangs:
+	case a.never:
 		return "silent", nil
 	case !a.ran:
 		return "", nil
-	case hits("lose", t.Lose):
+	case hits("lose", t.DropAnswers):
 		return "lost", nil
 	case hits("reset", t.Reset):
 		return "reset", nil
 	case hits("stall", t.Stall):
 		return "stalled", []byte("HTTP/1.1 20")
-	case hits("spoil", t.Spoil):
+	case hits("spoil", t.Corrupt):
 		return "spoilt", []byte("HTTQ/7.7 two hundred\r\n\r\n\x00\x00")
 	}
 	return "", nil
@@ -331,7 +331,7 @@
 
 // take reads a call and gives it its number; one that can't be read, or holds what no client handed in, gets its
 // answer at once.
-func (p *Platform) take(relay int, h *host, req *http.Request, body []byte, began, whole time.Time) (*call, answer) {
+func (p *Platform) receiveCall(relay int, h *host, req *http.Request, body []byte, began, received time.Time) (*call, answer) {
 	c := &call{relay: relay, bulk: req.URL.Path == "/inbox/bulk"}
 	type item struct {
 		ID   string `json:"id"`
@@ -341,12 +341,12 @@
 	items := []item{{req.Header.Get("Request-Id"), req.Header.Get("Idempotency-Key"), body}}
 	if c.bulk {
 		items = nil
-		if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 || len(body) > maxBody {
+		if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 || len(body) > maxBodyBytes {
 			return nil, answer{status: http.StatusBadRequest}
 		}
 	}
 	ids := map[string]bool{}
-	event := history.Event{T: p.h.At(whole), Kind: history.Call, Relay: history.N(relay), Host: h.Name, Began: p.h.At(began)}
+	event := history.Event{T: p.h.At(received), Kind: history.Call, Relay: history.N(relay), Host: h.Name, Began: p.h.At(began)}
 	known := true
 	p.mu.Lock()
 	p.calls++
@@ -360,17 +360,17 @@
 		}
 		ids[it.ID] = true
 		e.calls++
-		c.msgs, c.tries = append(c.msgs, e), append(c.tries, e.calls)
+		c.msgs, c.attempts = append(c.msgs, e), append(c.attempts, e.calls)
 	}
-	p.out[relay]++
-	out := p.out[relay]
+	p.callsOut[relay]++
+	out := p.callsOut[relay]
 	p.mu.Unlock()
 	event.Call = c.no
 	p.h.Add(event)
 	switch {
 	case !known:
 		p.h.Add(history.Event{Kind: history.Reply, Call: c.no, Status: "400", What: "unknown"})
-		p.leave(relay)
+		p.releaseSlot(relay)
 		return nil, answer{status: http.StatusBadRequest}
 	case len(items) > h.Of.Bulk:
 		return c, answer{status: http.StatusRequestEntityTooLarge}
@@ -391,34 +391,34 @@
 }
 
 // leave frees the slot of a call.
-func (p *Platform) leave(relay int) {
+func (p *Platform) releaseSlot(relay int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.out[relay]--
+	p.callsOut[relay]--
 }
 
 // admit turns a call away, or gives no answer yet.
-func (h *host) admit(c *call, crowded bool) answer {
+func (h *host) admit(c *call, overLimit bool) answer {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	t := h.trouble()
+	t := h.impairment()
 	if t.Silent {
-		return answer{hangs: true}
+		return answer{never: true}
 	}
-	if !t.fails() && h.chill(now) {
-		h.fell = true
+	if !t.isOutage() && h.overloadsCold(now) {
+		h.overloaded = true
 		h.p.h.Add(history.Event{Kind: history.Fell, Host: h.Name})
-		go h.reachable(false, true)
+		go h.updatePorts(false, true)
 	}
 	full := answer{status: http.StatusServiceUnavailable}
 	switch {
-	case t.Shut && t.Wait > 0:
+	case t.Refuse && t.Wait > 0:
 		return answer{status: http.StatusTooManyRequests, wait: t.Wait}
-	case t.Shut, crowded, !h.refuses.IsZero() && now.After(h.refuses):
+	case t.Refuse, overLimit, !h.refuseFrom.IsZero() && now.After(h.refuseFrom):
 		return full
 	}
-	if wait, ok := h.p.dests[h.Dest].room(h.Of, now); !ok {
+	if wait, ok := h.p.dests[h.Dest].takeToken(h.Of, now); !ok {
 		if h.Of.TellsWait {
 			return answer{status: http.StatusTooManyRequests, wait: wait}
 		}
@@ -427,7 +427,7 @@
 	if h.waiting >= h.Of.Queue && len(h.workers) == cap(h.workers) {
 		return full
 	}
-	if h.p.s.Draw(fmt.Sprintf("error %s %d", c.msgs[0].ID, c.tries[0])) < t.Errors {
+	if h.p.s.Draw(fmt.Sprintf("error %s %d", c.msgs[0].ID, c.attempts[0])) < t.Errors {
 		return answer{status: http.StatusInternalServerError}
 	}
 	return answer{}
@@ -447,15 +447,15 @@
 	}
 	h.mu.Lock()
 	h.waiting--
-	t, warmth := h.trouble(), h.warmth(time.Now())
+	t, share := h.impairment(), h.capacityShare(time.Now())
 	h.mu.Unlock()
 	if !ok {
 		return answer{}
 	}
-	service := h.service(c) / warmth * max(1, t.Slow)
+	service := h.service(c) / share * max(1, t.Slow)
 	clock.Sleep(h.p.ctx, time.Duration(service*float64(time.Second)))
 	<-h.workers
-	return answer{status: http.StatusOK, states: h.p.ran(c), ran: true}
+	return answer{status: http.StatusOK, states: h.p.recordRun(c), ran: true}
 }
 
 // service draws the time of a call in seconds: lognormal, by its first message and which of its calls this is.
@@ -464,7 +464,7 @@
 	if d.ServiceCV == 0 {
 		return mean
 	}
-	words := fmt.Sprintf("service %s %d", c.msgs[0].ID, c.tries[0])
+	words := fmt.Sprintf("service %s %d", c.msgs[0].ID, c.attempts[0])
 	u, v := h.p.s.Draw(words+" u"), h.p.s.Draw(words+" v")
 	normal := math.Sqrt(-2*math.Log(1-u)) * math.Cos(2*math.Pi*v)
 	sigma := math.Sqrt(math.Log(1 + d.ServiceCV*d.ServiceCV))
@@ -472,7 +472,7 @@
 }
 
 // ran notes that the messages of a call have run, and gives their states.
-func (p *Platform) ran(c *call) (states []string) {
+func (p *Platform) recordRun(c *call) (states []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range c.msgs {
@@ -531,7 +531,7 @@
 		event.States = a.states
 	}
 	p.h.Add(event)
-	p.delivered(done, at)
+	p.recordDelivery(done, at)
 	return true
 }
 
@@ -545,13 +545,13 @@
 }
 
 // room takes the room of a call under the limit, or tells when there is some again.
-func (d *dest) room(of *scenario.Destination, now time.Time) (wait time.Duration, ok bool) {
+func (d *dest) takeToken(of *scenario.Destination, now time.Time) (wait time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	seconds := func(v float64) time.Duration { return time.Duration(math.Max(v, 0.001) * float64(time.Second)) }
 	switch of.Limit {
 	case "rate":
-		depth := math.Max(1, of.Rate*rateDepth.Seconds())
+		depth := math.Max(1, of.Rate*rateBurst.Seconds())
 		if d.at.IsZero() {
 			d.tokens = depth
 		} else {
--- a/internal/lab/platform/links.go
+++ b/internal/lab/platform/links.go
@@ -24,7 +24,7 @@
 }
 
 // set changes a link.
-func (l *link) set(change func()) {
+func (l *link) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
@@ -33,14 +33,14 @@
 }
 
 // silent tells whether new connections never come up.
-func (l *link) silent() bool {
+func (l *link) blocked() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.to > 0 || l.from > 0
 }
 
 // pass waits until data may go in a direction, and as long as the link delays it.
-func (l *link) pass(ctx context.Context, towards bool) {
+func (l *link) waitOpen(ctx context.Context, towards bool) {
 	for {
 		l.mu.Lock()
 		cuts, delay, changed := l.from, l.delay, l.changed
@@ -70,12 +70,12 @@
 	link  *link
 	addr  string
 
-	mu     sync.Mutex
-	l      *net.TCPListener
-	mute   bool                // new connections never come up
-	parked chan bool           // the goroutine that accepts has seen so
-	filler map[string]net.Conn // by its own address: what keeps a muted listener's queue full
-	conns  map[*hostConn]bool
+	mu         sync.Mutex
+	listener   *net.TCPListener
+	blackholed bool                // new connections never come up
+	parked     chan bool           // the goroutine that accepts has seen so
+	fillers    map[string]net.Conn // by its own address: what keeps a muted listener's queue full
+	conns      map[*hostConn]bool
 }
 
 // backlog is what a listener that is not muted has waiting for it at most.
@@ -89,14 +89,14 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.l, o.filler, o.mute = l.(*net.TCPListener), map[string]net.Conn{}, false
+	o.listener, o.fillers, o.blackholed = l.(*net.TCPListener), map[string]net.Conn{}, false
 	if o.conns == nil {
 		o.conns = map[*hostConn]bool{}
 	}
 	o.p.work.Add(1)
-	go o.accept(o.l)
-	if o.link.silent() {
-		o.silence()
+	go o.accept(o.listener)
+	if o.link.blocked() {
+		o.blackhole()
 	}
 	return nil
 }
@@ -105,14 +105,14 @@
 func (o *port) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.l != nil {
-		_ = o.l.Close()
-		o.l = nil
+	if o.listener != nil {
+		_ = o.listener.Close()
+		o.listener = nil
 	}
-	for _, c := range o.filler {
+	for _, c := range o.fillers {
 		_ = c.Close()
 	}
-	o.filler = nil
+	o.fillers = nil
 	for c := range o.conns {
 		c.reset()
 	}
@@ -120,12 +120,12 @@
 
 // silence has new connections never come up: the queue of the listener holds one, and that place is taken. The lock
 // is held, but for the moment in which the goroutine that accepts comes to rest: it would take the filler out.
-func (o *port) silence() {
-	if o.l == nil || o.mute {
+func (o *port) blackhole() {
+	if o.listener == nil || o.blackholed {
 		return
 	}
-	l, parked := o.l, make(chan bool)
-	o.mute, o.parked = true, parked
+	l, parked := o.listener, make(chan bool)
+	o.blackholed, o.parked = true, parked
 	_ = l.SetDeadline(time.Unix(1, 0))
 	o.mu.Unlock()
 	select {
@@ -133,42 +133,42 @@
 	case <-o.p.ctx.Done():
 	}
 	o.mu.Lock()
-	if o.l != l || !o.mute { // it is down, or heard again, by now
+	if o.listener != l || !o.blackholed { // it is down, or heard again, by now
 		return
 	}
-	_ = o.room(0)
+	_ = o.setBacklog(0)
 	c, err := net.DialTimeout("tcp", o.addr, 50*time.Millisecond)
 	if t := net.Error(nil); err != nil && !(errors.As(err, &t) && t.Timeout()) { // else a relay's own connection has the place
 		o.p.h.Add(history.Event{Kind: history.Void, What: "a link could not be cut: " + err.Error()})
 	}
 	if err == nil {
-		o.filler[c.LocalAddr().String()] = c
+		o.fillers[c.LocalAddr().String()] = c
 	}
 }
 
 // hear undoes silence; the lock is held. What came into the queue meanwhile is reset, as the network may do when it is
 // back: the relay may have given it up long ago.
-func (o *port) hear() {
-	if o.l == nil || !o.mute {
+func (o *port) restore() {
+	if o.listener == nil || !o.blackholed {
 		return
 	}
-	_ = o.l.SetDeadline(time.Now().Add(2 * time.Millisecond))
-	for c, err := o.l.AcceptTCP(); err == nil; c, err = o.l.AcceptTCP() {
+	_ = o.listener.SetDeadline(time.Now().Add(2 * time.Millisecond))
+	for c, err := o.listener.AcceptTCP(); err == nil; c, err = o.listener.AcceptTCP() {
 		_ = c.SetLinger(0)
 		_ = c.Close()
 	}
-	for addr, c := range o.filler {
+	for addr, c := range o.fillers {
 		_ = c.Close()
-		delete(o.filler, addr)
+		delete(o.fillers, addr)
 	}
-	_ = o.room(backlog)
-	_ = o.l.SetDeadline(time.Time{})
-	o.mute = false
+	_ = o.setBacklog(backlog)
+	_ = o.listener.SetDeadline(time.Time{})
+	o.blackholed = false
 }
 
 // room sets how many connections may wait for the listener.
-func (o *port) room(n int) error {
-	raw, err := o.l.SyscallConn()
+func (o *port) setBacklog(n int) error {
+	raw, err := o.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
@@ -178,18 +178,18 @@
 }
 
 // follow brings the listener in line with the link.
-func (o *port) follow() {
+func (o *port) applyLinkState() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.link.silent() {
-		o.silence()
+	if o.link.blocked() {
+		o.blackhole()
 	} else {
-		o.hear()
+		o.restore()
 	}
 }
 
 // park tells the one who waits for it that nothing is accepted any more.
-func (o *port) park() {
+func (o *port) signalParked() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.parked != nil {
@@ -199,22 +199,22 @@
 }
 
 // muted tells whether a listener takes nothing at the moment.
-func (o *port) muted(l *net.TCPListener) bool {
+func (o *port) isBlackholed(l *net.TCPListener) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.mute && o.l == l
+	return o.blackholed && o.listener == l
 }
 
 func (o *port) accept(l *net.TCPListener) {
 	defer o.p.work.Done()
-	defer o.park()
+	defer o.signalParked()
 	for {
 		raw, err := l.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			o.park()
-			o.link.pass(o.p.ctx, true)
-			o.link.pass(o.p.ctx, false)
-			for o.muted(l) && o.p.ctx.Err() == nil {
+			o.signalParked()
+			o.link.waitOpen(o.p.ctx, true)
+			o.link.waitOpen(o.p.ctx, false)
+			for o.isBlackholed(l) && o.p.ctx.Err() == nil {
 				clock.Sleep(o.p.ctx, time.Millisecond)
 			}
 			if o.p.ctx.Err() != nil {
@@ -226,12 +226,12 @@
 			return
 		}
 		o.mu.Lock()
-		if o.l != l {
+		if o.listener != l {
 			o.mu.Unlock()
 			_ = raw.Close()
 			continue
 		}
-		c := &hostConn{Conn: raw, port: o, in: make(chan chunk, 64)}
+		c := &hostConn{Conn: raw, port: o, chunks: make(chan chunk, 64)}
 		c.ctx, c.end = context.WithCancel(o.p.ctx)
 		go c.pump()
 		o.conns[c] = true
@@ -259,14 +259,14 @@
 // pump takes in what the relay sends, and when, whether or not the link lets it through yet: that is what the relay
 // did.
 func (c *hostConn) pump() {
-	defer close(c.in)
+	defer close(c.chunks)
 	for {
 		buf := make([]byte, 16<<10)
 		n, err := c.Conn.Read(buf)
 		at := time.Now()
 		if n > 0 {
 			select {
-			case c.in <- chunk{buf[:n], at}:
+			case c.chunks <- chunk{buf[:n], at}:
 			case <-c.ctx.Done():
 				return
 			}
@@ -282,26 +282,26 @@
 
 // Read gives what the relay sent, once its link lets it through.
 func (c *hostConn) Read(b []byte) (int, error) {
-	if len(c.rest) == 0 {
+	if len(c.unread) == 0 {
 		select {
 		case <-c.ctx.Done():
 			return 0, net.ErrClosed
-		case next, ok := <-c.in:
-			c.port.link.pass(c.ctx, true)
+		case next, ok := <-c.chunks:
+			c.port.link.waitOpen(c.ctx, true)
 			if !ok {
 				return 0, io.EOF
 			}
-			c.rest, c.sentAt = next.data, next.at
+			c.unread, c.sentAt = next.data, next.at
 		}
 	}
-	n := copy(b, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(b, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
 // Write writes to the relay, once its link lets it through.
 func (c *hostConn) Write(b []byte) (int, error) {
-	c.port.link.pass(c.ctx, false)
+	c.port.link.waitOpen(c.ctx, false)
 	return c.Conn.Write(b)
 }
 
@@ -323,11 +323,11 @@
 
 // Cut cuts (by 1) or heals (by -1) the directions of links. The ones towards the endpoints count for to, the ones
 // back for from.
-func (p *Platform) Cut(by int, to, from func(relay, host int) bool) {
-	p.each(func(r, h int, l *link) bool {
+func (p *Platform) CutLinks(by int, to, from func(relay, host int) bool) {
+	p.changeLinks(func(r, h int, l *link) bool {
 		a, b := to(r, h), from(r, h)
 		if a || b {
-			l.set(func() {
+			l.update(func() {
 				if a {
 					l.to += by
 				}
@@ -341,23 +341,23 @@
 }
 
 // Delay has links hold up each piece of data, in both directions.
-func (p *Platform) Delay(d time.Duration, on func(relay, host int) bool) {
-	p.each(func(r, h int, l *link) bool {
+func (p *Platform) DelayLinks(d time.Duration, on func(relay, host int) bool) {
+	p.changeLinks(func(r, h int, l *link) bool {
 		if on(r, h) {
-			l.set(func() { l.delay = d })
+			l.update(func() { l.delay = d })
 		}
 		return false
 	})
 }
 
 // each changes links, and brings the listeners of those that it reports in line, side by side: each takes a moment.
-func (p *Platform) each(change func(r, h int, l *link) bool) {
+func (p *Platform) changeLinks(change func(r, h int, l *link) bool) {
 	var work sync.WaitGroup
 	for r := range p.links {
 		work.Go(func() {
 			for h, l := range p.links[r] {
 				if change(r, h, l) {
-					p.hosts[h].ports[r].follow()
+					p.hosts[h].ports[r].applyLinkState()
 				}
 			}
 		})
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -47,23 +47,23 @@
 	h   *history.Writer
 	net *Subnet
 
-	hosts  []*host
-	dests  []*dest
-	agents []*agent
-	notes  *notes
-	links  [][]*link // by relay and endpoint
+	hosts     []*host
+	dests     []*dest
+	agents    []*agent
+	datagrams *datagramNetwork
+	links     [][]*link // by relay and endpoint
 
 	// Noticed is called for each notice of a message that is not over; set before any relay starts.
-	Noticed func(m Message, status string, after time.Duration)
+	OnNotification func(m Message, status string, after time.Duration)
 	// Delivered is called when a message has been delivered; set before any relay starts.
-	Delivered func(m Message, at history.Micros)
+	OnDelivery func(m Message, at history.Micros)
 
 	mu       sync.Mutex
 	messages map[string]*entry
 	ranKeys  map[string]time.Time // dedup: when a key first ran, by destination and key
 	calls    int
-	out      []int // calls out by relay
-	list     []change
+	callsOut []int // calls out by relay
+	changes  []change
 	ctx      context.Context
 	stop     context.CancelFunc
 	work     sync.WaitGroup
@@ -72,14 +72,14 @@
 // New opens the stand-ins on a subnet.
 func New(s *scenario.Scenario, h *history.Writer, subnet *Subnet) (*Platform, error) {
 	p := &Platform{s: s, h: h, net: subnet, messages: map[string]*entry{}, ranKeys: map[string]time.Time{},
-		out: make([]int, s.Fleet.Relays)}
+		callsOut: make([]int, s.Fleet.Relays)}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	for range s.DestCount() {
 		p.dests = append(p.dests, &dest{})
 	}
 	for i := range s.Hosts {
 		p.hosts = append(p.hosts, newHost(p, i))
-		p.list = append(p.list, change{host: i, health: serving})
+		p.changes = append(p.changes, change{host: i, health: serving})
 	}
 	var err error
 	for r := range s.Fleet.Relays {
@@ -90,14 +90,14 @@
 		for _, h := range p.hosts {
 			l := &link{changed: make(chan struct{})}
 			p.links[r] = append(p.links[r], l)
-			port := &port{p: p, host: h, relay: r, link: l, addr: subnet.Host(r, h.no)}
+			port := &port{p: p, host: h, relay: r, link: l, addr: subnet.Host(r, h.index)}
 			h.ports = append(h.ports, port)
 			if h.listed {
 				err = errors.Join(err, port.open())
 			}
 		}
 	}
-	if p.notes, err = newNotes(p, err); err != nil {
+	if p.datagrams, err = newDatagramNetwork(p, err); err != nil {
 		p.Close()
 		return nil, err
 	}
@@ -115,8 +115,8 @@
 			port.close()
 		}
 	}
-	if p.notes != nil {
-		p.notes.close()
+	if p.datagrams != nil {
+		p.datagrams.close()
 	}
 	p.work.Wait()
 }
@@ -138,7 +138,7 @@
 }
 
 // Fate tells whether a message has been delivered, and whether it may have run.
-func (p *Platform) Fate(id string) (delivered, ran bool) {
+func (p *Platform) DeliveryState(id string) (delivered, ran bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := p.messages[id]
@@ -146,7 +146,7 @@
 }
 
 // noticed takes in a notice.
-func (p *Platform) noticed(relay int, id, status string, after time.Duration) {
+func (p *Platform) receiveNotification(relay int, id, status string, after time.Duration) {
 	p.h.Add(history.Event{Kind: history.Notice, Relay: history.N(relay), ID: id, Status: status, After: history.M(after)})
 	p.mu.Lock()
 	e := p.messages[id]
@@ -155,13 +155,13 @@
 		e.over = true
 	}
 	p.mu.Unlock()
-	if fresh && p.Noticed != nil {
-		p.Noticed(e.Message, status, after)
+	if fresh && p.OnNotification != nil {
+		p.OnNotification(e.Message, status, after)
 	}
 }
 
 // delivered notes that a 200 has been written for messages.
-func (p *Platform) delivered(ids []string, at history.Micros) {
+func (p *Platform) recordDelivery(ids []string, at history.Micros) {
 	for _, id := range ids {
 		p.mu.Lock()
 		e := p.messages[id]
@@ -170,8 +170,8 @@
 			e.delivered, e.over = true, true
 		}
 		p.mu.Unlock()
-		if fresh && p.Delivered != nil {
-			p.Delivered(e.Message, at)
+		if fresh && p.OnDelivery != nil {
+			p.OnDelivery(e.Message, at)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 const lockPort = 47999
 
 // TakeSubnet finds loopback addresses that no other lab uses.
-func TakeSubnet() (*Subnet, error) {
+func AcquireSubnet() (*Subnet, error) {
 	var err error
 	for second := 16; second < 250; second++ {
 		var l net.Listener
--- a/internal/lab/relays/config.go
+++ b/internal/lab/relays/config.go
@@ -15,7 +15,7 @@
 type object = map[string]any
 
 // quantum is the least time between the batches of a relay, in seconds.
-const quantum = 0.002
+const batchInterval = 0.002
 
 // settingsOf gives the settings object that the simulator's first message would give a relay, by the published names.
 func settingsOf(s *scenario.Scenario, p *platform.Platform, relay int) object {
@@ -37,7 +37,7 @@
 	}
 	r := &s.Rules
 	return object{"az": slices.Index(s.Fleet.Zones, s.Fleet.Zone(relay)), "categories": categories, "discovery": s.Fleet.Discovery,
-		"family": "deliver", "localities": s.Fleet.Zones, "n_instances": s.Fleet.Relays, "ordinal": relay, "quantum_s": quantum,
+		"family": "deliver", "localities": s.Fleet.Zones, "n_instances": s.Fleet.Relays, "ordinal": relay, "quantum_s": batchInterval,
 		"limits": object{"cancel": true, "conn_idle_s": s.Fleet.ConnIdle.Seconds(), "connect_timeout_s": s.Fleet.ConnectTime.Seconds(),
 			"max_attempts": r.MaxAttempts, "max_open": s.Fleet.MaxOpen, "max_retry_after_s": r.MaxRetryAfter.Seconds(),
 			"max_streams": 1, "peers": s.Fleet.Notes, "probing": false, "retry_after": true, "second_copies": false},
@@ -67,7 +67,7 @@
 		"limits": object{"cores": f.s.Fleet.Cores, "memory_mb": f.s.Fleet.MemoryMB, "sockets": f.s.Fleet.Sockets,
 			"disk_mb": f.s.Fleet.DiskMB},
 		"peer_listen": n.PeerListen(r.No), "peers": peers, "peers_all": n.PeersAll(),
-		"known": f.p.Known(r.No, 0), "settings": settingsOf(f.s, f.p, r.No)}
+		"known": f.p.InitialMembers(r.No, 0), "settings": settingsOf(f.s, f.p, r.No)}
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
--- a/internal/lab/relays/disk.go
+++ b/internal/lab/relays/disk.go
@@ -17,7 +17,7 @@
 )
 
 // Turn turns bits in the journal of a relay that is down, at places drawn from the seed.
-func (r *Relay) Turn(dir string, fault, bits int) error {
+func (r *Relay) FlipBits(dir string, fault, bits int) error {
 	found, err := filepath.Glob(filepath.Join(dir, "segment-*"))
 	if err != nil || len(found) == 0 {
 		return errors.Join(err, fmt.Errorf("relay %d: there is no journal to damage", r.No))
@@ -37,8 +37,8 @@
 
 // Fill has no file of a relay's process grow any more for a while, as on a full disk: by its limit on the size of
 // files, which needs no rights and no file system of the lab's own.
-func (r *Relay) Fill(ctx context.Context, d time.Duration) error {
-	p := r.current()
+func (r *Relay) FillDisk(ctx context.Context, d time.Duration) error {
+	p := r.servingProcess()
 	if p == nil {
 		return nil
 	}
@@ -49,12 +49,12 @@
 		}
 		return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: min(soft, old.Max), Max: old.Max}, nil)
 	}
-	r.note("full")
+	r.recordEvent("full")
 	if err := limit(0); err != nil {
 		return fmt.Errorf("relay %d: %w", r.No, err)
 	}
 	clock.Sleep(ctx, d)
-	r.note("room")
+	r.recordEvent("room")
 	if err := limit(unix.RLIM_INFINITY); err != nil && !errors.Is(err, unix.ESRCH) {
 		return fmt.Errorf("relay %d: %w", r.No, err)
 	}
@@ -63,11 +63,11 @@
 
 // Synced is what a relay built for it writes beside its folder: which files a power loss would leave, and how much of
 // each.
-const Synced = "synced.json"
+const SyncedFile = "synced.json"
 
 // LosePower brings the folder of a relay that is down back to what was synced.
 func (r *Relay) LosePower(dir string) error {
-	text, err := os.ReadFile(filepath.Join(r.dir, "tmp", Synced))
+	text, err := os.ReadFile(filepath.Join(r.dir, "tmp", SyncedFile))
 	if err != nil {
 		return fmt.Errorf("relay %d: only a relay that notes its syncs can lose power: %w", r.No, err)
 	}
@@ -75,7 +75,7 @@
 	if err := json.Unmarshal(text, &kept); err != nil {
 		return err
 	}
-	r.note("power lost")
+	r.recordEvent("power lost")
 	files, err := os.ReadDir(dir)
 	if err != nil {
 		return err
--- a/internal/lab/relays/relays.go
+++ b/internal/lab/relays/relays.go
@@ -37,16 +37,16 @@
 
 const (
 	// killAfter is the time from SIGTERM to SIGKILL, backAfter from the end of a process to the next start.
-	killAfter = 3700 * time.Millisecond
-	backAfter = 600 * time.Millisecond
+	killDelay    = 3700 * time.Millisecond
+	restartDelay = 600 * time.Millisecond
 	// yesWithin is how long a process of an upgrade has until it takes clients.
-	yesWithin = 6 * time.Second
+	upgradeTimeout = 6 * time.Second
 	// startWithin is how long a start may take until it counts as refused.
-	startWithin = 15 * time.Second
+	startTimeout = 15 * time.Second
 	// askAgain is the time between looks whether a relay is ready.
-	askAgain = 20 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 	// usageEvery is the time between looks at what a relay uses.
-	usageEvery = time.Second
+	usageInterval = time.Second
 )
 
 // Fleet is the relays of one run.
@@ -77,18 +77,18 @@
 	socket  *os.File // of the clients, where the platform holds it
 	starts  int
 	program string   // that its next process runs, where an agent has changed it
-	now     *process // the one that serves, or is about to
+	current *process // the one that serves, or is about to
 	down    bool     // a fault holds it down
 }
 
 // process is one process of a relay.
 type process struct {
-	cmd    *exec.Cmd
-	admin  string
-	exited chan struct{}
-	meant  bool // its end is, or may be: it is no crash
-	ready  bool
-	log    *os.File
+	cmd          *exec.Cmd
+	admin        string
+	exited       chan struct{}
+	exitExpected bool // its end is, or may be: it is no crash
+	ready        bool
+	log          *os.File
 }
 
 // New prepares the relays in a folder; nothing is started. env is added to the processes' environment.
@@ -166,7 +166,7 @@
 	f.stop()
 	for _, r := range f.Relays {
 		r.mu.Lock()
-		p := r.now
+		p := r.current
 		r.mu.Unlock()
 		if p != nil {
 			r.end(p, syscall.SIGKILL)
@@ -181,7 +181,7 @@
 	close(f.spawn)
 }
 
-func (r *Relay) note(what string) {
+func (r *Relay) recordEvent(what string) {
 	r.fleet.h.Add(history.Event{Kind: history.Relay, Relay: history.N(r.No), What: what})
 }
 
@@ -207,23 +207,23 @@
 		p.cmd.ExtraFiles, p.cmd.Env = []*os.File{r.socket}, append(p.cmd.Env, "NODE_FD=3")
 	}
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-	r.note("started")
+	r.recordEvent("started")
 	begun := make(chan error)
 	f.spawn <- func() { begun <- p.cmd.Start() }
 	if err := <-begun; err != nil {
 		_ = log.Close()
 		return nil, fmt.Errorf("relay %d: %w", r.No, err)
 	}
-	r.now = p
+	r.current = p
 	f.work.Go(func() {
 		_ = p.cmd.Wait()
 		_ = log.Close()
 		r.mu.Lock()
-		meant, stopped := p.meant, f.ctx.Err() != nil
+		expected, stopped := p.exitExpected, f.ctx.Err() != nil
 		r.mu.Unlock()
 		if !stopped {
 			what := "ended"
-			if !meant {
+			if !expected {
 				what = "crashed"
 			}
 			f.h.Add(history.Event{Kind: history.Relay, Relay: history.N(r.No), What: what, Status: p.cmd.ProcessState.String()})
@@ -239,7 +239,7 @@
 	if err != nil {
 		return err
 	}
-	return r.await(ctx, p, startWithin, func() bool { return healthy(r.fleet.subnet.Clients(r.No)) })
+	return r.await(ctx, p, startTimeout, func() bool { return healthy(r.fleet.subnet.Clients(r.No)) })
 }
 
 // await waits until a process is ready.
@@ -249,7 +249,7 @@
 			r.mu.Lock()
 			p.ready = true
 			r.mu.Unlock()
-			r.note("ready")
+			r.recordEvent("ready")
 			return nil
 		}
 		select {
@@ -259,24 +259,24 @@
 			return context.Canceled
 		case <-p.exited:
 			r.mu.Lock()
-			meant := p.meant
+			expected := p.exitExpected
 			r.mu.Unlock()
-			if meant {
+			if expected {
 				return nil
 			}
-			r.note("refused-start")
-			return fmt.Errorf("relay %d ended at its start: %s", r.No, r.lastWords())
-		case <-time.After(askAgain):
+			r.recordEvent("refused-start")
+			return fmt.Errorf("relay %d ended at its start: %s", r.No, r.lastLogLine())
+		case <-time.After(pollInterval):
 		}
 		if time.Now().After(end) {
-			r.note("refused-start")
-			return fmt.Errorf("relay %d does not take clients within %v: %s", r.No, within, r.lastWords())
+			r.recordEvent("refused-start")
+			return fmt.Errorf("relay %d does not take clients within %v: %s", r.No, within, r.lastLogLine())
 		}
 	}
 }
 
 // lastWords is the end of a relay's log.
-func (r *Relay) lastWords() string {
+func (r *Relay) lastLogLine() string {
 	text, _ := os.ReadFile(filepath.Join(r.dir, "log"))
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
 	return string(lines[len(lines)-1])
@@ -294,7 +294,7 @@
 }
 
 // yes asks the admin endpoint of a process whether it accepts clients.
-func yes(address string) bool {
+func acceptsClients(address string) bool {
 	reply, err := ask(address, "health")
 	return err == nil && strings.HasPrefix(reply, "OK")
 }
@@ -308,32 +308,32 @@
 func (r *Relay) Admin() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.now == nil {
+	if r.current == nil {
 		return ""
 	}
-	return r.now.admin
+	return r.current.admin
 }
 
 // PID is the process that serves, or 0 for none.
 func (r *Relay) PID() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.now == nil {
+	if r.current == nil {
 		return 0
 	}
-	return r.now.cmd.Process.Pid
+	return r.current.cmd.Process.Pid
 }
 
 // end sends a process a signal that it should end on, and waits until it has; SIGKILL follows where it does not.
 func (r *Relay) end(p *process, sig syscall.Signal) {
 	r.mu.Lock()
-	p.meant = true
+	p.exitExpected = true
 	r.mu.Unlock()
 	_ = p.cmd.Process.Signal(sig)
 	select {
 	case <-p.exited:
 		return
-	case <-time.After(killAfter):
+	case <-time.After(killDelay):
 	case <-r.fleet.ctx.Done():
 	}
 	_ = p.cmd.Process.Kill()
@@ -341,17 +341,17 @@
 }
 
 // current is the process that serves, or nil while a fault holds the relay down.
-func (r *Relay) current() *process {
+func (r *Relay) servingProcess() *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
 		return nil
 	}
-	return r.now
+	return r.current
 }
 
 // hold marks a relay as down for a fault, or tells that another one has it already.
-func (r *Relay) hold() bool {
+func (r *Relay) markDown() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.down {
@@ -362,7 +362,7 @@
 }
 
 // back starts a relay again after a wait.
-func (r *Relay) back(ctx context.Context, after time.Duration) error {
+func (r *Relay) restartAfter(ctx context.Context, after time.Duration) error {
 	if !clock.Sleep(ctx, after) {
 		return ctx.Err()
 	}
@@ -375,11 +375,11 @@
 // Kill kills a relay outright and starts it again after a while. What is done to its folder meanwhile is up to do,
 // which may be nil.
 func (r *Relay) Kill(ctx context.Context, after time.Duration, do func(dir string) error) error {
-	p := r.current()
-	if p == nil || !r.hold() {
+	p := r.servingProcess()
+	if p == nil || !r.markDown() {
 		return nil
 	}
-	r.note("killed")
+	r.recordEvent("killed")
 	r.end(p, syscall.SIGKILL)
 	if do != nil {
 		if err := do(filepath.Join(r.dir, "state")); err != nil {
@@ -387,48 +387,48 @@
 		}
 	}
 	if after <= 0 {
-		after = backAfter
+		after = restartDelay
 	}
-	return r.back(ctx, after)
+	return r.restartAfter(ctx, after)
 }
 
 // Wipe loses the folder of a relay that is down, and tells so.
 func (r *Relay) Wipe(dir string) error {
-	defer r.note("wiped")
+	defer r.recordEvent("wiped")
 	return errors.Join(os.RemoveAll(dir), os.MkdirAll(dir, 0o700))
 }
 
 // Restart ends a relay as planned, and starts it again.
 func (r *Relay) Restart(ctx context.Context) error {
-	p := r.current()
-	if p == nil || !r.hold() {
+	p := r.servingProcess()
+	if p == nil || !r.markDown() {
 		return nil
 	}
-	r.note("term")
+	r.recordEvent("term")
 	r.end(p, syscall.SIGTERM)
-	return r.back(ctx, backAfter)
+	return r.restartAfter(ctx, restartDelay)
 }
 
 // Freeze stops a relay's process for a while.
 func (r *Relay) Freeze(ctx context.Context, d time.Duration) {
-	p := r.current()
+	p := r.servingProcess()
 	if p == nil {
 		return
 	}
-	r.note("frozen")
+	r.recordEvent("frozen")
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 	clock.Sleep(ctx, d)
-	r.note("thawed")
+	r.recordEvent("thawed")
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
 // Reload moves a relay's discovery, writes a configuration that names the new address, and sends SIGHUP.
 func (r *Relay) Reload() error {
-	p := r.current()
+	p := r.servingProcess()
 	if p == nil {
 		return nil
 	}
-	if err := r.fleet.p.Move(r.No); err != nil {
+	if err := r.fleet.p.MoveDiscovery(r.No); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -438,47 +438,47 @@
 	if err != nil || !ready {
 		return err
 	}
-	r.note("hup")
+	r.recordEvent("hup")
 	return p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
 // Upgrade starts a new process beside the one that serves, waits until it takes clients, and ends the old one.
 func (r *Relay) Upgrade(ctx context.Context) error {
-	old := r.current()
+	old := r.servingProcess()
 	if old == nil {
 		return nil
 	}
 	r.mu.Lock()
-	old.meant = true // it may leave early
+	old.exitExpected = true // it may leave early
 	r.mu.Unlock()
 	p, err := r.launch()
 	if err != nil {
 		return err
 	}
-	if err := r.await(ctx, p, yesWithin, func() bool { return yes(p.admin) }); err != nil {
+	if err := r.await(ctx, p, upgradeTimeout, func() bool { return acceptsClients(p.admin) }); err != nil {
 		return err
 	}
-	r.note("term")
+	r.recordEvent("term")
 	r.end(old, syscall.SIGTERM)
 	return nil
 }
 
 // watchUsage notes what each relay uses, from time to time.
 func (f *Fleet) watchUsage() {
-	for n := 0; clock.Sleep(f.ctx, usageEvery); n++ {
+	for n := 0; clock.Sleep(f.ctx, usageInterval); n++ {
 		for _, r := range f.Relays {
-			if p := r.current(); p != nil {
+			if p := r.servingProcess(); p != nil {
 				if e, err := r.usage(p); err == nil {
 					f.h.Add(e)
 				}
-				if f.s.Fleet.Zoned && (n+r.No)%(1+len(f.Relays)/lookAtOnce) == 0 {
-					f.work.Go(func() { r.lookAtZones(p) })
+				if f.s.Fleet.Zoned && (n+r.No)%(1+len(f.Relays)/concurrentQueries) == 0 {
+					f.work.Go(func() { r.recordZones(p) })
 				}
 				if f.s.Fleet.Newcomers {
-					f.work.Go(func() { r.lookAtServers(p) })
+					f.work.Go(func() { r.recordServers(p) })
 				}
-				if f.s.Fleet.Shares && (n+r.No)%(1+len(f.Relays)/lookAtOnce) == 0 {
-					f.work.Go(func() { r.look(p, "") })
+				if f.s.Fleet.Shares && (n+r.No)%(1+len(f.Relays)/concurrentQueries) == 0 {
+					f.work.Go(func() { r.recordView(p, "") })
 				}
 			}
 		}
@@ -486,27 +486,27 @@
 }
 
 // lookAtOnce relays are asked for their view at a time, at most about: asking must not cost what it measures.
-const lookAtOnce = 50
+const concurrentQueries = 50
 
 // Look asks each relay that runs what it believes of the fleet, and notes that as the last of a play.
-func (f *Fleet) Look() {
+func (f *Fleet) RecordViews() {
 	var work sync.WaitGroup
 	for _, r := range f.Relays {
-		if p := r.current(); p != nil {
-			work.Go(func() { r.look(p, history.LastView) })
+		if p := r.servingProcess(); p != nil {
+			work.Go(func() { r.recordView(p, history.LastView) })
 		}
 	}
 	work.Wait()
 }
 
 // told has a process report something at its admin endpoint, in JSON. It may be starting, or ending, and then says nothing.
-func told(p *process, line string, into any) bool {
+func queryJSON(p *process, line string, into any) bool {
 	reply, err := ask(p.admin, line)
 	return err == nil && json.Unmarshal([]byte(reply), into) == nil
 }
 
 // lookAtZones asks a process how zones fare with it. The form is the one that the admin endpoint gives.
-func (r *Relay) lookAtZones(p *process) {
+func (r *Relay) recordZones(p *process) {
 	var s struct {
 		CutOff bool `json:"cut_off"`
 		Zones  []struct {
@@ -516,7 +516,7 @@
 			Returns     int    `json:"returns"`
 		} `json:"zones"`
 	}
-	if !told(p, "zone status", &s) {
+	if !queryJSON(p, "zone status", &s) {
 		return
 	}
 	e := history.Event{Kind: history.Zones, Relay: history.N(r.No), CutOff: s.CutOff, Zones: map[string]history.Zone{}}
@@ -527,7 +527,7 @@
 }
 
 // lookAtServers asks a process how endpoints that are new on the list fare with it.
-func (r *Relay) lookAtServers(p *process) {
+func (r *Relay) recordServers(p *process) {
 	var s struct {
 		Servers []struct {
 			Endpoint string `json:"endpoint"`
@@ -535,7 +535,7 @@
 			Holds    int    `json:"holds"`
 		} `json:"servers"`
 	}
-	if !told(p, "servers", &s) || len(s.Servers) == 0 {
+	if !queryJSON(p, "servers", &s) || len(s.Servers) == 0 {
 		return
 	}
 	e := history.Event{Kind: history.Servers, Relay: history.N(r.No), Trials: map[string]history.Trial{}}
@@ -555,7 +555,7 @@
 }
 
 // look asks a process what it believes of the fleet. The form is the one that the admin endpoint gives.
-func (r *Relay) look(p *process, what string) {
+func (r *Relay) recordView(p *process, what string) {
 	var v struct {
 		Live    []int  `json:"live"`
 		Digest  uint32 `json:"digest"`
@@ -567,7 +567,7 @@
 			Known float64 `json:"known_s"`
 		} `json:"beliefs"`
 	}
-	if !told(p, "fleet", &v) {
+	if !queryJSON(p, "fleet", &v) {
 		return
 	}
 	now := r.fleet.h.Now()
--- a/internal/lab/relays/versions.go
+++ b/internal/lab/relays/versions.go
@@ -13,31 +13,31 @@
 
 // Versioned runs one relay's processes for the agent of a rollout: see rollout.Runner. While it does, a process that ends
 // by itself is started again, as an operators' machine would.
-type Versioned struct {
+type Supervised struct {
 	r       *Relay
 	crashes int // since the version was changed, under r.mu
 	busy    bool
 }
 
 // busyTries askAgain apart are far more than a start of another process takes.
-const busyTries = 100
+const maxBusyRetries = 100
 
 // Version puts a relay's processes under an agent, until ctx ends.
-func (r *Relay) Version(ctx context.Context) *Versioned {
-	v := &Versioned{r: r}
+func (r *Relay) Supervise(ctx context.Context) *Supervised {
+	v := &Supervised{r: r}
 	r.fleet.work.Go(func() {
 		for clock.Sleep(ctx, 50*time.Millisecond) {
-			v.revive(ctx)
+			v.restartIfExited(ctx)
 		}
 	})
 	return v
 }
 
 // revive starts a relay again that has ended by itself.
-func (v *Versioned) revive(ctx context.Context) {
+func (v *Supervised) restartIfExited(ctx context.Context) {
 	r := v.r
 	r.mu.Lock()
-	p := r.now
+	p := r.current
 	busy := v.busy || r.down || p == nil
 	r.mu.Unlock()
 	if busy {
@@ -49,26 +49,26 @@
 		return
 	}
 	r.mu.Lock()
-	if v.busy || r.now != p {
+	if v.busy || r.current != p {
 		r.mu.Unlock()
 		return
 	}
 	v.crashes++
 	r.mu.Unlock()
-	if clock.Sleep(ctx, backAfter) {
+	if clock.Sleep(ctx, restartDelay) {
 		_ = r.start(ctx) // the next look sees whether it lives
 	}
 }
 
 // Update brings a program into service beside the one that serves, by the handover; where the new one does not take
 // clients, the old one goes on, or is started again.
-func (v *Versioned) Update(ctx context.Context, program string) error {
+func (v *Supervised) Update(ctx context.Context, program string) error {
 	r := v.r
 	r.mu.Lock()
-	was, old := r.program, r.now
+	previous, old := r.program, r.current
 	r.program, v.busy = program, true
 	if old != nil {
-		old.meant = true
+		old.exitExpected = true
 	}
 	r.mu.Unlock()
 	defer func() {
@@ -79,15 +79,15 @@
 	p, err := r.launch()
 	// A program that was just written is busy while a process that was started meanwhile still has its descriptor, up to
 	// its own exec (the fork race of golang.org/issue/22315).
-	for n := 0; errors.Is(err, syscall.ETXTBSY) && n < busyTries && clock.Sleep(ctx, askAgain); n++ {
+	for n := 0; errors.Is(err, syscall.ETXTBSY) && n < maxBusyRetries && clock.Sleep(ctx, pollInterval); n++ {
 		p, err = r.launch()
 	}
 	if err == nil {
-		err = r.await(ctx, p, yesWithin, func() bool { return yes(p.admin) })
+		err = r.await(ctx, p, upgradeTimeout, func() bool { return acceptsClients(p.admin) })
 	}
 	if err == nil {
 		if old != nil {
-			r.note("term")
+			r.recordEvent("term")
 			r.end(old, syscall.SIGTERM)
 		}
 		r.mu.Lock()
@@ -99,13 +99,13 @@
 		r.end(p, syscall.SIGKILL)
 	}
 	r.mu.Lock()
-	r.program, r.now = was, old
+	r.program, r.current = previous, old
 	r.mu.Unlock()
 	if old != nil {
 		select {
 		case <-old.exited:
 		default:
-			if yes(old.admin) {
+			if acceptsClients(old.admin) {
 				return err
 			}
 			r.end(old, syscall.SIGTERM) // it had handed over
@@ -115,8 +115,8 @@
 }
 
 // ZoneStatus is what the admin endpoint replies to "zone status".
-func (v *Versioned) ZoneStatus() string {
-	p := v.r.current()
+func (v *Supervised) ZoneStatus() string {
+	p := v.r.servingProcess()
 	if p == nil {
 		return ""
 	}
@@ -129,9 +129,9 @@
 
 // Counters is what the admin endpoint replies to "counters", with the memory of the process and how often one of this
 // version has ended by itself.
-func (v *Versioned) Counters() (text string, memoryMB float64, crashes int, err error) {
+func (v *Supervised) Counters() (text string, memoryMB float64, crashes int, err error) {
 	r := v.r
-	p := r.current()
+	p := r.servingProcess()
 	if p == nil {
 		return "", 0, 0, os.ErrProcessDone
 	}
--- a/internal/lab/rolling.go
+++ b/internal/lab/rollout.go
@@ -12,10 +12,10 @@
 )
 
 // runner runs a relay of the lab for its agent.
-type runner struct{ *relays.Versioned }
+type versionRunner struct{ *relays.Supervised }
 
 // Metrics gives what the admin endpoint and the system's accounts say.
-func (r runner) Metrics() (rollout.Metrics, error) {
+func (r versionRunner) Metrics() (rollout.Metrics, error) {
 	text, memory, crashes, err := r.Counters()
 	if err != nil {
 		return rollout.Metrics{}, err
@@ -26,7 +26,7 @@
 }
 
 // Agents starts an agent for each relay of a play, on loopback, until ctx ends. done waits for their end.
-func (b *Beside) Agents(ctx context.Context) (agents []rollout.Agent, done func(), err error) {
+func (b *ActiveRun) Agents(ctx context.Context) (agents []rollout.Agent, done func(), err error) {
 	var servers []*rollout.Server
 	done = func() {
 		for _, s := range servers {
@@ -34,7 +34,7 @@
 		}
 	}
 	for _, r := range b.Relays {
-		s, err := rollout.NewServer(r.No, filepath.Join(b.Dir, fmt.Sprintf("agent%d", r.No)), b.Binary, runner{r.Version(ctx)})
+		s, err := rollout.NewServer(r.No, filepath.Join(b.Dir, fmt.Sprintf("agent%d", r.No)), b.Binary, versionRunner{r.Supervise(ctx)})
 		if err == nil {
 			servers = append(servers, s)
 			var address string
@@ -51,17 +51,17 @@
 }
 
 // Rolled is how a rollout in the lab went.
-type Rolled struct {
-	State rollout.State
-	Most  int           // relays that had the new version at once
-	Took  time.Duration // from its start to its end
-	Back  time.Duration // of the rollback, where there was one
+type RolloutResult struct {
+	State            rollout.State
+	MaxUpdated       int           // relays that had the new version at once
+	Duration         time.Duration // from its start to its end
+	RollbackDuration time.Duration // of the rollback, where there was one
 }
 
 // Roll rolls a program out beside a play, by a plan whose agents are the play's, from a while after its begin. Where it
 // is stopped, and back is set, it is taken back.
-func Roll(program string, plan rollout.Plan, after time.Duration, back bool, to *Rolled) func(context.Context, *Beside) error {
-	return func(ctx context.Context, b *Beside) error {
+func RunRollout(program string, plan rollout.Plan, after time.Duration, back bool, to *RolloutResult) func(context.Context, *ActiveRun) error {
+	return func(ctx context.Context, b *ActiveRun) error {
 		agents, done, err := b.Agents(ctx)
 		if err != nil {
 			return err
@@ -80,21 +80,21 @@
 		}
 		defer c.Close()
 		err = c.Run(ctx)
-		to.State, to.Took, to.Most = c.State(), time.Since(begun), len(c.State().Updated)
+		to.State, to.Duration, to.MaxUpdated = c.State(), time.Since(begun), len(c.State().Updated)
 		if err != nil || !back || ctx.Err() != nil {
-			return ignoreEnd(ctx, err)
+			return ignoreRunEnd(ctx, err)
 		}
 		begun = time.Now()
 		if err = c.HandleOrder(rollout.Order{Action: rollout.OrderRollback}); err == nil {
 			err = c.Run(ctx)
 		}
-		to.State, to.Back = c.State(), time.Since(begun)
-		return ignoreEnd(ctx, err)
+		to.State, to.RollbackDuration = c.State(), time.Since(begun)
+		return ignoreRunEnd(ctx, err)
 	}
 }
 
 // ignoreEnd drops the error of a play whose traffic has stopped: what was reached by then is in the figures.
-func ignoreEnd(ctx context.Context, err error) error {
+func ignoreRunEnd(ctx context.Context, err error) error {
 	if errors.Is(err, context.Canceled) && ctx.Err() != nil {
 		return nil
 	}
--- a/internal/lab/rolling_test.go
+++ b/internal/lab/rollout_test.go
@@ -11,7 +11,7 @@
 )
 
 // version builds the relay with a fault planted, or one that is equal but for its checksum, as a version of its own.
-func version(t *testing.T, fault string) string {
+func buildVersion(t *testing.T, fault string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), fault)
 	source := "milletsail/internal/lab/faulty"
@@ -25,7 +25,7 @@
 }
 
 // Stages is a plan for a play: one relay, a third, all.
-func stages() rollout.Plan {
+func testPlan() rollout.Plan {
 	return rollout.Plan{BakeTime: rollout.Duration(2 * time.Second), MaxBakeTime: rollout.Duration(20 * time.Second), MaxParallel: 3, ByZone: true, OnControllerFailure: "resume",
 		Gate:   rollout.Gate{FalsePositiveRate: 0.01, FalseNegativeRate: 0.05, ErrorRateIncrease: 0.15, LatencyFactor: 2, MemoryFactor: 2.5, Interval: rollout.Duration(250 * time.Millisecond)},
 		Stages: []rollout.Stage{{Relays: 1}, {Relays: 3}, {Share: 1}}}
@@ -35,22 +35,22 @@
 // stopped at the first stage, and taken back with nothing lost.
 func TestRollouts(t *testing.T) {
 	type rolled struct {
-		*playing
-		Rolled
+		*pendingRun
+		RolloutResult
 	}
 	all := map[string]*rolled{}
 	versions := map[string]string{}
 	for _, fault := range []string{"equal", "one-class"} {
-		versions[fault] = version(t, fault)
+		versions[fault] = buildVersion(t, fault)
 	}
 	for fault, path := range versions {
 		r := &rolled{}
-		r.playing = begin(t, "rollout9", Options{Binary: relayBinary, Beside: Roll(path, stages(), time.Second, fault != "equal", &r.Rolled)})
+		r.pendingRun = startRun(t, "rollout9", Options{Binary: relayBinary, DuringRun: RunRollout(path, testPlan(), time.Second, fault != "equal", &r.RolloutResult)})
 		all[fault] = r
 	}
 	for fault, r := range all {
 		t.Run(fault, func(t *testing.T) {
-			for _, x := range r.end(t).Verdict.Violations {
+			for _, x := range r.wait(t).Verdict.Violations {
 				if x.Rule != checker.Crash || fault == "equal" {
 					t.Errorf("%s: relay %d, message %s: %s", x.Rule, x.Relay, x.ID, x.Text)
 				}
@@ -62,8 +62,8 @@
 				}
 				return
 			}
-			if s.Phase != rollout.RolledBack || r.Most > 1 || len(s.Updated) > 0 {
-				t.Errorf("%s: %s, %d relays had it, %d still have", s.Phase, s.Reason, r.Most, len(s.Updated))
+			if s.Phase != rollout.RolledBack || r.MaxUpdated > 1 || len(s.Updated) > 0 {
+				t.Errorf("%s: %s, %d relays had it, %d still have", s.Phase, s.Reason, r.MaxUpdated, len(s.Updated))
 			}
 		})
 	}
--- a/internal/lab/shim/control.go
+++ b/internal/lab/shim/control.go
@@ -60,13 +60,13 @@
 
 // The layout of a control file: numbers of 8 bytes, as syscall.txt reads them.
 const (
-	slotBytes  = 8
-	wallSlot   = 0
-	shortSlot  = 1
-	callsSlot  = 2
-	fileBytes  = 512
-	everyCall  = -1
-	slotsACall = 2
+	slotBytes    = 8
+	wallSlot     = 0
+	shortSlot    = 1
+	callsSlot    = 2
+	fileBytes    = 512
+	unlimited    = -1
+	slotsPerCall = 2
 )
 
 // Control is the control file of one program, over all of its processes.
@@ -91,7 +91,7 @@
 
 // Fail has the next calls of a kind fail with an error; count below 0 for all until Clear.
 func (c *Control) Fail(call Call, errno syscall.Errno, count int) error {
-	slot := callsSlot + slotsACall*int(call)
+	slot := callsSlot + slotsPerCall*int(call)
 	if err := c.set(slot, int64(errno)); err != nil {
 		return err
 	}
@@ -100,14 +100,14 @@
 
 // FailAll has all calls of a kind fail until Clear.
 func (c *Control) FailAll(call Call, errno syscall.Errno) error {
-	return c.Fail(call, errno, everyCall)
+	return c.Fail(call, errno, unlimited)
 }
 
 // Clear has the calls of a kind go on as usual.
-func (c *Control) Clear(call Call) error { return c.set(callsSlot+slotsACall*int(call)+1, 0) }
+func (c *Control) Clear(call Call) error { return c.set(callsSlot+slotsPerCall*int(call)+1, 0) }
 
 // Short has every transfer move one byte at a time and every second one be interrupted, or no longer.
-func (c *Control) Short(on bool) error {
+func (c *Control) SetShortTransfers(on bool) error {
 	if on {
 		return c.set(shortSlot, 1)
 	}
--- a/internal/lab/shim/shim.go
+++ b/internal/lab/shim/shim.go
@@ -21,13 +21,13 @@
 // added is the source that the overlay adds to package syscall.
 //
 //go:embed syscall.txt
-var added embed.FS
+var shimSource embed.FS
 
 // patch changes one place of a file of the standard library.
 type patch struct {
-	file  string // below the tool chain's src
-	where *regexp.Regexp
-	put   string // inserted behind the match
+	file   string // below the tool chain's src
+	after  *regexp.Regexp
+	insert string // inserted behind the match
 }
 
 // wallPatches let package time add the step of the wall clock to each of its readings.
@@ -86,13 +86,13 @@
 				return "", err
 			}
 		}
-		at := p.where.FindIndex(sources[path])
+		at := p.after.FindIndex(sources[path])
 		if at == nil {
-			return "", fmt.Errorf("%s: nothing matches %s: this tool chain has another form", p.file, p.where)
+			return "", fmt.Errorf("%s: nothing matches %s: this tool chain has another form", p.file, p.after)
 		}
-		sources[path] = bytes.Join([][]byte{sources[path][:at[1]], sources[path][at[1]:]}, []byte(p.put))
+		sources[path] = bytes.Join([][]byte{sources[path][:at[1]], sources[path][at[1]:]}, []byte(p.insert))
 	}
-	shim, err := added.ReadFile("syscall.txt")
+	shim, err := shimSource.ReadFile("syscall.txt")
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/shimmed.go
+++ b/internal/lab/shimfaults.go
@@ -13,7 +13,7 @@
 
 // shimmed brings about a fault of the machine's clock or system calls at one relay, and takes it back where it is bounded
 // in time.
-func shimmed(ctx context.Context, r *relays.Relay, f *scenario.Fault) error {
+func injectShimFault(ctx context.Context, r *relays.Relay, f *scenario.Fault) error {
 	switch f.Kind {
 	case "clock", "clock-back":
 		by := time.Duration(f.Size * float64(time.Second))
@@ -26,11 +26,11 @@
 		clock.Sleep(ctx, f.For.AsDuration())
 		return r.Shim.StepWall(-by)
 	case "short-io":
-		if err := r.Shim.Short(true); err != nil {
+		if err := r.Shim.SetShortTransfers(true); err != nil {
 			return err
 		}
 		clock.Sleep(ctx, f.For.AsDuration())
-		return r.Shim.Short(false)
+		return r.Shim.SetShortTransfers(false)
 	}
 	call, err := shim.ParseCall(f.Call)
 	if err != nil {
--- a/internal/lab/shimmed_test.go
+++ b/internal/lab/shimfaults_test.go
@@ -8,10 +8,10 @@
 )
 
 // clockStepped and firstOutage bound the span of scenario clock in which wall clocks are stepped and nothing else is wrong.
-const clockStepped, firstOutage = 3300 * time.Millisecond, 4900 * time.Millisecond
+const clockStepStart, firstOutageStart = 3300 * time.Millisecond, 4900 * time.Millisecond
 
 // keepsAllRules fails a test for each rule that a play breaks.
-func keepsAllRules(t *testing.T, r *Result) {
+func requireNoViolations(t *testing.T, r *Result) {
 	t.Helper()
 	for _, x := range r.Verdict.Violations {
 		t.Errorf("%s: relay %d, message %s: %s (lines %v)", x.Rule, x.Relay, x.ID, x.Text, x.Lines)
@@ -38,15 +38,15 @@
 // A relay whose wall clock is stepped, forward or back, gives every message its end in time, refuses none for it, and sends
 // nothing outside its window, also over kills, restarts and handovers.
 func TestSteppedClocks(t *testing.T) {
-	plays := map[string]*playing{}
+	runs := map[string]*pendingRun{}
 	for _, name := range []string{"clock", "clock-upgrade"} {
-		plays[name] = begin(t, name, Options{Binary: shimBinary})
+		runs[name] = startRun(t, name, Options{Binary: shimBinary})
 	}
-	for name, p := range plays {
+	for name, p := range runs {
 		t.Run(name, func(t *testing.T) {
-			r := p.end(t)
-			keepsAllRules(t, r)
-			if n := refusedBetween(r.Events, clockStepped, firstOutage); name == "clock" && n > 0 {
+			r := p.wait(t)
+			requireNoViolations(t, r)
+			if n := refusedBetween(r.Events, clockStepStart, firstOutageStart); name == "clock" && n > 0 {
 				t.Errorf("%d messages are refused while nothing but clocks is wrong", n)
 			}
 		})
@@ -55,8 +55,8 @@
 
 // System calls that fail for a moment or for seconds end no relay, use up no attempt, and leave nothing without its end.
 func TestFailingSystemCalls(t *testing.T) {
-	r := begin(t, "syscalls", Options{Binary: shimBinary}).end(t)
-	keepsAllRules(t, r)
+	r := startRun(t, "syscalls", Options{Binary: shimBinary}).wait(t)
+	requireNoViolations(t, r)
 	if n := refusedBetween(r.Events, 0, time.Minute); n > 0 {
 		t.Errorf("%d messages are refused, where only calls of the system fail", n)
 	}
@@ -65,5 +65,5 @@
 // A folder that fails to be opened, read, written, synced or renamed in, for a call or for seconds, at starts, in drains and
 // beside kills, ends no relay, and what was told and accepted still binds.
 func TestFailingFolder(t *testing.T) {
-	keepsAllRules(t, begin(t, "folder", Options{Binary: shimBinary}).end(t))
+	requireNoViolations(t, startRun(t, "folder", Options{Binary: shimBinary}).wait(t))
 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -79,7 +79,7 @@
 		return fmt.Errorf("stand-ins: %w", err)
 	}
 	for relay := range b.x {
-		b.platform.SpoilNotes(relay, b.variant.loss.Part(), 0)
+		b.platform.ImpairDatagrams(relay, b.variant.loss.Part(), 0)
 	}
 	progress("start")
 	real := min(b.plan.Fleet.Real, b.x-1)
@@ -150,7 +150,7 @@
 		r.realCPU, r.realMB = r.realCPU+usage.CPU, r.realMB+usage.ResidentMB
 	}
 	r.at = time.Now()
-	r.sent, r.sentBytes, _ = b.platform.NotesSent()
+	r.sent, r.sentBytes, _ = b.platform.DatagramCounts()
 	return r, nil
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -86,7 +86,7 @@
 		return Point{}, err
 	}
 	defer os.RemoveAll(dir)
-	subnet, err := platform.TakeSubnet()
+	subnet, err := platform.AcquireSubnet()
 	if err != nil {
 		return Point{}, err
 	}
--- a/internal/scale/shapes_test.go
+++ b/internal/scale/shapes_test.go
@@ -123,7 +123,7 @@
 	t.Helper()
 	plan := DefaultPlan()
 	plan.Load.Down = Share{}
-	subnet, err := platform.TakeSubnet()
+	subnet, err := platform.AcquireSubnet()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/statements_test.go
+++ b/internal/scale/statements_test.go
@@ -63,7 +63,7 @@
 func statements(ctx context.Context, binary, dir string, destinations int, do work) (count float64, err error) {
 	plan := DefaultPlan()
 	plan.Load.Down = Share{}
-	subnet, err := platform.TakeSubnet()
+	subnet, err := platform.AcquireSubnet()
 	if err != nil {
 		return 0, err
 	}
