--- a/internal/lab/clients/clients.go
+++ b/internal/lab/clients/clients.go
@@ -22,19 +22,20 @@
 )
 
 const (
-	// lateAfter is when an arrival that the lab is late with counts: the protocol's slack on sockets.
+	// lateThreshold is the delay beyond which an arrival counts as late: the protocol's tolerance on sockets.
 	lateThreshold = 50 * time.Millisecond
-	// mostHandIns of one message, its first one included.
+	// maxHandIns bounds the hand-ins of one message, including the first.
 	maxHandIns = 12
-	// frontNotices is about how long a client whose relay died waits before it comes to another one.
+	// failoverDelay is about how long a client whose relay died waits before it tries another relay.
 	failoverDelay = 300 * time.Millisecond
-	// againAfter is when a client comes again that was told no time, leastLeft the time below which none does.
+	// defaultRetryDelay is the wait before a retry when the relay named none. A client whose message would have less
+	// than minTimeLeft after the wait does not retry.
 	defaultRetryDelay, minTimeLeft = 500 * time.Millisecond, 100 * time.Millisecond
-	// keepOpen is how long a client keeps an idle connection.
+	// maxIdleTime is how long a client keeps an idle connection.
 	maxIdleTime = 5 * time.Second
 )
 
-// Clients hands the messages of one run in.
+// Clients simulates the clients of one run.
 type Clients struct {
 	s      *scenario.Scenario
 	h      *history.Writer
@@ -47,33 +48,34 @@
 	events, late atomic.Int64
 
 	mu         sync.Mutex
-	unfinished map[int]*message // without an end, by Msg
-	accepted   map[string]*message
-	idle       [][]*conn // by relay
+	unfinished map[int]*message    // messages without an outcome, by Msg
+	accepted   map[string]*message // hand-ins without an answer or accepted by a relay, by request id
+	idle       [][]*conn           // idle connections by relay
 	faults     clientFaults
 }
 
-// stretchy is what client faults change while they last.
+// clientFaults are the client faults in force: the share of clients that leave early, and the share that send a
+// message twice.
 type clientFaults struct{ leave, repeat float64 }
 
-// message is one message over all its hand-ins.
+// message is one message with the state of all its hand-ins.
 type message struct {
 	Arrival
 	deadline time.Time
 	body     []byte
 	handIns  int
-	relay    int    // that has it, while id is set
-	id       string // of the hand-in that a relay took on
+	relay    int    // relay of the latest hand-in
+	id       string // request id of the latest hand-in
 }
 
-// conn is a kept connection to a relay.
+// conn is a connection to a relay, which may be kept for later requests.
 type conn struct {
 	net.Conn
 	in    *bufio.Reader
 	since time.Time
 }
 
-// New prepares the clients of a run that begins at a moment. They end with ctx.
+// New prepares the clients of a run. All they do ends with ctx.
 func New(ctx context.Context, s *scenario.Scenario, h *history.Writer, p *platform.Platform, subnet *platform.Subnet) *Clients {
 	c := &Clients{s: s, h: h, p: p, subnet: subnet, ctx: ctx, unfinished: map[int]*message{}, accepted: map[string]*message{},
 		idle: make([][]*conn, s.Fleet.Relays)}
@@ -81,8 +83,8 @@
 	return c
 }
 
-// Run hands in a plan, the first moment of which is now, and returns once every message has its end or its time is
-// long up.
+// Run hands in the arrivals of a plan, timed from now. It returns when each message has its outcome or is a second
+// past its deadline.
 func (c *Clients) Run(plan []Arrival) {
 	c.begun = time.Now()
 	for _, a := range plan {
@@ -106,7 +108,7 @@
 	}
 }
 
-// waiting tells whether a message may still get its end, some time after its deadline included.
+// awaitsOutcome reports whether a message without an outcome is less than a second past its deadline.
 func (c *Clients) awaitsOutcome() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,10 +120,10 @@
 	return false
 }
 
-// Timed is how many events the lab had to do at a time of its own, and how many of them came late.
+// TimingCounts returns the number of arrivals that the lab had to time, and how many of them were late.
 func (c *Clients) TimingCounts() (events, late int) { return int(c.events.Load()), int(c.late.Load()) }
 
-// at waits for a moment, and counts whether the lab was late for it.
+// waitUntil waits until a time and, if counts is set, counts the event and records it if the lab was late.
 func (c *Clients) waitUntil(moment time.Time, counts bool) {
 	clock.Sleep(c.ctx, time.Until(moment))
 	by := time.Since(moment)
@@ -135,14 +137,15 @@
 	}
 }
 
-// Change sets the share of the clients that leave early, and of those that send a message twice under one id.
+// SetClientFaults sets the share of the clients that leave early, and the share that send a message twice with one
+// id.
 func (c *Clients) SetClientFaults(leave, repeat float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = clientFaults{leave, repeat}
 }
 
-// done takes a message off the live ones, and tells whether it was one.
+// finish removes a message that needs nothing more from its client.
 func (c *Clients) finish(m *message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,6 +153,7 @@
 	delete(c.accepted, m.id)
 }
 
+// delivered handles the delivery of a message.
 func (c *Clients) delivered(d platform.Message, _ history.Micros) {
 	c.mu.Lock()
 	m := c.accepted[d.ID]
@@ -159,7 +163,8 @@
 	}
 }
 
-// noticed has the client of a message that was handed back come again.
+// notified handles a notification: the client of a deferred message retries at another relay, any other outcome is
+// final.
 func (c *Clients) notified(d platform.Message, status string, after time.Duration) {
 	c.mu.Lock()
 	m := c.accepted[d.ID]
@@ -174,7 +179,8 @@
 	}
 }
 
-// later has a client come again after a wait, if it is one that does and there is time left.
+// scheduleRetry hands a message in again after a wait, unless it has too many hand-ins or too little time left, or
+// the client gives up, which it may only if mayGiveUp is set.
 func (c *Clients) scheduleRetry(m *message, relay int, after time.Duration, mark string, mayGiveUp bool) {
 	if after <= 0 {
 		after = defaultRetryDelay
@@ -193,7 +199,7 @@
 	})
 }
 
-// elsewhere draws another relay for a client, where there is one.
+// otherRelay draws a relay other than current, if there is one.
 func (c *Clients) otherRelay(m *message, current int) int {
 	n := c.s.Fleet.Relays
 	if n == 1 {
@@ -206,8 +212,8 @@
 	return min(r, n-1)
 }
 
-// HandOver hands what a relay held to others: its machine is lost with its folder. What may have run and may not be
-// repeated stays lost.
+// RelayLost hands in at other relays the messages that a relay had accepted, after its machine was lost with its
+// state. Messages that may have run and must not be repeated stay lost.
 func (c *Clients) RelayLost(relay int) {
 	c.mu.Lock()
 	var all []*message
@@ -229,16 +235,17 @@
 	}
 }
 
-// reply is what a client got.
+// reply is a relay's answer to a client.
 type reply struct {
 	status int
 	after  time.Duration
 }
 
-// errClosed says that a connection ended without an answer.
-var errClosed = errors.New("closed without an answer")
+// errClosed reports a connection that ended without an answer.
+var errClosed = errors.New("connection closed before the answer")
 
-// handIn hands a message in at a relay and does with the answer what a client does.
+// handIn hands a message in at a relay and reacts to the answer as a client does. mark is the value of the
+// Client-Retry header, empty for the first hand-in.
 func (c *Clients) handIn(m *message, relay int, mark string) {
 	c.mu.Lock()
 	m.handIns++
@@ -274,7 +281,7 @@
 	}
 	taken := err == nil && (r.status == http.StatusAccepted || r.status == http.StatusOK)
 	if taken {
-		return // the relay owes it its end
+		return // the relay has accepted the message and reports its outcome
 	}
 	c.mu.Lock()
 	delete(c.accepted, id)
@@ -297,12 +304,12 @@
 		}
 		c.h.Add(history.Event{Kind: history.Left, ID: id, What: what})
 		after := time.Duration((0.5 + draw("after")) * float64(failoverDelay))
-		// A client whose relay is gone goes to another; the same one is as good as any where it only was slow.
+		// A client whose relay failed or was slow goes to another relay.
 		c.scheduleRetry(m, c.otherRelay(m, relay), after, "again", early)
 	}
 }
 
-// encode writes a request in the protocol's form.
+// encode formats a request of the protocol.
 func encode(m *message, id string, left time.Duration, mark string) []byte {
 	head := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: %s\r\nRequest-Timeout: %.3f\r\nContent-Length: %d\r\nX-Envelope: dest=%d\r\n",
 		m.Class.Name, id, math.Max(left.Seconds(), 0.001), len(m.body), m.Dest)
@@ -315,7 +322,8 @@
 	return append([]byte(head+"\r\n"), m.body...)
 }
 
-// tease sends a request and closes the connection at once, as one does whose network breaks; the request comes again.
+// sendAborted sends a request and closes the connection at once, as if the client's network had failed; the same
+// request follows on another connection.
 func (c *Clients) sendAborted(ctx context.Context, relay int, request []byte) {
 	if k, err := c.dial(ctx, relay); err == nil {
 		_, _ = k.Write(request)
@@ -323,8 +331,8 @@
 	}
 }
 
-// exchange sends a request and gives its answer. Where a kept connection ends before the answer, the relay's closing
-// may have crossed the request: it is sent once more on a new connection.
+// exchange sends a request and returns its answer. If a kept connection ends before the answer, the relay may have
+// closed it as the request was sent: the request is then sent once more on a new connection.
 func (c *Clients) exchange(ctx context.Context, relay int, request []byte) (reply, error) {
 	if k := c.takeIdle(relay); k != nil {
 		r, err := c.send(ctx, k, relay, request)
@@ -348,7 +356,7 @@
 	return &conn{Conn: raw, in: bufio.NewReader(raw)}, nil
 }
 
-// kept gives a connection that was kept, if there is one.
+// takeIdle returns an idle connection to a relay, or nil.
 func (c *Clients) takeIdle(relay int) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -363,6 +371,7 @@
 	return nil
 }
 
+// send sends a request on a connection, reads the answer, and keeps the connection for later requests if it may.
 func (c *Clients) send(ctx context.Context, k *conn, relay int, request []byte) (reply, error) {
 	stop := context.AfterFunc(ctx, func() { _ = k.SetDeadline(time.Unix(1, 0)) })
 	ended := func(err error) error {
@@ -395,7 +404,7 @@
 	return r, nil
 }
 
-// Close closes the kept connections.
+// Close closes the idle connections.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/clients/malformed.go
+++ b/internal/lab/clients/malformed.go
@@ -12,10 +12,11 @@
 	"milletsail/internal/lab/history"
 )
 
-// peerWaits is how long a malformed peer waits for an error or a close: a second more than it is owed.
+// malformedTimeout is how long a client with a malformed request waits for an error or a close: a second more than
+// the protocol allows the relay.
 const malformedTimeout = 4 * time.Second
 
-// improper are what peers send that send no proper request; "" is silence.
+// malformedRequests are requests that violate the protocol; "" stands for a client that sends nothing.
 var malformedRequests = []string{
 	"",
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
@@ -30,7 +31,8 @@
 	"POST /CLASS HTTP/1.1\r\nHost: x\r\nX-Long: " + strings.Repeat("a", 40<<10) + "\r\n\r\n",
 }
 
-// Crowd has malformed or silent peers come to relays, so many a second, until ctx ends.
+// SendMalformed sends malformed requests, and opens silent connections, at a mean rate per second over the given
+// relays, until ctx ends.
 func (c *Clients) SendMalformed(ctx context.Context, fault int, relays []int, rate float64) {
 	rng := c.s.Draws(fmt.Sprintf("crowd %d", fault))
 	due := time.Now()
@@ -46,7 +48,7 @@
 	}
 }
 
-// peer sends what is no proper request, and notes how it ends.
+// sendMalformed sends one malformed request and records how the relay ends the connection.
 func (c *Clients) sendMalformed(relay, no int, text string) {
 	raw, err := net.DialTimeout("tcp", c.subnet.Clients(relay), time.Second)
 	if err != nil {
@@ -61,7 +63,7 @@
 	what := "closed"
 	switch {
 	case err == nil:
-		what = string(line[9:]) // the status of an answer
+		what = string(line[9:]) // status code of the answer
 	case n == 0 && isTimeout(err):
 		what = "left waiting"
 	}
--- a/internal/lab/clients/plan.go
+++ b/internal/lab/clients/plan.go
@@ -1,8 +1,8 @@
-// Package clients stands in for those who hand messages in: arrivals drawn ahead from the seed, clients that wait for
-// their answer for as long as the protocol says and come again after a refusal, and peers that send nothing proper.
+// Package clients simulates the clients that hand messages in. Arrivals are drawn in advance from the seed. Clients
+// wait for their answer as long as the protocol says and retry after a refusal; others send malformed requests.
 //
-// It promises an open loop: no arrival waits for anything that a relay does, and one that the lab itself is late with
-// is counted. Every hand-in, answer and leaving stands in the history.
+// The load is an open loop: no arrival waits for anything that a relay does, and arrivals that the lab itself delays
+// are counted. Each hand-in, each answer and each client that gives up is in the history.
 package clients
 
 import (
@@ -15,25 +15,25 @@
 	"milletsail/internal/lab/scenario"
 )
 
-// Arrival is one message as it was drawn.
+// Arrival is one message of a plan.
 type Arrival struct {
 	At    time.Duration
-	Msg   int // from 1, in the order of time
+	Msg   int // number of the message, from 1 in order of arrival
 	Class *scenario.Class
 	Dest  int
-	Home  int    // the relay that its client uses first
-	Key   string // of a dedup class
+	Home  int    // relay at which the message is first handed in
+	Key   string // idempotency key; only in dedup classes
 }
 
-// stretch is a span of time with a factor on something.
+// loadChange multiplies the rate of arrivals by a factor from one time to another.
 type loadChange struct {
 	from, to time.Duration
 	factor   float64
-	relays   []int // struck; nil for all
+	relays   []int // affected relays; nil for all
 }
 
-// Plan draws the arrivals of a scenario: Poisson at the rate of the moment, a share of them in clumps for one
-// destination, unevenly over relays and destinations.
+// Plan draws the arrivals of a scenario: a Poisson process with the configured rate, a share of whose messages arrive
+// in clumps for one destination, distributed unevenly over relays and destinations.
 func Plan(s *scenario.Scenario) []Arrival {
 	var bursts, shifts []loadChange
 	for i, f := range s.Faults {
@@ -60,8 +60,8 @@
 	for i := range s.Classes {
 		d.classes = append(d.classes, s.Classes[i].Share)
 	}
-	// Thinning: candidates at the highest rate, each kept with the share that the rate of its moment has of that. A
-	// clump counts for all of its messages.
+	// Thinning: candidates are drawn at the highest rate, and each is kept with probability (rate at its
+	// time)/(highest rate). A clump is one candidate for all of its messages.
 	single := s.Load.Rate * (1 - s.Load.Clumps)
 	clumps := s.Load.Rate * s.Load.Clumps / float64(s.Load.ClumpSize)
 	for at := time.Duration(0); ; {
@@ -100,7 +100,7 @@
 	return d.arrivals
 }
 
-// drawing is a plan as it grows.
+// planner collects the arrivals of a plan.
 type planner struct {
 	s                      *scenario.Scenario
 	rng                    *rand.Rand
@@ -122,7 +122,7 @@
 	d.arrivals = append(d.arrivals, Arrival{At: at, Class: &d.s.Classes[class], Dest: dest, Home: pick(d.rng, weights)})
 }
 
-// shares draws lognormal weights with a sigma.
+// shares draws n lognormal weights with the given sigma.
 func shares(s *scenario.Scenario, purpose string, n int, sigma float64) []float64 {
 	rng, all := s.Draws(purpose), make([]float64, n)
 	for i := range all {
@@ -131,7 +131,7 @@
 	return all
 }
 
-// pick draws an index by weight.
+// pick draws an index with probability proportional to its weight.
 func pick(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
--- a/internal/lab/clients/plan_test.go
+++ b/internal/lab/clients/plan_test.go
@@ -46,12 +46,13 @@
 size = 3.0
 `
 
-// The plan follows the seed alone, and has the rates, shares and shifts that the scenario asks for.
+// A plan that depends on more than the seed makes runs irreproducible; one whose rates, shares or shifts differ from
+// the scenario makes them test something else.
 func TestPlan(t *testing.T) {
 	s := parse(t, loaded)
 	plan := Plan(s)
 	if again := Plan(s); !slices.EqualFunc(plan, again, func(a, b Arrival) bool { return a == b }) {
-		t.Error("the same seed gives another plan")
+		t.Error("two plans with the same seed differ")
 	}
 	count := func(from, to time.Duration, which func(Arrival) bool) (n float64) {
 		for _, a := range plan {
@@ -62,11 +63,12 @@
 		return n
 	}
 	all := func(Arrival) bool { return true }
-	// Clumps of 8 add variance: five deviations of a Poisson count whose messages come up to eight at once.
+	// Clumps of 8 increase the variance: the tolerance is five standard deviations of a Poisson count in which 30% of
+	// the messages arrive up to eight at once.
 	near := func(what string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 5*math.Sqrt(want*(0.7+0.3*8)) {
-			t.Errorf("%s: %v, want about %v", what, got, want)
+			t.Errorf("arrivals %s: got %v, want about %v", what, got, want)
 		}
 	}
 	near("before the burst", count(0, 50*time.Second, all), 5000)
@@ -75,7 +77,7 @@
 	near("zone b in the shift", count(80*time.Second, 100*time.Second, func(a Arrival) bool { return a.Home%2 == 1 }), 1500)
 	for i, a := range plan {
 		if a.Msg != i+1 || (a.Key != "") != (a.Class.Name == "payment") {
-			t.Fatalf("%+v", a)
+			t.Fatalf("arrival %+v: want consecutive numbers from 1 and a key exactly in class payment", a)
 		}
 	}
 }
--- a/internal/lab/faulty/main.go
+++ b/internal/lab/faulty/main.go
@@ -1,6 +1,6 @@
-// Command faulty is the relay with a fault planted, for tests of the lab alone: it stands between the relay, which is
-// as it always is, and the platform, and spoils what passes so that the two together break a rule. $LAB_FAULT names
-// the fault. No release holds it.
+// Command faulty is the relay with a fault injected, for tests in the lab alone. It runs the unmodified relay behind
+// a proxy to discovery and the endpoints, or with modified settings, so that the whole violates a rule. $LAB_FAULT
+// names the fault. It is not part of any release.
 package main
 
 import (
@@ -31,28 +31,29 @@
 	"milletsail/internal/relay/config"
 )
 
-// The faults.
+// The names of the faults.
 const (
-	secondCopy   = "second-copy"   // each call is made twice at once
-	lateEnd      = "late-end"      // notices are a second late
-	ignoredDrain = "ignored-drain" // the relay is not told of endpoints that drain or go
-	ignoredWait  = "ignored-wait"  // nor of how long to wait
-	ignoredError = "ignored-error" // nor that a call that failed may have run
-	lostEntry    = "lost-entry"    // what a process took on is lost when it ends
-	noSync       = "no-sync"       // what was synced is lost with the power all the same
-	// Of versions that a rollout has to stop; they need not break a rule.
+	secondCopy   = "second-copy"   // each call is sent twice, concurrently
+	lateEnd      = "late-end"      // notifications arrive a second late
+	ignoredDrain = "ignored-drain" // the relay sees draining and deleted endpoints as serving
+	ignoredWait  = "ignored-wait"  // the relay does not see the retry interval in refusals
+	ignoredError = "ignored-error" // the relay sees an error after which a message may have run as a refusal
+	lostEntry    = "lost-entry"    // each process starts with an empty state directory
+	noSync       = "no-sync"       // a power loss also loses synced data
+	// The following are versions that a rollout has to stop; they need not violate a rule.
 	diesAtStart  = "dies-at-start"
-	diesLate     = "dies-late"     // after 3 s
-	neverHealthy = "never-healthy" // it starts, and takes no clients
-	slow         = "slow"          // answers come 400 ms later
-	oneClass     = "one-class"     // the last class is given up at once
-	leak         = "leak"          // of 2 MB each 100 ms
-	none         = "none"          // none: its syncs are noted, so that it can lose power
+	diesLate     = "dies-late"     // the process exits after 3 s
+	neverHealthy = "never-healthy" // the process runs but accepts no clients
+	slow         = "slow"          // answers are delayed by 400 ms
+	oneClass     = "one-class"     // the last class has a deadline of 20 ms, so that its messages fail
+	leak         = "leak"          // memory grows by 2 MB each 100 ms, up to 200 MB
+	none         = "none"          // no fault; syncs are recorded, so that the relay can lose power
 )
 
 var faults = []string{secondCopy, lateEnd, ignoredDrain, ignoredWait, ignoredError, lostEntry, noSync, none, diesAtStart, diesLate, neverHealthy, slow, oneClass, leak}
 
-// planted is the fault of a version: builds set it by -ldflags -X, so that each has a checksum of its own.
+// planted is the fault of a build, set by -ldflags "-X main.planted=..." so that each faulty version has its own
+// checksum. If it is empty, LAB_FAULT counts.
 var planted string
 
 func main() {
@@ -71,11 +72,11 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	b := &proxy{fault: cmp.Or(planted, os.Getenv("LAB_FAULT")), proxied: map[string]string{}}
 	if !slices.Contains(faults, b.fault) {
-		return fmt.Errorf("LAB_FAULT: %q is none of %v", b.fault, faults)
+		return fmt.Errorf("LAB_FAULT: unknown fault %q, want one of %v", b.fault, faults)
 	}
 	switch b.fault {
 	case diesAtStart:
-		return errors.New("planted: it dies")
+		return errors.New("injected fault dies-at-start: exiting")
 	case diesLate:
 		time.AfterFunc(3*time.Second, func() { os.Exit(3) })
 	case neverHealthy:
@@ -105,8 +106,8 @@
 		return err
 	}
 	if b.fault == none || b.fault == noSync {
-		// Each start counts as one of the machine: these lose power. A version beside another one must not, since a process
-		// that hands over lives on the machine that is.
+		// These relays lose power, so each start counts as a boot of the machine. For the other faults the boot id
+		// stays, since a process that hands over runs on the same machine as its successor.
 		cfg.Files, cfg.Boot = &syncRecorder{FS: journal.Disk, path: filepath.Join(os.Getenv("TMPDIR"), relays.SyncedFile), ignoreSyncs: b.fault == noSync}, fmt.Sprint(os.Getpid())
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -124,7 +125,7 @@
 	return relay.Run(ctx, cfg, state, config.Reloads(ctx, path, passed))
 }
 
-// leakOn takes memory for good, up to a bound.
+// leakMemory allocates memory that is never freed, up to a bound.
 func leakMemory() {
 	var kept [][]byte
 	for range 100 {
@@ -139,15 +140,15 @@
 	select {}
 }
 
-// between is what stands between the relay and the platform.
+// proxy intercepts the connections of the relay to discovery and the endpoints.
 type proxy struct {
 	fault string
 
 	mu      sync.Mutex
-	proxied map[string]string // endpoints' addresses, and those that stand for them
+	proxied map[string]string // proxy addresses by endpoint address
 }
 
-// rewrite gives the relay a configuration that leads it to us.
+// rewriteConfig copies the configuration, with the addresses replaced by those of the proxy.
 func (b *proxy) rewriteConfig(given, to string) error {
 	text, err := os.ReadFile(given)
 	if err != nil {
@@ -178,7 +179,7 @@
 	return os.WriteFile(to, text, 0o600)
 }
 
-// members changes a list as the fault has it.
+// rewriteMembers applies the fault to a list of endpoints, or to changes of one.
 func (b *proxy) rewriteMembers(list map[string]any) error {
 	hosts, _ := list["hosts"].([]any)
 	for _, entry := range hosts {
@@ -199,7 +200,7 @@
 	return nil
 }
 
-// discovery stands for a discovery address.
+// proxyDiscovery starts a proxy for a discovery address and returns the proxy's address.
 func (b *proxy) proxyDiscovery(address string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -218,6 +219,8 @@
 	return l.Addr().String(), nil
 }
 
+// forward sends a request on to the discovery at address, and returns the reply with the fault applied to its lists. A POST
+// continues even if the relay gives it up.
 func (b *proxy) forward(w http.ResponseWriter, r *http.Request, address string) error {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -260,7 +263,7 @@
 	return lines.Err()
 }
 
-// endpoint stands for an endpoint's address.
+// proxyEndpoint starts a proxy for an endpoint, unless there is one, and returns the proxy's address.
 func (b *proxy) proxyEndpoint(address string) (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -268,7 +271,7 @@
 		return proxyAddr, nil
 	}
 	l, err := net.Listen("tcp", endpointProxyAddress(address))
-	if err != nil { // the process before still has it, in an upgrade
+	if err != nil { // during an upgrade, the old process still listens there
 		l, err = net.Listen("tcp", "127.0.0.1:0")
 	}
 	if err != nil {
@@ -287,14 +290,15 @@
 	return b.proxied[address], nil
 }
 
-// standing is where we stand for an address: the same place after a restart, since the relay remembers its list.
+// endpointProxyAddress is the proxy's address for an endpoint. It is the same after a restart, since the relay stores
+// its list.
 func endpointProxyAddress(address string) string {
 	host, port, _ := net.SplitHostPort(address)
 	n, _ := strconv.Atoi(port)
 	return net.JoinHostPort(host, strconv.Itoa(n+20000))
 }
 
-// carry carries a connection of the relay to an endpoint, and spoils what passes.
+// forwardConn forwards a connection of the relay to an endpoint and applies the fault to the data.
 func (b *proxy) forwardConn(c net.Conn, address string) {
 	defer c.Close()
 	up, err := net.Dial("tcp", address)
--- a/internal/lab/faulty/syncrecorder.go
+++ b/internal/lab/faulty/syncrecorder.go
@@ -8,16 +8,17 @@
 	"milletsail/internal/journal"
 )
 
-// noting is the disk, which notes what a power loss would leave of it: for each file that has a durable name, how much
-// of it was synced. It is used by one goroutine.
+// syncRecorder is a file system that records what would survive a power loss: for each file with a durable name, how
+// much of it was synced. It is used by one goroutine.
 type syncRecorder struct {
 	journal.FS
 	path        string
-	ignoreSyncs bool                     // nothing is ever durable but names
-	files       map[string]*recordedFile // by present name
-	durable     map[string]int64         // by durable name
+	ignoreSyncs bool                     // syncs of file contents are not recorded, only names become durable
+	files       map[string]*recordedFile // by current name
+	durable     map[string]int64         // durable sizes by durable name
 }
 
+// recordedFile is an open file of a syncRecorder.
 type recordedFile struct {
 	journal.File
 	recorder     *syncRecorder
@@ -38,13 +39,14 @@
 	return n.files[name], nil
 }
 
+// Write adds to the size that the next Sync makes durable.
 func (f *recordedFile) Write(b []byte) (int, error) {
 	written, err := f.File.Write(b)
 	f.size += int64(written)
 	return written, err
 }
 
-// Sync is durable once the note of it is written: that must not come before the sync itself.
+// Sync records the durable size after the file's own sync has succeeded, never before.
 func (f *recordedFile) Sync() error {
 	if err := f.File.Sync(); err != nil {
 		return err
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// SyncDir makes the names that there are durable, and takes those away that are gone.
+// SyncDir makes the current names in dir durable and forgets those that are gone.
 func (n *syncRecorder) SyncDir(dir string) error {
 	if err := n.FS.SyncDir(dir); err != nil {
 		return err
@@ -88,13 +90,14 @@
 			n.durable[name] = f.synced
 		} else if size, ok := before[name]; ok {
 			n.durable[name] = size
-		} else if info, err := os.Stat(filepath.Join(dir, name)); err == nil { // of a process before
+		} else if info, err := os.Stat(filepath.Join(dir, name)); err == nil { // file of an earlier process
 			n.durable[name] = info.Size()
 		}
 	}
 	return n.save()
 }
 
+// save replaces the record atomically.
 func (n *syncRecorder) save() error {
 	text, err := json.Marshal(n.durable)
 	if err != nil {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,9 +1,9 @@
-// Package lab plays scenarios: real relay processes against the platform's stand-ins, with faults between them, on
-// loopback addresses of its own.
+// Package lab runs scenarios: it starts real relay processes against simulated platform services, injects faults
+// between them, and uses its own loopback addresses.
 //
-// It promises that a play leaves nothing behind, neither processes nor folders, however it ends; that its verdict
-// comes from the checker alone, which sees nothing but the history; and that a play in which the lab itself was late
-// counts as void. One process may play one scenario after another, or several side by side.
+// A run leaves no processes or directories behind, however it ends. Its verdict comes from the checker alone, which
+// reads nothing but the history. A run in which the lab itself was late counts as invalid. One process may run
+// several scenarios, in sequence or concurrently.
 package lab
 
 import (
@@ -31,43 +31,44 @@
 	"milletsail/internal/lab/scenario"
 )
 
-// Options are what a play needs beside its scenario.
+// Options configure a run of a scenario.
 type Options struct {
-	Binary   string                 // of the relay
-	Env      []string               // added to the relays' environment
-	History  string                 // file to write; empty for none that stays
-	Logs     string                 // folder that the relays' logs are copied to; empty for none
-	Progress func(at time.Duration) // called each second; nil for no calls
-	// Beside is run beside the traffic, from its begin until it returns or the traffic has stopped; nil for nothing.
+	Binary   string                 // path of the relay executable
+	Env      []string               // variables added to the relays' environment, as NAME=value
+	History  string                 // path of the history file; if empty, the history is deleted with the run's directory
+	Logs     string                 // directory that receives a copy of the relays' logs; empty for no copy
+	Progress func(at time.Duration) // called each second with the time since the start; may be nil
+	// DuringRun runs concurrently with the load, from its start. Its context ends when the load has ended and the
+	// calls in flight have had time to finish. An error fails the run. It may be nil.
 	DuringRun func(ctx context.Context, p *ActiveRun) error
 }
 
-// Beside is what runs beside a play has of it.
+// ActiveRun describes a run in progress to the function in Options.DuringRun.
 type ActiveRun struct {
 	Scenario *scenario.Scenario
 	Relays   []*relays.Relay
-	Dir      string // that is removed with the play
-	Binary   string // of the relays
+	Dir      string // working directory, removed at the end of the run
+	Binary   string // path of the relay executable
 }
 
-// Result is a play that came to its end.
+// Result is the outcome of a completed run.
 type Result struct {
 	Scenario *scenario.Scenario
 	Events   []history.Event
 	Verdict  checker.Verdict
 }
 
-// settle is the time after the last message's end in which calls that are still out may end.
+// settleTime is the wait after the last message's outcome in which calls in flight may finish.
 const settleTime = 300 * time.Millisecond
 
-// agreeIn is the time in which relays that share should have come to one view, once the traffic has stopped.
+// convergenceTime is the wait after the load has ended in which relays that gossip should converge on one view.
 const convergenceTime = 3 * time.Second
 
-// folderPrefix begins the names of the lab's folders; the id of its process follows.
+// runDirPrefix is the prefix of the names of run directories; the id of the lab's process follows it.
 const runDirPrefix = "milletsail-lab-"
 
-// Play plays a scenario to its end. An error says that it could not be played, or was broken off by ctx; a broken
-// rule is in the verdict.
+// Run runs a scenario to its end. It returns an error if the scenario could not be run or ctx was canceled; violated
+// rules are reported in the verdict.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (result *Result, err error) {
 	dir, err := createRunDir()
 	if err != nil {
@@ -93,7 +94,7 @@
 
 	p, err := platform.New(s, h, subnet)
 	if err != nil {
-		return nil, fmt.Errorf("stand-ins: %w", err)
+		return nil, fmt.Errorf("opening the simulated platform: %w", err)
 	}
 	defer p.Close()
 	ctx, cancel := context.WithCancel(ctx)
@@ -151,7 +152,7 @@
 	return &Result{s, all, checker.Check(all, false)}, nil
 }
 
-// folder makes the folder of a play, and removes those of labs that are gone.
+// createRunDir creates the directory of a run and removes those of lab processes that no longer exist.
 func createRunDir() (string, error) {
 	old, _ := filepath.Glob(filepath.Join(os.TempDir(), runDirPrefix+"*"))
 	for _, dir := range old {
@@ -163,7 +164,7 @@
 	return os.MkdirTemp("", runDirPrefix+strconv.Itoa(os.Getpid())+"-")
 }
 
-// copyLogs keeps the relays' logs.
+// copyLogs copies the log of each relay from the run's directory to to, as NAME.log.
 func copyLogs(dir, to string) error {
 	if err := os.MkdirAll(to, 0o755); err != nil {
 		return err
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// factsOf is what a checker has to know of a scenario.
+// runParameters returns the parameters of a scenario that the checker needs; they are the first entry of the history.
 func runParameters(s *scenario.Scenario) *history.Facts {
 	r, f := &s.Rules, &s.Fleet
 	facts := &history.Facts{Title: s.Title, Seed: s.Seed, Relays: f.Relays, MaxAttempts: r.MaxAttempts, Patience: history.M(r.Patience.AsDuration()),
@@ -207,7 +208,7 @@
 	return facts
 }
 
-// timeline plays the faults of a scenario.
+// faultInjector injects the faults of a scenario at their times.
 type faultInjector struct {
 	s         *scenario.Scenario
 	h         *history.Writer
@@ -217,10 +218,10 @@
 	startTime time.Time
 }
 
-// drainFor is how long a draining endpoint stays on the list where the scenario does not say.
+// defaultDrainTime is how long a draining endpoint stays on the list if the scenario sets no duration.
 const defaultDrainTime = 4 * time.Second
 
-// play waits for the time of a fault, and brings it about and to its end.
+// injectAtTime waits for the start time of fault i and injects it until its duration has passed.
 func (t *faultInjector) injectAtTime(ctx context.Context, i int) {
 	f := &t.s.Faults[i]
 	if !clock.Sleep(ctx, time.Until(t.startTime.Add(f.At.AsDuration()))) {
@@ -228,12 +229,13 @@
 	}
 	now := t.h.Now()
 	t.h.Add(history.Event{T: now, Kind: history.Fault, What: f.Kind, Zone: f.Zone, Of: i, Until: now + history.M(f.For.AsDuration())})
-	slog.Debug("fault", "kind", f.Kind, "at", f.At.AsDuration(), "for", f.For.AsDuration())
+	slog.Debug("injecting fault", "kind", f.Kind, "at", f.At.AsDuration(), "for", f.For.AsDuration())
 	if err := t.inject(ctx, i, f); err != nil && ctx.Err() == nil {
-		slog.Error("fault", "kind", f.Kind, "err", err)
+		slog.Error("injecting fault failed", "kind", f.Kind, "err", err)
 	}
 }
 
+// inject injects fault i, waits for its duration if it has one, and ends it.
 func (t *faultInjector) inject(ctx context.Context, i int, f *scenario.Fault) error {
 	lasting := func(begin, end func()) error {
 		begin()
@@ -316,7 +318,7 @@
 		defer cancel()
 		t.c.SendMalformed(ctx, i, affected, f.Size)
 		return nil
-	case "burst", "shift": // in the plan
+	case "burst", "shift": // clients.Plan applies these to the arrivals
 		return nil
 	}
 	hosts := t.s.StruckHosts(i)
@@ -330,7 +332,7 @@
 	}
 }
 
-// troubleOf is what a fault does to an endpoint.
+// impairmentOf returns the effect of a fault on each endpoint that it affects.
 func impairmentOf(f *scenario.Fault) (t platform.Impairment) {
 	switch f.Kind {
 	case "down":
@@ -355,7 +357,8 @@
 	return t
 }
 
-// relays does something to relays, one a step, or to all at once.
+// forEachRelay calls do concurrently for each affected relay, starting one every f.Step, and returns the joined
+// errors.
 func (t *faultInjector) forEachRelay(ctx context.Context, affected []int, f *scenario.Fault, do func(*relays.Relay) error) error {
 	var mu sync.Mutex
 	var all error
@@ -375,7 +378,8 @@
 	return all
 }
 
-// drain takes endpoints off the list, each with one that takes its place.
+// drainEndpoints drains the affected endpoints one every f.Step: it lists the replacement of each as serving, marks
+// the old endpoint as draining, and deletes it from the list later.
 func (t *faultInjector) drainEndpoints(ctx context.Context, i int, f *scenario.Fault) error {
 	listedFor := f.For.AsDuration()
 	if listedFor == 0 {
@@ -385,7 +389,7 @@
 		if h.Born != i+1 {
 			continue
 		}
-		if f.Kind != "drain" { // what takes the place is worse
+		if f.Kind != "drain" { // a faulty release: the replacement has the impairment
 			t.p.Impair(i, n, impairmentOf(f))
 		}
 		if err := errors.Join(t.p.SetHealth(n, "SERVING"), t.p.SetHealth(h.Old, "DRAINING")); err != nil {
@@ -403,8 +407,9 @@
 	return nil
 }
 
-// cut cuts links. With a zone, those that lead into it or out of it; "to" is then into it, "from" out of it.
-// Otherwise those between the relays and the endpoints that are named.
+// cutLinks blocks links for the duration of a fault. With a zone, it blocks the links that cross the zone's border:
+// direction "to" blocks traffic into the zone, "from" traffic out of it. Without a zone, it blocks the links between
+// the affected relays and endpoints.
 func (t *faultInjector) cutLinks(ctx context.Context, i int, f *scenario.Fault, affected []int) error {
 	hosts := t.s.StruckHosts(i)
 	way := func(direction string) bool {
@@ -430,7 +435,7 @@
 	return nil
 }
 
-// Check reads a history and judges it.
+// Check reads a history and returns its events and the checker's verdict.
 func Check(from io.Reader) ([]history.Event, checker.Verdict, error) {
 	events, cut, err := history.Read(from)
 	if err != nil {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -21,10 +21,11 @@
 	"milletsail/scenarios"
 )
 
-// The programs that the tests play with, built as they are released.
+// Executables that the tests run, built without the shim.
 var relayBinary, faultyBinary, labBinary string
 
-// shimBinary is the relay with a wall clock that can be stepped and system calls that can be made to fail.
+// shimBinary is the relay built with package shim, so that its wall clock can be stepped and its system calls can be
+// made to fail.
 var shimBinary string
 
 func TestMain(m *testing.M) {
@@ -51,23 +52,24 @@
 	}())
 }
 
-// mostVoid plays in a row may be void: another program had the processors. A void play is no verdict of either kind.
+// maxInvalidRuns bounds the invalid runs in a row: another program may have used the processors. An invalid run
+// neither passes nor fails.
 const maxInvalidRuns = 6
 
-// alone is for a play that is repeated: the ones beside it may have been what made the lab late.
+// retryLock allows one repeated run at a time, since concurrent runs may have made the lab late.
 var retryLock sync.Mutex
 
-// atOnce bounds the plays side by side: they mostly wait, but each that comes late is played again, alone.
+// runSlots bounds the concurrent runs. Runs mostly wait; one in which the lab is late is repeated under retryLock.
 var runSlots = make(chan bool, 5)
 
-// playing is a play that has been begun.
+// pendingRun is a run in progress; done is closed when it ends.
 type pendingRun struct {
 	result *Result
 	err    error
 	done   chan bool
 }
 
-// begin begins a play, which is repeated until it counts.
+// startRun starts a run in the background and repeats it while it is invalid.
 func startRun(t *testing.T, name string, o Options) *pendingRun {
 	t.Helper()
 	s, p := loadScenario(t, name), &pendingRun{done: make(chan bool)}
@@ -86,12 +88,12 @@
 				return
 			}
 		}
-		p.err = fmt.Errorf("%d plays are void: %s", maxInvalidRuns, p.result.Verdict.Void)
+		p.err = fmt.Errorf("%d runs in a row were invalid, the last because: %s", maxInvalidRuns, p.result.Verdict.Void)
 	}()
 	return p
 }
 
-// end waits for a play.
+// wait waits for the run and returns its result.
 func (p *pendingRun) wait(t *testing.T) *Result {
 	t.Helper()
 	<-p.done
@@ -114,15 +116,15 @@
 	return s
 }
 
-// The relay keeps all rules while relays are killed, a zone is cut off, destinations fail, endpoints drain, machines
-// are lost, processes are replaced, clients misbehave, and journals are cut back, damaged and full; and a relay with a
-// fault planted is caught.
+// The relay violates no rule while relays are killed, a zone is cut off, destinations fail, endpoints drain, machines
+// are lost, processes are replaced, clients misbehave, and journals are truncated, damaged or out of space. The
+// checker finds the violation of each relay that has a fault injected.
 func TestScenariosKeepRules(t *testing.T) {
 	runs := map[string]*pendingRun{}
 	for _, name := range []string{"herd", "zone", "outage", "drain", "upgrade", "wipe", "clients", "order", "servers"} {
 		runs[name] = startRun(t, name, Options{Binary: relayBinary})
 	}
-	// Only a relay whose syncs are noted can lose power.
+	// Power loss needs a relay that records its syncs, as the faulty relay does.
 	runs["recovery"] = startRun(t, "recovery", Options{Binary: faultyBinary, Env: []string{"LAB_FAULT=none"}})
 	planted := []struct{ fault, scenario, rule string }{
 		{"second-copy", "calm", checker.SecondCopy},
@@ -144,7 +146,7 @@
 					found[x.Rule]++
 				}
 				if found[planted[i].rule] == 0 {
-					t.Errorf("%s on %s breaks %v, and not %s", name, planted[i].scenario, found, planted[i].rule)
+					t.Errorf("fault %s in scenario %s violates the rules %v, want a violation of %s", name, planted[i].scenario, found, planted[i].rule)
 				}
 			})
 			continue
@@ -152,24 +154,25 @@
 		t.Run(name, func(t *testing.T) {
 			r := p.wait(t)
 			v := r.Verdict
-			if name == "servers" { // without proving themselves, some 25 calls a second go there
+			if name == "servers" { // without gradual trials, some 25 calls a second go to the new endpoints
 				for _, n := range report.Of(r.Events, v).Newcomers {
 					if n.Held == nil || n.Failed == 0 || n.Failed > 50 {
-						t.Errorf("a version that fails every call: %+v", n)
+						t.Errorf("endpoints of a version that fails every call: got %+v, want a time at which they were held back, and 1 to 50 failed calls", n)
 					}
 				}
 			}
 			for _, x := range v.Violations {
-				t.Errorf("%s: relay %d, message %s: %s (lines %v)", x.Rule, x.Relay, x.ID, x.Text, x.Lines)
+				t.Errorf("rule %s violated: relay %d, message %s: %s (history lines %v)", x.Rule, x.Relay, x.ID, x.Text, x.Lines)
 			}
 			if v.Messages < 300 || v.Calls < 300 {
-				t.Errorf("%d messages followed to their end, %d calls: the play shows little", v.Messages, v.Calls)
+				t.Errorf("%d messages with an outcome and %d calls, want at least 300 of each for a meaningful run", v.Messages, v.Calls)
 			}
 		})
 	}
 }
 
-// Whatever ends the lab, its relays end with it, and a lab that is told to end leaves no folder.
+// No relay process outlives the lab, whichever signal ends it, and a lab that is asked to stop (SIGINT, SIGTERM)
+// removes its directory.
 func TestNoProcessOrDirRemains(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(sig.String(), func(t *testing.T) {
@@ -182,7 +185,7 @@
 			}
 			t.Cleanup(func() { _ = c.Process.Kill() })
 			var children []int
-			await(t, "all relays run", func() bool {
+			await(t, "all 8 relays run", func() bool {
 				children = childrenOf(c.Process.Pid)
 				return len(children) == 8
 			})
@@ -203,13 +206,13 @@
 				t.Fatal(err)
 			}
 			if sig != syscall.SIGKILL && len(left) > 0 {
-				t.Errorf("left behind: %v", left)
+				t.Errorf("run directories left behind after the signal: %v, want none", left)
 			}
 		})
 	}
 }
 
-// The folder of a lab that was killed goes with the next one's start, that of one that runs stays.
+// A run removes the directory of a lab that was killed, and keeps that of a lab that still runs.
 func TestStaleRunDirsRemoved(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	dead := exec.Command("true")
@@ -227,35 +230,35 @@
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(stale); err == nil {
-		t.Error("the folder of a lab that is gone stays")
+		t.Error("the run directory of a lab that no longer exists was not removed")
 	}
 	if _, err := os.Stat(running); err != nil {
-		t.Error(err)
+		t.Errorf("the run directory of a lab that still runs was removed: %v", err)
 	}
 }
 
-// A relay that does not start is an error with its own words, and what it was given is taken away.
+// A relay that fails at its start makes the run fail with an error that quotes the relay's log.
 func TestRelayStartFailure(t *testing.T) {
 	s := loadScenario(t, "calm")
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	_, err := Run(ctx, s, Options{Binary: faultyBinary, Env: []string{"LAB_FAULT=no-such-fault"}})
 	if err == nil || !strings.Contains(err.Error(), "no-such-fault") {
-		t.Errorf("%v", err)
+		t.Errorf("run with a relay that fails at its start: error %v, want one that names no-such-fault", err)
 	}
 }
 
-// await waits for something to come true; how long that takes decides nothing.
+// await polls a condition for up to a minute. No test depends on how long it takes.
 func await(t *testing.T, what string, true func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !true(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("condition did not become true within a minute: %s", what)
 		}
 	}
 }
 
-// childrenOf lists the processes that a process has started.
+// childrenOf lists the child processes of a process.
 func childrenOf(parent int) (pids []int) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", parent))
 	for _, path := range tasks {
@@ -269,7 +272,7 @@
 	return pids
 }
 
-// alive tells whether a process runs; one that has ended may still wait to be reaped.
+// alive reports whether a process runs. A zombie, which waits to be reaped, does not count.
 func alive(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/lab/platform/datagrams.go
+++ b/internal/lab/platform/datagrams.go
@@ -11,28 +11,28 @@
 	"milletsail/internal/lab/history"
 )
 
-// maxNote is the longest datagram that one relay may send another.
+// maxDatagramBytes is the longest datagram that one relay may send to another.
 const maxDatagramBytes = 256
 
-// notes carries datagrams between relays. Each relay has one address at which all others reach it and from which its
-// own come to them; the pair of relays follows from that and from the sender's address.
+// datagramNetwork carries datagrams between relays. Each relay has one address here: the others send to it, and the
+// relay's own datagrams arrive from it. The pair of relays follows from that address and the sender's.
 type datagramNetwork struct {
 	p          *Platform
 	conns      []*net.UDPConn // by relay
 	broadcast  *net.UDPConn
 	relayOf    map[netip.AddrPort]int
-	listenAddr []netip.AddrPort // where relays listen
+	listenAddr []netip.AddrPort // addresses at which the relays receive datagrams
 
 	mu              sync.Mutex
-	cuts            [][]int // cuts in force, by sender and receiver
+	cuts            [][]int // number of faults that block the path, by sender and receiver
 	drop, duplicate []float64
-	carried         int // to one relay each
-	sent, sentBytes int // datagrams taken, and their bytes
+	carried         int // datagrams carried, counted per receiving relay
+	sent, sentBytes int // datagrams that relays sent, and their bytes
 	closed          chan struct{}
 	work            sync.WaitGroup
 }
 
-// newNotes opens the carrier, unless something failed before.
+// newDatagramNetwork opens the network; if openErr is not nil, it returns that.
 func newDatagramNetwork(p *Platform, openErr error) (*datagramNetwork, error) {
 	if openErr != nil {
 		return nil, openErr
@@ -94,7 +94,7 @@
 	n.work.Wait()
 }
 
-// take carries what comes in at an address to those that it stands for.
+// receive delivers the datagrams that arrive at an address to the relays that to returns for their sender.
 func (n *datagramNetwork) receive(in *net.UDPConn, to func(sender int) []int) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -119,7 +119,7 @@
 	}
 }
 
-// carry brings a note from one relay to another, as the network between them does.
+// deliver carries a datagram from one relay to another, or drops, duplicates or delays it as faults demand.
 func (n *datagramNetwork) deliver(from, to int, datagram []byte) {
 	n.mu.Lock()
 	n.carried++
@@ -142,14 +142,15 @@
 	}
 }
 
-// NotesSent counts the notes that relays have sent, one to all counting once, their bytes, and those carried to one relay.
+// DatagramCounts returns the number of datagrams that relays have sent (a broadcast counts once), their bytes, and
+// the number of datagrams carried, counted per receiving relay.
 func (p *Platform) DatagramCounts() (datagrams, bytes, received int) {
 	p.datagrams.mu.Lock()
 	defer p.datagrams.mu.Unlock()
 	return p.datagrams.sent, p.datagrams.sentBytes, p.datagrams.carried
 }
 
-// CutNotes cuts (by 1) or heals (by -1) the way of notes from one relay to another.
+// CutDatagrams blocks (by is 1) or unblocks (by is -1) the paths of datagrams that between selects.
 func (p *Platform) CutDatagrams(by int, between func(from, to int) bool) {
 	p.datagrams.mu.Lock()
 	defer p.datagrams.mu.Unlock()
@@ -162,7 +163,8 @@
 	}
 }
 
-// SpoilNotes has a share of the notes from and to a relay lost, and a share come twice, the second up to a second late.
+// ImpairDatagrams sets the shares of the datagrams from and to a relay that are dropped and duplicated. A duplicate
+// arrives up to a second later.
 func (p *Platform) ImpairDatagrams(relay int, drop, duplicate float64) {
 	p.datagrams.mu.Lock()
 	defer p.datagrams.mu.Unlock()
--- a/internal/lab/platform/discovery.go
+++ b/internal/lab/platform/discovery.go
@@ -12,7 +12,7 @@
 	"milletsail/internal/lab/history"
 )
 
-// The states of an endpoint on the list.
+// Health values of an endpoint on the list.
 const (
 	serving  = "SERVING"
 	draining = "DRAINING"
@@ -20,24 +20,24 @@
 )
 
 const (
-	// listLag is what the agent of a relay has its lists late by, drawn up to it.
+	// maxListLag bounds the delay, drawn by relay, with which a change of the list reaches a relay's discovery.
 	maxListLag = 300 * time.Millisecond
-	// emptyLine is the time between the empty lines of a watch on which nothing changes.
+	// keepAliveInterval is the time between the empty lines on a stream without changes.
 	keepAliveInterval = 2 * time.Second
-	// oldAddress is how long the open connections to a discovery that has moved stay.
+	// movedGrace is how long open connections to the old address of a moved discovery stay.
 	movedGrace = 1500 * time.Millisecond
-	// busyWait is what an overbooked discovery tells.
+	// busyRetryAfter is the Retry-After of an overloaded discovery, in seconds.
 	busyRetryAfter = "0.5"
 )
 
-// change is one version of the list: what happened to one endpoint. Version n is change n-1.
+// change is one change of the list, to one endpoint. Version n of the list includes the first n changes.
 type change struct {
 	at     time.Time
 	host   int
 	health string
 }
 
-// entryOf is one endpoint in discovery's form.
+// memberEntry is one endpoint in discovery's format.
 type memberEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -49,17 +49,17 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// Entry is one endpoint in discovery's form, for stand-ins that keep lists of their own.
+// Entry is one endpoint in discovery's format, for simulations outside this package that keep their own lists.
 type Entry = memberEntry
 
-// Members is a list, or changes of it, in discovery's form.
+// Members is a list, or the changes of a list, in discovery's format.
 type Members struct {
 	Seq   int           `json:"seq"`
 	Whole bool          `json:"whole"`
 	Hosts []memberEntry `json:"hosts"`
 }
 
-// agent is the discovery of one relay.
+// agent is the discovery service of one relay.
 type agent struct {
 	p     *Platform
 	relay int
@@ -71,14 +71,14 @@
 	late   time.Duration
 	silent bool
 	busy   bool
-	wake   chan struct{} // closed when something changes
+	wake   chan struct{} // closed and replaced at each change
 }
 
 func newAgent(p *Platform, relay int) *agent {
 	return &agent{p: p, relay: relay, wake: make(chan struct{})}
 }
 
-// open listens at the agent's present address.
+// open listens at the agent's current address.
 func (a *agent) open() error {
 	l, err := net.Listen("tcp", a.p.net.Discovery(a.relay, a.moves))
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// set changes an agent and wakes its watches.
+// update changes an agent and wakes its streams.
 func (a *agent) update(change func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,20 +114,21 @@
 	a.wake = make(chan struct{})
 }
 
-// state gives what the agent does now, and what tells of a change.
+// state returns the faults in force and a channel that is closed at the next change.
 func (a *agent) state() (late time.Duration, silent, busy bool, wake chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.late, a.silent, a.busy, a.wake
 }
 
-// Discovery changes how the discovery of a relay behaves: lists late by so much more, silent, or overbooked.
+// SetDiscoveryFaults sets the faults of a relay's discovery: an extra delay of list changes, no replies (silent), or
+// refusals with 503 (busy).
 func (p *Platform) SetDiscoveryFaults(relay int, late time.Duration, silent, busy bool) {
 	p.agents[relay].update(func() { a := p.agents[relay]; a.late, a.silent, a.busy = late, silent, busy })
 }
 
-// Move gives the discovery of a relay another address. The old one takes nothing new, and its open connections end
-// after a while.
+// MoveDiscovery moves a relay's discovery to a new address. The old address accepts no new connections, and its open
+// ones are closed after movedGrace.
 func (p *Platform) MoveDiscovery(relay int) error {
 	a := p.agents[relay]
 	a.mu.Lock()
@@ -142,7 +143,8 @@
 	return nil
 }
 
-// Known gives the list as a relay may have it in its configuration: as of a version, 0 for the first one.
+// InitialMembers returns the list that a relay's configuration holds: the given version, and at least the one with
+// which the run started.
 func (p *Platform) InitialMembers(relay, seq int) Members {
 	first := 0
 	for _, h := range p.s.Hosts {
@@ -153,14 +155,14 @@
 	return p.members(relay, max(seq, first), 0)
 }
 
-// Seq is the present version of the list.
+// ListVersion is the current version of the list.
 func (p *Platform) ListVersion() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.changes)
 }
 
-// DiscoveryAddress is where a relay finds its discovery now.
+// DiscoveryAddress is the current address of a relay's discovery.
 func (p *Platform) DiscoveryAddress(relay int) string {
 	a := p.agents[relay]
 	a.mu.Lock()
@@ -168,8 +170,8 @@
 	return p.net.Discovery(relay, a.moves)
 }
 
-// List changes the health of an endpoint on the list; a deleted one's address takes nothing any more, and one that is
-// listed anew is opened.
+// SetHealth changes the health of an endpoint on the list. An endpoint that is new on the list starts to accept
+// connections; a draining one refuses calls after the drain grace time.
 func (p *Platform) SetHealth(host int, health string) error {
 	h := p.hosts[host]
 	h.mu.Lock()
@@ -200,7 +202,7 @@
 	return nil
 }
 
-// members gives the list of a version, or its changes since another where that is above 0.
+// members returns a version of the list or, if since is above 0, the changes after version since.
 func (p *Platform) members(relay, seq, since int) Members {
 	p.mu.Lock()
 	list := append([]change(nil), p.changes[:min(seq, len(p.changes))]...)
@@ -227,7 +229,7 @@
 	return m
 }
 
-// bornMS is when an endpoint that came later started, as discovery tells it.
+// listedAtMS is when an endpoint was added to the list, in milliseconds since 1970; 0 if it was there from the start.
 func (h *host) listedAtMS() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -237,10 +239,11 @@
 	return h.listedAt.UnixMilli()
 }
 
-// Shape names the kind of destination whose calls take so many messages at most.
+// Shape is the name of the kind of destination that takes at most bulk messages per call.
 func (p *Platform) Shape(bulk int) string { return "bulk" + strconv.Itoa(bulk) }
 
-// visible is the newest version that an agent has by now, and when it will have the next; zero for none to come.
+// visibleVersion returns the newest version of the list that an agent has, and when it will have the next; the time
+// is zero if there is none.
 func (a *agent) visibleVersion(late time.Duration) (seq int, next time.Time) {
 	lag := late + time.Duration(a.p.s.Draw("lag "+strconv.Itoa(a.relay))*float64(maxListLag))
 	a.p.mu.Lock()
@@ -264,7 +267,7 @@
 	}
 }
 
-// outcomes takes notices, which it does while discovery is down as well.
+// outcomes receives notifications; discovery faults do not affect it.
 func (a *agent) outcomes(w http.ResponseWriter, r *http.Request) {
 	type notice struct {
 		ID      string `json:"id"`
@@ -288,6 +291,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// members replies with the list, or with a stream of it and its changes.
 func (a *agent) members(w http.ResponseWriter, r *http.Request) {
 	stream := r.URL.Query().Get("stream") == "1"
 	since, err := strconv.Atoi(r.URL.Query().Get("index"))
@@ -348,7 +352,7 @@
 	}
 }
 
-// tell writes a list, or the changes since a version, to the relay.
+// writeMembers writes the list, or the changes after version since, to the relay, and reports whether that succeeded.
 func (a *agent) writeMembers(w http.ResponseWriter, seq, since int) bool {
 	if since > seq {
 		since = 0
--- a/internal/lab/platform/hosts.go
+++ b/internal/lab/platform/hosts.go
@@ -21,29 +21,30 @@
 )
 
 const (
-	// maxBody bounds the body of a call, as the protocol has it.
+	// maxBodyBytes is the protocol's limit on the body of a call.
 	maxBodyBytes = 64 << 10
-	// callTime bounds how long a call may take to come, from its first byte.
+	// callReadTimeout bounds the time in which a call arrives, from its first byte.
 	callReadTimeout = 10 * time.Second
-	// coldSlack is what a cold endpoint takes beyond its budget before it falls over, in roots of the budget: the
-	// protocol leaves some room for chance and does not say how much.
+	// coldBurstFactor is the number of calls beyond its budget that a cold endpoint withstands, in square roots of
+	// the budget: the protocol allows for random variation without saying how much.
 	coldBurstFactor = 2
-	// rateDepth is the time for which a rate limit saves up room.
+	// rateBurst is the time over which a rate limit accumulates unused tokens.
 	rateBurst = 250 * time.Millisecond
 )
 
-// Trouble is what a fault does to an endpoint. Shares are of its calls or answers.
+// Impairment is the effect of a fault on an endpoint. Errors, Stall, DropAnswers, Reset and Corrupt are shares of its
+// calls or answers, from 0 to 1.
 type Impairment struct {
 	Down, Refuse, Silent                       bool
-	Wait                                       time.Duration // told while shut; 0 for none
+	Wait                                       time.Duration // retry interval sent in refusals; 0 for none
 	Errors, Stall, DropAnswers, Reset, Corrupt float64
 	Slow                                       float64 // factor on service times; 0 for none
 }
 
-// fails tells whether most calls fail: what follows is a cold return.
+// isOutage reports whether most calls fail. An endpoint that recovers from an outage is cold.
 func (t Impairment) isOutage() bool { return t.Down || t.Refuse || t.Silent || t.Errors >= 0.5 }
 
-// host is one endpoint.
+// host simulates one endpoint.
 type host struct {
 	p       *Platform
 	index   int
@@ -53,14 +54,14 @@
 	scenario.Host
 	mu          sync.Mutex
 	listed      bool
-	listedAt    time.Time // when it was listed; zero for from the start
-	refuseFrom  time.Time // a draining endpoint takes nothing from then on; zero for never
+	listedAt    time.Time // when it was listed; zero if it was on the list from the start
+	refuseFrom  time.Time // time from which a draining endpoint refuses calls; zero if it is not draining
 	impairments map[int]Impairment
-	open        int       // connections
-	waiting     int       // calls in the queue
-	recoveredAt time.Time // since when it serves again after an outage; zero for long ago
+	open        int       // open connections
+	waiting     int       // calls that wait for a worker
+	recoveredAt time.Time // end of the latest outage; zero for none
 	overloaded  bool
-	recentCalls []time.Time // calls while cold
+	recentCalls []time.Time // times of the latest calls while cold
 }
 
 func newHost(p *Platform, no int) *host {
@@ -70,7 +71,7 @@
 	return h
 }
 
-// trouble is all that strikes an endpoint at the moment; the lock is held.
+// impairment combines the impairments in force; the lock is held.
 func (h *host) impairment() (t Impairment) {
 	for _, o := range h.impairments {
 		t.Down, t.Refuse, t.Silent = t.Down || o.Down, t.Refuse || o.Refuse, t.Silent || o.Silent
@@ -82,12 +83,13 @@
 	return t
 }
 
-// Strike has a fault, by its number, do something to an endpoint until Relieve.
+// Impair applies the effect of a fault, given by its number, to an endpoint until EndImpairment.
 func (p *Platform) Impair(fault, host int, t Impairment) { p.hosts[host].setImpairment(fault, &t) }
 
-// Relieve ends what a fault does to an endpoint.
+// EndImpairment ends the effect of a fault on an endpoint.
 func (p *Platform) EndImpairment(fault, host int) { p.hosts[host].setImpairment(fault, nil) }
 
+// setImpairment sets or, if t is nil, removes the effect of a fault, and records the start or end of an outage.
 func (h *host) setImpairment(fault int, t *Impairment) {
 	h.mu.Lock()
 	before := h.impairment()
@@ -108,20 +110,22 @@
 	h.updatePorts(before.Down, after.Down)
 }
 
-// reachable opens or closes the ports of an endpoint that comes up or goes down.
+// updatePorts opens or closes the ports of an endpoint that comes up or goes down; before and after tell whether it
+// is down.
 func (h *host) updatePorts(before, after bool) {
 	for _, o := range h.ports {
 		if after && !before {
 			o.close()
 		} else if before && !after {
 			if err := o.open(); err != nil {
-				h.p.h.Add(history.Event{Kind: history.Void, What: "an endpoint could not come back: " + err.Error()})
+				h.p.h.Add(history.Event{Kind: history.Void, What: "reopening the port of an endpoint failed: " + err.Error()})
 			}
 		}
 	}
 }
 
-// warmth is the share of its capacity that an endpoint has at a moment; the lock is held.
+// capacityShare is the share of its full capacity that an endpoint has at a time, which grows over the ramp time
+// after an outage; the lock is held.
 func (h *host) capacityShare(at time.Time) float64 {
 	r := &h.p.s.Rules
 	if h.recoveredAt.IsZero() || r.RampTime <= 0 {
@@ -130,8 +134,8 @@
 	return math.Min(1, r.ColdShare+(1-r.ColdShare)*at.Sub(h.recoveredAt).Seconds()/r.RampTime.Seconds())
 }
 
-// chill counts a call at a cold endpoint, and pushes it over where calls are too many; the lock is held. It tells
-// whether it fell.
+// overloadsCold counts a call at a cold endpoint and reports whether the calls exceed what the endpoint withstands;
+// the lock is held.
 func (h *host) overloadsCold(now time.Time) bool {
 	r := &h.p.s.Rules
 	if h.recoveredAt.IsZero() || now.Sub(h.recoveredAt) > r.RampTime.AsDuration() {
@@ -146,7 +150,7 @@
 	return float64(len(h.recentCalls)) > budget+coldBurstFactor*math.Sqrt(budget)
 }
 
-// hostConn is a connection of a relay to an endpoint.
+// hostConn is a relay's connection to an endpoint.
 type hostConn struct {
 	net.Conn
 	port   *port
@@ -154,19 +158,19 @@
 	end    context.CancelFunc
 	chunks chan chunk
 	unread []byte
-	sentAt time.Time // when the relay sent the latest bytes that were read
-	// closedAt is when the relay closed, in nanoseconds since 1970; 0 while it has not.
+	sentAt time.Time // arrival time of the bytes that were read last
+	// closedAt is when the relay closed the connection, in nanoseconds since 1970; 0 while it is open.
 	closedAt atomic.Int64
-	resetAt  atomic.Int64 // when a fault reset it, in the same form
+	resetAt  atomic.Int64 // when a fault reset the connection, in nanoseconds since 1970; 0 for never
 }
 
-// call is one call at an endpoint.
+// call is one call received by an endpoint.
 type call struct {
 	no       int
 	relay    int
 	bulk     bool
 	msgs     []*entry
-	attempts []int // calls of each message, this one included
+	attempts []int // number of calls with each message of msgs, this one included
 }
 
 func (c *call) ids() (ids []string) {
@@ -176,17 +180,17 @@
 	return ids
 }
 
-// answer is what an endpoint says to a call.
+// answer is an endpoint's response to a call; with status 0, the call has been admitted and has not run.
 type answer struct {
 	status int
 	wait   time.Duration
 	noSlot bool
-	states []string // of a bulk call that is answered 200
+	states []string // state of each message, in the answer 200 to a bulk call
 	ran    bool
-	never  bool // never comes
+	never  bool // the endpoint never answers
 }
 
-// serve takes calls from a connection, one at a time, until it ends.
+// serve handles the calls of a connection, one at a time, until it ends.
 func (c *hostConn) serve() {
 	h := c.port.host
 	h.mu.Lock()
@@ -226,7 +230,7 @@
 	}
 }
 
-// peek reports when the next byte is there, or the end of the connection.
+// peek returns a channel that receives nil when the next byte arrives, or the error that ends the connection.
 func (c *hostConn) peek(in *bufio.Reader) chan error {
 	next := make(chan error, 1)
 	go func() {
@@ -236,7 +240,7 @@
 	return next
 }
 
-// handle answers one call and tells whether the connection goes on.
+// handle answers one call and reports whether the connection stays open.
 func (c *hostConn) handle(req *http.Request, body []byte, began, received time.Time, next chan error, overLimit bool) bool {
 	h, p := c.port.host, c.port.p
 	call, a := p.receiveCall(c.port.relay, h, req, body, began, received)
@@ -273,7 +277,7 @@
 	case ended():
 	case what == "":
 		c.port.link.waitOpen(ctx, false)
-		release() // before the relay can know that the slot is free
+		release() // before the answer, after which the relay may use the slot again
 		if !ended() && c.write(call, a) {
 			return true
 		}
@@ -289,14 +293,14 @@
 		case "spoilt":
 			return false
 		}
-		<-ctx.Done() // nothing more comes, until the relay gives the call up
+		<-ctx.Done() // no more data follows until the relay closes the connection
 	}
-	event := history.Event{Kind: history.Gone, Call: call.no} // where a write failed, the relay alone can be the cause
+	event := history.Event{Kind: history.Gone, Call: call.no} // if the write failed, the relay has closed the connection
 	if at, closed := c.closed(); closed {
 		event.T = p.h.At(at)
 	} else if c.ctx.Err() != nil {
 		event.Kind, event.What = history.Broken, "closed"
-		if at := c.resetAt.Load(); at != 0 { // what was being served went on until now
+		if at := c.resetAt.Load(); at != 0 { // the call was in service until now; the reset came earlier
 			event.T = p.h.At(time.Unix(0, at))
 		}
 	}
@@ -304,7 +308,7 @@
 	return false
 }
 
-// spoils tells what becomes of an answer instead of its being written, with what is written of it.
+// answerFault returns the fault that replaces the answer to a call ("" for none), and the bytes to send in its place.
 func (h *host) answerFault(c *call, a answer) (what string, part []byte) {
 	h.mu.Lock()
 	t := h.impairment()
@@ -329,8 +333,9 @@
 	return "", nil
 }
 
-// take reads a call and gives it its number; one that can't be read, or holds what no client handed in, gets its
-// answer at once.
+// receiveCall parses a call, records it and gives it a number. It returns a nil call if the call is malformed or
+// holds a message that no client handed in; the answer then says why. An answer with a status is final, one without
+// means that the endpoint decides.
 func (p *Platform) receiveCall(relay int, h *host, req *http.Request, body []byte, began, received time.Time) (*call, answer) {
 	c := &call{relay: relay, bulk: req.URL.Path == "/inbox/bulk"}
 	type item struct {
@@ -390,14 +395,14 @@
 	return c, answer{}
 }
 
-// leave frees the slot of a call.
+// releaseSlot frees the slot of a call.
 func (p *Platform) releaseSlot(relay int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.callsOut[relay]--
 }
 
-// admit turns a call away, or gives no answer yet.
+// admit returns the answer to a call that the endpoint refuses, or an empty answer for one that it serves.
 func (h *host) admit(c *call, overLimit bool) answer {
 	now := time.Now()
 	h.mu.Lock()
@@ -433,8 +438,8 @@
 	return answer{}
 }
 
-// run serves a call, and gives its answer once it has run. It stops where the relay leaves while it waits for a
-// worker; what is being served is served to its end.
+// run serves a call and returns its answer. A call that still waits for a worker ends with ctx; one in service is
+// served to its end.
 func (h *host) run(ctx context.Context, c *call) answer {
 	h.mu.Lock()
 	h.waiting++
@@ -458,7 +463,8 @@
 	return answer{status: http.StatusOK, states: h.p.recordRun(c), ran: true}
 }
 
-// service draws the time of a call in seconds: lognormal, by its first message and which of its calls this is.
+// service returns the service time of a call in seconds, drawn from a lognormal distribution by its first message and
+// the number of that message's calls.
 func (h *host) service(c *call) float64 {
 	d, mean := h.Of, h.Of.Service.Seconds()*(1+h.Of.ItemCost*float64(len(c.msgs)-1))
 	if d.ServiceCV == 0 {
@@ -471,7 +477,8 @@
 	return mean * math.Exp(sigma*normal-sigma*sigma/2)
 }
 
-// ran notes that the messages of a call have run, and gives their states.
+// recordRun marks the messages of a call as run and returns their states. A message whose outcome was already
+// reported is not run again.
 func (p *Platform) recordRun(c *call) (states []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -487,7 +494,7 @@
 	return states
 }
 
-// write writes an answer, and tells whether the connection may carry another call.
+// write writes an answer and reports whether the connection may carry another call.
 func (c *hostConn) write(call *call, a answer) bool {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "HTTP/1.1 %d %s\r\n", a.status, http.StatusText(a.status))
@@ -512,7 +519,7 @@
 		_, err := c.Write(out.Bytes())
 		return err == nil
 	}
-	// What a relay does on this answer may come before the lab's next step: it is noted before it is written.
+	// The answer is timed before it is written, since the relay may act on it before the lab's next step.
 	at := p.h.Now()
 	if _, err := c.Conn.Write(out.Bytes()); err != nil {
 		return false
@@ -535,7 +542,7 @@
 	return true
 }
 
-// dest is what the endpoints of one destination share: its limit.
+// dest is the state of a destination's limit, which its endpoints share.
 type dest struct {
 	mu     sync.Mutex
 	at     time.Time
@@ -544,7 +551,8 @@
 	count  float64
 }
 
-// room takes the room of a call under the limit, or tells when there is some again.
+// takeToken counts a call against the limit. If the call exceeds it, ok is false and wait is the time until a call is
+// admitted again.
 func (d *dest) takeToken(of *scenario.Destination, now time.Time) (wait time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/platform/links.go
+++ b/internal/lab/platform/links.go
@@ -14,16 +14,16 @@
 	"milletsail/internal/lab/history"
 )
 
-// link is the way between one relay and one endpoint. A cut direction says nothing: what was sent stays on its way,
-// as TCP would send it again, and new connections never come up.
+// link is the simulated network path between one relay and one endpoint. A blocked direction carries nothing: data
+// that was sent stays in transit, as TCP would retransmit it, and new connections time out.
 type link struct {
 	mu       sync.Mutex
-	to, from int // cuts in force, towards the endpoint and back
+	to, from int // number of faults that block the direction to the endpoint, and back from it
 	delay    time.Duration
-	changed  chan struct{} // closed at each change
+	changed  chan struct{} // closed and replaced at each change
 }
 
-// set changes a link.
+// update changes a link and wakes all that wait for a change.
 func (l *link) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -32,14 +32,14 @@
 	l.changed = make(chan struct{})
 }
 
-// silent tells whether new connections never come up.
+// blocked reports whether new connections time out: either direction is blocked.
 func (l *link) blocked() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.to > 0 || l.from > 0
 }
 
-// pass waits until data may go in a direction, and as long as the link delays it.
+// waitOpen waits until data may pass in a direction, and then for the link's delay. It returns early when ctx ends.
 func (l *link) waitOpen(ctx context.Context, towards bool) {
 	for {
 		l.mu.Lock()
@@ -72,16 +72,16 @@
 
 	mu         sync.Mutex
 	listener   *net.TCPListener
-	blackholed bool                // new connections never come up
-	parked     chan bool           // the goroutine that accepts has seen so
-	fillers    map[string]net.Conn // by its own address: what keeps a muted listener's queue full
+	blackholed bool                // new connections time out
+	parked     chan bool           // closed when the accept goroutine has stopped accepting
+	fillers    map[string]net.Conn // connections by local address that keep the accept queue full while blackholed
 	conns      map[*hostConn]bool
 }
 
-// backlog is what a listener that is not muted has waiting for it at most.
+// backlog is the length of the accept queue of a listener that is not blackholed.
 const backlog = 4096
 
-// open takes connections from now on.
+// open starts to accept connections.
 func (o *port) open() error {
 	l, err := net.Listen("tcp", o.addr)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// close takes no connection from now on, and resets the open ones.
+// close stops accepting connections and resets the open ones.
 func (o *port) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -118,8 +118,8 @@
 	}
 }
 
-// silence has new connections never come up: the queue of the listener holds one, and that place is taken. The lock
-// is held, but for the moment in which the goroutine that accepts comes to rest: it would take the filler out.
+// blackhole makes new connections time out: it shrinks the accept queue to one place and fills that place itself. The
+// lock is held, except while the accept goroutine stops, which would otherwise accept the filling connection.
 func (o *port) blackhole() {
 	if o.listener == nil || o.blackholed {
 		return
@@ -133,21 +133,21 @@
 	case <-o.p.ctx.Done():
 	}
 	o.mu.Lock()
-	if o.listener != l || !o.blackholed { // it is down, or heard again, by now
+	if o.listener != l || !o.blackholed { // the port was closed or restored meanwhile
 		return
 	}
 	_ = o.setBacklog(0)
 	c, err := net.DialTimeout("tcp", o.addr, 50*time.Millisecond)
-	if t := net.Error(nil); err != nil && !(errors.As(err, &t) && t.Timeout()) { // else a relay's own connection has the place
-		o.p.h.Add(history.Event{Kind: history.Void, What: "a link could not be cut: " + err.Error()})
+	if t := net.Error(nil); err != nil && !(errors.As(err, &t) && t.Timeout()) { // on a timeout, a connection of the relay fills the queue already
+		o.p.h.Add(history.Event{Kind: history.Void, What: "blocking a link failed: " + err.Error()})
 	}
 	if err == nil {
 		o.fillers[c.LocalAddr().String()] = c
 	}
 }
 
-// hear undoes silence; the lock is held. What came into the queue meanwhile is reset, as the network may do when it is
-// back: the relay may have given it up long ago.
+// restore undoes blackhole; the lock is held. Connections that are in the accept queue are reset, as may happen when
+// a network comes back: the relay may have given them up long ago.
 func (o *port) restore() {
 	if o.listener == nil || !o.blackholed {
 		return
@@ -166,7 +166,7 @@
 	o.blackholed = false
 }
 
-// room sets how many connections may wait for the listener.
+// setBacklog sets the length of the accept queue.
 func (o *port) setBacklog(n int) error {
 	raw, err := o.listener.SyscallConn()
 	if err != nil {
@@ -177,7 +177,7 @@
 	return errors.Join(err, failed)
 }
 
-// follow brings the listener in line with the link.
+// applyLinkState blackholes or restores the listener according to the state of the link.
 func (o *port) applyLinkState() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -188,7 +188,7 @@
 	}
 }
 
-// park tells the one who waits for it that nothing is accepted any more.
+// signalParked tells blackhole that the accept goroutine has stopped accepting.
 func (o *port) signalParked() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -198,13 +198,14 @@
 	}
 }
 
-// muted tells whether a listener takes nothing at the moment.
+// isBlackholed reports whether l is the current listener and is blackholed.
 func (o *port) isBlackholed(l *net.TCPListener) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.blackholed && o.listener == l
 }
 
+// accept accepts connections until the listener is closed, and pauses while the port is blackholed.
 func (o *port) accept(l *net.TCPListener) {
 	defer o.p.work.Done()
 	defer o.signalParked()
@@ -250,14 +251,14 @@
 	}
 }
 
-// chunk is some bytes that a relay sent.
+// chunk is a piece of data that a relay sent, with the time at which it arrived.
 type chunk struct {
 	data []byte
 	at   time.Time
 }
 
-// pump takes in what the relay sends, and when, whether or not the link lets it through yet: that is what the relay
-// did.
+// pump reads what the relay sends as it arrives, whether or not the link is blocked, so that arrival times and closes
+// are those of the relay.
 func (c *hostConn) pump() {
 	defer close(c.chunks)
 	for {
@@ -280,7 +281,7 @@
 	}
 }
 
-// Read gives what the relay sent, once its link lets it through.
+// Read returns what the relay sent, once the link is open.
 func (c *hostConn) Read(b []byte) (int, error) {
 	if len(c.unread) == 0 {
 		select {
@@ -299,19 +300,19 @@
 	return n, nil
 }
 
-// Write writes to the relay, once its link lets it through.
+// Write writes to the relay once the link is open.
 func (c *hostConn) Write(b []byte) (int, error) {
 	c.port.link.waitOpen(c.ctx, false)
 	return c.Conn.Write(b)
 }
 
-// closed tells whether the relay has closed the connection, or ended its sending, and when.
+// closed reports whether the relay has closed the connection or its sending direction, and when.
 func (c *hostConn) closed() (time.Time, bool) {
 	at := c.closedAt.Load()
 	return time.Unix(0, at), at != 0
 }
 
-// reset ends a connection without an orderly close.
+// reset closes a connection with a TCP reset.
 func (c *hostConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -321,8 +322,8 @@
 	_ = c.Conn.Close()
 }
 
-// Cut cuts (by 1) or heals (by -1) the directions of links. The ones towards the endpoints count for to, the ones
-// back for from.
+// CutLinks blocks (by is 1) or unblocks (by is -1) directions of links: to selects those towards endpoints, from
+// those back.
 func (p *Platform) CutLinks(by int, to, from func(relay, host int) bool) {
 	p.changeLinks(func(r, h int, l *link) bool {
 		a, b := to(r, h), from(r, h)
@@ -340,7 +341,7 @@
 	})
 }
 
-// Delay has links hold up each piece of data, in both directions.
+// DelayLinks delays each piece of data on the selected links by d, in both directions.
 func (p *Platform) DelayLinks(d time.Duration, on func(relay, host int) bool) {
 	p.changeLinks(func(r, h int, l *link) bool {
 		if on(r, h) {
@@ -350,7 +351,8 @@
 	})
 }
 
-// each changes links, and brings the listeners of those that it reports in line, side by side: each takes a moment.
+// changeLinks calls change for each link and applies the state of those for which it returns true to their listeners,
+// concurrently for the relays, since a blackhole takes some milliseconds.
 func (p *Platform) changeLinks(change func(r, h int, l *link) bool) {
 	var work sync.WaitGroup
 	for r := range p.links {
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -1,11 +1,11 @@
-// Package platform stands in for all that relays meet: discovery, the endpoints of the destinations, the platform that
-// takes notices, and the network between relays, written from the published protocol alone. It runs in the lab's
-// process, on loopback addresses of its own.
+// Package platform simulates everything that relays communicate with: discovery, the endpoints of the destinations,
+// the receiver of notifications, and the network between relays. It follows the published protocol alone, and runs in
+// the lab's process on its own loopback addresses.
 //
-// It promises that every pair of relay and endpoint, and of relay and relay, is a link that can be cut, delayed and
-// healed by itself; that whatever a relay could have seen stands in the history with its time; and that what it draws
-// (service times, which answer gets lost) depends on the seed and the message, not on the order of real time. It
-// judges nothing: that is the checker's part. All methods may be called from any goroutine.
+// Each pair of relay and endpoint, and each pair of relays, has a network path that can be blocked and impaired by
+// itself. The history records, with its time, everything that a relay could have observed. Random values, such as
+// service times and the answers that get lost, depend on the seed and the message and not on real-time order. The
+// package judges nothing: that is the checker's part. All methods may be called from any goroutine.
 package platform
 
 import (
@@ -21,10 +21,10 @@
 	"milletsail/internal/lab/scenario"
 )
 
-// Message is what the platform knows of one message that a client handed in.
+// Message is one hand-in of a message by a client.
 type Message struct {
 	ID       string
-	Msg      int // over all hand-ins
+	Msg      int // number of the message, the same in all its hand-ins
 	Class    string
 	Dest     int
 	Key      string
@@ -32,7 +32,7 @@
 	Deadline time.Time
 }
 
-// entry is a message with what became of it.
+// entry is a hand-in with its state.
 type entry struct {
 	Message
 	calls     int
@@ -41,7 +41,7 @@
 	over      bool
 }
 
-// Platform is the stand-ins of one run.
+// Platform is the simulated platform of one run.
 type Platform struct {
 	s   *scenario.Scenario
 	h   *history.Writer
@@ -53,23 +53,24 @@
 	datagrams *datagramNetwork
 	links     [][]*link // by relay and endpoint
 
-	// Noticed is called for each notice of a message that is not over; set before any relay starts.
+	// OnNotification is called for each notification that gives a message its outcome. It must be set before any
+	// relay starts.
 	OnNotification func(m Message, status string, after time.Duration)
-	// Delivered is called when a message has been delivered; set before any relay starts.
+	// OnDelivery is called when a message has been delivered. It must be set before any relay starts.
 	OnDelivery func(m Message, at history.Micros)
 
 	mu       sync.Mutex
 	messages map[string]*entry
-	ranKeys  map[string]time.Time // dedup: when a key first ran, by destination and key
+	ranKeys  map[string]time.Time // for dedup classes: when a key first ran, by destination and key
 	calls    int
-	callsOut []int // calls out by relay
+	callsOut []int // calls in flight by relay
 	changes  []change
 	ctx      context.Context
 	stop     context.CancelFunc
 	work     sync.WaitGroup
 }
 
-// New opens the stand-ins on a subnet.
+// New opens the simulated platform on a subnet.
 func New(s *scenario.Scenario, h *history.Writer, subnet *Subnet) (*Platform, error) {
 	p := &Platform{s: s, h: h, net: subnet, messages: map[string]*entry{}, ranKeys: map[string]time.Time{},
 		callsOut: make([]int, s.Fleet.Relays)}
@@ -104,7 +105,7 @@
 	return p, nil
 }
 
-// Close ends the stand-ins and all their connections.
+// Close closes the platform and all its connections.
 func (p *Platform) Close() {
 	p.stop()
 	for _, a := range p.agents {
@@ -121,14 +122,14 @@
 	p.work.Wait()
 }
 
-// Register makes a message known before its client sends it.
+// Register announces a message before its client sends it; calls with unknown messages are refused.
 func (p *Platform) Register(m Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.messages[m.ID] = &entry{Message: m}
 }
 
-// Withdraw says that a client has left without an answer: what was sent for the message counts for nothing.
+// Withdraw records that a client has given up a hand-in without an answer: later calls with it do not run.
 func (p *Platform) Withdraw(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +138,7 @@
 	}
 }
 
-// Fate tells whether a message has been delivered, and whether it may have run.
+// DeliveryState reports whether a message has been delivered, and whether it may have run.
 func (p *Platform) DeliveryState(id string) (delivered, ran bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +146,7 @@
 	return e != nil && e.delivered, e != nil && e.ran
 }
 
-// noticed takes in a notice.
+// receiveNotification records a notification from a relay.
 func (p *Platform) receiveNotification(relay int, id, status string, after time.Duration) {
 	p.h.Add(history.Event{Kind: history.Notice, Relay: history.N(relay), ID: id, Status: status, After: history.M(after)})
 	p.mu.Lock()
@@ -160,7 +161,7 @@
 	}
 }
 
-// delivered notes that a 200 has been written for messages.
+// recordDelivery records that an answer 200 has been written for messages.
 func (p *Platform) recordDelivery(ids []string, at history.Micros) {
 	for _, id := range ids {
 		p.mu.Lock()
@@ -176,7 +177,7 @@
 	}
 }
 
-// Capacity is the rate in messages a second of an endpoint that is warm.
+// Capacity is the rate, in messages per second, that an endpoint can serve when it is not cold.
 func Capacity(h *scenario.Host) float64 {
 	if h.Of.Limit != "none" {
 		return h.Of.Rate / float64(h.Of.Endpoints)
@@ -184,7 +185,8 @@
 	return float64(h.Of.Workers) / h.Of.Service.Seconds()
 }
 
-// weight is what the list says of an endpoint's destination: calls a second over all relays.
+// weight is the capacity that the list states for an endpoint's destination, in calls per second over all relays:
+// exact, off by up to a factor of 1.5 ("rough"), or always 1 ("off").
 func (p *Platform) weight(h *scenario.Host) float64 {
 	all := Capacity(h) * float64(h.Of.Endpoints)
 	switch p.s.Fleet.Weights {
@@ -196,16 +198,16 @@
 	return all
 }
 
-// Subnet is the loopback addresses of one lab: no other lab on the machine has them while it runs.
+// Subnet is a range of loopback addresses that one lab has exclusively until Release.
 type Subnet struct {
 	second int
 	lock   net.Listener
 }
 
-// lockPort is the port that says that a subnet is taken.
+// lockPort is the port that a lab listens on to reserve its subnet.
 const lockPort = 47999
 
-// TakeSubnet finds loopback addresses that no other lab uses.
+// AcquireSubnet reserves loopback addresses that no other lab uses.
 func AcquireSubnet() (*Subnet, error) {
 	var err error
 	for second := 16; second < 250; second++ {
@@ -214,36 +216,37 @@
 			return &Subnet{second, l}, nil
 		}
 	}
-	return nil, fmt.Errorf("no loopback addresses are free: %w", err)
+	return nil, fmt.Errorf("no free loopback subnet between 127.16 and 127.249: %w", err)
 }
 
-// Release gives the addresses back.
+// Release frees the addresses.
 func (n *Subnet) Release() { _ = n.lock.Close() }
 
 func (n *Subnet) ip(block, relay int) string {
 	return fmt.Sprintf("127.%d.%d.%d", n.second, block+relay/250, 1+relay%250)
 }
 
-// The addresses of a lab: a relay's own, and those that stand-ins keep for it alone.
+// The methods below return the addresses of a lab: those of each relay, and those that the platform opens for one
+// relay.
 
-// Clients is where a relay takes clients.
+// Clients is the address at which a relay accepts clients.
 func (n *Subnet) Clients(relay int) string { return n.ip(0, relay) + ":8443" }
 
-// Admin is the address of a relay's admin endpoint; each process of an upgrade has its own.
+// Admin is the address of the admin endpoint of a relay's process, numbered from 1; each process has its own.
 func (n *Subnet) Admin(relay, process int) string {
 	return fmt.Sprintf("%s:%d", n.ip(0, relay), 12000+process%1000)
 }
 
-// PeerListen is where a relay takes notes.
+// PeerListen is the address at which a relay receives datagrams.
 func (n *Subnet) PeerListen(relay int) string { return n.ip(0, relay) + ":7946" }
 
-// Peer is the address at which all relays reach a relay, and from which its notes come to them.
+// Peer is the address at which all relays reach a relay, and from which its datagrams reach them.
 func (n *Subnet) Peer(relay int) string { return n.ip(200, relay) + ":7946" }
 
-// PeersAll is the address that reaches all relays.
+// PeersAll is the address that reaches all other relays.
 func (n *Subnet) PeersAll() string { return fmt.Sprintf("127.%d.255.1:7946", n.second) }
 
-// Discovery is the address of a relay's discovery after so many moves.
+// Discovery is the address of a relay's discovery after the given number of moves.
 func (n *Subnet) Discovery(relay, moves int) string {
 	return fmt.Sprintf("%s:%d", n.ip(100, relay), 8500+moves)
 }
--- a/internal/lab/relays/config.go
+++ b/internal/lab/relays/config.go
@@ -11,13 +11,13 @@
 	"milletsail/internal/lab/scenario"
 )
 
-// object is one JSON object of a configuration.
+// object is a JSON object.
 type object = map[string]any
 
-// quantum is the least time between the batches of a relay, in seconds.
+// batchInterval is the minimum time between a relay's batches, in seconds.
 const batchInterval = 0.002
 
-// settingsOf gives the settings object that the simulator's first message would give a relay, by the published names.
+// settingsOf returns the settings object of a relay, in the form that the simulator sends in its first message.
 func settingsOf(s *scenario.Scenario, p *platform.Platform, relay int) object {
 	var categories []object
 	for _, c := range s.Classes {
@@ -50,10 +50,10 @@
 		"tenants": []string{}, "weights": s.Fleet.Weights, "worth_by": "request"}
 }
 
-// Settings gives the settings object of a relay of a scenario, for relays that are run without a Fleet.
+// Settings returns the settings object of a relay of a scenario, for relays that are run without a Fleet.
 func Settings(s *scenario.Scenario, relay int) map[string]any { return settingsOf(s, nil, relay) }
 
-// writeConfig writes the configuration of a relay's next process in its folder.
+// writeConfig writes the configuration for the relay's next process; the lock is held.
 func (r *Relay) writeConfig() error {
 	f, n := r.fleet, r.fleet.subnet
 	var peers []string
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	// A relay may read the file at any moment: it is replaced whole.
+	// The relay may read the file at any time, so it is replaced atomically.
 	path := r.configPath()
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		return err
--- a/internal/lab/relays/disk.go
+++ b/internal/lab/relays/disk.go
@@ -16,11 +16,11 @@
 	"milletsail/internal/lab/history"
 )
 
-// Turn turns bits in the journal of a relay that is down, at places drawn from the seed.
+// FlipBits flips bits in the newest journal segment of a relay that is down, at positions drawn from the seed.
 func (r *Relay) FlipBits(dir string, fault, bits int) error {
 	found, err := filepath.Glob(filepath.Join(dir, "segment-*"))
 	if err != nil || len(found) == 0 {
-		return errors.Join(err, fmt.Errorf("relay %d: there is no journal to damage", r.No))
+		return errors.Join(err, fmt.Errorf("relay %d: no journal segment to damage in %s", r.No, dir))
 	}
 	path := found[len(found)-1]
 	raw, err := os.ReadFile(path)
@@ -35,8 +35,8 @@
 	return os.WriteFile(path, raw, 0o600)
 }
 
-// Fill has no file of a relay's process grow any more for a while, as on a full disk: by its limit on the size of
-// files, which needs no rights and no file system of the lab's own.
+// FillDisk simulates a full disk for a while: the file size limit of the relay's process is set to 0. That needs no
+// privileges and no file system of the lab's own.
 func (r *Relay) FillDisk(ctx context.Context, d time.Duration) error {
 	p := r.servingProcess()
 	if p == nil {
@@ -51,25 +51,26 @@
 	}
 	r.recordEvent("full")
 	if err := limit(0); err != nil {
-		return fmt.Errorf("relay %d: %w", r.No, err)
+		return fmt.Errorf("relay %d: setting the file size limit to 0: %w", r.No, err)
 	}
 	clock.Sleep(ctx, d)
 	r.recordEvent("room")
 	if err := limit(unix.RLIM_INFINITY); err != nil && !errors.Is(err, unix.ESRCH) {
-		return fmt.Errorf("relay %d: %w", r.No, err)
+		return fmt.Errorf("relay %d: removing the file size limit: %w", r.No, err)
 	}
 	return nil
 }
 
-// Synced is what a relay built for it writes beside its folder: which files a power loss would leave, and how much of
-// each.
+// SyncedFile is the file in a relay's temporary directory in which a relay built from package faulty records what
+// would survive a power loss: a JSON object with the durable size of each durable file by name.
 const SyncedFile = "synced.json"
 
-// LosePower brings the folder of a relay that is down back to what was synced.
+// LosePower truncates or removes the journal segments in the state directory of a relay that is down, so that only
+// synced data remains.
 func (r *Relay) LosePower(dir string) error {
 	text, err := os.ReadFile(filepath.Join(r.dir, "tmp", SyncedFile))
 	if err != nil {
-		return fmt.Errorf("relay %d: only a relay that notes its syncs can lose power: %w", r.No, err)
+		return fmt.Errorf("relay %d: power loss needs a relay that records its syncs: %w", r.No, err)
 	}
 	var kept map[string]int64
 	if err := json.Unmarshal(text, &kept); err != nil {
--- a/internal/lab/relays/relays.go
+++ b/internal/lab/relays/relays.go
@@ -1,9 +1,9 @@
-// Package relays runs the relays of a lab: real processes of the relay's own binary, each with a folder that lasts,
-// and does to them what an operator or a failing machine would.
+// Package relays runs the relays of a lab, which are processes of the relay's own executable with a persistent
+// directory each, and does to them what an operator or a failing machine would.
 //
-// It promises that it signals only processes that it started, by their ids; that none of them outlives the lab,
-// whatever ends that (the kernel kills them when the thread that started them is gone); and that starts, ends and
-// signals stand in the history before a relay can act on them. A Relay's methods may be called from any goroutine.
+// It signals only processes that it started, by their ids. None of them outlives the lab, however that ends: the
+// kernel kills them when the thread that started them exits. Starts, exits and signals are in the history before a
+// relay can act on them. The methods of Relay may be called from any goroutine.
 package relays
 
 import (
@@ -36,20 +36,20 @@
 )
 
 const (
-	// killAfter is the time from SIGTERM to SIGKILL, backAfter from the end of a process to the next start.
+	// killDelay is the time from SIGTERM to SIGKILL, restartDelay from the end of a process to the next start.
 	killDelay    = 3700 * time.Millisecond
 	restartDelay = 600 * time.Millisecond
-	// yesWithin is how long a process of an upgrade has until it takes clients.
+	// upgradeTimeout is how long the new process of an upgrade has until it must accept clients.
 	upgradeTimeout = 6 * time.Second
-	// startWithin is how long a start may take until it counts as refused.
+	// startTimeout is the time after which a start without readiness counts as failed.
 	startTimeout = 15 * time.Second
-	// askAgain is the time between looks whether a relay is ready.
+	// pollInterval is the time between readiness checks.
 	pollInterval = 20 * time.Millisecond
-	// usageEvery is the time between looks at what a relay uses.
+	// usageInterval is the time between readings of a relay's resource usage.
 	usageInterval = time.Second
 )
 
-// Fleet is the relays of one run.
+// Fleet is the set of relays of one run.
 type Fleet struct {
 	Relays []*Relay
 
@@ -66,19 +66,19 @@
 	ended  sync.Once
 }
 
-// Relay is one relay over its processes.
+// Relay is one relay across all its processes.
 type Relay struct {
 	No    int
-	Shim  *shim.Control // of all its processes; only a relay built with package shim heeds it
+	Shim  *shim.Control // fault control of all its processes; only a relay built with package shim reads it
 	fleet *Fleet
 	dir   string
 
 	mu      sync.Mutex
-	socket  *os.File // of the clients, where the platform holds it
+	socket  *os.File // client listener that the lab holds for the relay; nil without shared sockets
 	starts  int
-	program string   // that its next process runs, where an agent has changed it
-	current *process // the one that serves, or is about to
-	down    bool     // a fault holds it down
+	program string   // executable of the next process if a rollout has changed it; empty for the fleet's
+	current *process // latest process, which serves or is starting
+	down    bool     // a fault keeps the relay from running
 }
 
 // process is one process of a relay.
@@ -86,12 +86,13 @@
 	cmd          *exec.Cmd
 	admin        string
 	exited       chan struct{}
-	exitExpected bool // its end is, or may be: it is no crash
+	exitExpected bool // an exit is expected and is not a crash
 	ready        bool
 	log          *os.File
 }
 
-// New prepares the relays in a folder; nothing is started. env is added to the processes' environment.
+// New prepares the relays with their directories below dir and starts none. env is added to the processes'
+// environment.
 func New(s *scenario.Scenario, h *history.Writer, p *platform.Platform, subnet *platform.Subnet, binary, dir string, env []string) (*Fleet, error) {
 	binary, err := filepath.Abs(binary)
 	if err != nil {
@@ -120,7 +121,8 @@
 	return f, nil
 }
 
-// spawner starts all processes from one thread that lasts as long as the lab: the kernel ends them with it.
+// spawner starts all processes from one thread that lives as long as the lab, since the kernel kills the processes
+// when that thread exits.
 func (f *Fleet) spawner() {
 	runtime.LockOSThread()
 	for start := range f.spawn {
@@ -128,6 +130,7 @@
 	}
 }
 
+// holdSocket opens the client listener on behalf of the relay, which inherits it.
 func (r *Relay) holdSocket() error {
 	l, err := net.Listen("tcp", r.fleet.subnet.Clients(r.No))
 	if err != nil {
@@ -138,7 +141,7 @@
 	return err
 }
 
-// Start starts all relays and waits until each takes clients.
+// Start starts all relays and waits until each accepts clients.
 func (f *Fleet) Start(ctx context.Context) error {
 	var mu sync.Mutex
 	var all error
@@ -159,7 +162,7 @@
 	return all
 }
 
-// Stop ends all relays and waits for their ends. Further calls do nothing.
+// Stop kills all relays and waits until they have exited. Further calls do nothing.
 func (f *Fleet) Stop() { f.ended.Do(f.end) }
 
 func (f *Fleet) end() {
@@ -181,11 +184,12 @@
 	close(f.spawn)
 }
 
+// recordEvent adds an event of this relay to the history.
 func (r *Relay) recordEvent(what string) {
 	r.fleet.h.Add(history.Event{Kind: history.Relay, Relay: history.N(r.No), What: what})
 }
 
-// launch starts a process.
+// launch starts a process and does not wait until it is ready.
 func (r *Relay) launch() (*process, error) {
 	f := r.fleet
 	r.mu.Lock()
@@ -212,7 +216,7 @@
 	f.spawn <- func() { begun <- p.cmd.Start() }
 	if err := <-begun; err != nil {
 		_ = log.Close()
-		return nil, fmt.Errorf("relay %d: %w", r.No, err)
+		return nil, fmt.Errorf("starting relay %d: %w", r.No, err)
 	}
 	r.current = p
 	f.work.Go(func() {
@@ -233,7 +237,7 @@
 	return p, nil
 }
 
-// start starts a process and waits until it takes clients.
+// start starts a process and waits until it accepts clients.
 func (r *Relay) start(ctx context.Context) error {
 	p, err := r.launch()
 	if err != nil {
@@ -242,7 +246,7 @@
 	return r.await(ctx, p, startTimeout, func() bool { return healthy(r.fleet.subnet.Clients(r.No)) })
 }
 
-// await waits until a process is ready.
+// await waits until a process is ready. It returns nil as well if the process exits while an exit is expected.
 func (r *Relay) await(ctx context.Context, p *process, within time.Duration, ready func() bool) error {
 	for end := time.Now().Add(within); ; {
 		if ready() {
@@ -265,24 +269,24 @@
 				return nil
 			}
 			r.recordEvent("refused-start")
-			return fmt.Errorf("relay %d ended at its start: %s", r.No, r.lastLogLine())
+			return fmt.Errorf("relay %d exited at its start; end of its log: %s", r.No, r.lastLogLine())
 		case <-time.After(pollInterval):
 		}
 		if time.Now().After(end) {
 			r.recordEvent("refused-start")
-			return fmt.Errorf("relay %d does not take clients within %v: %s", r.No, within, r.lastLogLine())
+			return fmt.Errorf("relay %d does not accept clients within %v; end of its log: %s", r.No, within, r.lastLogLine())
 		}
 	}
 }
 
-// lastWords is the end of a relay's log.
+// lastLogLine returns the last line of the relay's log.
 func (r *Relay) lastLogLine() string {
 	text, _ := os.ReadFile(filepath.Join(r.dir, "log"))
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
 	return string(lines[len(lines)-1])
 }
 
-// healthy asks a relay whether it takes clients.
+// healthy reports whether a relay accepts clients, as it says itself.
 func healthy(addr string) bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + addr + "/_health")
@@ -293,18 +297,18 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// yes asks the admin endpoint of a process whether it accepts clients.
+// acceptsClients reports whether a process accepts clients, by its admin endpoint.
 func acceptsClients(address string) bool {
 	reply, err := ask(address, "health")
 	return err == nil && strings.HasPrefix(reply, "OK")
 }
 
-// ask sends one command line to the admin endpoint at address, and returns the reply.
+// ask sends one command line to the admin endpoint at address and returns the reply.
 func ask(address, line string) (string, error) {
 	return admin.Call(context.Background(), address, line, time.Second)
 }
 
-// Admin is the address of the admin endpoint of the process that serves.
+// Admin is the address of the admin endpoint of the latest process; empty if there is none.
 func (r *Relay) Admin() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -314,7 +318,7 @@
 	return r.current.admin
 }
 
-// PID is the process that serves, or 0 for none.
+// PID is the id of the latest process, or 0 if there is none.
 func (r *Relay) PID() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -324,7 +328,7 @@
 	return r.current.cmd.Process.Pid
 }
 
-// end sends a process a signal that it should end on, and waits until it has; SIGKILL follows where it does not.
+// end sends a process a signal that should end it and waits for its exit, with SIGKILL after killDelay.
 func (r *Relay) end(p *process, sig syscall.Signal) {
 	r.mu.Lock()
 	p.exitExpected = true
@@ -340,7 +344,7 @@
 	<-p.exited
 }
 
-// current is the process that serves, or nil while a fault holds the relay down.
+// servingProcess is the latest process, or nil while a fault keeps the relay down.
 func (r *Relay) servingProcess() *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -350,7 +354,7 @@
 	return r.current
 }
 
-// hold marks a relay as down for a fault, or tells that another one has it already.
+// markDown marks a relay as kept down by a fault; it returns false if another fault has done so already.
 func (r *Relay) markDown() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -361,7 +365,7 @@
 	return true
 }
 
-// back starts a relay again after a wait.
+// restartAfter starts a relay that was marked down again, after a wait.
 func (r *Relay) restartAfter(ctx context.Context, after time.Duration) error {
 	if !clock.Sleep(ctx, after) {
 		return ctx.Err()
@@ -372,8 +376,8 @@
 	return r.start(ctx)
 }
 
-// Kill kills a relay outright and starts it again after a while. What is done to its folder meanwhile is up to do,
-// which may be nil.
+// Kill kills a relay with SIGKILL and starts it again after a while. In between it calls do, which may be nil, with
+// the relay's state directory.
 func (r *Relay) Kill(ctx context.Context, after time.Duration, do func(dir string) error) error {
 	p := r.servingProcess()
 	if p == nil || !r.markDown() {
@@ -392,13 +396,13 @@
 	return r.restartAfter(ctx, after)
 }
 
-// Wipe loses the folder of a relay that is down, and tells so.
+// Wipe empties the state directory of a relay that is down and records that.
 func (r *Relay) Wipe(dir string) error {
 	defer r.recordEvent("wiped")
 	return errors.Join(os.RemoveAll(dir), os.MkdirAll(dir, 0o700))
 }
 
-// Restart ends a relay as planned, and starts it again.
+// Restart ends a relay with SIGTERM and starts it again.
 func (r *Relay) Restart(ctx context.Context) error {
 	p := r.servingProcess()
 	if p == nil || !r.markDown() {
@@ -409,7 +413,7 @@
 	return r.restartAfter(ctx, restartDelay)
 }
 
-// Freeze stops a relay's process for a while.
+// Freeze suspends a relay's process for a while, with SIGSTOP.
 func (r *Relay) Freeze(ctx context.Context, d time.Duration) {
 	p := r.servingProcess()
 	if p == nil {
@@ -422,7 +426,7 @@
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// Reload moves a relay's discovery, writes a configuration that names the new address, and sends SIGHUP.
+// Reload moves a relay's discovery, writes a configuration with the new address, and sends SIGHUP.
 func (r *Relay) Reload() error {
 	p := r.servingProcess()
 	if p == nil {
@@ -442,14 +446,15 @@
 	return p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// Upgrade starts a new process beside the one that serves, waits until it takes clients, and ends the old one.
+// Upgrade starts a new process beside the one that serves, waits until it accepts clients, and ends the old one with
+// SIGTERM.
 func (r *Relay) Upgrade(ctx context.Context) error {
 	old := r.servingProcess()
 	if old == nil {
 		return nil
 	}
 	r.mu.Lock()
-	old.exitExpected = true // it may leave early
+	old.exitExpected = true // it exits by itself once the new process has taken over
 	r.mu.Unlock()
 	p, err := r.launch()
 	if err != nil {
@@ -463,7 +468,7 @@
 	return nil
 }
 
-// watchUsage notes what each relay uses, from time to time.
+// watchUsage records the resource usage of each relay periodically, and what its admin endpoint reports.
 func (f *Fleet) watchUsage() {
 	for n := 0; clock.Sleep(f.ctx, usageInterval); n++ {
 		for _, r := range f.Relays {
@@ -485,10 +490,11 @@
 	}
 }
 
-// lookAtOnce relays are asked for their view at a time, at most about: asking must not cost what it measures.
+// concurrentQueries is about the number of relays asked for their view at a time: asking must not distort what is
+// measured.
 const concurrentQueries = 50
 
-// Look asks each relay that runs what it believes of the fleet, and notes that as the last of a play.
+// RecordViews records the last view of a run: what each running relay believes about the fleet.
 func (f *Fleet) RecordViews() {
 	var work sync.WaitGroup
 	for _, r := range f.Relays {
@@ -499,13 +505,14 @@
 	work.Wait()
 }
 
-// told has a process report something at its admin endpoint, in JSON. It may be starting, or ending, and then says nothing.
+// queryJSON asks a process for a JSON report at its admin endpoint. It returns false if the process does not answer,
+// as when it starts or exits.
 func queryJSON(p *process, line string, into any) bool {
 	reply, err := ask(p.admin, line)
 	return err == nil && json.Unmarshal([]byte(reply), into) == nil
 }
 
-// lookAtZones asks a process how zones fare with it. The form is the one that the admin endpoint gives.
+// recordZones records the states of zones at a process, from its admin endpoint.
 func (r *Relay) recordZones(p *process) {
 	var s struct {
 		CutOff bool `json:"cut_off"`
@@ -526,7 +533,7 @@
 	r.fleet.h.Add(e)
 }
 
-// lookAtServers asks a process how endpoints that are new on the list fare with it.
+// recordServers records the trials of new endpoints at a process, from its admin endpoint.
 func (r *Relay) recordServers(p *process) {
 	var s struct {
 		Servers []struct {
@@ -545,16 +552,17 @@
 	r.fleet.h.Add(e)
 }
 
-// Order gives a relay an operator's command line at its admin endpoint. A refusal is an error.
+// Order sends an operator's command line to the relay's admin endpoint and returns a refusal as an error.
 func (r *Relay) Order(line string) error {
 	reply, err := ask(r.Admin(), line)
 	if err == nil && strings.TrimSpace(reply) != "OK" {
-		err = errors.New(strings.TrimSpace(reply))
+		err = fmt.Errorf("relay %d refused the command %q: %s", r.No, line, strings.TrimSpace(reply))
 	}
 	return err
 }
 
-// look asks a process what it believes of the fleet. The form is the one that the admin endpoint gives.
+// recordView records what a process believes about the fleet, from its admin endpoint. what is history.LastView for
+// the last view of a run, else empty.
 func (r *Relay) recordView(p *process, what string) {
 	var v struct {
 		Live    []int  `json:"live"`
@@ -582,7 +590,7 @@
 	r.fleet.h.Add(e)
 }
 
-// usage reads what a process uses from the system's own accounts.
+// usage reads the resource usage of a process from /proc.
 func (r *Relay) usage(p *process) (history.Event, error) {
 	e := history.Event{Kind: history.Usage, Relay: history.N(r.No)}
 	proc := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
@@ -594,7 +602,8 @@
 	if err != nil {
 		return e, err
 	}
-	// The name in parentheses may hold anything; utime and stime are fields 14 and 15, in hundredths of a second.
+	// The process name in parentheses may contain spaces. utime and stime are fields 14 and 15 of the line, in ticks
+	// of 10 ms.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) > 12 {
 		user, _ := strconv.ParseFloat(fields[11], 64)
@@ -610,12 +619,12 @@
 	return e, nil
 }
 
-// diskMB is what a folder holds, every file counted in whole 512 bytes.
+// diskMB is the size of the regular files below a directory, each rounded up to 512 bytes.
 func diskMB(dir string) float64 {
 	var sum int64
 	_ = filepath.WalkDir(dir, func(_ string, d fs.DirEntry, err error) error {
 		if err != nil || !d.Type().IsRegular() {
-			return nil // it may have gone while we looked
+			return nil // the file may have been removed meanwhile
 		}
 		if info, err := d.Info(); err == nil {
 			sum += (info.Size() + 511) / 512 * 512
--- a/internal/lab/relays/versions.go
+++ b/internal/lab/relays/versions.go
@@ -11,18 +11,19 @@
 	"milletsail/internal/lab/history"
 )
 
-// Versioned runs one relay's processes for the agent of a rollout: see rollout.Runner. While it does, a process that ends
-// by itself is started again, as an operators' machine would.
+// Supervised runs one relay's processes for the agent of a rollout; see rollout.Runner. It restarts a process that
+// exits by itself, as a service manager would.
 type Supervised struct {
 	r       *Relay
-	crashes int // since the version was changed, under r.mu
-	busy    bool
+	crashes int  // number of unexpected exits since the latest update; guarded by r.mu
+	busy    bool // an update is in progress
 }
 
-// busyTries askAgain apart are far more than a start of another process takes.
+// maxBusyRetries bounds the retries, pollInterval apart, of starting an executable that is still open for writing.
+// They last far longer than the start of another process.
 const maxBusyRetries = 100
 
-// Version puts a relay's processes under an agent, until ctx ends.
+// Supervise starts to supervise a relay's processes, until ctx ends.
 func (r *Relay) Supervise(ctx context.Context) *Supervised {
 	v := &Supervised{r: r}
 	r.fleet.work.Go(func() {
@@ -33,7 +34,7 @@
 	return v
 }
 
-// revive starts a relay again that has ended by itself.
+// restartIfExited restarts a relay whose process has exited by itself.
 func (v *Supervised) restartIfExited(ctx context.Context) {
 	r := v.r
 	r.mu.Lock()
@@ -56,12 +57,12 @@
 	v.crashes++
 	r.mu.Unlock()
 	if clock.Sleep(ctx, restartDelay) {
-		_ = r.start(ctx) // the next look sees whether it lives
+		_ = r.start(ctx) // a failed start is found by the next check
 	}
 }
 
-// Update brings a program into service beside the one that serves, by the handover; where the new one does not take
-// clients, the old one goes on, or is started again.
+// Update starts an executable beside the process that serves and hands over to it. If the new process does not accept
+// clients, the old one continues, or is started again if it had handed over.
 func (v *Supervised) Update(ctx context.Context, program string) error {
 	r := v.r
 	r.mu.Lock()
@@ -77,8 +78,8 @@
 		v.busy = false
 	}()
 	p, err := r.launch()
-	// A program that was just written is busy while a process that was started meanwhile still has its descriptor, up to
-	// its own exec (the fork race of golang.org/issue/22315).
+	// Starting an executable that was just written fails with ETXTBSY while another process, forked meanwhile, still
+	// holds the descriptor up to its own exec (golang.org/issue/22315).
 	for n := 0; errors.Is(err, syscall.ETXTBSY) && n < maxBusyRetries && clock.Sleep(ctx, pollInterval); n++ {
 		p, err = r.launch()
 	}
@@ -108,13 +109,13 @@
 			if acceptsClients(old.admin) {
 				return err
 			}
-			r.end(old, syscall.SIGTERM) // it had handed over
+			r.end(old, syscall.SIGTERM) // the old process has handed over already
 		}
 	}
 	return errors.Join(err, r.start(ctx))
 }
 
-// ZoneStatus is what the admin endpoint replies to "zone status".
+// ZoneStatus returns the admin endpoint's reply to "zone status", or "" if there is none.
 func (v *Supervised) ZoneStatus() string {
 	p := v.r.servingProcess()
 	if p == nil {
@@ -127,8 +128,8 @@
 	return text
 }
 
-// Counters is what the admin endpoint replies to "counters", with the memory of the process and how often one of this
-// version has ended by itself.
+// Counters returns the admin endpoint's reply to "counters", the resident memory of the process, and how often a
+// process has exited by itself since the latest update.
 func (v *Supervised) Counters() (text string, memoryMB float64, crashes int, err error) {
 	r := v.r
 	p := r.servingProcess()
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -11,10 +11,10 @@
 	"milletsail/internal/rollout"
 )
 
-// runner runs a relay of the lab for its agent.
+// versionRunner lets a rollout agent control the processes of one relay of a run. It implements rollout.Runner.
 type versionRunner struct{ *relays.Supervised }
 
-// Metrics gives what the admin endpoint and the system's accounts say.
+// Metrics returns the counters that the relay's admin endpoint reports, with its memory, crashes and evacuated zones.
 func (r versionRunner) Metrics() (rollout.Metrics, error) {
 	text, memory, crashes, err := r.Counters()
 	if err != nil {
@@ -25,7 +25,8 @@
 	return f, err
 }
 
-// Agents starts an agent for each relay of a play, on loopback, until ctx ends. done waits for their end.
+// Agents starts a rollout agent for each relay of the run, on loopback addresses. The agents stop supervising
+// processes when ctx ends; done closes their servers.
 func (b *ActiveRun) Agents(ctx context.Context) (agents []rollout.Agent, done func(), err error) {
 	var servers []*rollout.Server
 	done = func() {
@@ -50,16 +51,17 @@
 	return agents, done, nil
 }
 
-// Rolled is how a rollout in the lab went.
+// RolloutResult describes how a rollout in the lab went.
 type RolloutResult struct {
 	State            rollout.State
-	MaxUpdated       int           // relays that had the new version at once
-	Duration         time.Duration // from its start to its end
-	RollbackDuration time.Duration // of the rollback, where there was one
+	MaxUpdated       int           // number of relays on the new version when the rollout ended, before any rollback
+	Duration         time.Duration // of the rollout, without the rollback
+	RollbackDuration time.Duration // zero if there was no rollback
 }
 
-// Roll rolls a program out beside a play, by a plan whose agents are the play's, from a while after its begin. Where it
-// is stopped, and back is set, it is taken back.
+// RunRollout returns a function for Options.DuringRun that rolls out a program by a plan, starting at the given time
+// after the run's start. It sets the plan's agents and version. If back is set, it rolls back once the rollout has
+// ended. The result is written to to.
 func RunRollout(program string, plan rollout.Plan, after time.Duration, back bool, to *RolloutResult) func(context.Context, *ActiveRun) error {
 	return func(ctx context.Context, b *ActiveRun) error {
 		agents, done, err := b.Agents(ctx)
@@ -93,7 +95,8 @@
 	}
 }
 
-// ignoreEnd drops the error of a play whose traffic has stopped: what was reached by then is in the figures.
+// ignoreRunEnd drops the cancellation error of a rollout that the end of the load interrupted: its partial result is
+// in RolloutResult.
 func ignoreRunEnd(ctx context.Context, err error) error {
 	if errors.Is(err, context.Canceled) && ctx.Err() != nil {
 		return nil
--- a/internal/lab/shim/build/main.go
+++ b/internal/lab/shim/build/main.go
@@ -1,4 +1,4 @@
-// Command build compiles the relay with package shim, for lab runs by hand: go run ./internal/lab/shim/build FILE.
+// Command build compiles the relay with package shim, for manual lab runs: go run ./internal/lab/shim/build FILE.
 package main
 
 import (
@@ -17,7 +17,7 @@
 
 func run(args []string) error {
 	if len(args) != 1 {
-		return fmt.Errorf("one argument is needed: the file to write")
+		return fmt.Errorf("got %d arguments, want one: the file to write", len(args))
 	}
 	dir, err := os.MkdirTemp("", "shim-")
 	if err != nil {
--- a/internal/lab/shim/shim.go
+++ b/internal/lab/shim/shim.go
@@ -1,9 +1,9 @@
-// Package shim builds a program against a changed standard library, for tests of the lab alone: its wall clock can be
-// stepped and its system calls can be made to fail while it runs, as Linux documents that they may. The program itself
-// is compiled as it is released, and its monotonic clock is untouched.
+// Package shim builds a program against a modified standard library, for tests in the lab alone: while the program
+// runs, its wall clock can be stepped and its system calls can be made to fail in the ways that Linux documents. The
+// program's own source is unchanged, and so is its monotonic clock.
 //
-// The changes go into a build by `go build -overlay`. What they do is steered by a small file that the program maps into
-// its memory, named by $LAB_SHIM: without one a program behaves as any other. No release is built this way.
+// The modifications are applied with `go build -overlay`. A small file, named by $LAB_SHIM and mapped into the
+// program's memory, controls them; without it the program behaves as usual. Releases are not built this way.
 package shim
 
 import (
@@ -18,25 +18,25 @@
 	"strings"
 )
 
-// added is the source that the overlay adds to package syscall.
+// shimSource is the file that the overlay adds to package syscall.
 //
 //go:embed syscall.txt
 var shimSource embed.FS
 
-// patch changes one place of a file of the standard library.
+// patch inserts text at one place of a file of the standard library.
 type patch struct {
-	file   string // below the tool chain's src
+	file   string // path below GOROOT/src
 	after  *regexp.Regexp
-	insert string // inserted behind the match
+	insert string // text to insert after the match
 }
 
-// wallPatches let package time add the step of the wall clock to each of its readings.
+// wallPatches make time.Now add the configured step to the wall clock.
 var wallPatches = []patch{
 	{"time/time.go", regexp.MustCompile(`(?s)\nimport \(\n`), "\t\"syscall\"\n"},
 	{"time/time.go", regexp.MustCompile(`(?s)\nfunc Now\(\) Time \{\n\tsec, nsec, mono := runtimeNow\(\)\n`), "\tsec, nsec = syscall.LabStep(sec, nsec)\n"},
 }
 
-// callPatches let the system calls fail. Each names the call as Call does.
+// callPatches returns the patches that make system calls fail.
 func callPatches() (all []patch) {
 	const file = "syscall/zsyscall_linux_amd64.go"
 	for _, c := range []struct{ function, check string }{
@@ -57,8 +57,8 @@
 	return all
 }
 
-// Build compiles a package of this module against the changed library, into the file out. It keeps the changed sources in
-// a folder of its own below dir.
+// Build compiles a package of this module against the modified library, into the file out. It writes the modified
+// sources to dir.
 func Build(dir, pkg, out string) error {
 	overlay, err := writeOverlay(dir)
 	if err != nil {
@@ -66,12 +66,12 @@
 	}
 	text, err := exec.Command("go", "build", "-overlay", overlay, "-o", out, pkg).CombinedOutput()
 	if err != nil {
-		return fmt.Errorf("%s: %w: %s", pkg, err, text)
+		return fmt.Errorf("building %s with the shim: %w: %s", pkg, err, text)
 	}
 	return nil
 }
 
-// writeOverlay writes the changed sources and the overlay's own file, and gives the path of that.
+// writeOverlay writes the modified sources and the overlay file, and returns the overlay file's path.
 func writeOverlay(dir string) (string, error) {
 	root, err := exec.Command("go", "env", "GOROOT").Output()
 	if err != nil {
@@ -88,7 +88,7 @@
 		}
 		at := p.after.FindIndex(sources[path])
 		if at == nil {
-			return "", fmt.Errorf("%s: nothing matches %s: this tool chain has another form", p.file, p.after)
+			return "", fmt.Errorf("%s: no match for %s: the patch does not fit this version of Go", p.file, p.after)
 		}
 		sources[path] = bytes.Join([][]byte{sources[path][:at[1]], sources[path][at[1]:]}, []byte(p.insert))
 	}
--- a/internal/lab/shimfaults.go
+++ b/internal/lab/shimfaults.go
@@ -11,8 +11,8 @@
 	"milletsail/internal/lab/shim"
 )
 
-// shimmed brings about a fault of the machine's clock or system calls at one relay, and takes it back where it is bounded
-// in time.
+// injectShimFault injects a fault of the clock or the system calls at one relay, and ends it after the fault's
+// duration if it has one.
 func injectShimFault(ctx context.Context, r *relays.Relay, f *scenario.Fault) error {
 	switch f.Kind {
 	case "clock", "clock-back":
--- a/internal/lab/shimfaults_test.go
+++ b/internal/lab/shimfaults_test.go
@@ -7,17 +7,18 @@
 	"milletsail/internal/lab/history"
 )
 
-// clockStepped and firstOutage bound the span of scenario clock in which wall clocks are stepped and nothing else is wrong.
+// clockStepStart and firstOutageStart bound the span of scenario clock in which stepped wall clocks are the only
+// fault.
 const clockStepStart, firstOutageStart = 3300 * time.Millisecond, 4900 * time.Millisecond
 
-// keepsAllRules fails a test for each rule that a play breaks.
+// requireNoViolations reports each rule violation of a run, and a run with too little traffic to be meaningful.
 func requireNoViolations(t *testing.T, r *Result) {
 	t.Helper()
 	for _, x := range r.Verdict.Violations {
-		t.Errorf("%s: relay %d, message %s: %s (lines %v)", x.Rule, x.Relay, x.ID, x.Text, x.Lines)
+		t.Errorf("rule %s violated: relay %d, message %s: %s (history lines %v)", x.Rule, x.Relay, x.ID, x.Text, x.Lines)
 	}
 	if r.Verdict.Messages < 300 || r.Verdict.Calls < 300 {
-		t.Errorf("%d messages followed to their end, %d calls: the play shows little", r.Verdict.Messages, r.Verdict.Calls)
+		t.Errorf("%d messages with an outcome and %d calls, want at least 300 of each for a meaningful run", r.Verdict.Messages, r.Verdict.Calls)
 	}
 }
 
@@ -35,8 +36,8 @@
 	return refused
 }
 
-// A relay whose wall clock is stepped, forward or back, gives every message its end in time, refuses none for it, and sends
-// nothing outside its window, also over kills, restarts and handovers.
+// Wall clock steps, forward or back, must not affect messages: each gets its outcome in time, none is refused because
+// of a step, and no notification is sent outside its time window, also across kills, restarts and handovers.
 func TestSteppedClocks(t *testing.T) {
 	runs := map[string]*pendingRun{}
 	for _, name := range []string{"clock", "clock-upgrade"} {
@@ -47,23 +48,24 @@
 			r := p.wait(t)
 			requireNoViolations(t, r)
 			if n := refusedBetween(r.Events, clockStepStart, firstOutageStart); name == "clock" && n > 0 {
-				t.Errorf("%d messages are refused while nothing but clocks is wrong", n)
+				t.Errorf("%d messages refused while clock steps are the only fault, want 0", n)
 			}
 		})
 	}
 }
 
-// System calls that fail for a moment or for seconds end no relay, use up no attempt, and leave nothing without its end.
+// System calls that fail once or for seconds must not end a relay, use up an attempt or leave a message without an
+// outcome.
 func TestFailingSystemCalls(t *testing.T) {
 	r := startRun(t, "syscalls", Options{Binary: shimBinary}).wait(t)
 	requireNoViolations(t, r)
 	if n := refusedBetween(r.Events, 0, time.Minute); n > 0 {
-		t.Errorf("%d messages are refused, where only calls of the system fail", n)
+		t.Errorf("%d messages refused while failing system calls are the only fault, want 0", n)
 	}
 }
 
-// A folder that fails to be opened, read, written, synced or renamed in, for a call or for seconds, at starts, in drains and
-// beside kills, ends no relay, and what was told and accepted still binds.
+// File operations in the state directory that fail once or for seconds, at starts, in drains and beside kills, must
+// not end a relay; notifications sent and messages accepted remain valid.
 func TestFailingFolder(t *testing.T) {
 	requireNoViolations(t, startRun(t, "folder", Options{Binary: shimBinary}).wait(t))
 }
