--- a/internal/lab/clients/clients.go
+++ b/internal/lab/clients/clients.go
@@ -37,13 +37,13 @@
 
 // Clients simulates the clients of one run.
 type Clients struct {
-	s      *scenario.Scenario
-	h      *history.Writer
-	p      *platform.Platform
-	subnet *platform.Subnet
-	ctx    context.Context
-	begun  time.Time
-	work   sync.WaitGroup
+	s         *scenario.Scenario
+	h         *history.Writer
+	p         *platform.Platform
+	subnet    *platform.Subnet
+	ctx       context.Context
+	startTime time.Time
+	work      sync.WaitGroup
 
 	events, late atomic.Int64
 
@@ -54,8 +54,8 @@
 	faults     clientFaults
 }
 
-// clientFaults are the client faults in force: the share of clients that leave early, and the share that send a
-// message twice.
+// clientFaults are the client faults in force: the share of clients that leave before their answer, and the share
+// that send a request twice.
 type clientFaults struct{ leave, repeat float64 }
 
 // message is one message with the state of all its hand-ins.
@@ -86,9 +86,9 @@
 // Run hands in the arrivals of a plan, timed from now. It returns when each message has its outcome or is a second
 // past its deadline.
 func (c *Clients) Run(plan []Arrival) {
-	c.begun = time.Now()
+	c.startTime = time.Now()
 	for _, a := range plan {
-		c.waitUntil(c.begun.Add(a.At), true)
+		c.waitUntil(c.startTime.Add(a.At), true)
 		if c.ctx.Err() != nil {
 			break
 		}
@@ -137,8 +137,8 @@
 	}
 }
 
-// SetClientFaults sets the share of the clients that leave early, and the share that send a message twice with one
-// id.
+// SetClientFaults sets the share of the clients that leave before their answer, and the share that send a request twice
+// with the same id.
 func (c *Clients) SetClientFaults(leave, repeat float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/clients/malformed.go
+++ b/internal/lab/clients/malformed.go
@@ -35,10 +35,10 @@
 // relays, until ctx ends.
 func (c *Clients) SendMalformed(ctx context.Context, fault int, relays []int, rate float64) {
 	rng := c.s.Draws(fmt.Sprintf("crowd %d", fault))
-	due := time.Now()
+	next := time.Now()
 	for n := 1; len(relays) > 0; n++ {
-		due = due.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-		clock.Sleep(ctx, time.Until(due))
+		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
+		clock.Sleep(ctx, time.Until(next))
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/lab/faulty/syncrecorder.go
+++ b/internal/lab/faulty/syncrecorder.go
@@ -12,9 +12,9 @@
 // much of it was synced. It is used by one goroutine.
 type syncRecorder struct {
 	journal.FS
-	path        string
+	path        string                   // file that holds the record
 	ignoreSyncs bool                     // syncs of file contents are not recorded, only names become durable
-	files       map[string]*recordedFile // by current name
+	files       map[string]*recordedFile // files created by this process, by current name
 	durable     map[string]int64         // durable sizes by durable name
 }
 
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -135,7 +135,7 @@
 	}
 	c.Run(plan)
 	clock.Sleep(ctx, settleTime)
-	notes, noteBytes, received := p.DatagramCounts()
+	datagrams, datagramBytes, received := p.DatagramCounts()
 	if s.Fleet.Shares {
 		clock.Sleep(ctx, convergenceTime)
 		fleet.RecordViews()
@@ -147,7 +147,7 @@
 	}
 	fleet.Stop()
 	events, late := c.TimingCounts()
-	h.Add(history.Event{Kind: history.End, Events: events, LateN: late, Notes: notes, NoteBytes: noteBytes, Received: received})
+	h.Add(history.Event{Kind: history.End, Events: events, LateN: late, Notes: datagrams, NoteBytes: datagramBytes, Received: received})
 	all := h.Events()
 	return &Result{s, all, checker.Check(all, false)}, nil
 }
@@ -237,7 +237,7 @@
 
 // inject injects fault i, waits for its duration if it has one, and ends it.
 func (t *faultInjector) inject(ctx context.Context, i int, f *scenario.Fault) error {
-	lasting := func(begin, end func()) error {
+	forDuration := func(begin, end func()) error {
 		begin()
 		clock.Sleep(ctx, f.For.AsDuration())
 		end()
@@ -293,26 +293,26 @@
 	case "delay":
 		hosts := t.s.StruckHosts(i)
 		on := func(r, h int) bool { return slices.Contains(affected, r) && slices.Contains(hosts, h) }
-		return lasting(func() { t.p.DelayLinks(time.Duration(f.Size*float64(time.Second)), on) }, func() { t.p.DelayLinks(0, on) })
+		return forDuration(func() { t.p.DelayLinks(time.Duration(f.Size*float64(time.Second)), on) }, func() { t.p.DelayLinks(0, on) })
 	case "drop-notes", "twin-notes":
-		drop, twin := f.Size, 0.0
+		drop, duplicate := f.Size, 0.0
 		if f.Kind == "twin-notes" {
-			drop, twin = 0, f.Size
+			drop, duplicate = 0, f.Size
 		}
-		return lasting(func() { forEach(affected, func(r int) { t.p.ImpairDatagrams(r, drop, twin) }) },
+		return forDuration(func() { forEach(affected, func(r int) { t.p.ImpairDatagrams(r, drop, duplicate) }) },
 			func() { forEach(affected, func(r int) { t.p.ImpairDatagrams(r, 0, 0) }) })
 	case "discovery-late", "discovery-silent", "discovery-busy":
 		var late time.Duration
 		if f.Kind == "discovery-late" {
 			late = time.Duration(f.Size * float64(time.Second))
 		}
-		return lasting(func() {
+		return forDuration(func() {
 			forEach(affected, func(r int) { t.p.SetDiscoveryFaults(r, late, f.Kind == "discovery-silent", f.Kind == "discovery-busy") })
 		}, func() { forEach(affected, func(r int) { t.p.SetDiscoveryFaults(r, 0, false, false) }) })
 	case "leave":
-		return lasting(func() { t.c.SetClientFaults(f.Size, 0) }, func() { t.c.SetClientFaults(0, 0) })
+		return forDuration(func() { t.c.SetClientFaults(f.Size, 0) }, func() { t.c.SetClientFaults(0, 0) })
 	case "repeat":
-		return lasting(func() { t.c.SetClientFaults(0, f.Size) }, func() { t.c.SetClientFaults(0, 0) })
+		return forDuration(func() { t.c.SetClientFaults(0, f.Size) }, func() { t.c.SetClientFaults(0, 0) })
 	case "crowd":
 		ctx, cancel := context.WithTimeout(ctx, f.For.AsDuration())
 		defer cancel()
@@ -322,7 +322,7 @@
 		return nil
 	}
 	hosts := t.s.StruckHosts(i)
-	return lasting(func() { forEach(hosts, func(h int) { t.p.Impair(i, h, impairmentOf(f)) }) },
+	return forDuration(func() { forEach(hosts, func(h int) { t.p.Impair(i, h, impairmentOf(f)) }) },
 		func() { forEach(hosts, func(h int) { t.p.EndImpairment(i, h) }) })
 }
 
@@ -412,15 +412,17 @@
 // the affected relays and endpoints.
 func (t *faultInjector) cutLinks(ctx context.Context, i int, f *scenario.Fault, affected []int) error {
 	hosts := t.s.StruckHosts(i)
-	way := func(direction string) bool {
+	applies := func(direction string) bool {
 		return f.Direction == "" || f.Direction == "both" || f.Direction == direction
 	}
 	zone := func(r int) string { return t.s.Fleet.Zone(r) }
 	crosses := func(from, to string) bool {
-		return from != to && (from == f.Zone && way("from") || to == f.Zone && way("to"))
+		return from != to && (from == f.Zone && applies("from") || to == f.Zone && applies("to"))
+	}
+	to := func(r, h int) bool { return applies("to") && slices.Contains(affected, r) && slices.Contains(hosts, h) }
+	from := func(r, h int) bool {
+		return applies("from") && slices.Contains(affected, r) && slices.Contains(hosts, h)
 	}
-	to := func(r, h int) bool { return way("to") && slices.Contains(affected, r) && slices.Contains(hosts, h) }
-	from := func(r, h int) bool { return way("from") && slices.Contains(affected, r) && slices.Contains(hosts, h) }
 	between := func(int, int) bool { return false }
 	if f.Zone != "" {
 		to = func(r, h int) bool { return crosses(zone(r), t.s.Hosts[h].Zone) }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -126,7 +126,7 @@
 	}
 	// Power loss needs a relay that records its syncs, as the faulty relay does.
 	runs["recovery"] = startRun(t, "recovery", Options{Binary: faultyBinary, Env: []string{"LAB_FAULT=none"}})
-	planted := []struct{ fault, scenario, rule string }{
+	injected := []struct{ fault, scenario, rule string }{
 		{"second-copy", "calm", checker.SecondCopy},
 		{"late-end", "overload", checker.Lost},
 		{"ignored-drain", "drain", checker.Drain},
@@ -135,18 +135,18 @@
 		{"lost-entry", "herd", checker.Lost},
 		{"no-sync", "recovery", checker.Lost},
 	}
-	for _, c := range planted {
+	for _, c := range injected {
 		runs[c.fault] = startRun(t, c.scenario, Options{Binary: faultyBinary, Env: []string{"LAB_FAULT=" + c.fault}})
 	}
 	for name, p := range runs {
-		if i := slices.IndexFunc(planted, func(c struct{ fault, scenario, rule string }) bool { return c.fault == name }); i >= 0 {
+		if i := slices.IndexFunc(injected, func(c struct{ fault, scenario, rule string }) bool { return c.fault == name }); i >= 0 {
 			t.Run(name, func(t *testing.T) {
 				found := map[string]int{}
 				for _, x := range p.wait(t).Verdict.Violations {
 					found[x.Rule]++
 				}
-				if found[planted[i].rule] == 0 {
-					t.Errorf("fault %s in scenario %s violates the rules %v, want a violation of %s", name, planted[i].scenario, found, planted[i].rule)
+				if found[injected[i].rule] == 0 {
+					t.Errorf("fault %s in scenario %s violates the rules %v, want a violation of %s", name, injected[i].scenario, found, injected[i].rule)
 				}
 			})
 			continue
--- a/internal/lab/platform/datagrams.go
+++ b/internal/lab/platform/datagrams.go
@@ -18,10 +18,10 @@
 // relay's own datagrams arrive from it. The pair of relays follows from that address and the sender's.
 type datagramNetwork struct {
 	p          *Platform
-	conns      []*net.UDPConn // by relay
-	broadcast  *net.UDPConn
-	relayOf    map[netip.AddrPort]int
-	listenAddr []netip.AddrPort // addresses at which the relays receive datagrams
+	conns      []*net.UDPConn         // sockets to which the other relays send, by receiving relay
+	broadcast  *net.UDPConn           // socket whose datagrams go to all other relays
+	relayOf    map[netip.AddrPort]int // relay by its own address
+	listenAddr []netip.AddrPort       // addresses at which the relays receive datagrams
 
 	mu              sync.Mutex
 	cuts            [][]int // number of faults that block the path, by sender and receiver
@@ -123,15 +123,15 @@
 func (n *datagramNetwork) deliver(from, to int, datagram []byte) {
 	n.mu.Lock()
 	n.carried++
-	no, cut := n.carried, n.cuts[from][to] > 0
+	number, cut := n.carried, n.cuts[from][to] > 0
 	drop, duplicate := max(n.drop[from], n.drop[to]), max(n.duplicate[from], n.duplicate[to])
 	n.mu.Unlock()
-	if cut || drop > 0 && n.p.s.Draw(fmt.Sprintf("drop %d", no)) < drop {
+	if cut || drop > 0 && n.p.s.Draw(fmt.Sprintf("drop %d", number)) < drop {
 		return
 	}
 	_, _ = n.conns[from].WriteToUDPAddrPort(datagram, n.listenAddr[to])
-	if duplicate > 0 && n.p.s.Draw(fmt.Sprintf("twin %d", no)) < duplicate {
-		late := time.Duration(n.p.s.Draw(fmt.Sprintf("twin late %d", no)) * float64(time.Second))
+	if duplicate > 0 && n.p.s.Draw(fmt.Sprintf("twin %d", number)) < duplicate {
+		late := time.Duration(n.p.s.Draw(fmt.Sprintf("twin late %d", number)) * float64(time.Second))
 		time.AfterFunc(late, func() {
 			select {
 			case <-n.closed:
--- a/internal/lab/platform/discovery.go
+++ b/internal/lab/platform/discovery.go
@@ -249,8 +249,8 @@
 	a.p.mu.Lock()
 	defer a.p.mu.Unlock()
 	for i, c := range a.p.changes {
-		if due := c.at.Add(lag); !c.at.IsZero() && time.Now().Before(due) {
-			return i, due
+		if visibleAt := c.at.Add(lag); !c.at.IsZero() && time.Now().Before(visibleAt) {
+			return i, visibleAt
 		}
 	}
 	return len(a.p.changes), time.Time{}
@@ -269,16 +269,16 @@
 
 // outcomes receives notifications; discovery faults do not affect it.
 func (a *agent) outcomes(w http.ResponseWriter, r *http.Request) {
-	type notice struct {
+	type notification struct {
 		ID      string `json:"id"`
 		Status  string `json:"status"`
 		AgainMS int64  `json:"again_ms"`
 	}
-	var all []notice
+	var all []notification
 	in := bufio.NewScanner(r.Body)
 	in.Buffer(nil, maxBodyBytes)
 	for in.Scan() {
-		var n notice
+		var n notification
 		if err := json.Unmarshal(in.Bytes(), &n); err != nil || n.ID == "" || n.Status != "undeliverable" && n.Status != "deferred" {
 			w.WriteHeader(http.StatusBadRequest)
 			return
--- a/internal/lab/platform/hosts.go
+++ b/internal/lab/platform/hosts.go
@@ -32,8 +32,10 @@
 	rateBurst = 250 * time.Millisecond
 )
 
-// Impairment is the effect of a fault on an endpoint. Errors, Stall, DropAnswers, Reset and Corrupt are shares of its
-// calls or answers, from 0 to 1.
+// Impairment is the effect of a fault on an endpoint. Down closes its ports, Refuse refuses each call, and Silent leaves
+// calls without an answer. The following are shares of its calls or answers, from 0 to 1: Errors are answered with 500,
+// Stall stops the answer after a few bytes, DropAnswers sends none, Reset resets the connection, and Corrupt sends an
+// answer that is not HTTP.
 type Impairment struct {
 	Down, Refuse, Silent                       bool
 	Wait                                       time.Duration // retry interval sent in refusals; 0 for none
@@ -48,8 +50,8 @@
 type host struct {
 	p       *Platform
 	index   int
-	ports   []*port // by relay
-	workers chan bool
+	ports   []*port   // by relay
+	workers chan bool // holds an element for each busy worker
 
 	scenario.Host
 	mu          sync.Mutex
@@ -57,10 +59,10 @@
 	listedAt    time.Time // when it was listed; zero if it was on the list from the start
 	refuseFrom  time.Time // time from which a draining endpoint refuses calls; zero if it is not draining
 	impairments map[int]Impairment
-	open        int       // open connections
-	waiting     int       // calls that wait for a worker
-	recoveredAt time.Time // end of the latest outage; zero for none
-	overloaded  bool
+	open        int         // open connections
+	waiting     int         // calls that wait for a worker
+	recoveredAt time.Time   // end of the latest outage; zero for none
+	overloaded  bool        // too many calls while cold have made it fail for good
 	recentCalls []time.Time // times of the latest calls while cold
 }
 
@@ -166,7 +168,7 @@
 
 // call is one call received by an endpoint.
 type call struct {
-	no       int
+	number   int
 	relay    int
 	bulk     bool
 	msgs     []*entry
@@ -285,7 +287,7 @@
 		if part != nil {
 			_, _ = c.Write(part)
 		}
-		p.h.Add(history.Event{Kind: history.Broken, Call: call.no, What: what})
+		p.h.Add(history.Event{Kind: history.Broken, Call: call.number, What: what})
 		switch what {
 		case "reset":
 			c.reset()
@@ -295,7 +297,7 @@
 		}
 		<-ctx.Done() // no more data follows until the relay closes the connection
 	}
-	event := history.Event{Kind: history.Gone, Call: call.no} // if the write failed, the relay has closed the connection
+	event := history.Event{Kind: history.Gone, Call: call.number} // if the write failed, the relay has closed the connection
 	if at, closed := c.closed(); closed {
 		event.T = p.h.At(at)
 	} else if c.ctx.Err() != nil {
@@ -334,7 +336,7 @@
 }
 
 // receiveCall parses a call, records it and gives it a number. It returns a nil call if the call is malformed or
-// holds a message that no client handed in; the answer then says why. An answer with a status is final, one without
+// holds a message that no client handed in; the answer is then a 400. An answer with a status is final, one without
 // means that the endpoint decides.
 func (p *Platform) receiveCall(relay int, h *host, req *http.Request, body []byte, began, received time.Time) (*call, answer) {
 	c := &call{relay: relay, bulk: req.URL.Path == "/inbox/bulk"}
@@ -355,7 +357,7 @@
 	known := true
 	p.mu.Lock()
 	p.calls++
-	c.no = p.calls
+	c.number = p.calls
 	for _, it := range items {
 		e := p.messages[it.ID]
 		event.IDs = append(event.IDs, it.ID)
@@ -370,11 +372,11 @@
 	p.callsOut[relay]++
 	out := p.callsOut[relay]
 	p.mu.Unlock()
-	event.Call = c.no
+	event.Call = c.number
 	p.h.Add(event)
 	switch {
 	case !known:
-		p.h.Add(history.Event{Kind: history.Reply, Call: c.no, Status: "400", What: "unknown"})
+		p.h.Add(history.Event{Kind: history.Reply, Call: c.number, Status: "400", What: "unknown"})
 		p.releaseSlot(relay)
 		return nil, answer{status: http.StatusBadRequest}
 	case len(items) > h.Of.Bulk:
@@ -524,7 +526,7 @@
 	if _, err := c.Conn.Write(out.Bytes()); err != nil {
 		return false
 	}
-	event := history.Event{T: at, Kind: history.Reply, Call: call.no, Status: strconv.Itoa(a.status), After: history.M(a.wait)}
+	event := history.Event{T: at, Kind: history.Reply, Call: call.number, Status: strconv.Itoa(a.status), After: history.M(a.wait)}
 	if a.noSlot {
 		event.What = "no slot"
 	}
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -35,10 +35,10 @@
 // entry is a hand-in with its state.
 type entry struct {
 	Message
-	calls     int
-	ran       bool
-	delivered bool
-	over      bool
+	calls     int  // calls that carried it
+	ran       bool // an endpoint has run it
+	delivered bool // an answer 200 has been written
+	over      bool // it was delivered, withdrawn, or given its outcome by a notification
 }
 
 // Platform is the simulated platform of one run.
--- a/internal/lab/relays/relays.go
+++ b/internal/lab/relays/relays.go
@@ -73,12 +73,12 @@
 	fleet *Fleet
 	dir   string
 
-	mu      sync.Mutex
-	socket  *os.File // client listener that the lab holds for the relay; nil without shared sockets
-	starts  int
-	program string   // executable of the next process if a rollout has changed it; empty for the fleet's
-	current *process // latest process, which serves or is starting
-	down    bool     // a fault keeps the relay from running
+	mu       sync.Mutex
+	socket   *os.File // client listener that the lab holds for the relay; nil without shared sockets
+	starts   int
+	program  string   // executable of the next process if a rollout has changed it; empty for the fleet's
+	current  *process // latest process, which serves or is starting
+	heldDown bool     // a fault keeps the relay from running
 }
 
 // process is one process of a relay.
@@ -212,9 +212,9 @@
 	}
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	r.recordEvent("started")
-	begun := make(chan error)
-	f.spawn <- func() { begun <- p.cmd.Start() }
-	if err := <-begun; err != nil {
+	started := make(chan error)
+	f.spawn <- func() { started <- p.cmd.Start() }
+	if err := <-started; err != nil {
 		_ = log.Close()
 		return nil, fmt.Errorf("starting relay %d: %w", r.No, err)
 	}
@@ -348,7 +348,7 @@
 func (r *Relay) servingProcess() *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.down {
+	if r.heldDown {
 		return nil
 	}
 	return r.current
@@ -358,20 +358,20 @@
 func (r *Relay) markDown() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.down {
+	if r.heldDown {
 		return false
 	}
-	r.down = true
+	r.heldDown = true
 	return true
 }
 
-// restartAfter starts a relay that was marked down again, after a wait.
+// restartAfter waits, clears the mark that markDown set, and starts the relay.
 func (r *Relay) restartAfter(ctx context.Context, after time.Duration) error {
 	if !clock.Sleep(ctx, after) {
 		return ctx.Err()
 	}
 	r.mu.Lock()
-	r.down = false
+	r.heldDown = false
 	r.mu.Unlock()
 	return r.start(ctx)
 }
@@ -468,7 +468,8 @@
 	return nil
 }
 
-// watchUsage records the resource usage of each relay periodically, and what its admin endpoint reports.
+// watchUsage periodically records the resource usage of each relay and what its admin endpoint reports about zones, new
+// endpoints and the fleet.
 func (f *Fleet) watchUsage() {
 	for n := 0; clock.Sleep(f.ctx, usageInterval); n++ {
 		for _, r := range f.Relays {
--- a/internal/lab/relays/versions.go
+++ b/internal/lab/relays/versions.go
@@ -14,9 +14,9 @@
 // Supervised runs one relay's processes for the agent of a rollout; see rollout.Runner. It restarts a process that
 // exits by itself, as a service manager would.
 type Supervised struct {
-	r       *Relay
-	crashes int  // number of unexpected exits since the latest update; guarded by r.mu
-	busy    bool // an update is in progress
+	r        *Relay
+	crashes  int  // number of unexpected exits since the latest update; guarded by r.mu
+	updating bool // an update is in progress
 }
 
 // maxBusyRetries bounds the retries, pollInterval apart, of starting an executable that is still open for writing.
@@ -39,7 +39,7 @@
 	r := v.r
 	r.mu.Lock()
 	p := r.current
-	busy := v.busy || r.down || p == nil
+	busy := v.updating || r.heldDown || p == nil
 	r.mu.Unlock()
 	if busy {
 		return
@@ -50,7 +50,7 @@
 		return
 	}
 	r.mu.Lock()
-	if v.busy || r.current != p {
+	if v.updating || r.current != p {
 		r.mu.Unlock()
 		return
 	}
@@ -67,7 +67,7 @@
 	r := v.r
 	r.mu.Lock()
 	previous, old := r.program, r.current
-	r.program, v.busy = program, true
+	r.program, v.updating = program, true
 	if old != nil {
 		old.exitExpected = true
 	}
@@ -75,7 +75,7 @@
 	defer func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		v.busy = false
+		v.updating = false
 	}()
 	p, err := r.launch()
 	// Starting an executable that was just written fails with ETXTBSY while another process, forked meanwhile, still
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -55,14 +55,14 @@
 type RolloutResult struct {
 	State            rollout.State
 	MaxUpdated       int           // number of relays on the new version when the rollout ended, before any rollback
-	Duration         time.Duration // of the rollout, without the rollback
-	RollbackDuration time.Duration // zero if there was no rollback
+	Duration         time.Duration // duration of the rollout, without the rollback
+	RollbackDuration time.Duration // duration of the rollback; zero if there was none
 }
 
-// RunRollout returns a function for Options.DuringRun that rolls out a program by a plan, starting at the given time
-// after the run's start. It sets the plan's agents and version. If back is set, it rolls back once the rollout has
-// ended. The result is written to to.
-func RunRollout(program string, plan rollout.Plan, after time.Duration, back bool, to *RolloutResult) func(context.Context, *ActiveRun) error {
+// RunRollout returns a function for Options.DuringRun that rolls out a program by a plan, starting startAfter
+// into the run. It sets the plan's agents and version. If rollback is set, it rolls back once the rollout has ended. It
+// writes the outcome to result.
+func RunRollout(program string, plan rollout.Plan, startAfter time.Duration, rollback bool, result *RolloutResult) func(context.Context, *ActiveRun) error {
 	return func(ctx context.Context, b *ActiveRun) error {
 		agents, done, err := b.Agents(ctx)
 		if err != nil {
@@ -72,25 +72,25 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(after):
+		case <-time.After(startAfter):
 		}
 		plan.Agents, plan.Version = agents, program
-		begun := time.Now()
+		start := time.Now()
 		c, err := rollout.Start(ctx, filepath.Join(b.Dir, "rollout"), &plan)
 		if err != nil {
 			return err
 		}
 		defer c.Close()
 		err = c.Run(ctx)
-		to.State, to.Duration, to.MaxUpdated = c.State(), time.Since(begun), len(c.State().Updated)
-		if err != nil || !back || ctx.Err() != nil {
+		result.State, result.Duration, result.MaxUpdated = c.State(), time.Since(start), len(c.State().Updated)
+		if err != nil || !rollback || ctx.Err() != nil {
 			return ignoreRunEnd(ctx, err)
 		}
-		begun = time.Now()
+		start = time.Now()
 		if err = c.HandleOrder(rollout.Order{Action: rollout.OrderRollback}); err == nil {
 			err = c.Run(ctx)
 		}
-		to.State, to.RollbackDuration = c.State(), time.Since(begun)
+		result.State, result.RollbackDuration = c.State(), time.Since(start)
 		return ignoreRunEnd(ctx, err)
 	}
 }
