--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -23,8 +23,9 @@
 	"milletsail/policy"
 )
 
-// listLoop gives a loop that has its journal and its list in a folder, as Run makes it, and is not run.
-func listLoop(tb testing.TB, dir string, diskMB float64) *loop {
+// newListLoop returns an event loop with its journal and its endpoint list in a directory, as Run sets it up. Nothing runs it:
+// tests call its steps themselves.
+func newListLoop(tb testing.TB, dir string, diskMB float64) *loop {
 	tb.Helper()
 	cfg := &config.Config{Limits: config.Limits{DiskMB: diskMB}, Settings: settings.Settings{Shapes: []string{"m2"},
 		Localities: []string{"a"}}}
@@ -35,41 +36,42 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	kept, _, err := journal.Open(dir, journal.Options{DiskMB: (1 - listShare) * diskMB})
+	store, _, err := journal.Open(dir, journal.Options{DiskMB: (1 - listDiskShare) * diskMB})
 	if err != nil {
 		tb.Fatal(err)
 	}
-	l := &loop{cfg: cfg, dispatcher: d, endpoints: list, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: kept,
+	l := &loop{cfg: cfg, dispatcher: d, endpoints: list, metrics: metrics.New([]policy.Class{{Name: "status"}}), journal: store,
 		messages: map[string]*message{},
 		pool:     upstream.NewPool(time.Second, time.Second, 10, nil)}
 	l.openEndpoints(tb.Context(), dir)
 	tb.Cleanup(func() {
 		l.endpoints.close()
-		_ = kept.Close()
+		_ = store.Close()
 	})
 	return l
 }
 
-// object has the loop take in an object of discovery's, in batches, to the end.
-func (l *loop) object(tb testing.TB, m Members) {
+// applyObject applies an object of discovery, a complete list or a change, to the loop batch by batch, including the
+// removals that a complete list causes.
+func (l *loop) applyObject(tb testing.TB, m Members) {
 	tb.Helper()
 	text, err := json.Marshal(m)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	version := deliverObjects(tb, text, func(b discovery.Batch) {
-		l.accept(batchReceived{b})
+		l.handleEvent(batchReceived{b})
 		for l.step(tb.Context()); l.endpoints.sweeping != nil; {
 			l.step(tb.Context())
 		}
 	})
 	if version != m.Seq {
-		tb.Fatalf("version %d of the list was not applied", m.Seq)
+		tb.Fatalf("version %d of the list was not applied completely", m.Seq)
 	}
 }
 
-// deliverObjects hands on the batches of discovery's objects as a watch does, each once the one before is applied, and gives
-// the version of the last object.
+// deliverObjects passes the batches of discovery's objects to take, as a watch does: each one after the batch before it was
+// applied. It returns the version of the last object.
 func deliverObjects(tb testing.TB, text []byte, take func(discovery.Batch)) (version int64) {
 	tb.Helper()
 	for reader := endpoints.NewReader(bytes.NewReader(text)); ; {
@@ -83,7 +85,7 @@
 		b := discovery.Batch{Batch: batch, Applied: make(chan struct{})}
 		take(b)
 		if !applied(b) {
-			tb.Fatalf("a batch of version %d was not applied", batch.Seq)
+			tb.Fatalf("batch of version %d not marked as applied", batch.Seq)
 		}
 		if batch.End {
 			version = batch.Seq
@@ -91,8 +93,8 @@
 	}
 }
 
-// folderSize is the size of all files in a folder.
-func folderSize(tb testing.TB, dir string) (size int64) {
+// directorySize returns the total size of the files in a directory, in bytes.
+func directorySize(tb testing.TB, dir string) (size int64) {
 	tb.Helper()
 	err := filepath.WalkDir(dir, func(_ string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
@@ -110,230 +112,237 @@
 	return size
 }
 
-// A change of one host costs the same bytes on disk however long the list is.
-func TestBytesOfAChange(t *testing.T) {
+// A store that rewrote the list for each change would wear out the disk with long lists: a change of one endpoint has to write
+// the same number of bytes for a short list as for a long one.
+func TestChangeWritesSameBytesForAnyListLength(t *testing.T) {
 	written := map[int]int64{}
 	for _, n := range []int{300, 30_000} {
 		dir := t.TempDir()
-		l := listLoop(t, dir, 1000)
-		hosts := filler(n)
-		l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
+		l := newListLoop(t, dir, 1000)
+		hosts := fillerHosts(n)
+		l.applyObject(t, Members{Seq: 50, Whole: true, Hosts: hosts})
 		for l.endpoints.maintainStore(); l.endpoints.compacting; {
 			l.endpoints.maintainStore()
 		}
-		before := folderSize(t, dir)
-		drains := hosts[0]
-		drains.Health = draining
-		l.object(t, Members{Seq: 51, Hosts: []Member{drains}})
-		written[n] = folderSize(t, dir) - before
+		before := directorySize(t, dir)
+		changed := hosts[0]
+		changed.Health = draining
+		l.applyObject(t, Members{Seq: 51, Hosts: []Member{changed}})
+		written[n] = directorySize(t, dir) - before
 	}
-	t.Logf("bytes written for a change, by hosts listed: %v", written)
-	if few, many := written[300], written[30_000]; few != many || few == 0 {
-		t.Errorf("bytes written for a change, by hosts listed: %v", written)
+	t.Logf("bytes written for a change, by the number of endpoints on the list: %v", written)
+	if short, long := written[300], written[30_000]; short != long || short == 0 {
+		t.Errorf("bytes written for a change, by the number of endpoints on the list: %v; want equal numbers above 0", written)
 	}
 }
 
-// A process that starts asks from the version on disk, has all of the list, and is sent nothing anew.
+// A relay that restarts must not have a long list sent again: it has to watch from the version on its disk and to have all
+// endpoints of that list.
 func TestRestartWatchesFromVersionOnDisk(t *testing.T) {
-	p, known := listPlatform(t)
+	p, known := newListPlatform(t)
 	indexes := make(chan string, 1000)
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
 		if a.index() == "40" {
-			a.send(wholeList(t, 50, append(filler(manyHosts), known)))
+			a.send(completeList(t, 50, append(fillerHosts(manyHosts), known)))
 		}
 		a.keepAlive()
 	}
 	c := p.start()
-	p.until("the list is on disk", func() bool {
-		_, seq := storedList(t, p.dir)
+	p.waitUntil("the list is on disk", func() bool {
+		_, seq := readStoredList(t, p.stateDir)
 		return seq == 50
 	})
 	p.kill(c)
 	p.start()
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "50" {
-		t.Errorf("indexes %s, %s", one, two)
+		t.Errorf("watches began from versions %s and %s, want 40 and 50", one, two)
 	}
-	p.untilMembers(manyHosts + 1)
-	p.take("status", "m", "20")
-	p.called()
+	p.waitForMembers(manyHosts + 1)
+	p.submitAccepted("status", "m", "20")
+	p.nextCall()
 }
 
-// A host that is deleted is gone from the disk too.
-func TestDeletedHostOnDisk(t *testing.T) {
+// An endpoint that discovery deletes must not come back after a restart: it has to be deleted from the disk too.
+func TestDeletedEndpointIsDeletedOnDisk(t *testing.T) {
 	dir := t.TempDir()
-	l := listLoop(t, dir, 100)
-	hosts := filler(3)
-	l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
+	l := newListLoop(t, dir, 100)
+	hosts := fillerHosts(3)
+	l.applyObject(t, Members{Seq: 50, Whole: true, Hosts: hosts})
 	hosts[1].Health = endpoints.Deleted
-	l.object(t, Members{Seq: 51, Hosts: hosts[1:2]})
-	if listed, seq := storedList(t, dir); seq != 51 || len(listed) != 2 || listed[0] != hosts[0] || listed[1] != hosts[2] {
-		t.Errorf("version %d on disk: %+v", seq, listed)
+	l.applyObject(t, Members{Seq: 51, Hosts: hosts[1:2]})
+	if listed, seq := readStoredList(t, dir); seq != 51 || len(listed) != 2 || listed[0] != hosts[0] || listed[1] != hosts[2] {
+		t.Errorf("the list on disk has version %d and endpoints %+v, want version 51 without the deleted one", seq, listed)
 	}
 }
 
-// What is remembered of a host's health stays as long as it is listed, and no longer.
-func TestHealthOfListedHosts(t *testing.T) {
-	l := listLoop(t, t.TempDir(), 100)
-	hosts := filler(manyHosts)
-	l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
-	stays, goes := hosts[17].Host, hosts[manyHosts-1].Host
-	for _, host := range []string{stays, goes, "never listed"} {
+// Health records of endpoints that are no longer on the list would accumulate in the journal: they have to be removed with the
+// endpoint, and those of listed endpoints have to stay.
+func TestHealthRecordsFollowTheList(t *testing.T) {
+	l := newListLoop(t, t.TempDir(), 100)
+	hosts := fillerHosts(manyHosts)
+	l.applyObject(t, Members{Seq: 50, Whole: true, Hosts: hosts})
+	listed, unlisted := hosts[17].Host, hosts[manyHosts-1].Host
+	for _, host := range []string{listed, unlisted, "never listed"} {
 		l.journal.RecordHealth(host, journal.HealthRecord{Ejected: true, ChangedAt: clock.Now()})
 	}
-	l.object(t, Members{Seq: 51, Whole: true, Hosts: hosts[:manyHosts-1]})
+	l.applyObject(t, Members{Seq: 51, Whole: true, Hosts: hosts[:manyHosts-1]})
 	if l.endpoints.table.Len() != manyHosts-1 {
-		t.Errorf("%d hosts are listed", l.endpoints.table.Len())
+		t.Errorf("%d endpoints are on the list, want one fewer than before", l.endpoints.table.Len())
 	}
-	if health := l.journal.Health(); len(health) != 1 || !health[stays].Ejected {
-		t.Errorf("remembered: %v", health)
+	if health := l.journal.Health(); len(health) != 1 || !health[listed].Ejected {
+		t.Errorf("health records in the journal: %v, want only the ejected endpoint that is still listed", health)
 	}
 }
 
-// A relay whose disk is too small for its list goes without it there, says so once, and stays within the limit. The next
-// process asks for what the configuration's list lacks.
-func TestDiskTooSmallForTheList(t *testing.T) {
-	p, known := listPlatform(t)
-	p.disk = 3
+// A list that does not fit on the disk must not exceed the disk limit or stop the relay: the relay has to log once that it no
+// longer stores the list. The next process then watches from the version of the configuration's list.
+func TestDiskTooSmallForList(t *testing.T) {
+	p, known := newListPlatform(t)
+	p.diskMB = 3
 	indexes := make(chan string, 1000)
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
-		a.send(wholeList(t, 50, append(filler(manyHosts), known)))
+		a.send(completeList(t, 50, append(fillerHosts(manyHosts), known)))
 		a.keepAlive()
 	}
 	c := p.start()
-	p.untilMembers(manyHosts + 1)
-	p.until("the whole list is in force", func() bool {
-		return strings.Contains(askOperator(t, p.admin, "counters\n"), fmt.Sprint("relay_members ", manyHosts+1))
+	p.waitForMembers(manyHosts + 1)
+	p.waitUntil("all endpoints of the list are counted", func() bool {
+		return strings.Contains(sendAdminCommand(t, p.admin, "counters\n"), fmt.Sprint("relay_members ", manyHosts+1))
 	})
-	if size := folderSize(t, p.dir); size > 3e6 {
-		t.Errorf("%d bytes are on disk", size)
+	if size := directorySize(t, p.stateDir); size > 3e6 {
+		t.Errorf("%d bytes are on disk, want at most 3 MB", size)
 	}
 	p.kill(c)
 	if n := strings.Count(fmt.Sprint(c.Stderr), "no longer stored on disk"); n != 1 {
-		t.Errorf("it said so %d times", n)
+		t.Errorf("the log has %d lines saying that the list is no longer stored, want 1", n)
 	}
 	p.start()
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "40" {
-		t.Errorf("indexes %s, %s", one, two)
+		t.Errorf("watches began from versions %s and %s, want 40 and 40", one, two)
 	}
-	p.untilMembers(manyHosts + 1)
+	p.waitForMembers(manyHosts + 1)
 }
 
-// The list that a version before left in its journal is taken up once, and what this one is sent goes before it.
-func TestListOfAnEarlierVersion(t *testing.T) {
-	p, known := listPlatform(t)
-	drains := known
-	drains.Health = draining
-	fresh := p.addHost("h2", 7)
-	p.set(func() { p.hosts = []Member{known} }) // the configuration's list
-	before, _, err := journal.Open(p.dir, journal.Options{DiskMB: 100})
+// Earlier versions kept the endpoint list in the journal. An upgrade must not lose it: the relay has to start from that list, to
+// store it together with later changes, and to remove it from the journal, so that it does not replace a newer list later.
+func TestListInJournalOfEarlierVersion(t *testing.T) {
+	p, known := newListPlatform(t)
+	changed := known
+	changed.Health = draining
+	added := p.addHost("h2", 7)
+	p.update(func() { p.hosts = []Member{known} }) // the list in the configuration
+	earlier, _, err := journal.Open(p.stateDir, journal.Options{DiskMB: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
-	before.RecordLegacyList(journal.LegacyEndpointList{Text: []byte(wholeList(t, 45, []Member{drains, fresh})), Endpoints: 2})
-	if err := before.Commit(); err != nil {
+	earlier.RecordLegacyList(journal.LegacyEndpointList{Text: []byte(completeList(t, 45, []Member{changed, added})), Endpoints: 2})
+	if err := earlier.Commit(); err != nil {
 		t.Fatal(err)
 	}
-	if err := before.Close(); err != nil {
+	if err := earlier.Close(); err != nil {
 		t.Fatal(err)
 	}
 	indexes := make(chan string, 1000)
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
 		if a.index() == "45" {
-			a.send(hostLine(t, 46, known) + "\n")
+			a.send(endpointUpdate(t, 46, known) + "\n")
 		}
 		a.keepAlive()
 	}
 	c := p.start()
 	if one := receive(t, indexes); one != "45" {
-		t.Errorf("index %s", one)
+		t.Errorf("first watch began from version %s, want 45", one)
 	}
-	p.until("the change is on disk", func() bool {
-		hosts, seq := storedList(t, p.dir)
+	p.waitUntil("the list and the change are on disk", func() bool {
+		hosts, seq := readStoredList(t, p.stateDir)
 		return seq == 46 && len(hosts) == 2
 	})
 	p.kill(c)
 	p.start()
 	if two := receive(t, indexes); two != "46" {
-		t.Errorf("index %s", two)
+		t.Errorf("watch after the restart began from version %s, want 46", two)
 	}
-	if got := readJournal(t, p.dir).LegacyList(); got.Text != nil {
-		t.Errorf("the journal still has a list: %s", got.Text)
+	if got := readJournal(t, p.stateDir).LegacyList(); got.Text != nil {
+		t.Errorf("the journal still holds the list of the earlier version: %s", got.Text)
 	}
 }
 
-// A newer process goes on from the version that the one before it had.
-func TestListAfterHandover(t *testing.T) {
-	p, known := listPlatform(t)
+// A handover must not make discovery send a long list again: the successor has to watch from the version that the predecessor
+// stored.
+func TestSuccessorWatchesFromStoredVersion(t *testing.T) {
+	p, known := newListPlatform(t)
 	indexes := make(chan string, 1000)
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
 		if a.index() == "40" {
-			a.send(wholeList(t, 50, append(filler(manyHosts), known)))
+			a.send(completeList(t, 50, append(fillerHosts(manyHosts), known)))
 		}
 		a.keepAlive()
 	}
-	p.inherits()
+	p.openClientSocket()
 	p.start()
-	p.until("the list is on disk", func() bool {
-		_, seq := storedList(t, p.dir)
+	p.waitUntil("the list is on disk", func() bool {
+		_, seq := readStoredList(t, p.stateDir)
 		return seq == 50
 	})
-	p.upgrade()
+	p.startSuccessor()
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "50" {
-		t.Errorf("indexes %s, %s", one, two)
+		t.Errorf("watches began from versions %s and %s, want 40 and 50", one, two)
 	}
-	p.untilMembers(manyHosts + 1)
-	p.take("status", "m", "20")
-	p.called()
+	p.waitForMembers(manyHosts + 1)
+	p.submitAccepted("status", "m", "20")
+	p.nextCall()
 }
 
-// A long list of changes is logged in a few lines, a short one host by host.
-func TestManyChangesAreSummarizedInLogs(t *testing.T) {
-	p, known := listPlatform(t)
+// A long list of changes must not flood the log: at most maxLoggedChanges endpoints are logged. A change of one endpoint is
+// logged with its name.
+func TestManyChangesAreSummarizedInLog(t *testing.T) {
+	p, known := newListPlatform(t)
 	known.Health = draining
-	p.watch = func(a *watchAnswer) {
-		many, err := json.Marshal(Members{Seq: 50, Hosts: filler(manyHosts)})
+	p.serveWatch = func(a *watchResponse) {
+		many, err := json.Marshal(Members{Seq: 50, Hosts: fillerHosts(manyHosts)})
 		if err != nil {
 			t.Error(err)
 		}
-		a.send(string(many) + "\n" + hostLine(t, 51, known) + "\n")
+		a.send(string(many) + "\n" + endpointUpdate(t, 51, known) + "\n")
 		a.keepAlive()
 	}
 	c := p.start()
-	p.until("the change is on disk", func() bool {
-		_, seq := storedList(t, p.dir)
+	p.waitUntil("the change is on disk", func() bool {
+		_, seq := readStoredList(t, p.stateDir)
 		return seq == 51
 	})
 	p.kill(c)
 	log := fmt.Sprint(c.Stderr)
 	if n := strings.Count(log, "endpoint=filler-"); n == 0 || n > maxLoggedChanges {
-		t.Errorf("%d of %d changes are logged", n, manyHosts)
+		t.Errorf("%d of %d changes are logged one by one, want at least one and at most the limit", n, manyHosts)
 	}
 	if !strings.Contains(log, "endpoint="+known.Host+" ") {
-		t.Error("a change of one host is not logged")
+		t.Error("the change of one endpoint is not logged")
 	}
 }
 
-// On a disk of the usual size, changes without end make the store begin anew in time: it never outgrows its share.
-func TestManyChangesOnASmallDisk(t *testing.T) {
+// Without compaction, the records of changes would fill the store's share of a small disk, and the relay would stop storing its
+// list. The store has to be compacted in time, and has to stay within its share.
+func TestStoreIsCompactedOnSmallDisk(t *testing.T) {
 	dir := t.TempDir()
-	l := listLoop(t, dir, 3)
-	hosts := filler(300)
-	l.object(t, Members{Seq: 50, Whole: true, Hosts: hosts})
+	l := newListLoop(t, dir, 3)
+	hosts := fillerHosts(300)
+	l.applyObject(t, Members{Seq: 50, Whole: true, Hosts: hosts})
 	for seq := int64(51); seq < 12_000; seq++ {
 		change := hosts[seq%300]
 		if seq%600 < 300 {
 			change.Health = draining
 		}
-		l.object(t, Members{Seq: seq, Hosts: []Member{change}})
+		l.applyObject(t, Members{Seq: seq, Hosts: []Member{change}})
 		if l.endpoints.store == nil {
-			t.Fatalf("given up after %d changes", seq-50)
+			t.Fatalf("the list is no longer stored after %d changes", seq-50)
 		}
 	}
-	if size := folderSize(t, dir+"/"+listDirectory); float64(size) > listShare*3e6 {
-		t.Errorf("%d bytes are on disk", size)
+	if size := directorySize(t, dir+"/"+listDirectory); float64(size) > listDiskShare*3e6 {
+		t.Errorf("the list takes %d bytes on disk, more than its share", size)
 	}
 }
