--- a/cmd/milletsail/scenariofile.go
+++ b/cmd/milletsail/scenariofile.go
@@ -51,7 +51,7 @@
 
 // measure runs a scenario with the relay program at a path and returns the metrics of the run.
 func measure(ctx context.Context, s *scenario.Scenario, relay string) (*report.Figures, error) {
-	result, err := lab.Play(ctx, s, lab.Options{Binary: relay})
+	result, err := lab.Run(ctx, s, lab.Options{Binary: relay})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/milletsail/scenariorun.go
+++ b/cmd/milletsail/scenariorun.go
@@ -53,11 +53,11 @@
 	if !r.quiet {
 		options.Progress = progressPrinter(command, s)
 	}
-	var rolled lab.Rolled
+	var rolled lab.RolloutResult
 	if r.rollout != "" {
-		options.Beside = lab.Roll(r.rollout, r.rolloutPlan(), rolloutStart, r.rollback, &rolled)
+		options.DuringRun = lab.RunRollout(r.rollout, r.rolloutPlan(), rolloutStart, r.rollback, &rolled)
 	}
-	result, err := lab.Play(command.Context(), s, options)
+	result, err := lab.Run(command.Context(), s, options)
 	if err != nil {
 		return err
 	}
@@ -79,9 +79,9 @@
 }
 
 // showRolledOut prints the result of a rollout during a run.
-func showRolledOut(command *cobra.Command, rolled *lab.Rolled) error {
+func showRolledOut(command *cobra.Command, rolled *lab.RolloutResult) error {
 	command.Printf("rollout: ended in stage %d after %.1f s with %d relays updated; rolled back in %.1f s\n", rolled.State.Stage+1,
-		rolled.Took.Seconds(), rolled.Most, rolled.Back.Seconds())
+		rolled.Duration.Seconds(), rolled.MaxUpdated, rolled.RollbackDuration.Seconds())
 	if rolled.State.Plan == nil {
 		return nil
 	}
--- a/internal/lab/clients/crowd.go
+++ b/internal/lab/clients/malformed.go
@@ -12,11 +12,12 @@
 	"milletsail/internal/lab/history"
 )
 
-// peerWaits is how long a malformed peer waits for an error or a close: a second more than it is owed.
-const peerWaits = 4 * time.Second
+// malformedTimeout is how long a client with a malformed request waits for an error or a close: a second more than
+// the protocol allows the relay.
+const malformedTimeout = 4 * time.Second
 
-// improper are what peers send that send no proper request; "" is silence.
-var improper = []string{
+// malformedRequests are requests that violate the protocol; "" stands for a client that sends nothing.
+var malformedRequests = []string{
 	"",
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
 	"POST /",
@@ -30,38 +31,39 @@
 	"POST /CLASS HTTP/1.1\r\nHost: x\r\nX-Long: " + strings.Repeat("a", 40<<10) + "\r\n\r\n",
 }
 
-// Crowd has malformed or silent peers come to relays, so many a second, until ctx ends.
-func (c *Clients) Crowd(ctx context.Context, fault int, relays []int, rate float64) {
+// SendMalformed sends malformed requests, and opens silent connections, at a mean rate per second over the given
+// relays, until ctx ends.
+func (c *Clients) SendMalformed(ctx context.Context, fault int, relays []int, rate float64) {
 	rng := c.s.Draws(fmt.Sprintf("crowd %d", fault))
-	due := time.Now()
+	next := time.Now()
 	for n := 1; len(relays) > 0; n++ {
-		due = due.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-		clock.Sleep(ctx, time.Until(due))
+		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
+		clock.Sleep(ctx, time.Until(next))
 		if ctx.Err() != nil {
 			return
 		}
-		relay, text := relays[rng.IntN(len(relays))], improper[rng.IntN(len(improper))]
+		relay, text := relays[rng.IntN(len(relays))], malformedRequests[rng.IntN(len(malformedRequests))]
 		text = strings.NewReplacer("CLASS", c.s.Classes[0].Name, "ID", fmt.Sprintf("peer-%d-%d", fault, n)).Replace(text)
-		c.work.Go(func() { c.peer(relay, fault*1_000_000+n, text) })
+		c.work.Go(func() { c.sendMalformed(relay, fault*1_000_000+n, text) })
 	}
 }
 
-// peer sends what is no proper request, and notes how it ends.
-func (c *Clients) peer(relay, no int, text string) {
+// sendMalformed sends one malformed request and records how the relay ends the connection.
+func (c *Clients) sendMalformed(relay, no int, text string) {
 	raw, err := net.DialTimeout("tcp", c.subnet.Clients(relay), time.Second)
 	if err != nil {
 		return
 	}
 	defer raw.Close()
 	c.h.Add(history.Event{Kind: history.Peer, Peer: no, Relay: history.IntPtr(relay), Detail: "came"})
-	_ = raw.SetDeadline(time.Now().Add(peerWaits))
+	_ = raw.SetDeadline(time.Now().Add(malformedTimeout))
 	_, _ = io.WriteString(raw, text)
 	var line [12]byte
 	n, err := io.ReadFull(raw, line[:])
 	what := "closed"
 	switch {
 	case err == nil:
-		what = string(line[9:]) // the status of an answer
+		what = string(line[9:]) // status code of the answer
 	case n == 0 && isTimeout(err):
 		what = "left waiting"
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,9 +1,9 @@
-// Package lab plays scenarios: real relay processes against the platform's stand-ins, with faults between them, on
-// loopback addresses of its own.
+// Package lab runs scenarios: it starts real relay processes against simulated platform services, injects faults
+// between them, and uses its own loopback addresses.
 //
-// It promises that a play leaves nothing behind, neither processes nor folders, however it ends; that its verdict
-// comes from the checker alone, which sees nothing but the history; and that a play in which the lab itself was late
-// counts as void. One process may play one scenario after another, or several side by side.
+// A run leaves no processes or directories behind, however it ends. Its verdict comes from the checker alone, which
+// reads nothing but the history. A run in which the lab itself was late counts as invalid. One process may run
+// several scenarios, in sequence or concurrently.
 package lab
 
 import (
@@ -31,50 +31,51 @@
 	"milletsail/internal/lab/scenario"
 )
 
-// Options are what a play needs beside its scenario.
+// Options configure a run of a scenario.
 type Options struct {
-	Binary   string                 // of the relay
-	Env      []string               // added to the relays' environment
-	History  string                 // file to write; empty for none that stays
-	Logs     string                 // folder that the relays' logs are copied to; empty for none
-	Progress func(at time.Duration) // called each second; nil for no calls
-	// Beside is run beside the traffic, from its begin until it returns or the traffic has stopped; nil for nothing.
-	Beside func(ctx context.Context, p *Beside) error
+	Binary   string                 // path of the relay executable
+	Env      []string               // variables added to the relays' environment, as NAME=value
+	History  string                 // path of the history file; if empty, the history is deleted with the run's directory
+	Logs     string                 // directory that receives a copy of the relays' logs; empty for no copy
+	Progress func(at time.Duration) // called each second with the time since the start; may be nil
+	// DuringRun runs concurrently with the load, from its start. Its context ends when the load has ended and the
+	// calls in flight have had time to finish. An error fails the run. It may be nil.
+	DuringRun func(ctx context.Context, p *ActiveRun) error
 }
 
-// Beside is what runs beside a play has of it.
-type Beside struct {
+// ActiveRun describes a run in progress to the function in Options.DuringRun.
+type ActiveRun struct {
 	Scenario *scenario.Scenario
 	Relays   []*relays.Relay
-	Dir      string // that is removed with the play
-	Binary   string // of the relays
+	Dir      string // working directory, removed at the end of the run
+	Binary   string // path of the relay executable
 }
 
-// Result is a play that came to its end.
+// Result is the outcome of a completed run.
 type Result struct {
 	Scenario *scenario.Scenario
 	Events   []history.Event
 	Verdict  checker.Verdict
 }
 
-// settle is the time after the last message's end in which calls that are still out may end.
-const settle = 300 * time.Millisecond
+// settleTime is the wait after the last message's outcome in which calls in flight may finish.
+const settleTime = 300 * time.Millisecond
 
-// agreeIn is the time in which relays that share should have come to one view, once the traffic has stopped.
-const agreeIn = 3 * time.Second
+// convergenceTime is the wait after the load has ended in which relays that gossip should converge on one view.
+const convergenceTime = 3 * time.Second
 
-// folderPrefix begins the names of the lab's folders; the id of its process follows.
-const folderPrefix = "milletsail-lab-"
+// runDirPrefix is the prefix of the names of run directories; the id of the lab's process follows it.
+const runDirPrefix = "milletsail-lab-"
 
-// Play plays a scenario to its end. An error says that it could not be played, or was broken off by ctx; a broken
-// rule is in the verdict.
-func Play(ctx context.Context, s *scenario.Scenario, o Options) (result *Result, err error) {
-	dir, err := folder()
+// Run runs a scenario to its end. It returns an error if the scenario could not be run or ctx was canceled; violated
+// rules are reported in the verdict.
+func Run(ctx context.Context, s *scenario.Scenario, o Options) (result *Result, err error) {
+	dir, err := createRunDir()
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	subnet, err := platform.TakeSubnet()
+	subnet, err := platform.AcquireSubnet()
 	if err != nil {
 		return nil, err
 	}
@@ -89,11 +90,11 @@
 	}
 	h := history.NewWriter(file, time.Now())
 	defer func() { err = errors.Join(err, h.Close()) }()
-	h.Add(history.Event{Time: 1, Kind: history.Run, Parameters: factsOf(s)})
+	h.Add(history.Event{Time: 1, Kind: history.Run, Parameters: runParameters(s)})
 
 	p, err := platform.New(s, h, subnet)
 	if err != nil {
-		return nil, fmt.Errorf("stand-ins: %w", err)
+		return nil, fmt.Errorf("opening the simulated platform: %w", err)
 	}
 	defer p.Close()
 	ctx, cancel := context.WithCancel(ctx)
@@ -112,58 +113,58 @@
 		return nil, err
 	}
 	plan := clients.Plan(s)
-	t := &timeline{s: s, h: h, p: p, c: c, fleet: fleet, begun: time.Now()}
+	t := &faultInjector{s: s, h: h, p: p, c: c, fleet: fleet, startTime: time.Now()}
 	faults, stopFaults := context.WithCancel(ctx)
 	defer stopFaults()
 	var work sync.WaitGroup
 	for i := range s.Faults {
-		work.Go(func() { t.play(faults, i) })
+		work.Go(func() { t.injectAtTime(faults, i) })
 	}
 	if o.Progress != nil {
 		work.Go(func() {
 			for clock.Sleep(faults, time.Second) {
-				o.Progress(time.Since(t.begun))
+				o.Progress(time.Since(t.startTime))
 			}
 		})
 	}
-	var beside error
-	if o.Beside != nil {
+	var duringErr error
+	if o.DuringRun != nil {
 		work.Go(func() {
-			beside = o.Beside(faults, &Beside{Scenario: s, Relays: fleet.Relays, Dir: dir, Binary: o.Binary})
+			duringErr = o.DuringRun(faults, &ActiveRun{Scenario: s, Relays: fleet.Relays, Dir: dir, Binary: o.Binary})
 		})
 	}
 	c.Run(plan)
-	clock.Sleep(ctx, settle)
-	notes, noteBytes, received := p.NotesSent()
+	clock.Sleep(ctx, settleTime)
+	datagrams, datagramBytes, received := p.DatagramCounts()
 	if s.Fleet.ShareFacts {
-		clock.Sleep(ctx, agreeIn)
-		fleet.Look()
+		clock.Sleep(ctx, convergenceTime)
+		fleet.RecordViews()
 	}
 	stopFaults()
 	work.Wait()
-	if err := errors.Join(ctx.Err(), beside); err != nil {
+	if err := errors.Join(ctx.Err(), duringErr); err != nil {
 		return nil, err
 	}
 	fleet.Stop()
-	events, late := c.Timed()
-	h.Add(history.Event{Kind: history.End, TimedEvents: events, LateEvents: late, GossipSent: notes, GossipBytes: noteBytes, GossipReceived: received})
+	events, late := c.TimingCounts()
+	h.Add(history.Event{Kind: history.End, TimedEvents: events, LateEvents: late, GossipSent: datagrams, GossipBytes: datagramBytes, GossipReceived: received})
 	all := h.Events()
 	return &Result{s, all, checker.Check(all, false)}, nil
 }
 
-// folder makes the folder of a play, and removes those of labs that are gone.
-func folder() (string, error) {
-	old, _ := filepath.Glob(filepath.Join(os.TempDir(), folderPrefix+"*"))
+// createRunDir creates the directory of a run and removes those of lab processes that no longer exist.
+func createRunDir() (string, error) {
+	old, _ := filepath.Glob(filepath.Join(os.TempDir(), runDirPrefix+"*"))
 	for _, dir := range old {
-		id, _, _ := strings.Cut(strings.TrimPrefix(filepath.Base(dir), folderPrefix), "-")
+		id, _, _ := strings.Cut(strings.TrimPrefix(filepath.Base(dir), runDirPrefix), "-")
 		if pid, err := strconv.Atoi(id); err == nil && errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) {
 			_ = os.RemoveAll(dir)
 		}
 	}
-	return os.MkdirTemp("", folderPrefix+strconv.Itoa(os.Getpid())+"-")
+	return os.MkdirTemp("", runDirPrefix+strconv.Itoa(os.Getpid())+"-")
 }
 
-// copyLogs keeps the relays' logs.
+// copyLogs copies the log of each relay from the run's directory to to, as NAME.log.
 func copyLogs(dir, to string) error {
 	if err := os.MkdirAll(to, 0o755); err != nil {
 		return err
@@ -187,8 +188,8 @@
 	return nil
 }
 
-// factsOf is what a checker has to know of a scenario.
-func factsOf(s *scenario.Scenario) *history.Parameters {
+// runParameters returns the parameters of a scenario that the checker needs; they are the first entry of the history.
+func runParameters(s *scenario.Scenario) *history.Parameters {
 	r, f := &s.Rules, &s.Fleet
 	facts := &history.Parameters{Title: s.Title, Seed: s.Seed, Relays: f.Relays, MaxAttempts: r.MaxAttempts, Patience: history.ToMicros(r.ClientTimeout.AsDuration()),
 		DrainGrace: history.ToMicros(r.DrainGrace.AsDuration()), ColdShare: r.ColdShare, RampTime: history.ToMicros(r.RampTime.AsDuration()), OverloadFactor: r.OverloadFactor,
@@ -207,72 +208,73 @@
 	return facts
 }
 
-// timeline plays the faults of a scenario.
-type timeline struct {
-	s     *scenario.Scenario
-	h     *history.Writer
-	p     *platform.Platform
-	c     *clients.Clients
-	fleet *relays.Fleet
-	begun time.Time
+// faultInjector injects the faults of a scenario at their times.
+type faultInjector struct {
+	s         *scenario.Scenario
+	h         *history.Writer
+	p         *platform.Platform
+	c         *clients.Clients
+	fleet     *relays.Fleet
+	startTime time.Time
 }
 
-// drainFor is how long a draining endpoint stays on the list where the scenario does not say.
-const drainFor = 4 * time.Second
+// defaultDrainTime is how long a draining endpoint stays on the list if the scenario sets no duration.
+const defaultDrainTime = 4 * time.Second
 
-// play waits for the time of a fault, and brings it about and to its end.
-func (t *timeline) play(ctx context.Context, i int) {
+// injectAtTime waits for the start time of fault i and injects it until its duration has passed.
+func (t *faultInjector) injectAtTime(ctx context.Context, i int) {
 	f := &t.s.Faults[i]
-	if !clock.Sleep(ctx, time.Until(t.begun.Add(f.At.AsDuration()))) {
+	if !clock.Sleep(ctx, time.Until(t.startTime.Add(f.At.AsDuration()))) {
 		return
 	}
 	now := t.h.Now()
 	t.h.Add(history.Event{Time: now, Kind: history.Fault, Detail: f.Kind, Zone: f.Zone, FaultIndex: i, EndTime: now + history.ToMicros(f.Duration.AsDuration())})
-	slog.Debug("fault", "kind", f.Kind, "at", f.At.AsDuration(), "for", f.Duration.AsDuration())
-	if err := t.strike(ctx, i, f); err != nil && ctx.Err() == nil {
-		slog.Error("fault", "kind", f.Kind, "err", err)
+	slog.Debug("injecting fault", "kind", f.Kind, "at", f.At.AsDuration(), "for", f.Duration.AsDuration())
+	if err := t.inject(ctx, i, f); err != nil && ctx.Err() == nil {
+		slog.Error("injecting fault failed", "kind", f.Kind, "err", err)
 	}
 }
 
-func (t *timeline) strike(ctx context.Context, i int, f *scenario.Fault) error {
-	lasting := func(begin, end func()) error {
+// inject injects fault i, waits for its duration if it has one, and ends it.
+func (t *faultInjector) inject(ctx context.Context, i int, f *scenario.Fault) error {
+	forDuration := func(begin, end func()) error {
 		begin()
 		clock.Sleep(ctx, f.Duration.AsDuration())
 		end()
 		return nil
 	}
-	struck := t.s.AffectedRelays(i)
+	affected := t.s.AffectedRelays(i)
 	switch f.Kind {
 	case "kill", "wipe", "power", "turn":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error {
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error {
 			return r.Kill(ctx, f.Duration.AsDuration(), func(dir string) error {
 				switch f.Kind {
 				case "wipe":
 					err := r.Wipe(dir)
-					t.c.HandOver(r.No)
+					t.c.RelayLost(r.No)
 					return err
 				case "power":
 					return r.LosePower(dir)
 				case "turn":
-					return r.Turn(dir, i, int(f.Magnitude))
+					return r.FlipBits(dir, i, int(f.Magnitude))
 				}
 				return nil
 			})
 		})
 	case "full":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Fill(ctx, f.Duration.AsDuration()) })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { return r.FillDisk(ctx, f.Duration.AsDuration()) })
 	case "restart":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Restart(ctx) })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { return r.Restart(ctx) })
 	case "upgrade":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Upgrade(ctx) })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { return r.Upgrade(ctx) })
 	case "clock", "clock-back", "calls-fail", "short-io":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return shimmed(ctx, r, f) })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { return injectShimFault(ctx, r, f) })
 	case "evacuate", "restore":
 		line := "zone " + f.Kind + " " + f.OrderZone
 		if f.Kind == "evacuate" {
 			line += " " + f.Duration.AsDuration().String()
 		}
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error {
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error {
 			if err := r.Order(line); err != nil {
 				return err
 			}
@@ -281,62 +283,62 @@
 			return nil
 		})
 	case "reload":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { return r.Reload() })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { return r.Reload() })
 	case "freeze":
-		return t.relays(ctx, struck, f, func(r *relays.Relay) error { r.Freeze(ctx, f.Duration.AsDuration()); return nil })
+		return t.forEachRelay(ctx, affected, f, func(r *relays.Relay) error { r.Freeze(ctx, f.Duration.AsDuration()); return nil })
 	case "drain", "release-errors", "release-slow":
-		return t.drain(ctx, i, f)
+		return t.drainEndpoints(ctx, i, f)
 	case "cut":
-		return t.cut(ctx, i, f, struck)
+		return t.cutLinks(ctx, i, f, affected)
 	case "delay":
 		hosts := t.s.AffectedEndpoints(i)
-		on := func(r, h int) bool { return slices.Contains(struck, r) && slices.Contains(hosts, h) }
-		return lasting(func() { t.p.Delay(time.Duration(f.Magnitude*float64(time.Second)), on) }, func() { t.p.Delay(0, on) })
+		on := func(r, h int) bool { return slices.Contains(affected, r) && slices.Contains(hosts, h) }
+		return forDuration(func() { t.p.DelayLinks(time.Duration(f.Magnitude*float64(time.Second)), on) }, func() { t.p.DelayLinks(0, on) })
 	case "drop-notes", "twin-notes":
-		drop, twin := f.Magnitude, 0.0
+		drop, duplicate := f.Magnitude, 0.0
 		if f.Kind == "twin-notes" {
-			drop, twin = 0, f.Magnitude
+			drop, duplicate = 0, f.Magnitude
 		}
-		return lasting(func() { each(struck, func(r int) { t.p.SpoilNotes(r, drop, twin) }) },
-			func() { each(struck, func(r int) { t.p.SpoilNotes(r, 0, 0) }) })
+		return forDuration(func() { forEach(affected, func(r int) { t.p.ImpairDatagrams(r, drop, duplicate) }) },
+			func() { forEach(affected, func(r int) { t.p.ImpairDatagrams(r, 0, 0) }) })
 	case "discovery-late", "discovery-silent", "discovery-busy":
 		var late time.Duration
 		if f.Kind == "discovery-late" {
 			late = time.Duration(f.Magnitude * float64(time.Second))
 		}
-		return lasting(func() {
-			each(struck, func(r int) { t.p.Discovery(r, late, f.Kind == "discovery-silent", f.Kind == "discovery-busy") })
-		}, func() { each(struck, func(r int) { t.p.Discovery(r, 0, false, false) }) })
+		return forDuration(func() {
+			forEach(affected, func(r int) { t.p.SetDiscoveryFaults(r, late, f.Kind == "discovery-silent", f.Kind == "discovery-busy") })
+		}, func() { forEach(affected, func(r int) { t.p.SetDiscoveryFaults(r, 0, false, false) }) })
 	case "leave":
-		return lasting(func() { t.c.Change(f.Magnitude, 0) }, func() { t.c.Change(0, 0) })
+		return forDuration(func() { t.c.SetClientFaults(f.Magnitude, 0) }, func() { t.c.SetClientFaults(0, 0) })
 	case "repeat":
-		return lasting(func() { t.c.Change(0, f.Magnitude) }, func() { t.c.Change(0, 0) })
+		return forDuration(func() { t.c.SetClientFaults(0, f.Magnitude) }, func() { t.c.SetClientFaults(0, 0) })
 	case "crowd":
 		ctx, cancel := context.WithTimeout(ctx, f.Duration.AsDuration())
 		defer cancel()
-		t.c.Crowd(ctx, i, struck, f.Magnitude)
+		t.c.SendMalformed(ctx, i, affected, f.Magnitude)
 		return nil
-	case "burst", "shift": // in the plan
+	case "burst", "shift": // clients.Plan applies these to the arrivals
 		return nil
 	}
 	hosts := t.s.AffectedEndpoints(i)
-	return lasting(func() { each(hosts, func(h int) { t.p.Strike(i, h, troubleOf(f)) }) },
-		func() { each(hosts, func(h int) { t.p.Relieve(i, h) }) })
+	return forDuration(func() { forEach(hosts, func(h int) { t.p.Impair(i, h, impairmentOf(f)) }) },
+		func() { forEach(hosts, func(h int) { t.p.EndImpairment(i, h) }) })
 }
 
-func each(all []int, do func(int)) {
+func forEach(all []int, do func(int)) {
 	for _, n := range all {
 		do(n)
 	}
 }
 
-// troubleOf is what a fault does to an endpoint.
-func troubleOf(f *scenario.Fault) (t platform.Trouble) {
+// impairmentOf returns the effect of a fault on each endpoint that it affects.
+func impairmentOf(f *scenario.Fault) (t platform.Impairment) {
 	switch f.Kind {
 	case "down":
 		t.Down = true
 	case "shut":
-		t.Shut, t.Wait = true, f.Wait.AsDuration()
+		t.Refuse, t.Wait = true, f.Wait.AsDuration()
 	case "silent":
 		t.Silent = true
 	case "errors", "release-errors":
@@ -346,21 +348,22 @@
 	case "stall":
 		t.Stall = f.Magnitude
 	case "lose-answers":
-		t.Lose = f.Magnitude
+		t.DropAnswers = f.Magnitude
 	case "reset":
 		t.Reset = f.Magnitude
 	case "spoil":
-		t.Spoil = f.Magnitude
+		t.Corrupt = f.Magnitude
 	}
 	return t
 }
 
-// relays does something to relays, one a step, or to all at once.
-func (t *timeline) relays(ctx context.Context, struck []int, f *scenario.Fault, do func(*relays.Relay) error) error {
+// forEachRelay calls do concurrently for each affected relay, starting one every f.Step, and returns the joined
+// errors.
+func (t *faultInjector) forEachRelay(ctx context.Context, affected []int, f *scenario.Fault, do func(*relays.Relay) error) error {
 	var mu sync.Mutex
 	var all error
 	var work sync.WaitGroup
-	for _, r := range struck {
+	for _, r := range affected {
 		work.Go(func() {
 			err := do(t.fleet.Relays[r])
 			mu.Lock()
@@ -375,25 +378,26 @@
 	return all
 }
 
-// drain takes endpoints off the list, each with one that takes its place.
-func (t *timeline) drain(ctx context.Context, i int, f *scenario.Fault) error {
-	stays := f.Duration.AsDuration()
-	if stays == 0 {
-		stays = drainFor
+// drainEndpoints drains the affected endpoints one every f.Step: it lists the replacement of each as serving, marks
+// the old endpoint as draining, and deletes it from the list later.
+func (t *faultInjector) drainEndpoints(ctx context.Context, i int, f *scenario.Fault) error {
+	listedFor := f.Duration.AsDuration()
+	if listedFor == 0 {
+		listedFor = defaultDrainTime
 	}
 	for n, h := range t.s.Hosts {
 		if h.AddedByFault != i+1 {
 			continue
 		}
-		if f.Kind != "drain" { // what takes the place is worse
-			t.p.Strike(i, n, troubleOf(f))
+		if f.Kind != "drain" { // a faulty release: the replacement has the impairment
+			t.p.Impair(i, n, impairmentOf(f))
 		}
-		if err := errors.Join(t.p.List(n, "SERVING"), t.p.List(h.Replaces, "DRAINING")); err != nil {
+		if err := errors.Join(t.p.SetHealth(n, "SERVING"), t.p.SetHealth(h.Replaces, "DRAINING")); err != nil {
 			return err
 		}
-		time.AfterFunc(stays, func() {
+		time.AfterFunc(listedFor, func() {
 			if ctx.Err() == nil {
-				_ = t.p.List(h.Replaces, "DELETED")
+				_ = t.p.SetHealth(h.Replaces, "DELETED")
 			}
 		})
 		if !clock.Sleep(ctx, f.Stagger.AsDuration()) {
@@ -403,34 +407,37 @@
 	return nil
 }
 
-// cut cuts links. With a zone, those that lead into it or out of it; "to" is then into it, "from" out of it.
-// Otherwise those between the relays and the endpoints that are named.
-func (t *timeline) cut(ctx context.Context, i int, f *scenario.Fault, struck []int) error {
+// cutLinks blocks links for the duration of a fault. With a zone, it blocks the links that cross the zone's border:
+// direction "to" blocks traffic into the zone, "from" traffic out of it. Without a zone, it blocks the links between
+// the affected relays and endpoints.
+func (t *faultInjector) cutLinks(ctx context.Context, i int, f *scenario.Fault, affected []int) error {
 	hosts := t.s.AffectedEndpoints(i)
-	way := func(direction string) bool {
+	applies := func(direction string) bool {
 		return f.Direction == "" || f.Direction == "both" || f.Direction == direction
 	}
 	zone := func(r int) string { return t.s.Fleet.Zone(r) }
 	crosses := func(from, to string) bool {
-		return from != to && (from == f.Zone && way("from") || to == f.Zone && way("to"))
+		return from != to && (from == f.Zone && applies("from") || to == f.Zone && applies("to"))
+	}
+	to := func(r, h int) bool { return applies("to") && slices.Contains(affected, r) && slices.Contains(hosts, h) }
+	from := func(r, h int) bool {
+		return applies("from") && slices.Contains(affected, r) && slices.Contains(hosts, h)
 	}
-	to := func(r, h int) bool { return way("to") && slices.Contains(struck, r) && slices.Contains(hosts, h) }
-	from := func(r, h int) bool { return way("from") && slices.Contains(struck, r) && slices.Contains(hosts, h) }
 	between := func(int, int) bool { return false }
 	if f.Zone != "" {
 		to = func(r, h int) bool { return crosses(zone(r), t.s.Hosts[h].Zone) }
 		from = func(r, h int) bool { return crosses(t.s.Hosts[h].Zone, zone(r)) }
 		between = func(a, b int) bool { return crosses(zone(a), zone(b)) }
 	}
-	t.p.Cut(1, to, from)
-	t.p.CutNotes(1, between)
+	t.p.CutLinks(1, to, from)
+	t.p.CutDatagrams(1, between)
 	clock.Sleep(ctx, f.Duration.AsDuration())
-	t.p.Cut(-1, to, from)
-	t.p.CutNotes(-1, between)
+	t.p.CutLinks(-1, to, from)
+	t.p.CutDatagrams(-1, between)
 	return nil
 }
 
-// Check reads a history and judges it.
+// Check reads a history and returns its events and the checker's verdict.
 func Check(from io.Reader) ([]history.Event, checker.Verdict, error) {
 	events, cut, err := history.Read(from)
 	if err != nil {
--- a/internal/lab/platform/discovery.go
+++ b/internal/lab/platform/discovery.go
@@ -12,7 +12,7 @@
 	"milletsail/internal/lab/history"
 )
 
-// The states of an endpoint on the list.
+// Health values of an endpoint on the list.
 const (
 	serving  = "SERVING"
 	draining = "DRAINING"
@@ -20,25 +20,25 @@
 )
 
 const (
-	// listLag is what the agent of a relay has its lists late by, drawn up to it.
-	listLag = 300 * time.Millisecond
-	// emptyLine is the time between the empty lines of a watch on which nothing changes.
-	emptyLine = 2 * time.Second
-	// oldAddress is how long the open connections to a discovery that has moved stay.
-	oldAddress = 1500 * time.Millisecond
-	// busyWait is what an overbooked discovery tells.
-	busyWait = "0.5"
+	// maxListLag bounds the delay, drawn by relay, with which a change of the list reaches a relay's discovery.
+	maxListLag = 300 * time.Millisecond
+	// keepAliveInterval is the time between the empty lines on a stream without changes.
+	keepAliveInterval = 2 * time.Second
+	// movedGrace is how long open connections to the old address of a moved discovery stay.
+	movedGrace = 1500 * time.Millisecond
+	// busyRetryAfter is the Retry-After of an overloaded discovery, in seconds.
+	busyRetryAfter = "0.5"
 )
 
-// change is one version of the list: what happened to one endpoint. Version n is change n-1.
+// change is one change of the list, to one endpoint. Version n of the list includes the first n changes.
 type change struct {
 	at     time.Time
 	host   int
 	health string
 }
 
-// entryOf is one endpoint in discovery's form.
-type entryOf struct {
+// memberEntry is one endpoint in discovery's format.
+type memberEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -49,17 +49,17 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// Entry is one endpoint in discovery's form, for stand-ins that keep lists of their own.
-type Entry = entryOf
+// Entry is one endpoint in discovery's format, for simulations outside this package that keep their own lists.
+type Entry = memberEntry
 
-// Members is a list, or changes of it, in discovery's form.
+// Members is a list, or the changes of a list, in discovery's format.
 type Members struct {
-	Seq   int       `json:"seq"`
-	Whole bool      `json:"whole"`
-	Hosts []entryOf `json:"hosts"`
+	Seq   int           `json:"seq"`
+	Whole bool          `json:"whole"`
+	Hosts []memberEntry `json:"hosts"`
 }
 
-// agent is the discovery of one relay.
+// agent is the discovery service of one relay.
 type agent struct {
 	p     *Platform
 	relay int
@@ -71,14 +71,14 @@
 	late   time.Duration
 	silent bool
 	busy   bool
-	wake   chan struct{} // closed when something changes
+	wake   chan struct{} // closed and replaced at each change
 }
 
 func newAgent(p *Platform, relay int) *agent {
 	return &agent{p: p, relay: relay, wake: make(chan struct{})}
 }
 
-// open listens at the agent's present address.
+// open listens at the agent's current address.
 func (a *agent) open() error {
 	l, err := net.Listen("tcp", a.p.net.Discovery(a.relay, a.moves))
 	if err != nil {
@@ -105,8 +105,8 @@
 	}
 }
 
-// set changes an agent and wakes its watches.
-func (a *agent) set(change func()) {
+// update changes an agent and wakes its streams.
+func (a *agent) update(change func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change()
@@ -114,21 +114,22 @@
 	a.wake = make(chan struct{})
 }
 
-// state gives what the agent does now, and what tells of a change.
+// state returns the faults in force and a channel that is closed at the next change.
 func (a *agent) state() (late time.Duration, silent, busy bool, wake chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.late, a.silent, a.busy, a.wake
 }
 
-// Discovery changes how the discovery of a relay behaves: lists late by so much more, silent, or overbooked.
-func (p *Platform) Discovery(relay int, late time.Duration, silent, busy bool) {
-	p.agents[relay].set(func() { a := p.agents[relay]; a.late, a.silent, a.busy = late, silent, busy })
+// SetDiscoveryFaults sets the faults of a relay's discovery: an extra delay of list changes, no replies (silent), or
+// refusals with 503 (busy).
+func (p *Platform) SetDiscoveryFaults(relay int, late time.Duration, silent, busy bool) {
+	p.agents[relay].update(func() { a := p.agents[relay]; a.late, a.silent, a.busy = late, silent, busy })
 }
 
-// Move gives the discovery of a relay another address. The old one takes nothing new, and its open connections end
-// after a while.
-func (p *Platform) Move(relay int) error {
+// MoveDiscovery moves a relay's discovery to a new address. The old address accepts no new connections, and its open
+// ones are closed after movedGrace.
+func (p *Platform) MoveDiscovery(relay int) error {
 	a := p.agents[relay]
 	a.mu.Lock()
 	old, l := a.srv, a.l
@@ -138,12 +139,13 @@
 		return err
 	}
 	_ = l.Close()
-	time.AfterFunc(oldAddress, func() { _ = old.Close() })
+	time.AfterFunc(movedGrace, func() { _ = old.Close() })
 	return nil
 }
 
-// Known gives the list as a relay may have it in its configuration: as of a version, 0 for the first one.
-func (p *Platform) Known(relay, seq int) Members {
+// InitialMembers returns the list that a relay's configuration holds: the given version, and at least the one with
+// which the run started.
+func (p *Platform) InitialMembers(relay, seq int) Members {
 	first := 0
 	for _, h := range p.s.Hosts {
 		if h.AddedByFault == 0 {
@@ -153,14 +155,14 @@
 	return p.members(relay, max(seq, first), 0)
 }
 
-// Seq is the present version of the list.
-func (p *Platform) Seq() int {
+// ListVersion is the current version of the list.
+func (p *Platform) ListVersion() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.list)
+	return len(p.changes)
 }
 
-// DiscoveryAddress is where a relay finds its discovery now.
+// DiscoveryAddress is the current address of a relay's discovery.
 func (p *Platform) DiscoveryAddress(relay int) string {
 	a := p.agents[relay]
 	a.mu.Lock()
@@ -168,18 +170,18 @@
 	return p.net.Discovery(relay, a.moves)
 }
 
-// List changes the health of an endpoint on the list; a deleted one's address takes nothing any more, and one that is
-// listed anew is opened.
-func (p *Platform) List(host int, health string) error {
+// SetHealth changes the health of an endpoint on the list. An endpoint that is new on the list starts to accept
+// connections; a draining one refuses calls after the drain grace time.
+func (p *Platform) SetHealth(host int, health string) error {
 	h := p.hosts[host]
 	h.mu.Lock()
 	if health == draining {
-		h.refuses = time.Now().Add(p.s.Rules.DrainGrace.AsDuration())
+		h.refuseFrom = time.Now().Add(p.s.Rules.DrainGrace.AsDuration())
 	}
 	fresh := !h.listed && health == serving
 	h.listed = h.listed || fresh
 	if fresh {
-		h.born = time.Now()
+		h.listedAt = time.Now()
 	}
 	h.mu.Unlock()
 	if fresh {
@@ -190,20 +192,20 @@
 		}
 	}
 	p.mu.Lock()
-	p.list = append(p.list, change{time.Now(), host, health})
-	seq := len(p.list)
+	p.changes = append(p.changes, change{time.Now(), host, health})
+	seq := len(p.changes)
 	p.h.Add(history.Event{Kind: history.List, Seq: seq, Hosts: []history.ListEntry{{Host: h.Name, Health: health}}})
 	p.mu.Unlock()
 	for _, a := range p.agents {
-		a.set(func() {})
+		a.update(func() {})
 	}
 	return nil
 }
 
-// members gives the list of a version, or its changes since another where that is above 0.
+// members returns a version of the list or, if since is above 0, the changes after version since.
 func (p *Platform) members(relay, seq, since int) Members {
 	p.mu.Lock()
-	list := append([]change(nil), p.list[:min(seq, len(p.list))]...)
+	list := append([]change(nil), p.changes[:min(seq, len(p.changes))]...)
 	p.mu.Unlock()
 	health := map[int]string{}
 	var order []int
@@ -215,42 +217,43 @@
 			health[c.host] = c.health
 		}
 	}
-	m := Members{Seq: len(list), Whole: since == 0, Hosts: []entryOf{}}
+	m := Members{Seq: len(list), Whole: since == 0, Hosts: []memberEntry{}}
 	for _, no := range order {
 		h := p.hosts[no]
 		if m.Whole && health[no] == deleted {
 			continue
 		}
-		m.Hosts = append(m.Hosts, entryOf{Host: h.Name, Dial: p.net.Host(relay, no), Site: h.Zone,
-			Class: p.Shape(h.Destination.MaxBatch), Block: h.Dest, Health: health[no], Share: p.weight(&h.Host), BornMS: h.bornMS()})
+		m.Hosts = append(m.Hosts, memberEntry{Host: h.Name, Dial: p.net.Host(relay, no), Site: h.Zone,
+			Class: p.Shape(h.Destination.MaxBatch), Block: h.Dest, Health: health[no], Share: p.weight(&h.Host), BornMS: h.listedAtMS()})
 	}
 	return m
 }
 
-// bornMS is when an endpoint that came later started, as discovery tells it.
-func (h *host) bornMS() int64 {
+// listedAtMS is when an endpoint was added to the list, in milliseconds since 1970; 0 if it was there from the start.
+func (h *host) listedAtMS() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.born.IsZero() {
+	if h.listedAt.IsZero() {
 		return 0
 	}
-	return h.born.UnixMilli()
+	return h.listedAt.UnixMilli()
 }
 
-// Shape names the kind of destination whose calls take so many messages at most.
+// Shape is the name of the kind of destination that takes at most bulk messages per call.
 func (p *Platform) Shape(bulk int) string { return "bulk" + strconv.Itoa(bulk) }
 
-// visible is the newest version that an agent has by now, and when it will have the next; zero for none to come.
-func (a *agent) visible(late time.Duration) (seq int, next time.Time) {
-	lag := late + time.Duration(a.p.s.Draw("lag "+strconv.Itoa(a.relay))*float64(listLag))
+// visibleVersion returns the newest version of the list that an agent has, and when it will have the next; the time
+// is zero if there is none.
+func (a *agent) visibleVersion(late time.Duration) (seq int, next time.Time) {
+	lag := late + time.Duration(a.p.s.Draw("lag "+strconv.Itoa(a.relay))*float64(maxListLag))
 	a.p.mu.Lock()
 	defer a.p.mu.Unlock()
-	for i, c := range a.p.list {
-		if due := c.at.Add(lag); !c.at.IsZero() && time.Now().Before(due) {
-			return i, due
+	for i, c := range a.p.changes {
+		if visibleAt := c.at.Add(lag); !c.at.IsZero() && time.Now().Before(visibleAt) {
+			return i, visibleAt
 		}
 	}
-	return len(a.p.list), time.Time{}
+	return len(a.p.changes), time.Time{}
 }
 
 func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
@@ -264,18 +267,18 @@
 	}
 }
 
-// outcomes takes notices, which it does while discovery is down as well.
+// outcomes receives notifications; discovery faults do not affect it.
 func (a *agent) outcomes(w http.ResponseWriter, r *http.Request) {
-	type notice struct {
+	type notification struct {
 		ID      string `json:"id"`
 		Status  string `json:"status"`
 		AgainMS int64  `json:"again_ms"`
 	}
-	var all []notice
+	var all []notification
 	in := bufio.NewScanner(r.Body)
-	in.Buffer(nil, maxBody)
+	in.Buffer(nil, maxBodyBytes)
 	for in.Scan() {
-		var n notice
+		var n notification
 		if err := json.Unmarshal(in.Bytes(), &n); err != nil || n.ID == "" || n.Status != "undeliverable" && n.Status != "deferred" {
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -283,11 +286,12 @@
 		all = append(all, n)
 	}
 	for _, n := range all {
-		a.p.noticed(a.relay, n.ID, n.Status, time.Duration(n.AgainMS)*time.Millisecond)
+		a.p.receiveNotification(a.relay, n.ID, n.Status, time.Duration(n.AgainMS)*time.Millisecond)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// members replies with the list, or with a stream of it and its changes.
 func (a *agent) members(w http.ResponseWriter, r *http.Request) {
 	stream := r.URL.Query().Get("stream") == "1"
 	since, err := strconv.Atoi(r.URL.Query().Get("index"))
@@ -297,7 +301,7 @@
 	for {
 		_, silent, busy, wake := a.state()
 		if busy {
-			w.Header().Set("Retry-After", busyWait)
+			w.Header().Set("Retry-After", busyRetryAfter)
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -314,13 +318,13 @@
 	first := true
 	for {
 		late, silent, _, wake := a.state()
-		seq, next := a.visible(late)
-		wait := emptyLine
+		seq, next := a.visibleVersion(late)
+		wait := keepAliveInterval
 		if !next.IsZero() {
 			wait = min(wait, time.Until(next))
 		}
 		if !silent && (first || seq > since) {
-			if !a.tell(w, seq, since) {
+			if !a.writeMembers(w, seq, since) {
 				return
 			}
 			if !stream {
@@ -338,7 +342,7 @@
 		case <-wake:
 			t.Stop()
 		case <-t.C:
-			if _, silent, _, _ := a.state(); !silent && wait == emptyLine {
+			if _, silent, _, _ := a.state(); !silent && wait == keepAliveInterval {
 				if _, err := w.Write([]byte("\n")); err != nil {
 					return
 				}
@@ -348,8 +352,8 @@
 	}
 }
 
-// tell writes a list, or the changes since a version, to the relay.
-func (a *agent) tell(w http.ResponseWriter, seq, since int) bool {
+// writeMembers writes the list, or the changes after version since, to the relay, and reports whether that succeeded.
+func (a *agent) writeMembers(w http.ResponseWriter, seq, since int) bool {
 	if since > seq {
 		since = 0
 	}
--- a/internal/lab/platform/hosts.go
+++ b/internal/lab/platform/hosts.go
@@ -21,152 +21,158 @@
 )
 
 const (
-	// maxBody bounds the body of a call, as the protocol has it.
-	maxBody = 64 << 10
-	// callTime bounds how long a call may take to come, from its first byte.
-	callTime = 10 * time.Second
-	// coldSlack is what a cold endpoint takes beyond its budget before it falls over, in roots of the budget: the
-	// protocol leaves some room for chance and does not say how much.
-	coldSlack = 2
-	// rateDepth is the time for which a rate limit saves up room.
-	rateDepth = 250 * time.Millisecond
+	// maxBodyBytes is the protocol's limit on the body of a call.
+	maxBodyBytes = 64 << 10
+	// callReadTimeout bounds the time in which a call arrives, from its first byte.
+	callReadTimeout = 10 * time.Second
+	// coldBurstFactor is the number of calls beyond its budget that a cold endpoint withstands, in square roots of
+	// the budget: the protocol allows for random variation without saying how much.
+	coldBurstFactor = 2
+	// rateBurst is the time over which a rate limit accumulates unused tokens.
+	rateBurst = 250 * time.Millisecond
 )
 
-// Trouble is what a fault does to an endpoint. Shares are of its calls or answers.
-type Trouble struct {
-	Down, Shut, Silent                bool
-	Wait                              time.Duration // told while shut; 0 for none
-	Errors, Stall, Lose, Reset, Spoil float64
-	Slow                              float64 // factor on service times; 0 for none
+// Impairment is the effect of a fault on an endpoint. Down closes its ports, Refuse refuses each call, and Silent leaves
+// calls without an answer. The following are shares of its calls or answers, from 0 to 1: Errors are answered with 500,
+// Stall stops the answer after a few bytes, DropAnswers sends none, Reset resets the connection, and Corrupt sends an
+// answer that is not HTTP.
+type Impairment struct {
+	Down, Refuse, Silent                       bool
+	Wait                                       time.Duration // retry interval sent in refusals; 0 for none
+	Errors, Stall, DropAnswers, Reset, Corrupt float64
+	Slow                                       float64 // factor on service times; 0 for none
 }
 
-// fails tells whether most calls fail: what follows is a cold return.
-func (t Trouble) fails() bool { return t.Down || t.Shut || t.Silent || t.Errors >= 0.5 }
+// isOutage reports whether most calls fail. An endpoint that recovers from an outage is cold.
+func (t Impairment) isOutage() bool { return t.Down || t.Refuse || t.Silent || t.Errors >= 0.5 }
 
-// host is one endpoint.
+// host simulates one endpoint.
 type host struct {
 	p       *Platform
-	no      int
-	ports   []*port // by relay
-	workers chan bool
+	index   int
+	ports   []*port   // by relay
+	workers chan bool // holds an element for each busy worker
 
 	scenario.Host
-	mu       sync.Mutex
-	listed   bool
-	born     time.Time // when it was listed; zero for from the start
-	refuses  time.Time // a draining endpoint takes nothing from then on; zero for never
-	troubles map[int]Trouble
-	open     int       // connections
-	waiting  int       // calls in the queue
-	back     time.Time // since when it serves again after an outage; zero for long ago
-	fell     bool
-	recent   []time.Time // calls while cold
+	mu          sync.Mutex
+	listed      bool
+	listedAt    time.Time // when it was listed; zero if it was on the list from the start
+	refuseFrom  time.Time // time from which a draining endpoint refuses calls; zero if it is not draining
+	impairments map[int]Impairment
+	open        int         // open connections
+	waiting     int         // calls that wait for a worker
+	recoveredAt time.Time   // end of the latest outage; zero for none
+	overloaded  bool        // too many calls while cold have made it fail for good
+	recentCalls []time.Time // times of the latest calls while cold
 }
 
 func newHost(p *Platform, no int) *host {
-	h := &host{p: p, no: no, Host: p.s.Hosts[no], troubles: map[int]Trouble{}}
+	h := &host{p: p, index: no, Host: p.s.Hosts[no], impairments: map[int]Impairment{}}
 	h.listed = h.AddedByFault == 0
 	h.workers = make(chan bool, h.Destination.Workers)
 	return h
 }
 
-// trouble is all that strikes an endpoint at the moment; the lock is held.
-func (h *host) trouble() (t Trouble) {
-	for _, o := range h.troubles {
-		t.Down, t.Shut, t.Silent = t.Down || o.Down, t.Shut || o.Shut, t.Silent || o.Silent
+// impairment combines the impairments in force; the lock is held.
+func (h *host) impairment() (t Impairment) {
+	for _, o := range h.impairments {
+		t.Down, t.Refuse, t.Silent = t.Down || o.Down, t.Refuse || o.Refuse, t.Silent || o.Silent
 		t.Wait, t.Slow = max(t.Wait, o.Wait), max(t.Slow, o.Slow)
-		t.Errors, t.Stall, t.Lose = max(t.Errors, o.Errors), max(t.Stall, o.Stall), max(t.Lose, o.Lose)
-		t.Reset, t.Spoil = max(t.Reset, o.Reset), max(t.Spoil, o.Spoil)
+		t.Errors, t.Stall, t.DropAnswers = max(t.Errors, o.Errors), max(t.Stall, o.Stall), max(t.DropAnswers, o.DropAnswers)
+		t.Reset, t.Corrupt = max(t.Reset, o.Reset), max(t.Corrupt, o.Corrupt)
 	}
-	t.Down = t.Down || h.fell
+	t.Down = t.Down || h.overloaded
 	return t
 }
 
-// Strike has a fault, by its number, do something to an endpoint until Relieve.
-func (p *Platform) Strike(fault, host int, t Trouble) { p.hosts[host].change(fault, &t) }
+// Impair applies the effect of a fault, given by its number, to an endpoint until EndImpairment.
+func (p *Platform) Impair(fault, host int, t Impairment) { p.hosts[host].setImpairment(fault, &t) }
 
-// Relieve ends what a fault does to an endpoint.
-func (p *Platform) Relieve(fault, host int) { p.hosts[host].change(fault, nil) }
+// EndImpairment ends the effect of a fault on an endpoint.
+func (p *Platform) EndImpairment(fault, host int) { p.hosts[host].setImpairment(fault, nil) }
 
-func (h *host) change(fault int, t *Trouble) {
+// setImpairment sets or, if t is nil, removes the effect of a fault, and records the start or end of an outage.
+func (h *host) setImpairment(fault int, t *Impairment) {
 	h.mu.Lock()
-	before := h.trouble()
+	before := h.impairment()
 	if t != nil {
-		h.troubles[fault] = *t
+		h.impairments[fault] = *t
 	} else {
-		delete(h.troubles, fault)
+		delete(h.impairments, fault)
 	}
-	after := h.trouble()
+	after := h.impairment()
 	switch {
-	case after.fails() && !before.fails():
+	case after.isOutage() && !before.isOutage():
 		h.p.h.Add(history.Event{Kind: history.Outage, Host: h.Name})
-	case before.fails() && !after.fails():
-		h.back, h.recent = time.Now(), nil
+	case before.isOutage() && !after.isOutage():
+		h.recoveredAt, h.recentCalls = time.Now(), nil
 		h.p.h.Add(history.Event{Kind: history.Back, Host: h.Name, Rate: Capacity(&h.Host)})
 	}
 	h.mu.Unlock()
-	h.reachable(before.Down, after.Down)
+	h.updatePorts(before.Down, after.Down)
 }
 
-// reachable opens or closes the ports of an endpoint that comes up or goes down.
-func (h *host) reachable(before, after bool) {
+// updatePorts opens or closes the ports of an endpoint that comes up or goes down; before and after tell whether it
+// is down.
+func (h *host) updatePorts(before, after bool) {
 	for _, o := range h.ports {
 		if after && !before {
 			o.close()
 		} else if before && !after {
 			if err := o.open(); err != nil {
-				h.p.h.Add(history.Event{Kind: history.Void, Detail: "an endpoint could not come back: " + err.Error()})
+				h.p.h.Add(history.Event{Kind: history.Void, Detail: "reopening the port of an endpoint failed: " + err.Error()})
 			}
 		}
 	}
 }
 
-// warmth is the share of its capacity that an endpoint has at a moment; the lock is held.
-func (h *host) warmth(at time.Time) float64 {
+// capacityShare is the share of its full capacity that an endpoint has at a time, which grows over the ramp time
+// after an outage; the lock is held.
+func (h *host) capacityShare(at time.Time) float64 {
 	r := &h.p.s.Rules
-	if h.back.IsZero() || r.RampTime <= 0 {
+	if h.recoveredAt.IsZero() || r.RampTime <= 0 {
 		return 1
 	}
-	return math.Min(1, r.ColdShare+(1-r.ColdShare)*at.Sub(h.back).Seconds()/r.RampTime.Seconds())
+	return math.Min(1, r.ColdShare+(1-r.ColdShare)*at.Sub(h.recoveredAt).Seconds()/r.RampTime.Seconds())
 }
 
-// chill counts a call at a cold endpoint, and pushes it over where calls are too many; the lock is held. It tells
-// whether it fell.
-func (h *host) chill(now time.Time) bool {
+// overloadsCold counts a call at a cold endpoint and reports whether the calls exceed what the endpoint withstands;
+// the lock is held.
+func (h *host) overloadsCold(now time.Time) bool {
 	r := &h.p.s.Rules
-	if h.back.IsZero() || now.Sub(h.back) > r.RampTime.AsDuration() {
+	if h.recoveredAt.IsZero() || now.Sub(h.recoveredAt) > r.RampTime.AsDuration() {
 		return false
 	}
 	from := now.Add(-r.OverloadFor.AsDuration())
-	h.recent = append(h.recent, now)
-	for len(h.recent) > 0 && h.recent[0].Before(from) {
-		h.recent = h.recent[1:]
+	h.recentCalls = append(h.recentCalls, now)
+	for len(h.recentCalls) > 0 && h.recentCalls[0].Before(from) {
+		h.recentCalls = h.recentCalls[1:]
 	}
-	budget := r.OverloadFactor * Capacity(&h.Host) * h.warmth(now) * r.OverloadFor.Seconds()
-	return float64(len(h.recent)) > budget+coldSlack*math.Sqrt(budget)
+	budget := r.OverloadFactor * Capacity(&h.Host) * h.capacityShare(now) * r.OverloadFor.Seconds()
+	return float64(len(h.recentCalls)) > budget+coldBurstFactor*math.Sqrt(budget)
 }
 
-// hostConn is a connection of a relay to an endpoint.
+// hostConn is a relay's connection to an endpoint.
 type hostConn struct {
 	net.Conn
 	port   *port
 	ctx    context.Context
 	end    context.CancelFunc
-	in     chan chunk
-	rest   []byte
-	sentAt time.Time // when the relay sent the latest bytes that were read
-	// closedAt is when the relay closed, in nanoseconds since 1970; 0 while it has not.
+	chunks chan chunk
+	unread []byte
+	sentAt time.Time // arrival time of the bytes that were read last
+	// closedAt is when the relay closed the connection, in nanoseconds since 1970; 0 while it is open.
 	closedAt atomic.Int64
-	resetAt  atomic.Int64 // when a fault reset it, in the same form
+	resetAt  atomic.Int64 // when a fault reset the connection, in nanoseconds since 1970; 0 for never
 }
 
-// call is one call at an endpoint.
+// call is one call received by an endpoint.
 type call struct {
-	no    int
-	relay int
-	bulk  bool
-	msgs  []*entry
-	tries []int // calls of each message, this one included
+	number   int
+	relay    int
+	bulk     bool
+	msgs     []*entry
+	attempts []int // number of calls with each message of msgs, this one included
 }
 
 func (c *call) ids() (ids []string) {
@@ -176,22 +182,22 @@
 	return ids
 }
 
-// answer is what an endpoint says to a call.
+// answer is an endpoint's response to a call; with status 0, the call has been admitted and has not run.
 type answer struct {
 	status int
 	wait   time.Duration
 	noSlot bool
-	states []string // of a bulk call that is answered 200
+	states []string // state of each message, in the answer 200 to a bulk call
 	ran    bool
-	hangs  bool // never comes
+	never  bool // the endpoint never answers
 }
 
-// serve takes calls from a connection, one at a time, until it ends.
+// serve handles the calls of a connection, one at a time, until it ends.
 func (c *hostConn) serve() {
 	h := c.port.host
 	h.mu.Lock()
 	h.open++
-	crowded := h.Destination.Connections > 0 && h.open > h.Destination.Connections
+	overLimit := h.Destination.Connections > 0 && h.open > h.Destination.Connections
 	h.mu.Unlock()
 	defer func() {
 		h.mu.Lock()
@@ -208,25 +214,25 @@
 			return
 		}
 		began := c.sentAt
-		tooLong.Reset(callTime)
+		tooLong.Reset(callReadTimeout)
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(req.Body, 2*maxBody))
+		body, err := io.ReadAll(io.LimitReader(req.Body, 2*maxBodyBytes))
 		if err != nil {
 			return
 		}
 		tooLong.Stop()
-		whole := c.sentAt
+		received := c.sentAt
 		next = c.peek(in)
-		if !c.handle(req, body, began, whole, next, crowded) || crowded {
+		if !c.handle(req, body, began, received, next, overLimit) || overLimit {
 			return
 		}
 	}
 }
 
-// peek reports when the next byte is there, or the end of the connection.
+// peek returns a channel that receives nil when the next byte arrives, or the error that ends the connection.
 func (c *hostConn) peek(in *bufio.Reader) chan error {
 	next := make(chan error, 1)
 	go func() {
@@ -236,18 +242,18 @@
 	return next
 }
 
-// handle answers one call and tells whether the connection goes on.
-func (c *hostConn) handle(req *http.Request, body []byte, began, whole time.Time, next chan error, crowded bool) bool {
+// handle answers one call and reports whether the connection stays open.
+func (c *hostConn) handle(req *http.Request, body []byte, began, received time.Time, next chan error, overLimit bool) bool {
 	h, p := c.port.host, c.port.p
-	call, a := p.take(c.port.relay, h, req, body, began, whole)
+	call, a := p.receiveCall(c.port.relay, h, req, body, began, received)
 	if call == nil {
 		return c.write(nil, a)
 	}
 	var left sync.Once
-	leave := func() { left.Do(func() { p.leave(c.port.relay) }) }
-	defer leave()
+	release := func() { left.Do(func() { p.releaseSlot(c.port.relay) }) }
+	defer release()
 	if a.status == 0 {
-		a = h.admit(call, crowded)
+		a = h.admit(call, overLimit)
 	}
 	ctx, quit := context.WithCancel(c.ctx)
 	defer quit()
@@ -261,10 +267,10 @@
 		case <-ctx.Done():
 		}
 	}()
-	if a.status == 0 && !a.hangs {
+	if a.status == 0 && !a.never {
 		a = h.run(ctx, call)
 	}
-	what, part := h.spoils(call, a)
+	what, part := h.answerFault(call, a)
 	ended := func() bool {
 		_, closed := c.closed()
 		return closed || ctx.Err() != nil
@@ -272,8 +278,8 @@
 	switch {
 	case ended():
 	case what == "":
-		c.port.link.pass(ctx, false)
-		leave() // before the relay can know that the slot is free
+		c.port.link.waitOpen(ctx, false)
+		release() // before the answer, after which the relay may use the slot again
 		if !ended() && c.write(call, a) {
 			return true
 		}
@@ -281,7 +287,7 @@
 		if part != nil {
 			_, _ = c.Write(part)
 		}
-		p.h.Add(history.Event{Kind: history.Broken, Call: call.no, Detail: what})
+		p.h.Add(history.Event{Kind: history.Broken, Call: call.number, Detail: what})
 		switch what {
 		case "reset":
 			c.reset()
@@ -289,14 +295,14 @@
 		case "spoilt":
 			return false
 		}
-		<-ctx.Done() // nothing more comes, until the relay gives the call up
+		<-ctx.Done() // no more data follows until the relay closes the connection
 	}
-	event := history.Event{Kind: history.Gone, Call: call.no} // where a write failed, the relay alone can be the cause
+	event := history.Event{Kind: history.Gone, Call: call.number} // if the write failed, the relay has closed the connection
 	if at, closed := c.closed(); closed {
 		event.Time = p.h.At(at)
 	} else if c.ctx.Err() != nil {
 		event.Kind, event.Detail = history.Broken, "closed"
-		if at := c.resetAt.Load(); at != 0 { // what was being served went on until now
+		if at := c.resetAt.Load(); at != 0 { // the call was in service until now; the reset came earlier
 			event.Time = p.h.At(time.Unix(0, at))
 		}
 	}
@@ -304,34 +310,35 @@
 	return false
 }
 
-// spoils tells what becomes of an answer instead of its being written, with what is written of it.
-func (h *host) spoils(c *call, a answer) (what string, part []byte) {
+// answerFault returns the fault that replaces the answer to a call ("" for none), and the bytes to send in its place.
+func (h *host) answerFault(c *call, a answer) (what string, part []byte) {
 	h.mu.Lock()
-	t := h.trouble()
+	t := h.impairment()
 	h.mu.Unlock()
 	hits := func(what string, share float64) bool {
-		return share > 0 && h.p.s.Draw(fmt.Sprintf("%s %s %d", what, c.msgs[0].ID, c.tries[0])) < share
+		return share > 0 && h.p.s.Draw(fmt.Sprintf("%s %s %d", what, c.msgs[0].ID, c.attempts[0])) < share
 	}
 	switch {
-	case a.hangs:
+	case a.never:
 		return "silent", nil
 	case !a.ran:
 		return "", nil
-	case hits("lose", t.Lose):
+	case hits("lose", t.DropAnswers):
 		return "lost", nil
 	case hits("reset", t.Reset):
 		return "reset", nil
 	case hits("stall", t.Stall):
 		return "stalled", []byte("HTTP/1.1 20")
-	case hits("spoil", t.Spoil):
+	case hits("spoil", t.Corrupt):
 		return "spoilt", []byte("HTTQ/7.7 two hundred\r\n\r\n\x00\x00")
 	}
 	return "", nil
 }
 
-// take reads a call and gives it its number; one that can't be read, or holds what no client handed in, gets its
-// answer at once.
-func (p *Platform) take(relay int, h *host, req *http.Request, body []byte, began, whole time.Time) (*call, answer) {
+// receiveCall parses a call, records it and gives it a number. It returns a nil call if the call is malformed or
+// holds a message that no client handed in; the answer is then a 400. An answer with a status is final, one without
+// means that the endpoint decides.
+func (p *Platform) receiveCall(relay int, h *host, req *http.Request, body []byte, began, received time.Time) (*call, answer) {
 	c := &call{relay: relay, bulk: req.URL.Path == "/inbox/bulk"}
 	type item struct {
 		ID   string `json:"id"`
@@ -341,16 +348,16 @@
 	items := []item{{req.Header.Get("Request-Id"), req.Header.Get("Idempotency-Key"), body}}
 	if c.bulk {
 		items = nil
-		if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 || len(body) > maxBody {
+		if err := json.Unmarshal(body, &items); err != nil || len(items) == 0 || len(body) > maxBodyBytes {
 			return nil, answer{status: http.StatusBadRequest}
 		}
 	}
 	ids := map[string]bool{}
-	event := history.Event{Time: p.h.At(whole), Kind: history.Call, Relay: history.IntPtr(relay), Host: h.Name, FirstByte: p.h.At(began)}
+	event := history.Event{Time: p.h.At(received), Kind: history.Call, Relay: history.IntPtr(relay), Host: h.Name, FirstByte: p.h.At(began)}
 	known := true
 	p.mu.Lock()
 	p.calls++
-	c.no = p.calls
+	c.number = p.calls
 	for _, it := range items {
 		e := p.messages[it.ID]
 		event.IDs = append(event.IDs, it.ID)
@@ -360,17 +367,17 @@
 		}
 		ids[it.ID] = true
 		e.calls++
-		c.msgs, c.tries = append(c.msgs, e), append(c.tries, e.calls)
+		c.msgs, c.attempts = append(c.msgs, e), append(c.attempts, e.calls)
 	}
-	p.out[relay]++
-	out := p.out[relay]
+	p.callsOut[relay]++
+	out := p.callsOut[relay]
 	p.mu.Unlock()
-	event.Call = c.no
+	event.Call = c.number
 	p.h.Add(event)
 	switch {
 	case !known:
-		p.h.Add(history.Event{Kind: history.Reply, Call: c.no, Status: "400", Detail: "unknown"})
-		p.leave(relay)
+		p.h.Add(history.Event{Kind: history.Reply, Call: c.number, Status: "400", Detail: "unknown"})
+		p.releaseSlot(relay)
 		return nil, answer{status: http.StatusBadRequest}
 	case len(items) > h.Destination.MaxBatch:
 		return c, answer{status: http.StatusRequestEntityTooLarge}
@@ -390,35 +397,35 @@
 	return c, answer{}
 }
 
-// leave frees the slot of a call.
-func (p *Platform) leave(relay int) {
+// releaseSlot frees the slot of a call.
+func (p *Platform) releaseSlot(relay int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.out[relay]--
+	p.callsOut[relay]--
 }
 
-// admit turns a call away, or gives no answer yet.
-func (h *host) admit(c *call, crowded bool) answer {
+// admit returns the answer to a call that the endpoint refuses, or an empty answer for one that it serves.
+func (h *host) admit(c *call, overLimit bool) answer {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	t := h.trouble()
+	t := h.impairment()
 	if t.Silent {
-		return answer{hangs: true}
+		return answer{never: true}
 	}
-	if !t.fails() && h.chill(now) {
-		h.fell = true
+	if !t.isOutage() && h.overloadsCold(now) {
+		h.overloaded = true
 		h.p.h.Add(history.Event{Kind: history.Fell, Host: h.Name})
-		go h.reachable(false, true)
+		go h.updatePorts(false, true)
 	}
 	full := answer{status: http.StatusServiceUnavailable}
 	switch {
-	case t.Shut && t.Wait > 0:
+	case t.Refuse && t.Wait > 0:
 		return answer{status: http.StatusTooManyRequests, wait: t.Wait}
-	case t.Shut, crowded, !h.refuses.IsZero() && now.After(h.refuses):
+	case t.Refuse, overLimit, !h.refuseFrom.IsZero() && now.After(h.refuseFrom):
 		return full
 	}
-	if wait, ok := h.p.dests[h.Dest].room(h.Destination, now); !ok {
+	if wait, ok := h.p.dests[h.Dest].takeToken(h.Destination, now); !ok {
 		if h.Destination.SendsRetryAfter {
 			return answer{status: http.StatusTooManyRequests, wait: wait}
 		}
@@ -427,14 +434,14 @@
 	if h.waiting >= h.Destination.Queue && len(h.workers) == cap(h.workers) {
 		return full
 	}
-	if h.p.s.Draw(fmt.Sprintf("error %s %d", c.msgs[0].ID, c.tries[0])) < t.Errors {
+	if h.p.s.Draw(fmt.Sprintf("error %s %d", c.msgs[0].ID, c.attempts[0])) < t.Errors {
 		return answer{status: http.StatusInternalServerError}
 	}
 	return answer{}
 }
 
-// run serves a call, and gives its answer once it has run. It stops where the relay leaves while it waits for a
-// worker; what is being served is served to its end.
+// run serves a call and returns its answer. A call that still waits for a worker ends with ctx; one in service is
+// served to its end.
 func (h *host) run(ctx context.Context, c *call) answer {
 	h.mu.Lock()
 	h.waiting++
@@ -447,32 +454,34 @@
 	}
 	h.mu.Lock()
 	h.waiting--
-	t, warmth := h.trouble(), h.warmth(time.Now())
+	t, share := h.impairment(), h.capacityShare(time.Now())
 	h.mu.Unlock()
 	if !ok {
 		return answer{}
 	}
-	service := h.service(c) / warmth * max(1, t.Slow)
+	service := h.service(c) / share * max(1, t.Slow)
 	clock.Sleep(h.p.ctx, time.Duration(service*float64(time.Second)))
 	<-h.workers
-	return answer{status: http.StatusOK, states: h.p.ran(c), ran: true}
+	return answer{status: http.StatusOK, states: h.p.recordRun(c), ran: true}
 }
 
-// service draws the time of a call in seconds: lognormal, by its first message and which of its calls this is.
+// service returns the service time of a call in seconds, drawn from a lognormal distribution by its first message and
+// the number of that message's calls.
 func (h *host) service(c *call) float64 {
 	d, mean := h.Destination, h.Destination.Service.Seconds()*(1+h.Destination.ItemCost*float64(len(c.msgs)-1))
 	if d.ServiceCV == 0 {
 		return mean
 	}
-	words := fmt.Sprintf("service %s %d", c.msgs[0].ID, c.tries[0])
+	words := fmt.Sprintf("service %s %d", c.msgs[0].ID, c.attempts[0])
 	u, v := h.p.s.Draw(words+" u"), h.p.s.Draw(words+" v")
 	normal := math.Sqrt(-2*math.Log(1-u)) * math.Cos(2*math.Pi*v)
 	sigma := math.Sqrt(math.Log(1 + d.ServiceCV*d.ServiceCV))
 	return mean * math.Exp(sigma*normal-sigma*sigma/2)
 }
 
-// ran notes that the messages of a call have run, and gives their states.
-func (p *Platform) ran(c *call) (states []string) {
+// recordRun marks the messages of a call as run and returns their states. A message whose outcome was already
+// reported is not run again.
+func (p *Platform) recordRun(c *call) (states []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range c.msgs {
@@ -487,7 +496,7 @@
 	return states
 }
 
-// write writes an answer, and tells whether the connection may carry another call.
+// write writes an answer and reports whether the connection may carry another call.
 func (c *hostConn) write(call *call, a answer) bool {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "HTTP/1.1 %d %s\r\n", a.status, http.StatusText(a.status))
@@ -512,12 +521,12 @@
 		_, err := c.Write(out.Bytes())
 		return err == nil
 	}
-	// What a relay does on this answer may come before the lab's next step: it is noted before it is written.
+	// The answer is timed before it is written, since the relay may act on it before the lab's next step.
 	at := p.h.Now()
 	if _, err := c.Conn.Write(out.Bytes()); err != nil {
 		return false
 	}
-	event := history.Event{Time: at, Kind: history.Reply, Call: call.no, Status: strconv.Itoa(a.status), RetryAfter: history.ToMicros(a.wait)}
+	event := history.Event{Time: at, Kind: history.Reply, Call: call.number, Status: strconv.Itoa(a.status), RetryAfter: history.ToMicros(a.wait)}
 	if a.noSlot {
 		event.Detail = "no slot"
 	}
@@ -531,11 +540,11 @@
 		event.States = a.states
 	}
 	p.h.Add(event)
-	p.delivered(done, at)
+	p.recordDelivery(done, at)
 	return true
 }
 
-// dest is what the endpoints of one destination share: its limit.
+// dest is the state of a destination's limit, which its endpoints share.
 type dest struct {
 	mu     sync.Mutex
 	at     time.Time
@@ -544,14 +553,15 @@
 	count  float64
 }
 
-// room takes the room of a call under the limit, or tells when there is some again.
-func (d *dest) room(of *scenario.Destination, now time.Time) (wait time.Duration, ok bool) {
+// takeToken counts a call against the limit. If the call exceeds it, ok is false and wait is the time until a call is
+// admitted again.
+func (d *dest) takeToken(of *scenario.Destination, now time.Time) (wait time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	seconds := func(v float64) time.Duration { return time.Duration(math.Max(v, 0.001) * float64(time.Second)) }
 	switch of.Limit {
 	case "rate":
-		depth := math.Max(1, of.Rate*rateDepth.Seconds())
+		depth := math.Max(1, of.Rate*rateBurst.Seconds())
 		if d.at.IsZero() {
 			d.tokens = depth
 		} else {
--- a/internal/lab/platform/links.go
+++ b/internal/lab/platform/links.go
@@ -14,17 +14,17 @@
 	"milletsail/internal/lab/history"
 )
 
-// link is the way between one relay and one endpoint. A cut direction says nothing: what was sent stays on its way,
-// as TCP would send it again, and new connections never come up.
+// link is the simulated network path between one relay and one endpoint. A blocked direction carries nothing: data
+// that was sent stays in transit, as TCP would retransmit it, and new connections time out.
 type link struct {
 	mu       sync.Mutex
-	to, from int // cuts in force, towards the endpoint and back
+	to, from int // number of faults that block the direction to the endpoint, and back from it
 	delay    time.Duration
-	changed  chan struct{} // closed at each change
+	changed  chan struct{} // closed and replaced at each change
 }
 
-// set changes a link.
-func (l *link) set(change func()) {
+// update changes a link and wakes all that wait for a change.
+func (l *link) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
@@ -32,15 +32,15 @@
 	l.changed = make(chan struct{})
 }
 
-// silent tells whether new connections never come up.
-func (l *link) silent() bool {
+// blocked reports whether new connections time out: either direction is blocked.
+func (l *link) blocked() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.to > 0 || l.from > 0
 }
 
-// pass waits until data may go in a direction, and as long as the link delays it.
-func (l *link) pass(ctx context.Context, towards bool) {
+// waitOpen waits until data may pass in a direction, and then for the link's delay. It returns early when ctx ends.
+func (l *link) waitOpen(ctx context.Context, towards bool) {
 	for {
 		l.mu.Lock()
 		cuts, delay, changed := l.from, l.delay, l.changed
@@ -70,18 +70,18 @@
 	link  *link
 	addr  string
 
-	mu     sync.Mutex
-	l      *net.TCPListener
-	mute   bool                // new connections never come up
-	parked chan bool           // the goroutine that accepts has seen so
-	filler map[string]net.Conn // by its own address: what keeps a muted listener's queue full
-	conns  map[*hostConn]bool
+	mu         sync.Mutex
+	listener   *net.TCPListener
+	blackholed bool                // new connections time out
+	parked     chan bool           // closed when the accept goroutine has stopped accepting
+	fillers    map[string]net.Conn // connections by local address that keep the accept queue full while blackholed
+	conns      map[*hostConn]bool
 }
 
-// backlog is what a listener that is not muted has waiting for it at most.
+// backlog is the length of the accept queue of a listener that is not blackholed.
 const backlog = 4096
 
-// open takes connections from now on.
+// open starts to accept connections.
 func (o *port) open() error {
 	l, err := net.Listen("tcp", o.addr)
 	if err != nil {
@@ -89,43 +89,43 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.l, o.filler, o.mute = l.(*net.TCPListener), map[string]net.Conn{}, false
+	o.listener, o.fillers, o.blackholed = l.(*net.TCPListener), map[string]net.Conn{}, false
 	if o.conns == nil {
 		o.conns = map[*hostConn]bool{}
 	}
 	o.p.work.Add(1)
-	go o.accept(o.l)
-	if o.link.silent() {
-		o.silence()
+	go o.accept(o.listener)
+	if o.link.blocked() {
+		o.blackhole()
 	}
 	return nil
 }
 
-// close takes no connection from now on, and resets the open ones.
+// close stops accepting connections and resets the open ones.
 func (o *port) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.l != nil {
-		_ = o.l.Close()
-		o.l = nil
+	if o.listener != nil {
+		_ = o.listener.Close()
+		o.listener = nil
 	}
-	for _, c := range o.filler {
+	for _, c := range o.fillers {
 		_ = c.Close()
 	}
-	o.filler = nil
+	o.fillers = nil
 	for c := range o.conns {
 		c.reset()
 	}
 }
 
-// silence has new connections never come up: the queue of the listener holds one, and that place is taken. The lock
-// is held, but for the moment in which the goroutine that accepts comes to rest: it would take the filler out.
-func (o *port) silence() {
-	if o.l == nil || o.mute {
+// blackhole makes new connections time out: it shrinks the accept queue to one place and fills that place itself. The
+// lock is held, except while the accept goroutine stops, which would otherwise accept the filling connection.
+func (o *port) blackhole() {
+	if o.listener == nil || o.blackholed {
 		return
 	}
-	l, parked := o.l, make(chan bool)
-	o.mute, o.parked = true, parked
+	l, parked := o.listener, make(chan bool)
+	o.blackholed, o.parked = true, parked
 	_ = l.SetDeadline(time.Unix(1, 0))
 	o.mu.Unlock()
 	select {
@@ -133,42 +133,42 @@
 	case <-o.p.ctx.Done():
 	}
 	o.mu.Lock()
-	if o.l != l || !o.mute { // it is down, or heard again, by now
+	if o.listener != l || !o.blackholed { // the port was closed or restored meanwhile
 		return
 	}
-	_ = o.room(0)
+	_ = o.setBacklog(0)
 	c, err := net.DialTimeout("tcp", o.addr, 50*time.Millisecond)
-	if t := net.Error(nil); err != nil && !(errors.As(err, &t) && t.Timeout()) { // else a relay's own connection has the place
-		o.p.h.Add(history.Event{Kind: history.Void, Detail: "a link could not be cut: " + err.Error()})
+	if t := net.Error(nil); err != nil && !(errors.As(err, &t) && t.Timeout()) { // on a timeout, a connection of the relay fills the queue already
+		o.p.h.Add(history.Event{Kind: history.Void, Detail: "blocking a link failed: " + err.Error()})
 	}
 	if err == nil {
-		o.filler[c.LocalAddr().String()] = c
+		o.fillers[c.LocalAddr().String()] = c
 	}
 }
 
-// hear undoes silence; the lock is held. What came into the queue meanwhile is reset, as the network may do when it is
-// back: the relay may have given it up long ago.
-func (o *port) hear() {
-	if o.l == nil || !o.mute {
+// restore undoes blackhole; the lock is held. Connections that are in the accept queue are reset, as may happen when
+// a network comes back: the relay may have given them up long ago.
+func (o *port) restore() {
+	if o.listener == nil || !o.blackholed {
 		return
 	}
-	_ = o.l.SetDeadline(time.Now().Add(2 * time.Millisecond))
-	for c, err := o.l.AcceptTCP(); err == nil; c, err = o.l.AcceptTCP() {
+	_ = o.listener.SetDeadline(time.Now().Add(2 * time.Millisecond))
+	for c, err := o.listener.AcceptTCP(); err == nil; c, err = o.listener.AcceptTCP() {
 		_ = c.SetLinger(0)
 		_ = c.Close()
 	}
-	for addr, c := range o.filler {
+	for addr, c := range o.fillers {
 		_ = c.Close()
-		delete(o.filler, addr)
+		delete(o.fillers, addr)
 	}
-	_ = o.room(backlog)
-	_ = o.l.SetDeadline(time.Time{})
-	o.mute = false
+	_ = o.setBacklog(backlog)
+	_ = o.listener.SetDeadline(time.Time{})
+	o.blackholed = false
 }
 
-// room sets how many connections may wait for the listener.
-func (o *port) room(n int) error {
-	raw, err := o.l.SyscallConn()
+// setBacklog sets the length of the accept queue.
+func (o *port) setBacklog(n int) error {
+	raw, err := o.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
@@ -177,19 +177,19 @@
 	return errors.Join(err, failed)
 }
 
-// follow brings the listener in line with the link.
-func (o *port) follow() {
+// applyLinkState blackholes or restores the listener according to the state of the link.
+func (o *port) applyLinkState() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.link.silent() {
-		o.silence()
+	if o.link.blocked() {
+		o.blackhole()
 	} else {
-		o.hear()
+		o.restore()
 	}
 }
 
-// park tells the one who waits for it that nothing is accepted any more.
-func (o *port) park() {
+// signalParked tells blackhole that the accept goroutine has stopped accepting.
+func (o *port) signalParked() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.parked != nil {
@@ -198,23 +198,24 @@
 	}
 }
 
-// muted tells whether a listener takes nothing at the moment.
-func (o *port) muted(l *net.TCPListener) bool {
+// isBlackholed reports whether l is the current listener and is blackholed.
+func (o *port) isBlackholed(l *net.TCPListener) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.mute && o.l == l
+	return o.blackholed && o.listener == l
 }
 
+// accept accepts connections until the listener is closed, and pauses while the port is blackholed.
 func (o *port) accept(l *net.TCPListener) {
 	defer o.p.work.Done()
-	defer o.park()
+	defer o.signalParked()
 	for {
 		raw, err := l.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			o.park()
-			o.link.pass(o.p.ctx, true)
-			o.link.pass(o.p.ctx, false)
-			for o.muted(l) && o.p.ctx.Err() == nil {
+			o.signalParked()
+			o.link.waitOpen(o.p.ctx, true)
+			o.link.waitOpen(o.p.ctx, false)
+			for o.isBlackholed(l) && o.p.ctx.Err() == nil {
 				clock.Sleep(o.p.ctx, time.Millisecond)
 			}
 			if o.p.ctx.Err() != nil {
@@ -226,12 +227,12 @@
 			return
 		}
 		o.mu.Lock()
-		if o.l != l {
+		if o.listener != l {
 			o.mu.Unlock()
 			_ = raw.Close()
 			continue
 		}
-		c := &hostConn{Conn: raw, port: o, in: make(chan chunk, 64)}
+		c := &hostConn{Conn: raw, port: o, chunks: make(chan chunk, 64)}
 		c.ctx, c.end = context.WithCancel(o.p.ctx)
 		go c.pump()
 		o.conns[c] = true
@@ -250,23 +251,23 @@
 	}
 }
 
-// chunk is some bytes that a relay sent.
+// chunk is a piece of data that a relay sent, with the time at which it arrived.
 type chunk struct {
 	data []byte
 	at   time.Time
 }
 
-// pump takes in what the relay sends, and when, whether or not the link lets it through yet: that is what the relay
-// did.
+// pump reads what the relay sends as it arrives, whether or not the link is blocked, so that arrival times and closes
+// are those of the relay.
 func (c *hostConn) pump() {
-	defer close(c.in)
+	defer close(c.chunks)
 	for {
 		buf := make([]byte, 16<<10)
 		n, err := c.Conn.Read(buf)
 		at := time.Now()
 		if n > 0 {
 			select {
-			case c.in <- chunk{buf[:n], at}:
+			case c.chunks <- chunk{buf[:n], at}:
 			case <-c.ctx.Done():
 				return
 			}
@@ -280,38 +281,38 @@
 	}
 }
 
-// Read gives what the relay sent, once its link lets it through.
+// Read returns what the relay sent, once the link is open.
 func (c *hostConn) Read(b []byte) (int, error) {
-	if len(c.rest) == 0 {
+	if len(c.unread) == 0 {
 		select {
 		case <-c.ctx.Done():
 			return 0, net.ErrClosed
-		case next, ok := <-c.in:
-			c.port.link.pass(c.ctx, true)
+		case next, ok := <-c.chunks:
+			c.port.link.waitOpen(c.ctx, true)
 			if !ok {
 				return 0, io.EOF
 			}
-			c.rest, c.sentAt = next.data, next.at
+			c.unread, c.sentAt = next.data, next.at
 		}
 	}
-	n := copy(b, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(b, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
-// Write writes to the relay, once its link lets it through.
+// Write writes to the relay once the link is open.
 func (c *hostConn) Write(b []byte) (int, error) {
-	c.port.link.pass(c.ctx, false)
+	c.port.link.waitOpen(c.ctx, false)
 	return c.Conn.Write(b)
 }
 
-// closed tells whether the relay has closed the connection, or ended its sending, and when.
+// closed reports whether the relay has closed the connection or its sending direction, and when.
 func (c *hostConn) closed() (time.Time, bool) {
 	at := c.closedAt.Load()
 	return time.Unix(0, at), at != 0
 }
 
-// reset ends a connection without an orderly close.
+// reset closes a connection with a TCP reset.
 func (c *hostConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -321,13 +322,13 @@
 	_ = c.Conn.Close()
 }
 
-// Cut cuts (by 1) or heals (by -1) the directions of links. The ones towards the endpoints count for to, the ones
-// back for from.
-func (p *Platform) Cut(by int, to, from func(relay, host int) bool) {
-	p.each(func(r, h int, l *link) bool {
+// CutLinks blocks (by is 1) or unblocks (by is -1) directions of links: to selects those towards endpoints, from
+// those back.
+func (p *Platform) CutLinks(by int, to, from func(relay, host int) bool) {
+	p.changeLinks(func(r, h int, l *link) bool {
 		a, b := to(r, h), from(r, h)
 		if a || b {
-			l.set(func() {
+			l.update(func() {
 				if a {
 					l.to += by
 				}
@@ -340,24 +341,25 @@
 	})
 }
 
-// Delay has links hold up each piece of data, in both directions.
-func (p *Platform) Delay(d time.Duration, on func(relay, host int) bool) {
-	p.each(func(r, h int, l *link) bool {
+// DelayLinks delays each piece of data on the selected links by d, in both directions.
+func (p *Platform) DelayLinks(d time.Duration, on func(relay, host int) bool) {
+	p.changeLinks(func(r, h int, l *link) bool {
 		if on(r, h) {
-			l.set(func() { l.delay = d })
+			l.update(func() { l.delay = d })
 		}
 		return false
 	})
 }
 
-// each changes links, and brings the listeners of those that it reports in line, side by side: each takes a moment.
-func (p *Platform) each(change func(r, h int, l *link) bool) {
+// changeLinks calls change for each link and applies the state of those for which it returns true to their listeners,
+// concurrently for the relays, since a blackhole takes some milliseconds.
+func (p *Platform) changeLinks(change func(r, h int, l *link) bool) {
 	var work sync.WaitGroup
 	for r := range p.links {
 		work.Go(func() {
 			for h, l := range p.links[r] {
 				if change(r, h, l) {
-					p.hosts[h].ports[r].follow()
+					p.hosts[h].ports[r].applyLinkState()
 				}
 			}
 		})
--- a/internal/lab/relays/config.go
+++ b/internal/lab/relays/config.go
@@ -11,13 +11,13 @@
 	"milletsail/internal/lab/scenario"
 )
 
-// object is one JSON object of a configuration.
+// object is a JSON object.
 type object = map[string]any
 
-// quantum is the least time between the batches of a relay, in seconds.
-const quantum = 0.002
+// batchInterval is the minimum time between a relay's batches, in seconds.
+const batchInterval = 0.002
 
-// settingsOf gives the settings object that the simulator's first message would give a relay, by the published names.
+// settingsOf returns the settings object of a relay, in the form that the simulator sends in its first message.
 func settingsOf(s *scenario.Scenario, p *platform.Platform, relay int) object {
 	var categories []object
 	for _, c := range s.Classes {
@@ -37,7 +37,7 @@
 	}
 	r := &s.Rules
 	return object{"az": slices.Index(s.Fleet.Zones, s.Fleet.Zone(relay)), "categories": categories, "discovery": s.Fleet.Discovery,
-		"family": "deliver", "localities": s.Fleet.Zones, "n_instances": s.Fleet.Relays, "ordinal": relay, "quantum_s": quantum,
+		"family": "deliver", "localities": s.Fleet.Zones, "n_instances": s.Fleet.Relays, "ordinal": relay, "quantum_s": batchInterval,
 		"limits": object{"cancel": true, "conn_idle_s": s.Fleet.ConnIdle.Seconds(), "connect_timeout_s": s.Fleet.ConnectTime.Seconds(),
 			"max_attempts": r.MaxAttempts, "max_open": s.Fleet.MaxOpen, "max_retry_after_s": r.MaxRetryAfter.Seconds(),
 			"max_streams": 1, "peers": s.Fleet.Gossip, "probing": false, "retry_after": true, "second_copies": false},
@@ -50,10 +50,10 @@
 		"tenants": []string{}, "weights": s.Fleet.Weights, "worth_by": "request"}
 }
 
-// Settings gives the settings object of a relay of a scenario, for relays that are run without a Fleet.
+// Settings returns the settings object of a relay of a scenario, for relays that are run without a Fleet.
 func Settings(s *scenario.Scenario, relay int) map[string]any { return settingsOf(s, nil, relay) }
 
-// writeConfig writes the configuration of a relay's next process in its folder.
+// writeConfig writes the configuration for the relay's next process; the lock is held.
 func (r *Relay) writeConfig() error {
 	f, n := r.fleet, r.fleet.subnet
 	var peers []string
@@ -67,12 +67,12 @@
 		"limits": object{"cores": f.s.Fleet.Cores, "memory_mb": f.s.Fleet.MemoryMB, "sockets": f.s.Fleet.Sockets,
 			"disk_mb": f.s.Fleet.DiskMB},
 		"peer_listen": n.PeerListen(r.No), "peers": peers, "peers_all": n.PeersAll(),
-		"known": f.p.Known(r.No, 0), "settings": settingsOf(f.s, f.p, r.No)}
+		"known": f.p.InitialMembers(r.No, 0), "settings": settingsOf(f.s, f.p, r.No)}
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
-	// A relay may read the file at any moment: it is replaced whole.
+	// The relay may read the file at any time, so it is replaced atomically.
 	path := r.configPath()
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		return err
--- a/internal/lab/relays/versions.go
+++ b/internal/lab/relays/versions.go
@@ -11,34 +11,35 @@
 	"milletsail/internal/lab/history"
 )
 
-// Versioned runs one relay's processes for the agent of a rollout: see rollout.Runner. While it does, a process that ends
-// by itself is started again, as an operators' machine would.
-type Versioned struct {
-	r       *Relay
-	crashes int // since the version was changed, under r.mu
-	busy    bool
+// Supervised runs one relay's processes for the agent of a rollout; see rollout.Runner. It restarts a process that
+// exits by itself, as a service manager would.
+type Supervised struct {
+	r        *Relay
+	crashes  int  // number of unexpected exits since the latest update; guarded by r.mu
+	updating bool // an update is in progress
 }
 
-// busyTries askAgain apart are far more than a start of another process takes.
-const busyTries = 100
+// maxBusyRetries bounds the retries, pollInterval apart, of starting an executable that is still open for writing.
+// They last far longer than the start of another process.
+const maxBusyRetries = 100
 
-// Version puts a relay's processes under an agent, until ctx ends.
-func (r *Relay) Version(ctx context.Context) *Versioned {
-	v := &Versioned{r: r}
+// Supervise starts to supervise a relay's processes, until ctx ends.
+func (r *Relay) Supervise(ctx context.Context) *Supervised {
+	v := &Supervised{r: r}
 	r.fleet.work.Go(func() {
 		for clock.Sleep(ctx, 50*time.Millisecond) {
-			v.revive(ctx)
+			v.restartIfExited(ctx)
 		}
 	})
 	return v
 }
 
-// revive starts a relay again that has ended by itself.
-func (v *Versioned) revive(ctx context.Context) {
+// restartIfExited restarts a relay whose process has exited by itself.
+func (v *Supervised) restartIfExited(ctx context.Context) {
 	r := v.r
 	r.mu.Lock()
-	p := r.now
-	busy := v.busy || r.down || p == nil
+	p := r.current
+	busy := v.updating || r.heldDown || p == nil
 	r.mu.Unlock()
 	if busy {
 		return
@@ -49,45 +50,45 @@
 		return
 	}
 	r.mu.Lock()
-	if v.busy || r.now != p {
+	if v.updating || r.current != p {
 		r.mu.Unlock()
 		return
 	}
 	v.crashes++
 	r.mu.Unlock()
-	if clock.Sleep(ctx, backAfter) {
-		_ = r.start(ctx) // the next look sees whether it lives
+	if clock.Sleep(ctx, restartDelay) {
+		_ = r.start(ctx) // a failed start is found by the next check
 	}
 }
 
-// Update brings a program into service beside the one that serves, by the handover; where the new one does not take
-// clients, the old one goes on, or is started again.
-func (v *Versioned) Update(ctx context.Context, program string) error {
+// Update starts an executable beside the process that serves and hands over to it. If the new process does not accept
+// clients, the old one continues, or is started again if it had handed over.
+func (v *Supervised) Update(ctx context.Context, program string) error {
 	r := v.r
 	r.mu.Lock()
-	was, old := r.program, r.now
-	r.program, v.busy = program, true
+	previous, old := r.program, r.current
+	r.program, v.updating = program, true
 	if old != nil {
-		old.meant = true
+		old.exitExpected = true
 	}
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		v.busy = false
+		v.updating = false
 	}()
 	p, err := r.launch()
-	// A program that was just written is busy while a process that was started meanwhile still has its descriptor, up to
-	// its own exec (the fork race of golang.org/issue/22315).
-	for n := 0; errors.Is(err, syscall.ETXTBSY) && n < busyTries && clock.Sleep(ctx, askAgain); n++ {
+	// Starting an executable that was just written fails with ETXTBSY while another process, forked meanwhile, still
+	// holds the descriptor up to its own exec (golang.org/issue/22315).
+	for n := 0; errors.Is(err, syscall.ETXTBSY) && n < maxBusyRetries && clock.Sleep(ctx, pollInterval); n++ {
 		p, err = r.launch()
 	}
 	if err == nil {
-		err = r.await(ctx, p, yesWithin, func() bool { return yes(p.admin) })
+		err = r.await(ctx, p, upgradeTimeout, func() bool { return acceptsClients(p.admin) })
 	}
 	if err == nil {
 		if old != nil {
-			r.note("term")
+			r.recordEvent("term")
 			r.end(old, syscall.SIGTERM)
 		}
 		r.mu.Lock()
@@ -99,24 +100,24 @@
 		r.end(p, syscall.SIGKILL)
 	}
 	r.mu.Lock()
-	r.program, r.now = was, old
+	r.program, r.current = previous, old
 	r.mu.Unlock()
 	if old != nil {
 		select {
 		case <-old.exited:
 		default:
-			if yes(old.admin) {
+			if acceptsClients(old.admin) {
 				return err
 			}
-			r.end(old, syscall.SIGTERM) // it had handed over
+			r.end(old, syscall.SIGTERM) // the old process has handed over already
 		}
 	}
 	return errors.Join(err, r.start(ctx))
 }
 
-// ZoneStatus is what the admin endpoint replies to "zone status".
-func (v *Versioned) ZoneStatus() string {
-	p := v.r.current()
+// ZoneStatus returns the admin endpoint's reply to "zone status", or "" if there is none.
+func (v *Supervised) ZoneStatus() string {
+	p := v.r.servingProcess()
 	if p == nil {
 		return ""
 	}
@@ -127,11 +128,11 @@
 	return text
 }
 
-// Counters is what the admin endpoint replies to "counters", with the memory of the process and how often one of this
-// version has ended by itself.
-func (v *Versioned) Counters() (text string, memoryMB float64, crashes int, err error) {
+// Counters returns the admin endpoint's reply to "counters", the resident memory of the process, and how often a
+// process has exited by itself since the latest update.
+func (v *Supervised) Counters() (text string, memoryMB float64, crashes int, err error) {
 	r := v.r
-	p := r.current()
+	p := r.servingProcess()
 	if p == nil {
 		return "", 0, 0, os.ErrProcessDone
 	}
