--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -1,5 +1,5 @@
-// Package compat decides whether one version of the relay can replace another, by comparing the journal and gossip formats that
-// each of them reads and writes.
+// Package compat decides whether one version of the relay can replace another, by comparing the journal formats that each of them
+// reads and writes. It also tells whether their gossip formats match, which an upgrade does not require.
 //
 // A version that does not report its formats, or whose report can't be parsed, is an error and never counts as compatible. The run
 // time and the output size of a queried program are limited.
--- a/internal/fleet/fact.go
+++ b/internal/fleet/fact.go
@@ -51,7 +51,7 @@
 	KindDestinationOpen: {"open", 2 * time.Second, 10 * time.Second},
 	// Without such reports, the relay relies on the failures that it observed itself.
 	KindEndpointEjected: {"out", 2 * time.Second, 30 * time.Second},
-	// Without such reports, the relay starts its own recovery ramp.
+	// Without such reports, the relay relies on its own calls to tell that an endpoint has recovered.
 	KindEndpointRecovered: {"back", 10 * time.Second, 30 * time.Second},
 	// Without such reports, the relay relies on the state of its own connections.
 	KindConnectionRejected: {"no room", 5 * time.Second, 10 * time.Second},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -4,8 +4,8 @@
 // clock, so the same code runs in a relay, in tests and in a simulation of ten thousand relays.
 //
 // Guarantees:
-//   - A fact is returned together with its age. It is never returned after it has expired by the reader's own clock,
-//     whatever age a sender claims.
+//   - A fact is returned with its age, or with the local time of its observation. It is never returned after it has
+//     expired by the reader's own clock, whatever age a sender claims.
 //   - Merging is commutative, associative, idempotent and monotonic, so messages may be lost, delayed, duplicated and
 //     reordered.
 //   - Facts are soft state: relays work correctly without them.
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// run advances the clock until the condition, if any, holds or until is reached. It returns the time and whether the condition
-// held.
+// run advances the clock to the time until, or until the condition holds if one is given. It returns the time that it has reached
+// and whether the condition held.
 func (s *simulation) run(until time.Duration, condition func() bool) (at time.Duration, ok bool) {
 	for ; s.now < until; s.now += simulationStep {
 		s.deliver()
--- a/internal/fleet/wire_golden_test.go
+++ b/internal/fleet/wire_golden_test.go
@@ -14,7 +14,7 @@
 )
 
 // updateWire makes the tests rewrite the golden files in testdata/wire instead of comparing with them. CI never sets it.
-var updateWire = flag.Bool("update-wire", false, "write the golden files of the wire")
+var updateWire = flag.Bool("update-wire", false, "rewrite the golden files in testdata/wire")
 
 // Parameters of the relays in these tests.
 const (
--- a/internal/journal/dump.go
+++ b/internal/journal/dump.go
@@ -19,7 +19,7 @@
 	AcceptedAt          time.Time       `json:"taken,omitzero"`
 	Attempts            []dumpedAttempt `json:"attempts,omitempty"`
 	PendingNotification *Notification   `json:"owed,omitempty"`
-	Bytes               int             `json:"body_bytes"` // length of the body, which is written only on request
+	Bytes               int             `json:"body_bytes"` // length of the body; Body itself is written only on request
 	Body                []byte          `json:"body,omitempty"`
 }
 
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -12,12 +12,12 @@
 	endpointReserve = 256
 )
 
-// Entry is an accepted request that has not completed.
+// Entry is an accepted request that has not completed. Other packages call the request a message.
 type Entry struct {
 	ID                  string
 	Class               string       // name of the message class
 	Dest                int          // number of the destination
-	Key                 string       // ordering key; empty for none
+	Key                 string       // idempotency key; empty for none
 	ExpiresAt           instant.Time // deadline for the delivery
 	AcceptedAt          instant.Time // when the relay accepted the request; Journal.Accept sets it if it is zero
 	Body                []byte
--- a/internal/journal/ownership.go
+++ b/internal/journal/ownership.go
@@ -45,7 +45,8 @@
 func (o *Ownership) Release() { _ = o.file.Close() } // closing a descriptor releases its locks even if it fails
 
 // TerminateOwner kills the process that owns a state directory, by SIGKILL: a process that neither hands over nor exits
-// might resume later and write over its successor's journal. It does nothing if no other process owns the directory.
+// might resume later and write over its successor's journal. It does nothing if no other process owns the directory. The
+// owner itself must not call it: see conflictingLock.
 func TerminateOwner(dir string) error {
 	lock, err := conflictingLock(dir)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return syscall.Kill(int(lock.Pid), syscall.SIGKILL)
 }
 
-// IsOwned reports whether a process owns a state directory. It changes nothing.
+// IsOwned reports whether another process owns a state directory. The owner itself must not call it: see conflictingLock.
 func IsOwned(dir string) (bool, error) {
 	lock, err := conflictingLock(dir)
 	if errors.Is(err, os.ErrNotExist) {
@@ -71,7 +72,7 @@
 }
 
 // conflictingLock returns the lock that another process holds on a state directory. The lock's type is F_UNLCK if no other
-// process holds one.
+// process holds one. The owner itself must not call it: closing the lock file would release the owner's lock.
 func conflictingLock(dir string) (*syscall.Flock_t, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR, 0)
 	if err != nil {
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -66,13 +66,13 @@
 
 // begin initializes the replay and its report from the segment's header. If the header is unreadable, the replay accepts
 // valid records from any sequence on.
-func (p *segmentReplay) begin(head header, headless bool, boot string) {
-	p.headerUnreadable = headless
+func (p *segmentReplay) begin(head header, headerUnreadable bool, boot string) {
+	p.headerUnreadable = headerUnreadable
 	p.clocks = head.clocks
 	if p.clocks == (clock.Pair{}) {
 		p.clocks = wallClockOnly
 	}
-	if !headless {
+	if !headerUnreadable {
 		p.lastSequence = head.firstSequence - 1
 	}
 	r := p.report
--- a/internal/journal/report.go
+++ b/internal/journal/report.go
@@ -6,18 +6,19 @@
 
 // Report describes what a replay found. Its JSON keys are part of the output of the command `journal stat`.
 type Report struct {
-	File              string   `json:"file,omitempty"` // name of the replayed file; empty if the directory has no journal
-	Format            uint32   `json:"format"`
-	Relay             string   `json:"relay,omitempty"`
-	SurvivesPowerLoss bool     `json:"power"`              // the file was written with durability Power
-	Boot              string   `json:"boot,omitempty"`     // boot ID of the machine when the file was begun
-	Bytes             int64    `json:"bytes"`              // size of the file, in bytes
-	Records           int      `json:"records"`            // number of records that were applied
-	LastSequence      uint64   `json:"last"`               // sequence of the last record that was read
-	Torn              int64    `json:"torn,omitempty"`     // length of a torn record at the end, which was dropped, in bytes
-	Damage            []Damage `json:"damage,omitempty"`   // ranges that can't be read
-	Rebooted          bool     `json:"rebooted,omitempty"` // the machine has rebooted since the file was begun
-	Partial           bool     `json:"partial,omitempty"`  // the file's snapshot is incomplete, and no complete older file exists
+	File              string `json:"file,omitempty"` // name of the replayed file; empty if the directory has no journal
+	Format            uint32 `json:"format"`
+	Relay             string `json:"relay,omitempty"`
+	SurvivesPowerLoss bool   `json:"power"`          // the file was written with durability Power
+	Boot              string `json:"boot,omitempty"` // boot ID of the machine when the file was begun
+	Bytes             int64  `json:"bytes"`          // size of the file, in bytes
+	Records           int    `json:"records"`        // number of records that were applied
+	LastSequence      uint64 `json:"last"`           // sequence of the last record that was read
+	// Torn is the length in bytes of what was dropped at the end: a torn record or, after a reboot, the whole unreadable end.
+	Torn     int64    `json:"torn,omitempty"`
+	Damage   []Damage `json:"damage,omitempty"`   // ranges that can't be read
+	Rebooted bool     `json:"rebooted,omitempty"` // the machine has rebooted since the file was begun
+	Partial  bool     `json:"partial,omitempty"`  // the file's snapshot is incomplete, and no complete older file exists
 	// SkippedSegments are the names of newer segments that were skipped because their snapshot is incomplete.
 	SkippedSegments []string `json:"passed,omitempty"`
 	// UsedWallClock reports that times were converted by the wall clock, since the monotonic clock readings are missing, of
@@ -38,7 +39,8 @@
 	file       string // name of the file
 }
 
-// Complete reports whether no record was lost, except for a torn one at the end.
+// Complete reports whether the replay found no loss, apart from what Torn covers: a torn record or, after a reboot, the whole
+// unreadable end.
 func (r *Report) Complete() bool {
 	return len(r.Damage) == 0 && len(r.SkippedSegments) == 0 && !r.Partial
 }
--- a/internal/journal/stat.go
+++ b/internal/journal/stat.go
@@ -9,7 +9,7 @@
 // Summary describes the content of a directory in numbers. Its JSON keys are those of the command `journal stat`.
 type Summary struct {
 	Report
-	Complete bool `json:"whole"` // no record was lost, except for a torn one at the end
+	Complete bool `json:"whole"` // no loss was found, apart from what Torn covers
 	Live     int  `json:"live"`  // number of live entries
 	// PendingNotifications is the number of live entries whose notification the platform has not acknowledged.
 	PendingNotifications int `json:"owed"`
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -85,8 +85,9 @@
 	return class.Effect != policy.Idempotent || s.message.responses != nil
 }
 
-// unrecordedNotification is a notification that is held back until the end of its message is on disk. If the platform received it
-// earlier and the process crashed, the next process would find the message live in the journal and send it.
+// unrecordedNotification is a notification that is held back until the end of its message is on disk or the message has expired.
+// If the platform received it earlier and the process crashed, the next process would find the message live in the journal and
+// send it.
 type unrecordedNotification struct {
 	notification journal.Notification
 	expiresAt    instant.Time // when the message expires; from then on no process sends it, so the notification may go out
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -188,7 +188,8 @@
 	if config.Policy, err = config.Settings.Policy(); err != nil {
 		return err
 	}
-	// The relay learns of changed endpoints only by a watch. The simulator also has deployments that are notified without one.
+	// The relay learns of changed endpoints only by a watch, also if the settings have the discovery mode "automatic". In the
+	// simulator, that mode sends changes without a watch.
 	config.Policy.Subscribe = true
 	config.Policy.PublishRates = config.Fleet
 	config.Policy.Zones = config.Zones
--- a/internal/relay/discovery/timing_test.go
+++ b/internal/relay/discovery/timing_test.go
@@ -129,14 +129,15 @@
 	return delay
 }
 
-// Guards against a change that arrives later than 6 s after an outage of discovery, when the protocol counts it as received, for
-// any fleet size, phase of the watch and length of the outage. A relay without jitter has to receive it much sooner.
+// Guards against a change that arrives more than 6 s after the end of an outage of discovery: from that time on, the protocol
+// counts the change as received. The bound holds for any fleet size, phase of the watch and length of the outage. A relay without
+// jitter has to receive the change much sooner.
 func TestChangeArrivesInTimeAfterOutage(t *testing.T) {
 	const receivedAfter = 6 * time.Second
 	for _, tt := range []struct {
 		mode   string
 		relays int
-		most   time.Duration
+		bound  time.Duration
 	}{
 		{"subscribe", 1, SilenceTimeout + time.Second}, {"automatic", 300, SilenceTimeout + time.Second},
 		{"subscribe", 2, receivedAfter}, {"subscribe", 12, receivedAfter}, {"subscribe", 60, receivedAfter},
@@ -144,18 +145,18 @@
 	} {
 		for _, rejects := range []bool{false, true} {
 			worst, when := time.Duration(0), ""
-			for open := 50 * time.Millisecond; open < 2*time.Second; open += 130 * time.Millisecond {
-				for lasts := time.Duration(0); lasts < 20*time.Second; lasts += 410 * time.Millisecond {
-					if took := deliveryDelayAfterOutage(t, tt.relays, tt.mode, open, lasts, rejects); took > worst {
-						worst, when = took, fmt.Sprintf("outage after %v for %v", open, lasts)
+			for openFor := 50 * time.Millisecond; openFor < 2*time.Second; openFor += 130 * time.Millisecond {
+				for duration := time.Duration(0); duration < 20*time.Second; duration += 410 * time.Millisecond {
+					if took := deliveryDelayAfterOutage(t, tt.relays, tt.mode, openFor, duration, rejects); took > worst {
+						worst, when = took, fmt.Sprintf("outage after %v for %v", openFor, duration)
 					}
 				}
 			}
 			t.Logf("mode %s, %d relays, rejects %v: change delivered after %v at most (%s)",
 				tt.mode, tt.relays, rejects, worst, when)
-			if worst > tt.most {
+			if worst > tt.bound {
 				t.Errorf("mode %s, %d relays, rejects %v: change delivered after %v (%s), want at most %v",
-					tt.mode, tt.relays, rejects, worst, when, tt.most)
+					tt.mode, tt.relays, rejects, worst, when, tt.bound)
 			}
 		}
 	}
--- a/internal/relay/discovery/watcher.go
+++ b/internal/relay/discovery/watcher.go
@@ -54,9 +54,9 @@
 // errRedirected is the cause with which a watch is canceled when discovery's address changes.
 var errRedirected = errors.New("discovery address changed")
 
-// New returns a watcher of the endpoint list at discovery's address. Requests are delayed by a random time of at most jitter.
-// The watcher calls onBatch for each batch; the callee has to close Batch.Applied once the batch is applied. It calls onEnd
-// after each watch that ended for another reason than a redirect.
+// New returns a watcher of the endpoint list at discovery's address. Requests are delayed by a random time of at most jitter,
+// and by longer after failures (see nextDelay). The watcher calls onBatch for each batch; the callee has to close Batch.Applied
+// once the batch is applied. It calls onEnd after each watch that ended, unless by a redirect or by the end of Run's context.
 func New(address string, jitter time.Duration, onBatch func(Batch), onEnd func()) *Watcher {
 	w := &Watcher{onBatch: onBatch, MaxListSize: math.MaxInt64, onEnd: onEnd, silenceTimeout: SilenceTimeout, jitter: jitter,
 		randomDelay: func(span time.Duration) time.Duration { return rand.N(span + 1) },
--- a/internal/relay/endpointlist.go
+++ b/internal/relay/endpointlist.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// sweepBatchSize is how many slots of the table one step of the loop examines while it removes the entries that a complete
+	// removalBatchSize is how many slots of the table one step of the loop examines while it removes the entries that a complete
 	// list no longer names.
-	sweepBatchSize = 2048
+	removalBatchSize = 2048
 	// maxLoggedChanges is how many changes of one object are logged individually. An object with more is logged by their number.
 	maxLoggedChanges = 32
 )
@@ -34,10 +34,10 @@
 	version    int64            // version of the last object that was applied completely; 0 requests a complete list
 	clocks     clock.Pair       // clock readings at the start of the process; they convert the list's wall times
 
-	replacing bool              // the entries of the current object are being marked, since it may be a complete list
-	changes   int               // number of changes that the current object has made
-	sweeping  *discovery.Batch  // last batch of a complete list while unlisted entries are removed; nil otherwise
-	queued    []discovery.Batch // batches that arrived while sweeping was set
+	replacing        bool              // the entries of the current object are being marked, since it may be a complete list
+	changes          int               // number of changes that the current object has made
+	removingUnlisted *discovery.Batch  // last batch of a complete list while unlisted entries are removed; nil otherwise
+	queued           []discovery.Batch // batches that arrived while removingUnlisted was set
 }
 
 // endpoint converts an entry of the list to the policy's type.
@@ -72,7 +72,7 @@
 
 // handleBatch applies a batch from discovery, or queues it while an earlier complete list is still being applied.
 func (l *loop) handleBatch(batch discovery.Batch) {
-	if l.endpoints.sweeping != nil {
+	if l.endpoints.removingUnlisted != nil {
 		l.endpoints.queued = append(l.endpoints.queued, batch)
 		return
 	}
@@ -84,7 +84,7 @@
 	case !batch.End:
 		close(batch.Applied)
 	case batch.Complete && l.endpoints.replacing:
-		l.endpoints.sweeping = &batch // finishObject closes batch.Applied once removeUnlisted is done
+		l.endpoints.removingUnlisted = &batch // finishObject closes batch.Applied once removeUnlisted is done
 	default:
 		l.endpoints.abortReplacement()
 		l.finishObject(batch)
@@ -188,11 +188,11 @@
 // removeUnlisted does the next step of removing the entries that a complete list did not name. After the last step it handles
 // the batches that were queued meanwhile. It does nothing if no removal is in progress.
 func (l *loop) removeUnlisted() {
-	last := l.endpoints.sweeping
+	last := l.endpoints.removingUnlisted
 	if last == nil {
 		return
 	}
-	removed, done := l.endpoints.table.Sweep(sweepBatchSize)
+	removed, done := l.endpoints.table.Sweep(removalBatchSize)
 	var removedEndpoints []policy.Endpoint
 	var hosts []string
 	for _, e := range removed {
@@ -207,7 +207,7 @@
 	if !done {
 		return
 	}
-	l.endpoints.sweeping, l.endpoints.replacing = nil, false
+	l.endpoints.removingUnlisted, l.endpoints.replacing = nil, false
 	l.dropUnlistedHealth()
 	l.finishObject(*last)
 	waiting := l.endpoints.queued
--- a/internal/relay/endpointstore.go
+++ b/internal/relay/endpointstore.go
@@ -12,8 +12,8 @@
 	listDirectory = "endpoints"
 	// listDiskShare is the share of the disk limit that the endpoint list may use; the journal may use the rest.
 	listDiskShare = 1.0 / 8
-	// compactionInterval is the time between the steps of the store's compaction. It keeps the compaction of a long list to a
-	// small part of the loop's time: 490,000 entries are written in about ten seconds.
+	// compactionInterval bounds the loop's wait before the next step of the store's compaction. Each step of the loop also does
+	// one. At this interval, compaction takes a small part of the loop's time: 490,000 entries are written in about ten seconds.
 	compactionInterval = 10 * time.Millisecond
 )
 
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -15,7 +15,8 @@
 // a handover, handleAfterHandover processes events instead.
 type event interface{ apply(l *loop) }
 
-// The events that clients, calls, discovery, other relays, the platform, the process itself and its successor cause.
+// The events that clients, calls, discovery, other relays, the platform, the process itself and its successor cause. Operators
+// cause adminCommand events.
 type (
 	// messageArrived reports a message that a client has submitted.
 	messageArrived struct{ *frontend.Submission }
@@ -35,7 +36,7 @@
 	batchReceived struct{ discovery.Batch }
 	// gossipReceived brings a gossip message for the policy.
 	gossipReceived struct{ message []byte }
-	// peersAssessed brings what the relays of the fleet have jointly observed of an endpoint and its destination.
+	// peersAssessed brings what the relays of the fleet have jointly observed of a destination or an endpoint.
 	peersAssessed struct{ live.PeerAssessment }
 	// watchEnded reports that the watch on discovery ended or could not be started.
 	watchEnded struct{}
--- a/internal/relay/frontend/connection.go
+++ b/internal/relay/frontend/connection.go
@@ -140,7 +140,7 @@
 // linger shuts down the sending side and discards input until the client closes its side, lingerTimeout is over or
 // maxLingerBytes were read. Then it closes the connection.
 func (c *Connection) linger() {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
+	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok && conn.CloseWrite() == nil {
 		_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 		_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes)
 	}
--- a/internal/relay/frontend/connection_test.go
+++ b/internal/relay/frontend/connection_test.go
@@ -28,12 +28,12 @@
 			"HTTP/1.1 413 "},
 	} {
 		submitted := make(chan string, 9)
-		s, g := testServer(t, func(a *Submission) {
+		s, limiter := testServer(t, func(a *Submission) {
 			submitted <- a.Entry.ID
 			a.Response <- Response{Status: http.StatusAccepted}
 		}, func(*Submission) {})
 		s.draining.Store(true)
-		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", g.Addr().String())
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", limiter.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,13 +60,13 @@
 // Guards against a peer that holds a connection open after its last response, by sending without end or by sending nothing:
 // lingering is bounded in time and bytes.
 func TestLingeringIsBounded(t *testing.T) {
-	_, g := testServer(t, nil, nil)
-	silent, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", g.Addr().String())
+	_, limiter := testServer(t, nil, nil)
+	silent, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", limiter.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = silent.Close() }()
-	flood, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", g.Addr().String())
+	flood, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", limiter.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,9 +75,9 @@
 	for err = nil; err == nil; { // until the relay closes the connection
 		_, err = io.WriteString(flood, strings.Repeat("what?\r\n\r\n", 1000))
 	}
-	for end := time.Now().Add(testTimeout); g.Count() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); limiter.Count() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections still open after the time-out", g.Count())
+			t.Fatalf("%d connections still open after the time-out", limiter.Count())
 		}
 	}
 }
@@ -109,20 +109,20 @@
 			c.limiter.mu.Lock()
 		}},
 	} {
-		g := &ConnectionLimiter{connections: map[*Connection]bool{}}
-		g.changed.L = &g.mu
+		limiter := &ConnectionLimiter{connections: map[*Connection]bool{}}
+		limiter.changed.L = &limiter.mu
 		raw := gatedConn{readable: make(chan bool)}
-		c := &Connection{Conn: raw, limiter: g}
-		g.connections[c] = true
+		c := &Connection{Conn: raw, limiter: limiter}
+		limiter.connections[c] = true
 		read := make(chan int, 1)
 		go func() {
 			n, _ := c.Read(make([]byte, 9))
 			read <- n
 		}()
-		g.mu.Lock()
+		limiter.mu.Lock()
 		raw.readable <- true // the bytes are read now, but the close gets the lock first
 		closes.do(c)
-		g.mu.Unlock()
+		limiter.mu.Unlock()
 		if n := receive(t, read); n != 0 {
 			t.Errorf("%s: %d bytes were read from a closed connection, want 0", closes.name, n)
 		}
@@ -136,7 +136,7 @@
 // client could not get a response.
 func TestRequestOnClosedConnectionIsNotSubmitted(t *testing.T) {
 	submitted := make(chan string, 9)
-	s, g := testServer(t, func(a *Submission) {
+	s, limiter := testServer(t, func(a *Submission) {
 		submitted <- a.Entry.ID
 		a.Response <- Response{Status: http.StatusAccepted}
 	}, func(*Submission) {})
@@ -148,19 +148,19 @@
 			t.Error("the request context holds no Connection")
 			return
 		}
-		g.mu.Lock()
+		limiter.mu.Lock()
 		c.closed = true
-		g.mu.Unlock()
+		limiter.mu.Unlock()
 		serve.ServeHTTP(w, r)
 	})
-	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", g.Addr().String())
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", limiter.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
 	_, _ = io.WriteString(c, messageRequest("a"))
 	_ = closeWrite(c)
-	for end := time.Now().Add(testTimeout); g.any(func(c *Connection) bool { return c.state == stateResponsePending }) &&
+	for end := time.Now().Add(testTimeout); limiter.any(func(c *Connection) bool { return c.state == stateResponsePending }) &&
 		time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -174,8 +174,8 @@
 // message is withdrawn, and it must not get a response that says otherwise.
 func TestHalfClosedClientCountsAsDisconnected(t *testing.T) {
 	left := make(chan bool, 1)
-	_, g := testServer(t, func(*Submission) {}, func(*Submission) { left <- true })
-	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", g.Addr().String())
+	_, limiter := testServer(t, func(*Submission) {}, func(*Submission) { left <- true })
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", limiter.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,11 +209,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := &ConnectionLimiter{Listener: l, capacity: 9, connections: map[*Connection]bool{},
+			limiter := &ConnectionLimiter{Listener: l, capacity: 9, connections: map[*Connection]bool{},
 				queueDelay: func() time.Duration { return time.Hour }}
-			g.changed.L = &g.mu
+			limiter.changed.L = &limiter.mu
 			s := NewServer(&config.Config{}, new(metrics.ReasonCounters), func(*Submission) {}, func(*Submission) {})
-			go func() { _ = s.http.Serve(g) }()
+			go func() { _ = s.http.Serve(limiter) }()
 			t.Cleanup(func() { _ = s.http.Close() })
 			begun := time.Now()
 			peer, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", l.Addr().String())
--- a/internal/relay/frontend/endings_test.go
+++ b/internal/relay/frontend/endings_test.go
@@ -24,13 +24,13 @@
 	t.Parallel()
 	expired, arrived := make(chan *hookedConn, 1), make(chan bool)
 	ids := make(chan string, 9)
-	g := hookedServer(t, 9, readHooks{expired: func(c *hookedConn) {
+	limiter := hookedServer(t, 9, readHooks{expired: func(c *hookedConn) {
 		if c.number == 1 {
 			expired <- c
 			<-arrived
 		}
 	}}, acceptAll(ids), nil)
-	c := dial(t, g)
+	c := dial(t, limiter)
 	write(t, c, messageRequest("first"))
 	wantAccepted(t, "request before the idle time-out", c)
 
@@ -41,12 +41,12 @@
 	if got, err := io.ReadAll(c); len(got) > 0 || err != nil && !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("on the closed connection: read %q and error %v, want no data", got, err)
 	}
-	eventually(t, "the connection is removed from the limiter", func() bool { return g.Count() == 0 })
+	eventually(t, "the connection is removed from the limiter", func() bool { return limiter.Count() == 0 })
 	if got := drainSorted(ids); !slices.Equal(got, []string{"first"}) {
 		t.Errorf("accepted %v, want only the first request", got)
 	}
 
-	again := dial(t, g)
+	again := dial(t, limiter)
 	write(t, again, messageRequest("crossing"))
 	wantAccepted(t, "request sent again", again)
 	if got := drainSorted(ids); !slices.Equal(got, []string{"crossing"}) {
@@ -63,21 +63,21 @@
 	relaySides := make(chan *hookedConn, 1)
 	var held atomic.Bool
 	ids := make(chan string, 9)
-	g := hookedServer(t, 2, readHooks{before: func(c *hookedConn) {
+	limiter := hookedServer(t, 2, readHooks{before: func(c *hookedConn) {
 		if c.number == 1 && held.CompareAndSwap(false, true) {
 			relaySides <- c
 			<-resumeRead
 			_ = c.SetReadDeadline(time.Time{}) // the delay came from the test, not from the client
 		}
 	}}, acceptAll(ids), nil)
-	oldest := dial(t, g)
+	oldest := dial(t, limiter)
 	relaySide := receive(t, relaySides)
-	silent := dial(t, g)
-	eventually(t, "the limiter is at its capacity", func() bool { return g.Count() == 2 })
+	silent := dial(t, limiter)
+	eventually(t, "the limiter is at its capacity", func() bool { return limiter.Count() == 2 })
 	write(t, oldest, messageRequest("unread"))
 	eventually(t, "the request is in the relay's buffer", func() bool { return socket.HasUnread(relaySide) })
 
-	newest := dial(t, g)
+	newest := dial(t, limiter)
 	write(t, newest, messageRequest("new"))
 	if got, err := io.ReadAll(silent); len(got) > 0 || err != nil {
 		t.Errorf("evicted connection: read %q and error %v, want its end without data", got, err)
@@ -101,13 +101,13 @@
 			t.Parallel()
 			expired, arrived := make(chan *hookedConn, 1), make(chan bool)
 			ids := make(chan string, 9)
-			g := hookedServer(t, 9, readHooks{expired: func(c *hookedConn) {
+			limiter := hookedServer(t, 9, readHooks{expired: func(c *hookedConn) {
 				if c.number == 1 {
 					expired <- c
 					<-arrived
 				}
 			}}, acceptAll(ids), nil)
-			c := dial(t, g)
+			c := dial(t, limiter)
 			write(t, c, tt.early)
 			relaySide := receive(t, expired)
 			write(t, c, tt.late)
@@ -123,7 +123,7 @@
 			if got := drainSorted(ids); len(got) > 0 {
 				t.Errorf("accepted %v, want none", got)
 			}
-			again := dial(t, g)
+			again := dial(t, limiter)
 			write(t, again, messageRequest("late"))
 			wantAccepted(t, "request sent again", again)
 		})
@@ -136,8 +136,8 @@
 	t.Parallel()
 	accepted := make(chan *Submission, 1)
 	var withdrawn atomic.Bool
-	g := hookedServer(t, 9, readHooks{}, func(a *Submission) { accepted <- a }, func(*Submission) { withdrawn.Store(true) })
-	c := dial(t, g)
+	limiter := hookedServer(t, 9, readHooks{}, func(a *Submission) { accepted <- a }, func(*Submission) { withdrawn.Store(true) })
+	c := dial(t, limiter)
 	begun := time.Now()
 	write(t, c, messageRequest("m"))
 	a := receive(t, accepted)
--- a/internal/relay/frontend/helpers_test.go
+++ b/internal/relay/frontend/helpers_test.go
@@ -41,13 +41,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newLimiter(l, 9)
+	limiter := newLimiter(l, 9)
 	c := &config.Config{}
 	c.Policy.Classes = []policy.Class{{Name: "status", Deadline: time.Minute}}
 	s := NewServer(c, new(metrics.ReasonCounters), submit, withdraw)
-	go func() { _ = s.http.Serve(g) }()
+	go func() { _ = s.http.Serve(limiter) }()
 	t.Cleanup(func() { _ = s.http.Close() })
-	return s, g
+	return s, limiter
 }
 
 // messageRequest returns the text of a complete request with a message for destination 7.
@@ -127,13 +127,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newLimiter(&hookedListener{Listener: l, hooks: hooks}, capacity)
+	limiter := newLimiter(&hookedListener{Listener: l, hooks: hooks}, capacity)
 	c := &config.Config{}
 	c.Policy.Classes = []policy.Class{{Name: "status", Deadline: time.Minute}}
 	s := NewServer(c, new(metrics.ReasonCounters), submit, withdraw)
-	go func() { _ = s.http.Serve(g) }()
+	go func() { _ = s.http.Serve(limiter) }()
 	t.Cleanup(func() { _ = s.http.Close() })
-	return g
+	return limiter
 }
 
 // acceptAll returns a submit function that sends the id of each message to ids and answers the request with 202.
--- a/internal/relay/frontend/limiter.go
+++ b/internal/relay/frontend/limiter.go
@@ -34,7 +34,7 @@
 	// rest.
 	minShareInHandover = 0.25
 	// stallTimeout is how long a client may send nothing in the middle of a request before it counts as stalled. Some clients
-	// take 2 s to send a request, but without pauses of that length.
+	// take 2 s to send a request, but never pause for as long as stallTimeout.
 	stallTimeout = 500 * time.Millisecond
 )
 
--- a/internal/relay/frontend/limiter_test.go
+++ b/internal/relay/frontend/limiter_test.go
@@ -33,15 +33,15 @@
 				time.Minute)}, true},
 	}
 	for _, tt := range tests {
-		g := &ConnectionLimiter{connections: map[*Connection]bool{}}
+		limiter := &ConnectionLimiter{connections: map[*Connection]bool{}}
 		for _, c := range tt.open {
-			g.connections[c] = true
+			limiter.connections[c] = true
 		}
 		want := tt.open[0]
 		if tt.none {
 			want = nil
 		}
-		if got := g.evictionCandidate(now); got != want {
+		if got := limiter.evictionCandidate(now); got != want {
 			t.Errorf("%s: wrong candidate %+v", tt.name, got)
 		}
 	}
--- a/internal/relay/frontend/submission.go
+++ b/internal/relay/frontend/submission.go
@@ -30,7 +30,8 @@
 type Submission struct {
 	// Entry is the message as it is written to the journal.
 	Entry *journal.Entry
-	// Response receives exactly one response. It is buffered, so that sending the response never blocks.
+	// Response receives at most one response, and may receive none if the client leaves first. It is buffered, so that sending the
+	// response never blocks.
 	Response chan Response
 }
 
--- a/internal/relay/handover/link.go
+++ b/internal/relay/handover/link.go
@@ -29,7 +29,7 @@
 	closed    chan struct{} // closed by Close
 	closeOnce sync.Once
 	state     State
-	clocks    clock.Pair // the clock readings in the offer, with which both processes convert times
+	clocks    clock.Pair // converts times; from the offer, or the successor's own readings if the offer has none
 }
 
 // newLink returns a link over a connection, in the state StateConnected.
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -37,7 +37,7 @@
 	p.t.Cleanup(func() { _ = p.clientSocket.Close() })
 }
 
-// startSuccessor starts a second relay process next to the running one, and waits until it serves clients after a handover.
+// startSuccessor starts a second relay process next to the running one, and waits until it serves clients.
 func (p *platform) startSuccessor() *child {
 	p.t.Helper()
 	p.admin = closedAddress(p.t)
@@ -193,7 +193,7 @@
 // An endpoint's request to wait, received by the predecessor, has to bind the successor too; it is transferred in the offer.
 func TestRetryAfterSurvivesUpgrade(t *testing.T) {
 	p := newPlatform(t)
-	var refusedAt time.Time
+	var rejectedAt time.Time
 	addr := serveRaw(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		for {
@@ -203,9 +203,9 @@
 			}
 			text := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 			p.update(func() {
-				if refusedAt.IsZero() {
-					refusedAt, text = time.Now(), "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n"
-				} else if wait := time.Since(refusedAt); wait < 1500*time.Millisecond {
+				if rejectedAt.IsZero() {
+					rejectedAt, text = time.Now(), "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n"
+				} else if wait := time.Since(rejectedAt); wait < 1500*time.Millisecond {
 					t.Errorf("sent again after %v, want at least 1.5 s", wait)
 				}
 			})
@@ -218,7 +218,7 @@
 	p.start()
 	p.submitAccepted("status", "m", "25")
 	p.nextCall()
-	p.waitUntil("the refusal is in the journal", func() bool {
+	p.waitUntil("the result of the rejected attempt is in the journal", func() bool {
 		e := readEntries(t, p.stateDir)
 		return len(e) == 1 && len(e[0].Attempts) == 1 && e[0].Attempts[0].Ended
 	})
--- a/internal/relay/list_bench_test.go
+++ b/internal/relay/list_bench_test.go
@@ -42,7 +42,7 @@
 			c := p.start()
 			b.ReportMetric(time.Since(start).Seconds(), from+"-s")
 			if n := p.memberCount(); n != maxPlannedHosts {
-				b.Fatalf("relay has %d endpoints on its list, want all", n)
+				b.Fatalf("relay has %d endpoints on its list, want %d", n, maxPlannedHosts)
 			}
 			b.ReportMetric(memoryOf(b, c, "VmRSS"), from+"-MB")
 			b.ReportMetric(memoryOf(b, c, "VmHWM"), from+"-most-MB")
@@ -84,7 +84,7 @@
 					l.handleEvent(batchReceived{batch})
 					l.step(b.Context())
 				})
-				for l.endpoints.sweeping != nil {
+				for l.endpoints.removingUnlisted != nil {
 					timed(func() { l.step(b.Context()) })
 				}
 			})
--- a/internal/relay/list_disk_test.go
+++ b/internal/relay/list_disk_test.go
@@ -61,7 +61,7 @@
 	}
 	version := deliverObjects(tb, text, func(b discovery.Batch) {
 		l.handleEvent(batchReceived{b})
-		for l.step(tb.Context()); l.endpoints.sweeping != nil; {
+		for l.step(tb.Context()); l.endpoints.removingUnlisted != nil; {
 			l.step(tb.Context())
 		}
 	})
--- a/internal/relay/list_flow_test.go
+++ b/internal/relay/list_flow_test.go
@@ -27,15 +27,15 @@
 	next.Seq, next.CompleteKnown = 52, true
 	l.handleEvent(batchReceived{whole})
 	l.handleEvent(batchReceived{next})
-	for steps := 1; l.endpoints.sweeping != nil; steps++ {
+	for steps := 1; l.endpoints.removingUnlisted != nil; steps++ {
 		before := l.endpoints.table.Len()
 		if _, seq := readStoredList(t, dir); seq != 50 || applied(whole) || applied(next) {
 			t.Fatalf("before all removals are done, version %d is on disk (want 50), and the lists are applied: %v and %v (want neither)",
 				seq, applied(whole), applied(next))
 		}
 		l.step(t.Context())
-		if removed := before - l.endpoints.table.Len(); removed > sweepBatchSize {
-			t.Fatalf("%d entries removed in one step, more than sweepBatchSize", removed)
+		if removed := before - l.endpoints.table.Len(); removed > removalBatchSize {
+			t.Fatalf("%d entries removed in one step, more than removalBatchSize", removed)
 		}
 		if steps > manyHosts {
 			t.Fatal("the removals did not end within as many steps as there are entries")
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -70,7 +70,7 @@
 	lastStep   instant.Time // when the last step began
 	lastClocks clock.Pair   // last reading of checkClocks
 	zones      *zoneOrders  // operators' zone orders; nil if zones are disabled
-	// unrecordedNotifications are held back until the ends of their messages are on disk.
+	// unrecordedNotifications are held back until the ends of their messages are on disk, or the messages have expired.
 	unrecordedNotifications []unrecordedNotification
 
 	// The ownership of the state directory.
@@ -124,7 +124,7 @@
 // maintain does the periodic work: it closes connections that have been idle for too long, checks the clocks and, in the owner of
 // the state directory, retries failed journal writes, continues the store's compaction and reports overdue messages.
 func (l *loop) maintain() {
-	l.pool.Sweep()
+	l.pool.Maintain()
 	l.checkClocks()
 	if l.handover.ownsState() {
 		l.setWritable(l.journal.Retry())
@@ -166,7 +166,7 @@
 	switch {
 	case !l.handover.ownsState():
 		return time.Hour
-	case len(l.batch.events) > 0 || l.endpoints.sweeping != nil:
+	case len(l.batch.events) > 0 || l.endpoints.removingUnlisted != nil:
 		return 0
 	}
 	wait := max(0, clock.Until(l.timerAt))
@@ -228,7 +228,8 @@
 			response := frontend.Response{Status: http.StatusTooManyRequests, RetryAfter: a.RetryAfter}
 			l.endUndelivered(l.messages[a.ID], response, notifier.StatusDeferred, a.Reason)
 		case policy.Fail:
-			l.endUndelivered(l.messages[a.ID], frontend.Response{Status: http.StatusBadGateway}, notifier.StatusUndeliverable, a.Reason)
+			response := frontend.Response{Status: http.StatusBadGateway}
+			l.endUndelivered(l.messages[a.ID], response, notifier.StatusUndeliverable, a.Reason)
 		}
 	}
 }
--- a/internal/relay/notifier/notifier_test.go
+++ b/internal/relay/notifier/notifier_test.go
@@ -72,16 +72,16 @@
 	})
 }
 
-// failingPlatform returns a platform that fails every post with a notification of the message "odd" until recoversAt: the post
+// failingPlatform returns a platform that fails every post with a notification of the message "failing" until recoversAt: the post
 // hangs or, if hang is false, is answered 400. It receives all other posts.
 func failingPlatform(recoversAt time.Time, hang bool) roundTrip {
 	return func(r *http.Request) (*http.Response, error) {
 		body, _ := io.ReadAll(r.Body)
-		switch odd := strings.Contains(string(body), `"odd"`) && time.Now().Before(recoversAt); {
-		case odd && hang:
+		switch failing := strings.Contains(string(body), `"failing"`) && time.Now().Before(recoversAt); {
+		case failing && hang:
 			<-r.Context().Done()
 			return nil, r.Context().Err()
-		case odd:
+		case failing:
 			return &http.Response{StatusCode: http.StatusBadRequest, Body: http.NoBody}, nil
 		}
 		return &http.Response{StatusCode: http.StatusNoContent, Body: http.NoBody}, nil
@@ -107,26 +107,27 @@
 			recoversAt := time.Now().Add(5 * time.Second)
 			n.client.Transport = failingPlatform(recoversAt, hangs)
 			go n.Run(ctx)
-			due := map[string]time.Time{"odd": recoversAt}
+			due := map[string]time.Time{"failing": recoversAt}
 			for i := range 40 {
 				for _, id := range []string{fmt.Sprint(i, "a"), fmt.Sprint(i, "b")} {
 					due[id] = time.Now()
 					n.Enqueue(journal.Notification{ID: id, Status: StatusDeferred})
 				}
 				if i == 3 {
-					n.Enqueue(journal.Notification{ID: "odd", Status: StatusUndeliverable})
+					n.Enqueue(journal.Notification{ID: "failing", Status: StatusUndeliverable})
 				}
 				time.Sleep(30 * time.Millisecond)
 			}
 			for len(due) > 0 {
 				r := <-got
 				most := 300 * time.Millisecond
-				if r.id == "odd" {
+				if r.id == "failing" {
 					most = maxRetryBackoff + postTimeout
 				}
 				at, expected := due[r.id]
 				if late := r.at.Sub(at); !expected || late > most {
-					t.Errorf("hangs %v: notification of %s received after %v (still expected: %v)", hangs, r.id, late, expected)
+					t.Errorf("platform hangs %v: notification of %s received %v after it was due, want at most %v (expected at all: %v)",
+						hangs, r.id, late, most, expected)
 				}
 				delete(due, r.id)
 			}
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -109,9 +109,9 @@
 		if attempt, ok := p.inFlight[r.ID]; ok && attempt == r.Attempt {
 			delete(p.inFlight, r.ID)
 		}
-		all = append(all, attemptEnded{id: r.ID, attempt: r.Attempt, endpoint: r.Endpoint, latency: r.Latency, Result: upstream.Result{
-			Outcome: r.Outcome, RetryAfter: r.RetryAfter, Completed: r.Completed, AttemptsExhausted: r.AttemptsExhausted,
-			LoadReport: r.LoadReport}})
+		all = append(all, attemptEnded{id: r.ID, attempt: r.Attempt, endpoint: r.Endpoint, latency: r.Latency,
+			Result: upstream.Result{Outcome: r.Outcome, RetryAfter: r.RetryAfter, Completed: r.Completed,
+				AttemptsExhausted: r.AttemptsExhausted, LoadReport: r.LoadReport}})
 	}
 	p.loop.enqueue(all)
 }
--- a/internal/relay/resource/resource.go
+++ b/internal/relay/resource/resource.go
@@ -11,8 +11,8 @@
 var remoteErrors = []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
 	syscall.EHOSTDOWN}
 
-// exhaustionErrors are the errors that report a lack of descriptors or memory, or a failure of the disk (EIO).
-var exhaustionErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EIO}
+// resourceErrors are the errors that report a lack of descriptors or memory, or a failure of the disk (EIO).
+var resourceErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EIO}
 
 // IsLocalFailure reports whether a connection attempt failed on this machine, for lack of descriptors, ports, kernel memory or a
 // route. In that case nothing was sent, and the error says nothing about the health of the peer.
@@ -25,7 +25,7 @@
 // I/O error of its disk.
 func IsExhausted(err error) bool {
 	errno := syscall.Errno(0)
-	return errors.As(err, &errno) && slices.Contains(exhaustionErrors, errno)
+	return errors.As(err, &errno) && slices.Contains(resourceErrors, errno)
 }
 
 // IsSystemError reports whether a system call failed, as opposed to an error of another kind such as an invalid address.
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -118,7 +118,8 @@
 func TestKilledWithPendingMessages(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addHost("h1", 7)
-	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1 // tried rarely, so that attempts remain
+	// With a share of 1, calls to h1 are rare, and their failures do not use up the attempts of a message.
+	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1
 	c := p.start()
 	p.submitAccepted("order", "late", "0.6")
 	p.submitAccepted("order", "kept", "25")
@@ -145,7 +146,8 @@
 	p := newPlatform(t)
 	h := p.addHost("h1", 7)
 	p.addHost("h8", 8)
-	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1 // tried rarely, so that attempts remain
+	// With a share of 1, calls to h1 are rare, and their failures do not use up the attempts of a message.
+	p.hosts[0].Dial, p.hosts[0].Share = closedAddress(t), 1
 	c := p.start()
 	p.submitAccepted("order", "before", "25")
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -13,9 +13,9 @@
 	"milletsail/policy"
 )
 
-// restore passes the state of an earlier process to the policy: the endpoint list, the messages in the journal and, after a
-// handover, the predecessor's calls in flight and policy state. Without a handover link and offer are nil. It runs before the
-// loop.
+// restore passes the state of an earlier process to the policy: the endpoint list, the operators' zone orders, the messages in the
+// journal and, after a handover, the predecessor's calls in flight and policy state. If there was no handover, link and offer are
+// nil. It runs before the loop.
 func (l *loop) restore(ctx context.Context, link *handover.Link, offer *handover.Offer) {
 	l.announceEndpoints()
 	if l.zones != nil && len(l.zones.pending) > 0 {
--- a/internal/relay/retry/retry_test.go
+++ b/internal/relay/retry/retry_test.go
@@ -45,7 +45,8 @@
 			return tt.attempt(attempts)
 		})
 		if !errors.Is(err, tt.want) || attempts != tt.attempts {
-			t.Errorf("%s: got error %v after %d attempts and %d retries", tt.name, err, attempts, waits)
+			t.Errorf("%s: got error %v after %d attempts and %d retries, want error %v after %d attempts",
+				tt.name, err, attempts, waits, tt.want, tt.attempts)
 		}
 	}
 }
--- a/internal/relay/selfcheck.go
+++ b/internal/relay/selfcheck.go
@@ -28,17 +28,17 @@
 // data that has to outlast a reboot.
 func (l *loop) checkClocks() {
 	now := clock.ReadPair()
-	by := l.lastClocks.SteppedBy(now)
-	known := l.lastClocks != (clock.Pair{})
+	step := l.lastClocks.SteppedBy(now)
+	hasPrevious := l.lastClocks != (clock.Pair{})
 	l.lastClocks = now
-	if !known || by.Abs() < minClockStep {
+	if !hasPrevious || step.Abs() < minClockStep {
 		return
 	}
 	direction := "forward"
-	if by < 0 {
+	if step < 0 {
 		direction = "back"
 	}
-	slog.Warn("wall clock stepped", "step", by, "messages", len(l.messages), "uptime", clock.Uptime())
+	slog.Warn("wall clock stepped", "step", step, "messages", len(l.messages), "uptime", clock.Uptime())
 	l.metrics.Reasons.Add(wallClockSteps, direction, 1)
 }
 
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -71,7 +71,7 @@
 // closeConnections closes the clients' connections: idle ones at once, the others after their responses are written, for which it
 // waits up to responseWriteTimeout. It then waits until the clients have read these responses, up to a deadline.
 func (l *loop) closeConnections(ctx context.Context, server *frontend.Server, deadline instant.Time) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), responseWriteTimeout) // ctx has ended already
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), responseWriteTimeout) // ctx may have ended already
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		slog.Warn("connections not closed in time", "error", err)
--- a/internal/relay/upstream/conn.go
+++ b/internal/relay/upstream/conn.go
@@ -24,8 +24,8 @@
 	// bodyDrainTimeout bounds the time to read and discard the body of a response for the sake of reusing its connection. It also
 	// bounds the wait for the rest of a response whose status line says that the message was delivered.
 	bodyDrainTimeout = 100 * time.Millisecond
-	// maxResponseSize is the maximum size of a response in bytes, header included. It bounds the memory that an endpoint can make
-	// the relay use.
+	// maxResponseSize is the maximum total size in bytes of all responses to one call, interim responses and headers included. It
+	// bounds the memory that an endpoint can make the relay use.
 	maxResponseSize = 2 * protocol.MaxBodySize
 	// maxInterimResponses bounds the 1xx responses of a call: the final response has to be among the first maxInterimResponses
 	// responses.
@@ -49,7 +49,7 @@
 // while it is idle, it belongs to the pool.
 type conn struct {
 	net.Conn
-	limited      *io.LimitedReader // bounds the bytes that may still be read for the current response
+	limited      *io.LimitedReader // bounds the bytes that may still be read for the current call
 	reader       *bufio.Reader     // reads from limited
 	idleSince    instant.Time      // when the connection became idle
 	callErr      func() error      // returns why the current call has ended, or nil while it lasts; nil before the first call
--- a/internal/relay/upstream/pool.go
+++ b/internal/relay/upstream/pool.go
@@ -233,10 +233,10 @@
 	p.closeIdleIf(func(a string, _ *conn) bool { return a == addr })
 }
 
-// Sweep closes idle connections that have passed the idle time-out or that the endpoint has closed. It also forgets calls of
+// Maintain closes idle connections that have passed the idle time-out or that the endpoint has closed. It also forgets calls of
 // CancelUnwritten that are too old to concern a call that still waits for a connection. The owner of the pool calls it
 // periodically.
-func (p *Pool) Sweep() {
+func (p *Pool) Maintain() {
 	p.mu.Lock()
 	maps.DeleteFunc(p.canceledAt, func(_ string, at instant.Time) bool { return clock.Since(at) > 2*p.dialer.Timeout })
 	p.mu.Unlock()
--- a/internal/relay/upstream/pool_test.go
+++ b/internal/relay/upstream/pool_test.go
@@ -129,8 +129,8 @@
 		t.Errorf("next call: outcome %v over %d connections, want OK over the first one", got.Outcome, dials)
 	}
 	p.dialer.Timeout = 0
-	if p.Sweep(); len(p.canceledAt) != 0 {
-		t.Errorf("cancellations kept after Sweep: %v, want none", p.canceledAt)
+	if p.Maintain(); len(p.canceledAt) != 0 {
+		t.Errorf("cancellations kept after Maintain: %v, want none", p.canceledAt)
 	}
 }
 
@@ -217,7 +217,7 @@
 	<-closed
 	step("keep", policy.OK, 2, 3)
 	step("reset", policy.Reset, 2, 4)
-	p.Sweep()
+	p.Maintain()
 	if p.idleCount != 0 {
 		t.Errorf("%d idle connections kept after a reset, want 0", p.idleCount)
 	}
@@ -324,7 +324,7 @@
 		t.Errorf("after CloseIdle of one address: %d idle connections, want 1 to another address", p.idleCount)
 	}
 	p.idleTimeout = 0
-	p.Sweep()
+	p.Maintain()
 	if p.idleCount != 0 {
 		t.Errorf("%d idle connections kept after their idle time-out, want 0", p.idleCount)
 	}
--- a/internal/relay/upstream/response_test.go
+++ b/internal/relay/upstream/response_test.go
@@ -46,7 +46,7 @@
 		{"no slot", reply("HTTP/1.1 503 No\r\nX-No-Slot: 1\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent}},
 		{"attempts exhausted", reply("HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent,
 			AttemptsExhausted: true}},
-		{"completed before",
+		{"completed by an earlier call (410)",
 			reply("HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n"), Result{Outcome: policy.NotSent, Completed: true}},
 		{"connection refused", closed.Addr().String(), Result{Outcome: policy.ConnectError}},
 		{"closed without a response", readThen(func(net.Conn) {}), Result{Outcome: policy.Reset}},
--- a/internal/relay/wire_admin_test.go
+++ b/internal/relay/wire_admin_test.go
@@ -189,18 +189,19 @@
 	}
 }
 
-// refuseCall answers a call with 429 and a wait of 700 ms, which the relay reports to other relays.
-func refuseCall(recordedRequest) string {
+// rejectCall answers a call with 429 and a wait of 700 ms, which the relay reports to other relays.
+func rejectCall(recordedRequest) string {
 	return "HTTP/1.1 429 no\r\nX-Retry-In-Ms: 700\r\nContent-Length: 0\r\n\r\n"
 }
 
-// Relays of different versions exchange gossip. The test compares the datagrams that report a refusal: in the policy's own format
-// with the option "fleet" off, and as a fact with it on. Package fleet tests all bytes of the facts' format.
+// Relays of different versions exchange gossip. The test compares the datagrams that report a rejection: in the policy's own format
+// with the option "fleet" off, and as a fact with it on. With the option on, it also compares the request that a new relay sends
+// when it joins. Package fleet tests all bytes of the facts' format.
 func TestGossipOnTheWire(t *testing.T) {
 	text := ""
 	for _, fleet := range []bool{false, true} {
 		p, other := newPlatform(t), listenUDP(t)
-		p.hosts = []Member{memberAt(startRecorder(t, refuseCall).addr)}
+		p.hosts = []Member{memberAt(startRecorder(t, rejectCall).addr)}
 		p.startWithConfig(p.writeConfigWithPeer(other, func(top map[string]any) { top["fleet"] = fleet }))
 		if fleet {
 			text += section("a newcomer asks", hex.Dump(nextDatagram(t, other, "F\x01\x04")))
@@ -209,21 +210,21 @@
 		if fleet {
 			text += section("a refusal, as a fact", formatFact(nextDatagram(t, other, "F\x01\x00\x02")))
 		} else {
-			text += section("a refusal, as the module's note", formatRefusal(t, nextDatagram(t, other, "c")))
+			text += section("a refusal, as the module's note", formatRejection(t, nextDatagram(t, other, "c")))
 		}
 	}
 	compareWire(t, "notes.txt", text)
 }
 
-// formatRefusal formats the policy's report of a refusal, with the age at its end masked.
-func formatRefusal(t *testing.T, datagram []byte) string {
+// formatRejection formats the policy's report of a rejection, with the age at its end masked.
+func formatRejection(t *testing.T, datagram []byte) string {
 	t.Helper()
 	const lengthWithoutAge = 4 // a type byte, the destination, and the wait in two bytes
 	if len(datagram) <= lengthWithoutAge {
-		t.Fatalf("report of a refusal is too short: %x", datagram)
+		t.Fatalf("report of a rejection is too short: %x", datagram)
 	}
 	if _, size := binary.Uvarint(datagram[lengthWithoutAge:]); size != len(datagram)-lengthWithoutAge {
-		t.Fatalf("report of a refusal does not end with an age: %x", datagram)
+		t.Fatalf("report of a rejection does not end with an age: %x", datagram)
 	}
 	return hex.Dump(datagram[:lengthWithoutAge]) + "AGE\n"
 }
--- a/internal/relay/wire_handover_proxy_test.go
+++ b/internal/relay/wire_handover_proxy_test.go
@@ -19,10 +19,10 @@
 }
 
 // proxyHandover renames the predecessor's socket in a state directory and listens in its place with a proxy.
-func proxyHandover(t *testing.T, dir string, meet func(handoverLine) bool) *handoverProxy {
+func proxyHandover(t *testing.T, dir string, onLine func(handoverLine) bool) *handoverProxy {
 	t.Helper()
 	socket := filepath.Join(dir, "handover")
-	proxy := &handoverProxy{t: t, path: socket + "-old", onLine: meet, lines: make(chan handoverLine, 1000)}
+	proxy := &handoverProxy{t: t, path: socket + "-old", onLine: onLine, lines: make(chan handoverLine, 1000)}
 	if err := os.Rename(socket, proxy.path); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/wire_handover_test.go
+++ b/internal/relay/wire_handover_test.go
@@ -120,9 +120,9 @@
 func (r handoverRecord) await(proxy *handoverProxy, from, kind, word string, count int) {
 	proxy.t.Helper()
 	title := lineTitle(from, kind)
-	holds := func(text string) bool { return strings.Contains(text, word) }
+	containsWord := func(text string) bool { return strings.Contains(text, word) }
 	deadline := time.After(testTimeout)
-	for len(slices.Collect(filter(r[title], holds))) < count {
+	for len(slices.Collect(filter(r[title], containsWord))) < count {
 		select {
 		case line := <-proxy.lines:
 			r[lineTitle(line.from, line.kind)] = append(r[lineTitle(line.from, line.kind)], line.text)
@@ -132,11 +132,11 @@
 	}
 }
 
-// filter returns the texts for which a condition holds.
-func filter(texts []string, holds func(string) bool) iter.Seq[string] {
+// filter returns the texts for which the condition is true.
+func filter(texts []string, condition func(string) bool) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, text := range texts {
-			if holds(text) && !yield(text) {
+			if condition(text) && !yield(text) {
 				return
 			}
 		}
@@ -334,8 +334,8 @@
 	return offer
 }
 
-// runInProcess runs a relay in the test process and waits until it serves clients. Here change can also set fields of the
-// configuration that the file does not contain.
+// runInProcess runs a relay in the test process, with the platform's configuration after change has modified it, and waits until
+// the relay serves clients. Unlike a configuration file, change can set Files and Boot.
 func (p *platform) runInProcess(change func(*config.Config)) {
 	p.t.Helper()
 	cfg, err := config.Read(p.writeConfig())
--- a/internal/relay/wire_http_test.go
+++ b/internal/relay/wire_http_test.go
@@ -162,7 +162,7 @@
 	for i := range messages {
 		messages[i] = strings.TrimPrefix(messages[i], ",")
 	}
-	messages = slices.DeleteFunc(messages, func(parcel string) bool { return parcel == "" })
+	messages = slices.DeleteFunc(messages, func(message string) bool { return message == "" })
 	slices.Sort(messages)
 	return head + "\r\n\r\n[" + strings.Join(messages, ",") + "]"
 }
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	if all := store.Active(now); len(all) != 3 || len(pending) != 1 {
-		t.Errorf("got active orders %v, want those for zones a, b and c", all)
+		t.Errorf("got active orders %v and the earlier copy %v, want zones a, b and c, and only b in the copy", all, pending)
 	}
 }
 
