--- a/internal/journal/commit.go
+++ b/internal/journal/commit.go
@@ -143,7 +143,7 @@
 	}
 	if j.options.SurvivesPowerLoss {
 		if err := j.file.Sync(); err != nil {
-			j.revokeUncommitted(j.file, j.segment)
+			j.revokeUncommitted(j.file)
 			return err
 		}
 	}
@@ -154,7 +154,7 @@
 // revokeUncommitted appends records to f, the file of a segment whose last write is not durable, that complete the
 // entries of that write. Their clients get an error, so a process that finds them in the segment after a kill must not
 // deliver them.
-func (j *Journal) revokeUncommitted(f File, segment uint64) {
+func (j *Journal) revokeUncommitted(f File) {
 	var buffer []byte
 	for _, e := range j.uncommitted {
 		j.lastSequence++
@@ -166,8 +166,7 @@
 		return
 	}
 	if err := writeAll(f, buffer); err != nil {
-		slog.Warn("journal: rejected entries may remain in a segment", "segment", segment, "entries", len(j.uncommitted),
-			"error", err)
+		slog.Warn("journal: rejected entries may remain in a segment", "entries", len(j.uncommitted), "error", err)
 	}
 }
 
--- a/internal/journal/compaction.go
+++ b/internal/journal/compaction.go
@@ -74,7 +74,7 @@
 			// The rename may or may not survive a power loss, so nothing is appended to the new segment, and the previous one
 			// stays until a later segment is durable.
 			j.lastSequence, j.previousDigest, j.clocks = lastSequence, lastDigest, clocks
-			j.revokeUncommitted(file, number)
+			j.revokeUncommitted(file)
 			_ = file.Close() // SyncDir's error is returned instead
 			j.closeSegment()
 			j.segment = number
