--- a/internal/endpoints/budget_test.go
+++ b/internal/endpoints/budget_test.go
@@ -23,7 +23,7 @@
 			t.Fatalf("budget %d: got reason %v, want a BudgetError with this budget and a larger need", budget, reason)
 		}
 		if len(fsys.files) != 0 || s.Bytes() != 0 {
-			t.Fatalf("budget %d: %d files left by the disabled store, want none", budget, len(fsys.files))
+			t.Fatalf("budget %d: disabled store has %d files and Bytes() = %d, want none and 0", budget, len(fsys.files), s.Bytes())
 		}
 		if errs != 1 {
 			t.Fatalf("budget %d: Commit returned an error %d times, want once", budget, errs)
--- a/internal/endpoints/failure_test.go
+++ b/internal/endpoints/failure_test.go
@@ -27,14 +27,14 @@
 	}
 }
 
-// runFailure runs changes and compactions during which the calls of the file system fail from call failAt on. It reports whether
-// that call was reached.
+// runFailure runs changes and compactions during which disk.failFor calls of the file system fail, the first of them call failAt.
+// It reports whether that call was reached.
 func runFailure(t *testing.T, disk failingDisk, failAt int) bool {
 	t.Helper()
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 5, 20)
 	fsys.failAt, fsys.failFor, fsys.failure, fsys.writesFully = failAt, disk.failFor, disk.failure, disk.writesFully
-	when := fmt.Sprintf("%+v, from call %d on", disk, failAt)
+	when := fmt.Sprintf("%+v, first failing call %d", disk, failAt)
 	fsys.onCall = func() { h.check(t, fsys.afterKill(), h.durable, fmt.Sprintf("%s, at call %d", when, fsys.calls)) }
 	for range 3 {
 		for range 3 {
@@ -70,7 +70,7 @@
 	for _, recovery := range []bool{false, true} {
 		fsys := newModelFS()
 		h := newHarness(t, fsys, 5, 20)
-		held := &deferredWork{}
+		deferred := &deferredWork{}
 		h.change()
 		if recovery {
 			fsys.failAt, fsys.failFor = fsys.calls+1, 1
@@ -79,11 +79,11 @@
 				t.Fatal("Failure is nil after a failed log write")
 			}
 		}
-		h.store.background = func(f func()) { *held = append(*held, f) }
+		h.store.background = func(f func()) { *deferred = append(*deferred, f) }
 		h.compact()
 		fsys.failAt, fsys.failFor = fsys.calls+1, 1
 		h.change()
-		held.run()
+		deferred.run()
 		fsys.failAt = 0
 		h.store.CompactStep(h.table)
 		fsys.onCall = func() {
@@ -108,12 +108,12 @@
 	fsys := newModelFS()
 	h := newHarness(t, fsys, 5, 20)
 	h.change()
-	held := &deferredWork{}
-	h.store.background = func(f func()) { *held = append(*held, f) }
+	deferred := &deferredWork{}
+	h.store.background = func(f func()) { *deferred = append(*deferred, f) }
 	h.compact()
 	h.change()
 	h.check(t, fsys.afterKill(), len(h.commits)-1, "before the snapshot is published")
-	held.run()
+	deferred.run()
 	if err := h.store.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -134,10 +134,10 @@
 	path := currentLog(h.store)
 	records := splitRecords(fsys.files[path].data)
 	for i := 1; i+1 < len(records); i++ {
-		left := fsys.afterKill()
-		left.files[path].data = slices.Concat(slices.Concat(records[:i]...), slices.Concat(records[i+1:]...))
-		h.check(t, left, 0, fmt.Sprintf("without record %d", i))
-		if _, _, _, found := open(t, left, testBudget); len(found.Damage) == 0 {
+		afterCrash := fsys.afterKill()
+		afterCrash.files[path].data = slices.Concat(slices.Concat(records[:i]...), slices.Concat(records[i+1:]...))
+		h.check(t, afterCrash, 0, fmt.Sprintf("without record %d", i))
+		if _, _, _, found := open(t, afterCrash, testBudget); len(found.Damage) == 0 {
 			t.Errorf("no damage reported although record %d is missing", i)
 		}
 		if bytes.Equal(records[i], records[i+1]) {
@@ -145,9 +145,9 @@
 		}
 		swapped := slices.Clone(records)
 		swapped[i], swapped[i+1] = swapped[i+1], swapped[i]
-		left = fsys.afterKill()
-		left.files[path].data = slices.Concat(swapped...)
-		h.check(t, left, 0, fmt.Sprintf("records %d and %d swapped", i, i+1))
+		afterCrash = fsys.afterKill()
+		afterCrash.files[path].data = slices.Concat(swapped...)
+		h.check(t, afterCrash, 0, fmt.Sprintf("records %d and %d swapped", i, i+1))
 	}
 }
 
--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -21,7 +21,7 @@
 	random  *rand.Rand
 	hosts   int                  // number of hosts among which changes choose
 	history map[string][]version // states of each host, oldest first
-	commits []int64              // committed sequences; the first is the sequence found at the start
+	commits []int64              // sequences passed to Commit, whether or not it failed; the first is that at the start of the history
 	durable int                  // index in commits of the last commit that returned no error
 	synced  int                  // index in commits of the last commit that a published snapshot contains
 }
@@ -97,12 +97,12 @@
 	}
 }
 
-// check opens a file system and fails unless its sequence is that of commit least or a later one, and each host has a state that
-// it had at that sequence or later. least is an index in commits. Sequence 0 means that a complete list has to be requested, so
-// the entries then need only have existed at some time.
-func (h *harness) check(t *testing.T, left *modelFS, least int, when string) {
+// check opens the file system that a crash or damage has left. It fails unless the sequence is that of commit least or a later one,
+// and each host has a state that it had at that sequence or later. least is an index in commits. Sequence 0 means that a complete
+// list has to be requested, so the entries then need only have existed at some time.
+func (h *harness) check(t *testing.T, afterCrash *modelFS, least int, when string) {
 	t.Helper()
-	_, table, seq, found := open(t, left, testBudget)
+	_, table, seq, found := open(t, afterCrash, testBudget)
 	commit := -1
 	for i, s := range h.commits {
 		if s == seq {
--- a/internal/endpoints/inputlimiter.go
+++ b/internal/endpoints/inputlimiter.go
@@ -15,8 +15,10 @@
 	alive     func()       // called for each part of an object, and for white space between objects
 	consumed  func() int64 // returns the number of bytes that the decoder has consumed
 	delivered int64        // number of bytes passed to the decoder
-	inObject  bool         // an object has begun and is not known to have ended; the Reader clears it at the end of an object
-	err       error        // error that ended the source, kept because the decoder may call Read again after an error
+	// inObject is whether an object has begun and is not known to have ended. At the end of an object the Reader sets it to whether
+	// the decoder has buffered the beginning of another one.
+	inObject bool
+	err      error // error that ended the source, kept because the decoder may call Read again after an error
 }
 
 // Read reads from the source and drops white space between objects. It returns an UnreadableError once the decoder buffers more
--- a/internal/endpoints/model_test.go
+++ b/internal/endpoints/model_test.go
@@ -145,17 +145,17 @@
 
 // afterKill returns a copy of the files as they would be if the process were killed now: all completed writes are present.
 func (m *modelFS) afterKill() *modelFS {
-	left := newModelFS()
+	afterCrash := newModelFS()
 	for path, f := range m.files {
-		left.files[path] = &modelFile{fsys: left, data: bytes.Clone(f.data)}
+		afterCrash.files[path] = &modelFile{fsys: afterCrash, data: bytes.Clone(f.data)}
 	}
-	return left
+	return afterCrash
 }
 
 // powerLoss returns a copy of the files as a power loss may leave them. pick draws a number below n; it decides which files
 // revert to the directory as of the last SyncDir, and which unsynced blocks are kept, zeroed or cut off.
 func (m *modelFS) powerLoss(pick func(n int) int) *modelFS {
-	left := newModelFS()
+	afterCrash := newModelFS()
 	names := map[string]bool{}
 	for path := range m.files {
 		names[path] = true
@@ -173,9 +173,9 @@
 		if !now || !then && pick(2) == 0 {
 			continue
 		}
-		left.files[path] = &modelFile{fsys: left, data: f.afterPowerLoss(pick)}
+		afterCrash.files[path] = &modelFile{fsys: afterCrash, data: f.afterPowerLoss(pick)}
 	}
-	return left
+	return afterCrash
 }
 
 // afterPowerLoss returns the content of the file after a power loss: synced data is kept, and pick decides about each block after
--- a/internal/endpoints/reader_test.go
+++ b/internal/endpoints/reader_test.go
@@ -255,17 +255,17 @@
 }
 
 // blankLines is a reader that returns the given number of line feeds.
-type blankLines struct{ left int }
+type blankLines struct{ remaining int }
 
 func (l *blankLines) Read(b []byte) (int, error) {
-	if l.left == 0 {
+	if l.remaining == 0 {
 		return 0, io.EOF
 	}
-	n := min(len(b), l.left)
+	n := min(len(b), l.remaining)
 	for i := range b[:n] {
 		b[i] = '\n'
 	}
-	l.left -= n
+	l.remaining -= n
 	return n, nil
 }
 
--- a/internal/endpoints/store.go
+++ b/internal/endpoints/store.go
@@ -24,7 +24,8 @@
 	// budgetDivisor sets the size that the logs may reach even if the snapshot leaves less headroom: the budget divided by this
 	// number.
 	budgetDivisor = 16
-	// maxLogs is the number of logs above which a compaction is due. Each start of the process adds a log.
+	// maxLogs is the number of logs above which a compaction is due. Each start of the process that writes a record
+	// adds a log.
 	maxLogs = 8
 	// retryInterval is the delay between a failed write and the next attempt. It is below 3 s because the list has to be on disk
 	// again within 3 s of the end of a fault.
--- a/internal/endpoints/store_test.go
+++ b/internal/endpoints/store_test.go
@@ -5,6 +5,7 @@
 	"maps"
 	"math/rand/v2"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -78,10 +79,24 @@
 func sameTable(t *testing.T, got, want *Table) {
 	t.Helper()
 	if g, w := contents(got), contents(want); !maps.Equal(g, w) {
-		t.Errorf("table of %d entries differs from the wanted table of %d entries", len(g), len(w))
+		host := firstDifference(g, w)
+		t.Errorf("table differs from the wanted one: got %d entries, want %d; entry of host %s (zero if absent): got %+v, want %+v",
+			len(g), len(w), host, g[host], w[host])
 	}
 }
 
+// firstDifference returns the first host, in alphabetical order, whose entries in two tables differ, or "" if there is none.
+func firstDifference(got, want map[string]Entry) string {
+	hosts := slices.Concat(slices.Collect(maps.Keys(got)), slices.Collect(maps.Keys(want)))
+	slices.Sort(hosts)
+	for _, host := range hosts {
+		if got[host] != want[host] {
+			return host
+		}
+	}
+	return ""
+}
+
 func contents(table *Table) map[string]Entry {
 	all := map[string]Entry{}
 	entries, _, _ := table.All(0, testBudget)
@@ -143,10 +158,10 @@
 				if len(f.data) < less || path != currentLog(h.store) {
 					continue
 				}
-				left := fsys.afterKill()
-				cut := left.files[path]
+				afterCrash := fsys.afterKill()
+				cut := afterCrash.files[path]
 				cut.data = cut.data[:len(cut.data)-less]
-				h.check(t, left, max(0, h.durable-1), fmt.Sprintf("in the middle of the write before call %d", fsys.calls))
+				h.check(t, afterCrash, max(0, h.durable-1), fmt.Sprintf("in the middle of the write before call %d", fsys.calls))
 			}
 		}
 	}
@@ -210,18 +225,18 @@
 	h.change()
 	for path, f := range fsys.files {
 		for bit := range 8 * len(f.data) {
-			left := fsys.afterKill()
-			left.files[path].data[bit/8] ^= 1 << (bit % 8)
-			h.check(t, left, 0, fmt.Sprintf("%s, bit %d", path, bit))
+			afterCrash := fsys.afterKill()
+			afterCrash.files[path].data[bit/8] ^= 1 << (bit % 8)
+			h.check(t, afterCrash, 0, fmt.Sprintf("%s, bit %d", path, bit))
 		}
 		for cut := range len(f.data) {
-			left := fsys.afterKill()
-			left.files[path].data = left.files[path].data[:cut]
-			h.check(t, left, 0, fmt.Sprintf("%s, truncated to %d bytes", path, cut))
+			afterCrash := fsys.afterKill()
+			afterCrash.files[path].data = afterCrash.files[path].data[:cut]
+			h.check(t, afterCrash, 0, fmt.Sprintf("%s, truncated to %d bytes", path, cut))
 		}
-		left := fsys.afterKill()
-		delete(left.files, path)
-		h.check(t, left, 0, path+" missing")
+		afterCrash := fsys.afterKill()
+		delete(afterCrash.files, path)
+		h.check(t, afterCrash, 0, path+" missing")
 	}
 }
 
--- a/internal/endpoints/stored_test.go
+++ b/internal/endpoints/stored_test.go
@@ -30,8 +30,8 @@
 	storedSnapshot = "snapshot"
 	// storedBudget is a disk budget larger than the stored files, in bytes.
 	storedBudget = 1 << 20
-	// tornBytes is the number of bytes cut off the end of a log, fewer than its last record has.
-	tornBytes = 1
+	// truncatedBytes is the number of bytes cut off the end of a log, fewer than its last record has.
+	truncatedBytes = 1
 	// otherVersion is a format version that commit 569f7cf does not support.
 	otherVersion = 2
 	// storedVersionOffset is the offset of the format version in a stored file, in bytes.
@@ -198,7 +198,7 @@
 func TestReadsStoredTornLog(t *testing.T) {
 	dir := t.TempDir()
 	text := fileBytes(t, filepath.Join(storedDir, storedLog, "log-1"))
-	putFile(t, filepath.Join(dir, "log-1"), text[:len(text)-tornBytes])
+	putFile(t, filepath.Join(dir, "log-1"), text[:len(text)-truncatedBytes])
 	sameText(t, describeStored(t, dir), "sequence 8589934592, files 1, newer 0, damaged 1, draining 1\n"+
 		entryBare+entryH1+entryH2+entryHost)
 }
--- a/internal/endpoints/table_test.go
+++ b/internal/endpoints/table_test.go
@@ -213,10 +213,10 @@
 		return table
 	})
 	if grown := int64(grown); grown > entries*maxBytesPerEntry/4 {
-		t.Errorf("heap grew by %d bytes, want at most a quarter of maxBytesPerEntry for each entry", grown)
+		t.Errorf("heap grew by %d bytes, want at most %d: a quarter of maxBytesPerEntry for each entry", grown, entries*maxBytesPerEntry/4)
 	}
 	if table.Len() != entries {
-		t.Errorf("Len() = %d after the replacements, want 5000", table.Len())
+		t.Errorf("Len() = %d after the replacements, want %d", table.Len(), entries)
 	}
 }
 
