--- a/cmd/milletsail/compare.go
+++ b/cmd/milletsail/compare.go
@@ -99,7 +99,7 @@
 	if err := rows.flush(); err != nil {
 		return err
 	}
-	command.Printf("%d pairs; %d excluded because the lab was late; broken rules: a %d, b %d\n", result.Pairs, result.Void, result.Broken[0],
+	command.Printf("%d pairs; %d excluded because a run was invalid; broken rules: a %d, b %d\n", result.Pairs, result.Void, result.Broken[0],
 		result.Broken[1])
 	switch {
 	case result.Broken[0]+result.Broken[1] > 0:
--- a/cmd/milletsail/main.go
+++ b/cmd/milletsail/main.go
@@ -2,7 +2,7 @@
 // of the relay, rolls versions out, and inspects relays' state directories. The relay itself is cmd/relay.
 //
 // Errors are printed on standard error as "milletsail: ERROR". The exit status is 0 for success, 1 if the command was carried
-// out and found a problem, 2 for an error, and 3 if a lab run is invalid or was interrupted.
+// out and found a problem, 2 for an error, and 3 if a run is invalid or was interrupted, or a comparison has too few valid pairs.
 package main
 
 import (
@@ -21,9 +21,14 @@
 
 // Exit statuses of the program other than 0.
 const (
-	exitProblem    = 1 // a rule is broken, a directory is damaged, or a relay rejects an order or does not answer
-	exitError      = 2 // wrong usage, or the command can't be carried out
-	exitInvalidRun = 3 // the lab was too late or the history is incomplete, so that the run proves nothing
+	// exitProblem: a rule is broken, an expectation is missed, a directory is damaged, a rollout is paused or stopped, or a relay
+	// rejects an order or does not answer.
+	exitProblem = 1
+	// exitError: wrong usage, or the command can't be carried out.
+	exitError = 2
+	// exitInvalidRun: a run is invalid, because the lab itself was late for events or for another reason, or it was interrupted; or a
+	// comparison has too few valid pairs.
+	exitInvalidRun = 3
 )
 
 // exitStatusError ends the program with an exit status. The command has printed its messages already.
--- a/cmd/milletsail/relaybinary.go
+++ b/cmd/milletsail/relaybinary.go
@@ -12,10 +12,10 @@
 // relayPackage is the package that the relay is built from if there is no binary.
 const relayPackage = "milletsail/cmd/relay"
 
-// relayBinary is the relay program that lab runs start.
+// relayBinary is the relay program that lab and scale runs start.
 type relayBinary struct {
 	path string
-	dir  string // temporary directory that holds the program; empty if it was not built for this run
+	dir  string // temporary directory that holds the program; empty if findRelay did not build it
 }
 
 // findRelay returns the relay program at flagPath, the value of a flag. If that is empty, it returns the file relay next to this
--- a/cmd/milletsail/rollout.go
+++ b/cmd/milletsail/rollout.go
@@ -122,8 +122,8 @@
 	return runController(command, controller)
 }
 
-// runController carries out a rollout until it ends or a signal arrives, and then prints its state. It returns errProblemFound if
-// the rollout is paused or stopped.
+// runController carries out a rollout until it is done, paused, stopped or rolled back, or a signal arrives. It then prints the
+// state, and returns errProblemFound if the rollout is paused or stopped.
 func runController(command *cobra.Command, controller *rollout.Controller) error {
 	ctx, stop := signal.NotifyContext(command.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -131,8 +131,8 @@
 	if errors.Is(err, context.Canceled) {
 		err = nil
 	}
-	shown := showRollout(command.OutOrStdout(), controller.State())
-	if err := errors.Join(err, shown, controller.Close()); err != nil {
+	showErr := showRollout(command.OutOrStdout(), controller.State())
+	if err := errors.Join(err, showErr, controller.Close()); err != nil {
 		return err
 	}
 	if phase := controller.State().Phase; phase == rollout.Stopped || phase == rollout.Paused {
--- a/cmd/milletsail/scenariorun.go
+++ b/cmd/milletsail/scenariorun.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// maxShownViolations is the maximum number of violations of a run that are printed.
+	// maxShownViolations is the maximum number of violations of a run, and of remarks on a result of a campaign, that are printed.
 	maxShownViolations = 10
 	// rolloutStart is the time from the start of a run to the start of a rollout during it.
 	rolloutStart = 2 * time.Second
@@ -80,8 +80,8 @@
 
 // showRolledOut prints the result of a rollout during a run.
 func showRolledOut(command *cobra.Command, rolled *lab.Rolled) error {
-	command.Printf("rollout: ended in stage %d after %.1f s with %d relays updated; rolled back in %.1f s\n", rolled.State.Stage+1,
-		rolled.Took.Seconds(), rolled.Most, rolled.Back.Seconds())
+	command.Printf("rollout: ended in stage %d after %.1f s with at most %d relays updated at once; rollback took %.1f s (0 if none)\n",
+		rolled.State.Stage+1, rolled.Took.Seconds(), rolled.Most, rolled.Back.Seconds())
 	if rolled.State.Plan == nil {
 		return nil
 	}
--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -60,5 +60,6 @@
 	debug.SetMemoryLimit(int64(heapShare * cfg.Limits.MemoryMB * (1 << 20)))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	return relay.Run(ctx, cfg, state, config.Reloads(context.Background(), configPath, hup)) // reloads until the process ends
+	// Reloads does not get ctx: the configuration is reloaded on SIGHUP even during the shutdown, until the process ends.
+	return relay.Run(ctx, cfg, state, config.Reloads(context.Background(), configPath, hup))
 }
--- a/internal/rollout/agentconfig.go
+++ b/internal/rollout/agentconfig.go
@@ -23,9 +23,9 @@
 	Relay   int      `toml:"relay"`
 	Address string   `toml:"address"` // loopback address on which the agent listens
 	Dir     string   `toml:"folder"`  // directory of the stored programs and of the agent's state
-	Program string   `toml:"program"` // path of the relay's program until the first update
+	Program string   `toml:"program"` // path of the relay's program at the agent's first start, which stores a copy for later starts
 	Listen  string   `toml:"listen"`  // address for the relay's clients; the agent keeps the socket open during updates
-	Admin   []string `toml:"admin"`   // two addresses for the admin endpoint; successive processes alternate between them
+	Admin   []string `toml:"admin"`   // two addresses for the admin endpoint; an update uses the one that the old process does not
 	Env     []string `toml:"env"`     // environment of the relay's processes; has to set NODE_CONFIG and NODE_STATE
 	Log     string   `toml:"log"`     // file to which the relay's output is appended
 }
--- a/internal/rollout/agents.go
+++ b/internal/rollout/agents.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// settlingTime is the time after an update during which a relay is not sampled, since it is still completing the messages that
-	// the old process had in flight.
+	// settlingTime is the time during which a relay is not sampled after an update, or after the controller has first reached it: it
+	// may still be completing the messages that the old process had in flight.
 	settlingTime = 2 * time.Second
 	// maxConcurrentCalls is the maximum number of agents that are called concurrently.
 	maxConcurrentCalls = 32
@@ -163,7 +163,8 @@
 	return status
 }
 
-// sample adds the metrics to the canary analysis of the current stage, at most once in a sampling interval.
+// sample adds the metrics to the canary analysis of the current stage, at most once in a sampling interval, if the rollout is running
+// and relays are updated.
 func (c *Controller) sample(metrics map[int]Metrics) {
 	state := &c.state
 	if state.Phase != Running || time.Since(c.sampledAt) < state.Plan.Gate.Interval.AsDuration() || len(state.Updated) == 0 {
@@ -182,8 +183,8 @@
 	c.analysis.AddSample(metrics, func(relay int) bool { return slices.Contains(state.Updated, relay) })
 }
 
-// sendUpdates sends the updates that are recorded as running. It is called with each step, so that an update is sent again until
-// its agent confirms it. It returns ErrSuperseded if an agent has seen a later fencing token.
+// sendUpdates sends the updates that are recorded as running, but none after a stop. It is called with each step, so that an update
+// is sent again until its agent reports the end of it. It returns ErrSuperseded if an agent has seen a later fencing token.
 func (c *Controller) sendUpdates(ctx context.Context) error {
 	if c.state.Phase == Stopped {
 		return nil
--- a/internal/rollout/canary_test.go
+++ b/internal/rollout/canary_test.go
@@ -113,8 +113,8 @@
 }
 
 // Guards against false positives and missed regressions of the canary analysis, in simulations. A version that equals the old one
-// may be stopped only within the false positive rate, although it is evaluated after each sample and although load and overload
-// affect all relays; a worse version has to be stopped within a number of samples.
+// may be stopped in at most 5% of the runs (one of the 25 runs by default), although it is evaluated after each sample and although
+// load and overload affect all relays; a worse version has to be stopped within a number of samples.
 func TestCanaryAnalysis(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -146,7 +146,8 @@
 		t.Logf("%s: stopped in %.3f of %d runs, after a mean of %.1f samples", c.name, share, runs, mean)
 		isLate := c.maxMeanSamples > 0 && float64(samples) > c.maxMeanSamples*float64(stopped)
 		if share > c.maxStopped || share < c.minStopped || isLate {
-			t.Errorf("%s: stopped in %.3f of the runs, after a mean of %.1f samples; outside the limits of the case", c.name, share, mean)
+			t.Errorf("%s: stopped in %.3f of the runs, after a mean of %.1f samples; want %.2f to %.2f, and at most %.0f samples (0: no limit)",
+				c.name, share, mean, c.minStopped, c.maxStopped, c.maxMeanSamples)
 		}
 	}
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -22,7 +22,7 @@
 	store *Store
 	state State
 
-	analysis      *CanaryAnalysis // canary analysis of analysisStage; nil before its first sample
+	analysis      *CanaryAnalysis // canary analysis of analysisStage; nil until the first sample of a stage or of its bake time
 	analysisStage int
 	sampledAt     time.Time
 
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	if phase := controller.state.Phase; phase == Running || phase == Paused || phase == RollingBack {
-		err := fmt.Errorf("the rollout in %s is %s: resume or abort it first", dir, phase)
+		err := fmt.Errorf("the rollout in %s is %s: finish it by continue (resume if it is paused), or abort it", dir, phase)
 		return nil, errors.Join(err, controller.store.Close())
 	}
 	oldVersions, err := controller.queryVersions(ctx, plan)
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -58,7 +58,7 @@
 			f.plan.AllowNoRollback = c.allowNoRollback
 			controller, err := Start(t.Context(), f.stateDir(), f.plan)
 			if c.isAccepted != (err == nil) {
-				t.Fatalf("start of the rollout: got error %v, want one only if the version is to be rejected", err)
+				t.Fatalf("start of the rollout: got error %v, want the version accepted: %v", err, c.isAccepted)
 			}
 			if err == nil {
 				_ = controller.Close()
@@ -160,15 +160,15 @@
 	for name, change := range map[string]func(*Plan){
 		"valid":           func(p *Plan) { p.BakeTime = Duration(time.Second) },
 		"another program": func(p *Plan) { p.Version = f.oldProgram },
-		"a relay less":    func(p *Plan) { p.Agents, p.Stages = p.Agents[1:], []Stage{{Relays: 1}, {Relays: 3}} },
-		"too few updated": func(p *Plan) { p.Stages = []Stage{{Relays: 1}, {Relays: 1}, {Share: 1}} },
-		"no stages":       func(p *Plan) { p.Stages = nil },
+		"one relay fewer": func(p *Plan) { p.Agents, p.Stages = p.Agents[1:], []Stage{{Relays: 1}, {Relays: 3}} },
+		"fewer relays in the stage than are updated": func(p *Plan) { p.Stages = []Stage{{Relays: 1}, {Relays: 1}, {Share: 1}} },
+		"no stages": func(p *Plan) { p.Stages = nil },
 	} {
 		plan := *f.plan
 		change(&plan)
 		var invalid *InvalidPlanError
 		if err := s.checkPlanChange(&plan); (err == nil) != (name == "valid") || err != nil && !errors.As(err, &invalid) {
-			t.Errorf("change to plan %q: got error %v", name, err)
+			t.Errorf("change to plan %q: got error %v, want none for the valid plan, else an *InvalidPlanError", name, err)
 		}
 	}
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -38,6 +38,11 @@
 	mutationEnd               // one more than the last mutation
 )
 
+// String returns the name of a mutation for failure messages.
+func (m mutation) String() string {
+	return [mutationEnd]string{"none", "exceedsParallel", "updatesTwoZones", "ignoresStop", "forgetsRelay", "sendsBeforeWrite"}[m]
+}
+
 // noRelay stands for no relay in modelStep.unreachable.
 const noRelay = -1
 
@@ -228,7 +233,7 @@
 }
 
 // successors returns the states that can follow: one for each possible step of the controller, end of an update, and order.
-func (m *model) successors(planted mutation) (after []*model) {
+func (m *model) successors(mutated mutation) (after []*model) {
 	add := func(change func(*model)) {
 		next := m.clone()
 		change(next)
@@ -236,12 +241,12 @@
 	}
 	conclusive := Evaluation{Conclusive: true}
 	for _, step := range []modelStep{
-		{unreachable: noRelay, mutation: planted},
-		{unreachable: noRelay, evaluation: conclusive, mutation: planted},
-		{unreachable: noRelay, evaluation: Evaluation{Regressed: true, Reason: "worse"}, mutation: planted},
-		{unreachable: noRelay, isLost: true, mutation: planted},
-		{unreachable: noRelay, crashAfter: 1, mutation: planted},
-		{unreachable: 1, evaluation: conclusive, mutation: planted},
+		{unreachable: noRelay, mutation: mutated},
+		{unreachable: noRelay, evaluation: conclusive, mutation: mutated},
+		{unreachable: noRelay, evaluation: Evaluation{Regressed: true, Reason: "worse"}, mutation: mutated},
+		{unreachable: noRelay, isLost: true, mutation: mutated},
+		{unreachable: noRelay, crashAfter: 1, mutation: mutated},
+		{unreachable: 1, evaluation: conclusive, mutation: mutated},
 	} {
 		add(func(next *model) { next.apply(step) })
 	}
@@ -271,9 +276,9 @@
 
 // explore visits up to maxStates states, breadth first. It returns the first violation of an invariant, the number of states, and
 // those in which the rollout is running or rolling back.
-func explore(planted mutation, maxStates int) (violation string, states int, active []*model) {
+func explore(mutated mutation, maxStates int) (violation string, states int, active []*model) {
 	first := newModel()
-	if planted != noMutation { // fewer stages: several relays are updated within few steps
+	if mutated != noMutation { // without the first two stages, so that several relays are updated within few steps
 		first.State.Plan.Stages = first.State.Plan.Stages[2:]
 	}
 	visited := map[string]bool{first.key(): true}
@@ -281,7 +286,7 @@
 	for len(queue) > 0 && len(visited) < maxStates {
 		current := queue[0]
 		queue = queue[1:]
-		for _, next := range current.successors(planted) {
+		for _, next := range current.successors(mutated) {
 			key := next.key()
 			if violation := next.violationAfter(current); violation != "" {
 				return violation + " in " + key, len(visited), nil
@@ -337,9 +342,9 @@
 
 // Guards against a model checker that detects nothing: it has to find each mutation of the controller.
 func TestModelDetectsMutations(t *testing.T) {
-	for planted := noMutation + 1; planted < mutationEnd; planted++ {
-		if violation, states, _ := explore(planted, maxModelStates()); violation == "" {
-			t.Errorf("mutation %d of the controller was not detected in %d states", planted, states)
+	for mutated := noMutation + 1; mutated < mutationEnd; mutated++ {
+		if violation, states, _ := explore(mutated, maxModelStates()); violation == "" {
+			t.Errorf("mutation %q of the controller was not detected in %d states", mutated, states)
 		}
 	}
 }
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -22,7 +22,7 @@
 	OrderRollback = "rollback"
 )
 
-// orderedReason is the value of Record.Reason for a step that an operator has ordered.
+// orderedReason is the value of Record.Reason for a pause, a stop or a rollback that an operator has ordered.
 const orderedReason = "ordered"
 
 // Order is an operator's order to the controller of a rollout. Plan replaces the plan of the rollout; it is used only with
@@ -145,15 +145,16 @@
 		return &InvalidPlanError{"version", "has another checksum than the program of this rollout"}
 	}
 	if len(plan.Agents) != len(s.Plan.Agents) {
-		return &InvalidPlanError{"agent", "the relays are not those of the rollout"}
+		return &InvalidPlanError{"agent", fmt.Sprintf("lists %d relays, but the rollout has %d", len(plan.Agents), len(s.Plan.Agents))}
 	}
 	for _, agent := range plan.Agents {
 		if s.OldVersions[agent.Relay] == "" {
-			return &InvalidPlanError{"agent", fmt.Sprintf("relay %d is not in the rollout", agent.Relay)}
+			return &InvalidPlanError{"agent", fmt.Sprintf("lists relay %d, which is not in the rollout", agent.Relay)}
 		}
 	}
 	if s.Stage >= len(plan.Stages) || plan.relaysAfter(s.Stage) < len(s.Updated) {
-		return &InvalidPlanError{"stage", fmt.Sprintf("%d relays are updated already, in stage %d", len(s.Updated), s.Stage+1)}
+		reason := fmt.Sprintf("has too few stages or relays: %d relays are updated already, in stage %d", len(s.Updated), s.Stage+1)
+		return &InvalidPlanError{"stage", reason}
 	}
 	return nil
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -6,7 +6,8 @@
 //
 // Guarantees:
 //   - No more relays than the plan allows are updated at once, and never those of two zones.
-//   - After a stop no further relay is updated; after a rollback each relay that can be reached has its old version.
+//   - After a stop no further relay is updated; a rollback is finished when each updated relay has its old
+//     version, and waits for relays that can't be reached.
 //   - Each step is on disk before it is carried out, and may be repeated: a controller that crashes at any point is resumed.
 //   - Agents obey only the controller with the latest fencing token.
 //   - A relay that can't be reached counts as unknown, never as healthy.
--- a/internal/rollout/processes.go
+++ b/internal/rollout/processes.go
@@ -27,7 +27,7 @@
 type ProcessRunner struct {
 	config AgentConfig
 	socket *os.File
-	update sync.Mutex // held during an update and during a restart
+	update sync.Mutex // held during an update, a restart and Stop
 
 	mu      sync.Mutex
 	current *process
@@ -109,7 +109,7 @@
 	r.current = p
 }
 
-// Update implements Runner. The new process starts while the old one still runs; the old one hands over to it and exits.
+// Update implements Runner. The new process starts while the old one still runs; the old one hands over to it and is stopped.
 func (r *ProcessRunner) Update(ctx context.Context, program string) error {
 	r.update.Lock()
 	defer r.update.Unlock()
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// restore keeps the old process after a failed update, or restarts its program if the process has handed over already. ctx must
-// not be the context of the update: the relay has to be restored even if the update was cancelled.
+// restore keeps the old process after a failed update, or restarts its program if the process no longer serves clients, as after a
+// handover. ctx must not be the context of the update: the relay has to be restored even if the update was cancelled.
 func (r *ProcessRunner) restore(ctx context.Context, old *process) error {
 	if old.serves(ctx) {
 		r.allowExit(old, false)
--- a/internal/rollout/processes_test.go
+++ b/internal/rollout/processes_test.go
@@ -132,7 +132,8 @@
 	}
 	current := runner.currentProcess()
 	if pid := currentPID(t, runner); pid == first || pid != current.cmd.Process.Pid || filepath.Base(current.program) != "new" {
-		t.Errorf("after an update: process %d of program %s serves, want a new process; the old one was %d", pid, current.program, first)
+		t.Errorf("after an update: process %d serves, and the current process is %d of program %s; "+
+			"want one new process of program new, not the old process %d", pid, current.cmd.Process.Pid, current.program, first)
 	}
 	if err := syscall.Kill(first, 0); err == nil {
 		t.Errorf("old process %d still runs after the update", first)
@@ -174,7 +175,7 @@
 			t.Fatal(err)
 		}
 		if c, err := ReadAgentConfig(path); (err != nil) != wantErr {
-			t.Errorf("configuration %q: got %+v, error %v", text, c, err)
+			t.Errorf("configuration %q: got %+v, error %v; want an error: %v", text, c, err, wantErr)
 		}
 	}
 }
--- a/internal/rollout/server.go
+++ b/internal/rollout/server.go
@@ -96,7 +96,7 @@
 	return state, err
 }
 
-// save stores the state. The caller holds mu.
+// save stores the state. The caller holds mu, unless it is NewServer.
 func (s *Server) save() error {
 	text, err := json.Marshal(s.state)
 	if err != nil {
@@ -227,7 +227,8 @@
 	return s.save()
 }
 
-// reportFormats fills in the formats of the current version and of the version with the checksum next. The caller holds mu.
+// reportFormats fills in the formats of the current version and of the version with the checksum next, up to the first of them that
+// are unknown. The caller holds mu.
 func (s *Server) reportFormats(next string, answer *reply) {
 	ctx, cancel := s.newContext()
 	defer cancel()
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -8,7 +8,8 @@
 // Phase is the phase of a rollout.
 type Phase string
 
-// Values of Phase. Relays are updated in Running and RollingBack only. From Stopped and Done a rollout can only be rolled back;
+// Values of Phase. Updates are started in Running and RollingBack only; updates that were recorded before a pause are still sent
+// and completed. From Stopped and Done a rollout can only be rolled back;
 // RolledBack is final.
 const (
 	Running     Phase = "running"
@@ -27,13 +28,13 @@
 	Phase       Phase          `json:"phase"`
 	Reason      string         `json:"why,omitempty"`      // why the rollout is in this phase, or empty
 	Stage       int            `json:"stage"`              // index of the current stage in Plan.Stages
-	BakingSince time.Time      `json:"bake_from,omitzero"` // when the last relay of the stage was updated, or zero
+	BakingSince time.Time      `json:"bake_from,omitzero"` // start of the stage's bake time, or zero before it
 	Updating    map[int]string `json:"changing"`           // by relay with a running update: checksum of the program that it installs
-	Updated     []int          `json:"changed"`            // relays updated, or whose update failed, in order
+	Updated     []int          `json:"changed"`            // relays updated to the new version, or whose update to it failed, in order
 	Failed      map[int]string `json:"failed,omitempty"`   // by relay: error of its failed update
 }
 
-// Record is one step of a rollout. It is written to disk before the step is carried out.
+// Record is one step of a rollout, which is written to disk before it is carried out, or the result of an update.
 type Record struct {
 	At          time.Time      `json:"at"`
 	Kind        string         `json:"kind"`
@@ -48,15 +49,15 @@
 const (
 	recordStarted      = "began"    // Plan, Version (the new one), OldVersions
 	recordUpdating     = "change"   // Relay, Version; the update has to be sent to the agent
-	recordUpdated      = "changed"  // Relay, Version; the agent has confirmed the update
+	recordUpdated      = "changed"  // Relay, Version that it runs; the update succeeded, or is not running after a stop
 	recordUpdateFailed = "failed"   // Relay, Reason
-	recordBaking       = "baking"   // none; the last relay of the stage was updated
+	recordBaking       = "baking"   // none; the last relay of the stage was updated, or a new controller restarts the bake time
 	recordPromoted     = "stage"    // none; the next stage starts
 	recordPaused       = "pause"    // Reason
 	recordResumed      = "resume"   // Plan, if the order replaced it
 	recordStopped      = "stop"     // Reason
 	recordRollback     = "rollback" // Reason
-	recordFinished     = "finished" // none; all relays were updated, or rolled back
+	recordFinished     = "finished" // none; the last stage or the rollback was completed
 )
 
 // Apply updates the state by a record. It is deterministic: the same records always lead to the same state.
--- a/internal/rollout/steps.go
+++ b/internal/rollout/steps.go
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// confirmUpdates returns a record for each running update that has ended according to the relay's agent.
+// confirmUpdates returns a record for each update recorded as running that has ended according to the relay's agent; after a stop
+// also for one that did not reach the agent.
 func (s *State) confirmUpdates(now time.Time, agents map[int]AgentStatus) (next []Record) {
 	for _, relay := range s.updatingRelays() {
 		status, version := agents[relay], s.Updating[relay]
@@ -105,8 +106,8 @@
 	return s.endStage(now, agents, evaluation)
 }
 
-// startUpdates returns records that start updates of up to remaining further relays, within the limits of the plan on parallel
-// updates.
+// startUpdates returns records that start updates of up to remaining further relays. It skips relays whose agents do not answer, and
+// keeps to the plan's maximum of parallel updates and to one zone at a time.
 func (s *State) startUpdates(now time.Time, agents map[int]AgentStatus, remaining int) (next []Record) {
 	for _, agent := range s.updateOrder() {
 		if remaining == 0 || len(s.Updating)+len(next) >= s.Plan.MaxParallel {
@@ -125,7 +126,7 @@
 
 // endStage returns the record that promotes a stage after its bake time, if the evaluation is conclusive, or that pauses the
 // rollout if it is not after the maximum bake time. If all relays are updated, there is no control cohort to compare with, and
-// the minimum bake time is enough.
+// the minimum bake time is enough. An updated relay that does not answer delays the end up to the maximum bake time.
 func (s *State) endStage(now time.Time, agents map[int]AgentStatus, evaluation Evaluation) []Record {
 	baked := now.Sub(s.BakingSince)
 	expired := baked >= s.Plan.MaxBakeTime.AsDuration()
@@ -174,9 +175,9 @@
 // rollBack returns the records that restore the old versions of the updated relays, the last updated first. The rollback is
 // finished when all of them have their old version: it waits for a relay that does not answer.
 func (s *State) rollBack(now time.Time, agents map[int]AgentStatus) (next []Record) {
-	plans := map[int]Agent{}
+	agentsByRelay := map[int]Agent{}
 	for _, agent := range s.Plan.Agents {
-		plans[agent.Relay] = agent
+		agentsByRelay[agent.Relay] = agent
 	}
 	isWaiting := false
 	for _, relay := range slices.Backward(s.Updated) {
@@ -185,7 +186,7 @@
 		}
 		status := agents[relay]
 		isBlocked := !status.Reachable || !status.Settled || s.Failed[relay] != ""
-		if isBlocked || len(s.Updating)+len(next) >= s.Plan.MaxParallel || !s.sharesZone(plans[relay], next) {
+		if isBlocked || len(s.Updating)+len(next) >= s.Plan.MaxParallel || !s.sharesZone(agentsByRelay[relay], next) {
 			isWaiting = true
 			continue
 		}
--- a/internal/rollout/stored_test.go
+++ b/internal/rollout/stored_test.go
@@ -32,8 +32,8 @@
 	// newVersion and oldVersion are the checksums of the two versions.
 	newVersion = "1111111111111111111111111111111111111111111111111111111111111111"
 	oldVersion = "2222222222222222222222222222222222222222222222222222222222222222"
-	// tornBytes is the number of bytes to cut off a record file, so that its last record is incomplete.
-	tornBytes = 3
+	// truncatedBytes is the number of bytes to cut off a record file, so that its last record is incomplete.
+	truncatedBytes = 3
 )
 
 // storedTime is the time of the first record in storedRecords. Each further record is a second later.
@@ -220,8 +220,8 @@
 func sameState(t *testing.T, state *State, phase string, changed []int, failures map[int]string) {
 	t.Helper()
 	if string(state.Phase) != phase || state.NewVersion != newVersion || state.Stage != 1 || !state.BakingSince.IsZero() {
-		t.Errorf("got phase %q, want %q; got new version %s, stage %d, baking since %v", state.Phase, phase, state.NewVersion,
-			state.Stage, state.BakingSince)
+		t.Errorf("got phase %q, new version %s, stage %d, baking since %v; want %q, %s, 1 and no bake time",
+			state.Phase, state.NewVersion, state.Stage, state.BakingSince, phase, newVersion)
 	}
 	if !slices.Equal(state.Updated, changed) || len(state.Updating) > 0 {
 		t.Errorf("got updated relays %v, want %v; got running updates %v, want none", state.Updated, changed, state.Updating)
@@ -240,7 +240,7 @@
 func TestReadsStoredTornRecords(t *testing.T) {
 	dir := t.TempDir()
 	text := fileBytes(t, filepath.Join(storedDir, storedController, "rollout.2"))
-	putFile(t, filepath.Join(dir, "rollout.2"), text[:len(text)-tornBytes])
+	putFile(t, filepath.Join(dir, "rollout.2"), text[:len(text)-truncatedBytes])
 	records, err := ReadStore(dir)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rollout/validate.go
+++ b/internal/rollout/validate.go
@@ -34,9 +34,10 @@
 	case lacksUnit(p.Gate.Interval):
 		return &InvalidPlanError{"gate.every", noUnit}
 	case p.MaxBakeTime < p.BakeTime:
-		return &InvalidPlanError{"longest_bake", "is shorter than bake"}
+		reason := fmt.Sprintf("is %v, shorter than bake, %v", p.MaxBakeTime.AsDuration(), p.BakeTime.AsDuration())
+		return &InvalidPlanError{"longest_bake", reason}
 	case p.MaxParallel < 1:
-		return &InvalidPlanError{"most_in_change", "is not above 0"}
+		return &InvalidPlanError{"most_in_change", fmt.Sprintf("is %d, not above 0", p.MaxParallel)}
 	case p.OnControllerFailure != resumeOnFailure && p.OnControllerFailure != rollbackOnFailure:
 		reason := fmt.Sprintf("%q is not %q or %q", p.OnControllerFailure, resumeOnFailure, rollbackOnFailure)
 		return &InvalidPlanError{"on_death", reason}
@@ -85,7 +86,7 @@
 			return &InvalidPlanError{key, fmt.Sprintf("has %d relays, more than the %d of the plan", relays, len(p.Agents))}
 		}
 		if relays < before {
-			return &InvalidPlanError{key, fmt.Sprintf("has %d relays, fewer than the previous stage", relays)}
+			return &InvalidPlanError{key, fmt.Sprintf("has %d relays, fewer than the %d of the previous stage", relays, before)}
 		}
 		before = relays
 	}
@@ -117,5 +118,6 @@
 	noUnit  = "has no unit, such as \"10s\""
 )
 
-// lacksUnit reports whether a duration was written as a bare number, which TOML decodes as nanoseconds.
+// lacksUnit reports whether a duration is above 0 and below 1 ms. Such a duration is taken for a bare number, which TOML decodes as
+// nanoseconds.
 func lacksUnit(d Duration) bool { return d > 0 && d.AsDuration() < time.Millisecond }
