--- a/internal/scale/bed.go
+++ b/internal/scale/bed.go
@@ -27,31 +27,31 @@
 	// listeners take the calls to all endpoints that answer. Each has an address of its own, so that a relay's idle
 	// connections are shared by the destinations of one listener alone.
 	listeners = 512
-	// waitListener turns all calls away and tells to wait, and nothing listens at closedListener.
-	waitListener, closedListener = listeners, listeners + 1
-	// changing entries at the start of the list are those that changes take off it and put back, and marking ones after
+	// retryLaterListener turns all calls away and tells to wait, and nothing listens at closedListener.
+	retryLaterListener, closedListener = listeners, listeners + 1
+	// toggledEntries entries at the start of the list are those that changes take off it and put back, and marking ones after
 	// them, which are more, tell when a relay has taken in all changes. These are never down and get no messages.
-	changing = 32
-	marking  = 40
-	reserved = changing + marking
+	toggledEntries  = 32
+	markerEntries   = 40
+	reservedEntries = toggledEntries + markerEntries
 	// heldDestinations at the end of the list tell to wait, in a run that holds messages: all messages that are held are
 	// for them, and no slot is.
 	heldDestinations = 2000
-	// leastDestinations is the shortest list that has room for those.
-	leastDestinations = 300
-	// lookEvery is the time between looks at the relay's counters.
-	lookEvery = 5 * time.Millisecond
-	// adminWait bounds how long a look may take.
-	adminWait = 2 * time.Second
-	// endWait is how long a relay may take to end, by the protocol.
-	endWait = 3700 * time.Millisecond
+	// minDestinations is the shortest list that has room for those.
+	minDestinations = 300
+	// pollInterval is the time between looks at the relay's counters.
+	pollInterval = 5 * time.Millisecond
+	// adminTimeout bounds how long a look may take.
+	adminTimeout = 2 * time.Second
+	// stopTimeout is how long a relay may take to end, by the protocol.
+	stopTimeout = 3700 * time.Millisecond
 	// The classes of message: one with the deadline of a usual day, and one for messages that are held.
 	usualClass, heldClass       = "notice", "held"
 	usualDeadline, heldDeadline = 8 * time.Second, time.Hour
 	// endpointRate is the calls a second that a destination takes, as the list tells it.
 	endpointRate = 25
-	// holdRoomShare is how much more than the messages that are to be held a relay may hold.
-	holdRoomShare = 1.5
+	// heldCapacityFactor is how much more than the messages that are to be held a relay may hold.
+	heldCapacityFactor = 1.5
 )
 
 // size is what one point asks of a relay.
@@ -62,25 +62,25 @@
 	held         int
 }
 
-// bed is one relay with the stand-ins that it meets.
-type bed struct {
-	plan      *Plan
-	size      size
-	binary    string
-	dir       string
-	env       []string // added to the relay's environment
-	subnet    *platform.Subnet
-	list      *standin.List
-	discovery *standin.Discovery
-	endpoints *standin.Endpoints
-	relay     *process.Process
-	clients   *clients
-	position  int // of the next change among those of the changing entries
+// testBed is one relay with the stand-ins that it meets.
+type testBed struct {
+	plan       *Plan
+	size       size
+	binary     string
+	dir        string
+	env        []string // added to the relay's environment
+	subnet     *platform.Subnet
+	list       *standin.List
+	discovery  *standin.Discovery
+	endpoints  *standin.Endpoints
+	relay      *process.Process
+	clients    *clients
+	nextToggle int // of the next change among those of the changing entries
 }
 
-// newBed opens the stand-ins of a point; the relay is not started yet.
-func newBed(plan *Plan, s size, binary, dir string, subnet *platform.Subnet) (b *bed, err error) {
-	b = &bed{plan: plan, size: s, binary: binary, dir: dir, subnet: subnet}
+// newTestBed opens the stand-ins of a point; the relay is not started yet.
+func newTestBed(plan *Plan, s size, binary, dir string, subnet *platform.Subnet) (b *testBed, err error) {
+	b = &testBed{plan: plan, size: s, binary: binary, dir: dir, subnet: subnet}
 	defer func() {
 		if err != nil {
 			b.close()
@@ -93,7 +93,7 @@
 	for i := range listeners + 1 {
 		addresses = append(addresses, subnet.Host(0, i))
 	}
-	if b.endpoints, err = standin.OpenEndpoints(addresses, func(i int) bool { return i == waitListener }); err != nil {
+	if b.endpoints, err = standin.OpenEndpoints(addresses, func(i int) bool { return i == retryLaterListener }); err != nil {
 		return b, err
 	}
 	if b.discovery, err = standin.OpenDiscovery(subnet.Discovery(0, 0), b.list); err != nil {
@@ -107,9 +107,9 @@
 }
 
 // close ends the relay and the stand-ins.
-func (b *bed) close() {
+func (b *testBed) close() {
 	if b.relay != nil {
-		b.relay.End(syscall.SIGKILL, endWait)
+		b.relay.End(syscall.SIGKILL, stopTimeout)
 	}
 	if b.clients != nil {
 		b.clients.close()
@@ -122,12 +122,12 @@
 	}
 }
 
-func (b *bed) stateDir() string   { return filepath.Join(b.dir, "state") }
-func (b *bed) configPath() string { return filepath.Join(b.dir, "config.json") }
+func (b *testBed) stateDir() string   { return filepath.Join(b.dir, "state") }
+func (b *testBed) configPath() string { return filepath.Join(b.dir, "config.json") }
 
 // down tells whether the endpoint of a destination refuses connections: a share of them, by the seed.
-func (b *bed) down(index int) bool {
-	if index < reserved {
+func (b *testBed) down(index int) bool {
+	if index < reservedEntries {
 		return false
 	}
 	h := fnv.New64a()
@@ -136,17 +136,17 @@
 	return float64(h.Sum64()%steps) < b.plan.Load.Down.Part()*steps
 }
 
-// holds tells whether the endpoint of a destination turns all calls away.
-func (b *bed) holds(index int) bool {
+// refusesCalls tells whether the endpoint of a destination turns all calls away.
+func (b *testBed) refusesCalls(index int) bool {
 	return b.size.held > 0 && index >= b.size.destinations-heldDestinations
 }
 
 // entry is an entry of the list, as it is from the start.
-func (b *bed) entry(index int) platform.Entry {
+func (b *testBed) entry(index int) platform.Entry {
 	listener := index % listeners
 	switch {
-	case b.holds(index):
-		listener = waitListener
+	case b.refusesCalls(index):
+		listener = retryLaterListener
 	case b.down(index):
 		listener = closedListener
 	}
@@ -155,10 +155,10 @@
 }
 
 // scenario is what the relay's settings are made from.
-func (b *bed) scenario() *scenario.Scenario {
+func (b *testBed) scenario() *scenario.Scenario {
 	s := scenario.Default()
 	s.Fleet.Relays, s.Fleet.Notes, s.Fleet.Weights = 1, false, "nominal"
-	s.Fleet.MaxOpen = max(s.Fleet.MaxOpen, int(holdRoomShare*float64(b.size.held)))
+	s.Fleet.MaxOpen = max(s.Fleet.MaxOpen, int(heldCapacityFactor*float64(b.size.held)))
 	class := scenario.Class{Effect: "retryable", Group: "all", Aim: scenario.Duration(2 * time.Second), Worth: 1, LateShare: 0.3, Share: 1,
 		Memory: scenario.Duration(15 * time.Second)}
 	usual, held := class, class
@@ -166,7 +166,7 @@
 	// A relay refuses what would wait long before messages of as much value that can't: those that are held have the most,
 	// and lose none of it.
 	held.Name, held.Deadline, held.Aim, held.Worth = heldClass, scenario.Duration(heldDeadline), scenario.Duration(heldDeadline), 2
-	s.Rules.MaxRetryAfter = scenario.Duration(standin.Wait)
+	s.Rules.MaxRetryAfter = scenario.Duration(standin.RetryDelay)
 	s.Classes = []scenario.Class{usual, held}
 	s.Destinations = []scenario.Destination{{Count: 1, Endpoints: 1, Bulk: 1}}
 	return &s
@@ -195,7 +195,7 @@
 // relaySockets is how many sockets the relay may have.
 const relaySockets = 4096
 
-func (b *bed) writeConfig() error {
+func (b *testBed) writeConfig() error {
 	known := strings.Builder{}
 	known.WriteString(`{"seq":0,"whole":true,"hosts":[]}`)
 	if b.plan.Relay.ListInConfig {
@@ -215,22 +215,22 @@
 	return os.WriteFile(b.configPath(), text, 0o600)
 }
 
-// started is how a start went.
-type started struct {
+// startResult is how a start went.
+type startResult struct {
 	ready time.Duration // until it took clients
 	list  time.Duration // until it counted all that is listed
 	usage process.Usage // then
 }
 
-// listRefused finds the reason in the log of a relay that refuses a list.
-var listRefused = regexp.MustCompile(`list too long`)
+// listTooLong finds the reason in the log of a relay that refuses a list.
+var listTooLong = regexp.MustCompile(`list too long`)
 
 // start starts the relay and waits until the whole list is in force.
-func (b *bed) start(ctx context.Context) (s started, err error) {
+func (b *testBed) start(ctx context.Context) (s startResult, err error) {
 	if b.relay, err = process.Start(process.Options{Binary: b.binary, Dir: b.dir, Config: b.configPath(), State: b.stateDir(), Env: b.env}); err != nil {
 		return s, err
 	}
-	begun := b.relay.Begun()
+	begun := b.relay.Started()
 	if err := b.await(ctx, b.healthy); err != nil {
 		return s, fmt.Errorf("not ready: %w", err)
 	}
@@ -245,21 +245,21 @@
 }
 
 // await waits until something is so, as long as the plan lets a start take.
-func (b *bed) await(ctx context.Context, done func() bool) error {
+func (b *testBed) await(ctx context.Context, done func() bool) error {
 	end := time.Now().Add(b.plan.Relay.Ready.D())
 	for !done() {
 		select {
 		case <-b.relay.Exited():
-			return fmt.Errorf("%w: %s", process.ErrEnded, strings.TrimSpace(b.relay.LastLine()))
+			return fmt.Errorf("%w: %s", process.ErrExited, strings.TrimSpace(b.relay.LastLine()))
 		default:
 		}
-		if line := b.relay.Find(listRefused); line != "" {
+		if line := b.relay.Find(listTooLong); line != "" {
 			return errors.New("the relay says: " + strings.TrimSpace(line))
 		}
 		if time.Now().After(end) {
 			return fmt.Errorf("not within %v; the relay's last line: %q", b.plan.Relay.Ready.D(), strings.TrimSpace(b.relay.LastLine()))
 		}
-		if !clock.Sleep(ctx, lookEvery) {
+		if !clock.Sleep(ctx, pollInterval) {
 			return ctx.Err()
 		}
 	}
@@ -267,8 +267,8 @@
 }
 
 // healthy tells whether the relay takes clients.
-func (b *bed) healthy() bool {
-	reply, err := admin.Call(context.Background(), b.subnet.Admin(0, 0), "health", adminWait)
+func (b *testBed) healthy() bool {
+	reply, err := admin.Call(context.Background(), b.subnet.Admin(0, 0), "health", adminTimeout)
 	return err == nil && strings.HasPrefix(reply, "OK")
 }
 
@@ -279,14 +279,14 @@
 )
 
 // members asks the relay how many entries its list has.
-func (b *bed) members() (int, error) {
+func (b *testBed) members() (int, error) {
 	value, err := b.counter(membersCounter)
 	return int(value), err
 }
 
 // counter asks the relay for one of its counters.
-func (b *bed) counter(name string) (float64, error) {
-	reply, err := admin.Call(context.Background(), b.subnet.Admin(0, 0), "counters", adminWait)
+func (b *testBed) counter(name string) (float64, error) {
+	reply, err := admin.Call(context.Background(), b.subnet.Admin(0, 0), "counters", adminTimeout)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/scale/bounds.go
+++ b/internal/scale/bounds.go
@@ -14,36 +14,36 @@
 
 // The room that a run is taken to need, from trials, with a reserve. What it uses is watched as well.
 const (
-	bedMB             = 200   // of the test bed itself
-	relayMB           = 60    // of a real relay with a short list
-	hollowMB          = 2.0   // of a hollow relay
-	entryMB           = 0.006 // of an entry of the list, at the relay and the stand-in together
-	heldMB            = 0.004 // of a message that is held
-	bedDescriptors    = 2*listeners + mostInFlight + heldInFlight
-	fleetDescriptors  = 8 // of a relay, at the stand-ins
-	hollowDescriptors = 4 // of a process of hollow relays, at the test bed
+	testBedMB          = 200   // of the test bed itself
+	relayMB            = 60    // of a real relay with a short list
+	hollowMB           = 2.0   // of a hollow relay
+	entryMB            = 0.006 // of an entry of the list, at the relay and the stand-in together
+	heldMB             = 0.004 // of a message that is held
+	testBedDescriptors = 2*listeners + maxInFlight + maxHeldInFlight
+	fleetDescriptors   = 8 // of a relay, at the stand-ins
+	hollowDescriptors  = 4 // of a process of hollow relays, at the test bed
 )
 
-// need is what a run is taken to need.
-type need struct {
+// requirements is what a run is taken to requirements.
+type requirements struct {
 	memoryMB    float64
 	descriptors int
 	processes   int
 }
 
-func (p *Plan) need() (n need) {
+func (p *Plan) need() (n requirements) {
 	last := p.Points[len(p.Points)-1]
 	if p.Sweep == SweepRelays {
 		real := min(p.Fleet.Real, last)
 		hollow := last - real
-		n.memoryMB = bedMB + relayMB*float64(real) + hollowMB*float64(hollow)
+		n.memoryMB = testBedMB + relayMB*float64(real) + hollowMB*float64(hollow)
 		n.processes = real + hollowProcesses(hollow)
 		n.descriptors = fleetDescriptors*last + hollowDescriptors*n.processes
 		return n
 	}
 	s := p.sizeAt(last)
-	n.memoryMB = bedMB + relayMB + entryMB*float64(s.destinations) + heldMB*float64(s.held)
-	n.processes, n.descriptors = 1, bedDescriptors
+	n.memoryMB = testBedMB + relayMB + entryMB*float64(s.destinations) + heldMB*float64(s.held)
+	n.processes, n.descriptors = 1, testBedDescriptors
 	return n
 }
 
@@ -71,7 +71,7 @@
 }
 
 // allowedMB is the memory that the run may use.
-func (p *Plan) allowedMB() float64 { return p.Bounds.MemoryShare.Part() * thisMachine().MemoryMB }
+func (p *Plan) allowedMB() float64 { return p.Bounds.MemoryShare.Part() * describeMachine().MemoryMB }
 
 // availableMB is the memory that processes may still take on this machine; 0 where that is not known.
 func availableMB() float64 {
--- a/internal/scale/changes.go
+++ b/internal/scale/changes.go
@@ -9,27 +9,27 @@
 	"milletsail/internal/scale/standin"
 )
 
-// issued is a change of the list: when discovery had it, and how many entries are listed with it.
-type issued struct {
+// listChange is a change of the list: when discovery had it, and how many entries are listed with it.
+type listChange struct {
 	at     time.Time
 	listed int
 }
 
-// changeOne takes the next of the changing entries off the list, or puts it back: first all of them go one by one, then
+// toggleNextEntry takes the next of the changing entries off the list, or puts it back: first all of them go one by one, then
 // all come back, so that the number of entries tells how many changes a relay has taken in.
-func (b *bed) changeOne() (issued, error) {
-	health, index := standin.Deleted, b.position
-	if index >= changing {
-		health, index = standin.Serving, index-changing
+func (b *testBed) toggleNextEntry() (listChange, error) {
+	health, index := standin.Deleted, b.nextToggle
+	if index >= toggledEntries {
+		health, index = standin.Serving, index-toggledEntries
 	}
-	b.position = (b.position + 1) % (2 * changing)
+	b.nextToggle = (b.nextToggle + 1) % (2 * toggledEntries)
 	at := time.Now()
 	listed, err := b.list.Set(health, index)
-	return issued{at, listed}, err
+	return listChange{at, listed}, err
 }
 
-// change changes the list at a steady rate for a time.
-func (b *bed) change(ctx context.Context, rate float64, span time.Duration) (all []issued, err error) {
+// changeAtRate changes the list at a steady rate for a time.
+func (b *testBed) changeAtRate(ctx context.Context, rate float64, span time.Duration) (all []listChange, err error) {
 	if rate <= 0 {
 		clock.Sleep(ctx, span)
 		return nil, nil
@@ -39,7 +39,7 @@
 		if !clock.Sleep(ctx, time.Until(due)) {
 			return all, ctx.Err()
 		}
-		one, err := b.changeOne()
+		one, err := b.toggleNextEntry()
 		if err != nil {
 			return all, err
 		}
@@ -49,30 +49,30 @@
 	return all, nil
 }
 
-// catchUp is how long a relay has after a phase to take in what discovery has told it.
-const catchUp = 10 * time.Second
+// catchUpTimeout is how long a relay has after a phase to take in what discovery has told it.
+const catchUpTimeout = 10 * time.Second
 
-// settled tells whether the relay takes in all changes within catchUp. The number of entries alone does not tell: it comes
+// awaitAllChanges tells whether the relay takes in all changes within catchUp. The number of entries alone does not tell: it comes
 // again and again. So the markers are taken off the list, which leads to a number that no earlier change led to, and are put
 // back.
-func (b *bed) settled(ctx context.Context) bool {
-	markers := make([]int, marking)
+func (b *testBed) awaitAllChanges(ctx context.Context) bool {
+	markers := make([]int, markerEntries)
 	for i := range markers {
-		markers[i] = changing + i
+		markers[i] = toggledEntries + i
 	}
-	limited, cancel := context.WithTimeout(ctx, catchUp)
+	limited, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	for _, health := range []string{standin.Deleted, standin.Serving} {
 		if _, err := b.list.Set(health, markers...); err != nil {
 			return false
 		}
-		b.counted(limited)
+		b.awaitListCount(limited)
 	}
 	return limited.Err() == nil
 }
 
-// counted waits until the relay's counter shows the number of entries that are listed, or the context ends.
-func (b *bed) counted(ctx context.Context) {
+// awaitListCount waits until the relay's counter shows the number of entries that are listed, or the context ends.
+func (b *testBed) awaitListCount(ctx context.Context) {
 	const lookAgain = 20 * time.Millisecond
 	for {
 		if listed, err := b.members(); err == nil && listed == b.list.Listed() {
@@ -84,28 +84,28 @@
 	}
 }
 
-// look is what the relay's counter said at a moment.
-type look struct {
+// counterSample is what the relay's counter said at a moment.
+type counterSample struct {
 	at     time.Time
 	listed int
 }
 
-// watchCounter looks at the relay's counter until the context ends.
-func (b *bed) watchCounter(ctx context.Context) (all []look) {
+// sampleListCount looks at the relay's counter until the context ends.
+func (b *testBed) sampleListCount(ctx context.Context) (all []counterSample) {
 	for {
 		listed, err := b.members()
 		if err == nil && (len(all) == 0 || all[len(all)-1].listed != listed) {
-			all = append(all, look{time.Now(), listed})
+			all = append(all, counterSample{time.Now(), listed})
 		}
-		if !clock.Sleep(ctx, lookEvery) {
+		if !clock.Sleep(ctx, pollInterval) {
 			return all
 		}
 	}
 }
 
-// inForce gives the time until each change was in force, in rising order, and how many were not by the end. A look stands
+// timesToEffect gives the time until each change was in force, in rising order, and how many were not by the end. A look stands
 // for the first change not yet in force that leads to its number of entries, so that what is not certain is taken as late.
-func inForce(changes []issued, looks []look) (took []time.Duration, missing int) {
+func timesToEffect(changes []listChange, looks []counterSample) (took []time.Duration, missing int) {
 	next := 0
 	for _, l := range looks {
 		reached := -1
--- a/internal/scale/changes_test.go
+++ b/internal/scale/changes_test.go
@@ -10,21 +10,21 @@
 func TestInForce(t *testing.T) {
 	begun := time.Now()
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
-	changes := []issued{{at(0), 9}, {at(100), 8}, {at(200), 9}, {at(300), 10}}
+	changes := []listChange{{at(0), 9}, {at(100), 8}, {at(200), 9}, {at(300), 10}}
 	for _, c := range []struct {
 		name    string
-		looks   []look
+		looks   []counterSample
 		want    []int // milliseconds
 		missing int
 	}{
-		{"each seen", []look{{at(-5), 10}, {at(10), 9}, {at(120), 8}, {at(230), 9}, {at(340), 10}}, []int{10, 20, 30, 40}, 0},
-		{"two in one look", []look{{at(130), 8}, {at(340), 10}}, []int{30, 40, 130, 140}, 0},
-		{"the turn was not seen", []look{{at(10), 9}, {at(340), 10}}, []int{10, 40, 140, 240}, 0},
-		{"stops", []look{{at(10), 9}}, []int{10}, 3},
+		{"each seen", []counterSample{{at(-5), 10}, {at(10), 9}, {at(120), 8}, {at(230), 9}, {at(340), 10}}, []int{10, 20, 30, 40}, 0},
+		{"two in one look", []counterSample{{at(130), 8}, {at(340), 10}}, []int{30, 40, 130, 140}, 0},
+		{"the turn was not seen", []counterSample{{at(10), 9}, {at(340), 10}}, []int{10, 40, 140, 240}, 0},
+		{"stops", []counterSample{{at(10), 9}}, []int{10}, 3},
 		{"none", nil, nil, 4},
-		{"an entry too many", []look{{at(10), 11}}, nil, 4},
+		{"an entry too many", []counterSample{{at(10), 11}}, nil, 4},
 	} {
-		took, missing := inForce(changes, c.looks)
+		took, missing := timesToEffect(changes, c.looks)
 		var got []int
 		for _, d := range took {
 			got = append(got, int(d/time.Millisecond))
--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	// leastPoints that a slope with an interval needs.
-	leastPoints = 3
-	// A line with an R² of sureR2 is taken for one; below it, the better of line and power law.
-	sureR2 = 0.99
-	// leastR2 of a fit that may be used, and the largest residual of one, as a share of the span of the values.
-	leastR2, mostResidual = 0.95, 0.2
+	// minPoints that a slope with an interval needs.
+	minPoints = 3
+	// A line with an R² of conclusiveR2 is taken for one; below it, the better of line and power law.
+	conclusiveR2 = 0.99
+	// minR2 of a fit that may be used, and the largest residual of one, as a share of the span of the values.
+	minR2, mostResidual = 0.95, 0.2
 	// constantSpan is the span of values that count as constant, as a share of their mean.
 	constantSpan = 0.25
 	// confidence of the slope's interval.
@@ -55,7 +55,7 @@
 // Of fits values to sizes, which have to be as many and not all the same.
 func Of(sizes, values []float64) Result {
 	r := Result{Points: len(sizes), Form: TooFew}
-	if len(sizes) < leastPoints {
+	if len(sizes) < minPoints {
 		return r
 	}
 	r.Intercept, r.Slope = stat.LinearRegression(sizes, values, nil, false)
@@ -105,13 +105,13 @@
 	switch {
 	case span <= constantSpan*math.Abs(stat.Mean(values, nil)):
 		return Constant
-	case r.Low <= 0 && r.High >= 0 && r.LogR2 < leastR2: // nor is a slope that may be zero
+	case r.Low <= 0 && r.High >= 0 && r.LogR2 < minR2: // nor is a slope that may be zero
 		return None
-	case r.R2 >= sureR2 && r.Residual <= mostResidual*span:
+	case r.R2 >= conclusiveR2 && r.Residual <= mostResidual*span:
 		return Linear
-	case r.LogR2 >= leastR2 && r.LogR2 > r.R2:
+	case r.LogR2 >= minR2 && r.LogR2 > r.R2:
 		return Power
-	case r.R2 >= leastR2 && r.Residual <= mostResidual*span:
+	case r.R2 >= minR2 && r.Residual <= mostResidual*span:
 		return Linear
 	}
 	return None
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -22,12 +22,12 @@
 const (
 	// fleetZones is the zones that the relays of a fleet are spread over.
 	fleetZones = 3
-	// factEvery is the time between facts that are shared, factWait the time that the last one has to reach all.
-	factEvery, factWait = 250 * time.Millisecond, 5 * time.Second
+	// factInterval is the time between facts that are shared, factWait the time that the last one has to reach all.
+	factInterval, factWait = 250 * time.Millisecond, 5 * time.Second
 )
 
-// fleetBed is a fleet of real and hollow relays on the lab's stand-ins.
-type fleetBed struct {
+// fleetTestBed is a fleet of real and hollow relays on the lab's stand-ins.
+type fleetTestBed struct {
 	plan     *Plan
 	x        int
 	variant  variant
@@ -41,7 +41,7 @@
 // measureFleet measures one point of a sweep over relays; what went wrong is in it.
 func measureFleet(ctx context.Context, plan *Plan, x int, v variant, binary, self, dir string, subnet *platform.Subnet, progress func(string)) Point {
 	begun := time.Now()
-	b := &fleetBed{plan: plan, x: x, variant: v, point: Point{X: x}}
+	b := &fleetTestBed{plan: plan, x: x, variant: v, point: Point{X: x}}
 	err := b.open(ctx, binary, self, dir, subnet, progress)
 	defer b.close()
 	if err == nil {
@@ -68,7 +68,7 @@
 }
 
 // open starts the stand-ins and all relays.
-func (b *fleetBed) open(ctx context.Context, binary, self, dir string, subnet *platform.Subnet, progress func(string)) error {
+func (b *fleetTestBed) open(ctx context.Context, binary, self, dir string, subnet *platform.Subnet, progress func(string)) error {
 	s := fleetScenario(b.plan.Seed, b.x)
 	file, err := os.Create(filepath.Join(dir, "history.jsonl"))
 	if err != nil {
@@ -96,7 +96,7 @@
 	return err
 }
 
-func (b *fleetBed) close() {
+func (b *fleetTestBed) close() {
 	if b.real != nil {
 		b.real.Stop()
 	}
@@ -112,18 +112,18 @@
 }
 
 // run measures a fleet at rest, then facts that spread, then a relay that dies.
-func (b *fleetBed) run(ctx context.Context, progress func(string)) error {
+func (b *fleetTestBed) run(ctx context.Context, progress func(string)) error {
 	clock.Sleep(ctx, b.plan.Phases.Settle.D())
 	progress("at rest")
-	if err := b.measureRest(ctx); err != nil {
+	if err := b.measureIdle(ctx); err != nil {
 		return err
 	}
 	progress("facts")
-	if err := b.measureFacts(ctx); err != nil {
+	if err := b.measureFactSpread(ctx); err != nil {
 		return err
 	}
 	progress("a dead relay")
-	return b.measureDead(ctx)
+	return b.measureFailureDetection(ctx)
 }
 
 // fleetReading is the accounts of a fleet at a moment.
@@ -135,7 +135,7 @@
 	sent, sentBytes    int
 }
 
-func (b *fleetBed) read(ctx context.Context) (r fleetReading, err error) {
+func (b *fleetTestBed) read(ctx context.Context) (r fleetReading, err error) {
 	if r.traffic, err = b.hollow.count(ctx); err != nil {
 		return r, err
 	}
@@ -154,8 +154,8 @@
 	return r, nil
 }
 
-// measureRest measures what relays spend on keeping track of one another.
-func (b *fleetBed) measureRest(ctx context.Context) error {
+// measureIdle measures what relays spend on keeping track of one another.
+func (b *fleetTestBed) measureIdle(ctx context.Context) error {
 	before, err := b.read(ctx)
 	if err != nil {
 		return err
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// measureFacts shares facts one after the other, and times how each reaches the hollow relays.
-func (b *fleetBed) measureFacts(ctx context.Context) error {
+// measureFactSpread shares facts one after the other, and times how each reaches the hollow relays.
+func (b *fleetTestBed) measureFactSpread(ctx context.Context) error {
 	random := generator(b.plan.Seed, 3)
 	first, hollows := len(b.real.Relays), b.hollow.relays()
 	shared := map[string]time.Time{}
@@ -204,10 +204,10 @@
 	for fact := range b.plan.Fleet.Facts {
 		key := strconv.Itoa(1000 + fact)
 		shared[key] = time.Now()
-		if err := b.hollow.do(hollow.Command{Do: hollow.Share, Relay: first + random.IntN(hollows), Key: key}); err != nil {
+		if err := b.hollow.broadcast(hollow.Command{Do: hollow.Share, Relay: first + random.IntN(hollows), Key: key}); err != nil {
 			return err
 		}
-		collect(factEvery)
+		collect(factInterval)
 	}
 	collect(factWait)
 	if err := ctx.Err(); err != nil {
@@ -215,15 +215,15 @@
 	}
 	slices.Sort(took)
 	missing := b.plan.Fleet.Facts*hollows - len(took)
-	b.point.addTimes("fact in force", "ms", milliseconds, took, missing, factWait)
+	b.point.addQuantiles("fact in force", "ms", milliseconds, took, missing, factWait)
 	b.point.add("facts that did not arrive", "% of deliveries", 100*float64(missing)/float64(b.plan.Fleet.Facts*hollows))
 	return nil
 }
 
-// measureDead ends a hollow relay and times when the others drop it.
-func (b *fleetBed) measureDead(ctx context.Context) error {
+// measureFailureDetection ends a hollow relay and times when the others drop it.
+func (b *fleetTestBed) measureFailureDetection(ctx context.Context) error {
 	victim := b.x - 1
-	if err := errors.Join(b.hollow.do(hollow.Command{Do: hollow.Watch, Relay: victim}), b.hollow.do(hollow.Command{Do: hollow.Stop, Relay: victim})); err != nil {
+	if err := errors.Join(b.hollow.broadcast(hollow.Command{Do: hollow.Watch, Relay: victim}), b.hollow.broadcast(hollow.Command{Do: hollow.Stop, Relay: victim})); err != nil {
 		return err
 	}
 	died := time.Now()
@@ -242,6 +242,6 @@
 		return err
 	}
 	slices.Sort(took)
-	b.point.addTimes("dead relay dropped", "s", time.Duration.Seconds, took, others-len(took), b.plan.Fleet.DeadWait.D())
+	b.point.addQuantiles("dead relay dropped", "s", time.Duration.Seconds, took, others-len(took), b.plan.Fleet.DeadWait.D())
 	return nil
 }
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -77,10 +77,10 @@
 const (
 	// maxDatagram is the longest datagram of the protocol.
 	maxDatagram = 256
-	// lookEvery is the time between looks at whether a relay is dropped.
-	lookEvery = 250 * time.Millisecond
-	// closedFor is how long a shared fact says that its destination is closed, in milliseconds.
-	closedFor = 2000
+	// pollInterval is the time between looks at whether a relay is dropped.
+	pollInterval = 250 * time.Millisecond
+	// closedForMS is how long a shared fact says that its destination is closed, in milliseconds.
+	closedForMS = 2000
 	// version is what a hollow relay says that it is.
 	version = "hollow"
 )
@@ -128,7 +128,7 @@
 		return err
 	}
 	defer g.close()
-	g.tell(Event{What: Ready})
+	g.emit(Event{What: Ready})
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil || ctx.Err() != nil {
@@ -138,7 +138,7 @@
 		if err := json.Unmarshal(line, &c); err != nil {
 			return fmt.Errorf("command to hollow relays: %w", err)
 		}
-		g.obey(ctx, c)
+		g.execute(ctx, c)
 	}
 }
 
@@ -182,7 +182,7 @@
 	}
 	r := &relay{group: g, no: no, conn: conn, seen: map[int]bool{}}
 	r.service = live.New(live.Options{Incarnation: uint32(clock.ReadWall().Seconds()), Self: no, Size: g.config.Size, Version: version, Zone: no % max(1, g.config.Zones),
-		Seed: g.config.Seed + uint64(no), Send: r.send, OnAssessment: r.said, OnFact: func(fleet.Fact, time.Duration) {}})
+		Seed: g.config.Seed + uint64(no), Send: r.send, OnAssessment: r.onAssessment, OnFact: func(fleet.Fact, time.Duration) {}})
 	running, stop := context.WithCancel(ctx)
 	r.stop = stop
 	go r.service.Run(running)
@@ -229,8 +229,8 @@
 	}
 }
 
-// said reports the first time that the relay knows of a closed destination.
-func (r *relay) said(s live.PeerAssessment) {
+// onAssessment reports the first time that the relay knows of a closed destination.
+func (r *relay) onAssessment(s live.PeerAssessment) {
 	if s.Dest < 0 || s.Observers == 0 {
 		return
 	}
@@ -239,12 +239,12 @@
 	r.seen[s.Dest] = true
 	r.mu.Unlock()
 	if fresh {
-		r.group.tell(Event{What: Learned, Relay: r.no, Key: fmt.Sprint(s.Dest)})
+		r.group.emit(Event{What: Learned, Relay: r.no, Key: fmt.Sprint(s.Dest)})
 	}
 }
 
-// tell writes an event; one that can't be written has no reader any more.
-func (g *group) tell(e Event) {
+// emit writes an event; one that can't be written has no reader any more.
+func (g *group) emit(e Event) {
 	e.At = time.Now().UnixNano()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -259,12 +259,12 @@
 	return nil
 }
 
-// obey carries out a command.
-func (g *group) obey(ctx context.Context, c Command) {
+// execute carries out a command.
+func (g *group) execute(ctx context.Context, c Command) {
 	switch c.Do {
 	case Share:
 		if r := g.find(c.Relay); r != nil {
-			r.service.Observe(fleet.KindDestinationClosed, c.Key, closedFor, false, 0)
+			r.service.Observe(fleet.KindDestinationClosed, c.Key, closedForMS, false, 0)
 		}
 	case Stop:
 		if r := g.find(c.Relay); r != nil {
@@ -273,14 +273,14 @@
 	case Watch:
 		go g.watch(ctx, c.Relay)
 	case Count:
-		g.tell(Event{What: Counted, Traffic: Traffic{g.sent.Load(), g.sentBytes.Load(), g.received.Load(), g.receivedBytes.Load()}})
+		g.emit(Event{What: Counted, Traffic: Traffic{g.sent.Load(), g.sentBytes.Load(), g.received.Load(), g.receivedBytes.Load()}})
 	}
 }
 
 // watch reports when each relay of this process drops another.
 func (g *group) watch(ctx context.Context, other int) {
 	left := slices.DeleteFunc(slices.Clone(g.relays), func(r *relay) bool { return r.no == other })
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for len(left) > 0 {
 		select {
@@ -292,7 +292,7 @@
 			if _, counts := slices.BinarySearch(r.service.LiveRelays(), other); counts {
 				return false
 			}
-			g.tell(Event{What: Dropped, Relay: r.no})
+			g.emit(Event{What: Dropped, Relay: r.no})
 			return true
 		})
 	}
--- a/internal/scale/lines.go
+++ b/internal/scale/lines.go
@@ -9,8 +9,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyPlace is where a key stands in a file, and whether its value is written as text or as a list.
-type keyPlace struct {
+// keyPosition is where a key stands in a file, and whether its value is written as text or as a list.
+type keyPosition struct {
 	line int
 	kind unstable.Kind
 }
@@ -18,7 +18,7 @@
 // lineOf gives the line of a key, such as "load.changes", in a text that has been decoded before; of its table where the
 // text does not set the key, else 1.
 func lineOf(text []byte, key string) int {
-	places := keyPlaces(text)
+	places := keyPositions(text)
 	for {
 		if place, ok := places[key]; ok {
 			return place.line
@@ -31,16 +31,16 @@
 	}
 }
 
-// keyPlaces finds the place of each key and table, as far as the text can be read.
-func keyPlaces(text []byte) map[string]keyPlace {
-	places := map[string]keyPlace{}
+// keyPositions finds the place of each key and table, as far as the text can be read.
+func keyPositions(text []byte) map[string]keyPosition {
+	places := map[string]keyPosition{}
 	var parser unstable.Parser
 	parser.Reset(text)
 	table := ""
 	for parser.NextExpression() {
 		expression := parser.Expression()
 		var parts []string
-		place := keyPlace{line: 1, kind: expression.Kind}
+		place := keyPosition{line: 1, kind: expression.Kind}
 		for it := expression.Key(); it.Next(); {
 			parts = append(parts, string(it.Node().Data))
 			place.line = parser.Shape(it.Node().Raw).Start.Line
@@ -60,9 +60,9 @@
 // checkUnits tells of the first value that has to have a unit and is written as a plain number: the decoder would take it.
 func checkUnits(name string, text []byte) error {
 	withUnit := unitKeys(reflect.TypeFor[Plan](), "")
-	first := keyPlace{}
+	first := keyPosition{}
 	var key string
-	for path, place := range keyPlaces(text) {
+	for path, place := range keyPositions(text) {
 		plain := withUnit[path] && (place.kind == unstable.Integer || place.kind == unstable.Float)
 		if plain && (key == "" || place.line < first.line) {
 			key, first = path, place
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// patience is how long a client waits for its answer, by the protocol.
-	patience = 400 * time.Millisecond
-	// answerWait is how long a client of the test bed waits, so that a longer stall is measured and not cut off.
-	answerWait = 20 * time.Second
-	// lateAfter is how late a hand-in of the test bed may be until it counts as late.
-	lateAfter = 50 * time.Millisecond
+	// clientTimeout is how long a client waits for its answer, by the protocol.
+	clientTimeout = 400 * time.Millisecond
+	// requestTimeout is how long a client of the test bed waits, so that a longer stall is measured and not cut off.
+	requestTimeout = 20 * time.Second
+	// lateThreshold is how late a hand-in of the test bed may be until it counts as late.
+	lateThreshold = 50 * time.Millisecond
 	// messageBytes is the length of a message's body.
 	messageBytes = 200
-	// mostInFlight hand-ins are out at once; further ones count as not answered.
-	mostInFlight = 2000
-	// heldInFlight hand-ins of messages that are to be held are out at once.
-	heldInFlight = 256
+	// maxInFlight hand-ins are out at once; further ones count as not answered.
+	maxInFlight = 2000
+	// maxHeldInFlight hand-ins of messages that are to be held are out at once.
+	maxHeldInFlight = 256
 )
 
 // clients hand messages in at one relay.
@@ -46,16 +46,16 @@
 }
 
 func newClients(address, class string, run uint64) *clients {
-	transport := &http.Transport{MaxIdleConnsPerHost: mostInFlight, IdleConnTimeout: time.Second,
-		DialContext: (&net.Dialer{Timeout: answerWait}).DialContext}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxInFlight, IdleConnTimeout: time.Second,
+		DialContext: (&net.Dialer{Timeout: requestTimeout}).DialContext}
 	return &clients{url: "http://" + address + "/" + class, class: class, run: run,
-		http: &http.Client{Timeout: answerWait, Transport: transport}}
+		http: &http.Client{Timeout: requestTimeout, Transport: transport}}
 }
 
 func (c *clients) close() { c.http.CloseIdleConnections() }
 
-// handIn hands one message in and gives the status of the answer; 0 for none.
-func (c *clients) handIn(ctx context.Context, destination int, timeout time.Duration) int {
+// submit hands one message in and gives the status of the answer; 0 for none.
+func (c *clients) submit(ctx context.Context, destination int, timeout time.Duration) int {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url, bytes.NewReader(make([]byte, messageBytes)))
 	if err != nil {
 		return 0
@@ -85,44 +85,44 @@
 	}
 }
 
-// answers is the times from hand-in to answer of a phase. A hand-in is timed from when it is due, so that a stall that
+// responseTimes is the times from hand-in to answer of a phase. A hand-in is timed from when it is due, so that a stall that
 // holds further ones up is counted for each of them.
-type answers struct {
+type responseTimes struct {
 	mu         sync.Mutex
 	histogram  *hdrhistogram.Histogram // microseconds
 	unanswered int                     // not within a client's patience
 }
 
-func newAnswers() *answers {
+func newResponseTimes() *responseTimes {
 	const significantDigits = 3
-	return &answers{histogram: hdrhistogram.New(1, (2 * answerWait).Microseconds(), significantDigits)}
+	return &responseTimes{histogram: hdrhistogram.New(1, (2 * requestTimeout).Microseconds(), significantDigits)}
 }
 
-func (a *answers) add(took time.Duration, status int) {
+func (a *responseTimes) add(took time.Duration, status int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	_ = a.histogram.RecordValue(min(took, 2*answerWait).Microseconds())
-	if status == 0 || took > patience {
+	_ = a.histogram.RecordValue(min(took, 2*requestTimeout).Microseconds())
+	if status == 0 || took > clientTimeout {
 		a.unanswered++
 	}
 }
 
-// steady hands messages in at a steady rate for a time, and waits for all answers.
-func (c *clients) steady(ctx context.Context, rate float64, span time.Duration, timeout time.Duration, destination func() int) *answers {
-	all := newAnswers()
+// sendAtRate hands messages in at a sendAtRate rate for a time, and waits for all answers.
+func (c *clients) sendAtRate(ctx context.Context, rate float64, span time.Duration, timeout time.Duration, destination func() int) *responseTimes {
+	all := newResponseTimes()
 	if rate <= 0 {
 		clock.Sleep(ctx, span)
 		return all
 	}
 	var open sync.WaitGroup
-	room := make(chan struct{}, mostInFlight)
+	room := make(chan struct{}, maxInFlight)
 	begun, gap := time.Now(), time.Duration(float64(time.Second)/rate)
 	for due := begun; due.Before(begun.Add(span)); due = due.Add(gap) {
 		if !clock.Sleep(ctx, time.Until(due)) {
 			break
 		}
 		c.due.Add(1)
-		if time.Since(due) > lateAfter {
+		if time.Since(due) > lateThreshold {
 			c.late.Add(1)
 		}
 		to := destination()
@@ -130,12 +130,12 @@
 		case room <- struct{}{}:
 		default: // the relay has long stopped answering: a client would have no answer either
 			c.failed.Add(1)
-			all.add(answerWait, 0)
+			all.add(requestTimeout, 0)
 			continue
 		}
 		open.Go(func() {
 			defer func() { <-room }()
-			status := c.handIn(ctx, to, timeout)
+			status := c.submit(ctx, to, timeout)
 			all.add(time.Since(due), status)
 		})
 	}
@@ -143,9 +143,9 @@
 	return all
 }
 
-// fill hands messages in as fast as the relay answers, until so many were accepted, the time is up, or the relay refuses
+// sendUntilAccepted hands messages in as fast as the relay answers, until so many were accepted, the time is up, or the relay refuses
 // steadily. It gives the time that it took.
-func (c *clients) fill(ctx context.Context, count int, within, timeout time.Duration, destination func() int) time.Duration {
+func (c *clients) sendUntilAccepted(ctx context.Context, count int, within, timeout time.Duration, destination func() int) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	begun := time.Now()
@@ -154,13 +154,13 @@
 	var work sync.WaitGroup
 	var numbers sync.Mutex
 	var taken atomic.Int64
-	for range heldInFlight {
+	for range maxHeldInFlight {
 		work.Go(func() {
 			for ctx.Err() == nil && taken.Add(1) <= int64(count) {
 				numbers.Lock()
 				to := destination()
 				numbers.Unlock()
-				status := c.handIn(ctx, to, timeout)
+				status := c.submit(ctx, to, timeout)
 				if status == http.StatusAccepted || status == http.StatusOK {
 					continue
 				}
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -84,17 +84,17 @@
 
 // The bounds that no plan may exceed.
 const (
-	mostMemoryShare = 0.5
-	mostProcesses   = 200
-	mostReal        = 60
-	leastPoints     = 2
-	mostPoints      = 50
-	mostDestination = 1_000_000
-	mostHeld        = 1_000_000
-	mostChanges     = 1_000
-	mostMessages    = 5_000
-	mostRelays      = 1_200
-	longestPhase    = 10 * time.Minute
+	maxMemoryShare  = 0.5
+	maxProcesses    = 200
+	maxReal         = 60
+	minPoints       = 2
+	maxPoints       = 50
+	maxDestinations = 1_000_000
+	maxHeld         = 1_000_000
+	maxChanges      = 1_000
+	maxMessages     = 5_000
+	maxRelays       = 1_200
+	maxPhase        = 10 * time.Minute
 )
 
 // DefaultPlan is what a plan holds where its file is silent.
@@ -107,7 +107,7 @@
 		Relay: RelayPlan{Cores: 1, Memory: Size{4096 * megabyte}, Disk: Size{4096 * megabyte}, Ready: second(60), Restart: true,
 			Fill: second(120)},
 		Fleet:  FleetPlan{Real: 4, Loss: []Share{{0}, {0.1}}, Facts: 20, Measure: second(15), DeadWait: second(40)},
-		Bounds: BoundsPlan{MemoryShare: Share{mostMemoryShare}, Processes: mostProcesses}}
+		Bounds: BoundsPlan{MemoryShare: Share{maxMemoryShare}, Processes: maxProcesses}}
 }
 
 // LoadPlanFile reads a plan from a file.
@@ -143,20 +143,20 @@
 
 // check gives the key at fault of a plan that can't be run, with the reason.
 func (p *Plan) check() (key string, err error) {
-	limits := map[string]float64{SweepDestinations: mostDestination, SweepChanges: mostChanges, SweepHeld: mostHeld, SweepRelays: mostRelays}
+	limits := map[string]float64{SweepDestinations: maxDestinations, SweepChanges: maxChanges, SweepHeld: maxHeld, SweepRelays: maxRelays}
 	most, known := limits[p.Sweep]
 	switch {
 	case !known:
 		return "sweep", fmt.Errorf("%q is not \"destinations\", \"changes\", \"held\" or \"relays\"", p.Sweep)
-	case len(p.Points) < leastPoints || len(p.Points) > mostPoints:
-		return "points", fmt.Errorf("are %d, not %d to %d", len(p.Points), leastPoints, mostPoints)
+	case len(p.Points) < minPoints || len(p.Points) > maxPoints:
+		return "points", fmt.Errorf("are %d, not %d to %d", len(p.Points), minPoints, maxPoints)
 	case !slices.IsSorted(p.Points) || len(slices.Compact(slices.Clone(p.Points))) < len(p.Points):
 		return "points", errors.New("are not in rising order")
 	}
 	least := 1
 	switch p.Sweep {
 	case SweepDestinations:
-		least = leastDestinations
+		least = minDestinations
 	case SweepRelays:
 		least = 2
 	}
@@ -165,7 +165,7 @@
 			return "points", fmt.Errorf("%d is not %d to %.0f", point, least, most)
 		}
 	}
-	if least := leastDestinations + heldDestinations; (p.Sweep == SweepHeld || p.Load.Held > 0) && p.Load.Destinations < least {
+	if least := minDestinations + heldDestinations; (p.Sweep == SweepHeld || p.Load.Held > 0) && p.Load.Destinations < least {
 		return "load.destinations", fmt.Errorf("%d is less than %d, which messages that are held need", p.Load.Destinations, least)
 	}
 	for _, b := range p.bounds() {
@@ -178,24 +178,24 @@
 
 // bounds lists the values that have a range.
 func (p *Plan) bounds() []bound {
-	longest := longestPhase.Seconds()
+	longest := maxPhase.Seconds()
 	phase := func(key string, d Duration, least float64) bound { return bound{key, d.S(), least, longest} }
 	return []bound{
-		{"load.destinations", float64(p.Load.Destinations), leastDestinations, mostDestination},
-		{"load.changes", p.Load.Changes.PerSecond(), 0, mostChanges},
-		{"load.messages", p.Load.Messages.PerSecond(), 1, mostMessages},
-		{"load.held", float64(p.Load.Held), 0, mostHeld},
+		{"load.destinations", float64(p.Load.Destinations), minDestinations, maxDestinations},
+		{"load.changes", p.Load.Changes.PerSecond(), 0, maxChanges},
+		{"load.messages", p.Load.Messages.PerSecond(), 1, maxMessages},
+		{"load.held", float64(p.Load.Held), 0, maxHeld},
 		phase("phases.settle", p.Phases.Settle, 0), phase("phases.idle", p.Phases.Idle, 0.5),
 		phase("phases.changes", p.Phases.Changes, 0.5), phase("phases.messages", p.Phases.Messages, 0.5),
 		phase("phases.both", p.Phases.Both, 0.5), phase("phases.in_force", p.Phases.InForce, 0.5),
 		{"relay.cores", p.Relay.Cores, 0.1, 64},
 		phase("relay.ready", p.Relay.Ready, 1), phase("relay.fill", p.Relay.Fill, 1),
-		{"fleet.real", float64(p.Fleet.Real), 0, mostReal},
+		{"fleet.real", float64(p.Fleet.Real), 0, maxReal},
 		{"fleet.facts", float64(p.Fleet.Facts), 0, 1000},
 		{"fleet.loss", float64(len(p.Fleet.Loss)), 1, 10},
 		phase("fleet.measure", p.Fleet.Measure, 1), phase("fleet.dead_wait", p.Fleet.DeadWait, 1),
-		{"bounds.memory_share", p.Bounds.MemoryShare.Part(), 0.01, mostMemoryShare},
-		{"bounds.processes", float64(p.Bounds.Processes), 1, mostProcesses},
+		{"bounds.memory_share", p.Bounds.MemoryShare.Part(), 0.01, maxMemoryShare},
+		{"bounds.processes", float64(p.Bounds.Processes), 1, maxProcesses},
 	}
 }
 
--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -51,8 +51,8 @@
 // collection finds the live heap, in MB, in a line of a collection's report: "gc 7 @1.2s 3%: ... 8->9->4 MB, ...".
 var collection = regexp.MustCompile(`^gc \d+ @.* \d+->\d+->(\d+) MB`)
 
-// keptLines of a process's log are kept for messages of errors.
-const keptLines = 20
+// maxLogLines of a process's log are kept for messages of errors.
+const maxLogLines = 20
 
 // Start starts a process.
 func Start(o Options) (*Process, error) {
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	p.begun = time.Now()
-	if err := startOnLastingThread(p.command); err != nil {
+	if err := startOnPermanentThread(p.command); err != nil {
 		return nil, err
 	}
 	go func() {
@@ -88,9 +88,9 @@
 	starterOnce sync.Once
 )
 
-// startOnLastingThread starts a command from a thread that lasts as long as this program, since the command's process
+// startOnPermanentThread starts a command from a thread that lasts as long as this program, since the command's process
 // is killed when that thread ends.
-func startOnLastingThread(command *exec.Cmd) error {
+func startOnPermanentThread(command *exec.Cmd) error {
 	starterOnce.Do(func() {
 		go func() {
 			runtime.LockOSThread()
@@ -109,14 +109,14 @@
 	lines := bufio.NewReader(log)
 	for {
 		line, err := lines.ReadString('\n')
-		p.takeLine(line)
+		p.recordLine(line)
 		if err != nil {
 			return
 		}
 	}
 }
 
-func (p *Process) takeLine(line string) {
+func (p *Process) recordLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.logBytes += int64(len(line))
@@ -128,7 +128,7 @@
 		return
 	}
 	p.lastLines = append(p.lastLines, line)
-	if len(p.lastLines) > keptLines {
+	if len(p.lastLines) > maxLogLines {
 		p.lastLines = p.lastLines[1:]
 	}
 }
@@ -136,8 +136,8 @@
 // PID is the id of the process.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Begun is when it was started.
-func (p *Process) Begun() time.Time { return p.begun }
+// Started is when it was started.
+func (p *Process) Started() time.Time { return p.begun }
 
 // Exited is closed when the process has ended.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
@@ -178,16 +178,16 @@
 
 // Usage is what a process has used up to a moment.
 type Usage struct {
-	At           time.Time
-	CPU          time.Duration
-	ResidentMB   float64 // with pages that it shares with others
-	ProportionMB float64 // shared pages divided by those that share them; 0 where the system does not say
-	LiveHeapMB   float64 // that the last garbage collection found reachable; 0 before the first
-	StorageBytes int64   // that it caused to be written to storage, in pages
-	WrittenBytes int64   // by its write calls, to files and sockets, less its log
-	WriteCalls   int64
-	StateBytes   int64 // of the files in its folder
-	Descriptors  int
+	At             time.Time
+	CPU            time.Duration
+	ResidentMB     float64 // with pages that it shares with others
+	ProportionalMB float64 // shared pages divided by those that share them; 0 where the system does not say
+	LiveHeapMB     float64 // that the last garbage collection found reachable; 0 before the first
+	StorageBytes   int64   // that it caused to be written to storage, in pages
+	WrittenBytes   int64   // by its write calls, to files and sockets, less its log
+	WriteCalls     int64
+	StateBytes     int64 // of the files in its folder
+	Descriptors    int
 }
 
 // Usage reads the system's accounts.
@@ -223,5 +223,5 @@
 	return sum
 }
 
-// ErrEnded says that a process ended that should go on.
-var ErrEnded = errors.New("the relay's process ended")
+// ErrExited says that a process ended that should go on.
+var ErrExited = errors.New("the relay's process ended")
--- a/internal/scale/process/usage.go
+++ b/internal/scale/process/usage.go
@@ -22,10 +22,10 @@
 		return usage, err
 	}
 	const kilobytesOfMB = 1024
-	usage.ProportionMB = field(pid, "smaps_rollup", "Pss:") / kilobytesOfMB
-	usage.StorageBytes = int64(field(pid, "io", "write_bytes:"))
-	usage.WrittenBytes = int64(field(pid, "io", "wchar:"))
-	usage.WriteCalls = int64(field(pid, "io", "syscw:"))
+	usage.ProportionalMB = accountField(pid, "smaps_rollup", "Pss:") / kilobytesOfMB
+	usage.StorageBytes = int64(accountField(pid, "io", "write_bytes:"))
+	usage.WrittenBytes = int64(accountField(pid, "io", "wchar:"))
+	usage.WriteCalls = int64(accountField(pid, "io", "syscw:"))
 	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	usage.Descriptors = len(descriptors)
 	return usage, err
@@ -44,8 +44,8 @@
 	return time.Duration(now.Nano()), nil
 }
 
-// field reads a number from a file of a process's accounts; 0 where there is none.
-func field(pid int, file, name string) float64 {
+// accountField reads a number from a file of a process's accounts; 0 where there is none.
+func accountField(pid int, file, name string) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", pid, file))
 	if err != nil {
 		return 0
--- a/internal/scale/report/report.go
+++ b/internal/scale/report/report.go
@@ -53,7 +53,7 @@
 		}
 	}
 	for _, s := range all {
-		s.Fit = fit.Of(s.exact())
+		s.Fit = fit.Of(s.exactValues())
 	}
 	slices.SortStableFunc(all, func(a, b *Series) int {
 		return cmp.Or(cmp.Compare(order[a.Figure], order[b.Figure]), cmp.Compare(a.Relay, b.Relay), cmp.Compare(a.Variant, b.Variant))
@@ -61,8 +61,8 @@
 	return all
 }
 
-// exact gives the values that are no bounds.
-func (s *Series) exact() (sizes, values []float64) {
+// exactValues gives the values that are no bounds.
+func (s *Series) exactValues() (sizes, values []float64) {
 	for i, bound := range s.AtLeast {
 		if !bound {
 			sizes, values = append(sizes, s.Sizes[i]), append(values, s.Values[i])
@@ -97,7 +97,7 @@
 		b.WriteString("**Not complete: the run was broken off.**\n")
 	}
 	points := pointsOf(run)
-	fmt.Fprintf(&b, "\n| figure | unit | relay |%s fit |\n| --- | --- | --- |%s --- |\n", heads(run.Axis, points), strings.Repeat(" ---: |", len(points)))
+	fmt.Fprintf(&b, "\n| figure | unit | relay |%s fit |\n| --- | --- | --- |%s --- |\n", headerCells(run.Axis, points), strings.Repeat(" ---: |", len(points)))
 	for _, s := range SeriesOf(run) {
 		fmt.Fprintf(&b, "| %s | %s | %s |%s %s |\n", s.Figure, s.Unit, s.Name(), s.cells(points), s.Fit)
 	}
@@ -120,7 +120,7 @@
 	return slices.Compact(points)
 }
 
-func heads(axis string, points []int) string {
+func headerCells(axis string, points []int) string {
 	var b strings.Builder
 	for i, point := range points {
 		if i == 0 {
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -71,13 +71,13 @@
 	p.Figures = append(p.Figures, Figure{Name: name, Unit: unit, Value: value})
 }
 
-// addBound adds a figure whose true value is higher.
-func (p *Point) addBound(name, unit string, value float64) {
+// addLowerBound adds a figure whose true value is higher.
+func (p *Point) addLowerBound(name, unit string, value float64) {
 	p.Figures = append(p.Figures, Figure{Name: name, Unit: unit, Value: value, AtLeast: true})
 }
 
-// addTimes adds the quantiles of times in rising order; further ones, which did not come within a bound, count as longer.
-func (p *Point) addTimes(name, unit string, in func(time.Duration) float64, took []time.Duration, missing int, bound time.Duration) {
+// addQuantiles adds the quantiles of times in rising order; further ones, which did not come within a bound, count as longer.
+func (p *Point) addQuantiles(name, unit string, in func(time.Duration) float64, took []time.Duration, missing int, bound time.Duration) {
 	count := len(took) + missing
 	for _, quantile := range []struct {
 		name  string
@@ -87,7 +87,7 @@
 		switch {
 		case at < 0: // there is none
 		case at >= len(took):
-			p.addBound(name+" "+quantile.name, unit, in(bound))
+			p.addLowerBound(name+" "+quantile.name, unit, in(bound))
 		default:
 			p.add(name+" "+quantile.name, unit, in(took[at]))
 		}
@@ -110,8 +110,8 @@
 	SweepRelays: "relays",
 }
 
-// thisMachine describes the machine.
-func thisMachine() Machine {
+// describeMachine describes the machine.
+func describeMachine() Machine {
 	m := Machine{Cores: runtime.NumCPU()}
 	var info unix.Sysinfo_t
 	if unix.Sysinfo(&info) == nil {
@@ -126,8 +126,8 @@
 	return m
 }
 
-// describe reads the version of a relay from its binary.
-func describe(label, path string) Binary {
+// describeBinary reads the version of a relay from its binary.
+func describeBinary(label, path string) Binary {
 	b := Binary{Label: label}
 	if text, err := os.ReadFile(path); err == nil {
 		b.Digest = fmt.Sprintf("%x", sha256.Sum256(text))
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -39,9 +39,9 @@
 		return nil, "", err
 	}
 	defer os.RemoveAll(dir)
-	run = &Run{Title: p.Title, Sweep: p.Sweep, Axis: axes[p.Sweep], Plan: *p, Begun: time.Now(), Machine: thisMachine(), Program: o.Program}
+	run = &Run{Title: p.Title, Sweep: p.Sweep, Axis: axes[p.Sweep], Plan: *p, Begun: time.Now(), Machine: describeMachine(), Program: o.Program}
 	for _, version := range o.Versions {
-		run.Relays = append(run.Relays, describe(version.Label, version.Binary))
+		run.Relays = append(run.Relays, describeBinary(version.Label, version.Binary))
 	}
 	for i, x := range p.Points {
 		for _, variant := range p.variants() {
@@ -93,7 +93,7 @@
 	defer subnet.Release()
 	guarded, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	go guardMemory(guarded, p.allowedMB(), stop)
+	go enforceMemoryLimit(guarded, p.allowedMB(), stop)
 	begun := time.Now()
 	progress := func(step string) {
 		if o.Progress != nil {
@@ -117,8 +117,8 @@
 	return point, ctx.Err()
 }
 
-// guardMemory ends a point that uses too much memory.
-func guardMemory(ctx context.Context, allowedMB float64, stop context.CancelCauseFunc) {
+// enforceMemoryLimit ends a point that uses too much memory.
+func enforceMemoryLimit(ctx context.Context, allowedMB float64, stop context.CancelCauseFunc) {
 	const lookEvery = 500 * time.Millisecond
 	for clock.Sleep(ctx, lookEvery) {
 		if usedMB(children(os.Getpid())) > allowedMB {
@@ -128,12 +128,12 @@
 	}
 }
 
-// lateShare of the hand-ins of a point may be late before the run shows nothing.
-const lateShare = 0.01
+// maxLateShare of the hand-ins of a point may be late before the run shows nothing.
+const maxLateShare = 0.01
 
 // add adds a point, and marks the run where the test bed was late in it.
 func (r *Run) add(point Point) {
-	if float64(point.Late) > lateShare*float64(point.HandIns) {
+	if float64(point.Late) > maxLateShare*float64(point.HandIns) {
 		r.Invalid = fmt.Sprintf("the test bed was late with %d of %d hand-ins at %d", point.Late, point.HandIns, point.X)
 	}
 	r.Points = append(r.Points, point)
--- a/internal/scale/shapes_test.go
+++ b/internal/scale/shapes_test.go
@@ -87,8 +87,8 @@
 
 var reported = regexp.MustCompile(`^live (\d+) allocated (\d+)`)
 
-// memory waits for two further reports of a relay and gives the second.
-func (m *single) memory(t *testing.T) (live, allocated int64) {
+// allocations waits for two further reports of a relay and gives the second.
+func (m *single) allocations(t *testing.T) (live, allocated int64) {
 	t.Helper()
 	time.Sleep(3 * reportEvery)
 	if _, err := fmt.Sscanf(m.relay.Find(reported), "live %d allocated %d", &live, &allocated); err != nil {
@@ -97,8 +97,8 @@
 	return live, allocated
 }
 
-// quiet waits until the relay writes nothing more, as after a start, whose work is not what is counted.
-func (b *bed) quiet(ctx context.Context) error {
+// awaitQuiet waits until the relay writes nothing more, as after a start, whose work is not what is counted.
+func (b *testBed) awaitQuiet(ctx context.Context) error {
 	const (
 		still   = 500 * time.Millisecond
 		mostIn  = 10 * time.Second
@@ -132,46 +132,46 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := newBed(&plan, size{destinations: destinations}, self, t.TempDir(), subnet)
+	b, err := newTestBed(&plan, size{destinations: destinations}, self, t.TempDir(), subnet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.close()
 	b.env = []string{"GODEBUG="} // no trace of collections, which is written in many calls
-	m := &single{bed: b}
+	m := &single{testBed: b}
 	ctx := t.Context()
 	if _, err := m.start(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if err := m.quiet(ctx); err != nil {
+	if err := m.awaitQuiet(ctx); err != nil {
 		t.Fatal(err)
 	}
-	c.live, _ = m.memory(t)
+	c.live, _ = m.allocations(t)
 
 	changes, err := m.measure(ctx, func() (int, error) {
-		all, err := m.change(ctx, changeRate, countedChanges*time.Second/changeRate)
+		all, err := m.changeAtRate(ctx, changeRate, countedChanges*time.Second/changeRate)
 		return len(all), err
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !m.settled(ctx) {
+	if !m.awaitAllChanges(ctx) {
 		t.Fatal("changes were not taken in")
 	}
 	c.changeBytes, c.changeCalls = float64(changes.written)/countedChanges, float64(changes.calls)/countedChanges
 
 	// The same destinations get messages at both sizes, one after the other.
 	next := 0
-	draw := func() int { next = (next + 1) % (shortList - reserved); return reserved + next }
-	_, before := m.memory(t)
+	draw := func() int { next = (next + 1) % (shortList - reservedEntries); return reservedEntries + next }
+	_, before := m.allocations(t)
 	messages, err := m.measure(ctx, func() (int, error) {
-		m.clients.steady(ctx, countedRate, countedMessages*time.Second/countedRate, usualDeadline, draw)
+		m.clients.sendAtRate(ctx, countedRate, countedMessages*time.Second/countedRate, usualDeadline, draw)
 		return 0, nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, after := m.memory(t)
+	_, after := m.allocations(t)
 	if delivered := m.endpoints.Delivered(); delivered < countedMessages {
 		t.Fatalf("%d of %d messages were delivered", delivered, countedMessages)
 	}
--- a/internal/scale/shared.go
+++ b/internal/scale/shared.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// hollowAProcess is how many hollow relays share a process.
-	hollowAProcess = 100
+	// hollowPerProcess is how many hollow relays share a process.
+	hollowPerProcess = 100
 	// HollowCommand is the command of this program that runs hollow relays.
 	HollowCommand = "hollow"
-	// hollowReady bounds how long the processes of hollow relays may take to start.
-	hollowReady = 30 * time.Second
+	// hollowStartTimeout bounds how long the processes of hollow relays may take to start.
+	hollowStartTimeout = 30 * time.Second
 )
 
 // hollowProcesses is how many processes run so many hollow relays.
-func hollowProcesses(count int) int { return (count + hollowAProcess - 1) / hollowAProcess }
+func hollowProcesses(count int) int { return (count + hollowPerProcess - 1) / hollowPerProcess }
 
 // hollowGroup is one process of hollow relays, as the test bed sees it.
 type hollowGroup struct {
@@ -49,9 +49,9 @@
 	for i := range size {
 		config.Peers = append(config.Peers, subnet.Peer(i))
 	}
-	for at := first; at < size; at += hollowAProcess {
+	for at := first; at < size; at += hollowPerProcess {
 		config.First, config.Listen = at, nil
-		for i := at; i < min(size, at+hollowAProcess); i++ {
+		for i := at; i < min(size, at+hollowPerProcess); i++ {
 			config.Listen = append(config.Listen, subnet.PeerListen(i))
 		}
 		if err := f.start(self, dir, config); err != nil {
@@ -59,7 +59,7 @@
 			return nil, err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, hollowReady)
+	ctx, cancel := context.WithTimeout(ctx, hollowStartTimeout)
 	defer cancel()
 	for range f.groups {
 		if _, err := f.await(ctx, hollow.Ready); err != nil {
@@ -114,7 +114,7 @@
 	close(f.closed)
 	for _, g := range f.groups {
 		_ = g.input.Close()
-		g.process.End(syscall.SIGKILL, endWait)
+		g.process.End(syscall.SIGKILL, stopTimeout)
 	}
 	f.done.Wait()
 }
@@ -133,8 +133,8 @@
 	}
 }
 
-// do gives a command to all processes.
-func (f *hollowFleet) do(c hollow.Command) error {
+// broadcast gives a command to all processes.
+func (f *hollowFleet) broadcast(c hollow.Command) error {
 	line, err := json.Marshal(c)
 	if err != nil {
 		return err
@@ -149,7 +149,7 @@
 
 // count sums up the datagrams of all hollow relays.
 func (f *hollowFleet) count(ctx context.Context) (sum hollow.Traffic, err error) {
-	if err := f.do(hollow.Command{Do: hollow.Count}); err != nil {
+	if err := f.broadcast(hollow.Command{Do: hollow.Count}); err != nil {
 		return sum, err
 	}
 	for range f.groups {
--- a/internal/scale/single.go
+++ b/internal/scale/single.go
@@ -34,7 +34,7 @@
 	calls   standin.Traffic
 }
 
-func (b *bed) read() (r reading, err error) {
+func (b *testBed) read() (r reading, err error) {
 	r.usage, err = b.relay.Usage()
 	r.control, r.calls = b.discovery.Control(), b.endpoints.Traffic()
 	return r, err
@@ -53,7 +53,7 @@
 }
 
 // measure runs something and gives what the relay used meanwhile.
-func (b *bed) measure(ctx context.Context, run func() (changes int, err error)) (phase, error) {
+func (b *testBed) measure(ctx context.Context, run func() (changes int, err error)) (phase, error) {
 	before, err := b.read()
 	if err != nil {
 		return phase{}, err
@@ -79,7 +79,7 @@
 
 // single measures one point at one relay.
 type single struct {
-	*bed
+	*testBed
 	point Point
 	draw  func() int // a destination that gets usual messages
 }
@@ -88,9 +88,9 @@
 func measureSingle(ctx context.Context, plan *Plan, x int, binary, dir string, subnet *platform.Subnet, progress func(string)) Point {
 	m := &single{point: Point{X: x}}
 	begun := time.Now()
-	b, err := newBed(plan, plan.sizeAt(x), binary, dir, subnet)
+	b, err := newTestBed(plan, plan.sizeAt(x), binary, dir, subnet)
 	if err == nil {
-		m.bed = b
+		m.testBed = b
 		defer b.close()
 		err = m.run(ctx, progress)
 		m.point.HandIns, m.point.Late = int(b.clients.due.Load()), int(b.clients.late.Load())
@@ -105,11 +105,11 @@
 // run goes through the phases of a point.
 func (m *single) run(ctx context.Context, progress func(string)) error {
 	random := generator(m.plan.Seed, 1)
-	usual := m.size.destinations - reserved
+	usual := m.size.destinations - reservedEntries
 	if m.size.held > 0 {
 		usual -= heldDestinations
 	}
-	m.draw = func() int { return reserved + random.IntN(usual) }
+	m.draw = func() int { return reservedEntries + random.IntN(usual) }
 	progress("start")
 	if err := m.measureStart(ctx); err != nil {
 		return err
@@ -159,7 +159,7 @@
 	defer holders.close()
 	random := generator(m.plan.Seed, 2)
 	first := m.size.destinations - heldDestinations
-	took := holders.fill(ctx, m.size.held, m.plan.Relay.Fill.D(), heldDeadline, func() int { return first + random.IntN(heldDestinations) })
+	took := holders.sendUntilAccepted(ctx, m.size.held, m.plan.Relay.Fill.D(), heldDeadline, func() int { return first + random.IntN(heldDestinations) })
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -190,19 +190,19 @@
 	}
 	progress("changes")
 	changes, err := m.measure(ctx, func() (int, error) {
-		all, err := m.change(ctx, m.size.changes, phases.Changes.D())
+		all, err := m.changeAtRate(ctx, m.size.changes, phases.Changes.D())
 		return len(all), err
 	})
 	if err != nil {
 		return err
 	}
-	if !m.settled(ctx) {
-		m.point.add("changes not taken in after the phase", "s", catchUp.Seconds())
+	if !m.awaitAllChanges(ctx) {
+		m.point.add("changes not taken in after the phase", "s", catchUpTimeout.Seconds())
 	}
 	progress("messages")
-	var rest, busy *answers
+	var rest, busy *responseTimes
 	messages, err := m.measure(ctx, func() (int, error) {
-		rest = m.clients.steady(ctx, m.size.messages, phases.Messages.D(), usualDeadline, m.draw)
+		rest = m.clients.sendAtRate(ctx, m.size.messages, phases.Messages.D(), usualDeadline, m.draw)
 		return 0, nil
 	})
 	if err != nil {
@@ -210,17 +210,17 @@
 	}
 	progress("messages and changes")
 	both, err := m.measure(ctx, func() (int, error) {
-		done := make(chan *answers)
-		go func() { done <- m.clients.steady(ctx, m.size.messages, phases.Both.D(), usualDeadline, m.draw) }()
-		all, err := m.change(ctx, m.size.changes, phases.Both.D())
+		done := make(chan *responseTimes)
+		go func() { done <- m.clients.sendAtRate(ctx, m.size.messages, phases.Both.D(), usualDeadline, m.draw) }()
+		all, err := m.changeAtRate(ctx, m.size.changes, phases.Both.D())
 		busy = <-done
 		return len(all), err
 	})
 	if err != nil {
 		return err
 	}
-	if !m.settled(ctx) {
-		m.point.add("changes not taken in after both", "s", catchUp.Seconds())
+	if !m.awaitAllChanges(ctx) {
+		m.point.add("changes not taken in after both", "s", catchUpTimeout.Seconds())
 	}
 	m.addCPU(idle, changes, messages, both)
 	m.addChanges(idle, changes)
@@ -259,12 +259,12 @@
 }
 
 // stallMS is a percentile of the answers' times in milliseconds.
-func stallMS(a *answers, percentile float64) float64 {
+func stallMS(a *responseTimes, percentile float64) float64 {
 	const microsecondsOfMillisecond = 1000
 	return float64(a.histogram.ValueAtPercentile(percentile)) / microsecondsOfMillisecond
 }
 
-func (m *single) addStalls(name string, a *answers) {
+func (m *single) addStalls(name string, a *responseTimes) {
 	m.point.add("answer "+name+" p50", "ms", stallMS(a, 50))
 	m.point.add("answer "+name+" p99", "ms", stallMS(a, 99))
 	m.point.add("answer "+name+" max", "ms", stallMS(a, 100))
@@ -287,29 +287,29 @@
 func (m *single) measureInForce(ctx context.Context) error {
 	watching, stop := context.WithCancel(ctx)
 	defer stop()
-	done := make(chan []look)
-	go func() { done <- m.watchCounter(watching) }()
-	changes, err := m.change(ctx, m.size.changes, m.plan.Phases.InForce.D())
+	done := make(chan []counterSample)
+	go func() { done <- m.sampleListCount(watching) }()
+	changes, err := m.changeAtRate(ctx, m.size.changes, m.plan.Phases.InForce.D())
 	if err == nil {
-		limited, cancel := context.WithTimeout(ctx, catchUp)
-		m.counted(limited)
+		limited, cancel := context.WithTimeout(ctx, catchUpTimeout)
+		m.awaitListCount(limited)
 		cancel()
-		clock.Sleep(ctx, 4*lookEvery)
+		clock.Sleep(ctx, 4*pollInterval)
 	}
 	stop()
 	looks := <-done
 	if err != nil || len(changes) == 0 {
 		return err
 	}
-	took, missing := inForce(changes, looks)
-	if missing > 0 && m.settled(ctx) { // they are in force now
+	took, missing := timesToEffect(changes, looks)
+	if missing > 0 && m.awaitAllChanges(ctx) { // they are in force now
 		for _, c := range changes[len(changes)-missing:] {
 			took = append(took, time.Since(c.at))
 		}
 		slices.Sort(took)
 		missing = 0
 	}
-	m.point.addTimes("in force", "ms", milliseconds, took, missing, catchUp)
+	m.point.addQuantiles("in force", "ms", milliseconds, took, missing, catchUpTimeout)
 	return ctx.Err()
 }
 
@@ -329,9 +329,9 @@
 
 // measureRestart ends the relay and starts it again on the same folder.
 func (m *single) measureRestart(ctx context.Context) error {
-	m.relay.End(syscall.SIGTERM, endWait)
+	m.relay.End(syscall.SIGTERM, stopTimeout)
 	for range missedChanges {
-		if _, err := m.changeOne(); err != nil {
+		if _, err := m.toggleNextEntry(); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/standin/discovery.go
+++ b/internal/scale/standin/discovery.go
@@ -109,8 +109,8 @@
 	return d.list.WriteSince(w, since)
 }
 
-// errLeft says that the relay has ended its watch.
-var errLeft = errors.New("the watch has ended")
+// errWatchEnded says that the relay has ended its watch.
+var errWatchEnded = errors.New("the watch has ended")
 
 // next waits for a change after a version and writes it, or writes an empty line.
 func (d *Discovery) next(w http.ResponseWriter, r *http.Request, version int) (int, error) {
@@ -118,11 +118,11 @@
 	if changed == nil {
 		return d.list.WriteSince(w, version)
 	}
-	timer := time.NewTimer(keepAlive)
+	timer := time.NewTimer(keepAliveInterval)
 	defer timer.Stop()
 	select {
 	case <-r.Context().Done():
-		return version, errLeft
+		return version, errWatchEnded
 	case <-changed:
 		return d.list.WriteSince(w, version)
 	case <-timer.C:
--- a/internal/scale/standin/endpoints.go
+++ b/internal/scale/standin/endpoints.go
@@ -30,7 +30,7 @@
 		}
 		handler := e.deliver
 		if closed(i) {
-			handler = turnAway
+			handler = refuseCall
 		}
 		server := &http.Server{Handler: http.HandlerFunc(handler), ConnContext: withConn}
 		e.servers = append(e.servers, server)
@@ -61,14 +61,14 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Wait is what endpoints that turn calls away tell the relay to wait.
-const Wait = 10 * time.Minute
+// RetryDelay is what endpoints that turn calls away tell the relay to wait.
+const RetryDelay = 10 * time.Minute
 
-// turnAway answers that the call has not run, and when to come again.
-func turnAway(w http.ResponseWriter, r *http.Request) {
+// refuseCall answers that the call has not run, and when to come again.
+func refuseCall(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
-	w.Header().Set("X-Retry-In-Ms", strconv.FormatInt(Wait.Milliseconds(), 10))
+	w.Header().Set("X-Retry-In-Ms", strconv.FormatInt(RetryDelay.Milliseconds(), 10))
 	w.WriteHeader(http.StatusTooManyRequests)
 }
--- a/internal/scale/standin/list.go
+++ b/internal/scale/standin/list.go
@@ -162,5 +162,5 @@
 	return out.Flush()
 }
 
-// keepAlive is the time between the empty lines of a watch on which nothing changes.
-const keepAlive = 2 * time.Second
+// keepAliveInterval is the time between the empty lines of a watch on which nothing changes.
+const keepAliveInterval = 2 * time.Second
--- a/internal/scale/statements_test.go
+++ b/internal/scale/statements_test.go
@@ -40,19 +40,19 @@
 }
 
 // work is what a relay is given between its start and its end.
-type work func(ctx context.Context, b *bed) error
+type work func(ctx context.Context, b *testBed) error
 
-func noWork(ctx context.Context, _ *bed) error { clock.Sleep(ctx, workSpan); return nil }
+func noWork(ctx context.Context, _ *testBed) error { clock.Sleep(ctx, workSpan); return nil }
 
-func changeWork(ctx context.Context, b *bed) error {
-	_, err := b.change(ctx, workRate, workSpan)
+func changeWork(ctx context.Context, b *testBed) error {
+	_, err := b.changeAtRate(ctx, workRate, workSpan)
 	return err
 }
 
-func messageWork(ctx context.Context, b *bed) error {
+func messageWork(ctx context.Context, b *testBed) error {
 	next := 0
-	draw := func() int { next = (next + 1) % (shortList - reserved); return reserved + next }
-	b.clients.steady(ctx, workRate, workSpan, usualDeadline, draw)
+	draw := func() int { next = (next + 1) % (shortList - reservedEntries); return reservedEntries + next }
+	b.clients.sendAtRate(ctx, workRate, workSpan, usualDeadline, draw)
 	if accepted := b.clients.accepted.Load(); accepted < int64(workDone) {
 		return fmt.Errorf("%d of %d messages were accepted", accepted, workDone)
 	}
@@ -72,7 +72,7 @@
 	if err := os.MkdirAll(counters, 0o700); err != nil {
 		return 0, err
 	}
-	b, err := newBed(&plan, size{destinations: destinations}, binary, dir, subnet)
+	b, err := newTestBed(&plan, size{destinations: destinations}, binary, dir, subnet)
 	if err != nil {
 		return 0, err
 	}
@@ -81,19 +81,19 @@
 	if _, err := b.start(ctx); err != nil {
 		return 0, err
 	}
-	if err := b.quiet(ctx); err != nil {
+	if err := b.awaitQuiet(ctx); err != nil {
 		return 0, err
 	}
 	if err := do(ctx, b); err != nil {
 		return 0, err
 	}
-	if !b.settled(ctx) {
+	if !b.awaitAllChanges(ctx) {
 		return 0, fmt.Errorf("changes were not taken in")
 	}
-	if err := b.quiet(ctx); err != nil {
+	if err := b.awaitQuiet(ctx); err != nil {
 		return 0, err
 	}
-	b.relay.End(syscall.SIGTERM, 2*endWait)
+	b.relay.End(syscall.SIGTERM, 2*stopTimeout)
 	return executed(ctx, counters, filepath.Join(dir, "counts"))
 }
 
