--- a/internal/scale/bed.go
+++ b/internal/scale/bed.go
@@ -24,61 +24,64 @@
 )
 
 const (
-	// listeners take the calls to all endpoints that answer. Each has an address of its own, so that a relay's idle
-	// connections are shared by the destinations of one listener alone.
+	// listeners is the number of listeners that serve the calls to all responsive endpoints. Each has its own
+	// address, so that a relay's idle connections are shared only among the destinations of one listener.
 	listeners = 512
-	// retryLaterListener turns all calls away and tells to wait, and nothing listens at closedListener.
+	// retryLaterListener refuses all calls and asks the relay to retry later. Nothing listens at the address of
+	// closedListener, which refuses connections.
 	retryLaterListener, closedListener = listeners, listeners + 1
-	// toggledEntries entries at the start of the list are those that changes take off it and put back, and marking ones after
-	// them, which are more, tell when a relay has taken in all changes. These are never down and get no messages.
+	// The first toggledEntries of the list are removed from it and put back by changes. The markerEntries after them,
+	// which are more, are toggled together to detect that a relay has applied all changes. Both kinds,
+	// reservedEntries in all, are never down and get no messages.
 	toggledEntries  = 32
 	markerEntries   = 40
 	reservedEntries = toggledEntries + markerEntries
-	// heldDestinations at the end of the list tell to wait, in a run that holds messages: all messages that are held are
-	// for them, and no slot is.
+	// heldDestinations is the number of destinations at the end of the list that refuse all calls, in a run that
+	// holds messages. All held messages are for them, so that none of those occupies a slot.
 	heldDestinations = 2000
-	// minDestinations is the shortest list that has room for those.
+	// minDestinations is the length of the shortest list, with room for the reserved entries.
 	minDestinations = 300
-	// pollInterval is the time between looks at the relay's counters.
+	// pollInterval is the interval at which the relay's counters are polled.
 	pollInterval = 5 * time.Millisecond
-	// adminTimeout bounds how long a look may take.
+	// adminTimeout is the time limit of a request to the relay's admin endpoint.
 	adminTimeout = 2 * time.Second
-	// stopTimeout is how long a relay may take to end, by the protocol.
+	// stopTimeout is the time that the protocol gives a relay to exit.
 	stopTimeout = 3700 * time.Millisecond
-	// The classes of message: one with the deadline of a usual day, and one for messages that are held.
+	// The two classes of messages, with their deadlines: one for usual messages, one for messages that the relay has
+	// to hold.
 	usualClass, heldClass       = "notice", "held"
 	usualDeadline, heldDeadline = 8 * time.Second, time.Hour
-	// endpointRate is the calls a second that a destination takes, as the list tells it.
+	// endpointRate is the calls per second that an endpoint accepts, as announced in the list.
 	endpointRate = 25
-	// heldCapacityFactor is how much more than the messages that are to be held a relay may hold.
+	// heldCapacityFactor is the relay's limit on open messages, as a multiple of the messages that it has to hold.
 	heldCapacityFactor = 1.5
 )
 
-// size is what one point asks of a relay.
+// size is the load of one point on a relay.
 type size struct {
 	destinations int
-	changes      float64 // a second
-	messages     float64 // a second
-	held         int
+	changes      float64 // changes of the list per second
+	messages     float64 // messages of the usual class per second
+	held         int     // messages that the relay has to hold
 }
 
-// testBed is one relay with the stand-ins that it meets.
+// testBed is one relay with the stand-ins for discovery and endpoints, and its clients.
 type testBed struct {
 	plan       *Plan
 	size       size
 	binary     string
 	dir        string
-	env        []string // added to the relay's environment
+	env        []string // variables added to the relay's environment
 	subnet     *platform.Subnet
 	list       *standin.List
 	discovery  *standin.Discovery
 	endpoints  *standin.Endpoints
 	relay      *process.Process
 	clients    *clients
-	nextToggle int // of the next change among those of the changing entries
+	nextToggle int // index of the next toggle, from 0 to 2*toggledEntries-1
 }
 
-// newTestBed opens the stand-ins of a point; the relay is not started yet.
+// newTestBed opens the stand-ins of a point and writes the relay's configuration. It does not start the relay.
 func newTestBed(plan *Plan, s size, binary, dir string, subnet *platform.Subnet) (b *testBed, err error) {
 	b = &testBed{plan: plan, size: s, binary: binary, dir: dir, subnet: subnet}
 	defer func() {
@@ -106,7 +109,7 @@
 	return b, b.writeConfig()
 }
 
-// close ends the relay and the stand-ins.
+// close kills the relay and closes the stand-ins.
 func (b *testBed) close() {
 	if b.relay != nil {
 		b.relay.End(syscall.SIGKILL, stopTimeout)
@@ -125,7 +128,8 @@
 func (b *testBed) stateDir() string   { return filepath.Join(b.dir, "state") }
 func (b *testBed) configPath() string { return filepath.Join(b.dir, "config.json") }
 
-// down tells whether the endpoint of a destination refuses connections: a share of them, by the seed.
+// down reports whether the endpoint of a destination refuses connections: a share of the destinations, chosen by the
+// seed.
 func (b *testBed) down(index int) bool {
 	if index < reservedEntries {
 		return false
@@ -136,12 +140,12 @@
 	return float64(h.Sum64()%steps) < b.plan.Load.Down.Part()*steps
 }
 
-// refusesCalls tells whether the endpoint of a destination turns all calls away.
+// refusesCalls reports whether the endpoint of a destination refuses all calls and asks the relay to retry later.
 func (b *testBed) refusesCalls(index int) bool {
 	return b.size.held > 0 && index >= b.size.destinations-heldDestinations
 }
 
-// entry is an entry of the list, as it is from the start.
+// entry returns the initial entry of the list for a destination.
 func (b *testBed) entry(index int) platform.Entry {
 	listener := index % listeners
 	switch {
@@ -154,7 +158,7 @@
 		Class: (*platform.Platform)(nil).Shape(1), Block: index, Health: standin.Serving, Share: endpointRate}
 }
 
-// scenario is what the relay's settings are made from.
+// scenario returns the lab scenario from which the relay's settings are derived.
 func (b *testBed) scenario() *scenario.Scenario {
 	s := scenario.Default()
 	s.Fleet.Relays, s.Fleet.Notes, s.Fleet.Weights = 1, false, "nominal"
@@ -163,8 +167,8 @@
 		Memory: scenario.Duration(15 * time.Second)}
 	usual, held := class, class
 	usual.Name, usual.Deadline = usualClass, scenario.Duration(usualDeadline)
-	// A relay refuses what would wait long before messages of as much value that can't: those that are held have the most,
-	// and lose none of it.
+	// Under load a relay refuses messages that would wait long, before others of equal worth that can't. The held
+	// class therefore has the highest worth and loses none of it.
 	held.Name, held.Deadline, held.Aim, held.Worth = heldClass, scenario.Duration(heldDeadline), scenario.Duration(heldDeadline), 2
 	s.Rules.MaxRetryAfter = scenario.Duration(standin.RetryDelay)
 	s.Classes = []scenario.Class{usual, held}
@@ -172,7 +176,7 @@
 	return &s
 }
 
-// configuration is a relay's configuration file.
+// configuration is the content of a relay's configuration file.
 type configuration struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -184,7 +188,7 @@
 	Settings  map[string]any  `json:"settings"`
 }
 
-// limits are what the platform grants the relay.
+// limits are the resources that the platform grants the relay.
 type limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -192,7 +196,7 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// relaySockets is how many sockets the relay may have.
+// relaySockets is the number of sockets that the relay may open.
 const relaySockets = 4096
 
 func (b *testBed) writeConfig() error {
@@ -215,36 +219,37 @@
 	return os.WriteFile(b.configPath(), text, 0o600)
 }
 
-// startResult is how a start went.
+// startResult holds the times from the start of a relay's process, and its resource usage at the end of the start.
 type startResult struct {
-	ready time.Duration // until it took clients
-	list  time.Duration // until it counted all that is listed
-	usage process.Usage // then
+	ready time.Duration // until its health check succeeds
+	list  time.Duration // until its list has all listed entries
+	usage process.Usage // when the whole list is in effect
 }
 
-// listTooLong finds the reason in the log of a relay that refuses a list.
+// listTooLong matches the log line of a relay that rejects a list as too long.
 var listTooLong = regexp.MustCompile(`list too long`)
 
-// start starts the relay and waits until the whole list is in force.
+// start starts the relay and waits until it has applied the whole list.
 func (b *testBed) start(ctx context.Context) (s startResult, err error) {
 	if b.relay, err = process.Start(process.Options{Binary: b.binary, Dir: b.dir, Config: b.configPath(), State: b.stateDir(), Env: b.env}); err != nil {
 		return s, err
 	}
 	begun := b.relay.Started()
 	if err := b.await(ctx, b.healthy); err != nil {
-		return s, fmt.Errorf("not ready: %w", err)
+		return s, fmt.Errorf("wait until the relay is ready: %w", err)
 	}
 	s.ready = time.Since(begun)
 	inForce := func() bool { listed, err := b.members(); return err == nil && listed == b.list.Listed() }
 	if err := b.await(ctx, inForce); err != nil {
-		return s, fmt.Errorf("the list is not in force: %w", err)
+		return s, fmt.Errorf("wait until the relay has applied the whole list: %w", err)
 	}
 	s.list = time.Since(begun)
 	s.usage, err = b.relay.Usage()
 	return s, err
 }
 
-// await waits until something is so, as long as the plan lets a start take.
+// await polls a condition until it holds. It fails if the relay exits, rejects its list, or takes longer than
+// relay.ready of the plan.
 func (b *testBed) await(ctx context.Context, done func() bool) error {
 	end := time.Now().Add(b.plan.Relay.Ready.D())
 	for !done() {
@@ -254,10 +259,10 @@
 		default:
 		}
 		if line := b.relay.Find(listTooLong); line != "" {
-			return errors.New("the relay says: " + strings.TrimSpace(line))
+			return errors.New("the relay rejected the list: " + strings.TrimSpace(line))
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v; the relay's last line: %q", b.plan.Relay.Ready.D(), strings.TrimSpace(b.relay.LastLine()))
+			return fmt.Errorf("timed out after %v; the relay's last log line is %q", b.plan.Relay.Ready.D(), strings.TrimSpace(b.relay.LastLine()))
 		}
 		if !clock.Sleep(ctx, pollInterval) {
 			return ctx.Err()
@@ -266,25 +271,25 @@
 	return nil
 }
 
-// healthy tells whether the relay takes clients.
+// healthy reports whether the relay accepts clients, by its admin endpoint.
 func (b *testBed) healthy() bool {
 	reply, err := admin.Call(context.Background(), b.subnet.Admin(0, 0), "health", adminTimeout)
 	return err == nil && strings.HasPrefix(reply, "OK")
 }
 
-// counterNames are the relay's counters that the bed reads.
+// The counters of the relay that the test bed reads.
 const (
 	membersCounter = "relay_members"
 	pendingCounter = "relay_pending"
 )
 
-// members asks the relay how many entries its list has.
+// members returns the number of entries in the relay's list.
 func (b *testBed) members() (int, error) {
 	value, err := b.counter(membersCounter)
 	return int(value), err
 }
 
-// counter asks the relay for one of its counters.
+// counter returns the value of one of the relay's counters.
 func (b *testBed) counter(name string) (float64, error) {
 	reply, err := admin.Call(context.Background(), b.subnet.Admin(0, 0), "counters", adminTimeout)
 	if err != nil {
@@ -295,5 +300,5 @@
 			return strconv.ParseFloat(strings.TrimSpace(rest), 64)
 		}
 	}
-	return 0, fmt.Errorf("the relay has no counter %s", name)
+	return 0, fmt.Errorf("the relay's admin endpoint reports no counter %s", name)
 }
--- a/internal/scale/changes.go
+++ b/internal/scale/changes.go
@@ -9,14 +9,16 @@
 	"milletsail/internal/scale/standin"
 )
 
-// listChange is a change of the list: when discovery had it, and how many entries are listed with it.
+// listChange is a change of the list of destinations: the time at which discovery published it, and the number of
+// listed entries from then on.
 type listChange struct {
 	at     time.Time
 	listed int
 }
 
-// toggleNextEntry takes the next of the changing entries off the list, or puts it back: first all of them go one by one, then
-// all come back, so that the number of entries tells how many changes a relay has taken in.
+// toggleNextEntry removes the next of the toggled entries from the list or puts it back. First all of them are
+// removed one by one, then all are put back, so that the number of listed entries shows which changes a relay has
+// applied.
 func (b *testBed) toggleNextEntry() (listChange, error) {
 	health, index := standin.Deleted, b.nextToggle
 	if index >= toggledEntries {
@@ -28,7 +30,7 @@
 	return listChange{at, listed}, err
 }
 
-// changeAtRate changes the list at a steady rate for a time.
+// changeAtRate changes the list at a constant rate for a time span and returns the changes.
 func (b *testBed) changeAtRate(ctx context.Context, rate float64, span time.Duration) (all []listChange, err error) {
 	if rate <= 0 {
 		clock.Sleep(ctx, span)
@@ -49,12 +51,12 @@
 	return all, nil
 }
 
-// catchUpTimeout is how long a relay has after a phase to take in what discovery has told it.
+// catchUpTimeout is the time after a phase within which a relay has to apply the remaining changes.
 const catchUpTimeout = 10 * time.Second
 
-// awaitAllChanges tells whether the relay takes in all changes within catchUp. The number of entries alone does not tell: it comes
-// again and again. So the markers are taken off the list, which leads to a number that no earlier change led to, and are put
-// back.
+// awaitAllChanges reports whether the relay applies all changes within catchUpTimeout. The number of entries does not
+// show this by itself, since the toggled entries lead to the same numbers again and again. So the marker entries are
+// removed, which leads to a number that no earlier change led to, and put back.
 func (b *testBed) awaitAllChanges(ctx context.Context) bool {
 	markers := make([]int, markerEntries)
 	for i := range markers {
@@ -71,7 +73,7 @@
 	return limited.Err() == nil
 }
 
-// awaitListCount waits until the relay's counter shows the number of entries that are listed, or the context ends.
+// awaitListCount waits until the relay's counter equals the number of listed entries, or the context ends.
 func (b *testBed) awaitListCount(ctx context.Context) {
 	const lookAgain = 20 * time.Millisecond
 	for {
@@ -84,13 +86,14 @@
 	}
 }
 
-// counterSample is what the relay's counter said at a moment.
+// counterSample is the relay's count of listed entries at one time.
 type counterSample struct {
 	at     time.Time
 	listed int
 }
 
-// sampleListCount looks at the relay's counter until the context ends.
+// sampleListCount polls the relay's count of listed entries until the context ends, and returns a sample for each new
+// value.
 func (b *testBed) sampleListCount(ctx context.Context) (all []counterSample) {
 	for {
 		listed, err := b.members()
@@ -103,8 +106,9 @@
 	}
 }
 
-// timesToEffect gives the time until each change was in force, in rising order, and how many were not by the end. A look stands
-// for the first change not yet in force that leads to its number of entries, so that what is not certain is taken as late.
+// timesToEffect returns the time until each change took effect at the relay, in rising order, and the number of
+// changes that had not by the end. A sample is matched with the first change not yet in effect that leads to its
+// number of entries; if several match, this overestimates the time.
 func timesToEffect(changes []listChange, looks []counterSample) (took []time.Duration, missing int) {
 	next := 0
 	for _, l := range looks {
--- a/internal/scale/changes_test.go
+++ b/internal/scale/changes_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A change is in force at the first look that can show it or a later one, and what is not certain counts as late.
-func TestInForce(t *testing.T) {
+// A change counts as in effect from the first sample that can reflect it or a later change; uncertainty counts as
+// later.
+func TestTimesToEffect(t *testing.T) {
 	begun := time.Now()
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
 	changes := []listChange{{at(0), 9}, {at(100), 8}, {at(200), 9}, {at(300), 10}}
--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -1,5 +1,5 @@
-// Package fit finds how a figure grows with a size, and says how far that can be trusted: a line with the interval of its
-// slope, a power law, no growth, or no fit at all.
+// Package fit determines how a figure grows with a size, as a line with the confidence interval of its slope, a power
+// law or a constant, and reports if none of these fits.
 package fit
 
 import (
@@ -10,49 +10,51 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Form is how a figure grows.
+// Form is the kind of growth of a figure.
 type Form string
 
-// The forms.
 const (
-	Constant Form = "constant"  // the slope may be zero, and the values differ by little
+	Constant Form = "constant"  // the values differ by little
 	Linear   Form = "linear"    // a line
-	Power    Form = "power law" // a line in the logarithms
-	None     Form = "no fit"    // nothing of these: not to be used
+	Power    Form = "power law" // linear in the logarithms of sizes and values
+	None     Form = "no fit"    // none of the above; the result must not be used
 	TooFew   Form = "too few points"
 )
 
 const (
-	// minPoints that a slope with an interval needs.
+	// minPoints is the least number of points from which a slope with a confidence interval is computed.
 	minPoints = 3
-	// A line with an R² of conclusiveR2 is taken for one; below it, the better of line and power law.
+	// conclusiveR2 is the R² from which a line is accepted without regard to the power law. Below it, the form with
+	// the higher R² is chosen.
 	conclusiveR2 = 0.99
-	// minR2 of a fit that may be used, and the largest residual of one, as a share of the span of the values.
+	// minR2 is the least R² of a usable fit; mostResidual is the largest residual of a usable line, as a share of the
+	// range of values.
 	minR2, mostResidual = 0.95, 0.2
-	// constantSpan is the span of values that count as constant, as a share of their mean.
+	// constantSpan is the largest range of values that count as constant, as a share of their mean.
 	constantSpan = 0.25
-	// confidence of the slope's interval.
+	// confidence is the confidence level of the slope's interval.
 	confidence = 0.95
 )
 
-// Result is a fit. Slope, interval and residual are those of the line, whatever the form.
+// Result is the fit of a figure. Slope, Low, High, Intercept, R2 and Residual describe the fitted line, whatever the
+// form.
 type Result struct {
 	Form      Form    `json:"form"`
 	Points    int     `json:"points"`
-	Slope     float64 `json:"slope"` // of the value a unit of the size
-	Low       float64 `json:"low"`   // of the interval of 95%
+	Slope     float64 `json:"slope"` // change of the value per unit of the size
+	Low       float64 `json:"low"`   // lower end of the slope's 95% confidence interval
 	High      float64 `json:"high"`
 	Intercept float64 `json:"intercept"`
 	R2        float64 `json:"r2"`
-	Residual  float64 `json:"residual"` // the largest, in the unit of the value
-	Exponent  float64 `json:"exponent"` // of the power law; 0 where a value is not above zero
-	LogR2     float64 `json:"log_r2"`   // of the line in the logarithms
+	Residual  float64 `json:"residual"` // largest absolute residual, in the unit of the values
+	Exponent  float64 `json:"exponent"` // exponent of the power law; 0 unless all sizes and values are positive
+	LogR2     float64 `json:"log_r2"`   // R² of the line fitted to the logarithms; 0 unless all sizes and values are positive
 }
 
-// Usable tells whether a fit may be used.
+// Usable reports whether one of the forms fits.
 func (r Result) Usable() bool { return r.Form != None && r.Form != TooFew }
 
-// Of fits values to sizes, which have to be as many and not all the same.
+// Of fits values as a function of sizes. Both must have the same length, and the sizes must not all be equal.
 func Of(sizes, values []float64) Result {
 	r := Result{Points: len(sizes), Form: TooFew}
 	if len(sizes) < minPoints {
@@ -60,7 +62,7 @@
 	}
 	r.Intercept, r.Slope = stat.LinearRegression(sizes, values, nil, false)
 	r.R2 = stat.RSquared(sizes, values, nil, r.Intercept, r.Slope)
-	if math.IsNaN(r.R2) { // all values are the same
+	if math.IsNaN(r.R2) { // R² is undefined if all values are equal
 		r.R2 = 1
 	}
 	var squares float64
@@ -79,7 +81,7 @@
 	return r
 }
 
-// power fits a line to the logarithms; zeros where a value has none.
+// power fits a power law as a line through the logarithms; it returns zeros unless all sizes and values are positive.
 func power(sizes, values []float64) (exponent, r2 float64) {
 	var x, y []float64
 	for i := range sizes {
@@ -95,7 +97,7 @@
 	return exponent, r2
 }
 
-// form names the form of a fit.
+// form chooses the form that describes the values.
 func (r Result) form(values []float64) Form {
 	low, high := math.Inf(1), math.Inf(-1)
 	for _, v := range values {
@@ -105,7 +107,7 @@
 	switch {
 	case span <= constantSpan*math.Abs(stat.Mean(values, nil)):
 		return Constant
-	case r.Low <= 0 && r.High >= 0 && r.LogR2 < minR2: // nor is a slope that may be zero
+	case r.Low <= 0 && r.High >= 0 && r.LogR2 < minR2: // the slope may be zero, and no power law fits
 		return None
 	case r.R2 >= conclusiveR2 && r.Residual <= mostResidual*span:
 		return Linear
@@ -117,7 +119,7 @@
 	return None
 }
 
-// String states a fit in short.
+// String returns a short description of the fit for tables.
 func (r Result) String() string {
 	switch r.Form {
 	case TooFew:
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -20,13 +20,14 @@
 )
 
 const (
-	// fleetZones is the zones that the relays of a fleet are spread over.
+	// fleetZones is the number of zones over which the relays of a fleet are spread.
 	fleetZones = 3
-	// factInterval is the time between facts that are shared, factWait the time that the last one has to reach all.
+	// factInterval is the time between two shared facts; factWait is the time that is left for the last one to reach
+	// all relays.
 	factInterval, factWait = 250 * time.Millisecond, 5 * time.Second
 )
 
-// fleetTestBed is a fleet of real and hollow relays on the lab's stand-ins.
+// fleetTestBed is a fleet of real and hollow relays, connected to the lab's stand-ins of the platform.
 type fleetTestBed struct {
 	plan     *Plan
 	x        int
@@ -38,7 +39,7 @@
 	point    Point
 }
 
-// measureFleet measures one point of a sweep over relays; what went wrong is in it.
+// measureFleet measures one point of a sweep over relays. An error is reported in the Failed field of the point.
 func measureFleet(ctx context.Context, plan *Plan, x int, v variant, binary, self, dir string, subnet *platform.Subnet, progress func(string)) Point {
 	begun := time.Now()
 	b := &fleetTestBed{plan: plan, x: x, variant: v, point: Point{X: x}}
@@ -54,7 +55,8 @@
 	return b.point
 }
 
-// fleetScenario is the scenario of a fleet that has next to nothing to do but to keep track of itself.
+// fleetScenario returns the scenario of a fleet with a minimal load, so that the cost of membership and gossip
+// dominates.
 func fleetScenario(seed uint64, count int) *scenario.Scenario {
 	s := scenario.Default()
 	s.Seed, s.Fleet.Relays, s.Fleet.Shares = seed, count, true
@@ -67,7 +69,7 @@
 	return &s
 }
 
-// open starts the stand-ins and all relays.
+// open starts the stand-ins, the hollow relays and the real relays, and waits until all are ready.
 func (b *fleetTestBed) open(ctx context.Context, binary, self, dir string, subnet *platform.Subnet, progress func(string)) error {
 	s := fleetScenario(b.plan.Seed, b.x)
 	file, err := os.Create(filepath.Join(dir, "history.jsonl"))
@@ -76,7 +78,7 @@
 	}
 	b.history = history.NewWriter(file, time.Now())
 	if b.platform, err = platform.New(s, b.history, subnet); err != nil {
-		return fmt.Errorf("stand-ins: %w", err)
+		return fmt.Errorf("start the stand-ins: %w", err)
 	}
 	for relay := range b.x {
 		b.platform.SpoilNotes(relay, b.variant.loss.Part(), 0)
@@ -111,7 +113,7 @@
 	}
 }
 
-// run measures a fleet at rest, then facts that spread, then a relay that dies.
+// run measures the cost of an idle fleet, then how fast facts spread, then how fast a dead relay is detected.
 func (b *fleetTestBed) run(ctx context.Context, progress func(string)) error {
 	clock.Sleep(ctx, b.plan.Phases.Settle.D())
 	progress("at rest")
@@ -126,7 +128,7 @@
 	return b.measureFailureDetection(ctx)
 }
 
-// fleetReading is the accounts of a fleet at a moment.
+// fleetReading is the resource usage and traffic of a fleet at one time, as totals over its relays.
 type fleetReading struct {
 	at                 time.Time
 	hollowCPU, realCPU time.Duration
@@ -145,7 +147,7 @@
 	for _, relay := range b.real.Relays {
 		usage, err := process.UsageOf(relay.PID())
 		if err != nil {
-			return r, fmt.Errorf("relay %d: %w", relay.No, err)
+			return r, fmt.Errorf("read the usage of relay %d: %w", relay.No, err)
 		}
 		r.realCPU, r.realMB = r.realCPU+usage.CPU, r.realMB+usage.ResidentMB
 	}
@@ -154,7 +156,7 @@
 	return r, nil
 }
 
-// measureIdle measures what relays spend on keeping track of one another.
+// measureIdle measures the resources that relays use for membership and gossip while no facts are shared.
 func (b *fleetTestBed) measureIdle(ctx context.Context) error {
 	before, err := b.read(ctx)
 	if err != nil {
@@ -182,7 +184,7 @@
 	return nil
 }
 
-// measureFactSpread shares facts one after the other, and times how each reaches the hollow relays.
+// measureFactSpread shares facts one after the other and measures the time until each reaches the hollow relays.
 func (b *fleetTestBed) measureFactSpread(ctx context.Context) error {
 	random := generator(b.plan.Seed, 3)
 	first, hollows := len(b.real.Relays), b.hollow.relays()
@@ -220,7 +222,7 @@
 	return nil
 }
 
-// measureFailureDetection ends a hollow relay and times when the others drop it.
+// measureFailureDetection stops a hollow relay and measures the time until each other hollow relay drops it.
 func (b *fleetTestBed) measureFailureDetection(ctx context.Context) error {
 	victim := b.x - 1
 	if err := errors.Join(b.hollow.broadcast(hollow.Command{Do: hollow.Watch, Relay: victim}), b.hollow.broadcast(hollow.Command{Do: hollow.Stop, Relay: victim})); err != nil {
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -1,8 +1,8 @@
-// Package hollow runs many hollow relays in one process: each has a relay's own fleet service and a datagram socket of its
-// own, and no clients, journal, list or decision module.
+// Package hollow runs many simulated relays, called hollow relays, in one process. Each has the fleet service of a
+// real relay and a UDP socket of its own, but no clients, journal, list or decision module.
 //
-// The process takes commands as lines of JSON on its standard input, tells events as lines of JSON on its standard output,
-// and ends when its input does.
+// The process reads commands as lines of JSON from its standard input and writes events as lines of JSON to its
+// standard output. It exits when its input ends.
 package hollow
 
 import (
@@ -23,50 +23,50 @@
 	"milletsail/internal/fleet/live"
 )
 
-// Config is the first line of the input.
+// Config is the first line of the input. It describes the fleet and the hollow relays of this process.
 type Config struct {
-	First  int      `json:"first"`  // number of the first hollow relay
-	Listen []string `json:"listen"` // where each takes datagrams
-	Size   int      `json:"size"`   // relays of the whole fleet
+	First  int      `json:"first"`  // fleet-wide number of the first hollow relay of this process
+	Listen []string `json:"listen"` // UDP address of each hollow relay of this process
+	Size   int      `json:"size"`   // number of relays in the whole fleet
 	Zones  int      `json:"zones"`
-	Peers  []string `json:"peers"` // of all relays of the fleet
-	All    string   `json:"all"`   // reaches all of them
+	Peers  []string `json:"peers"` // UDP address of each relay of the fleet, from which its datagrams come
+	All    string   `json:"all"`   // address from which a datagram reaches all relays
 	Seed   uint64   `json:"seed"`
 }
 
-// Command is a further line of the input.
+// Command is a line of the input after the first. Do is the kind of command; Relay and Key are its operands.
 type Command struct {
 	Do    string `json:"do"`
 	Relay int    `json:"relay"`
 	Key   string `json:"key,omitempty"`
 }
 
-// The commands.
+// The kinds of command.
 const (
-	Share = "share" // Relay tells all that destination Key is closed
-	Stop  = "stop"  // Relay ends without a word
-	Watch = "watch" // say when each relay drops Relay
-	Count = "count" // say how many datagrams were sent and received
+	Share = "share" // Relay broadcasts the fact that destination Key is closed
+	Stop  = "stop"  // Relay stops without notifying its peers
+	Watch = "watch" // report when each relay of the process drops Relay
+	Count = "count" // report how many datagrams were sent and received
 )
 
-// Event is a line of the output.
+// Event is a line of the output. What is the kind of event; Relay and Key say what it is about.
 type Event struct {
 	What  string `json:"what"`
 	Relay int    `json:"relay"`
 	Key   string `json:"key,omitempty"`
-	At    int64  `json:"at"` // nanoseconds since 1970
+	At    int64  `json:"at"` // time of the event, in nanoseconds since 1970
 	Traffic
 }
 
-// The events.
+// The kinds of event.
 const (
 	Ready   = "ready"   // all relays of the process run
-	Learned = "learned" // Relay has the fact about Key
-	Dropped = "dropped" // Relay counts the watched relay as dead
+	Learned = "learned" // Relay has received the fact about destination Key
+	Dropped = "dropped" // Relay no longer counts the watched relay as alive
 	Counted = "counted"
 )
 
-// Traffic is datagrams and their bytes, over the relays of a process. One to all counts once as sent.
+// Traffic counts datagrams and their bytes, as totals over the relays of a process. A broadcast counts once as sent.
 type Traffic struct {
 	Sent          int64 `json:"sent,omitempty"`
 	SentBytes     int64 `json:"sent_bytes,omitempty"`
@@ -75,17 +75,17 @@
 }
 
 const (
-	// maxDatagram is the longest datagram of the protocol.
+	// maxDatagram is the largest datagram of the fleet protocol, in bytes.
 	maxDatagram = 256
-	// pollInterval is the time between looks at whether a relay is dropped.
+	// pollInterval is the interval at which Watch checks whether relays have dropped the watched one.
 	pollInterval = 250 * time.Millisecond
-	// closedForMS is how long a shared fact says that its destination is closed, in milliseconds.
+	// closedForMS is the time in milliseconds for which a shared fact declares its destination closed.
 	closedForMS = 2000
-	// version is what a hollow relay says that it is.
+	// version is the software version that hollow relays announce.
 	version = "hollow"
 )
 
-// group is the hollow relays of one process.
+// group holds the hollow relays of one process.
 type group struct {
 	config Config
 	peers  []netip.AddrPort
@@ -99,7 +99,7 @@
 	out *json.Encoder
 }
 
-// relay is one hollow relay.
+// relay is one hollow relay; no is its fleet-wide number.
 type relay struct {
 	group   *group
 	no      int
@@ -107,11 +107,12 @@
 	service *live.Service
 	stop    context.CancelFunc
 
-	mu   sync.Mutex
-	seen map[int]bool // destinations that were reported
+	mu       sync.Mutex
+	reported map[int]bool // destinations for which Learned has been emitted
 }
 
-// Run runs hollow relays as the input says, until it ends or ctx does.
+// Run reads the configuration from in, starts the hollow relays and executes commands until in ends or ctx is
+// cancelled. It writes events to out.
 func Run(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -119,10 +120,10 @@
 	g := &group{number: map[netip.AddrPort]int{}, out: json.NewEncoder(out)}
 	first, err := lines.ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("configuration of hollow relays: %w", err)
+		return fmt.Errorf("read configuration of hollow relays: %w", err)
 	}
 	if err := json.Unmarshal(first, &g.config); err != nil {
-		return fmt.Errorf("configuration of hollow relays: %w", err)
+		return fmt.Errorf("decode configuration of hollow relays: %w", err)
 	}
 	if err := g.open(ctx); err != nil {
 		return err
@@ -136,13 +137,13 @@
 		}
 		var c Command
 		if err := json.Unmarshal(line, &c); err != nil {
-			return fmt.Errorf("command to hollow relays: %w", err)
+			return fmt.Errorf("decode command to hollow relays: %w", err)
 		}
 		g.execute(ctx, c)
 	}
 }
 
-// open reads the addresses and starts the relays.
+// open parses the addresses of the configuration and starts the relays.
 func (g *group) open(ctx context.Context) (err error) {
 	if g.all, err = netip.ParseAddrPort(g.config.All); err != nil {
 		return err
@@ -170,7 +171,7 @@
 	}
 }
 
-// start starts one relay.
+// start starts one hollow relay at a UDP address.
 func (g *group) start(ctx context.Context, no int, address string) (*relay, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -180,7 +181,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{group: g, no: no, conn: conn, seen: map[int]bool{}}
+	r := &relay{group: g, no: no, conn: conn, reported: map[int]bool{}}
 	r.service = live.New(live.Options{Incarnation: uint32(clock.ReadWall().Seconds()), Self: no, Size: g.config.Size, Version: version, Zone: no % max(1, g.config.Zones),
 		Seed: g.config.Seed + uint64(no), Send: r.send, OnAssessment: r.onAssessment, OnFact: func(fleet.Fact, time.Duration) {}})
 	running, stop := context.WithCancel(ctx)
@@ -190,26 +191,26 @@
 	return r, nil
 }
 
-// end ends a relay without a word.
+// end stops the relay without notifying its peers.
 func (r *relay) end() {
 	r.stop()
 	_ = r.conn.Close()
 }
 
-// send sends a datagram to a relay, or to all.
+// send sends a datagram to one relay, or to all if to is fleet.Everyone.
 func (r *relay) send(to int, datagram []byte) {
 	address := r.group.all
 	if to != fleet.Everyone {
 		address = r.group.peers[to]
 	}
 	if _, err := r.conn.WriteToUDPAddrPort(datagram, address); err != nil {
-		return // lost, as datagrams may be
+		return // a datagram that can't be sent counts as lost
 	}
 	r.group.sent.Add(1)
 	r.group.sentBytes.Add(int64(len(datagram)))
 }
 
-// receive takes datagrams until the relay ends.
+// receive passes datagrams from known relays to the fleet service until the socket is closed.
 func (r *relay) receive() {
 	buffer := make([]byte, maxDatagram+1)
 	for {
@@ -229,21 +230,21 @@
 	}
 }
 
-// onAssessment reports the first time that the relay knows of a closed destination.
+// onAssessment emits Learned when the relay first knows that a destination is closed.
 func (r *relay) onAssessment(s live.PeerAssessment) {
 	if s.Dest < 0 || s.Observers == 0 {
 		return
 	}
 	r.mu.Lock()
-	fresh := !r.seen[s.Dest]
-	r.seen[s.Dest] = true
+	fresh := !r.reported[s.Dest]
+	r.reported[s.Dest] = true
 	r.mu.Unlock()
 	if fresh {
 		r.group.emit(Event{What: Learned, Relay: r.no, Key: fmt.Sprint(s.Dest)})
 	}
 }
 
-// emit writes an event; one that can't be written has no reader any more.
+// emit writes an event to the output. A failed write is ignored: the reader has gone.
 func (g *group) emit(e Event) {
 	e.At = time.Now().UnixNano()
 	g.mu.Lock()
@@ -251,7 +252,7 @@
 	_ = g.out.Encode(e)
 }
 
-// find gives a relay of this process by its number.
+// find returns the relay of this process with a fleet-wide number, or nil.
 func (g *group) find(no int) *relay {
 	if i := no - g.config.First; i >= 0 && i < len(g.relays) {
 		return g.relays[i]
@@ -259,7 +260,7 @@
 	return nil
 }
 
-// execute carries out a command.
+// execute runs a command.
 func (g *group) execute(ctx context.Context, c Command) {
 	switch c.Do {
 	case Share:
@@ -277,7 +278,7 @@
 	}
 }
 
-// watch reports when each relay of this process drops another.
+// watch emits Dropped for each relay of this process once it no longer counts another relay as alive.
 func (g *group) watch(ctx context.Context, other int) {
 	left := slices.DeleteFunc(slices.Clone(g.relays), func(r *relay) bool { return r.no == other })
 	ticker := time.NewTicker(pollInterval)
--- a/internal/scale/lines.go
+++ b/internal/scale/lines.go
@@ -9,14 +9,14 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyPosition is where a key stands in a file, and whether its value is written as text or as a list.
+// keyPosition is the line of a key in a file, and the syntax of its value: text, number, list or other.
 type keyPosition struct {
 	line int
 	kind unstable.Kind
 }
 
-// lineOf gives the line of a key, such as "load.changes", in a text that has been decoded before; of its table where the
-// text does not set the key, else 1.
+// lineOf returns the line of a key such as "load.changes" in a valid TOML text. It returns the line of the key's
+// table if the text does not set the key, and 1 if it has no such table.
 func lineOf(text []byte, key string) int {
 	places := keyPositions(text)
 	for {
@@ -31,7 +31,7 @@
 	}
 }
 
-// keyPositions finds the place of each key and table, as far as the text can be read.
+// keyPositions returns the position of each key and table, up to the first syntax error.
 func keyPositions(text []byte) map[string]keyPosition {
 	places := map[string]keyPosition{}
 	var parser unstable.Parser
@@ -57,7 +57,8 @@
 	return places
 }
 
-// checkUnits tells of the first value that has to have a unit and is written as a plain number: the decoder would take it.
+// checkUnits returns an error for the first value that needs a unit and is written as a plain number, which the
+// decoder would accept.
 func checkUnits(name string, text []byte) error {
 	withUnit := unitKeys(reflect.TypeFor[Plan](), "")
 	first := keyPosition{}
@@ -71,10 +72,10 @@
 	if key == "" {
 		return nil
 	}
-	return fmt.Errorf("%s:%d: %s: a number without its unit", name, first.line, key)
+	return fmt.Errorf("%s:%d: %s: is a plain number, want a text with a unit", name, first.line, key)
 }
 
-// unitKeys finds the keys of a structure whose values are written with a unit.
+// unitKeys returns the keys of a struct, with those of its nested structs, whose values are written with a unit.
 func unitKeys(structure reflect.Type, prefix string) map[string]bool {
 	keys := map[string]bool{}
 	for i := range structure.NumField() {
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -19,30 +19,32 @@
 )
 
 const (
-	// clientTimeout is how long a client waits for its answer, by the protocol.
+	// clientTimeout is how long a client waits for the response to a submitted message, as the protocol says.
 	clientTimeout = 400 * time.Millisecond
-	// requestTimeout is how long a client of the test bed waits, so that a longer stall is measured and not cut off.
+	// requestTimeout is how long the test bed's HTTP client waits. It is much longer than clientTimeout, so that
+	// longer stalls are measured in full.
 	requestTimeout = 20 * time.Second
-	// lateThreshold is how late a hand-in of the test bed may be until it counts as late.
+	// lateThreshold is the delay after its scheduled time from which a submission counts as sent late by the test
+	// bed.
 	lateThreshold = 50 * time.Millisecond
-	// messageBytes is the length of a message's body.
+	// messageBytes is the length of the body of a message.
 	messageBytes = 200
-	// maxInFlight hand-ins are out at once; further ones count as not answered.
+	// maxInFlight is the number of concurrent requests at a steady rate; a submission beyond it counts as unanswered.
 	maxInFlight = 2000
-	// maxHeldInFlight hand-ins of messages that are to be held are out at once.
+	// maxHeldInFlight is the number of concurrent requests while the backlog of undeliverable messages is built up.
 	maxHeldInFlight = 256
 )
 
-// clients hand messages in at one relay.
+// clients submits messages of one class to one relay over HTTP.
 type clients struct {
 	url   string
 	class string
 	http  *http.Client
-	next  atomic.Int64 // number of the next message
-	run   uint64       // distinguishes the ids of this process of the bed
+	next  atomic.Int64 // number of the latest message, part of its request id
+	run   uint64       // part of the request ids, so that they differ from those of other clients
 
 	accepted, refused, failed atomic.Int64
-	due, late                 atomic.Int64
+	scheduled, late           atomic.Int64
 }
 
 func newClients(address, class string, run uint64) *clients {
@@ -54,7 +56,7 @@
 
 func (c *clients) close() { c.http.CloseIdleConnections() }
 
-// submit hands one message in and gives the status of the answer; 0 for none.
+// submit sends one message and returns the HTTP status of the response, or 0 where there was none.
 func (c *clients) submit(ctx context.Context, destination int, timeout time.Duration) int {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url, bytes.NewReader(make([]byte, messageBytes)))
 	if err != nil {
@@ -85,12 +87,12 @@
 	}
 }
 
-// responseTimes is the times from hand-in to answer of a phase. A hand-in is timed from when it is due, so that a stall that
-// holds further ones up is counted for each of them.
+// responseTimes collects the response times of one phase. They are measured from the scheduled time of each request,
+// so that a stall that delays later requests counts for each of them.
 type responseTimes struct {
 	mu         sync.Mutex
 	histogram  *hdrhistogram.Histogram // microseconds
-	unanswered int                     // not within a client's patience
+	unanswered int                     // requests without a response within clientTimeout
 }
 
 func newResponseTimes() *responseTimes {
@@ -107,7 +109,8 @@
 	}
 }
 
-// sendAtRate hands messages in at a sendAtRate rate for a time, and waits for all answers.
+// sendAtRate submits messages at a constant rate for a time span, waits for all responses and returns the response
+// times. The timeout is the delivery deadline of each message.
 func (c *clients) sendAtRate(ctx context.Context, rate float64, span time.Duration, timeout time.Duration, destination func() int) *responseTimes {
 	all := newResponseTimes()
 	if rate <= 0 {
@@ -121,14 +124,14 @@
 		if !clock.Sleep(ctx, time.Until(due)) {
 			break
 		}
-		c.due.Add(1)
+		c.scheduled.Add(1)
 		if time.Since(due) > lateThreshold {
 			c.late.Add(1)
 		}
 		to := destination()
 		select {
 		case room <- struct{}{}:
-		default: // the relay has long stopped answering: a client would have no answer either
+		default: // The relay has stopped answering: a real client would have no response either.
 			c.failed.Add(1)
 			all.add(requestTimeout, 0)
 			continue
@@ -143,8 +146,9 @@
 	return all
 }
 
-// sendUntilAccepted hands messages in as fast as the relay answers, until so many were accepted, the time is up, or the relay refuses
-// steadily. It gives the time that it took.
+// sendUntilAccepted submits messages concurrently until count of them were accepted, the time limit has passed, or
+// the relay keeps refusing them. It returns the time that this took. The timeout is the delivery deadline of each
+// message.
 func (c *clients) sendUntilAccepted(ctx context.Context, count int, within, timeout time.Duration, destination func() int) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -166,7 +170,7 @@
 				}
 				taken.Add(-1)
 				if c.refused.Load()-refusedBefore > 100+(c.accepted.Load()-before)/2 {
-					return // the relay takes no more
+					return // the relay keeps refusing messages
 				}
 			}
 		})
@@ -175,5 +179,5 @@
 	return time.Since(begun)
 }
 
-// generator gives random numbers for one purpose; the same seed and purpose give the same ones.
+// generator returns a random number generator for one purpose; equal seeds and purposes give equal sequences.
 func generator(seed, purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, purpose)) }
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -1,9 +1,9 @@
-// Package scale measures how the cost of control at a relay grows with the size of the platform: it sweeps one
-// dimension at a time over real relay processes and stand-ins of the platform, and fits a slope to each figure.
+// Package scale measures how the cost of control at a relay grows with the size of the platform. It sweeps one
+// dimension at a time, with real relay processes and stand-ins for the platform, and fits the growth of each figure.
 //
-// It promises that whatever it reports was measured from outside of a relay's process, so that any version of the
-// relay can be measured; that a point which could not be measured is reported with its reason and does not end the run;
-// that a run in which the test bed itself was late is marked as invalid; and that no process outlives the run.
+// All figures are measured from outside the relay's process, so that any version of the relay can be measured. A
+// point that can't be measured is reported with its reason and does not end the run. A run in which the test bed sent
+// its own load late is marked as invalid. No process outlives the run.
 package scale
 
 import (
@@ -24,12 +24,12 @@
 	SweepRelays       = "relays"
 )
 
-// Plan is one sweep.
+// Plan is a sweep over one dimension.
 type Plan struct {
 	Title  string     `toml:"title"`
 	Seed   uint64     `toml:"seed"`
 	Sweep  string     `toml:"sweep"`
-	Points []int      `toml:"points"` // of the dimension: endpoints, changes a second, messages, or relays
+	Points []int      `toml:"points"` // values of the swept dimension: destinations, changes per second, held messages, or relays
 	Load   LoadPlan   `toml:"load"`
 	Phases PhasePlan  `toml:"phases"`
 	Relay  RelayPlan  `toml:"relay"`
@@ -37,52 +37,52 @@
 	Bounds BoundsPlan `toml:"bounds"`
 }
 
-// LoadPlan is what a relay has to do. The swept dimension takes its value from the points.
+// LoadPlan is the load on a relay. The value of the swept dimension is replaced by that of each point.
 type LoadPlan struct {
-	Destinations int   `toml:"destinations"` // on the list, one endpoint each
-	Down         Share `toml:"down"`         // of the destinations, whose endpoint refuses connections
-	Changes      Rate  `toml:"changes"`      // of the list, one endpoint each
-	Messages     Rate  `toml:"messages"`     // handed in
-	Held         int   `toml:"held"`         // messages that the relay holds and can't deliver
+	Destinations int   `toml:"destinations"` // entries on the list, with one endpoint each
+	Down         Share `toml:"down"`         // share of the destinations whose endpoint refuses connections
+	Changes      Rate  `toml:"changes"`      // changes of the list, of one endpoint each
+	Messages     Rate  `toml:"messages"`     // messages submitted by clients
+	Held         int   `toml:"held"`         // messages that the relay has to hold because it can't deliver them
 }
 
-// PhasePlan is how long each phase of a point lasts.
+// PhasePlan holds the duration of each phase of a point.
 type PhasePlan struct {
-	Settle   Duration `toml:"settle"`   // after the start, not measured
+	Settle   Duration `toml:"settle"`   // unmeasured time after the start
 	Idle     Duration `toml:"idle"`     // neither messages nor changes
 	Changes  Duration `toml:"changes"`  // changes alone
 	Messages Duration `toml:"messages"` // messages alone
 	Both     Duration `toml:"both"`     // messages and changes
-	InForce  Duration `toml:"in_force"` // changes, with the relay's counters polled
+	InForce  Duration `toml:"in_force"` // changes, while the relay's counters are polled for the time until they take effect
 }
 
-// RelayPlan is what a relay may use, and how long the bed waits for it.
+// RelayPlan holds the resources of a relay and the time limits of the test bed.
 type RelayPlan struct {
 	Cores        float64  `toml:"cores"`
 	Memory       Size     `toml:"memory"`
 	Disk         Size     `toml:"disk"`
-	ListInConfig bool     `toml:"list_in_config"` // the list stands in the configuration as well
-	Ready        Duration `toml:"ready"`          // longest wait from start until the whole list is in force
-	Restart      bool     `toml:"restart"`        // end with a restart on the same folder
-	Fill         Duration `toml:"fill"`           // longest time for the messages that are held to be handed in
+	ListInConfig bool     `toml:"list_in_config"` // the relay's configuration contains the list as well
+	Ready        Duration `toml:"ready"`          // time limit from the start until the whole list is in effect
+	Restart      bool     `toml:"restart"`        // restart the relay with the same state directory at the end of a point
+	Fill         Duration `toml:"fill"`           // time limit for submitting the held messages
 }
 
-// FleetPlan is a sweep over relays.
+// FleetPlan holds the parameters of a sweep over relays.
 type FleetPlan struct {
-	Real     int      `toml:"real"`      // relays that are processes of the relay's binary; the others are hollow
-	Loss     []Share  `toml:"loss"`      // of the datagrams; each point is run with each
-	Facts    int      `toml:"facts"`     // shared one after the other, to time how they spread
-	Measure  Duration `toml:"measure"`   // of processor time and datagrams, with nothing to share
-	DeadWait Duration `toml:"dead_wait"` // longest wait until a dead relay is dropped
+	Real     int      `toml:"real"`      // number of real relay processes; the other relays are simulated (hollow)
+	Loss     []Share  `toml:"loss"`      // shares of lost datagrams; each point is measured with each of them
+	Facts    int      `toml:"facts"`     // number of facts that are shared to measure how fast they spread
+	Measure  Duration `toml:"measure"`   // duration of the measurement of an idle fleet
+	DeadWait Duration `toml:"dead_wait"` // time limit until a dead relay is dropped
 }
 
-// BoundsPlan bounds what a run may use.
+// BoundsPlan limits the resources of a run.
 type BoundsPlan struct {
-	MemoryShare Share `toml:"memory_share"` // of the machine's, for relays and test bed together
+	MemoryShare Share `toml:"memory_share"` // share of the machine's memory, for relays and test bed together
 	Processes   int   `toml:"processes"`
 }
 
-// The bounds that no plan may exceed.
+// The limits that apply to all plans.
 const (
 	maxMemoryShare  = 0.5
 	maxProcesses    = 200
@@ -97,7 +97,7 @@
 	maxPhase        = 10 * time.Minute
 )
 
-// DefaultPlan is what a plan holds where its file is silent.
+// DefaultPlan returns the values that apply where a plan's file sets none.
 func DefaultPlan() Plan {
 	second := func(n int) Duration { return Duration{time.Duration(n) * time.Second} }
 	return Plan{Seed: 1,
@@ -110,7 +110,7 @@
 		Bounds: BoundsPlan{MemoryShare: Share{maxMemoryShare}, Processes: maxProcesses}}
 }
 
-// LoadPlanFile reads a plan from a file.
+// LoadPlanFile reads and checks a plan.
 func LoadPlanFile(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -119,7 +119,7 @@
 	return ParsePlan(path, text)
 }
 
-// ParsePlan reads a plan from a text; name stands for the file in errors, which have the line.
+// ParsePlan parses and checks the TOML text of a plan. Errors begin with name and the line.
 func ParsePlan(name string, text []byte) (*Plan, error) {
 	p := DefaultPlan()
 	if err := checkUnits(name, text); err != nil {
@@ -134,14 +134,14 @@
 	return &p, nil
 }
 
-// bound is a value of a plan with the range that it has to be in.
+// bound is a value of a plan with its permitted range.
 type bound struct {
 	key         string
 	value       float64
 	least, most float64
 }
 
-// check gives the key at fault of a plan that can't be run, with the reason.
+// check returns the first invalid key of a plan, with the reason.
 func (p *Plan) check() (key string, err error) {
 	limits := map[string]float64{SweepDestinations: maxDestinations, SweepChanges: maxChanges, SweepHeld: maxHeld, SweepRelays: maxRelays}
 	most, known := limits[p.Sweep]
@@ -149,7 +149,7 @@
 	case !known:
 		return "sweep", fmt.Errorf("%q is not \"destinations\", \"changes\", \"held\" or \"relays\"", p.Sweep)
 	case len(p.Points) < minPoints || len(p.Points) > maxPoints:
-		return "points", fmt.Errorf("are %d, not %d to %d", len(p.Points), minPoints, maxPoints)
+		return "points", fmt.Errorf("are %d, want %d to %d", len(p.Points), minPoints, maxPoints)
 	case !slices.IsSorted(p.Points) || len(slices.Compact(slices.Clone(p.Points))) < len(p.Points):
 		return "points", errors.New("are not in rising order")
 	}
@@ -166,17 +166,17 @@
 		}
 	}
 	if least := minDestinations + heldDestinations; (p.Sweep == SweepHeld || p.Load.Held > 0) && p.Load.Destinations < least {
-		return "load.destinations", fmt.Errorf("%d is less than %d, which messages that are held need", p.Load.Destinations, least)
+		return "load.destinations", fmt.Errorf("%d is less than %d, the minimum for a plan with held messages", p.Load.Destinations, least)
 	}
 	for _, b := range p.bounds() {
 		if !(b.value >= b.least && b.value <= b.most) {
-			return b.key, fmt.Errorf("%v is not %v to %v", b.value, b.least, b.most)
+			return b.key, fmt.Errorf("%v is outside %v to %v", b.value, b.least, b.most)
 		}
 	}
 	return "", nil
 }
 
-// bounds lists the values that have a range.
+// bounds returns the values that have a permitted range.
 func (p *Plan) bounds() []bound {
 	longest := maxPhase.Seconds()
 	phase := func(key string, d Duration, least float64) bound { return bound{key, d.S(), least, longest} }
@@ -199,7 +199,7 @@
 	}
 }
 
-// SetPoints gives a plan other points.
+// SetPoints replaces the points of the plan and checks it.
 func (p *Plan) SetPoints(points []int) error {
 	p.Points = points
 	if key, err := p.check(); err != nil {
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -22,7 +22,7 @@
 memory = "256MB"
 `
 
-// What can't be run is one error with the file and the line at fault.
+// An invalid plan is reported as a one-line error with the file name and the line of the offending key.
 func TestPlanErrors(t *testing.T) {
 	for _, c := range []struct{ name, old, new, at, what string }{
 		{"unknown key", `title = "x"`, `colour = "x"`, ":1:", `unknown key "colour"`},
@@ -49,17 +49,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			p, err := ParsePlan("x.toml", []byte(strings.Replace(plainPlan, c.old, c.new, 1)))
 			if err == nil {
-				t.Fatalf("taken: %+v", p)
+				t.Fatalf("ParsePlan accepted an invalid plan: %+v", p)
 			}
 			if got := err.Error(); !strings.HasPrefix(got, "x.toml"+c.at) || !strings.Contains(got, c.what) || strings.Contains(got, "\n") {
-				t.Errorf("%s; want x.toml%s ... %s", got, c.at, c.what)
+				t.Errorf("error is %s, want one line that begins with x.toml%s and contains %s", got, c.at, c.what)
 			}
 		})
 	}
 }
 
-// All plans that come with the program can be read, sweep five points or more, and each dimension has one.
-func TestPlans(t *testing.T) {
+// Every built-in plan can be parsed and has at least five points, and each dimension is swept by one of them.
+func TestBuiltinPlans(t *testing.T) {
 	swept := map[string]bool{}
 	for _, name := range scenarios.ScaleNames() {
 		text, err := scenarios.Scale(name)
@@ -72,34 +72,34 @@
 			continue
 		}
 		if len(p.Points) < 5 {
-			t.Errorf("%s has %d points", name, len(p.Points))
+			t.Errorf("plan %s has %d points, want at least 5", name, len(p.Points))
 		}
 		swept[p.Sweep] = true
 	}
 	for sweep := range axes {
 		if !swept[sweep] {
-			t.Errorf("no plan sweeps %s", sweep)
+			t.Errorf("no built-in plan sweeps the dimension %s", sweep)
 		}
 	}
 }
 
-// A plan that the machine has no room for is refused before anything starts.
-func TestRoom(t *testing.T) {
+// A plan that exceeds its bounds on memory or processes is rejected before any process is started.
+func TestPlanAboveItsBoundsIsRejected(t *testing.T) {
 	p, err := ParsePlan("x.toml", []byte(plainPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := p.checkRoom(); err != nil {
-		t.Fatalf("a small plan: %v", err)
+		t.Fatalf("checkRoom rejected a plan within its bounds: %v", err)
 	}
 	small := *p
 	small.Bounds.MemoryShare = Share{0.0001}
 	if err := small.checkRoom(); err == nil || !strings.Contains(err.Error(), "of memory") {
-		t.Errorf("no memory: %v", err)
+		t.Errorf("error of a plan above its memory bound is %v, want one that contains \"of memory\"", err)
 	}
 	many := *p
 	many.Sweep, many.Points, many.Bounds.Processes = SweepRelays, []int{60, 1200}, 3
 	if err := many.checkRoom(); err == nil || !strings.Contains(err.Error(), "processes") {
-		t.Errorf("no processes: %v", err)
+		t.Errorf("error of a plan above its process bound is %v, want one that contains \"processes\"", err)
 	}
 }
--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -1,7 +1,8 @@
-// Package process runs relays of any version for the scale run, and reads what they use from the system's accounts.
+// Package process starts relays of any version for scale runs, and reads their resource usage from the proc file
+// system.
 //
-// It promises that it signals only processes that it started, by their ids, and that none of them outlives this program:
-// the kernel kills them when the thread that started them is gone.
+// It signals only processes that it started, by their ids. None of them outlives this program: the kernel kills a
+// process when the thread that started it exits.
 package process
 
 import (
@@ -20,19 +21,20 @@
 	"time"
 )
 
-// Options say how a relay is started.
+// Options is how a process is started.
 type Options struct {
 	Binary string
 	Args   []string
-	Dir    string   // working folder
-	Config string   // configuration file
-	State  string   // folder that outlasts the process
-	Env    []string // added to the environment
-	// Stdin and Stdout are the process's; nil for none. The caller closes its copies.
+	Dir    string   // working directory, also used for temporary files
+	Config string   // path of the relay's configuration file
+	State  string   // the relay's state directory, which outlasts the process
+	Env    []string // variables added to the process's environment
+	// Stdin and Stdout are the standard streams of the process; nil connects them to /dev/null. The caller closes its
+	// own copies.
 	Stdin, Stdout *os.File
 }
 
-// Process is one process of a relay. All methods may be called from any goroutine.
+// Process is a process that Start started. Its methods are safe for concurrent use.
 type Process struct {
 	command *exec.Cmd
 	begun   time.Time
@@ -45,16 +47,17 @@
 	liveMB    float64
 }
 
-// gcTrace has the Go runtime report each garbage collection on standard error.
+// gcTrace makes the Go runtime report each garbage collection on standard error.
 const gcTrace = "GODEBUG=gctrace=1"
 
-// collection finds the live heap, in MB, in a line of a collection's report: "gc 7 @1.2s 3%: ... 8->9->4 MB, ...".
+// gcReport matches the runtime's report of a garbage collection and captures the live heap in MB: "gc 7 @1.2s 3%: ...
+// 8->9->4 MB, ...".
 var collection = regexp.MustCompile(`^gc \d+ @.* \d+->\d+->(\d+) MB`)
 
-// maxLogLines of a process's log are kept for messages of errors.
+// maxLogLines is the number of recent log lines that are kept for error messages.
 const maxLogLines = 20
 
-// Start starts a process.
+// Start starts a process in a process group of its own.
 func Start(o Options) (*Process, error) {
 	p := &Process{command: exec.Command(o.Binary, o.Args...), state: o.State, exited: make(chan struct{})}
 	p.command.Dir = o.Dir
@@ -84,27 +87,27 @@
 }
 
 var (
-	starts      = make(chan func())
-	starterOnce sync.Once
+	startRequests = make(chan func())
+	starterOnce   sync.Once
 )
 
-// startOnPermanentThread starts a command from a thread that lasts as long as this program, since the command's process
-// is killed when that thread ends.
+// startOnPermanentThread starts a command from a thread that lives as long as this program: the kernel kills the
+// command's process when the thread that started it exits.
 func startOnPermanentThread(command *exec.Cmd) error {
 	starterOnce.Do(func() {
 		go func() {
 			runtime.LockOSThread()
-			for start := range starts {
+			for start := range startRequests {
 				start()
 			}
 		}()
 	})
 	result := make(chan error)
-	starts <- func() { result <- command.Start() }
+	startRequests <- func() { result <- command.Start() }
 	return <-result
 }
 
-// readLog keeps the last lines of the log and the figures of collections, until the process ends.
+// readLog records the process's standard error until it is closed.
 func (p *Process) readLog(log io.Reader) {
 	lines := bufio.NewReader(log)
 	for {
@@ -133,16 +136,15 @@
 	}
 }
 
-// PID is the id of the process.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Started is when it was started.
+// Started returns the time at which the process was started.
 func (p *Process) Started() time.Time { return p.begun }
 
-// Exited is closed when the process has ended.
+// Exited returns a channel that is closed when the process has exited.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// LastLine is the last line of its log.
+// LastLine returns the last line of the process's log, or "" if the log is empty.
 func (p *Process) LastLine() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,7 +154,7 @@
 	return p.lastLines[len(p.lastLines)-1]
 }
 
-// Find gives the latest of the last lines of its log that matches, or an empty text.
+// Find returns the latest recorded log line that matches a pattern, or "" if none does.
 func (p *Process) Find(pattern *regexp.Regexp) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +166,8 @@
 	return ""
 }
 
-// End signals the process to end, and kills it where it has not after a time.
+// End sends a signal to the process and waits until it has exited; it kills the process if that takes longer than the
+// time limit.
 func (p *Process) End(signal syscall.Signal, within time.Duration) {
 	_ = p.command.Process.Signal(signal)
 	select {
@@ -176,25 +179,25 @@
 	<-p.exited
 }
 
-// Usage is what a process has used up to a moment.
+// Usage is the resource usage of a process, as totals since its start or current values.
 type Usage struct {
 	At             time.Time
 	CPU            time.Duration
-	ResidentMB     float64 // with pages that it shares with others
-	ProportionalMB float64 // shared pages divided by those that share them; 0 where the system does not say
-	LiveHeapMB     float64 // that the last garbage collection found reachable; 0 before the first
-	StorageBytes   int64   // that it caused to be written to storage, in pages
-	WrittenBytes   int64   // by its write calls, to files and sockets, less its log
+	ResidentMB     float64 // resident memory, with pages shared with other processes
+	ProportionalMB float64 // proportional set size: each shared page is divided by its number of users; 0 if unavailable
+	LiveHeapMB     float64 // live heap after the last garbage collection; 0 before the first one
+	StorageBytes   int64   // bytes that the process caused to be written to storage, in whole pages
+	WrittenBytes   int64   // bytes passed to write calls on files and sockets, without the process's log
 	WriteCalls     int64
-	StateBytes     int64 // of the files in its folder
+	StateBytes     int64 // total size of the files in the state directory
 	Descriptors    int
 }
 
-// Usage reads the system's accounts.
+// Usage returns the current resource usage; it fails if the process has exited.
 func (p *Process) Usage() (Usage, error) {
 	select {
 	case <-p.exited:
-		return Usage{}, fmt.Errorf("the process has ended: %s", p.LastLine())
+		return Usage{}, fmt.Errorf("relay process has exited; last log line: %s", p.LastLine())
 	default:
 	}
 	usage, err := UsageOf(p.PID())
@@ -209,7 +212,7 @@
 	return usage, nil
 }
 
-// folderBytes sums up the sizes of the files under a folder.
+// folderBytes returns the total size of the files under a directory.
 func folderBytes(dir string) (sum int64) {
 	_ = filepath.WalkDir(dir, func(_ string, entry os.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
@@ -223,5 +226,5 @@
 	return sum
 }
 
-// ErrExited says that a process ended that should go on.
+// ErrExited is returned when a relay process exits while it is still needed.
 var ErrExited = errors.New("the relay's process ended")
--- a/internal/scale/process/usage.go
+++ b/internal/scale/process/usage.go
@@ -12,7 +12,7 @@
 	"milletsail/internal/procfs"
 )
 
-// UsageOf reads what the system's accounts say of a process.
+// UsageOf reads the resource usage of a process from the proc file system, without its live heap and state directory.
 func UsageOf(pid int) (usage Usage, err error) {
 	usage.At = time.Now()
 	if usage.CPU, err = cpuTime(pid); err != nil {
@@ -31,20 +31,20 @@
 	return usage, err
 }
 
-// cpuTime reads the clock of a process's processor time, which counts in nanoseconds where /proc/PID/stat counts in
+// cpuTime reads the CPU-time clock of a process, which has a resolution of nanoseconds; /proc/PID/stat counts in
 // hundredths of a second.
 func cpuTime(pid int) (time.Duration, error) {
-	// The kernel's MAKE_PROCESS_CPUCLOCK of linux/posix-timers.h, with CPUCLOCK_SCHED.
+	// The clock id is built like MAKE_PROCESS_CPUCLOCK of the kernel's linux/posix-timers.h, with CPUCLOCK_SCHED.
 	const scheduled = 2
 	clock := int32(^uint32(pid)<<3 | scheduled)
 	var now unix.Timespec
 	if err := unix.ClockGettime(clock, &now); err != nil {
-		return 0, fmt.Errorf("processor time of process %d: %w", pid, err)
+		return 0, fmt.Errorf("read the CPU-time clock of process %d: %w", pid, err)
 	}
 	return time.Duration(now.Nano()), nil
 }
 
-// accountField reads a number from a file of a process's accounts; 0 where there is none.
+// accountField reads a number from a file under /proc/PID; it returns 0 if the file or the field is missing.
 func accountField(pid int, file, name string) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", pid, file))
 	if err != nil {
--- a/internal/scale/report/report.go
+++ b/internal/scale/report/report.go
@@ -1,4 +1,4 @@
-// Package report turns the runs of a folder into the table and the plots that the pages show.
+// Package report writes the results of scale runs as Markdown tables and SVG plots.
 package report
 
 import (
@@ -18,7 +18,8 @@
 	"milletsail/internal/scale/fit"
 )
 
-// Series is one figure of one version over the points of a run.
+// Series holds the values of one figure over the points of a run, for one version and variant. Sizes, Values and
+// AtLeast have one element for each point; AtLeast marks a value as a lower bound.
 type Series struct {
 	Run     *scale.Run
 	Figure  string
@@ -31,8 +32,8 @@
 	Fit     fit.Result
 }
 
-// SeriesOf gives the series of a run, by figure in the order of its points, then by version and variant. Values that only
-// bound the true one from below stay out of the fit.
+// SeriesOf returns the series of a run, ordered by figure as in its points, then by version and variant. Values that
+// are lower bounds are left out of the fit.
 func SeriesOf(run *scale.Run) (all []*Series) {
 	type key struct{ figure, relay, variant string }
 	found := map[key]*Series{}
@@ -61,7 +62,7 @@
 	return all
 }
 
-// exactValues gives the values that are no bounds.
+// exactValues returns the values that are not lower bounds, with their sizes.
 func (s *Series) exactValues() (sizes, values []float64) {
 	for i, bound := range s.AtLeast {
 		if !bound {
@@ -71,7 +72,7 @@
 	return sizes, values
 }
 
-// Name is the version and the variant of a series.
+// Name returns the label of the version, with the variant if there is one.
 func (s *Series) Name() string {
 	if s.Variant == "" {
 		return s.Relay
@@ -79,7 +80,8 @@
 	return s.Relay + ", " + s.Variant
 }
 
-// Table writes a run as Markdown: a row for each figure and version, with its values and its fit.
+// Table writes a run as a Markdown table with a row for each figure, version and variant, with its values and its
+// fit.
 func Table(out io.Writer, run *scale.Run) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "## %s\n\n", cmp.Or(run.Title, run.Sweep))
@@ -94,7 +96,7 @@
 		fmt.Fprintf(&b, "**Invalid: %s.**\n", run.Invalid)
 	}
 	if !run.Complete {
-		b.WriteString("**Not complete: the run was broken off.**\n")
+		b.WriteString("**Incomplete: the run was cancelled.**\n")
 	}
 	points := pointsOf(run)
 	fmt.Fprintf(&b, "\n| figure | unit | relay |%s fit |\n| --- | --- | --- |%s --- |\n", headerCells(run.Axis, points), strings.Repeat(" ---: |", len(points)))
@@ -148,10 +150,10 @@
 	return b.String()
 }
 
-// The size of a plot.
+// The width and height of a plot.
 const plotWidth, plotHeight = 16 * vg.Centimeter, 10 * vg.Centimeter
 
-// Plots writes an SVG for each figure of a run into a folder and gives how many.
+// Plots writes one SVG plot for each figure of a run into a directory and returns how many it wrote.
 func Plots(dir string, run *scale.Run) (count int, err error) {
 	byFigure := map[string][]*Series{}
 	for _, s := range SeriesOf(run) {
@@ -187,7 +189,8 @@
 	return xys
 }
 
-// fileName is a figure's name with nothing in it but letters, digits and dashes.
+// fileName returns the lowercase name of a figure with each character other than letters and digits replaced by a
+// dash.
 func fileName(figure string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= '0' && r <= '9' {
--- a/internal/scale/report/report_test.go
+++ b/internal/scale/report/report_test.go
@@ -9,8 +9,8 @@
 	"milletsail/internal/scale"
 )
 
-// A table has each figure by version with its fit, bounds are marked and stay out of fits, failures are told, and each
-// figure has a plot.
+// A table has a row with the fit for each figure and version, marks lower bounds and leaves them out of the fit, and
+// lists failed points; each figure has a plot.
 func TestReport(t *testing.T) {
 	run := &scale.Run{Title: "x", Sweep: scale.SweepDestinations, Axis: "entries", Complete: true, Relays: []scale.Binary{{Label: "new"}, {Label: "old"}}}
 	for i, x := range []int{1000, 2000, 3000, 4000} {
@@ -31,16 +31,16 @@
 		"Failed at 5000, old: list too long",
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %q in\n%s", want, text)
+			t.Errorf("the table does not contain %q:\n%s", want, text)
 		}
 	}
 	dir := t.TempDir()
 	count, err := Plots(dir, run)
 	files, _ := filepath.Glob(filepath.Join(dir, "*.svg"))
 	if err != nil || count != 2 || len(files) != 2 {
-		t.Fatalf("%d plots in %d files: %v", count, len(files), err)
+		t.Fatalf("Plots reported %d plots and wrote %d files (error %v), want 2 of each", count, len(files), err)
 	}
 	if text, err := os.ReadFile(files[0]); err != nil || !strings.Contains(string(text), "<svg") {
-		t.Errorf("%s: %v", files[0], err)
+		t.Errorf("plot %s is not an SVG file (error %v)", files[0], err)
 	}
 }
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -14,51 +14,52 @@
 	"golang.org/x/sys/unix"
 )
 
-// Run is the result of a plan.
+// Run is the result of executing a plan.
 type Run struct {
 	Title    string    `json:"title"`
 	Sweep    string    `json:"sweep"`
-	Axis     string    `json:"axis"` // what the points count
+	Axis     string    `json:"axis"` // quantity that the points give, such as "relays"
 	Plan     Plan      `json:"plan"`
 	Begun    time.Time `json:"begun"`
 	Seconds  float64   `json:"seconds"`
 	Machine  Machine   `json:"machine"`
-	Program  string    `json:"program"` // revision of this program
-	Relays   []Binary  `json:"relays"`  // that were measured, in turn
+	Program  string    `json:"program"` // source revision of this program
+	Relays   []Binary  `json:"relays"`  // versions that were measured
 	Points   []Point   `json:"points"`
-	Invalid  string    `json:"invalid,omitempty"` // why the run shows nothing
+	Invalid  string    `json:"invalid,omitempty"` // reason why the results must not be used; empty for a valid run
 	Complete bool      `json:"complete"`
 }
 
-// Machine is what a run was made on.
+// Machine describes the machine on which a run was made.
 type Machine struct {
 	Cores    int     `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Kernel   string  `json:"kernel"`
-	Load     float64 `json:"load"` // runnable tasks in the minute before the run
+	Load     float64 `json:"load"` // load average over the minute before the run
 }
 
-// Binary is a version of the relay.
+// Binary identifies a version of the relay. Revision and Modified come from the build information of the binary and
+// are empty without it.
 type Binary struct {
 	Label    string `json:"label"`
 	Revision string `json:"revision"`
-	Digest   string `json:"digest"` // SHA-256 of the binary
+	Digest   string `json:"digest"` // hexadecimal SHA-256 of the binary
 	Modified bool   `json:"modified"`
 }
 
-// Point is one measured point of one version.
+// Point holds the measurements of one version at one point of the sweep.
 type Point struct {
-	Relay   string   `json:"relay"` // label of the version
+	Relay   string   `json:"relay"` // label of the version of the relay
 	Variant string   `json:"variant,omitempty"`
 	X       int      `json:"x"`
-	Failed  string   `json:"failed,omitempty"` // why it could not be measured in full
+	Failed  string   `json:"failed,omitempty"` // error that ended the measurement; empty if it is complete
 	Figures []Figure `json:"figures"`
 	Seconds float64  `json:"seconds"`
-	Late    int      `json:"late"` // hand-ins that the test bed was late with
+	Late    int      `json:"late"` // submissions that the test bed sent later than lateThreshold after their scheduled time
 	HandIns int      `json:"hand_ins"`
 }
 
-// Figure is one measured value. AtLeast says that the true one is higher.
+// Figure is one measured value. AtLeast marks it as a lower bound: the true value is higher.
 type Figure struct {
 	Name    string  `json:"name"`
 	Unit    string  `json:"unit"`
@@ -66,17 +67,19 @@
 	AtLeast bool    `json:"at_least,omitempty"`
 }
 
-// add adds a figure.
+// add appends a measured value.
 func (p *Point) add(name, unit string, value float64) {
 	p.Figures = append(p.Figures, Figure{Name: name, Unit: unit, Value: value})
 }
 
-// addLowerBound adds a figure whose true value is higher.
+// addLowerBound appends a value that is a lower bound of the true one.
 func (p *Point) addLowerBound(name, unit string, value float64) {
 	p.Figures = append(p.Figures, Figure{Name: name, Unit: unit, Value: value, AtLeast: true})
 }
 
-// addQuantiles adds the quantiles of times in rising order; further ones, which did not come within a bound, count as longer.
+// addQuantiles appends the quantiles p50, p99 and maximum ("all") of measured times, which must be in rising order.
+// The missing ones did not end within the bound and count as longer than it; quantiles among them are appended as
+// lower bounds.
 func (p *Point) addQuantiles(name, unit string, in func(time.Duration) float64, took []time.Duration, missing int, bound time.Duration) {
 	count := len(took) + missing
 	for _, quantile := range []struct {
@@ -85,7 +88,7 @@
 	}{{"p50", 0.5}, {"p99", 0.99}, {"all", 1}} {
 		at := min(count-1, int(quantile.share*float64(count)))
 		switch {
-		case at < 0: // there is none
+		case at < 0: // no times were measured
 		case at >= len(took):
 			p.addLowerBound(name+" "+quantile.name, unit, in(bound))
 		default:
@@ -94,7 +97,7 @@
 	}
 }
 
-// Get gives a figure by its name.
+// Get returns the figure with a name, and whether there is one.
 func (p *Point) Get(name string) (Figure, bool) {
 	for _, f := range p.Figures {
 		if f.Name == name {
@@ -104,13 +107,13 @@
 	return Figure{}, false
 }
 
-// axes are what the points of each sweep count.
+// axes names the quantity that the points of each sweep give.
 var axes = map[string]string{
 	SweepDestinations: "destinations on the list", SweepChanges: "changes of the list a second", SweepHeld: "messages held",
 	SweepRelays: "relays",
 }
 
-// describeMachine describes the machine.
+// describeMachine returns the properties of this machine; values that can't be read stay zero.
 func describeMachine() Machine {
 	m := Machine{Cores: runtime.NumCPU()}
 	var info unix.Sysinfo_t
@@ -126,7 +129,7 @@
 	return m
 }
 
-// describeBinary reads the version of a relay from its binary.
+// describeBinary identifies a relay binary by its digest and its build information, as far as they can be read.
 func describeBinary(label, path string) Binary {
 	b := Binary{Label: label}
 	if text, err := os.ReadFile(path); err == nil {
@@ -147,7 +150,8 @@
 	return b
 }
 
-// Write writes a run as JSON into a folder and gives the file's name.
+// Write writes the run as a JSON file in a directory, which it creates if needed, and returns the file's path. The
+// file replaces an earlier one of the same run atomically.
 func (r *Run) Write(dir string) (string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
@@ -164,7 +168,7 @@
 	return name, os.Rename(temporary, name)
 }
 
-// ReadRuns reads all runs of a folder.
+// ReadRuns reads all run files in a directory. It is an error if there are none.
 func ReadRuns(dir string) (runs []*Run, err error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -182,7 +186,7 @@
 		runs = append(runs, run)
 	}
 	if len(runs) == 0 {
-		return nil, fmt.Errorf("there is no run in %s", strings.TrimSuffix(dir, "/"))
+		return nil, fmt.Errorf("no result file (*.json) in %s", strings.TrimSuffix(dir, "/"))
 	}
 	return runs, nil
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -12,24 +12,25 @@
 	"milletsail/internal/lab/platform"
 )
 
-// Version is a binary of the relay under a label.
+// Version is a relay binary with the label that it has in the result.
 type Version struct {
 	Label  string
 	Binary string
 }
 
-// Options are what a run needs beside its plan.
+// Options are the parameters of a run besides its plan.
 type Options struct {
-	Versions []Version // measured in turn at each point; the one that begins changes from point to point
-	Out      string    // folder that the result is written to
-	Program  string    // revision of this program
-	// Self is this program, which runs hollow relays by its command; empty for the program that runs.
+	Versions []Version // measured one after the other at each point; which is first rotates from point to point
+	Out      string    // directory for the result file
+	Program  string    // source revision of this program, recorded in the result
+	// Self is the path of this program, which is started again for the hollow relays; only a sweep over relays needs
+	// it.
 	Self     string
 	Progress func(line string)
 }
 
-// Run runs a plan. The result holds the points that were measured, also where the run was broken off by ctx, which the
-// error then says; it is written after each point.
+// Run executes a plan and returns the result with the path of its file, which is rewritten after each point. If ctx
+// is cancelled, Run returns the points measured so far and the error of ctx.
 func (p *Plan) Run(ctx context.Context, o Options) (run *Run, file string, err error) {
 	if err := p.checkRoom(); err != nil {
 		return nil, "", err
@@ -63,7 +64,8 @@
 	return run, file, err
 }
 
-// variant is a second condition that each point is measured under.
+// variant is a condition under which each point is measured: for sweeps over relays the share of lost datagrams, else
+// none.
 type variant struct {
 	name string
 	loss Share
@@ -74,13 +76,14 @@
 		return []variant{{}}
 	}
 	for _, loss := range p.Fleet.Loss {
-		text, _ := loss.MarshalText() // a number always has a text
+		text, _ := loss.MarshalText() // MarshalText of a share does not fail
 		all = append(all, variant{string(text) + " of datagrams lost", loss})
 	}
 	return all
 }
 
-// measurePoint measures one point of one version in a folder of its own. An error says that the run was broken off.
+// measurePoint measures one point of one version in a directory of its own. It returns an error if the point could
+// not be set up or ctx was cancelled; a failed measurement is reported in the point.
 func (p *Plan) measurePoint(ctx context.Context, x int, v variant, version Version, dir string, o Options) (Point, error) {
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return Point{}, err
@@ -117,7 +120,7 @@
 	return point, ctx.Err()
 }
 
-// enforceMemoryLimit ends a point that uses too much memory.
+// enforceMemoryLimit cancels a point when this process and its children use more memory than allowed.
 func enforceMemoryLimit(ctx context.Context, allowedMB float64, stop context.CancelCauseFunc) {
 	const lookEvery = 500 * time.Millisecond
 	for clock.Sleep(ctx, lookEvery) {
@@ -128,13 +131,13 @@
 	}
 }
 
-// maxLateShare of the hand-ins of a point may be late before the run shows nothing.
+// maxLateShare is the share of late submissions at a point above which the run is invalid.
 const maxLateShare = 0.01
 
-// add adds a point, and marks the run where the test bed was late in it.
+// add appends a point, and marks the run as invalid if the test bed was late with too many submissions.
 func (r *Run) add(point Point) {
 	if float64(point.Late) > maxLateShare*float64(point.HandIns) {
-		r.Invalid = fmt.Sprintf("the test bed was late with %d of %d hand-ins at %d", point.Late, point.HandIns, point.X)
+		r.Invalid = fmt.Sprintf("the test bed sent %d of %d submissions late at point %d", point.Late, point.HandIns, point.X)
 	}
 	r.Points = append(r.Points, point)
 	r.Seconds = time.Since(r.Begun).Seconds()
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// quickPlan is a plan whose points take some seconds each.
+// quickPlan returns a plan whose points take a few seconds each; text sets its sweep and points.
 func quickPlan(t *testing.T, text string) *Plan {
 	t.Helper()
 	p, err := ParsePlan("quick.toml", []byte(text+`
@@ -35,8 +35,8 @@
 	return p
 }
 
-// optionsOf has the test binary stand in for the relay and for the program.
-func optionsOf(t *testing.T) Options {
+// testOptions returns options under which the test binary runs as the relay and as the program for hollow relays.
+func testOptions(t *testing.T) Options {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -45,7 +45,7 @@
 	return Options{Versions: []Version{{Label: "a", Binary: self}}, Out: t.TempDir(), Self: self}
 }
 
-// wantFigures fails for each figure that a point lacks.
+// wantFigures reports an error if a point failed, and for each figure that it lacks.
 func wantFigures(t *testing.T, point Point, names ...string) {
 	t.Helper()
 	if point.Failed != "" {
@@ -53,15 +53,15 @@
 	}
 	for _, name := range names {
 		if _, ok := point.Get(name); !ok {
-			t.Errorf("no figure %q at %d", name, point.X)
+			t.Errorf("figure %q is missing at point %d", name, point.X)
 		}
 	}
 }
 
-// A run measures its points; one that is broken off keeps those that are done and leaves no process behind.
-func TestRunIsBrokenOff(t *testing.T) {
+// A cancelled run keeps the points that are complete, writes them to its file and leaves no process behind.
+func TestCancelledRunKeepsItsPoints(t *testing.T) {
 	p := quickPlan(t, "sweep = \"destinations\"\npoints = [300, 400, 500]\n")
-	o := optionsOf(t)
+	o := testOptions(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	steps := 0
@@ -74,56 +74,57 @@
 	}
 	_, file, err := p.Run(ctx, o)
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("error: %v", err)
+		t.Errorf("error of the cancelled run is %v, want context.Canceled", err)
 	}
 	for end := time.Now().Add(time.Second); len(children(os.Getpid())) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("processes are left: %v", children(os.Getpid()))
+			t.Fatalf("child processes still run 1 s after the cancelled run: %v", children(os.Getpid()))
 		}
 	}
 	runs, err := ReadRuns(o.Out)
 	if err != nil || file == "" {
-		t.Fatalf("no result %q: %v", file, err)
+		t.Fatalf("the cancelled run wrote no readable result, file %q: %v", file, err)
 	}
 	if run := runs[0]; run.Complete || len(run.Points) != 1 || run.Machine.Cores == 0 || run.Plan.Seed != 1 {
-		t.Fatalf("%+v", run)
+		t.Fatalf("result is %+v, want an incomplete run with one point, the machine and the plan's seed", run)
 	}
 	wantFigures(t, runs[0].Points[0], "start to ready", "start to list in force", "control processor", "split deviation", "resident idle",
 		"live heap idle", "control received", "bytes written a change", "answer both p99", "in force all", "restart to ready",
 		"restart control received")
 }
 
-// A point that can't be measured has its reason, and the run goes on.
-func TestFailedPoint(t *testing.T) {
+// A point that can't be measured is reported with its reason, and the run continues with the next.
+func TestFailedPointDoesNotEndTheRun(t *testing.T) {
 	p := quickPlan(t, "sweep = \"destinations\"\npoints = [300, 400]\n")
-	o := optionsOf(t)
+	o := testOptions(t)
 	o.Versions[0].Binary = "/bin/false"
 	run, _, err := p.Run(t.Context(), o)
 	if err != nil || !run.Complete || len(run.Points) != 2 {
-		t.Fatalf("%+v: %v", run, err)
+		t.Fatalf("result is %+v (error %v), want a complete run with two points", run, err)
 	}
 	for _, point := range run.Points {
 		if !strings.Contains(point.Failed, "the relay's process ended") {
-			t.Errorf("at %d: %q", point.X, point.Failed)
+			t.Errorf("point %d failed with %q, want that the relay's process ended", point.X, point.Failed)
 		}
 	}
 }
 
-// Real and hollow relays share facts.
-func TestFleetPoint(t *testing.T) {
+// A fact that a hollow relay shares reaches the others in a fleet of real and hollow relays, and a relay that stops
+// is not dropped within the test's one second.
+func TestFactsReachRealAndHollowRelays(t *testing.T) {
 	p := quickPlan(t, "sweep = \"relays\"\npoints = [5, 12]\n")
 	p.Points = p.Points[1:]
-	run, _, err := p.Run(t.Context(), optionsOf(t))
+	run, _, err := p.Run(t.Context(), testOptions(t))
 	if err != nil || len(run.Points) != 1 {
-		t.Fatalf("%+v: %v", run, err)
+		t.Fatalf("result is %+v (error %v), want one point", run, err)
 	}
 	point := run.Points[0]
 	wantFigures(t, point, "hollow relay processor", "real relay processor", "sent a relay", "received a relay", "fact in force all",
 		"dead relay dropped all")
 	if missed, _ := point.Get("facts that did not arrive"); missed.Value > 0 {
-		t.Errorf("%v%% of the facts did not arrive", missed.Value)
+		t.Errorf("%v%% of the facts were not delivered, want none lost", missed.Value)
 	}
 	if dead, _ := point.Get("dead relay dropped all"); !dead.AtLeast || dead.Value != 1 {
-		t.Errorf("a relay that died is dropped after %+v, and has five heartbeats", dead)
+		t.Errorf("time until a dead relay is dropped is %+v, want a lower bound of 1 s, since it takes five missed heartbeats", dead)
 	}
 }
--- a/internal/scale/shapes_test.go
+++ b/internal/scale/shapes_test.go
@@ -20,8 +20,8 @@
 	"milletsail/internal/scale/hollow"
 )
 
-// TestMain has the test binary stand in for the programs that a run starts: a relay where it is given a configuration,
-// and hollow relays by their command.
+// TestMain lets the test binary run as the programs that a scale run starts: as hollow relays if it has their
+// command, as a relay if NODE_CONFIG is set.
 func TestMain(m *testing.M) {
 	switch {
 	case len(os.Args) > 2 && os.Args[1] == "scale" && os.Args[2] == HollowCommand:
@@ -40,11 +40,11 @@
 	os.Exit(0)
 }
 
-// reportEvery is the time between reports of a relay in a test on its own allocations.
+// reportEvery is the interval at which a relay under test reports its heap size and allocations.
 const reportEvery = 100 * time.Millisecond
 
-// runRelay runs a relay as its own program does. It collects its garbage all the time, so that what it reports as live is
-// live, and reports what it has allocated.
+// runRelay runs a relay like its own program. It collects garbage before each report, so that the reported heap
+// contains only live objects.
 func runRelay() error {
 	slog.SetLogLoggerLevel(slog.LevelError)
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
@@ -66,43 +66,43 @@
 	return relay.Run(ctx, c, os.Getenv("NODE_STATE"), make(chan string))
 }
 
-// The sizes that are compared, and how much is done at each.
+// The two list lengths that are compared, and the number and rate of changes and messages at each.
 const (
 	shortList, longList = 300, 30_000
 	countedChanges      = 16
-	changeRate          = 10 // a second: each is over before the next
+	changeRate          = 10 // per second, so that the relay has applied each change before the next
 	countedMessages     = 100
-	countedRate         = 100 // a second
+	countedRate         = 100 // per second
 )
 
-// counts is what a relay counted at one size of the list.
+// counts is the cost of changes and messages at one length of the list.
 type counts struct {
-	live            int64   // bytes, with no traffic yet
-	changeBytes     float64 // written for a change of one entry
-	changeCalls     float64 // of write, for a change
-	messageBytes    float64 // written for a message
+	live            int64   // live heap in bytes before any traffic
+	changeBytes     float64 // bytes written for each change of one entry
+	changeCalls     float64 // write calls for each change
+	messageBytes    float64 // bytes written for each message
 	messageCalls    float64
-	messageAllocate float64 // bytes allocated for a message
+	messageAllocate float64 // heap bytes allocated for each message
 }
 
-var reported = regexp.MustCompile(`^live (\d+) allocated (\d+)`)
+var memoryReport = regexp.MustCompile(`^live (\d+) allocated (\d+)`)
 
-// allocations waits for two further reports of a relay and gives the second.
+// allocations waits until the relay has reported again, and returns the live heap and the total allocation in bytes.
 func (m *single) allocations(t *testing.T) (live, allocated int64) {
 	t.Helper()
 	time.Sleep(3 * reportEvery)
-	if _, err := fmt.Sscanf(m.relay.Find(reported), "live %d allocated %d", &live, &allocated); err != nil {
-		t.Fatalf("no report of the relay: %v; its last line: %q", err, m.relay.LastLine())
+	if _, err := fmt.Sscanf(m.relay.Find(memoryReport), "live %d allocated %d", &live, &allocated); err != nil {
+		t.Fatalf("the relay has not reported its memory: %v; its last log line is %q", err, m.relay.LastLine())
 	}
 	return live, allocated
 }
 
-// awaitQuiet waits until the relay writes nothing more, as after a start, whose work is not what is counted.
+// awaitQuiet waits until the relay has stopped writing, so that the work of its start is not counted.
 func (b *testBed) awaitQuiet(ctx context.Context) error {
 	const (
 		still   = 500 * time.Millisecond
 		mostIn  = 10 * time.Second
-		ownNote = 1 << 10 // bytes that a runtime writes to itself
+		ownNote = 1 << 10 // bytes per interval that the Go runtime writes, for example to wake its own threads
 	)
 	last := int64(0)
 	for end := time.Now().Add(mostIn); time.Now().Before(end); clock.Sleep(ctx, still) {
@@ -115,10 +115,10 @@
 		}
 		last = usage.WrittenBytes
 	}
-	return fmt.Errorf("the relay still writes after %v", mostIn)
+	return fmt.Errorf("the relay is still writing after %v, want less than %d bytes in %v", mostIn, ownNote, still)
 }
 
-// countAt counts at one size of the list.
+// countAt measures the counts at one length of the list.
 func countAt(t *testing.T, destinations int) (c counts) {
 	t.Helper()
 	plan := DefaultPlan()
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	defer b.close()
-	b.env = []string{"GODEBUG="} // no trace of collections, which is written in many calls
+	b.env = []string{"GODEBUG="} // no trace of garbage collections: it would add write calls
 	m := &single{testBed: b}
 	ctx := t.Context()
 	if _, err := m.start(ctx); err != nil {
@@ -156,11 +156,11 @@
 		t.Fatal(err)
 	}
 	if !m.awaitAllChanges(ctx) {
-		t.Fatal("changes were not taken in")
+		t.Fatalf("the relay did not apply all changes of the list within %v", catchUpTimeout)
 	}
 	c.changeBytes, c.changeCalls = float64(changes.written)/countedChanges, float64(changes.calls)/countedChanges
 
-	// The same destinations get messages at both sizes, one after the other.
+	// Messages go to the same destinations at both lengths of the list, in turn.
 	next := 0
 	draw := func() int { next = (next + 1) % (shortList - reservedEntries); return reservedEntries + next }
 	_, before := m.allocations(t)
@@ -173,7 +173,7 @@
 	}
 	_, after := m.allocations(t)
 	if delivered := m.endpoints.Delivered(); delivered < countedMessages {
-		t.Fatalf("%d of %d messages were delivered", delivered, countedMessages)
+		t.Fatalf("the relay delivered %d messages, want at least %d", delivered, countedMessages)
 	}
 	c.messageBytes, c.messageCalls = float64(messages.written)/countedMessages, float64(messages.calls)/countedMessages
 	c.messageAllocate = float64(after-before) / countedMessages
@@ -185,7 +185,7 @@
 	shortCounts, longCounts counts
 )
 
-// count counts at both sizes, once for all tests.
+// count returns the counts at both lengths of the list; they are measured once for all tests.
 func count(t *testing.T) (short, long counts) {
 	t.Helper()
 	countOnce.Do(func() {
@@ -196,41 +196,43 @@
 	return shortCounts, longCounts
 }
 
-// equal tells whether a count is the same at both sizes, but for what a runtime writes to itself and the digits of
-// longer numbers.
-func equal(short, long, slack float64) bool { return long <= 1.1*short+slack }
+// noGrowth reports whether a count does not grow from the short to the long list. The slack allows for what the Go
+// runtime writes itself and for the additional digits of larger numbers.
+func noGrowth(short, long, slack float64) bool { return long <= 1.1*short+slack }
 
-// A change of one entry writes the same, in bytes and in calls, whatever the length of the list.
+// Guards against list updates that rewrite the whole list: a change of one entry must write as many bytes, in as many
+// calls, whatever the length of the list.
 func TestChangeWritesTheSame(t *testing.T) {
 	short, long := count(t)
-	if !equal(short.changeBytes, long.changeBytes, 100) {
-		t.Errorf("a change writes %.0f bytes at %d entries and %.0f at %d", short.changeBytes, shortList, long.changeBytes, longList)
+	if !noGrowth(short.changeBytes, long.changeBytes, 100) {
+		t.Errorf("a change writes %.0f bytes at %d entries and %.0f at %d, want no growth", short.changeBytes, shortList, long.changeBytes, longList)
 	}
-	if !equal(short.changeCalls, long.changeCalls, 1) {
-		t.Errorf("a change writes %.1f times at %d entries and %.1f times at %d", short.changeCalls, shortList, long.changeCalls, longList)
+	if !noGrowth(short.changeCalls, long.changeCalls, 1) {
+		t.Errorf("a change takes %.1f write calls at %d entries and %.1f at %d, want no growth", short.changeCalls, shortList, long.changeCalls, longList)
 	}
 }
 
-// idleBytes is the most that a relay may keep of an entry without traffic: the goal is 110 bytes, and a map's room may be
-// half empty.
-const idleBytes = 250
+// maxIdleBytes is the largest memory in bytes that a relay may use for a list entry without traffic. The design goal
+// is 110 bytes; the rest allows for a map that is half empty.
+const maxIdleBytes = 250
 
-// What is kept for a destination without traffic is bounded.
+// Guards against per-destination state that is allocated before a destination has traffic.
 func TestIdleDestinationsAreCompact(t *testing.T) {
 	short, long := count(t)
-	if each := float64(long.live-short.live) / (longList - shortList); each > idleBytes {
-		t.Errorf("an entry without traffic keeps %.0f bytes, %d at most", each, idleBytes)
+	if each := float64(long.live-short.live) / (longList - shortList); each > maxIdleBytes {
+		t.Errorf("a list entry without traffic takes %.0f bytes of memory, want at most %d", each, maxIdleBytes)
 	}
 }
 
-// The work for a message does not grow with the destinations that it does not touch: it writes and allocates the same.
+// Guards against work for a message that grows with the destinations that it does not touch: it must write and
+// allocate as much at both lengths of the list.
 func TestMessageWorkIsTheSame(t *testing.T) {
 	short, long := count(t)
-	if !equal(short.messageBytes, long.messageBytes, 100) || !equal(short.messageCalls, long.messageCalls, 1) {
-		t.Errorf("a message writes %.0f bytes in %.1f calls at %d entries, and %.0f in %.1f at %d", short.messageBytes, short.messageCalls,
+	if !noGrowth(short.messageBytes, long.messageBytes, 100) || !noGrowth(short.messageCalls, long.messageCalls, 1) {
+		t.Errorf("a message writes %.0f bytes in %.1f calls at %d entries, and %.0f in %.1f at %d, want no growth", short.messageBytes, short.messageCalls,
 			shortList, long.messageBytes, long.messageCalls, longList)
 	}
-	if !equal(short.messageAllocate, long.messageAllocate, 4<<10) {
-		t.Errorf("a message allocates %.0f bytes at %d entries, and %.0f at %d", short.messageAllocate, shortList, long.messageAllocate, longList)
+	if !noGrowth(short.messageAllocate, long.messageAllocate, 4<<10) {
+		t.Errorf("a message allocates %.0f bytes at %d entries, and %.0f at %d, want no growth", short.messageAllocate, shortList, long.messageAllocate, longList)
 	}
 }
--- a/internal/scale/shared.go
+++ b/internal/scale/shared.go
@@ -16,25 +16,26 @@
 )
 
 const (
-	// hollowPerProcess is how many hollow relays share a process.
+	// hollowPerProcess is the number of hollow relays in one process.
 	hollowPerProcess = 100
-	// HollowCommand is the command of this program that runs hollow relays.
+	// HollowCommand is the subcommand of "scale" that runs hollow relays.
 	HollowCommand = "hollow"
-	// hollowStartTimeout bounds how long the processes of hollow relays may take to start.
+	// hollowStartTimeout is the time within which all processes of hollow relays must have started their relays.
 	hollowStartTimeout = 30 * time.Second
 )
 
-// hollowProcesses is how many processes run so many hollow relays.
+// hollowProcesses returns the number of processes for a number of hollow relays.
 func hollowProcesses(count int) int { return (count + hollowPerProcess - 1) / hollowPerProcess }
 
-// hollowGroup is one process of hollow relays, as the test bed sees it.
+// hollowGroup is the test bed's side of one process of hollow relays, which have count consecutive numbers from
+// first.
 type hollowGroup struct {
 	first, count int
 	process      *process.Process
 	input        *os.File
 }
 
-// hollowFleet is all hollow relays of a point.
+// hollowFleet controls all hollow relays of a point, over their processes' standard input and output.
 type hollowFleet struct {
 	groups []*hollowGroup
 	events chan hollow.Event
@@ -42,7 +43,7 @@
 	closed chan struct{}
 }
 
-// startHollow starts the hollow relays from first to size-1, and waits until all run.
+// startHollow starts the hollow relays with the numbers first to size-1 and waits until all run.
 func startHollow(ctx context.Context, self, dir string, first, size, zones int, seed uint64, subnet *platform.Subnet) (*hollowFleet, error) {
 	f := &hollowFleet{events: make(chan hollow.Event, 1024), closed: make(chan struct{})}
 	config := hollow.Config{Size: size, Zones: zones, All: subnet.PeersAll(), Seed: seed}
@@ -64,13 +65,13 @@
 	for range f.groups {
 		if _, err := f.await(ctx, hollow.Ready); err != nil {
 			f.close()
-			return nil, fmt.Errorf("hollow relays: %w", err)
+			return nil, fmt.Errorf("start hollow relays: %w", err)
 		}
 	}
 	return f, nil
 }
 
-// start starts one process.
+// start starts one process of hollow relays and sends it its configuration.
 func (f *hollowFleet) start(self, dir string, config hollow.Config) error {
 	input, toProcess, err := os.Pipe()
 	if err != nil {
@@ -92,7 +93,7 @@
 	return json.NewEncoder(toProcess).Encode(config)
 }
 
-// readEvents brings the events of one process until it ends.
+// readEvents forwards the events of one process until its output ends or the fleet is closed.
 func (f *hollowFleet) readEvents(from *os.File) {
 	defer from.Close()
 	lines := bufio.NewScanner(from)
@@ -109,7 +110,7 @@
 	}
 }
 
-// close ends all processes.
+// close kills all processes and waits until they have exited.
 func (f *hollowFleet) close() {
 	close(f.closed)
 	for _, g := range f.groups {
@@ -119,7 +120,7 @@
 	f.done.Wait()
 }
 
-// await waits for the next event of a kind and drops others.
+// await returns the next event of a kind and discards events of other kinds.
 func (f *hollowFleet) await(ctx context.Context, what string) (hollow.Event, error) {
 	for {
 		select {
@@ -133,7 +134,7 @@
 	}
 }
 
-// broadcast gives a command to all processes.
+// broadcast sends a command to all processes.
 func (f *hollowFleet) broadcast(c hollow.Command) error {
 	line, err := json.Marshal(c)
 	if err != nil {
@@ -141,13 +142,13 @@
 	}
 	for _, g := range f.groups {
 		if _, err := g.input.Write(append(line, '\n')); err != nil {
-			return fmt.Errorf("hollow relays: %w", err)
+			return fmt.Errorf("send command %q to hollow relays: %w", c.Do, err)
 		}
 	}
 	return nil
 }
 
-// count sums up the datagrams of all hollow relays.
+// count returns the datagrams that all hollow relays have sent and received.
 func (f *hollowFleet) count(ctx context.Context) (sum hollow.Traffic, err error) {
 	if err := f.broadcast(hollow.Command{Do: hollow.Count}); err != nil {
 		return sum, err
@@ -163,7 +164,7 @@
 	return sum, nil
 }
 
-// usage sums up processor time and memory of all processes.
+// usage returns the CPU time and resident memory of all processes of hollow relays together.
 func (f *hollowFleet) usage() (cpu time.Duration, residentMB float64, err error) {
 	for _, g := range f.groups {
 		usage, err := g.process.Usage()
@@ -175,7 +176,7 @@
 	return cpu, residentMB, nil
 }
 
-// relays is how many hollow relays there are.
+// relays returns the number of hollow relays.
 func (f *hollowFleet) relays() (count int) {
 	for _, g := range f.groups {
 		count += g.count
--- a/internal/scale/single.go
+++ b/internal/scale/single.go
@@ -13,7 +13,7 @@
 	"milletsail/internal/scale/standin"
 )
 
-// sizeAt is what a point of a sweep asks of the relay.
+// sizeAt returns the load of a point: that of the plan, with the swept dimension set to x.
 func (p *Plan) sizeAt(x int) size {
 	s := size{destinations: p.Load.Destinations, changes: p.Load.Changes.PerSecond(), messages: p.Load.Messages.PerSecond(), held: p.Load.Held}
 	switch p.Sweep {
@@ -27,7 +27,7 @@
 	return s
 }
 
-// reading is all accounts at a moment.
+// reading is the resource usage of the relay and its traffic with the stand-ins at one time, as totals.
 type reading struct {
 	usage   process.Usage
 	control standin.Traffic
@@ -40,19 +40,20 @@
 	return r, err
 }
 
-// phase is what a relay used in a phase.
+// phase is the resource usage of a relay during one phase.
 type phase struct {
 	span    time.Duration
-	cpu     float64 // share of a core
-	storage int64   // bytes
-	written int64   // bytes, less what went to the stand-ins
-	calls   int64   // of write
-	state   int64   // growth of the folder in bytes
+	cpu     float64 // average CPU use, in cores
+	storage int64   // bytes written to storage
+	written int64   // bytes passed to write calls, without traffic to the stand-ins
+	calls   int64   // write calls
+	state   int64   // growth of the state directory in bytes
 	control standin.Traffic
 	changes int
 }
 
-// measure runs something and gives what the relay used meanwhile.
+// measure runs a function and returns the resource usage of the relay meanwhile. The function returns how many
+// changes of the list it made.
 func (b *testBed) measure(ctx context.Context, run func() (changes int, err error)) (phase, error) {
 	before, err := b.read()
 	if err != nil {
@@ -77,14 +78,14 @@
 	return p, nil
 }
 
-// single measures one point at one relay.
+// single measures one point of a sweep over one relay.
 type single struct {
 	*testBed
 	point Point
-	draw  func() int // a destination that gets usual messages
+	draw  func() int // returns a random destination for a message of the usual class
 }
 
-// measureSingle measures one point; what went wrong is in it.
+// measureSingle measures one point of a sweep over one relay. An error is reported in the Failed field of the point.
 func measureSingle(ctx context.Context, plan *Plan, x int, binary, dir string, subnet *platform.Subnet, progress func(string)) Point {
 	m := &single{point: Point{X: x}}
 	begun := time.Now()
@@ -93,7 +94,7 @@
 		m.testBed = b
 		defer b.close()
 		err = m.run(ctx, progress)
-		m.point.HandIns, m.point.Late = int(b.clients.due.Load()), int(b.clients.late.Load())
+		m.point.HandIns, m.point.Late = int(b.clients.scheduled.Load()), int(b.clients.late.Load())
 	}
 	if err != nil {
 		m.point.Failed = err.Error()
@@ -102,7 +103,7 @@
 	return m.point
 }
 
-// run goes through the phases of a point.
+// run measures the phases of a point in turn.
 func (m *single) run(ctx context.Context, progress func(string)) error {
 	random := generator(m.plan.Seed, 1)
 	usual := m.size.destinations - reservedEntries
@@ -153,13 +154,13 @@
 	return nil
 }
 
-// measureFill hands in the messages that are to be held.
+// measureFill submits the messages that the relay has to hold, and fails if it then holds less than 99% of them.
 func (m *single) measureFill(ctx context.Context) error {
-	holders := newClients(m.subnet.Clients(0), heldClass, uint64(time.Now().UnixNano()))
-	defer holders.close()
+	heldClients := newClients(m.subnet.Clients(0), heldClass, uint64(time.Now().UnixNano()))
+	defer heldClients.close()
 	random := generator(m.plan.Seed, 2)
 	first := m.size.destinations - heldDestinations
-	took := holders.sendUntilAccepted(ctx, m.size.held, m.plan.Relay.Fill.D(), heldDeadline, func() int { return first + random.IntN(heldDestinations) })
+	took := heldClients.sendUntilAccepted(ctx, m.size.held, m.plan.Relay.Fill.D(), heldDeadline, func() int { return first + random.IntN(heldDestinations) })
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -169,15 +170,16 @@
 	}
 	m.point.add("messages held", "messages", pending)
 	m.point.add("fill", "s", took.Seconds())
-	const nearly = 0.99
-	if pending < nearly*float64(m.size.held) {
-		return fmt.Errorf("the relay holds %.0f of %d messages after %.0f s: %d were refused and %d had no answer", pending, m.size.held,
-			took.Seconds(), holders.refused.Load(), holders.failed.Load())
+	const minFilledShare = 0.99
+	if pending < minFilledShare*float64(m.size.held) {
+		return fmt.Errorf("the relay holds %.0f of %d messages after %.0f s: %d were refused and %d got no response", pending, m.size.held,
+			took.Seconds(), heldClients.refused.Load(), heldClients.failed.Load())
 	}
 	return nil
 }
 
-// measurePhases measures what control costs, what messages cost, and whether the two add up.
+// measurePhases measures the cost of control, the cost of messages, and whether the two add up to the cost of both
+// together.
 func (m *single) measurePhases(ctx context.Context, progress func(string)) error {
 	phases := m.plan.Phases
 	progress("idle")
@@ -200,9 +202,9 @@
 		m.point.add("changes not taken in after the phase", "s", catchUpTimeout.Seconds())
 	}
 	progress("messages")
-	var rest, busy *responseTimes
+	var withoutChanges, withChanges *responseTimes
 	messages, err := m.measure(ctx, func() (int, error) {
-		rest = m.clients.sendAtRate(ctx, m.size.messages, phases.Messages.D(), usualDeadline, m.draw)
+		withoutChanges = m.clients.sendAtRate(ctx, m.size.messages, phases.Messages.D(), usualDeadline, m.draw)
 		return 0, nil
 	})
 	if err != nil {
@@ -213,7 +215,7 @@
 		done := make(chan *responseTimes)
 		go func() { done <- m.clients.sendAtRate(ctx, m.size.messages, phases.Both.D(), usualDeadline, m.draw) }()
 		all, err := m.changeAtRate(ctx, m.size.changes, phases.Both.D())
-		busy = <-done
+		withChanges = <-done
 		return len(all), err
 	})
 	if err != nil {
@@ -224,14 +226,15 @@
 	}
 	m.addCPU(idle, changes, messages, both)
 	m.addChanges(idle, changes)
-	m.addStalls("messages", rest)
-	m.addStalls("both", busy)
-	m.point.add("stall by changes p99", "ms", stallMS(busy, 99)-stallMS(rest, 99))
-	m.point.add("stall by changes max", "ms", stallMS(busy, 100)-stallMS(rest, 100))
+	m.addResponseTimes("messages", withoutChanges)
+	m.addResponseTimes("both", withChanges)
+	m.point.add("stall by changes p99", "ms", responseMS(withChanges, 99)-responseMS(withoutChanges, 99))
+	m.point.add("stall by changes max", "ms", responseMS(withChanges, 100)-responseMS(withoutChanges, 100))
 	return nil
 }
 
-// addCPU states the split of processor time, and by how much the parts miss the whole.
+// addCPU adds the CPU use of control and of messages, and the difference between that of both together and the sum of
+// the parts.
 func (m *single) addCPU(idle, changes, messages, both phase) {
 	const percent = 100
 	m.point.add("idle processor", "% of a core", percent*idle.cpu)
@@ -241,7 +244,7 @@
 	m.point.add("split deviation", "% of a core", percent*(both.cpu-changes.cpu-(messages.cpu-idle.cpu)))
 }
 
-// addChanges states what changes cost, each and a second.
+// addChanges adds the cost of changes of the list, per change and per second.
 func (m *single) addChanges(idle, changes phase) {
 	seconds := changes.span.Seconds()
 	m.point.add("control received", "B/s", float64(changes.control.Received)/seconds)
@@ -258,20 +261,20 @@
 	m.point.add("folder growth a change", "B", each(changes.state))
 }
 
-// stallMS is a percentile of the answers' times in milliseconds.
-func stallMS(a *responseTimes, percentile float64) float64 {
+// responseMS returns a percentile of the response times in milliseconds.
+func responseMS(a *responseTimes, percentile float64) float64 {
 	const microsecondsOfMillisecond = 1000
 	return float64(a.histogram.ValueAtPercentile(percentile)) / microsecondsOfMillisecond
 }
 
-func (m *single) addStalls(name string, a *responseTimes) {
-	m.point.add("answer "+name+" p50", "ms", stallMS(a, 50))
-	m.point.add("answer "+name+" p99", "ms", stallMS(a, 99))
-	m.point.add("answer "+name+" max", "ms", stallMS(a, 100))
+func (m *single) addResponseTimes(name string, a *responseTimes) {
+	m.point.add("answer "+name+" p50", "ms", responseMS(a, 50))
+	m.point.add("answer "+name+" p99", "ms", responseMS(a, 99))
+	m.point.add("answer "+name+" max", "ms", responseMS(a, 100))
 	m.point.add("answer "+name+" over 400 ms", "messages", float64(a.unanswered))
 }
 
-// addMemory states the memory of the relay.
+// addMemory adds the relay's memory and the size of its state directory; when is part of the figures' names.
 func (m *single) addMemory(when string) error {
 	usage, err := m.relay.Usage()
 	if err != nil {
@@ -283,7 +286,7 @@
 	return nil
 }
 
-// measureInForce times how long changes take until the relay's counter shows them.
+// measureInForce measures the time until the relay's counter reflects each change of the list.
 func (m *single) measureInForce(ctx context.Context) error {
 	watching, stop := context.WithCancel(ctx)
 	defer stop()
@@ -302,7 +305,7 @@
 		return err
 	}
 	took, missing := timesToEffect(changes, looks)
-	if missing > 0 && m.awaitAllChanges(ctx) { // they are in force now
+	if missing > 0 && m.awaitAllChanges(ctx) { // all changes are in effect now
 		for _, c := range changes[len(changes)-missing:] {
 			took = append(took, time.Since(c.at))
 		}
@@ -315,7 +318,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// addMessages states what became of the usual messages.
+// addMessages adds the outcomes of the messages of the usual class.
 func (m *single) addMessages() {
 	m.point.add("usual messages accepted", "messages", float64(m.clients.accepted.Load()))
 	m.point.add("usual messages refused", "messages", float64(m.clients.refused.Load()))
@@ -324,10 +327,10 @@
 	m.point.add("notices", "messages", float64(m.discovery.Notices()))
 }
 
-// missedChanges are made while the relay is down for its restart.
+// missedChanges is the number of changes of the list that are made while the relay is down for its restart.
 const missedChanges = 16
 
-// measureRestart ends the relay and starts it again on the same folder.
+// measureRestart stops the relay, changes the list and starts the relay again with the same state directory.
 func (m *single) measureRestart(ctx context.Context) error {
 	m.relay.End(syscall.SIGTERM, stopTimeout)
 	for range missedChanges {
--- a/internal/scale/standin/discovery.go
+++ b/internal/scale/standin/discovery.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// Discovery serves a list to one relay, and takes its notices.
+// Discovery is a stand-in for discovery: it serves the list of destinations to one relay and receives its
+// notifications of failed messages.
 type Discovery struct {
 	list   *List
 	server *http.Server
@@ -23,7 +24,7 @@
 	wholeLists        atomic.Int64
 }
 
-// OpenDiscovery serves a list at an address.
+// OpenDiscovery starts to serve a list at a TCP address.
 func OpenDiscovery(address string, list *List) (*Discovery, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -35,22 +36,22 @@
 	return d, nil
 }
 
-// Close ends all connections.
+// Close closes the listener and all connections.
 func (d *Discovery) Close() {
 	_ = d.server.Close()
 	d.done.Wait()
 }
 
-// Control is the traffic of watches and lists, without that of notices.
+// Control returns the traffic of list requests and watches, without that of notifications.
 func (d *Discovery) Control() Traffic { return d.control.traffic() }
 
-// Outcomes is the traffic of notices, without the head of the first request of each connection.
+// Outcomes returns the traffic of notifications. The head of the first request of each connection counts as Control.
 func (d *Discovery) Outcomes() Traffic { return d.outcomes.traffic() }
 
-// Notices counts the messages that the relay gave back.
+// Notices returns the number of messages for which the relay sent a notification.
 func (d *Discovery) Notices() int64 { return d.notices.Load() }
 
-// WholeLists counts how often the whole list was asked for.
+// WholeLists returns how often the whole list was sent.
 func (d *Discovery) WholeLists() int64 { return d.wholeLists.Load() }
 
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
@@ -66,7 +67,8 @@
 	}
 }
 
-// takeNotices counts the notices of a request, one a line.
+// takeNotices counts the notifications in the body of a request, one per line, and rejects the request if one has no
+// id.
 func (d *Discovery) takeNotices(w http.ResponseWriter, r *http.Request) {
 	lines := bufio.NewScanner(r.Body)
 	for lines.Scan() {
@@ -82,7 +84,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// watch tells a list and, where it is asked to, each change of it until the connection ends.
+// watch sends the list or its changes since the requested version. With stream=1 it then sends each further change
+// until the connection ends.
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.Atoi(r.URL.Query().Get("index"))
 	if err != nil || since < 0 || since > d.list.Version() {
@@ -100,7 +103,7 @@
 	}
 }
 
-// write writes the whole list, or what changed after a version.
+// write sends the whole list if since is 0, else the changes after that version.
 func (d *Discovery) write(w http.ResponseWriter, since int) (version int, err error) {
 	if since == 0 {
 		d.wholeLists.Add(1)
@@ -109,10 +112,11 @@
 	return d.list.WriteSince(w, since)
 }
 
-// errWatchEnded says that the relay has ended its watch.
+// errWatchEnded is returned when the relay has closed the connection of its watch.
 var errWatchEnded = errors.New("the watch has ended")
 
-// next waits for a change after a version and writes it, or writes an empty line.
+// next waits for a change after a version and sends it; if there is none within keepAliveInterval, it sends an empty
+// line.
 func (d *Discovery) next(w http.ResponseWriter, r *http.Request, version int) (int, error) {
 	changed := d.list.await(version)
 	if changed == nil {
--- a/internal/scale/standin/endpoints.go
+++ b/internal/scale/standin/endpoints.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Endpoints are the endpoints of all destinations, which share some listeners. They answer each call 200 at once, but for
-// those that turn all calls away and tell to wait.
+// Endpoints is a stand-in for the endpoints of all destinations, which share some listeners. A listener either
+// responds to each call with status 200 at once, or refuses all calls and asks the relay to retry later.
 type Endpoints struct {
 	servers   []*http.Server
 	done      sync.WaitGroup
@@ -19,7 +19,7 @@
 	delivered atomic.Int64
 }
 
-// OpenEndpoints listens at addresses. Those for which closed is true turn all calls away.
+// OpenEndpoints starts a listener at each TCP address. Listeners for which closed returns true refuse all calls.
 func OpenEndpoints(addresses []string, closed func(index int) bool) (*Endpoints, error) {
 	e := &Endpoints{}
 	for i, address := range addresses {
@@ -39,7 +39,7 @@
 	return e, nil
 }
 
-// Close ends all connections.
+// Close closes all listeners and connections.
 func (e *Endpoints) Close() {
 	for _, server := range e.servers {
 		_ = server.Close()
@@ -47,10 +47,10 @@
 	e.done.Wait()
 }
 
-// Delivered counts the calls that were answered 200.
+// Delivered returns the number of calls with the response 200.
 func (e *Endpoints) Delivered() int64 { return e.delivered.Load() }
 
-// Traffic is the bytes of all calls.
+// Traffic returns the bytes of all calls and their responses.
 func (e *Endpoints) Traffic() Traffic { return e.calls.traffic() }
 
 func (e *Endpoints) deliver(w http.ResponseWriter, r *http.Request) {
@@ -61,10 +61,10 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// RetryDelay is what endpoints that turn calls away tell the relay to wait.
+// RetryDelay is the delay after which refused calls may be retried, as sent to the relay.
 const RetryDelay = 10 * time.Minute
 
-// refuseCall answers that the call has not run, and when to come again.
+// refuseCall responds that the call was not executed and may be retried after RetryDelay.
 func refuseCall(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
--- a/internal/scale/standin/list.go
+++ b/internal/scale/standin/list.go
@@ -1,9 +1,9 @@
-// Package standin stands in for what one relay meets in a scale run: a discovery whose list may have 490,000 entries,
-// and the endpoints of its destinations, which share a few hundred listeners.
+// Package standin provides stand-ins for the systems that a relay under test connects to: a discovery service whose
+// list may have 490,000 entries, and the endpoints of its destinations, which share a few hundred listeners.
 //
-// The lab's platform opens a listener for each pair of relay and endpoint and keeps a history of each list, which bounds
-// it at some thousands of endpoints; this package keeps each entry encoded once and counts instead. It speaks the same
-// published protocol, and its addresses are those of the lab's subnet.
+// The lab's platform opens a listener for each pair of relay and endpoint and keeps a history of each list, which
+// limits it to some thousands of endpoints. This package stores each entry encoded once and keeps only counts of
+// requests. It speaks the same published protocol and uses addresses of the lab's subnet.
 package standin
 
 import (
@@ -17,29 +17,31 @@
 	"milletsail/internal/lab/platform"
 )
 
-// The states of an entry that the stand-in uses.
+// The health values of list entries that the stand-in sends.
 const (
 	Serving = "SERVING"
 	Deleted = "DELETED"
 )
 
-// change is the new form of one entry. Each makes a version, also where several are made at once.
+// change is a new version of one entry. Each change increases the version of the list by one, also if several are
+// made at once.
 type change struct {
 	index   int
 	encoded []byte
 }
 
-// List is the list of endpoints over time. All methods may be called from any goroutine.
+// List is the list of endpoints with its changes. Its methods are safe for concurrent use.
 type List struct {
 	mu      sync.Mutex
-	encoded [][]byte // by index; nil for an entry that is not listed
+	encoded [][]byte // JSON of each entry by index; nil for an entry that is not listed
 	entries func(index int) platform.Entry
-	changes []change // version n+1 is the list after changes[:n]
+	changes []change // the list at version n+1 contains changes[:n]
 	listed  int
 	changed chan struct{} // closed at the next change
 }
 
-// NewList gives a list of so many entries, at version 1.
+// NewList returns a list with count entries at version 1. The function entries returns the initial entry for an
+// index.
 func NewList(count int, entries func(index int) platform.Entry) (*List, error) {
 	l := &List{encoded: make([][]byte, count), entries: entries, listed: count, changed: make(chan struct{})}
 	for i := range l.encoded {
@@ -52,7 +54,8 @@
 	return l, nil
 }
 
-// Set changes the health of entries, as one change, and gives the number of entries that are listed then.
+// Set sets the health of entries in one update and returns the number of entries that are then listed. Entries with
+// the health Deleted are not listed.
 func (l *List) Set(health string, indexes ...int) (listed int, err error) {
 	var changes []change
 	for _, index := range indexes {
@@ -74,7 +77,7 @@
 	return l.listed, nil
 }
 
-// apply makes one change; the lock is held.
+// apply makes one change. The caller holds the lock.
 func (l *List) apply(c change, listed bool) {
 	l.changes = append(l.changes, c)
 	if l.encoded[c.index] != nil {
@@ -87,21 +90,21 @@
 	}
 }
 
-// Listed is the number of entries that are listed now.
+// Listed returns the number of listed entries.
 func (l *List) Listed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.listed
 }
 
-// Version is the present version.
+// Version returns the current version.
 func (l *List) Version() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return 1 + len(l.changes)
 }
 
-// await gives what is closed at the next change after a version; nil where there is one already.
+// await returns a channel that is closed at the next change, or nil if there are changes after the version already.
 func (l *List) await(version int) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,7 +114,7 @@
 	return l.changed
 }
 
-// WriteWhole writes the whole list as one JSON object and gives its version.
+// WriteWhole writes the whole list as one JSON object and returns its version.
 func (l *List) WriteWhole(to io.Writer) (version int, err error) {
 	l.mu.Lock()
 	version = 1 + len(l.changes)
@@ -120,8 +123,8 @@
 	return version, writeObject(to, version, true, entries)
 }
 
-// WriteSince writes what changed after a version as one JSON object, the latest form of each entry, and gives the
-// version that it leads to.
+// WriteSince writes the changes after a version as one JSON object, with the latest state of each changed entry, and
+// returns the version that it leads to.
 func (l *List) WriteSince(to io.Writer, since int) (version int, err error) {
 	l.mu.Lock()
 	version = 1 + len(l.changes)
@@ -140,10 +143,10 @@
 	return version, writeObject(to, version, false, entries)
 }
 
-// bufferSize is the room for the encoding of a list on its way out.
+// bufferSize is the size in bytes of the output buffer for a list.
 const bufferSize = 256 << 10
 
-// writeObject writes one object of discovery's form, on one line.
+// writeObject writes one object of the discovery protocol, on one line.
 func writeObject(to io.Writer, version int, whole bool, entries [][]byte) error {
 	out := bufio.NewWriterSize(to, bufferSize)
 	_, _ = out.WriteString(`{"seq":` + strconv.Itoa(version) + `,"whole":` + strconv.FormatBool(whole) + `,"hosts":[`)
@@ -162,5 +165,5 @@
 	return out.Flush()
 }
 
-// keepAliveInterval is the time between the empty lines of a watch on which nothing changes.
+// keepAliveInterval is the interval between empty lines on a watch while the list does not change.
 const keepAliveInterval = 2 * time.Second
--- a/internal/scale/standin/meter.go
+++ b/internal/scale/standin/meter.go
@@ -7,23 +7,24 @@
 	"sync/atomic"
 )
 
-// Traffic is the bytes on the connections of one kind, as the relay sees them.
+// Traffic counts the bytes on the connections of one kind.
 type Traffic struct {
-	Sent     int64 `json:"sent"`     // by the relay
-	Received int64 `json:"received"` // by the relay
+	Sent     int64 `json:"sent"`     // bytes that the relay sent
+	Received int64 `json:"received"` // bytes that the relay received
 }
 
-// Minus gives what came between two readings.
+// Minus returns the traffic since an earlier reading.
 func (t Traffic) Minus(earlier Traffic) Traffic {
 	return Traffic{Sent: t.Sent - earlier.Sent, Received: t.Received - earlier.Received}
 }
 
-// counter sums up the traffic of many connections.
+// counter counts the traffic of many connections.
 type counter struct{ sent, received atomic.Int64 }
 
 func (c *counter) traffic() Traffic { return Traffic{Sent: c.sent.Load(), Received: c.received.Load()} }
 
-// meteredConn is a connection of a relay to a stand-in. Its bytes count for the counter that it was last assigned to.
+// meteredConn is a connection from a relay to a stand-in. Its bytes are added to the counter that it was last
+// assigned to.
 type meteredConn struct {
 	net.Conn
 	counter atomic.Pointer[counter]
@@ -41,7 +42,7 @@
 	return n, err
 }
 
-// meteredListener meters all connections that it accepts.
+// meteredListener counts the traffic of all connections that it accepts, initially with one counter.
 type meteredListener struct {
 	net.Listener
 	initial *counter
@@ -57,14 +58,14 @@
 	return metered, nil
 }
 
-// connKey finds a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// assign has the rest of a request's connection counted elsewhere.
+// assign makes further traffic on a request's connection count for another counter.
 func assign(r *http.Request, to *counter) {
 	if conn, ok := r.Context().Value(connKey{}).(*meteredConn); ok {
 		conn.counter.Store(to)
--- a/internal/scale/statements_test.go
+++ b/internal/scale/statements_test.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// relayProgram is the relay, and countedPackages what is counted of it: all that is this project's.
+	// relayProgram is the package of the relay's program; countedPackages are the packages whose statements are
+	// counted: those of this module.
 	relayProgram    = "milletsail/cmd/relay"
 	countedPackages = "milletsail/..."
-	// workRate of messages or changes a second for workSpan make workDone.
+	// Each kind of work lasts workSpan, with workRate messages or changes per second: workDone in all.
 	workRate = 50
 	workSpan = time.Second
 	workDone = workRate * int(workSpan/time.Second)
 )
 
-// buildCounted builds the relay so that it counts each statement that it executes.
-func buildCounted(t *testing.T) string {
+// buildWithCoverage builds the relay with coverage counters, so that each executed statement is counted.
+func buildWithCoverage(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "relay")
 	build := exec.CommandContext(t.Context(), "go", "build", "-cover", "-covermode=atomic", "-coverpkg="+countedPackages, "-o", binary, relayProgram)
@@ -39,7 +40,7 @@
 	return binary
 }
 
-// work is what a relay is given between its start and its end.
+// work is the load on a relay between its start and its end.
 type work func(ctx context.Context, b *testBed) error
 
 func noWork(ctx context.Context, _ *testBed) error { clock.Sleep(ctx, workSpan); return nil }
@@ -54,12 +55,13 @@
 	draw := func() int { next = (next + 1) % (shortList - reservedEntries); return reservedEntries + next }
 	b.clients.sendAtRate(ctx, workRate, workSpan, usualDeadline, draw)
 	if accepted := b.clients.accepted.Load(); accepted < int64(workDone) {
-		return fmt.Errorf("%d of %d messages were accepted", accepted, workDone)
+		return fmt.Errorf("the relay accepted %d of %d messages", accepted, workDone)
 	}
 	return nil
 }
 
-// statements counts what a relay executes from its start to its end, with some work between.
+// statements returns the number of statements that a relay executes from its start to its end, with the given work in
+// between.
 func statements(ctx context.Context, binary, dir string, destinations int, do work) (count float64, err error) {
 	plan := DefaultPlan()
 	plan.Load.Down = Share{}
@@ -88,7 +90,7 @@
 		return 0, err
 	}
 	if !b.awaitAllChanges(ctx) {
-		return 0, fmt.Errorf("changes were not taken in")
+		return 0, fmt.Errorf("the relay did not apply all changes of the list within %v", catchUpTimeout)
 	}
 	if err := b.awaitQuiet(ctx); err != nil {
 		return 0, err
@@ -97,7 +99,8 @@
 	return executed(ctx, counters, filepath.Join(dir, "counts"))
 }
 
-// executed sums up the statements that were executed, from the counters that a process left.
+// executed sums up the executed statements from the coverage counters in a directory; text is the path of the
+// converted profile.
 func executed(ctx context.Context, counters, text string) (sum float64, err error) {
 	if out, err := exec.CommandContext(ctx, "go", "tool", "covdata", "textfmt", "-i="+counters, "-o="+text).CombinedOutput(); err != nil {
 		return 0, fmt.Errorf("%w: %s", err, out)
@@ -108,7 +111,7 @@
 	}
 	defer file.Close()
 	for lines := bufio.NewScanner(file); lines.Scan(); {
-		fields := strings.Fields(lines.Text()) // place, statements of the block, executions
+		fields := strings.Fields(lines.Text()) // code position, number of statements in the block, number of executions
 		if len(fields) != 3 {
 			continue
 		}
@@ -119,14 +122,15 @@
 		}
 	}
 	if sum == 0 {
-		return 0, fmt.Errorf("the relay left no counts")
+		return 0, fmt.Errorf("the relay wrote no coverage counters to %s", counters)
 	}
 	return sum, nil
 }
 
-// Neither a message nor a change executes more statements where the list has more entries that it does not touch.
+// Guards against work that grows with the length of the list: neither a message nor a change may execute more
+// statements with a hundred times the entries, which it does not touch.
 func TestStatementsAreTheSame(t *testing.T) {
-	binary := buildCounted(t)
+	binary := buildWithCoverage(t)
 	works := map[string]work{"none": noWork, "change": changeWork, "message": messageWork}
 	sums := map[string]map[int]float64{}
 	var mu sync.Mutex
@@ -138,7 +142,7 @@
 			all.Go(func() {
 				sum, err := statements(t.Context(), binary, dir, destinations, do)
 				if err != nil {
-					t.Errorf("%s at %d entries: %v", name, destinations, err)
+					t.Errorf("counting statements for work %s at %d entries: %v", name, destinations, err)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -156,10 +160,11 @@
 		}
 		short, long := each(shortList), each(longList)
 		t.Logf("a %s executes %.0f statements at %d entries and %.0f at %d", name, short, shortList, long, longList)
-		// How events fall into batches differs from run to run: half as much again is no growth, a hundred times the entries is.
+		// The batching of events differs between runs, so that up to 1.5 times the statements is no growth. Work that
+		// visits each entry would be far above that at a hundred times the entries.
 		const slack = 500
 		if long > 1.5*short+slack {
-			t.Errorf("a %s executes %.0f statements at %d entries and %.0f at %d", name, short, shortList, long, longList)
+			t.Errorf("a %s executes %.0f statements at %d entries and %.0f at %d, want no growth", name, short, shortList, long, longList)
 		}
 	}
 }
--- a/internal/scale/units.go
+++ b/internal/scale/units.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// The units of a plan are structures: the decoder takes a plain number for any type whose kind is one, and the text of it for
-// others, which checkUnits refuses with its line.
+// The values of a plan that have a unit are structs. For a type whose kind is a number the decoder would accept a
+// plain number; for others it passes the number's text to UnmarshalText, and checkUnits rejects it with its line.
 
-// Duration is a time, written with its unit: "5s".
+// Duration is a time span, written with its unit: "5s".
 type Duration struct{ value time.Duration }
 
-// UnmarshalText reads a duration; one without its unit, or below zero, is an error.
+// UnmarshalText parses a duration; a negative one and one without a unit are errors.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil || v < 0 || string(text) == "0" {
@@ -23,22 +23,21 @@
 	return nil
 }
 
-// MarshalText writes a duration as it is read.
+// MarshalText returns the form that UnmarshalText parses.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.value.String()), nil }
 
-// D gives the duration in the standard library's type.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return d.value }
 
-// S gives the duration in seconds.
+// S returns the duration in seconds.
 func (d Duration) S() float64 { return d.value.Seconds() }
 
-// Rate is a number a second, written with its unit: "16/s".
+// Rate is a number of events per second, written with its unit: "16/s".
 type Rate struct{ perSecond float64 }
 
-// PerSecond gives the rate.
 func (r Rate) PerSecond() float64 { return r.perSecond }
 
-// UnmarshalText reads a rate; one without its unit, or below zero, is an error.
+// UnmarshalText parses a rate; a negative one and one without a unit are errors.
 func (r *Rate) UnmarshalText(text []byte) error {
 	number, isRate := strings.CutSuffix(string(text), "/s")
 	v, err := strconv.ParseFloat(number, 64)
@@ -49,7 +48,7 @@
 	return nil
 }
 
-// MarshalText writes a rate as it is read.
+// MarshalText returns the form that UnmarshalText parses.
 func (r Rate) MarshalText() ([]byte, error) {
 	return []byte(strconv.FormatFloat(r.perSecond, 'g', -1, 64) + "/s"), nil
 }
@@ -57,10 +56,10 @@
 // Share is a part of a whole, written as a percentage: "1%".
 type Share struct{ part float64 }
 
-// Part gives the share, from 0 to 1.
+// Part returns the share as a number from 0 to 1.
 func (s Share) Part() float64 { return s.part }
 
-// UnmarshalText reads a share; one without its unit, or outside 0 to 100%, is an error.
+// UnmarshalText parses a share; one without a percent sign and one outside 0% to 100% are errors.
 func (s *Share) UnmarshalText(text []byte) error {
 	number, isShare := strings.CutSuffix(string(text), "%")
 	v, err := strconv.ParseFloat(number, 64)
@@ -71,18 +70,18 @@
 	return nil
 }
 
-// MarshalText writes a share as it is read.
+// MarshalText returns the form that UnmarshalText parses.
 func (s Share) MarshalText() ([]byte, error) {
 	return []byte(strconv.FormatFloat(100*s.part, 'g', -1, 64) + "%"), nil
 }
 
-// Size is a number of bytes, written with its unit: "256MB". A MB has 2^20 bytes.
+// Size is a number of bytes, written as whole megabytes: "256MB". One MB is 2^20 bytes.
 type Size struct{ bytes int64 }
 
-// megabyte is the number of bytes of a MB.
+// megabyte is the number of bytes in one MB.
 const megabyte = 1 << 20
 
-// UnmarshalText reads a size; one without its unit, or not above zero, is an error.
+// UnmarshalText parses a size; one without its unit and one that is not positive are errors.
 func (s *Size) UnmarshalText(text []byte) error {
 	number, isSize := strings.CutSuffix(string(text), "MB")
 	v, err := strconv.ParseInt(number, 10, 32)
@@ -93,10 +92,10 @@
 	return nil
 }
 
-// MarshalText writes a size as it is read.
+// MarshalText returns the form that UnmarshalText parses.
 func (s Size) MarshalText() ([]byte, error) {
 	return []byte(strconv.FormatInt(s.bytes/megabyte, 10) + "MB"), nil
 }
 
-// MB gives the size in MB.
+// MB returns the size in MB.
 func (s Size) MB() float64 { return float64(s.bytes) / megabyte }
