--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -13,6 +13,7 @@
 // Form is the kind of growth of a figure.
 type Form string
 
+// The forms of growth, and the outcomes without one.
 const (
 	Constant Form = "constant"  // the values differ by little
 	Linear   Form = "linear"    // a line
--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -136,6 +136,7 @@
 	}
 }
 
+// PID returns the process id.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
 // Started returns the time at which the process was started.
--- a/internal/scale/shapes_test.go
+++ b/internal/scale/shapes_test.go
@@ -102,7 +102,7 @@
 	const (
 		still   = 500 * time.Millisecond
 		mostIn  = 10 * time.Second
-		ownNote = 1 << 10 // bytes per interval that the Go runtime writes, for example to wake its own threads
+		ownNote = 1 << 10 // bytes per interval that the Go runtime itself may write
 	)
 	last := int64(0)
 	for end := time.Now().Add(mostIn); time.Now().Before(end); clock.Sleep(ctx, still) {
--- a/internal/scale/units.go
+++ b/internal/scale/units.go
@@ -35,6 +35,7 @@
 // Rate is a number of events per second, written with its unit: "16/s".
 type Rate struct{ perSecond float64 }
 
+// PerSecond returns the number of events per second.
 func (r Rate) PerSecond() float64 { return r.perSecond }
 
 // UnmarshalText parses a rate; a negative one and one without a unit are errors.
