--- a/internal/relay/handover_killed_test.go
+++ b/internal/relay/handover_killed_test.go
@@ -19,35 +19,37 @@
 	"milletsail/internal/relay/notifier"
 )
 
-// The old process is killed right after the handover, with calls out: they may have run.
-func TestPredecessorKilledAfterHandover(t *testing.T) {
+// A predecessor that is killed after the handover never reports the results of its calls in flight, so an endpoint may have
+// executed them. The successor has to repeat a retryable message, and has to report a fragile one as undeliverable instead of
+// sending it twice.
+func TestPredecessorKilledWithCallsInFlight(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
-	p.inherits()
+	p.respond = func(*http.Request) int { return 0 }
+	p.openClientSocket()
 	old := p.start()
-	p.take("order", "unsafe", "25")
-	p.take("status", "safe", "25")
-	p.called()
-	p.called()
-	p.upgrade()
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
+	p.submitAccepted("order", "unsafe", "25")
+	p.submitAccepted("status", "safe", "25")
+	p.nextCall()
+	p.nextCall()
+	p.startSuccessor()
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.kill(old)
-	if id := p.called(); id != "safe" {
-		t.Errorf("%s is sent again", id)
+	if id := p.nextCall(); id != "safe" {
+		t.Errorf("message %s was sent again, want the retryable one", id)
 	}
-	p.until("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "unsafe", Status: notifier.StatusUndeliverable}) {
-		t.Errorf("notices %v", n)
+	p.waitUntil("both messages have ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	if n := p.notifications(); len(n) != 1 || n[0] != (journal.Notification{ID: "unsafe", Status: notifier.StatusUndeliverable}) {
+		t.Errorf("notifications %v, want one: the fragile message is undeliverable", n)
 	}
 }
 
-// dieAt is a process that owns the folder and is killed at a step of its handover.
-func dieAt(step, dir string) {
+// runOwnerKilledAt is the main function of a child process that owns a state directory and kills itself at a step of a handover.
+func runOwnerKilledAt(step, dir string) {
 	die := func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL) }
 	o, err := journal.AcquireOwnership(dir)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "own:", err)
+		fmt.Fprintln(os.Stderr, "acquire ownership:", err)
 		os.Exit(1)
 	}
 	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, "handover"), Net: "unix"})
@@ -83,18 +85,19 @@
 	select {}
 }
 
-// Whatever step the old process is killed at, the new one starts from the journal.
-func TestOldProcessKilledAtEachStep(t *testing.T) {
+// A predecessor that is killed in the middle of a handover must not lose a message: after each step of the handover, the
+// successor has to start from the journal and deliver the message there exactly once.
+func TestPredecessorKilledAtEachStep(t *testing.T) {
 	for _, step := range []string{"asked", "half an offer", "offered", "released"} {
 		t.Run(step, func(t *testing.T) {
 			p := newPlatform(t)
 			p.addHost("h1", 7)
-			p.inherits()
-			j := openTestJournal(t, p.dir, 3)
+			p.openClientSocket()
+			j := openTestJournal(t, p.stateDir, 3)
 			j.Accept(&journal.Entry{ID: "m", Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)})
 			commit(t, j)
 			c := exec.CommandContext(context.WithoutCancel(t.Context()), os.Args[0])
-			c.Env = append(os.Environ(), childDies+"="+step, childState+"="+p.dir)
+			c.Env = append(os.Environ(), childKillStepVariable+"="+step, childStateVariable+"="+p.stateDir)
 			out, err := c.StdoutPipe()
 			if err != nil {
 				t.Fatal(err)
@@ -104,13 +107,13 @@
 			}
 			t.Cleanup(func() { _ = c.Process.Kill() })
 			if word, err := bufio.NewReader(out).ReadString('\n'); err != nil {
-				t.Fatalf("%q, %v", word, err)
+				t.Fatalf("predecessor not ready: read %q, error %v", word, err)
 			}
-			p.upgrade()
+			p.startSuccessor()
 			_ = c.Wait()
-			p.until("the message is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			if got := p.sent(); len(got) != 1 || len(p.told()) != 0 {
-				t.Errorf("calls %v, notices %v", got, p.told())
+			p.waitUntil("the message has ended", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			if got := p.calls(); len(got) != 1 || len(p.notifications()) != 0 {
+				t.Errorf("calls %v, notifications %v; want one call and no notification", got, p.notifications())
 			}
 		})
 	}
--- a/internal/relay/list_watch_test.go
+++ b/internal/relay/list_watch_test.go
@@ -11,104 +11,105 @@
 	"milletsail/internal/relay/discovery"
 )
 
-// listPlatform gives a platform with a host of destination 7, operators, and room on disk for long lists.
-func listPlatform(t *testing.T) (p *platform, known Member) {
+// newListPlatform returns a platform with one endpoint of destination 7, an admin endpoint, and enough disk space for long lists.
+func newListPlatform(t *testing.T) (p *platform, known Member) {
 	t.Helper()
 	p = newPlatform(t)
-	p.disk = 100
+	p.diskMB = 100
 	p.admin = closedAddress(t)
 	return p, p.addHost("h1", 7)
 }
 
-// A long list that is cut off in the middle removes nothing, also once the next one has begun, and the next watch asks
-// from the version before it.
-func TestLongListCutOff(t *testing.T) {
-	p, known := listPlatform(t)
-	list := wholeList(t, 50, append(filler(manyHosts), known))
+// A complete list that breaks off must not remove the endpoints that were still to come, neither then nor while the next one is
+// read. The next watch has to begin from the version before the list.
+func TestLongListBrokenOff(t *testing.T) {
+	p, known := newListPlatform(t)
+	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
 	indexes, served := make(chan string, 1000), make(chan bool, 2)
 	first := true
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
-		half, rest := halves(list)
+		half, rest := splitWithinEntry(list)
 		if first {
 			first = false
 			a.send(half)
-			a.cut()
+			a.abort()
 		}
-		a.await(served)
+		a.waitFor(served)
 		a.send(`{"seq":49,"whole":false,"hosts":[]}` + "\n" + half)
-		a.await(served)
+		a.waitFor(served)
 		a.send(rest)
 		a.keepAlive()
 	}
 	p.start()
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "40" {
-		t.Errorf("indexes %s, %s", one, two)
+		t.Errorf("watches began from versions %s and %s, want 40 and 40", one, two)
 	}
-	p.take("status", "between", "20") // the host is not in the half that came
-	p.called()
+	p.submitAccepted("status", "between", "20") // its endpoint is in the half that was not sent
+	p.nextCall()
 	served <- true
-	p.until("the next one has begun", func() bool {
-		_, seq := storedList(t, p.dir)
+	p.waitUntil("the second watch has begun", func() bool {
+		_, seq := readStoredList(t, p.stateDir)
 		return seq == 49
 	})
-	p.take("status", "meanwhile", "20")
-	p.called()
+	p.submitAccepted("status", "meanwhile", "20")
+	p.nextCall()
 	served <- true
-	p.untilMembers(manyHosts + 1)
-	p.until("the list is on disk", func() bool {
-		hosts, seq := storedList(t, p.dir)
+	p.waitForMembers(manyHosts + 1)
+	p.waitUntil("the list is on disk", func() bool {
+		hosts, seq := readStoredList(t, p.stateDir)
 		return seq == 50 && len(hosts) == manyHosts+1
 	})
 }
 
-// A long list that is spoilt in the middle removes nothing, and the whole list is asked for.
-func TestLongListSpoilt(t *testing.T) {
-	p, known := listPlatform(t)
-	list := wholeList(t, 50, append(filler(manyHosts), known))
+// A complete list with a syntax error in the middle must not remove the endpoints after the error. The next watch has to request
+// the whole list, because the state before the error is unknown.
+func TestLongListMalformed(t *testing.T) {
+	p, known := newListPlatform(t)
+	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
 	indexes, served := make(chan string, 1000), make(chan bool)
 	first := true
-	p.watch = func(a *watchAnswer) {
+	p.serveWatch = func(a *watchResponse) {
 		indexes <- a.index()
 		if first {
 			first = false
-			half, rest := halves(list)
+			half, rest := splitWithinEntry(list)
 			a.send(half + strings.Replace(rest, `"block":`, `"block":"x`, 1))
 			a.keepAlive()
 			return
 		}
-		a.await(served)
+		a.waitFor(served)
 		a.send(list)
 		a.keepAlive()
 	}
 	p.start()
 	if one, two := receive(t, indexes), receive(t, indexes); one != "40" || two != "0" {
-		t.Errorf("indexes %s, %s", one, two)
+		t.Errorf("watches began from versions %s and %s, want 40 and 0", one, two)
 	}
-	p.take("status", "between", "20")
-	p.called()
+	p.submitAccepted("status", "between", "20")
+	p.nextCall()
 	close(served)
-	p.untilMembers(manyHosts + 1)
+	p.waitForMembers(manyHosts + 1)
 }
 
-// A long list of which nothing more comes but empty lines is dead: the next watch asks from the version before it, and in
-// time for what it brings.
-func TestLongListSilent(t *testing.T) {
-	p, known := listPlatform(t)
-	list := wholeList(t, 50, append(filler(manyHosts), known))
-	type ask struct {
+// A list that stalls in the middle while empty lines keep the connection alive would leave the relay without updates. The relay
+// has to give the watch up after discovery.SilenceTimeout and to watch again from the version before the list, within 6 s.
+func TestLongListStalled(t *testing.T) {
+	p, known := newListPlatform(t)
+	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
+	type request struct {
 		index string
 		at    time.Time
 	}
-	asks, silent := make(chan ask, 1000), make(chan time.Time, 1)
+	requests, stalled := make(chan request, 1000), make(chan time.Time, 1)
 	first := true
-	p.watch = func(a *watchAnswer) {
-		asks <- ask{a.index(), time.Now()}
+	p.serveWatch = func(a *watchResponse) {
+		requests <- request{a.index(), time.Now()}
 		if first {
 			first = false
-			half, _ := halves(list)
+			half, _ := splitWithinEntry(list)
 			a.send(half)
-			silent <- time.Now()
+			stalled <- time.Now()
 			a.keepAlive()
 			return
 		}
@@ -116,26 +117,27 @@
 		a.keepAlive()
 	}
 	p.start()
-	one, from, two := receive(t, asks), receive(t, silent), receive(t, asks)
+	one, stalledAt, two := receive(t, requests), receive(t, stalled), receive(t, requests)
 	if one.index != "40" || two.index != "40" {
-		t.Errorf("indexes %s, %s", one.index, two.index)
+		t.Errorf("watches began from versions %s and %s, want 40 and 40", one.index, two.index)
 	}
-	if after := two.at.Sub(from); after < discovery.SilenceTimeout || after > 6*time.Second {
-		t.Errorf("asked again %v after the last of the list, want within 6 s", after)
+	if after := two.at.Sub(stalledAt); after < discovery.SilenceTimeout || after > 6*time.Second {
+		t.Errorf("watched again %v after the last data of the list, want after the silence timeout and within 6 s", after)
 	}
-	p.untilMembers(manyHosts + 1)
+	p.waitForMembers(manyHosts + 1)
 }
 
-// A long list may come indented, and in pieces that end anywhere.
-func TestLongListIndented(t *testing.T) {
-	p, known := listPlatform(t)
-	hosts := append(filler(manyHosts), known)
+// The reader of the list must not depend on its layout or on where the pieces of the response end: it has to read an indented
+// list, with carriage returns, in pieces of many sizes.
+func TestLongListIndentedInPieces(t *testing.T) {
+	p, known := newListPlatform(t)
+	hosts := append(fillerHosts(manyHosts), known)
 	text, err := json.MarshalIndent(Members{Seq: 50, Whole: true, Hosts: hosts}, "", "    ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.watch = func(a *watchAnswer) {
-		rest := string(text) + "\r\n\n" + hostLine(t, 51, Member{Host: "last", Block: 8, Health: "SERVING"}) + "\n"
+	p.serveWatch = func(a *watchResponse) {
+		rest := string(text) + "\r\n\n" + endpointUpdate(t, 51, Member{Host: "last", Block: 8, Health: "SERVING"}) + "\n"
 		for size := 1; len(rest) > 0; size = size%9973 + 1 {
 			size = min(size, len(rest))
 			a.send(rest[:size])
@@ -144,22 +146,23 @@
 		a.keepAlive()
 	}
 	p.start()
-	p.until("the list and the change are on disk", func() bool {
-		stored, seq := storedList(t, p.dir)
+	p.waitUntil("the list and the change are on disk", func() bool {
+		stored, seq := readStoredList(t, p.stateDir)
 		return seq == 51 && len(stored) == len(hosts)+1
 	})
-	p.untilMembers(len(hosts) + 1)
+	p.waitForMembers(len(hosts) + 1)
 }
 
-// Messages for known destinations are served while a long list is still being read.
-func TestServedWhileAListIsRead(t *testing.T) {
-	p, known := listPlatform(t)
-	list := wholeList(t, 50, append(filler(manyHosts), known))
+// Reading a long list must not block the relay: messages for known destinations have to be delivered while the list is still
+// read.
+func TestMessagesDeliveredWhileListIsRead(t *testing.T) {
+	p, known := newListPlatform(t)
+	list := completeList(t, 50, append(fillerHosts(manyHosts), known))
 	delivered := make(chan bool)
-	p.watch = func(a *watchAnswer) {
-		half, rest := halves(list)
+	p.serveWatch = func(a *watchResponse) {
+		half, rest := splitWithinEntry(list)
 		a.send(half)
-		for waiting := true; waiting; { // slowly on, so that the watch lives
+		for waiting := true; waiting; { // sends a little now and then, so that the watch does not time out
 			select {
 			case <-delivered:
 				waiting = false
@@ -174,55 +177,55 @@
 		a.keepAlive()
 	}
 	p.start()
-	p.until("much of the list is applied", func() bool { return p.members() > manyHosts/3 })
+	p.waitUntil("a third of the list is applied", func() bool { return p.memberCount() > manyHosts/3 })
 	for i := range 20 {
-		p.take("status", fmt.Sprint("m", i), "20")
-		p.called()
+		p.submitAccepted("status", fmt.Sprint("m", i), "20")
+		p.nextCall()
 	}
-	if n := p.members(); n > manyHosts {
-		t.Errorf("%d hosts are on the list before all of it was written", n)
+	if n := p.memberCount(); n > manyHosts {
+		t.Errorf("%d endpoints are on the list before all of it was sent", n)
 	}
 	close(delivered)
-	p.untilMembers(manyHosts + 1)
+	p.waitForMembers(manyHosts + 1)
 }
 
-// A whole list removes the hosts that it does not name, however many others it names: they get nothing new. What is
-// remembered of the others stays.
+// An endpoint that a complete list does not contain must get no further calls, however long the list is: the relay has to remove
+// it and to tell the policy so.
 func TestCompleteListRemovesEndpoints(t *testing.T) {
-	p, gone := listPlatform(t)
-	stays := p.addHost("h2", 7)
+	p, removed := newListPlatform(t)
+	kept := p.addHost("h2", 7)
 	served := make(chan bool)
-	p.watch = func(a *watchAnswer) {
-		a.await(served)
-		a.send(wholeList(t, 50, append(filler(manyHosts), stays)))
+	p.serveWatch = func(a *watchResponse) {
+		a.waitFor(served)
+		a.send(completeList(t, 50, append(fillerHosts(manyHosts), kept)))
 		a.keepAlive()
 	}
 	c := p.start()
-	p.take("status", "before", "20") // the module knows the destination
-	p.called()
+	p.submitAccepted("status", "before", "20") // so that the policy knows the destination
+	p.nextCall()
 	close(served)
-	p.until("the whole list is in force", func() bool {
-		hosts, seq := storedList(t, p.dir)
+	p.waitUntil("the complete list is on disk", func() bool {
+		hosts, seq := readStoredList(t, p.stateDir)
 		return seq == 50 && len(hosts) == manyHosts+1
 	})
-	var hit []string
-	p.set(func() {
-		p.answer = func(r *http.Request) int {
-			hit = append(hit, r.Host)
+	var called []string
+	p.update(func() {
+		p.respond = func(r *http.Request) int {
+			called = append(called, r.Host)
 			return http.StatusOK
 		}
 	})
 	for i := range 10 {
-		p.take("status", fmt.Sprint("m", i), "20")
-		p.called()
+		p.submitAccepted("status", fmt.Sprint("m", i), "20")
+		p.nextCall()
 	}
-	for _, dial := range hit {
-		if dial == gone.Dial {
-			t.Fatal("a host that was removed got new work")
+	for _, dial := range called {
+		if dial == removed.Dial {
+			t.Fatal("a removed endpoint was called")
 		}
 	}
 	p.kill(c)
 	if strings.Contains(fmt.Sprint(c.Stderr), "of another destination") {
-		t.Error("the module was not told that the host is gone")
+		t.Error("the policy was not told that the endpoint was removed: the log names an endpoint of another destination")
 	}
 }
--- a/internal/relay/loop_test.go
+++ b/internal/relay/loop_test.go
@@ -16,9 +16,9 @@
 	"milletsail/policy"
 )
 
-// A peer that hands in the id of a message that was taken on, and leaves, takes nothing back; two that hand in the
-// same id at once get the same answer.
-func TestCopiesOfAMessage(t *testing.T) {
+// Guards against duplicate submissions that withdraw or lose an accepted message: clients that submit the same id at once get the
+// same response, and one that disconnects after a duplicate submission withdraws nothing.
+func TestDuplicateSubmissions(t *testing.T) {
 	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
 		Classes: []policy.Class{{Name: "status", LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1}}}, 1)
 	if err != nil {
@@ -26,9 +26,9 @@
 	}
 	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}),
 		journal: openTestJournal(t, t.TempDir(), 3), inbox: make(chan event, 1),
-		messages: map[string]*message{}, endpoints: listAt(7)}
+		messages: map[string]*message{}, endpoints: endpointListOf(7)}
 	l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
-	copyOf := func(id string) *frontend.Submission {
+	newSubmission := func(id string) *frontend.Submission {
 		return &frontend.Submission{Response: make(chan frontend.Response, 1),
 			Entry: &journal.Entry{ID: id, Class: "status", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute)}}
 	}
@@ -40,56 +40,57 @@
 			return 0
 		}
 	}
-	first, second, late := copyOf("m"), copyOf("m"), copyOf("m")
-	l.accept(messageArrived{first})
-	l.accept(messageArrived{second})
+	first, second, third := newSubmission("m"), newSubmission("m"), newSubmission("m")
+	l.handleEvent(messageArrived{first})
+	l.handleEvent(messageArrived{second})
 	if s := status(second); s != 0 {
-		t.Errorf("a copy of an undecided message was answered %d", s)
+		t.Errorf("a duplicate of an undecided message was answered %d, want no response", s)
 	}
 	l.step(t.Context())
 	if a, b := status(first), status(second); a != http.StatusAccepted || b != a {
-		t.Errorf("answers %d and %d", a, b)
+		t.Errorf("the first submission was answered %d and its duplicate %d, want 202 for both", a, b)
 	}
-	l.accept(messageArrived{late})
-	for _, a := range []*frontend.Submission{late, second, first} {
-		l.accept(clientLeft{a})
+	l.handleEvent(messageArrived{third})
+	for _, a := range []*frontend.Submission{third, second, first} {
+		l.handleEvent(clientLeft{a})
 	}
 	l.step(t.Context())
 	if l.messages["m"] == nil || l.journal.Get("m") == nil {
-		t.Error("a message that others were told is taken on was withdrawn")
+		t.Error("a message that was answered 202 was withdrawn")
 	}
-	alone := copyOf("n")
-	l.accept(messageArrived{alone})
-	l.accept(clientLeft{alone})
+	alone := newSubmission("n")
+	l.handleEvent(messageArrived{alone})
+	l.handleEvent(clientLeft{alone})
 	l.step(t.Context())
 	if l.messages["n"] != nil || l.journal.Get("n") != nil {
-		t.Error("a message whose client left unanswered was kept")
+		t.Error("a message was kept although its only client left before the response")
 	}
-	// One that was withdrawn while its call is out may have run: who hands its id in again is told that this is harmless
-	// only in a class that may be repeated.
+	// A message that was withdrawn with a call in flight may have been executed. A new submission of its id is answered 503,
+	// which permits another attempt, only in a class where repetition is harmless.
 	for i, c := range []struct {
-		effect policy.Effect
-		byZone bool
-		want   int
+		effect      policy.Effect
+		keysPerZone bool
+		want        int
 	}{{policy.Idempotent, false, 503}, {policy.IdempotentWithKey, false, 503}, {policy.IdempotentWithKey, true, 502},
 		{policy.NotIdempotent, false, 502}} {
-		l.cfg.Policy.Classes[0].Effect, l.cfg.Policy.Classes[0].KeysPerZone = c.effect, c.byZone
+		l.cfg.Policy.Classes[0].Effect, l.cfg.Policy.Classes[0].KeysPerZone = c.effect, c.keysPerZone
 		id := fmt.Sprint("out", i)
-		gone, again := copyOf(id), copyOf(id)
-		l.accept(messageArrived{gone})
+		withdrawn, resubmitted := newSubmission(id), newSubmission(id)
+		l.handleEvent(messageArrived{withdrawn})
 		l.step(t.Context())
 		m := l.messages[id]
 		l.journal.StartAttempt(m.Entry, "h1", clock.Now())
 		m.cancel = func() {}
-		l.accept(clientLeft{gone})
-		l.accept(messageArrived{again})
-		if got := status(again); got != c.want {
-			t.Errorf("%+v: answered %d", c, got)
+		l.handleEvent(clientLeft{withdrawn})
+		l.handleEvent(messageArrived{resubmitted})
+		if got := status(resubmitted); got != c.want {
+			t.Errorf("resubmission in case %+v was answered %d", c, got)
 		}
 	}
 }
 
-// A send that could not be made is reported to the module at once, and leaves the module's timer as it was.
+// Guards against a late report of an attempt that could not be sent: the policy must learn of it in the next step, which follows
+// at once, and its timer must not change.
 func TestTimerAfterUnsentCall(t *testing.T) {
 	d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1,
 		Classes: []policy.Class{{Name: "status", Deadline: time.Minute}}}, 1)
@@ -97,24 +98,24 @@
 		t.Fatal(err)
 	}
 	l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}),
-		journal: openTestJournal(t, t.TempDir(), 3), messages: map[string]*message{}, endpoints: listAt()}
+		journal: openTestJournal(t, t.TempDir(), 3), messages: map[string]*message{}, endpoints: endpointListOf()}
 	timer := clock.Now().Add(time.Minute)
 	l.timerAt = timer
 	m := &message{Entry: &journal.Entry{ID: "m"}}
 	l.messages["m"] = m
 	l.completeUnsent(send{message: m}, policy.NotStarted)
 	if due := l.untilNextStep(); due != 0 {
-		t.Errorf("the module hears of it in %v", due)
+		t.Errorf("the next step is due in %v, want 0", due)
 	}
 	l.step(t.Context())
 	if l.timerAt != timer {
-		t.Errorf("the timer moved by %v", l.timerAt-timer)
+		t.Errorf("the policy's timer moved by %v, want no change", l.timerAt-timer)
 	}
 }
 
-// What was due within a tick may be gone by an event just before it: the timer asked for next is not dropped with the
-// one that was due, or a message with nothing else to wake the relay ends late.
-func TestTimerSetJustBeforeAnother(t *testing.T) {
+// Guards against a lost timer: an event that arrives within the last tick before a timer fires makes the policy set the next
+// timer, which must not be discarded together with the first one. A message that only this timer ends would end too late.
+func TestTimerSetJustBeforePreviousIsDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tick = 5 * time.Millisecond
 		d, err := policy.New(policy.Settings{FleetSize: 1, Slots: 1, QueueCapacity: 9, MaxAttempts: 1, BatchInterval: tick,
@@ -124,30 +125,30 @@
 		}
 		l := &loop{cfg: &config.Config{}, dispatcher: d, metrics: metrics.New([]policy.Class{{Name: "status"}}),
 			journal:  openTestJournal(t, t.TempDir(), 3),
-			messages: map[string]*message{}, endpoints: listAt(7), notifier: &notifier.Notifier{}}
+			messages: map[string]*message{}, endpoints: endpointListOf(7), notifier: &notifier.Notifier{}}
 		l.cfg.Policy.Classes = []policy.Class{{Name: "status"}}
 		start := time.Now()
-		hand := func(id string, left time.Duration) *frontend.Submission {
+		submit := func(id string, left time.Duration) *frontend.Submission {
 			a := &frontend.Submission{Response: make(chan frontend.Response, 1), Entry: &journal.Entry{ID: id, Class: "status",
 				Dest: 7, ExpiresAt: clock.Now().Add(left)}}
-			l.accept(messageArrived{a})
+			l.handleEvent(messageArrived{a})
 			return a
 		}
-		first := hand("first", time.Second)
-		hand("second", 2*time.Second)
+		first := submit("first", time.Second)
+		submit("second", 2*time.Second)
 		l.step(t.Context())
 		time.Sleep(l.untilNextStep() - tick/2)
 		delete(l.messages, "first")
 		l.batch.events = append(l.batch.events, policy.Withdrawn{ID: first.Entry.ID})
 		l.step(t.Context())
-		for range 3 { // as far as the timers wake the relay before the second message's time is up
+		for range 3 { // runs the steps that timers cause until the second message expires
 			time.Sleep(min(l.untilNextStep(), 2*time.Second-time.Since(start)))
 			if l.untilNextStep() == 0 {
 				l.step(t.Context())
 			}
 		}
 		if m := l.messages["second"]; !m.ended {
-			t.Error("nothing woke the relay before the message's time was up")
+			t.Error("no timer ended the second message before it expired")
 		}
 	})
 }
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -31,23 +31,28 @@
 	"milletsail/internal/settings"
 )
 
-// childConfig and childState make the test program a relay, so that tests can kill one; childDies makes it a process
-// that owns the folder and is killed at a step of the handover.
-const childConfig, childState, childDies = "FROSTLINK_TEST_CONFIG", "FROSTLINK_TEST_STATE", "FROSTLINK_TEST_DIES"
+// Environment variables that make the test program run as a child process. With childConfigVariable, the path of a configuration,
+// and childStateVariable, the path of a state directory, it is a relay, so that tests can kill one. With childKillStepVariable it
+// owns the state directory and kills itself at that step of a handover.
+const (
+	childConfigVariable   = "RELAY_TEST_CONFIG"
+	childStateVariable    = "RELAY_TEST_STATE"
+	childKillStepVariable = "RELAY_TEST_KILL_STEP"
+)
 
-// childFiles has a child hold no more descriptors than the platform grants it.
-const childFiles = "FROSTLINK_TEST_FILES"
+// childDescriptorsVariable limits the number of open descriptors of a child process.
+const childDescriptorsVariable = "RELAY_TEST_DESCRIPTORS"
 
 func TestMain(m *testing.M) {
-	if step := os.Getenv(childDies); step != "" {
-		dieAt(step, os.Getenv(childState))
+	if step := os.Getenv(childKillStepVariable); step != "" {
+		runOwnerKilledAt(step, os.Getenv(childStateVariable))
 	}
-	path := os.Getenv(childConfig)
+	path := os.Getenv(childConfigVariable)
 	if path == "" {
 		os.Exit(m.Run())
 	}
 	cfg, err := config.Read(path)
-	if n, limited := strconv.ParseUint(os.Getenv(childFiles), 10, 64); limited == nil {
+	if n, limited := strconv.ParseUint(os.Getenv(childDescriptorsVariable), 10, 64); limited == nil {
 		err = errors.Join(err, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}))
 	}
 	if err == nil {
@@ -55,7 +60,7 @@
 		defer stop()
 		hup := make(chan os.Signal, 1)
 		signal.Notify(hup, syscall.SIGHUP)
-		err = Run(ctx, cfg, os.Getenv(childState), config.Reloads(context.Background(), path, hup))
+		err = Run(ctx, cfg, os.Getenv(childStateVariable), config.Reloads(context.Background(), path, hup))
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -63,19 +68,20 @@
 	}
 }
 
-// Members is an object of discovery's, a list or a change of it, and Member one of its entries.
+// Members is an object that discovery sends to a watch: a complete list of endpoints if Whole is set, else the changed ones.
 type Members struct {
 	Seq   int64    `json:"seq"`
 	Whole bool     `json:"whole"`
 	Hosts []Member `json:"hosts"`
 }
 
+// Member is an entry of an endpoint list.
 type Member = endpoints.Entry
 
 const draining = endpoints.Draining
 
-// storedList gives the list that a relay has on disk, and its version; the relay may run.
-func storedList(tb testing.TB, dir string) (hosts []Member, seq int64) {
+// readStoredList returns the endpoint list on a relay's disk and its version. It reads a copy, so the relay may be running.
+func readStoredList(tb testing.TB, dir string) (hosts []Member, seq int64) {
 	tb.Helper()
 	folder := tb.TempDir()
 	if err := os.CopyFS(folder, os.DirFS(filepath.Join(dir, listDirectory))); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -92,8 +98,8 @@
 	return slices.Collect(all), seq
 }
 
-// listAt gives a list of endpoints with one for each of some destinations.
-func listAt(destinations ...int) *endpointList {
+// endpointListOf returns an endpoint list with one endpoint for each of the destinations.
+func endpointListOf(destinations ...int) *endpointList {
 	table := endpoints.NewTable()
 	for _, number := range destinations {
 		table.Put(Member{Host: fmt.Sprint("host-", number), Block: number})
@@ -101,44 +107,47 @@
 	return &endpointList{settings: &settings.Settings{}, table: table}
 }
 
-// platform stands for what a relay has round it: discovery, the hosts of destination 7, and its disk.
+// platform is the environment of the relay under test: the discovery service, endpoints and the state directory. The handlers of
+// discovery and endpoints read it with mu locked; tests change what the handlers use by update while a relay runs.
 type platform struct {
-	t         testing.TB
-	discovery *httptest.Server
-	addr      string   // the relay's
-	admin     string   // its admin endpoint; empty for none
-	shared    *os.File // the clients' socket, where the platform holds it
-	dir       string
-	memory    float64
-	sockets   int
-	disk      int                // MB
-	bundle    int                // messages in a call at most
-	mode      string             // of discovery, in the settings
-	unknown   bool               // the configuration lists no host
-	limited   bool               // a relay holds no more descriptors than sockets
-	down      bool               // watches fail
-	watch     func(*watchAnswer) // answers watches; nil for the list of hosts and lines
+	t                 testing.TB
+	discovery         *httptest.Server
+	addr              string               // address at which the relay accepts clients
+	admin             string               // address of the admin endpoint; empty for none
+	clientSocket      *os.File             // socket for clients that relays inherit; nil if the relay listens itself
+	stateDir          string               // state directory of the relay
+	idempotencyWindow float64              // seconds for which endpoints remember the keys of the class "payment"
+	sockets           int                  // "sockets" in the limits of the configuration
+	diskMB            int                  // disk limit in MB
+	maxBatch          int                  // maximum number of messages in a call
+	discoveryMode     string               // value of "discovery" in the settings
+	omitEndpoints     bool                 // the endpoint list in the configuration is empty
+	limitDescriptors  bool                 // the relay process may open at most sockets descriptors
+	failWatches       bool                 // discovery answers watches with 503
+	serveWatch        func(*watchResponse) // writes the response to a watch; nil to send hosts, then watchLines
 
-	mu      sync.Mutex
-	hosts   []Member
-	answer  func(*http.Request) int // a host's status; 0 for no answer while the call lasts
-	calls   []string                // ids that hosts were sent
-	began   chan string             // the same, as they come
-	notices []journal.Notification
-	deaf    int // so many posts of notices fail
+	mu           sync.Mutex
+	hosts        []Member                // endpoint list in the configuration and at discovery
+	respond      func(*http.Request) int // returns an endpoint's status; 0 to leave the call without a response
+	callIDs      []string                // ids of the calls at endpoints: a message's id, or the ids in a batch
+	callStarted  chan string             // receives the id of each call when it arrives
+	received     []journal.Notification  // notifications posted to discovery
+	failingPosts int                     // number of posts of notifications that still fail
 
-	lines    chan string // further lines of the watch
-	released chan bool   // closed at the end
+	watchLines chan string // further lines of a watch's response
+	stopping   chan bool   // closed when the test ends
 }
 
+// newPlatform starts a discovery service and reserves an address for the relay. It has no endpoints yet.
 func newPlatform(tb testing.TB) *platform {
 	tb.Helper()
-	p := &platform{t: tb, dir: tb.TempDir(), memory: 15, sockets: 1024, disk: 3, bundle: 1, mode: "subscribe",
-		began: make(chan string, 1000), lines: make(chan string, 10),
-		released: make(chan bool), answer: func(*http.Request) int { return http.StatusOK }}
+	p := &platform{t: tb, stateDir: tb.TempDir(), idempotencyWindow: 15, sockets: 1024, diskMB: 3, maxBatch: 1,
+		discoveryMode: "subscribe",
+		callStarted:   make(chan string, 1000), watchLines: make(chan string, 10),
+		stopping: make(chan bool), respond: func(*http.Request) int { return http.StatusOK }}
 	p.discovery = httptest.NewServer(http.HandlerFunc(p.serveDiscovery))
 	tb.Cleanup(func() {
-		close(p.released)
+		close(p.stopping)
 		p.discovery.CloseClientConnections()
 		p.discovery.Close()
 	})
@@ -151,7 +160,7 @@
 	return p
 }
 
-// addHost starts a host of a destination.
+// addHost starts an endpoint of a destination and adds it to the list.
 func (p *platform) addHost(id string, dest int) Member {
 	s := httptest.NewServer(http.HandlerFunc(p.serveHost))
 	p.t.Cleanup(func() {
@@ -166,12 +175,13 @@
 	return m
 }
 
-// batchStatus is what an endpoint says of one message of a call with several.
+// batchStatus is an endpoint's status for one message of a call with several.
 type batchStatus struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 }
 
+// serveHost answers a call at an endpoint.
 func (p *platform) serveHost(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	id := r.Header.Get("Request-Id")
@@ -185,15 +195,15 @@
 		}
 	}
 	p.mu.Lock()
-	p.calls = append(p.calls, id)
-	answer := p.answer
+	p.callIDs = append(p.callIDs, id)
+	answer := p.respond
 	p.mu.Unlock()
 	status := answer(r)
-	p.began <- id
+	p.callStarted <- id
 	if status == 0 {
 		select {
 		case <-r.Context().Done():
-		case <-p.released:
+		case <-p.stopping:
 		}
 		return
 	}
@@ -203,12 +213,13 @@
 	}
 }
 
+// serveDiscovery receives notifications and answers watches.
 func (p *platform) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.URL.Path == "/v1/outcomes" {
-		if p.deaf > 0 {
-			p.deaf--
+		if p.failingPosts > 0 {
+			p.failingPosts--
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -218,19 +229,19 @@
 				w.WriteHeader(http.StatusBadRequest)
 				return
 			}
-			p.notices = append(p.notices, n)
+			p.received = append(p.received, n)
 		}
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	if p.down {
+	if p.failWatches {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if serve := p.watch; serve != nil {
+	if serve := p.serveWatch; serve != nil {
 		p.mu.Unlock()
 		defer p.mu.Lock()
-		serve(&watchAnswer{w, r, p})
+		serve(&watchResponse{w, r, p})
 		return
 	}
 	line, _ := json.Marshal(Members{Seq: 41, Whole: true, Hosts: p.hosts})
@@ -242,9 +253,9 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-p.released:
+		case <-p.stopping:
 			return
-		case line := <-p.lines:
+		case line := <-p.watchLines:
 			_, _ = io.WriteString(w, line+"\n")
 		case <-time.After(time.Second):
 			_, _ = io.WriteString(w, "\n")
@@ -252,31 +263,31 @@
 	}
 }
 
-// set changes what the platform does.
-func (p *platform) set(change func()) {
+// update runs change while it holds p.mu.
+func (p *platform) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 }
 
-// child is a relay in a process of its own.
+// child is a relay in a process of its own. Its Stderr is a buffer with the relay's log.
 type child struct {
 	*exec.Cmd
 	exited chan error
 	config string
 }
 
-// start starts a relay and waits until it is ready.
+// start starts a relay in a child process and waits until it serves clients.
 func (p *platform) start() *child {
 	p.t.Helper()
 	c := &child{Cmd: exec.CommandContext(context.WithoutCancel(p.t.Context()), os.Args[0]), exited: make(chan error, 1),
-		config: p.config()}
-	c.Env = append(os.Environ(), childConfig+"="+c.config, childState+"="+p.dir)
-	if p.limited {
-		c.Env = append(c.Env, fmt.Sprint(childFiles, "=", p.sockets))
+		config: p.writeConfig()}
+	c.Env = append(os.Environ(), childConfigVariable+"="+c.config, childStateVariable+"="+p.stateDir)
+	if p.limitDescriptors {
+		c.Env = append(c.Env, fmt.Sprint(childDescriptorsVariable, "=", p.sockets))
 	}
-	if p.shared != nil {
-		c.ExtraFiles, c.Env = []*os.File{p.shared}, append(c.Env, "NODE_FD=3")
+	if p.clientSocket != nil {
+		c.ExtraFiles, c.Env = []*os.File{p.clientSocket}, append(c.Env, "NODE_FD=3")
 	}
 	c.Stderr = &bytes.Buffer{}
 	if err := c.Start(); err != nil {
@@ -284,55 +295,57 @@
 	}
 	go func() { c.exited <- c.Wait() }()
 	p.t.Cleanup(func() { _ = c.Process.Kill() })
-	p.untilReady()
+	p.waitUntilReady()
 	return c
 }
 
-// kill ends a relay as an outright kill does.
+// kill kills a relay with SIGKILL and waits until its process is gone.
 func (p *platform) kill(c *child) {
 	p.t.Helper()
 	if err := c.Process.Kill(); err != nil {
 		p.t.Fatal(err)
 	}
-	<-c.exited //nolint:errcheck // it was killed
+	<-c.exited //nolint:errcheck // always fails, since the process was killed
 }
 
-// until waits for something to come true; how long that takes decides nothing.
-func (p *platform) until(what string, true func() bool) {
+// waitUntil waits until a condition holds, and fails the test if it does not hold in time; what describes the condition.
+func (p *platform) waitUntil(what string, condition func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(long); !true(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("waited in vain: %s", what)
+			p.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// called waits for a call at a host and returns its id.
-func (p *platform) called() string {
+// nextCall waits for the next call at an endpoint and returns its id.
+func (p *platform) nextCall() string {
 	p.t.Helper()
 	select {
-	case id := <-p.began:
+	case id := <-p.callStarted:
 		return id
-	case <-time.After(long):
-		p.t.Fatal("no call came")
+	case <-time.After(testTimeout):
+		p.t.Fatal("timed out waiting for a call at an endpoint")
 		return ""
 	}
 }
 
-func (p *platform) sent() []string {
+// calls returns the ids of all calls at endpoints so far.
+func (p *platform) calls() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string(nil), p.calls...)
+	return append([]string(nil), p.callIDs...)
 }
 
-func (p *platform) told() []journal.Notification {
+// notifications returns the notifications that discovery has received so far.
+func (p *platform) notifications() []journal.Notification {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]journal.Notification(nil), p.notices...)
+	return append([]journal.Notification(nil), p.received...)
 }
 
-// handIn hands a message in and returns the answer.
-func (p *platform) handIn(class, id, timeout string, change ...func(*http.Request)) answer {
+// submit submits a message for destination 7 and returns the relay's response; change may modify the request.
+func (p *platform) submit(class, id, timeout string, change ...func(*http.Request)) httpResponse {
 	p.t.Helper()
 	r, err := http.NewRequestWithContext(p.t.Context(), http.MethodPost, "http://"+p.addr+"/"+class,
 		strings.NewReader("body of "+id))
@@ -347,26 +360,26 @@
 	for _, c := range change {
 		c(r)
 	}
-	resp, err := do(r)
+	resp, err := sendRequest(r)
 	if err != nil {
-		p.t.Fatalf("%s: %v", id, err)
+		p.t.Fatalf("no response to message %s: %v", id, err)
 	}
 	return resp
 }
 
-// take hands a message in that has to be taken on.
-func (p *platform) take(class, id, timeout string) {
+// submitAccepted submits a message for destination 7 and fails the test if the relay does not accept it.
+func (p *platform) submitAccepted(class, id, timeout string) {
 	p.t.Helper()
-	if resp := p.handIn(class, id, timeout); resp.StatusCode != http.StatusAccepted {
-		p.t.Fatalf("%s: %s", id, resp.Status)
+	if resp := p.submit(class, id, timeout); resp.StatusCode != http.StatusAccepted {
+		p.t.Fatalf("message %s got status %s, want 202", id, resp.Status)
 	}
 }
 
-// held is a host's answer that waits until it is let go.
-func (p *platform) held(hold chan bool) func(*http.Request) int {
+// respondAfter returns a respond function that answers 200 once hold is closed or receives a value.
+func (p *platform) respondAfter(release chan bool) func(*http.Request) int {
 	return func(r *http.Request) int {
 		select {
-		case <-hold:
+		case <-release:
 		case <-r.Context().Done():
 		}
 		return http.StatusOK
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -17,64 +17,65 @@
 	"milletsail/internal/relay/notifier"
 )
 
-// While calls hang, a planned end leaves their messages on disk for the next process, in time before the platform kills the
-// process, and each is made again only as its class allows. Further signals change nothing.
-func TestPlannedEndWithCallsThatHang(t *testing.T) {
+// Guards against calls without a response that delay a graceful shutdown until the platform kills the process: their messages
+// must stay in the journal, and the next process repeats each call only if its class allows that. Further signals have no effect.
+func TestShutdownWithHangingCalls(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
+	p.respond = func(*http.Request) int { return 0 }
 	old := p.start()
 	want := []string{"status", "payment", "order"}
 	for _, class := range want {
-		p.take(class, class, "25")
-		p.called()
+		p.submitAccepted(class, class, "25")
+		p.nextCall()
 	}
-	begun := time.Now()
+	signaled := time.Now()
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		if err := old.Process.Signal(s); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	if err := old.exit(t); err != nil {
-		t.Errorf("exit: %v", err)
+	if err := old.waitForExit(t); err != nil {
+		t.Errorf("relay exited with an error: %v", err)
 	}
-	if took := time.Since(begun); took < finishCallsPhase {
-		t.Errorf("calls that were out had only %v", took)
+	if took := time.Since(signaled); took < finishCallsPhaseEnd {
+		t.Errorf("the relay exited after %v, want finishCallsPhaseEnd at least for calls in flight", took)
 	}
-	if finishCallsPhase+responseWriteTimeout > exitDeadline || exitDeadline >= 3700*time.Millisecond {
-		t.Errorf("it ends %v after the signal, and is killed after 3.7 s", exitDeadline)
+	if finishCallsPhaseEnd+responseWriteTimeout > exitDeadline || exitDeadline >= 3700*time.Millisecond {
+		t.Errorf("exitDeadline is %v, want it after the earlier phases and before the kill at 3.7 s", exitDeadline)
 	}
-	entries := readEntries(t, p.dir)
+	entries := readEntries(t, p.stateDir)
 	if len(entries) != len(want) || slices.ContainsFunc(entries, func(e *journal.Entry) bool {
 		return e.PendingNotification != nil || len(e.Attempts) != 1 || e.Attempts[0].Ended && e.Attempts[0].NotExecuted
 	}) {
-		t.Fatalf("left for the next process: %v", entries)
+		t.Fatalf("journal entries %v, want one per class with one attempt that may have been executed", entries)
 	}
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.start()
-	p.until("each has its end", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	calls := p.sent()[len(want):]
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	calls := p.calls()[len(want):]
 	slices.Sort(calls)
 	if !slices.Equal(calls, []string{"payment", "status"}) {
-		t.Errorf("made again: %v", calls)
+		t.Errorf("repeated calls %v, want payment and status", calls)
 	}
-	if n := p.told(); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: notifier.StatusUndeliverable}) {
-		t.Errorf("notices %v", n)
+	if n := p.notifications(); len(n) != 1 || n[0] != (journal.Notification{ID: "order", Status: notifier.StatusUndeliverable}) {
+		t.Errorf("notifications %v, want a single one that message order is undeliverable", n)
 	}
 }
 
-// A message whose time is up during a planned end gets its notice then, at the address that discovery has by then.
-func TestNoticeDuringAPlannedEnd(t *testing.T) {
+// Guards against a notification that is delayed or lost when a message expires during a graceful shutdown, in which a reload
+// changes discovery's address: it must be posted to the new address before the process exits.
+func TestNotificationDuringShutdown(t *testing.T) {
 	p, next := newPlatform(t), newPlatform(t)
 	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
-	p.deaf = 1 << 30
+	p.respond = func(*http.Request) int { return 0 }
+	p.failingPosts = 1 << 30
 	old := p.start()
-	p.take("order", "m", "2.5")
-	p.called()
+	p.submitAccepted("order", "m", "2.5")
+	p.nextCall()
 	next.addr = p.addr
-	text, err := os.ReadFile(next.config())
+	text, err := os.ReadFile(next.writeConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,59 +88,62 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	if err := old.exit(t); err != nil {
-		t.Errorf("exit: %v", err)
+	if err := old.waitForExit(t); err != nil {
+		t.Errorf("relay exited with an error: %v", err)
 	}
-	if n := next.told(); len(n) != 1 || n[0].ID != "m" {
-		t.Errorf("notices at the new address: %v", n)
+	if n := next.notifications(); len(n) != 1 || n[0].ID != "m" {
+		t.Errorf("notifications at the new address: %v, want a single one for message m", n)
 	}
-	if e := readEntries(t, p.dir); len(e) != 0 {
-		t.Errorf("left in the journal: %v", e)
+	if e := readEntries(t, p.stateDir); len(e) != 0 {
+		t.Errorf("journal entries after the exit: %v, want none", e)
 	}
 }
 
-// A process that is told to end while it still waits for the folder ends at once, with nothing begun.
-func TestEndBeforeTheStart(t *testing.T) {
+// Guards against a process that can't be stopped, or exits with an error, while it waits for another one to release the state
+// directory.
+func TestShutdownBeforeStart(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
-	owner, err := journal.AcquireOwnership(p.dir)
+	owner, err := journal.AcquireOwnership(p.stateDir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer owner.Release()
-	cfg, err := config.Read(p.config())
+	cfg, err := config.Read(p.writeConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, cfg, p.dir, nil) }()
+	go func() { ended <- Run(ctx, cfg, p.stateDir, nil) }()
 	stop()
 	if err := receive(t, ended); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run returned %v, want nil", err)
 	}
 }
 
-// A message is killed with its process between any two of its steps; the next process ends it once, as its class allows.
+// Guards against messages that are lost or end twice when the process is killed between two of their steps. Each case is the
+// state of the journal at such a kill; the class is not idempotent.
 func TestKilledAtEachStep(t *testing.T) {
 	for _, tt := range []struct {
-		name        string
-		entry       journal.Entry
-		calls, told int
+		name                 string
+		entry                journal.Entry
+		calls, notifications int
 	}{
-		{"taken on, not sent", journal.Entry{}, 1, 0},
-		{"its call noted, perhaps not written", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now()}}}, 0, 1},
-		{"its call's end noted as never run", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(),
+		{"accepted, no attempt", journal.Entry{}, 1, 0},
+		{"attempt started, perhaps not sent", journal.Entry{Attempts: []journal.Attempt{{Host: "h1",
+			StartedAt: clock.Now()}}}, 0, 1},
+		{"attempt ended, not executed", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(),
 			Ended: true, NotExecuted: true}}}, 1, 0},
-		{"its call's end noted, its own not", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(),
+		{"attempt ended, message not ended", journal.Entry{Attempts: []journal.Attempt{{Host: "h1", StartedAt: clock.Now(),
 			Ended: true}}}, 0, 1},
-		{"its notice owed, perhaps received", journal.Entry{PendingNotification: &journal.Notification{ID: "m",
+		{"notification pending, perhaps received", journal.Entry{PendingNotification: &journal.Notification{ID: "m",
 			Status: notifier.StatusUndeliverable}}, 0, 1},
 	} {
 		t.Run(strings.ReplaceAll(tt.name, " ", "_"), func(t *testing.T) {
 			p := newPlatform(t)
 			p.addHost("h1", 7)
-			j := openTestJournal(t, p.dir, 3)
+			j := openTestJournal(t, p.stateDir, 3)
 			e := &journal.Entry{ID: "m", Class: "order", Dest: 7, ExpiresAt: clock.Now().Add(time.Minute), Body: []byte("m")}
 			j.Accept(e)
 			for _, a := range tt.entry.Attempts {
@@ -153,39 +157,41 @@
 			}
 			commit(t, j)
 			p.start()
-			p.until("it has its end", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			if calls, told := p.sent(), p.told(); len(calls) != tt.calls || len(told) != tt.told {
-				t.Errorf("calls %v, notices %v, want %d and %d", calls, told, tt.calls, tt.told)
+			p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+			if calls, notifications := p.calls(), p.notifications(); len(calls) != tt.calls ||
+				len(notifications) != tt.notifications {
+				t.Errorf("calls %v and notifications %v, want %d and %d of them", calls, notifications, tt.calls, tt.notifications)
 			}
 		})
 	}
 }
 
-// Clients that leave in a burst, before their answers are decided, take back what is theirs and nothing else.
-func TestClientsThatLeaveInABurst(t *testing.T) {
+// Guards against a burst of clients that disconnect before their responses are decided and thereby withdraw messages of other
+// clients, or block the relay.
+func TestBurstOfDisconnectingClients(t *testing.T) {
 	p := newPlatform(t)
 	p.addHost("h1", 7)
 	hold := make(chan bool)
 	var held atomic.Int64
-	p.answer = func(r *http.Request) int {
+	p.respond = func(r *http.Request) int {
 		held.Add(1)
-		return p.held(hold)(r)
+		return p.respondAfter(hold)(r)
 	}
 	p.start()
-	p.take("status", "stays", "25")
-	p.called()
+	p.submitAccepted("status", "stays", "25")
+	p.nextCall()
 	for range 30 {
-		c := p.keep()
-		_, _ = c.Write([]byte(posted("burst" + c.LocalAddr().String()))) // its answer is not read, and the close resets it
+		c := p.connectClient()
+		_, _ = c.Write([]byte(encodedRequest("burst" + c.LocalAddr().String()))) // closed unread, which resets the connection
 		_ = c.Close()
 	}
 	close(hold)
-	p.until("all have their end", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	p.take("status", "after", "25")
-	p.until("a later one is delivered", func() bool { return slices.Contains(p.sent(), "after") })
-	for _, n := range p.told() {
+	p.waitUntil("the journal is empty", func() bool { return len(readEntries(t, p.stateDir)) == 0 })
+	p.submitAccepted("status", "after", "25")
+	p.waitUntil("a later message is delivered", func() bool { return slices.Contains(p.calls(), "after") })
+	for _, n := range p.notifications() {
 		if !strings.HasPrefix(n.ID, "burst") {
-			t.Errorf("notice %v", n)
+			t.Errorf("got notification %v, want none for messages of other clients", n)
 		}
 	}
 }
