--- a/internal/scale/changes.go
+++ b/internal/scale/changes.go
@@ -109,18 +109,18 @@
 // timesToEffect returns the time until each change took effect at the relay, in rising order, and the number of
 // changes that had not by the end. A sample is matched with the first change not yet in effect that leads to its
 // number of entries; if several match, this overestimates the time.
-func timesToEffect(changes []listChange, looks []counterSample) (took []time.Duration, missing int) {
+func timesToEffect(changes []listChange, samples []counterSample) (took []time.Duration, missing int) {
 	next := 0
-	for _, l := range looks {
+	for _, s := range samples {
 		reached := -1
-		for i := next; i < len(changes) && !changes[i].at.After(l.at); i++ {
-			if changes[i].listed == l.listed {
+		for i := next; i < len(changes) && !changes[i].at.After(s.at); i++ {
+			if changes[i].listed == s.listed {
 				reached = i
 				break
 			}
 		}
 		for ; next <= reached; next++ {
-			took = append(took, l.at.Sub(changes[next].at))
+			took = append(took, s.at.Sub(changes[next].at))
 		}
 	}
 	slices.Sort(took)
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -117,8 +117,8 @@
 		clock.Sleep(ctx, span)
 		return all
 	}
-	var open sync.WaitGroup
-	room := make(chan struct{}, maxInFlight)
+	var requests sync.WaitGroup
+	inFlight := make(chan struct{}, maxInFlight)
 	begun, gap := time.Now(), time.Duration(float64(time.Second)/rate)
 	for due := begun; due.Before(begun.Add(span)); due = due.Add(gap) {
 		if !clock.Sleep(ctx, time.Until(due)) {
@@ -130,19 +130,19 @@
 		}
 		to := destination()
 		select {
-		case room <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default: // The relay has stopped answering: a real client would have no response either.
 			c.failed.Add(1)
 			all.add(requestTimeout, 0)
 			continue
 		}
-		open.Go(func() {
-			defer func() { <-room }()
+		requests.Go(func() {
+			defer func() { <-inFlight }()
 			status := c.submit(ctx, to, timeout)
 			all.add(time.Since(due), status)
 		})
 	}
-	open.Wait()
+	requests.Wait()
 	return all
 }
 
@@ -156,19 +156,19 @@
 	before := c.accepted.Load()
 	refusedBefore := c.refused.Load()
 	var work sync.WaitGroup
-	var numbers sync.Mutex
-	var taken atomic.Int64
+	var destinationMu sync.Mutex
+	var claimed atomic.Int64
 	for range maxHeldInFlight {
 		work.Go(func() {
-			for ctx.Err() == nil && taken.Add(1) <= int64(count) {
-				numbers.Lock()
+			for ctx.Err() == nil && claimed.Add(1) <= int64(count) {
+				destinationMu.Lock()
 				to := destination()
-				numbers.Unlock()
+				destinationMu.Unlock()
 				status := c.submit(ctx, to, timeout)
 				if status == http.StatusAccepted || status == http.StatusOK {
 					continue
 				}
-				taken.Add(-1)
+				claimed.Add(-1)
 				if c.refused.Load()-refusedBefore > 100+(c.accepted.Load()-before)/2 {
 					return // the relay keeps refusing messages
 				}
--- a/internal/scale/single.go
+++ b/internal/scale/single.go
@@ -300,11 +300,11 @@
 		clock.Sleep(ctx, 4*pollInterval)
 	}
 	stop()
-	looks := <-done
+	samples := <-done
 	if err != nil || len(changes) == 0 {
 		return err
 	}
-	took, missing := timesToEffect(changes, looks)
+	took, missing := timesToEffect(changes, samples)
 	if missing > 0 && m.awaitAllChanges(ctx) { // all changes are in effect now
 		for _, c := range changes[len(changes)-missing:] {
 			took = append(took, time.Since(c.at))
@@ -341,7 +341,7 @@
 	before, whole := m.discovery.Control(), m.discovery.WholeLists()
 	s, err := m.start(ctx)
 	if err != nil {
-		return fmt.Errorf("restart: %w", err)
+		return fmt.Errorf("restart the relay: %w", err)
 	}
 	m.point.add("restart to ready", "s", s.ready.Seconds())
 	m.point.add("restart to list in force", "s", s.list.Seconds())
--- a/internal/scale/statements_test.go
+++ b/internal/scale/statements_test.go
@@ -35,7 +35,7 @@
 	binary := filepath.Join(t.TempDir(), "relay")
 	build := exec.CommandContext(t.Context(), "go", "build", "-cover", "-covermode=atomic", "-coverpkg="+countedPackages, "-o", binary, relayProgram)
 	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("build the relay with coverage: %v: %s", err, out)
 	}
 	return binary
 }
@@ -103,7 +103,7 @@
 // converted profile.
 func executed(ctx context.Context, counters, text string) (sum float64, err error) {
 	if out, err := exec.CommandContext(ctx, "go", "tool", "covdata", "textfmt", "-i="+counters, "-o="+text).CombinedOutput(); err != nil {
-		return 0, fmt.Errorf("%w: %s", err, out)
+		return 0, fmt.Errorf("convert coverage counters: %w: %s", err, out)
 	}
 	file, err := os.Open(text)
 	if err != nil {
