--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -50,9 +50,9 @@
 // gcTrace makes the Go runtime report each garbage collection on standard error.
 const gcTrace = "GODEBUG=gctrace=1"
 
-// gcReport matches the runtime's report of a garbage collection and captures the live heap in MB: "gc 7 @1.2s 3%: ...
+// gcReport matches the runtime's report of a garbage gcReport and captures the live heap in MB: "gc 7 @1.2s 3%: ...
 // 8->9->4 MB, ...".
-var collection = regexp.MustCompile(`^gc \d+ @.* \d+->\d+->(\d+) MB`)
+var gcReport = regexp.MustCompile(`^gc \d+ @.* \d+->\d+->(\d+) MB`)
 
 // maxLogLines is the number of recent log lines that are kept for error messages.
 const maxLogLines = 20
@@ -123,7 +123,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.logBytes += int64(len(line))
-	if match := collection.FindStringSubmatch(line); match != nil {
+	if match := gcReport.FindStringSubmatch(line); match != nil {
 		p.liveMB, _ = strconv.ParseFloat(match[1], 64)
 		return
 	}
