--- a/internal/journal/crashfs_test.go
+++ b/internal/journal/crashfs_test.go
@@ -10,161 +10,167 @@
 	"syscall"
 )
 
-// blockSize is what a power loss keeps or loses as a whole.
+// blockSize is the size of the unit that a power loss keeps or loses as a whole, in bytes.
 const blockSize = 512
 
-// inode is a file of the model.
+// inode is the content of a file in a crashFS.
 type inode struct {
-	data   []byte
-	synced []byte
+	data   []byte // content as the process reads it
+	synced []byte // content that survives a power loss
 }
 
-// dirOp is a change of the directory that no SyncDir has made durable yet.
+// dirOp is a change of the directory that no SyncDir has made durable.
 type dirOp struct {
-	kind     string // create, rename, remove
-	from, to string
-	file     *inode
+	kind     string // create, rename or remove
+	from, to string // paths; from is empty for a create, and to for a remove
+	file     *inode // the created or renamed file; nil for a remove
 }
 
-// model is a file system that knows what a power loss may leave. Each call is a point at which the machine may stop.
-type model struct {
-	now     map[string]*inode
-	durable map[string]*inode
-	pending []dirOp
-	calls   int
-	failAt  int // from this call on, and failFor calls long; 0 for never
-	failFor int
-	failure error // a short write, where it is nil
-	stopped func(m *model, call string)
+// crashFS is a file system in memory that simulates failing calls and power losses. The power may fail after each call.
+type crashFS struct {
+	files        map[string]*inode // files by path, as the process sees them
+	durableFiles map[string]*inode // files by path at the last SyncDir
+	unsyncedOps  []dirOp           // changes of the directory since the last SyncDir
+	calls        int               // number of calls, successful and failed
+	failFromCall int               // number of the first call that fails; 0 for none
+	failedCalls  int               // number of calls that fail, from failFromCall on
+	// failure is returned by failed calls. If it is nil, failed writes are short and other failed calls return a fixed error.
+	failure error
+	// afterCall is called after each call that changes the files or makes them durable, unless it is nil.
+	afterCall func(m *crashFS, call string)
 }
 
-func newModel() *model { return &model{now: map[string]*inode{}, durable: map[string]*inode{}} }
+func newCrashFS() *crashFS {
+	return &crashFS{files: map[string]*inode{}, durableFiles: map[string]*inode{}}
+}
 
-// call counts a call, and tells how it fails.
-func (m *model) call() (failed bool, err error) {
+// countCall counts a call. It reports whether the call fails, and with which error.
+func (m *crashFS) countCall() (failed bool, err error) {
 	m.calls++
-	if m.failAt > 0 && m.calls >= m.failAt && m.calls < m.failAt+m.failFor {
+	if m.failFromCall > 0 && m.calls >= m.failFromCall && m.calls < m.failFromCall+m.failedCalls {
 		return true, m.failure
 	}
 	return false, nil
 }
 
-func (m *model) done(name string) {
-	if m.stopped != nil {
-		m.stopped(m, name)
+// callDone calls afterCall with the name of the call that has ended.
+func (m *crashFS) callDone(name string) {
+	if m.afterCall != nil {
+		m.afterCall(m, name)
 	}
 }
 
-type modelFile struct {
-	m *model
-	f *inode
+// crashFile is a file of a crashFS that is open for writing.
+type crashFile struct {
+	disk *crashFS
+	node *inode
 }
 
-func (m *model) Create(path string) (File, error) {
-	if failed, err := m.call(); failed {
+func (m *crashFS) Create(path string) (File, error) {
+	if failed, err := m.countCall(); failed {
 		return nil, errors.Join(err, syscall.ENOSPC)
 	}
 	f := &inode{}
-	m.now[path] = f
-	m.pending = append(m.pending, dirOp{"create", "", path, f})
-	m.done("create")
-	return &modelFile{m, f}, nil
+	m.files[path] = f
+	m.unsyncedOps = append(m.unsyncedOps, dirOp{"create", "", path, f})
+	m.callDone("create")
+	return &crashFile{m, f}, nil
 }
 
-func (f *modelFile) Write(b []byte) (int, error) {
-	if failed, err := f.m.call(); failed {
+func (f *crashFile) Write(b []byte) (int, error) {
+	if failed, err := f.disk.countCall(); failed {
 		n := len(b) / 2
-		f.f.data = append(f.f.data, b[:n]...)
-		f.m.done("short write")
+		f.node.data = append(f.node.data, b[:n]...)
+		f.disk.callDone("short write")
 		return n, err
 	}
-	f.f.data = append(f.f.data, b...)
-	f.m.done("write")
+	f.node.data = append(f.node.data, b...)
+	f.disk.callDone("write")
 	return len(b), nil
 }
 
-func (f *modelFile) Sync() error {
-	if failed, err := f.m.call(); failed {
-		// The system drops what it could not write and calls it clean: a later sync would prove nothing.
+func (f *crashFile) Sync() error {
+	if failed, err := f.disk.countCall(); failed {
+		// As in the kernel, the data that could not be written is not made durable, and a later Sync may succeed without it.
 		return errors.Join(err, syscall.EIO)
 	}
-	f.f.synced = bytes.Clone(f.f.data)
-	f.m.done("sync")
+	f.node.synced = bytes.Clone(f.node.data)
+	f.disk.callDone("sync")
 	return nil
 }
 
-func (f *modelFile) Truncate(size int64) error {
-	if failed, err := f.m.call(); failed {
+func (f *crashFile) Truncate(size int64) error {
+	if failed, err := f.disk.countCall(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
-	f.f.data = bytes.Clone(f.f.data[:size])
-	f.m.done("truncate")
+	f.node.data = bytes.Clone(f.node.data[:size])
+	f.disk.callDone("truncate")
 	return nil
 }
 
-func (f *modelFile) Close() error { return nil }
+func (f *crashFile) Close() error { return nil }
 
-func (m *model) Open(path string) (io.ReadCloser, int64, error) {
-	f, ok := m.now[path]
+func (m *crashFS) Open(path string) (io.ReadCloser, int64, error) {
+	f, ok := m.files[path]
 	if !ok {
 		return nil, 0, fs.ErrNotExist
 	}
 	return io.NopCloser(bytes.NewReader(f.data)), int64(len(f.data)), nil
 }
 
-func (m *model) Rename(from, to string) error {
-	if failed, err := m.call(); failed {
+func (m *crashFS) Rename(from, to string) error {
+	if failed, err := m.countCall(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
-	m.now[to] = m.now[from]
-	delete(m.now, from)
-	m.pending = append(m.pending, dirOp{"rename", from, to, m.now[to]})
-	m.done("rename")
+	m.files[to] = m.files[from]
+	delete(m.files, from)
+	m.unsyncedOps = append(m.unsyncedOps, dirOp{"rename", from, to, m.files[to]})
+	m.callDone("rename")
 	return nil
 }
 
-func (m *model) Remove(path string) error {
-	if failed, err := m.call(); failed {
+func (m *crashFS) Remove(path string) error {
+	if failed, err := m.countCall(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
-	if m.now[path] == nil {
+	if m.files[path] == nil {
 		return fs.ErrNotExist
 	}
-	delete(m.now, path)
-	m.pending = append(m.pending, dirOp{"remove", path, "", nil})
-	m.done("remove")
+	delete(m.files, path)
+	m.unsyncedOps = append(m.unsyncedOps, dirOp{"remove", path, "", nil})
+	m.callDone("remove")
 	return nil
 }
 
-func (m *model) List(dir string) (names []string, err error) {
-	for path := range m.now {
+func (m *crashFS) List(dir string) (names []string, err error) {
+	for path := range m.files {
 		names = append(names, filepath.Base(path))
 	}
 	return names, nil
 }
 
-func (m *model) SyncDir(string) error {
-	if failed, err := m.call(); failed {
+func (m *crashFS) SyncDir(string) error {
+	if failed, err := m.countCall(); failed {
 		return errors.Join(err, syscall.EIO)
 	}
-	m.durable = map[string]*inode{}
-	for path, f := range m.now {
-		m.durable[path] = f
+	m.durableFiles = map[string]*inode{}
+	for path, f := range m.files {
+		m.durableFiles[path] = f
 	}
-	m.pending = nil
-	m.done("sync folder")
+	m.unsyncedOps = nil
+	m.callDone("directory sync")
 	return nil
 }
 
-// after returns a file system as a power loss may leave it: which pending changes of the directory happened, and which
-// blocks of what was never synced, are drawn by pick.
-func (m *model) after(pick func(n int) int) *model {
-	left := newModel()
+// afterPowerLoss returns the file system in a state in which a power loss may leave it. The function pick, which returns a
+// number below n, decides which unsynced changes of the directory took effect and which unsynced blocks were written.
+func (m *crashFS) afterPowerLoss(pick func(n int) int) *crashFS {
+	left := newCrashFS()
 	dir := map[string]*inode{}
-	for path, f := range m.durable {
+	for path, f := range m.durableFiles {
 		dir[path] = f
 	}
-	for _, op := range m.pending {
+	for _, op := range m.unsyncedOps {
 		if pick(2) == 0 {
 			continue
 		}
@@ -182,12 +188,12 @@
 		f := dir[path]
 		data := bytes.Clone(f.synced)
 		switch rest := f.data[len(f.synced):]; pick(4) {
-		case 0: // nothing
-		case 1: // all
+		case 0: // none of the unsynced data was written
+		case 1: // all of it was written
 			data = bytes.Clone(f.data)
-		case 2: // a first part
+		case 2: // a prefix of it was written
 			data = append(data, rest[:pick(len(rest)+1)]...)
-		case 3: // some blocks and not others, which read as zeros
+		case 3: // some blocks were written, and the others read as zeros
 			data = bytes.Clone(f.data)
 			for at := len(f.synced); at < len(data); {
 				end := min(len(data), (at/blockSize+1)*blockSize)
@@ -198,11 +204,12 @@
 			}
 		}
 		copied := &inode{data: data, synced: bytes.Clone(data)}
-		left.now[path], left.durable[path] = copied, copied
+		left.files[path], left.durableFiles[path] = copied, copied
 	}
 	return left
 }
 
+// sortedPaths returns the paths in order, so that a seed determines the outcome of a power loss.
 func sortedPaths(m map[string]*inode) (all []string) {
 	for path := range m {
 		all = append(all, path)
@@ -211,4 +218,5 @@
 	return all
 }
 
-func unchanged(m *model) FS { return m }
+// withoutWrapper returns m itself, for tests that inject no fault.
+func withoutWrapper(m *crashFS) FS { return m }
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -39,7 +39,7 @@
 	}
 	// The policy keeps state for each destination, so one that no list has ever named is rejected here. Reserve keeps the
 	// journal within its disk limit.
-	if !l.endpoints.table.Named(submission.Entry.Dest) {
+	if !l.endpoints.table.SeenDestination(submission.Entry.Dest) {
 		l.rejectBeforePolicy(submission, reasonNoDestination)
 		return
 	}
