--- a/internal/scale/changes.go
+++ b/internal/scale/changes.go
@@ -9,27 +9,29 @@
 	"milletsail/internal/scale/standin"
 )
 
-// issued is a change of the list: when discovery had it, and how many entries are listed with it.
-type issued struct {
+// listChange is a change of the list of destinations: the time at which discovery published it, and the number of
+// listed entries from then on.
+type listChange struct {
 	at     time.Time
 	listed int
 }
 
-// changeOne takes the next of the changing entries off the list, or puts it back: first all of them go one by one, then
-// all come back, so that the number of entries tells how many changes a relay has taken in.
-func (b *bed) changeOne() (issued, error) {
-	health, index := standin.Deleted, b.position
-	if index >= changing {
-		health, index = standin.Serving, index-changing
+// toggleNextEntry removes the next of the toggled entries from the list or puts it back. First all of them are
+// removed one by one, then all are put back, so that the number of listed entries shows which changes a relay has
+// applied.
+func (b *testBed) toggleNextEntry() (listChange, error) {
+	health, index := standin.Deleted, b.nextToggle
+	if index >= toggledEntries {
+		health, index = standin.Serving, index-toggledEntries
 	}
-	b.position = (b.position + 1) % (2 * changing)
+	b.nextToggle = (b.nextToggle + 1) % (2 * toggledEntries)
 	at := time.Now()
 	listed, err := b.list.Set(health, index)
-	return issued{at, listed}, err
+	return listChange{at, listed}, err
 }
 
-// change changes the list at a steady rate for a time.
-func (b *bed) change(ctx context.Context, rate float64, span time.Duration) (all []issued, err error) {
+// changeAtRate changes the list at a constant rate for a time span and returns the changes.
+func (b *testBed) changeAtRate(ctx context.Context, rate float64, span time.Duration) (all []listChange, err error) {
 	if rate <= 0 {
 		clock.Sleep(ctx, span)
 		return nil, nil
@@ -39,7 +41,7 @@
 		if !clock.Sleep(ctx, time.Until(due)) {
 			return all, ctx.Err()
 		}
-		one, err := b.changeOne()
+		one, err := b.toggleNextEntry()
 		if err != nil {
 			return all, err
 		}
@@ -49,30 +51,30 @@
 	return all, nil
 }
 
-// catchUp is how long a relay has after a phase to take in what discovery has told it.
-const catchUp = 10 * time.Second
+// catchUpTimeout is the time after a phase within which a relay has to apply the remaining changes.
+const catchUpTimeout = 10 * time.Second
 
-// settled tells whether the relay takes in all changes within catchUp. The number of entries alone does not tell: it comes
-// again and again. So the markers are taken off the list, which leads to a number that no earlier change led to, and are put
-// back.
-func (b *bed) settled(ctx context.Context) bool {
-	markers := make([]int, marking)
+// awaitAllChanges reports whether the relay applies all changes within catchUpTimeout. The number of entries does not
+// show this by itself, since the toggled entries lead to the same numbers again and again. So the marker entries are
+// removed, which leads to a number that no earlier change led to, and put back.
+func (b *testBed) awaitAllChanges(ctx context.Context) bool {
+	markers := make([]int, markerEntries)
 	for i := range markers {
-		markers[i] = changing + i
+		markers[i] = toggledEntries + i
 	}
-	limited, cancel := context.WithTimeout(ctx, catchUp)
+	limited, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	for _, health := range []string{standin.Deleted, standin.Serving} {
 		if _, err := b.list.Set(health, markers...); err != nil {
 			return false
 		}
-		b.counted(limited)
+		b.awaitListCount(limited)
 	}
 	return limited.Err() == nil
 }
 
-// counted waits until the relay's counter shows the number of entries that are listed, or the context ends.
-func (b *bed) counted(ctx context.Context) {
+// awaitListCount waits until the relay's counter equals the number of listed entries, or the context ends.
+func (b *testBed) awaitListCount(ctx context.Context) {
 	const lookAgain = 20 * time.Millisecond
 	for {
 		if listed, err := b.members(); err == nil && listed == b.list.Listed() {
@@ -84,39 +86,41 @@
 	}
 }
 
-// look is what the relay's counter said at a moment.
-type look struct {
+// counterSample is the relay's count of listed entries at one time.
+type counterSample struct {
 	at     time.Time
 	listed int
 }
 
-// watchCounter looks at the relay's counter until the context ends.
-func (b *bed) watchCounter(ctx context.Context) (all []look) {
+// sampleListCount polls the relay's count of listed entries until the context ends, and returns a sample for each new
+// value.
+func (b *testBed) sampleListCount(ctx context.Context) (all []counterSample) {
 	for {
 		listed, err := b.members()
 		if err == nil && (len(all) == 0 || all[len(all)-1].listed != listed) {
-			all = append(all, look{time.Now(), listed})
+			all = append(all, counterSample{time.Now(), listed})
 		}
-		if !clock.Sleep(ctx, lookEvery) {
+		if !clock.Sleep(ctx, pollInterval) {
 			return all
 		}
 	}
 }
 
-// inForce gives the time until each change was in force, in rising order, and how many were not by the end. A look stands
-// for the first change not yet in force that leads to its number of entries, so that what is not certain is taken as late.
-func inForce(changes []issued, looks []look) (took []time.Duration, missing int) {
+// timesToEffect returns the time until each change took effect at the relay, in rising order, and the number of
+// changes that had not by the end. A sample is matched with the first change not yet in effect that leads to its
+// number of entries; if several match, this overestimates the time.
+func timesToEffect(changes []listChange, samples []counterSample) (took []time.Duration, missing int) {
 	next := 0
-	for _, l := range looks {
+	for _, s := range samples {
 		reached := -1
-		for i := next; i < len(changes) && !changes[i].at.After(l.at); i++ {
-			if changes[i].listed == l.listed {
+		for i := next; i < len(changes) && !changes[i].at.After(s.at); i++ {
+			if changes[i].listed == s.listed {
 				reached = i
 				break
 			}
 		}
 		for ; next <= reached; next++ {
-			took = append(took, l.at.Sub(changes[next].at))
+			took = append(took, s.at.Sub(changes[next].at))
 		}
 	}
 	slices.Sort(took)
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -20,14 +20,15 @@
 )
 
 const (
-	// fleetZones is the zones that the relays of a fleet are spread over.
+	// fleetZones is the number of zones over which the relays of a fleet are spread.
 	fleetZones = 3
-	// factEvery is the time between facts that are shared, factWait the time that the last one has to reach all.
-	factEvery, factWait = 250 * time.Millisecond, 5 * time.Second
+	// factInterval is the time between two shared facts; factWait is the time that is left for the last one to reach
+	// all relays.
+	factInterval, factWait = 250 * time.Millisecond, 5 * time.Second
 )
 
-// fleetBed is a fleet of real and hollow relays on the lab's stand-ins.
-type fleetBed struct {
+// fleetTestBed is a fleet of real and hollow relays, connected to the lab's stand-ins of the platform.
+type fleetTestBed struct {
 	plan     *Plan
 	x        int
 	variant  variant
@@ -38,10 +39,10 @@
 	point    Point
 }
 
-// measureFleet measures one point of a sweep over relays; what went wrong is in it.
+// measureFleet measures one point of a sweep over relays. An error is reported in the Failed field of the point.
 func measureFleet(ctx context.Context, plan *Plan, x int, v variant, binary, self, dir string, subnet *platform.Subnet, progress func(string)) Point {
 	begun := time.Now()
-	b := &fleetBed{plan: plan, x: x, variant: v, point: Point{X: x}}
+	b := &fleetTestBed{plan: plan, x: x, variant: v, point: Point{X: x}}
 	err := b.open(ctx, binary, self, dir, subnet, progress)
 	defer b.close()
 	if err == nil {
@@ -54,7 +55,8 @@
 	return b.point
 }
 
-// fleetScenario is the scenario of a fleet that has next to nothing to do but to keep track of itself.
+// fleetScenario returns the scenario of a fleet with a minimal load, so that the cost of membership and gossip
+// dominates.
 func fleetScenario(seed uint64, count int) *scenario.Scenario {
 	s := scenario.Default()
 	s.Seed, s.Fleet.Relays, s.Fleet.ShareFacts = seed, count, true
@@ -67,8 +69,8 @@
 	return &s
 }
 
-// open starts the stand-ins and all relays.
-func (b *fleetBed) open(ctx context.Context, binary, self, dir string, subnet *platform.Subnet, progress func(string)) error {
+// open starts the stand-ins, the hollow relays and the real relays, and waits until all are ready.
+func (b *fleetTestBed) open(ctx context.Context, binary, self, dir string, subnet *platform.Subnet, progress func(string)) error {
 	s := fleetScenario(b.plan.Seed, b.x)
 	file, err := os.Create(filepath.Join(dir, "history.jsonl"))
 	if err != nil {
@@ -76,7 +78,7 @@
 	}
 	b.history = history.NewWriter(file, time.Now())
 	if b.platform, err = platform.New(s, b.history, subnet); err != nil {
-		return fmt.Errorf("stand-ins: %w", err)
+		return fmt.Errorf("start the stand-ins: %w", err)
 	}
 	for relay := range b.x {
 		b.platform.ImpairDatagrams(relay, b.variant.loss.Part(), 0)
@@ -96,7 +98,7 @@
 	return err
 }
 
-func (b *fleetBed) close() {
+func (b *fleetTestBed) close() {
 	if b.real != nil {
 		b.real.Stop()
 	}
@@ -111,22 +113,22 @@
 	}
 }
 
-// run measures a fleet at rest, then facts that spread, then a relay that dies.
-func (b *fleetBed) run(ctx context.Context, progress func(string)) error {
+// run measures the cost of an idle fleet, then how fast facts spread, then how fast a dead relay is detected.
+func (b *fleetTestBed) run(ctx context.Context, progress func(string)) error {
 	clock.Sleep(ctx, b.plan.Phases.Settle.D())
 	progress("at rest")
-	if err := b.measureRest(ctx); err != nil {
+	if err := b.measureIdle(ctx); err != nil {
 		return err
 	}
 	progress("facts")
-	if err := b.measureFacts(ctx); err != nil {
+	if err := b.measureFactSpread(ctx); err != nil {
 		return err
 	}
 	progress("a dead relay")
-	return b.measureDead(ctx)
+	return b.measureFailureDetection(ctx)
 }
 
-// fleetReading is the accounts of a fleet at a moment.
+// fleetReading is the resource usage and traffic of a fleet at one time, as totals over its relays.
 type fleetReading struct {
 	at                 time.Time
 	hollowCPU, realCPU time.Duration
@@ -135,7 +137,7 @@
 	sent, sentBytes    int
 }
 
-func (b *fleetBed) read(ctx context.Context) (r fleetReading, err error) {
+func (b *fleetTestBed) read(ctx context.Context) (r fleetReading, err error) {
 	if r.traffic, err = b.hollow.count(ctx); err != nil {
 		return r, err
 	}
@@ -145,7 +147,7 @@
 	for _, relay := range b.real.Relays {
 		usage, err := process.UsageOf(relay.PID())
 		if err != nil {
-			return r, fmt.Errorf("relay %d: %w", relay.No, err)
+			return r, fmt.Errorf("read the usage of relay %d: %w", relay.No, err)
 		}
 		r.realCPU, r.realMB = r.realCPU+usage.CPU, r.realMB+usage.ResidentMB
 	}
@@ -154,8 +156,8 @@
 	return r, nil
 }
 
-// measureRest measures what relays spend on keeping track of one another.
-func (b *fleetBed) measureRest(ctx context.Context) error {
+// measureIdle measures the resources that relays use for membership and gossip while no facts are shared.
+func (b *fleetTestBed) measureIdle(ctx context.Context) error {
 	before, err := b.read(ctx)
 	if err != nil {
 		return err
@@ -182,8 +184,8 @@
 	return nil
 }
 
-// measureFacts shares facts one after the other, and times how each reaches the hollow relays.
-func (b *fleetBed) measureFacts(ctx context.Context) error {
+// measureFactSpread shares facts one after the other and measures the time until each reaches the hollow relays.
+func (b *fleetTestBed) measureFactSpread(ctx context.Context) error {
 	random := generator(b.plan.Seed, 3)
 	first, hollows := len(b.real.Relays), b.hollow.relays()
 	shared := map[string]time.Time{}
@@ -204,10 +206,10 @@
 	for fact := range b.plan.Fleet.Facts {
 		key := strconv.Itoa(1000 + fact)
 		shared[key] = time.Now()
-		if err := b.hollow.do(hollow.Command{Do: hollow.Share, Relay: first + random.IntN(hollows), Key: key}); err != nil {
+		if err := b.hollow.broadcast(hollow.Command{Do: hollow.Share, Relay: first + random.IntN(hollows), Key: key}); err != nil {
 			return err
 		}
-		collect(factEvery)
+		collect(factInterval)
 	}
 	collect(factWait)
 	if err := ctx.Err(); err != nil {
@@ -215,15 +217,15 @@
 	}
 	slices.Sort(took)
 	missing := b.plan.Fleet.Facts*hollows - len(took)
-	b.point.addTimes("fact in force", "ms", milliseconds, took, missing, factWait)
+	b.point.addQuantiles("fact in force", "ms", milliseconds, took, missing, factWait)
 	b.point.add("facts that did not arrive", "% of deliveries", 100*float64(missing)/float64(b.plan.Fleet.Facts*hollows))
 	return nil
 }
 
-// measureDead ends a hollow relay and times when the others drop it.
-func (b *fleetBed) measureDead(ctx context.Context) error {
+// measureFailureDetection stops a hollow relay and measures the time until each other hollow relay drops it.
+func (b *fleetTestBed) measureFailureDetection(ctx context.Context) error {
 	victim := b.x - 1
-	if err := errors.Join(b.hollow.do(hollow.Command{Do: hollow.Watch, Relay: victim}), b.hollow.do(hollow.Command{Do: hollow.Stop, Relay: victim})); err != nil {
+	if err := errors.Join(b.hollow.broadcast(hollow.Command{Do: hollow.Watch, Relay: victim}), b.hollow.broadcast(hollow.Command{Do: hollow.Stop, Relay: victim})); err != nil {
 		return err
 	}
 	died := time.Now()
@@ -242,6 +244,6 @@
 		return err
 	}
 	slices.Sort(took)
-	b.point.addTimes("dead relay dropped", "s", time.Duration.Seconds, took, others-len(took), b.plan.Fleet.DeadWait.D())
+	b.point.addQuantiles("dead relay dropped", "s", time.Duration.Seconds, took, others-len(took), b.plan.Fleet.DeadWait.D())
 	return nil
 }
