--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -27,7 +27,7 @@
 	Repeat      = "repeat"        // a message was sent again although its class forbids a repeat
 	HandedBack  = "handed-back"   // a message that may have run was deferred or refused although its class forbids a repeat
 	WrongHost   = "wrong-host"    // a call went to an endpoint of another destination, or to one that was never on the relay's list
-	Drain       = "drain"         // a call went to an endpoint that was draining or deleted
+	Drain       = "drain"         // a call went to a draining or deleted endpoint after the grace time
 	Wait        = "wait"          // a call went to a destination during a wait that its Retry-After had asked for
 	PushedOver  = "pushed-over"   // relays that had seen an endpoint fail sent it too many calls after it came back cold
 	Unknown     = "unknown"       // a call carried a message that no client had handed in
@@ -768,8 +768,8 @@
 	}
 }
 
-// replyStatus returns "200" if the reply to a call has a delivered message first, else one of its states, or "" without a
-// reply.
+// replyStatus returns the state of one message of the reply to a call, with "200" for "delivered", or "" without a reply. If
+// the states in a bulk reply differ, the order of the map decides which of them it returns, so this varies between checks.
 func replyStatus(k *call) string {
 	for _, s := range k.states {
 		if s == "delivered" {
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -87,9 +87,9 @@
 	OldestAgeRatio float64               `json:"oldest,omitempty"` // largest ratio of a fact's age to its bound
 	Digest         uint32                `json:"digest,omitempty"`
 	KnownSince     map[string]Micros     `json:"known,omitempty"`      // when the relay learned of each closing or outage
-	GossipSent     int                   `json:"notes,omitempty"`      // gossip messages sent between relays; a broadcast counts once
-	GossipBytes    int                   `json:"note_bytes,omitempty"` // bytes of the gossip messages sent; a broadcast counts once
-	GossipReceived int                   `json:"received,omitempty"`   // gossip messages delivered to relays
+	GossipSent     int                   `json:"notes,omitempty"`      // gossip datagrams sent between relays; a broadcast counts once
+	GossipBytes    int                   `json:"note_bytes,omitempty"` // bytes of the gossip datagrams sent; a broadcast counts once
+	GossipReceived int                   `json:"received,omitempty"`   // gossip datagrams addressed to relays, counted per receiver, with those dropped and without duplicates
 	FactCount      int                   `json:"beliefs,omitempty"`
 	Live           int                   `json:"live,omitempty"`
 	Zones          map[string]ZoneState  `json:"zones,omitempty"`
@@ -262,7 +262,7 @@
 		return nil, false, err
 	}
 	if len(all) == 0 || all[0].Kind != Run || all[0].Parameters == nil {
-		return nil, false, errors.New("line 1: no history: want an event of kind run with facts")
+		return nil, false, errors.New("line 1: no history: want an event of kind run with its parameters under the key facts")
 	}
 	truncated = badLine != nil || all[len(all)-1].Kind != End
 	sortByTime(all)
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// runParameters returns the parameters of a scenario that the checker needs; they are the first entry of the history.
+// runParameters returns the parameters of a scenario that the checker and the report need; they are the first entry of the history.
 func runParameters(s *scenario.Scenario) *history.Parameters {
 	r, f := &s.Rules, &s.Fleet
 	facts := &history.Parameters{Title: s.Title, Seed: s.Seed, Relays: f.Relays, MaxAttempts: r.MaxAttempts, Patience: history.ToMicros(r.ClientTimeout.AsDuration()),
@@ -357,7 +357,7 @@
 	return t
 }
 
-// forEachRelay calls do concurrently for each affected relay, starting one every f.Step, and returns the joined
+// forEachRelay calls do concurrently for each affected relay, starting one every f.Stagger, and returns the joined
 // errors.
 func (t *faultInjector) forEachRelay(ctx context.Context, affected []int, f *scenario.Fault, do func(*relays.Relay) error) error {
 	var mu sync.Mutex
@@ -378,7 +378,7 @@
 	return all
 }
 
-// drainEndpoints drains the affected endpoints one every f.Step: it lists the replacement of each as serving, marks
+// drainEndpoints drains the affected endpoints one every f.Stagger: it lists the replacement of each as serving, marks
 // the old endpoint as draining, and deletes it from the list later.
 func (t *faultInjector) drainEndpoints(ctx context.Context, i int, f *scenario.Fault) error {
 	listedFor := f.Duration.AsDuration()
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -157,7 +157,7 @@
 			if name == "servers" { // without gradual trials, some 25 calls a second go to the new endpoints
 				for _, n := range report.Compute(r.Events, v).NewEndpoints {
 					if n.HeldAfter == nil || n.FailedCalls == 0 || n.FailedCalls > 50 {
-						t.Errorf("endpoints of a version that fails every call: got %+v, want a time at which they were held back, and 1 to 50 failed calls", n)
+						t.Errorf("endpoints of a version that fails every call: got %+v, want HeldAfter not nil and FailedCalls from 1 to 50", n)
 					}
 				}
 			}
--- a/internal/lab/platform/datagrams.go
+++ b/internal/lab/platform/datagrams.go
@@ -26,7 +26,7 @@
 	mu              sync.Mutex
 	cuts            [][]int // number of faults that block the path, by sender and receiver
 	drop, duplicate []float64
-	carried         int // datagrams carried, counted per receiving relay
+	carried         int // datagrams addressed to relays, counted per receiver, with those dropped and without duplicates
 	sent, sentBytes int // datagrams that relays sent, and their bytes
 	closed          chan struct{}
 	work            sync.WaitGroup
@@ -143,7 +143,8 @@
 }
 
 // DatagramCounts returns the number of datagrams that relays have sent (a broadcast counts once), their bytes, and
-// the number of datagrams carried, counted per receiving relay.
+// the number of datagrams addressed to relays, counted per receiving relay, with those that faults drop and without
+// duplicates.
 func (p *Platform) DatagramCounts() (datagrams, bytes, received int) {
 	p.datagrams.mu.Lock()
 	defer p.datagrams.mu.Unlock()
--- a/internal/lab/platform/hosts.go
+++ b/internal/lab/platform/hosts.go
@@ -182,7 +182,8 @@
 	return ids
 }
 
-// answer is an endpoint's response to a call; with status 0, the call has been admitted and has not run.
+// answer is an endpoint's response to a call. Status 0 means that there is no response yet, or none at all if never is set or
+// the relay closed the connection while the call waited.
 type answer struct {
 	status int
 	wait   time.Duration
@@ -335,9 +336,9 @@
 	return "", nil
 }
 
-// receiveCall parses a call, records it and gives it a number. It returns a nil call if the call is malformed or
-// holds a message that no client handed in; the answer is then a 400. An answer with a status is final, one without
-// means that the endpoint decides.
+// receiveCall parses a call and, unless it is malformed, gives it a number and records it. It returns a nil call and a
+// 400 if the call is malformed, holds an ID twice, or holds a message that was not handed in with this destination, key
+// and body. An answer with a status is final, one without means that the endpoint decides.
 func (p *Platform) receiveCall(relay int, h *host, req *http.Request, body []byte, began, received time.Time) (*call, answer) {
 	c := &call{relay: relay, bulk: req.URL.Path == "/inbox/bulk"}
 	type item struct {
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -129,7 +129,8 @@
 	p.messages[m.ID] = &entry{Message: m}
 }
 
-// Withdraw records that a client has given up a hand-in without an answer: later calls with it do not run.
+// Withdraw marks a hand-in as over: its client was refused or got no answer, or the relay that had accepted it was lost with
+// its state. Later calls do not run it.
 func (p *Platform) Withdraw(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -24,8 +24,8 @@
 	// baselineSpan is the span before a fault that gives the baseline of its service. Service counts as recovered when it
 	// reaches recoveredShare of the baseline over recoveredFor.
 	baselineSpan, recoveredShare, recoveredFor = 4 * time.Second, 0.95, time.Second
-	// zoneRecoveredShare is the share of a zone's earlier calls, over callWindow, at which the zone counts as recovered; a
-	// window holds about 200 calls.
+	// zoneRecoveredShare is the share of a zone's earlier calls, over callWindow, at which the zone counts as recovered.
+	// The missing tenth allows for random variation: about 7% in a window of 200 calls.
 	zoneRecoveredShare = 0.9
 )
 
@@ -86,10 +86,10 @@
 
 // GossipFigures describe the gossip between relays and how far the relays agree, in runs that share facts.
 type GossipFigures struct {
-	Sent           float64            `json:"sent"`     // messages per second over the fleet; a broadcast counts once
+	Sent           float64            `json:"sent"`     // datagrams per second over the fleet; a broadcast counts once
 	Bytes          float64            `json:"bytes"`    // bytes per second that a relay sends
-	Received       float64            `json:"received"` // messages per second that a relay receives
-	Views          int                `json:"views"`    // number of views that the lab requested
+	Received       float64            `json:"received"` // datagrams per second addressed to a relay, with those that faults drop and without duplicates
+	Views          int                `json:"views"`    // number of views that relays returned
 	OldestAgeRatio map[string]float64 `json:"oldest"`   // percentiles of the oldest fact's age in a view, as a share of its bound
 	Propagation    []Propagation      `json:"known"`
 	FinalViews     int                `json:"last"`  // number of views taken after the traffic stopped
@@ -105,7 +105,8 @@
 	Isolated    int     `json:"cut_off"` // number of its relays that considered themselves isolated
 	FirstLeft   float64 `json:"at"`      // when the first relay was seen to have evacuated it
 	// Recovery is the time from the end of the last fault in the zone until the zone gets zoneRecoveredShare of the calls that
-	// it got before the first one, counted over callWindow. It is nil if the zone did not recover or had no fault.
+	// it got before the first one, counted over callWindow. It is nil if the zone did not recover or had no
+	// fault, or if its first fault began earlier than two windows after the start.
 	Recovery *float64 `json:"back,omitempty"`
 	Faulted  bool     `json:"hit"` // whether a fault affected the zone
 }
@@ -507,7 +508,8 @@
 	}
 }
 
-// computeZoneRecovery computes when a zone that had a fault gets as many calls as before.
+// computeZoneRecovery sets Faulted and Recovery of a zone from the times of the calls to it. Recovery stays nil if the first
+// fault began within two windows of the start, since the baseline is counted over these.
 func (f *Figures) computeZoneRecovery(z *ZoneFigures, at []float64) {
 	from, until := math.Inf(1), 0.0
 	for i := range f.Faults {
@@ -620,11 +622,11 @@
 	line("per message", "%.2f attempts, %.2f new connections; %.1f%% of the calls rejected", f.Attempts, f.Connections, 100*f.RejectedShare)
 	line("per relay", "%.2f s of CPU (%.2f at most), %.0f MB (%.0f at most), %.2f MB of disk at most", f.CPU.Mean, f.CPU.Max, f.MemoryMB.Mean, f.MemoryMB.Max, f.DiskMB.Max)
 	for _, x := range f.Faults {
-		back := "no recovery to 95% of that"
+		back := "95% of the share before not reached again"
 		if x.Recovery != nil {
-			back = fmt.Sprintf("recovered to 95%% of that after %s", seconds(*x.Recovery))
+			back = fmt.Sprintf("95%% of the share before reached again after %s", seconds(*x.Recovery))
 		}
-		line(fmt.Sprintf("%s at %.1f s", x.Kind, x.At), "served %.1f%% before, %.1f%% at worst, %s; %d calls rejected", 100*x.Before, 100*x.Worst, back, x.Rejected)
+		line(fmt.Sprintf("%s at %.1f s", x.Kind, x.At), "served %.1f%% before, %.1f%% at worst; %s; %d calls rejected", 100*x.Before, 100*x.Worst, back, x.Rejected)
 		if x.zone != "" {
 			line("", "%.1f%% could be served without the zone; at least 95%% of that was served after %s", 100*x.Before*x.ServableShare, seconds(x.DegradedTime))
 		}
@@ -642,7 +644,7 @@
 	}
 	f.newEndpointsText(line)
 	if n := f.Gossip; n.Sent > 0 {
-		line("gossip", "%.1f messages/s over the fleet, %.1f bytes/s sent per relay, %.1f messages/s received per relay", n.Sent, n.Bytes, n.Received)
+		line("gossip", "%.1f datagrams/s sent over the fleet, %.1f bytes/s sent per relay, %.1f datagrams/s addressed to each relay", n.Sent, n.Bytes, n.Received)
 	}
 	if n := f.Gossip; n.Views > 0 {
 		line("views", "%d, oldest fact at %.3f of its age bound (p99.9 %.3f); at the end %d of %d agree", n.Views, n.OldestAgeRatio["most"], n.OldestAgeRatio["p99.9"], n.FinalAgreeing, n.FinalViews)
