--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -21,12 +21,12 @@
 // The names of the rules, as reports show them. Each comment describes the violation.
 const (
 	Lost        = "lost"          // an accepted message had no outcome in time
-	AfterEnd    = "after-end"     // a message was sent after the relay had ended it, or after an endpoint had answered that it is over
+	AfterEnd    = "after-end"     // a message was sent after the relay had ended it, or after an endpoint had answered that it was delivered or over
 	SecondCopy  = "second-copy"   // a second attempt began while another was in flight
 	Attempts    = "attempts"      // a message had more attempts than the limit
 	Repeat      = "repeat"        // a message was sent again although its class forbids a repeat
 	HandedBack  = "handed-back"   // a message that may have run was deferred or refused although its class forbids a repeat
-	WrongHost   = "wrong-host"    // a call went to an endpoint of another destination, or to one that was never on the relay's list
+	WrongHost   = "wrong-host"    // a call went to an endpoint of another destination, or to one that the relay had not been sent yet
 	Drain       = "drain"         // a call went to a draining or deleted endpoint after the grace time
 	Wait        = "wait"          // a call went to a destination during a wait that its Retry-After had asked for
 	PushedOver  = "pushed-over"   // relays that had seen an endpoint fail sent it too many calls after it came back cold
@@ -34,7 +34,7 @@
 	NoteTooLong = "note-too-long" // a relay sent a gossip datagram longer than 256 bytes
 	PeerLeft    = "peer-left"     // a malformed peer got neither an error nor a close in time, or its request was accepted
 	Crash       = "crash"         // a relay process ended by itself or did not start
-	Stale       = "stale"         // a relay held a fact older than its declared bound
+	Stale       = "stale"         // a relay held a fact whose age had reached its declared bound
 	LeftZone    = "left-zone"     // a call went to a zone that operators had ordered to evacuate
 	Limits      = "limits"        // a relay exceeded its memory, descriptor or disk limit
 )
@@ -75,7 +75,7 @@
 	Violations    []Violation `json:"violations"`
 	InvalidReason string      `json:"void,omitempty"` // reason for which the run does not count; empty for a valid run
 	Truncated     bool        `json:"cut,omitempty"`  // the history has no end event
-	Messages      int         `json:"messages"`       // accepted messages whose outcome was in time
+	Messages      int         `json:"messages"`       // accepted hand-ins whose outcome was in time
 	Calls         int         `json:"calls"`
 }
 
@@ -118,8 +118,8 @@
 	handIn        history.Event
 	class         history.Class
 	accepted      micros // when the client got the relay's acceptance; 0 if it did not
-	refused       micros // when the client got a refusal; 0 if it did not
-	refusalStatus string // HTTP status of the refusal
+	refused       micros // when the client got an answer other than 200 or 202; 0 if it did not
+	refusalStatus string // HTTP status of that answer
 	clientLeft    micros // when the client disconnected without an answer; 0 if it did not
 	notifications []history.Event
 	calls         []*call
@@ -135,7 +135,7 @@
 // relayTimeline records the process events of one relay.
 type relayTimeline struct {
 	processes   int
-	unavailable []interval // periods without a ready process, which extend the time limits for outcomes
+	unavailable []interval // periods without a ready process, with startupGrace after each; an outcome due in one is due at its end
 	outages     []micros   // times at which no process of the relay was left
 	reloads     []micros
 	frozen      []interval
@@ -282,7 +282,7 @@
 		c.checkUsage(e)
 	case history.View:
 		if e.OldestAgeRatio >= 1 {
-			c.addViolation(Stale, relayOf(e), "", fmt.Sprintf("a belief of %.3g times its bound", e.OldestAgeRatio), e.Line)
+			c.addViolation(Stale, relayOf(e), "", fmt.Sprintf("the oldest fact that the relay held had an age of %.3g times its bound", e.OldestAgeRatio), e.Line)
 		}
 	case history.Order:
 		if c.evacuations[relayOf(e)] == nil {
@@ -550,8 +550,8 @@
 	return until
 }
 
-// consumeBitFlip reports whether a bit flip while a message was held can explain its loss, and removes that flip: each one
-// excuses at most one message.
+// consumeBitFlip reports whether a bit flip between the two times, at which a message was accepted and its outcome was due, can
+// explain its loss. It removes that flip: each one excuses at most one message.
 func (c *checker) consumeBitFlip(l *relayTimeline, from, to micros) bool {
 	i := slices.IndexFunc(l.bitFlips, func(t micros) bool { return t > from && t < to })
 	if i < 0 {
@@ -638,7 +638,8 @@
 	return ids[0]
 }
 
-// checkLists reports calls to endpoints that were draining, deleted, or never on the relay's list.
+// checkLists reports calls to endpoints that the relay had not been sent yet, and those to draining or deleted endpoints after
+// the grace time.
 func (c *checker) checkLists() {
 	type removal struct {
 		at   micros
@@ -662,13 +663,13 @@
 	for _, k := range c.callsInOrder {
 		relay := relayOf(&k.Event)
 		if added[k.Host] && !c.listedBefore(relay, k.Host, k.FirstByte) {
-			c.addViolation(WrongHost, relay, firstID(k.IDs), "sent to "+k.Host+", which was never on the relay's list", k.lines...)
+			c.addViolation(WrongHost, relay, firstID(k.IDs), "sent to "+k.Host+", which no list sent to the relay before had contained", k.lines...)
 		}
 		for _, l := range removals[k.Host] {
 			knownAt, line := c.removalKnownAt(relay, k.Host, l.at)
 			limit := knownAt + c.parameters.DrainGrace + history.ToMicros(timingSlack)
 			if k.FirstByte > limit && k.FirstByte < l.back {
-				c.addViolation(Drain, relay, firstID(k.IDs), "sent to "+k.Host+" "+formatDuration(k.FirstByte-knownAt)+" after the relay knew that it is draining or deleted",
+				c.addViolation(Drain, relay, firstID(k.IDs), "sent to "+k.Host+" "+formatDuration(k.FirstByte-knownAt)+" after the relay counted as informed that it was draining or deleted",
 					append([]int{l.line, line}, k.lines...)...)
 				break
 			}
@@ -716,7 +717,8 @@
 	return slices.ContainsFunc(e.Hosts, func(h history.ListEntry) bool { return h.Host == host && h.Health == "SERVING" })
 }
 
-// checkColdEndpoints reports endpoints that were overloaded after coming back cold, mostly by relays that had seen them fail.
+// checkColdEndpoints reports endpoints that got more calls than their budget and its margin after coming back cold, if at least
+// observerShare of these calls came from relays that had seen the endpoint fail.
 func (c *checker) checkColdEndpoints() {
 	f := c.parameters
 	at := map[string][]*call{}
@@ -780,7 +782,8 @@
 	return ""
 }
 
-// checkPeers reports malformed peers that got neither an error nor a close in time, or whose request was accepted.
+// checkPeers reports malformed peers that got neither an error nor a close in time, or whose request was accepted,
+// unless the relay was unavailable or frozen meanwhile.
 func (c *checker) checkPeers() {
 	connected := map[int]history.Event{}
 	for _, e := range c.events {
--- a/internal/lab/platform/hosts.go
+++ b/internal/lab/platform/hosts.go
@@ -43,7 +43,8 @@
 	Slow                                       float64 // factor on service times; 0 for none
 }
 
-// isOutage reports whether most calls fail. An endpoint that recovers from an outage is cold.
+// isOutage reports whether the endpoint is down, refuses or leaves unanswered all calls, or answers at least half of them
+// with 500. An endpoint that recovers from an outage is cold.
 func (t Impairment) isOutage() bool { return t.Down || t.Refuse || t.Silent || t.Errors >= 0.5 }
 
 // host simulates one endpoint.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -101,9 +101,9 @@
 	Zone        string  `json:"zone"`
 	LeftBy      int     `json:"left"`        // number of relays that evacuated it
 	Evacuations int     `json:"evacuations"` // largest number of evacuations by one process
-	Returns     int     `json:"returns"`
-	Isolated    int     `json:"cut_off"` // number of its relays that considered themselves isolated
-	FirstLeft   float64 `json:"at"`      // when the first relay was seen to have evacuated it
+	Returns     int     `json:"returns"`     // largest number of returns by one process
+	Isolated    int     `json:"cut_off"`     // number of its relays that considered themselves isolated
+	FirstLeft   float64 `json:"at"`          // when the first relay was seen to have evacuated it
 	// Recovery is the time from the end of the last fault in the zone until the zone gets zoneRecoveredShare of the calls that
 	// it got before the first one, counted over callWindow. It is nil if the zone did not recover or had no
 	// fault, or if its first fault began earlier than two windows after the start.
@@ -481,7 +481,7 @@
 	}
 }
 
-// computeDegraded computes, for a fault of a zone, which share the rest can serve and how long less was served.
+// computeDegraded computes ServableShare and DegradedTime of a fault that affects a zone.
 func (f *Figures) computeDegraded(x *FaultFigures, zone string, order []*messageOutcome, facts *history.Parameters) {
 	servedElsewhere := map[int]bool{}
 	for _, h := range facts.Hosts {
