--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -21,7 +21,7 @@
 // The names of the rules, as reports show them. Each comment describes the violation.
 const (
 	Lost        = "lost"          // an accepted message had no outcome in time
-	AfterEnd    = "after-end"     // a message was sent after the relay had ended it, or after an endpoint had answered that it was delivered or over
+	AfterEnd    = "after-end"     // a message was sent after the relay had ended it, or after an endpoint had answered delivered or over
 	SecondCopy  = "second-copy"   // a second attempt began while another was in flight
 	Attempts    = "attempts"      // a message had more attempts than the limit
 	Repeat      = "repeat"        // a message was sent again although its class forbids a repeat
@@ -577,8 +577,8 @@
 	return ""
 }
 
-// checkHandedBack reports a message that was refused or deferred after an attempt that may have run, if its class forbids a
-// repeat.
+// checkHandedBack reports a message that was refused or deferred after an attempt that may have run, unless its class is
+// retryable or deduplicates across all endpoints.
 func (c *checker) checkHandedBack(sub *submission, violation func(string)) {
 	if sub.class.Effect == "retryable" || sub.class.Effect == "dedup" && sub.class.Group == "all" {
 		return
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -32,8 +32,8 @@
 	Broken  = "broken"  // a fault broke the connection or made the reply unreadable; Call, Detail (which fault)
 	Notice  = "notice"  // a notification of a message's outcome arrived; ID, Status, RetryAfter, Relay
 	Note    = "note"    // a gossip datagram longer than the limit; Relay, Bytes
-	Outage  = "outage"  // an endpoint begins to fail most calls; Host
-	Back    = "back"    // an endpoint serves again, cold; Host, Rate (full capacity in messages per second)
+	Outage  = "outage"  // an endpoint goes down, refuses or ignores all calls, or fails at least half of them; Host
+	Back    = "back"    // an endpoint serves again, cold; Host, Rate (full capacity in calls per second)
 	Fell    = "fell"    // a cold endpoint was overloaded; Host
 	Connect = "connect" // a new connection to an endpoint; Relay, Host
 	Fault   = "fault"   // a fault was injected; Detail (kind), FaultIndex, Zone, EndTime
@@ -89,7 +89,7 @@
 	KnownSince     map[string]Micros     `json:"known,omitempty"`      // when the relay learned of each closing or outage
 	GossipSent     int                   `json:"notes,omitempty"`      // gossip datagrams sent between relays; a broadcast counts once
 	GossipBytes    int                   `json:"note_bytes,omitempty"` // bytes of the gossip datagrams sent; a broadcast counts once
-	GossipReceived int                   `json:"received,omitempty"`   // gossip datagrams addressed to relays, counted per receiver, with those dropped and without duplicates
+	GossipReceived int                   `json:"received,omitempty"`   // gossip datagrams addressed to relays, by receiver; dropped ones count, duplicates do not
 	FactCount      int                   `json:"beliefs,omitempty"`
 	Live           int                   `json:"live,omitempty"`
 	Zones          map[string]ZoneState  `json:"zones,omitempty"`
--- a/internal/lab/platform/hosts.go
+++ b/internal/lab/platform/hosts.go
@@ -406,7 +406,8 @@
 	p.callsOut[relay]--
 }
 
-// admit returns the answer to a call that the endpoint refuses, or an empty answer for one that it serves.
+// admit returns the answer to a call that the endpoint refuses, fails with 500 or never answers, or an empty answer for one
+// that it serves.
 func (h *host) admit(c *call, overLimit bool) answer {
 	now := time.Now()
 	h.mu.Lock()
@@ -481,8 +482,8 @@
 	return mean * math.Exp(sigma*normal-sigma*sigma/2)
 }
 
-// recordRun marks the messages of a call as run and returns their states. A message whose outcome was already
-// reported is not run again.
+// recordRun marks the messages of a call as run and returns their states. A message that is over without
+// having been delivered does not run.
 func (p *Platform) recordRun(c *call) (states []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -61,7 +61,7 @@
 
 	mu       sync.Mutex
 	messages map[string]*entry
-	ranKeys  map[string]time.Time // for dedup classes: when a key first ran, by destination and key
+	ranKeys  map[string]time.Time // unused: nothing reads or writes it
 	calls    int
 	callsOut []int // calls in flight by relay
 	changes  []change
@@ -178,7 +178,8 @@
 	}
 }
 
-// Capacity is the rate, in messages per second, that an endpoint can serve when it is not cold.
+// Capacity is the rate, in calls per second, that an endpoint can serve when it is not cold. If its destination has a limit, it
+// is the endpoint's share of that.
 func Capacity(h *scenario.Host) float64 {
 	if h.Destination.Limit != "none" {
 		return h.Destination.Rate / float64(h.Destination.Endpoints)
--- a/internal/lab/report/newcomers.go
+++ b/internal/lab/report/newcomers.go
@@ -114,7 +114,7 @@
 			status = fmt.Sprintf("held back after %s", seconds(*n.HeldAfter))
 		}
 		if n.FullAfter != nil {
-			status += fmt.Sprintf(", had its predecessor's traffic after %s", seconds(*n.FullAfter))
+			status += fmt.Sprintf(", had %.0f%% of its predecessor's calls after %s", 100*fullTrafficShare, seconds(*n.FullAfter))
 		}
 		line("new endpoint "+n.Host, "at %.1f s, %s; %.1f%% of its destination's calls until held back, or in the first %v; %d of its %d calls failed", n.Listed, status, 100*n.ExposedShare, exposureWindow, n.FailedCalls, n.Calls)
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -88,7 +88,7 @@
 type GossipFigures struct {
 	Sent           float64            `json:"sent"`     // datagrams per second over the fleet; a broadcast counts once
 	Bytes          float64            `json:"bytes"`    // bytes per second that a relay sends
-	Received       float64            `json:"received"` // datagrams per second addressed to a relay, with those that faults drop and without duplicates
+	Received       float64            `json:"received"` // datagrams per second addressed to a relay; dropped ones count, duplicates do not
 	Views          int                `json:"views"`    // number of views that relays returned
 	OldestAgeRatio map[string]float64 `json:"oldest"`   // percentiles of the oldest fact's age in a view, as a share of its bound
 	Propagation    []Propagation      `json:"known"`
@@ -656,7 +656,7 @@
 		line("cold endpoints", "%d overloads", f.Overloaded)
 	}
 	line("the lab", "%d of %d timed events late, by at most %s", f.Lab.Late, f.Lab.Events, seconds(f.Lab.MaxLateness))
-	line("verdict", "%s (%d accepted messages with an outcome in time, %d calls)", f.Verdict.String(), f.Verdict.Messages, f.Verdict.Calls)
+	line("verdict", "%s (%d accepted hand-ins with an outcome in time, %d calls)", f.Verdict.String(), f.Verdict.Messages, f.Verdict.Calls)
 	return w.Flush()
 }
 
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -66,13 +66,13 @@
 	// Zone b serves nothing from 10 to 18 s; the destination with an endpoint in zone a is served throughout.
 	f := Compute(twoZoneHistory(func(at time.Duration) bool { return at < 10*time.Second || at >= 18*time.Second }, func(time.Duration) bool { return false }), checker.Verdict{})
 	x := f.Faults[0]
-	expectNear(t, "could be served", x.ServableShare, 0.5, 0.01)
-	expectNear(t, "carried after", x.DegradedTime, 0, 1e-9)
+	expectNear(t, "servable share", x.ServableShare, 0.5, 0.01)
+	expectNear(t, "degraded time without lost calls in the other zone", x.DegradedTime, 0, 1e-9)
 	expectNear(t, "served at worst", x.Worst, 0.5, 0.02)
-	expectNear(t, "local, of what can be", f.LocalShare/f.LocalPossible, 1, 0.35)
+	expectNear(t, "local share of the calls with an endpoint in their own zone", f.LocalShare/f.LocalPossible, 1, 0.35)
 	for _, z := range f.Zones {
 		if z.Zone == "b" && (z.Recovery == nil || math.Abs(*z.Recovery-2) > 0.5) {
-			t.Errorf("zone b recovered %v s after the end of its fault, want 2 s", z.Recovery)
+			t.Errorf("Recovery of zone b: got pointer %v, want one to 2 s within 0.5 s", z.Recovery)
 		}
 		if z.Faulted != (z.Zone == "b") {
 			t.Errorf("zone %s: got faulted %v, want true for zone b only", z.Zone, z.Faulted)
@@ -81,16 +81,16 @@
 	if f.Overloaded != 1 {
 		t.Errorf("got %d overloaded endpoints, want 1", f.Overloaded)
 	}
-	// Here all calls fail during the first 3 s of the fault.
+	// Without lost calls the degraded time is 0; it is not when all calls fail during the first 3 s of the fault.
 	f = Compute(twoZoneHistory(func(at time.Duration) bool { return true }, func(time.Duration) bool { return false }), checker.Verdict{})
-	expectNear(t, "carried, with nothing lost", f.Faults[0].DegradedTime, 0, 1e-9)
+	expectNear(t, "degraded time with nothing lost", f.Faults[0].DegradedTime, 0, 1e-9)
 	lossy := twoZoneHistory(func(at time.Duration) bool { return true }, func(time.Duration) bool { return false })
 	for i := range lossy {
 		if e := &lossy[i]; e.Kind == history.Reply && e.Time > history.ToMicros(10*time.Second) && e.Time < history.ToMicros(13*time.Second) {
 			e.Status = "503"
 		}
 	}
-	expectNear(t, "carried, with 3 s lost", Compute(lossy, checker.Verdict{}).Faults[0].DegradedTime, 3.5, 1)
+	expectNear(t, "degraded time with 3 s lost", Compute(lossy, checker.Verdict{}).Faults[0].DegradedTime, 3.5, 1)
 }
 
 // A new endpoint's exposure must count only until it is held back, and its full traffic must be measured against its
@@ -103,7 +103,7 @@
 	}
 	n := f.NewEndpoints[0]
 	if n.HeldAfter == nil || n.FullAfter == nil {
-		t.Fatalf("new endpoint %+v: want a hold and full traffic", n)
+		t.Fatalf("new endpoint %+v: want HeldAfter and FullAfter not nil", n)
 	}
 	expectNear(t, "held after", *n.HeldAfter, 5, 0.1)
 	expectNear(t, "exposed", n.ExposedShare, 0.02, 0.005)
