--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -54,7 +54,7 @@
 	return p.add(at, history.Event{Kind: history.HandIn, ID: id, Message: 1, Relay: history.IntPtr(relay), Class: class, Dest: history.IntPtr(7), TimeLeft: 10e6})
 }
 
-// call adds a call to an endpoint that stays in flight.
+// call adds a call to an endpoint. It stays in flight until a later event ends it.
 func (p *historyBuilder) call(at time.Duration, host string, ids ...string) *historyBuilder {
 	return p.callOf(relay, at, host, ids...)
 }
@@ -117,7 +117,7 @@
 			p.notification(9*s, "m", "deferred")
 		}
 	}
-	// coldEndpoint builds an endpoint that comes back at 20 s with a capacity of 10 messages per second and then gets n calls,
+	// coldEndpoint builds an endpoint that comes back at 20 s with a capacity of 10 calls per second and then gets n calls,
 	// of which the first ones, as many as given, come from a relay that saw it fail. The budget is 2 × 10 × 0.25 × 2 s = 10
 	// calls; 2√10 more are allowed for chance: 16 in all.
 	coldEndpoint := func(n, observed int) func(*historyBuilder) {
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -240,8 +240,8 @@
 // maxLineBytes is the longest line of a history that Read accepts.
 const maxLineBytes = 16 << 20
 
-// Read reads a history and returns its events in the order of time. truncated reports that it has no end event: the run was
-// aborted or the file cut off. A malformed line before the last one is an error with its line number.
+// Read reads a history and returns its events in the order of time. truncated reports that the last line is malformed or not
+// an end event: the run was aborted or the file cut off. A malformed line before the last one is an error with its line number.
 func Read(from io.Reader) (all []Event, truncated bool, err error) {
 	in := bufio.NewScanner(from)
 	in.Buffer(nil, maxLineBytes)
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -1,11 +1,13 @@
-// Package platform simulates everything that relays communicate with: discovery, the endpoints of the destinations,
-// the receiver of notifications, and the network between relays. It follows the published protocol alone, and runs in
-// the lab's process on its own loopback addresses.
+// Package platform simulates all that relays communicate with except the clients: discovery, the endpoints of the
+// destinations, the receiver of notifications, and the network between relays. It follows the published
+// protocol alone, and runs in the lab's process on its own loopback addresses.
 //
-// Each pair of relay and endpoint, and each pair of relays, has a network path that can be blocked and impaired by
-// itself. The history records, with its time, everything that a relay could have observed. Random values, such as
-// service times and the answers that get lost, depend on the seed and the message and not on real-time order. The
-// package judges nothing: that is the checker's part. All methods may be called from any goroutine.
+// Each pair of relay and endpoint, and each pair of relays, has a network path that can be blocked by itself. Datagrams
+// are dropped and duplicated by relay. The history records, with their times, the connections, calls, answers, lists
+// and notifications, and datagrams that are too long. Random values of calls, such as service times and the answers
+// that get lost, depend on the seed and the message and not on real-time order; the datagrams that get lost or
+// duplicated depend on the order in which datagrams arrive. The package judges nothing: that is
+// the checker's part. All methods may be called from any goroutine.
 package platform
 
 import (
