--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -32,8 +32,8 @@
 	Broken  = "broken"  // a fault broke the connection or made the reply unreadable; Call, Detail (which fault)
 	Notice  = "notice"  // a notification of a message's outcome arrived; ID, Status, RetryAfter, Relay
 	Note    = "note"    // a gossip datagram longer than the limit; Relay, Bytes
-	Outage  = "outage"  // an endpoint begins to fail most calls; Host
-	Back    = "back"    // an endpoint serves again, cold; Host, Rate (full capacity in messages per second)
+	Outage  = "outage"  // an endpoint goes down, refuses or ignores all calls, or fails at least half of them; Host
+	Back    = "back"    // an endpoint serves again, cold; Host, Rate (full capacity in calls per second)
 	Fell    = "fell"    // a cold endpoint was overloaded; Host
 	Connect = "connect" // a new connection to an endpoint; Relay, Host
 	Fault   = "fault"   // a fault was injected; Detail (kind), FaultIndex, Zone, EndTime
@@ -87,9 +87,9 @@
 	OldestAgeRatio float64               `json:"oldest,omitempty"` // largest ratio of a fact's age to its bound
 	Digest         uint32                `json:"digest,omitempty"`
 	KnownSince     map[string]Micros     `json:"known,omitempty"`      // when the relay learned of each closing or outage
-	GossipSent     int                   `json:"notes,omitempty"`      // gossip messages sent between relays; a broadcast counts once
-	GossipBytes    int                   `json:"note_bytes,omitempty"` // bytes of the gossip messages sent; a broadcast counts once
-	GossipReceived int                   `json:"received,omitempty"`   // gossip messages delivered to relays
+	GossipSent     int                   `json:"notes,omitempty"`      // gossip datagrams sent between relays; a broadcast counts once
+	GossipBytes    int                   `json:"note_bytes,omitempty"` // bytes of the gossip datagrams sent; a broadcast counts once
+	GossipReceived int                   `json:"received,omitempty"`   // gossip datagrams addressed to relays, by receiver; dropped ones count, duplicates do not
 	FactCount      int                   `json:"beliefs,omitempty"`
 	Live           int                   `json:"live,omitempty"`
 	Zones          map[string]ZoneState  `json:"zones,omitempty"`
@@ -240,8 +240,8 @@
 // maxLineBytes is the longest line of a history that Read accepts.
 const maxLineBytes = 16 << 20
 
-// Read reads a history and returns its events in the order of time. truncated reports that it has no end event: the run was
-// aborted or the file cut off. A malformed line before the last one is an error with its line number.
+// Read reads a history and returns its events in the order of time. truncated reports that the last line is malformed or not
+// an end event: the run was aborted or the file cut off. A malformed line before the last one is an error with its line number.
 func Read(from io.Reader) (all []Event, truncated bool, err error) {
 	in := bufio.NewScanner(from)
 	in.Buffer(nil, maxLineBytes)
@@ -262,7 +262,7 @@
 		return nil, false, err
 	}
 	if len(all) == 0 || all[0].Kind != Run || all[0].Parameters == nil {
-		return nil, false, errors.New("line 1: no history: want an event of kind run with facts")
+		return nil, false, errors.New("line 1: no history: want an event of kind run with its parameters under the key facts")
 	}
 	truncated = badLine != nil || all[len(all)-1].Kind != End
 	sortByTime(all)
--- a/internal/lab/platform/hosts.go
+++ b/internal/lab/platform/hosts.go
@@ -43,7 +43,8 @@
 	Slow                                       float64 // factor on service times; 0 for none
 }
 
-// isOutage reports whether most calls fail. An endpoint that recovers from an outage is cold.
+// isOutage reports whether the endpoint is down, refuses or leaves unanswered all calls, or answers at least half of them
+// with 500. An endpoint that recovers from an outage is cold.
 func (t Impairment) isOutage() bool { return t.Down || t.Refuse || t.Silent || t.Errors >= 0.5 }
 
 // host simulates one endpoint.
@@ -182,7 +183,8 @@
 	return ids
 }
 
-// answer is an endpoint's response to a call; with status 0, the call has been admitted and has not run.
+// answer is an endpoint's response to a call. Status 0 means that there is no response yet, or none at all if never is set or
+// the relay closed the connection while the call waited.
 type answer struct {
 	status int
 	wait   time.Duration
@@ -335,9 +337,9 @@
 	return "", nil
 }
 
-// receiveCall parses a call, records it and gives it a number. It returns a nil call if the call is malformed or
-// holds a message that no client handed in; the answer is then a 400. An answer with a status is final, one without
-// means that the endpoint decides.
+// receiveCall parses a call and, unless it is malformed, gives it a number and records it. It returns a nil call and a
+// 400 if the call is malformed, holds an ID twice, or holds a message that was not handed in with this destination, key
+// and body. An answer with a status is final, one without means that the endpoint decides.
 func (p *Platform) receiveCall(relay int, h *host, req *http.Request, body []byte, began, received time.Time) (*call, answer) {
 	c := &call{relay: relay, bulk: req.URL.Path == "/inbox/bulk"}
 	type item struct {
@@ -404,7 +406,8 @@
 	p.callsOut[relay]--
 }
 
-// admit returns the answer to a call that the endpoint refuses, or an empty answer for one that it serves.
+// admit returns the answer to a call that the endpoint refuses, fails with 500 or never answers, or an empty answer for one
+// that it serves.
 func (h *host) admit(c *call, overLimit bool) answer {
 	now := time.Now()
 	h.mu.Lock()
@@ -479,8 +482,8 @@
 	return mean * math.Exp(sigma*normal-sigma*sigma/2)
 }
 
-// recordRun marks the messages of a call as run and returns their states. A message whose outcome was already
-// reported is not run again.
+// recordRun marks the messages of a call as run and returns their states. A message that is over without
+// having been delivered does not run.
 func (p *Platform) recordRun(c *call) (states []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -1,11 +1,13 @@
-// Package platform simulates everything that relays communicate with: discovery, the endpoints of the destinations,
-// the receiver of notifications, and the network between relays. It follows the published protocol alone, and runs in
-// the lab's process on its own loopback addresses.
+// Package platform simulates all that relays communicate with except the clients: discovery, the endpoints of the
+// destinations, the receiver of notifications, and the network between relays. It follows the published
+// protocol alone, and runs in the lab's process on its own loopback addresses.
 //
-// Each pair of relay and endpoint, and each pair of relays, has a network path that can be blocked and impaired by
-// itself. The history records, with its time, everything that a relay could have observed. Random values, such as
-// service times and the answers that get lost, depend on the seed and the message and not on real-time order. The
-// package judges nothing: that is the checker's part. All methods may be called from any goroutine.
+// Each pair of relay and endpoint, and each pair of relays, has a network path that can be blocked by itself. Datagrams
+// are dropped and duplicated by relay. The history records, with their times, the connections, calls, answers, lists
+// and notifications, and datagrams that are too long. Random values of calls, such as service times and the answers
+// that get lost, depend on the seed and the message and not on real-time order; the datagrams that get lost or
+// duplicated depend on the order in which datagrams arrive. The package judges nothing: that is
+// the checker's part. All methods may be called from any goroutine.
 package platform
 
 import (
@@ -61,7 +63,7 @@
 
 	mu       sync.Mutex
 	messages map[string]*entry
-	ranKeys  map[string]time.Time // for dedup classes: when a key first ran, by destination and key
+	ranKeys  map[string]time.Time // unused: nothing reads or writes it
 	calls    int
 	callsOut []int // calls in flight by relay
 	changes  []change
@@ -129,7 +131,8 @@
 	p.messages[m.ID] = &entry{Message: m}
 }
 
-// Withdraw records that a client has given up a hand-in without an answer: later calls with it do not run.
+// Withdraw marks a hand-in as over: its client was refused or got no answer, or the relay that had accepted it was lost with
+// its state. Later calls do not run it.
 func (p *Platform) Withdraw(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,7 +180,8 @@
 	}
 }
 
-// Capacity is the rate, in messages per second, that an endpoint can serve when it is not cold.
+// Capacity is the rate, in calls per second, that an endpoint can serve when it is not cold. If its destination has a limit, it
+// is the endpoint's share of that.
 func Capacity(h *scenario.Host) float64 {
 	if h.Destination.Limit != "none" {
 		return h.Destination.Rate / float64(h.Destination.Endpoints)
