--- a/internal/scale/bed.go
+++ b/internal/scale/bed.go
@@ -51,7 +51,8 @@
 	// to hold.
 	usualClass, heldClass       = "notice", "held"
 	usualDeadline, heldDeadline = 8 * time.Second, time.Hour
-	// endpointRate is the calls per second that an endpoint accepts, as announced in the list.
+	// endpointRate is the rate of calls per second, over all relays, that the list announces for a destination. The
+	// stand-in endpoints do not enforce it.
 	endpointRate = 25
 	// heldCapacityFactor is the relay's limit on open messages, as a multiple of the messages that it has to hold.
 	heldCapacityFactor = 1.5
--- a/internal/scale/bounds.go
+++ b/internal/scale/bounds.go
@@ -22,7 +22,7 @@
 	heldMB             = 0.004 // memory of a message that the relay can't deliver
 	testBedDescriptors = 2*listeners + maxInFlight + maxHeldInFlight
 	fleetDescriptors   = 8 // open files of the stand-ins for each relay of a fleet
-	hollowDescriptors  = 4 // open files of the test bed for each process of hollow relays
+	hollowDescriptors  = 4 // open files of the test bed for each process of a fleet: a real relay or a group of hollow ones
 )
 
 // requirements is an estimate of the resources that a run needs.
--- a/internal/scale/changes.go
+++ b/internal/scale/changes.go
@@ -56,7 +56,8 @@
 
 // awaitAllChanges reports whether the relay applies all changes within catchUpTimeout. The number of entries does not
 // show this by itself, since the toggled entries lead to the same numbers again and again. So the marker entries are
-// removed, which leads to a number that no earlier change led to, and put back.
+// removed, which leads to a number that toggling alone cannot reach, since there are more markers than toggled entries,
+// and put back.
 func (b *testBed) awaitAllChanges(ctx context.Context) bool {
 	markers := make([]int, markerEntries)
 	for i := range markers {
@@ -75,12 +76,12 @@
 
 // awaitListCount waits until the relay's counter equals the number of listed entries, or the context ends.
 func (b *testBed) awaitListCount(ctx context.Context) {
-	const lookAgain = 20 * time.Millisecond
+	const pollEvery = 20 * time.Millisecond
 	for {
 		if listed, err := b.members(); err == nil && listed == b.list.Listed() {
 			return
 		}
-		if !clock.Sleep(ctx, lookAgain) {
+		if !clock.Sleep(ctx, pollEvery) {
 			return
 		}
 	}
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -217,6 +217,7 @@
 	}
 	slices.Sort(took)
 	missing := b.plan.Fleet.Facts*hollows - len(took)
+	// The figure "fact in force" is the time from sharing a fact until each hollow relay first knows it.
 	b.point.addQuantiles("fact in force", "ms", milliseconds, took, missing, factWait)
 	b.point.add("facts that did not arrive", "% of deliveries", 100*float64(missing)/float64(b.plan.Fleet.Facts*hollows))
 	return nil
@@ -224,8 +225,8 @@
 
 // measureFailureDetection stops a hollow relay and measures the time until each other hollow relay drops it.
 func (b *fleetTestBed) measureFailureDetection(ctx context.Context) error {
-	victim := b.x - 1
-	if err := errors.Join(b.hollow.broadcast(hollow.Command{Do: hollow.Watch, Relay: victim}), b.hollow.broadcast(hollow.Command{Do: hollow.Stop, Relay: victim})); err != nil {
+	stopped := b.x - 1
+	if err := errors.Join(b.hollow.broadcast(hollow.Command{Do: hollow.Watch, Relay: stopped}), b.hollow.broadcast(hollow.Command{Do: hollow.Stop, Relay: stopped})); err != nil {
 		return err
 	}
 	died := time.Now()
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -197,7 +197,7 @@
 	_ = r.conn.Close()
 }
 
-// send sends a datagram to one relay, or to all if to is fleet.Everyone.
+// send sends a datagram to one relay, or to all if to is fleet.AllRelays.
 func (r *relay) send(to int, datagram []byte) {
 	address := r.group.all
 	if to != fleet.AllRelays {
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -24,7 +24,7 @@
 	// requestTimeout is how long the test bed's HTTP client waits. It is much longer than clientTimeout, so that
 	// longer stalls are measured in full.
 	requestTimeout = 20 * time.Second
-	// lateThreshold is the delay after its scheduled time from which a submission counts as sent late by the test
+	// lateThreshold is the delay after its scheduled time above which a submission counts as sent late by the test
 	// bed.
 	lateThreshold = 50 * time.Millisecond
 	// messageBytes is the length of the body of a message.
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -62,7 +62,7 @@
 	Memory       Size     `toml:"memory"`
 	Disk         Size     `toml:"disk"`
 	ListInConfig bool     `toml:"list_in_config"` // the relay's configuration contains the list as well
-	Ready        Duration `toml:"ready"`          // time limit from the start until the whole list is in effect
+	Ready        Duration `toml:"ready"`          // time limit of a start until healthy, and again from then until the list is applied
 	Restart      bool     `toml:"restart"`        // restart the relay with the same state directory at the end of a point
 	Fill         Duration `toml:"fill"`           // time limit for submitting the held messages
 }
@@ -170,7 +170,8 @@
 	}
 	for _, b := range p.bounds() {
 		if !(b.value >= b.least && b.value <= b.most) {
-			return b.key, fmt.Errorf("%v is outside %v to %v", b.value, b.least, b.most)
+			return b.key, fmt.Errorf("%v is outside %v to %v (times in seconds, rates per second, shares as fractions, lists by their length)",
+				b.value, b.least, b.most)
 		}
 	}
 	return "", nil
--- a/internal/scale/process/process.go
+++ b/internal/scale/process/process.go
@@ -50,7 +50,7 @@
 // gcTrace makes the Go runtime report each garbage collection on standard error.
 const gcTrace = "GODEBUG=gctrace=1"
 
-// gcReport matches the runtime's report of a garbage gcReport and captures the live heap in MB: "gc 7 @1.2s 3%: ...
+// gcReport matches the runtime's report of a garbage collection and captures the live heap in MB: "gc 7 @1.2s 3%: ...
 // 8->9->4 MB, ...".
 var gcReport = regexp.MustCompile(`^gc \d+ @.* \d+->\d+->(\d+) MB`)
 
--- a/internal/scale/report/report.go
+++ b/internal/scale/report/report.go
@@ -96,7 +96,7 @@
 		fmt.Fprintf(&b, "**Invalid: %s.**\n", run.Invalid)
 	}
 	if !run.Complete {
-		b.WriteString("**Incomplete: the run was cancelled.**\n")
+		b.WriteString("**Incomplete: the run has not reached the end of its plan.**\n")
 	}
 	points := pointsOf(run)
 	fmt.Fprintf(&b, "\n| figure | unit | relay |%s fit |\n| --- | --- | --- |%s --- |\n", headerCells(run.Axis, points), strings.Repeat(" ---: |", len(points)))
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -94,9 +94,9 @@
 		return Point{}, err
 	}
 	defer subnet.Release()
-	guarded, stop := context.WithCancelCause(ctx)
+	limited, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	go enforceMemoryLimit(guarded, p.allowedMB(), stop)
+	go enforceMemoryLimit(limited, p.allowedMB(), stop)
 	begun := time.Now()
 	progress := func(step string) {
 		if o.Progress != nil {
@@ -109,12 +109,12 @@
 	}
 	var point Point
 	if p.Sweep == SweepRelays {
-		point = measureFleet(guarded, p, x, v, version.Binary, o.Self, dir, subnet, progress)
+		point = measureFleet(limited, p, x, v, version.Binary, o.Self, dir, subnet, progress)
 	} else {
-		point = measureSingle(guarded, p, x, version.Binary, dir, subnet, progress)
+		point = measureSingle(limited, p, x, version.Binary, dir, subnet, progress)
 	}
 	point.Relay, point.Variant = version.Label, v.name
-	if errors.Is(context.Cause(guarded), errMemory) {
+	if errors.Is(context.Cause(limited), errMemory) {
 		point.Failed = errMemory.Error()
 	}
 	return point, ctx.Err()
@@ -122,8 +122,8 @@
 
 // enforceMemoryLimit cancels a point when this process and its children use more memory than allowed.
 func enforceMemoryLimit(ctx context.Context, allowedMB float64, stop context.CancelCauseFunc) {
-	const lookEvery = 500 * time.Millisecond
-	for clock.Sleep(ctx, lookEvery) {
+	const pollEvery = 500 * time.Millisecond
+	for clock.Sleep(ctx, pollEvery) {
 		if usedMB(children(os.Getpid())) > allowedMB {
 			stop(errMemory)
 			return
--- a/internal/scale/shapes_test.go
+++ b/internal/scale/shapes_test.go
@@ -70,9 +70,9 @@
 const (
 	shortList, longList = 300, 30_000
 	countedChanges      = 16
-	changeRate          = 10 // per second, so that the relay has applied each change before the next
+	changeRate          = 10 // changes per second, so that the relay has applied each change before the next
 	countedMessages     = 100
-	countedRate         = 100 // per second
+	countedRate         = 100 // messages per second
 )
 
 // counts is the cost of changes and messages at one length of the list.
@@ -100,22 +100,22 @@
 // awaitQuiet waits until the relay has stopped writing, so that the work of its start is not counted.
 func (b *testBed) awaitQuiet(ctx context.Context) error {
 	const (
-		still   = 500 * time.Millisecond
-		mostIn  = 10 * time.Second
-		ownNote = 1 << 10 // bytes per interval that the Go runtime itself may write
+		quietInterval = 500 * time.Millisecond
+		timeLimit     = 10 * time.Second
+		allowedBytes  = 1 << 10 // bytes per interval that the Go runtime itself may write
 	)
 	last := int64(0)
-	for end := time.Now().Add(mostIn); time.Now().Before(end); clock.Sleep(ctx, still) {
+	for end := time.Now().Add(timeLimit); time.Now().Before(end); clock.Sleep(ctx, quietInterval) {
 		usage, err := b.relay.Usage()
 		if err != nil {
 			return err
 		}
-		if usage.WrittenBytes-last < ownNote {
+		if usage.WrittenBytes-last < allowedBytes {
 			return nil
 		}
 		last = usage.WrittenBytes
 	}
-	return fmt.Errorf("the relay is still writing after %v, want less than %d bytes in %v", mostIn, ownNote, still)
+	return fmt.Errorf("the relay is still writing after %v, want less than %d bytes in %v", timeLimit, allowedBytes, quietInterval)
 }
 
 // countAt measures the counts at one length of the list.
--- a/internal/scale/single.go
+++ b/internal/scale/single.go
@@ -244,7 +244,8 @@
 	m.point.add("split deviation", "% of a core", percent*(both.cpu-changes.cpu-(messages.cpu-idle.cpu)))
 }
 
-// addChanges adds the cost of changes of the list, per change and per second.
+// addChanges adds the cost of changes of the list, per change and per second. The figures "control received"
+// and "control sent" are the bytes that the relay receives from discovery and sends to it, without notifications.
 func (m *single) addChanges(idle, changes phase) {
 	seconds := changes.span.Seconds()
 	m.point.add("control received", "B/s", float64(changes.control.Received)/seconds)
