--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -177,6 +177,8 @@
 		b.point.add("real relay processor", "% of a core", percent*(after.realCPU-before.realCPU).Seconds()/seconds/reals)
 		b.point.add("real relay resident", "MB", after.realMB/reals)
 	}
+	// "a relay" in the following names means "for each relay": bytes and datagrams sent are averages over all relays,
+	// those received over the hollow relays.
 	b.point.add("sent a relay", "B/s", float64(after.sentBytes-before.sentBytes)/seconds/float64(b.x))
 	b.point.add("datagrams sent a relay", "1/s", float64(after.sent-before.sent)/seconds/float64(b.x))
 	b.point.add("received a relay", "B/s", float64(after.traffic.ReceivedBytes-before.traffic.ReceivedBytes)/seconds/hollows)
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -55,8 +55,8 @@
 	Failed  string   `json:"failed,omitempty"` // error that ended the measurement; empty if it is complete
 	Figures []Figure `json:"figures"`
 	Seconds float64  `json:"seconds"`
-	Late    int      `json:"late"` // submissions that the test bed sent later than lateThreshold after their scheduled time
-	HandIns int      `json:"hand_ins"`
+	Late    int      `json:"late"`     // submissions that the test bed sent later than lateThreshold after their scheduled time
+	HandIns int      `json:"hand_ins"` // submissions whose scheduled time was reached
 }
 
 // Figure is one measured value. AtLeast marks it as a lower bound: the true value is higher.
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -121,10 +121,10 @@
 	point := run.Points[0]
 	wantFigures(t, point, "hollow relay processor", "real relay processor", "sent a relay", "received a relay", "fact in force all",
 		"dead relay dropped all")
-	if missed, _ := point.Get("facts that did not arrive"); missed.Value > 0 {
-		t.Errorf("%v%% of the facts were not delivered, want none lost", missed.Value)
+	if undelivered, _ := point.Get("facts that did not arrive"); undelivered.Value > 0 {
+		t.Errorf("%v%% of the facts were not delivered, want none lost", undelivered.Value)
 	}
-	if dead, _ := point.Get("dead relay dropped all"); !dead.AtLeast || dead.Value != 1 {
-		t.Errorf("time until a dead relay is dropped is %+v, want a lower bound of 1 s, since it takes five missed heartbeats", dead)
+	if dropTime, _ := point.Get("dead relay dropped all"); !dropTime.AtLeast || dropTime.Value != 1 {
+		t.Errorf("time until a dead relay is dropped is %+v, want a lower bound of 1 s, since it takes five missed heartbeats", dropTime)
 	}
 }
--- a/internal/scale/single.go
+++ b/internal/scale/single.go
@@ -268,6 +268,8 @@
 	return float64(a.histogram.ValueAtPercentile(percentile)) / microsecondsOfMillisecond
 }
 
+// addResponseTimes adds the response times of submitted messages, measured from their scheduled time. Figures' names
+// call a response time "answer".
 func (m *single) addResponseTimes(name string, a *responseTimes) {
 	m.point.add("answer "+name+" p50", "ms", responseMS(a, 50))
 	m.point.add("answer "+name+" p99", "ms", responseMS(a, 99))
@@ -275,7 +277,8 @@
 	m.point.add("answer "+name+" over 400 ms", "messages", float64(a.unanswered))
 }
 
-// addMemory adds the relay's memory and the size of its state directory; when is part of the figures' names.
+// addMemory adds the relay's memory and the size of its state directory; when is part of the figures' names, and
+// "folder" in them is the state directory.
 func (m *single) addMemory(when string) error {
 	usage, err := m.relay.Usage()
 	if err != nil {
